--- a/wheatroute/fleet/experiment.py
+++ b/wheatroute/fleet/experiment.py
@@ -60,8 +60,9 @@
     try:
         experiment = Experiment.model_validate(told)
     except ValidationError as trouble:
-        raise plan.PlanError([f"{path}: {'.'.join(map(str, one['loc'])) or 'whole'}: {one['msg']}"
-                              for one in trouble.errors()]) from None
+        raise plan.PlanError(
+            [f"{path}: {'.'.join(map(str, one['loc'])) or 'whole'}: {one['msg']}" for one in trouble.errors()]
+        ) from None
     unknown = [one for one in experiment.policies if one != DESIGN and one not in baselines.BASELINES]
     if unknown:
         known = ", ".join([DESIGN, *sorted(baselines.BASELINES)])
@@ -96,8 +97,13 @@
         for policy in experiment.policies:
             for seed in range(experiment.first_seed, experiment.first_seed + experiment.seeds):
                 made_of = orjson.dumps([fleet, policy, seed], option=orjson.OPT_SORT_KEYS)
-                yield {"run": hashlib.blake2b(made_of, digest_size=8).hexdigest(), "point": point,
-                       "policy": policy, "seed": seed, "fleet": fleet}
+                yield {
+                    "run": hashlib.blake2b(made_of, digest_size=8).hexdigest(),
+                    "point": point,
+                    "policy": policy,
+                    "seed": seed,
+                    "fleet": fleet,
+                }
 
 
 def maker(policy: str) -> Maker:
@@ -123,10 +129,16 @@
         asked, earned = results.worth(world, root)
         seconds[at][0] += asked
         seconds[at][1] += earned
-    return {"run": run["run"], "point": run["point"], "policy": run["policy"], "seed": run["seed"],
-            "figures": results.figures(world), "broken": world.watch.broken,
-            "by_second": [earned / asked if asked else 1.0 for asked, earned in seconds],
-            "delays": delays.encode().decode("ascii")}
+    return {
+        "run": run["run"],
+        "point": run["point"],
+        "policy": run["policy"],
+        "seed": run["seed"],
+        "figures": results.figures(world),
+        "broken": world.watch.broken,
+        "by_second": [earned / asked if asked else 1.0 for asked, earned in seconds],
+        "delays": delays.encode().decode("ascii"),
+    }
 
 
 def kept(folder: Path) -> dict[str, dict[str, Any]]:
@@ -142,8 +154,12 @@
     return out
 
 
-def carry_out(experiment: Experiment, folder: Path, workers: int,
-              told: Callable[[int, int], None] = lambda done, of: None) -> int:
+def carry_out(
+    experiment: Experiment,
+    folder: Path,
+    workers: int,
+    told: Callable[[int, int], None] = lambda done, of: None,
+) -> int:
     """Plays what is not kept yet; returns how many runs that were. Lines end up in the order of `runs`."""
     folder.mkdir(parents=True, exist_ok=True)
     asked = list(runs(experiment))
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -39,10 +39,11 @@
         names, struck = self.world.plan.network.zones, []
         for depth, tier in enumerate(self.world.tiers):
             if fault.tier in (-1, depth):
-                alive = [one for one in tier
-                         if one.alive and (not fault.zone or names[one.zone] == fault.zone)]
+                alive = [
+                    one for one in tier if one.alive and (not fault.zone or names[one.zone] == fault.zone)
+                ]
                 draw.shuffle(alive)
-                struck += alive[:ceil(fault.part * len(alive))]
+                struck += alive[: ceil(fault.part * len(alive))]
         return struck
 
     def _for_a_while(self, fault: Fault, begin: Callable[[], None], end: Callable[[], None]) -> None:
@@ -67,13 +68,17 @@
 
     def _hang(self, fault: Fault, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
-        self._for_a_while(fault, lambda: self._change(struck, "hang", 0.0),
-                          lambda: self._change(struck, "hang", 1.0))
+        self._for_a_while(
+            fault, lambda: self._change(struck, "hang", 0.0), lambda: self._change(struck, "hang", 1.0)
+        )
 
     def _slow(self, fault: Fault, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
-        self._for_a_while(fault, lambda: self._change(struck, name, 1.0 / max(1.0, fault.size)),
-                          lambda: self._change(struck, name, 1.0))
+        self._for_a_while(
+            fault,
+            lambda: self._change(struck, name, 1.0 / max(1.0, fault.size)),
+            lambda: self._change(struck, name, 1.0),
+        )
 
     def _shared_slow(self, fault: Fault, name: str, draw: Random) -> None:
         self._slow(fault.model_copy(update={"part": 1.0}), name, draw)
@@ -84,6 +89,7 @@
         def put(share: float) -> None:
             for server in struck:
                 server.errors = share
+
         self._for_a_while(fault, lambda: put(min(1.0, fault.size)), lambda: put(0.0))
 
     def _pauses(self, fault: Fault, name: str, draw: Random) -> None:
@@ -92,8 +98,9 @@
     def _neighbour(self, fault: Fault, name: str, draw: Random) -> None:
         self._on_and_off(fault, name, draw, max(0.01, 1.0 - fault.size), fault.every, fault.every)
 
-    def _on_and_off(self, fault: Fault, name: str, draw: Random, factor: float, on: float,
-                    off: float) -> None:
+    def _on_and_off(
+        self, fault: Fault, name: str, draw: Random, factor: float, on: float, off: float
+    ) -> None:
         end = self.engine.now + fault.length
 
         def begin(server: Server) -> None:
@@ -105,6 +112,7 @@
             if server.alive:
                 server.change(name, 1.0)
                 self.engine.after(off * (0.5 + draw.random()), begin, server)
+
         for server in self._struck(fault, draw):
             self.engine.after(off * draw.random(), begin, server)
 
@@ -143,13 +151,14 @@
     def _node_loss(self, fault: Fault, name: str, draw: Random) -> None:
         alive = [node for node in self.world.front if node.alive]
         draw.shuffle(alive)
-        for node in alive[:ceil(fault.part * len(alive))]:
+        for node in alive[: ceil(fault.part * len(alive))]:
             self.world.kill_node(node)
             self.engine.after(fault.length, self.world.revive_node, node.number)
 
     def _list_late(self, fault: Fault, name: str, draw: Random) -> None:
         def put(seconds: float) -> None:
             self.world.list_late += seconds
+
         self._for_a_while(fault, lambda: put(fault.size), lambda: put(-fault.size))
 
     def _cut_off(self, fault: Fault, name: str, draw: Random) -> None:
@@ -159,8 +168,12 @@
         def begin() -> None:
             self.world.paths.cut(name, zones)
             self.world.paths.mute(name, places)
+
         self._for_a_while(fault, begin, lambda: self.world.paths.mend(name))
 
     def _lossy(self, fault: Fault, name: str, draw: Random) -> None:
-        self._for_a_while(fault, lambda: self.world.paths.lose(name, min(1.0, fault.size)),
-                          lambda: self.world.paths.mend(name))
+        self._for_a_while(
+            fault,
+            lambda: self.world.paths.lose(name, min(1.0, fault.size)),
+            lambda: self.world.paths.mend(name),
+        )
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -19,8 +19,13 @@
     from wheatroute.fleet.nodes import Node
     from wheatroute.fleet.world import World
 
-WHERE = {"_arrived": "too late on arrival", "_run_due": "time ran out", "_sort_out": "foretold wait",
-         "_again": "no further attempt", "_drain_waiting": "waiting"}
+WHERE = {
+    "_arrived": "too late on arrival",
+    "_run_due": "time ran out",
+    "_sort_out": "foretold wait",
+    "_again": "no further attempt",
+    "_drain_waiting": "waiting",
+}
 
 
 @dataclass(slots=True)
@@ -67,18 +72,28 @@
             cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
         servers = [one for one in self._world.tiers[self._node.depth] if one.alive]
         ring = self._ring
-        self._noes.append(No(
-            self._now, self._node.depth, self._node.requests[request.number].root, request.kind, cause,
-            len(request.servers), self._now - self._came.get(request.number, self._now),
-            ring.limit if ring.limit < inf else -1.0, ring.out,
-            sum(one.held < one.cores for one in servers) / max(1, len(servers)),
-            sum(one.held / one.cores for one in servers) / max(1, len(servers))))
+        self._noes.append(
+            No(
+                self._now,
+                self._node.depth,
+                self._node.requests[request.number].root,
+                request.kind,
+                cause,
+                len(request.servers),
+                self._now - self._came.get(request.number, self._now),
+                ring.limit if ring.limit < inf else -1.0,
+                ring.out,
+                sum(one.held < one.cores for one in servers) / max(1, len(servers)),
+                sum(one.held / one.cores for one in servers) / max(1, len(servers)),
+            )
+        )
         super()._finish(request)
 
 
 def maker(noes: list[No]) -> Any:
     def make(world: World, node: Node, terms: dict[str, Any], draw: Random) -> Balancer:
         return Probed(world, node, terms, draw, noes)
+
     return make
 
 
@@ -88,6 +103,7 @@
     What was served late has the cause "late", with where its time went: at the entry, or under way.
     """
     from wheatroute.fleet.results import worth
+
     last: dict[int, No] = {}
     for no in noes:
         kept = last.get(no.root)
@@ -108,5 +124,7 @@
                 cause = root.answer or "open"
             lost[cause][0] += want - got
             lost[cause][1] += 1
-    return sorted(((cause, worth / total, int(count)) for cause, (worth, count) in lost.items()),
-                  key=lambda row: -row[1])
+    return sorted(
+        ((cause, worth / total, int(count)) for cause, (worth, count) in lost.items()),
+        key=lambda row: -row[1],
+    )
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -30,8 +30,20 @@
 class Attempt:
     """One attempt of a request."""
 
-    __slots__ = ("request", "n", "server", "sent", "entry", "job", "over", "life", "connection", "written",
-                 "outcome", "node")
+    __slots__ = (
+        "request",
+        "n",
+        "server",
+        "sent",
+        "entry",
+        "job",
+        "over",
+        "life",
+        "connection",
+        "written",
+        "outcome",
+        "node",
+    )
 
     def __init__(self, node: Node, request: Request, n: int, server: Server, sent: float) -> None:
         self.node, self.request, self.n, self.server, self.sent = node, request, n, server, sent
@@ -47,8 +59,16 @@
 
     __slots__ = ("number", "root", "kind", "call", "stop", "answered", "attempts", "out", "told", "tenant")
 
-    def __init__(self, number: int, root: int, kind: int, call: int, stop: float, tenant: int,
-                 told: Callable[[str, float], None]) -> None:
+    def __init__(
+        self,
+        number: int,
+        root: int,
+        kind: int,
+        call: int,
+        stop: float,
+        tenant: int,
+        told: Callable[[str, float], None],
+    ) -> None:
         self.number, self.root, self.kind, self.call, self.stop = number, root, kind, call, stop
         self.tenant = tenant
         self.answered = ""  # served, refused, failed, left
@@ -78,8 +98,16 @@
 
     # what comes in
 
-    def take(self, root: int, kind: int, call: int, left: float, tenant: int, repeated: bool,
-             told: Callable[[str, float], None]) -> Request:
+    def take(
+        self,
+        root: int,
+        kind: int,
+        call: int,
+        left: float,
+        tenant: int,
+        repeated: bool,
+        told: Callable[[str, float], None],
+    ) -> Request:
         """A request comes in, with `left` seconds to its deadline."""
         number, self._taken = self._taken, self._taken + 1
         request = Request(number, root, kind, call, self.engine.now + left, tenant, told)
@@ -124,7 +152,8 @@
         self.requests.clear()
         for server, idle in self._idle.items():
             self._servers[server].connections -= sum(
-                1 for _, life in idle if life == self._servers[server].life)
+                1 for _, life in idle if life == self._servers[server].life
+            )
         self._idle.clear()
         return held
 
@@ -158,8 +187,9 @@
         told.attempts.append(attempt)
         told.out += 1
         if told.root == self.world.traced:
-            self.world.tell_story(self, told, f"attempt {attempt.n} to server {place.place}, "
-                                  f"which holds {place.held}")
+            self.world.tell_story(
+                self, told, f"attempt {attempt.n} to server {place.place}, which holds {place.held}"
+            )
         longest = told.stop - self.engine.now
         time_out = min(time_out, longest) if time_out else longest
         if told.answered or time_out <= 0.0:
@@ -187,8 +217,15 @@
         place = self._servers[server]
         there = self.world.paths.message(self.zone, place.zone, self.place, place.place)
         if there == inf or not place.alive:
-            self.engine.after(self.world.plan.network.connect_within, self._happened, Event.SOUNDED, server,
-                              Outcome.TIMED_OUT, self.world.plan.network.connect_within, None)
+            self.engine.after(
+                self.world.plan.network.connect_within,
+                self._happened,
+                Event.SOUNDED,
+                server,
+                Outcome.TIMED_OUT,
+                self.world.plan.network.connect_within,
+                None,
+            )
             return
         self.engine.after(2 * there, self._sounded, server, 2 * there)
 
@@ -197,8 +234,13 @@
         if "hang" in place.factors:
             self._happened(Event.SOUNDED, server, Outcome.TIMED_OUT, took, None)
         else:
-            self._happened(Event.SOUNDED, server, Outcome.SERVED, took,
-                           {"held": float(place.held), "latency": self.world.latency(place)})
+            self._happened(
+                Event.SOUNDED,
+                server,
+                Outcome.SERVED,
+                took,
+                {"held": float(place.held), "latency": self.world.latency(place)},
+            )
 
     def tell(self, figures: Mapping[int, float]) -> None:
         """Nodes of these fleets have no peers."""
@@ -336,16 +378,27 @@
         self.engine.cancel(attempt.entry)
         request.out -= 1
         if request.root == self.world.traced:
-            self.world.tell_story(self, request, f"attempt {attempt.n} ends: {outcome.name} after "
-                                  f"{self.engine.now - attempt.sent:.3f} s")
+            self.world.tell_story(
+                self,
+                request,
+                f"attempt {attempt.n} ends: {outcome.name} after {self.engine.now - attempt.sent:.3f} s",
+            )
         if attempt.connection and outcome not in (Outcome.TIMED_OUT, Outcome.WITHDRAWN):
             attempt.connection = False
             self._disconnect(attempt.server, attempt.life)
         if outcome == Outcome.SERVED and not request.answered:
             request.answered = "served"
             self._tell(request, 0.0)
-        self._happened(Event.RETURNED, request.number, attempt.n, attempt.server.number, outcome,
-                       self.engine.now - attempt.sent, bool(request.answered), report)
+        self._happened(
+            Event.RETURNED,
+            request.number,
+            attempt.n,
+            attempt.server.number,
+            outcome,
+            self.engine.now - attempt.sent,
+            bool(request.answered),
+            report,
+        )
         self._forget(request)
 
     def _answer(self, request: Request, answer: str, stay_away: float) -> None:
--- a/wheatroute/fleet/plan.py
+++ b/wheatroute/fleet/plan.py
@@ -175,15 +175,41 @@
     answer_slack: Seconds = 0.02
 
 
-FAULTS = ("crash", "hang", "slow", "errors", "pauses", "neighbour", "deploy", "zone_loss", "shared_slow",
-          "list_late", "cut_off", "node_loss", "lossy")
+FAULTS = (
+    "crash",
+    "hang",
+    "slow",
+    "errors",
+    "pauses",
+    "neighbour",
+    "deploy",
+    "zone_loss",
+    "shared_slow",
+    "list_late",
+    "cut_off",
+    "node_loss",
+    "lossy",
+)
 
 
 class Fault(Table):
     """One line of the script."""
 
-    kind: Literal["crash", "hang", "slow", "errors", "pauses", "neighbour", "deploy", "zone_loss",
-                  "shared_slow", "list_late", "cut_off", "node_loss", "lossy"]
+    kind: Literal[
+        "crash",
+        "hang",
+        "slow",
+        "errors",
+        "pauses",
+        "neighbour",
+        "deploy",
+        "zone_loss",
+        "shared_slow",
+        "list_late",
+        "cut_off",
+        "node_loss",
+        "lossy",
+    ]
     at: Seconds
     length: Seconds = 10.0
     tier: Annotated[int, Field(ge=-1, le=9)] = -1  # -1: all tiers
@@ -237,8 +263,9 @@
         for tier in self.tiers:
             calls *= tier.calls
             shares = sum(model.share for model in tier.models)
-            cores = tier.servers * sum(model.share / shares * model.cores * model.speed
-                                       for model in tier.models)
+            cores = tier.servers * sum(
+                model.share / shares * model.cores * model.speed for model in tier.models
+            )
             least = min(least, cores / (self.mean_work() * tier.work * calls))
         return least
 
@@ -248,8 +275,12 @@
     try:
         return Fleet.model_validate(told)
     except ValidationError as trouble:
-        raise PlanError([f"{where}: {'.'.join(map(str, one['loc'])) or 'whole'}: {one['msg']}"
-                         for one in trouble.errors()]) from None
+        raise PlanError(
+            [
+                f"{where}: {'.'.join(map(str, one['loc'])) or 'whole'}: {one['msg']}"
+                for one in trouble.errors()
+            ]
+        ) from None
 
 
 def read(path: str) -> Fleet:
--- a/wheatroute/fleet/report.py
+++ b/wheatroute/fleet/report.py
@@ -14,8 +14,15 @@
 from hdrh.histogram import HdrHistogram
 
 Point = tuple[tuple[str, str], ...]
-FIGURES = (("utility", "worth"), ("handled", "served"), ("bounced", "refused"), ("late", "late"),
-           ("p50", "p50 s"), ("p99", "p99 s"), ("collapses", "collapses"))
+FIGURES = (
+    ("utility", "worth"),
+    ("handled", "served"),
+    ("bounced", "refused"),
+    ("late", "late"),
+    ("p50", "p50 s"),
+    ("p99", "p99 s"),
+    ("collapses", "collapses"),
+)
 
 
 def median(figures: list[float]) -> float:
@@ -26,9 +33,9 @@
 def interval(figures: list[float], sure: float = 0.95) -> tuple[float, float, float]:
     """Lower and upper end for the median, and how sure that is (less than asked where runs are few)."""
     ordered, n = sorted(figures), len(figures)
-    best = (ordered[0], ordered[-1], 1.0 - 2.0 * 0.5 ** n)
+    best = (ordered[0], ordered[-1], 1.0 - 2.0 * 0.5**n)
     for k in range(1, n // 2):
-        held = 1.0 - 2.0 * sum(comb(n, i) for i in range(k + 1)) / 2 ** n
+        held = 1.0 - 2.0 * sum(comb(n, i) for i in range(k + 1)) / 2**n
         if held < sure:
             break
         best = (ordered[k], ordered[n - 1 - k], held)
@@ -46,13 +53,21 @@
 
 def page(name: str, kept: list[dict[str, Any]], against: str = "design") -> str:
     """The page in Markdown."""
-    lines = [f"# {name}", "", f"{len(kept)} runs. Medians over seeds; in brackets the interval that holds "
-             "the median at 95% (at what is said where runs are too few for that).", ""]
+    lines = [
+        f"# {name}",
+        "",
+        f"{len(kept)} runs. Medians over seeds; in brackets the interval that holds "
+        "the median at 95% (at what is said where runs are too few for that).",
+        "",
+    ]
     for point, policies in groups(kept).items():
         if point:
             lines += ["## " + ", ".join(f"{key} {value}" for key, value in point), ""]
-        lines += ["| policy | " + " | ".join(title for _, title in FIGURES) + " | less the design's worth |"
-                  " broken rules |", "| --- |" + " --- |" * (len(FIGURES) + 2)]
+        lines += [
+            "| policy | " + " | ".join(title for _, title in FIGURES) + " | less the design's worth |"
+            " broken rules |",
+            "| --- |" + " --- |" * (len(FIGURES) + 2),
+        ]
         base = {run["seed"]: run["figures"]["utility"] for run in policies.get(against, [])}
         for policy, its in policies.items():
             cells = []
@@ -84,28 +99,38 @@
 
 def _delays(policies: dict[str, list[dict[str, Any]]]) -> list[str]:
     parts = (50.0, 90.0, 99.0, 99.9)
-    lines = ["| delay of what was served, s | " + " | ".join(f"p{part:g}" for part in parts) + " |",
-             "| --- |" + " --- |" * len(parts)]
+    lines = [
+        "| delay of what was served, s | " + " | ".join(f"p{part:g}" for part in parts) + " |",
+        "| --- |" + " --- |" * len(parts),
+    ]
     for policy, its in policies.items():
         whole = delays(its)
-        lines.append(f"| {policy} | " + " | ".join(
-            f"{whole.get_value_at_percentile(part) / 1e6:.3f}" for part in parts) + " |")
+        lines.append(
+            f"| {policy} | "
+            + " | ".join(f"{whole.get_value_at_percentile(part) / 1e6:.3f}" for part in parts)
+            + " |"
+        )
     return lines
 
 
 def plots(kept: list[dict[str, Any]], folder: Path) -> list[str]:
     """Worth over time at each point, and over each swept figure, as SVG; returns the files' names."""
     import matplotlib
+
     matplotlib.use("svg")
     import matplotlib.pyplot as plt
+
     matplotlib.rcParams["svg.hashsalt"] = "wheatroute"
     made = []
     for number, (point, policies) in enumerate(groups(kept).items()):
         figure, axes = plt.subplots(figsize=(8, 4))
         for policy, its in policies.items():
             length = min(len(run["by_second"]) for run in its)
-            axes.plot(range(length), [median([run["by_second"][at] for run in its]) for at in range(length)],
-                      label=policy)
+            axes.plot(
+                range(length),
+                [median([run["by_second"][at] for run in its]) for at in range(length)],
+                label=policy,
+            )
         axes.set(xlabel="s", ylabel="worth", title=", ".join(f"{key} {value}" for key, value in point))
         made.append(_drawn(figure, axes, folder / f"time_{number}.svg"))
     keys = list(kept[0]["point"]) if kept else []
@@ -124,6 +149,7 @@
 
 def _drawn(figure: Any, axes: Any, path: Path) -> str:
     import matplotlib.pyplot as plt
+
     axes.legend()
     axes.grid(alpha=0.3)
     figure.tight_layout()
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -11,14 +11,42 @@
 SIZES = {"small": 8, "middle": 100, "large": 1000}
 
 KINDS: list[dict[str, Any]] = [
-    {"name": "look", "share": 3.0, "work": 0.05, "cv": 1.5, "effect": "pure", "utility": 2.0,
-     "target_time": 0.6, "hard_stop": 2.0},
-    {"name": "change", "share": 1.0, "work": 0.1, "cv": 1.5, "effect": "receipted", "utility": 4.0,
-     "target_time": 1.0, "hard_stop": 3.0},
-    {"name": "buy", "share": 1.0, "work": 0.15, "law": "pareto", "cv": 2.0, "effect": "effectful",
-     "utility": 8.0, "target_time": 1.0, "hard_stop": 3.0}]
-MODELS = [{"name": "quick", "share": 1.0, "speed": 1.5, "speed_cv": 0.1},
-          {"name": "usual", "share": 2.0, "speed": 1.0, "speed_cv": 0.1}]
+    {
+        "name": "look",
+        "share": 3.0,
+        "work": 0.05,
+        "cv": 1.5,
+        "effect": "pure",
+        "utility": 2.0,
+        "target_time": 0.6,
+        "hard_stop": 2.0,
+    },
+    {
+        "name": "change",
+        "share": 1.0,
+        "work": 0.1,
+        "cv": 1.5,
+        "effect": "receipted",
+        "utility": 4.0,
+        "target_time": 1.0,
+        "hard_stop": 3.0,
+    },
+    {
+        "name": "buy",
+        "share": 1.0,
+        "work": 0.15,
+        "law": "pareto",
+        "cv": 2.0,
+        "effect": "effectful",
+        "utility": 8.0,
+        "target_time": 1.0,
+        "hard_stop": 3.0,
+    },
+]
+MODELS = [
+    {"name": "quick", "share": 1.0, "speed": 1.5, "speed_cv": 0.1},
+    {"name": "usual", "share": 2.0, "speed": 1.0, "speed_cv": 0.1},
+]
 
 
 def _fault(kind: str, **told: Any) -> dict[str, Any]:
@@ -35,10 +63,19 @@
     "slow": {"faults": [_fault("slow", part=0.12, size=6.0)]},
     "errors": {"faults": [_fault("errors", part=0.12, size=0.7)]},
     "deploy": {"faults": [_fault("deploy", part=0.9, length=16.0, every=1.0)]},
-    "zone_loss": {"callers": {"load": 0.45},
-                  "faults": [_fault("zone_loss", zone="b"), _fault("list_late", size=5.0)]},
-    "metastable": {"callers": {"load": 0.65, "retries": 8, "patience": 0.35, "backoff": 0.05,
-                               "waves": [{"at": 6.0, "length": 4.0, "times": 2.2}]}},
+    "zone_loss": {
+        "callers": {"load": 0.45},
+        "faults": [_fault("zone_loss", zone="b"), _fault("list_late", size=5.0)],
+    },
+    "metastable": {
+        "callers": {
+            "load": 0.65,
+            "retries": 8,
+            "patience": 0.35,
+            "backoff": 0.05,
+            "waves": [{"at": 6.0, "length": 4.0, "times": 2.2}],
+        }
+    },
 }
 
 
@@ -46,11 +83,17 @@
     """One day before so many servers, as a fleet's file would tell it."""
     told = DAYS[name]
     tier = {"servers": servers, "models": MODELS, "reports": {}, "slots": 24, "queue": 200, "thrash": 0.1}
-    return {"name": f"{name} {servers}", "length": 24.0, "kinds": KINDS,
-            "nodes": max(2, min(200, servers // 5)),
-            "tiers": [{"name": "front", "work": 0.5, "collapse": {}, **tier},
-                      {"name": "back", "work": 0.5, "calls": 1.0, **tier}],
-            "customers": [{"name": "one", "portion": 0.6}, {"name": "two", "portion": 0.4}],
-            "network": {"zones": ["a", "b", "c"]},
-            "callers": {"load": 0.5, "retries": 1, **told.get("callers", {})},
-            "faults": told.get("faults", [])}
+    return {
+        "name": f"{name} {servers}",
+        "length": 24.0,
+        "kinds": KINDS,
+        "nodes": max(2, min(200, servers // 5)),
+        "tiers": [
+            {"name": "front", "work": 0.5, "collapse": {}, **tier},
+            {"name": "back", "work": 0.5, "calls": 1.0, **tier},
+        ],
+        "customers": [{"name": "one", "portion": 0.6}, {"name": "two", "portion": 0.4}],
+        "network": {"zones": ["a", "b", "c"]},
+        "callers": {"load": 0.5, "retries": 1, **told.get("callers", {})},
+        "faults": told.get("faults", []),
+    }
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -26,11 +26,29 @@
 class Job:
     """One attempt's work at one server: parts of work, with a call to the tier below between two parts."""
 
-    __slots__ = ("parts", "at", "server", "end", "over", "working", "waiting", "part_done", "done", "life",
-                 "taken", "owner", "call")
-
-    def __init__(self, parts: list[float], part_done: Callable[[Job], None],
-                 done: Callable[[Job, Outcome], None], owner: Any = None) -> None:
+    __slots__ = (
+        "parts",
+        "at",
+        "server",
+        "end",
+        "over",
+        "working",
+        "waiting",
+        "part_done",
+        "done",
+        "life",
+        "taken",
+        "owner",
+        "call",
+    )
+
+    def __init__(
+        self,
+        parts: list[float],
+        part_done: Callable[[Job], None],
+        done: Callable[[Job, Outcome], None],
+        owner: Any = None,
+    ) -> None:
         self.owner = owner  # whose work it is
         self.call: Any = None  # to the tier below, while it is out
         self.parts = parts  # seconds of work on a core of speed 1
@@ -46,8 +64,16 @@
 class Server:
     """One server; `life` counts its processes."""
 
-    def __init__(self, engine: Engine, number: int, tier: Tier, model: Model,
-                 place: tuple[int, int, int, int], speed: float, chance: Random) -> None:
+    def __init__(
+        self,
+        engine: Engine,
+        number: int,
+        tier: Tier,
+        model: Model,
+        place: tuple[int, int, int, int],
+        speed: float,
+        chance: Random,
+    ) -> None:
         self.engine, self.number, self.tier, self._chance = engine, number, tier, chance
         self.depth, self.zone, self.model, self.cell = place
         self.place = (self.depth, number)
@@ -249,8 +275,11 @@
                 if self._crowd > self.cores + collapse.above * sqrt(self.cores):
                     self.collapsed, self._busy = self.engine.now, 1.0
                     self.collapses += 1
-            elif (self._busy < collapse.below and self.engine.now - self.collapsed > collapse.rest
-                  or self.engine.now - self.collapsed > collapse.longest):
+            elif (
+                self._busy < collapse.below
+                and self.engine.now - self.collapsed > collapse.rest
+                or self.engine.now - self.collapsed > collapse.longest
+            ):
                 self.collapsed = -inf
         self._settle()
         self._plan()
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -24,8 +24,12 @@
     root = world.crowd.roots[number]
     kind, tenant = world.plan.kinds[root.kind], world.plan.customers
     asked, earned = results.worth(world, root)
-    head = (f"request {number}: {kind.name} of {tenant[root.tenant].name if tenant else 'nobody'}, "
-            f"{root.size:.2f} times its type's work, {'within' if root.within else 'beyond'} its share")
-    end = (f"{root.answer or 'open'} after {root.answered - root.arrived:.3f} s in {root.tries} tries "
-           f"(target {kind.target_time} s): {earned:.2f} of {asked:.2f}")
+    head = (
+        f"request {number}: {kind.name} of {tenant[root.tenant].name if tenant else 'nobody'}, "
+        f"{root.size:.2f} times its type's work, {'within' if root.within else 'beyond'} its share"
+    )
+    end = (
+        f"{root.answer or 'open'} after {root.answered - root.arrived:.3f} s in {root.tries} tries "
+        f"(target {kind.target_time} s): {earned:.2f} of {asked:.2f}"
+    )
     return [head, *world.story, end]
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -78,8 +78,15 @@
         number = len(self.tiers[depth])
         kept: Model = tier.models[model]
         speed = chance.law("lognormal", kept.speed, kept.speed_cv)(draw.random())
-        server = Server(self.engine, number, tier, kept, (depth, zone, model, number // CELL), speed,
-                        chance.stream(self.seed, "server", depth, number))
+        server = Server(
+            self.engine,
+            number,
+            tier,
+            kept,
+            (depth, zone, model, number // CELL),
+            speed,
+            chance.stream(self.seed, "server", depth, number),
+        )
         self.tiers[depth].append(server)
         if tier.reports is not None:
             self.engine.after(tier.reports.every * draw.random(), self._report, server)
@@ -106,32 +113,66 @@
         tier, network, rules = plan.tiers[depth], plan.network, plan.rules
         quota = plan.callers.quota * plan.capacity()
         return {
-            "nodes": senders, "node": number, "tick": plan.tick, "tier": depth, "tiers": len(plan.tiers),
-            "zone": zone, "zones": len(network.zones), "hedges": plan.second_copies,
-            "withdrawals": tier.cancel != "none", "probes": True, "peers": False, "refusal_advice": True,
-            "longest_advice": 2.0, "most_attempts": plan.most_relays,
-            "connect_within": network.connect_within, "idle_closed": network.idle_closed,
-            "calls_per_connection": 1, "most_open": 20000,
-            "excess_worth": plan.callers.excess_utility, "time_left_passed_on": plan.time_left_passed_on,
-            "connection_price": 0.0, "crossing_price": plan.crossing_price, "waste_price": 0.0,
+            "nodes": senders,
+            "node": number,
+            "tick": plan.tick,
+            "tier": depth,
+            "tiers": len(plan.tiers),
+            "zone": zone,
+            "zones": len(network.zones),
+            "hedges": plan.second_copies,
+            "withdrawals": tier.cancel != "none",
+            "probes": True,
+            "peers": False,
+            "refusal_advice": True,
+            "longest_advice": 2.0,
+            "most_attempts": plan.most_relays,
+            "connect_within": network.connect_within,
+            "idle_closed": network.idle_closed,
+            "calls_per_connection": 1,
+            "most_open": 20000,
+            "excess_worth": plan.callers.excess_utility,
+            "time_left_passed_on": plan.time_left_passed_on,
+            "connection_price": 0.0,
+            "crossing_price": plan.crossing_price,
+            "waste_price": 0.0,
             "late_price": 0.0,
             "report_how": "answers" if tier.reports is not None else "none",
-            "answer_slack": rules.answer_slack, "ask_within": 10.0, "cold_time": tier.cold_time,
-            "cold_share": tier.cold_share, "drain_grace": rules.drain_grace, "fall_span": rules.fall_span,
-            "fall_multiple": rules.fall_multiple, "list_on_request": False, "work_counts": False,
+            "answer_slack": rules.answer_slack,
+            "ask_within": 10.0,
+            "cold_time": tier.cold_time,
+            "cold_share": tier.cold_share,
+            "drain_grace": rules.drain_grace,
+            "fall_span": rules.fall_span,
+            "fall_multiple": rules.fall_multiple,
+            "list_on_request": False,
+            "work_counts": False,
             "reported": ["held", "rate", "error_rate"] if tier.reports is not None else [],
-            "request_classes": [{
-                "target_latency": kind.target_time, "stretch": 0.0, "deadline": kind.hard_stop,
-                "worth": kind.utility, "late_worth": kind.late_utility, "effect": EFFECTS[kind.effect],
-                "group": GROUPS[kind.group], "repeat_window": kind.repeat_window, "streamed": False,
-            } for kind in plan.kinds],
+            "request_classes": [
+                {
+                    "target_latency": kind.target_time,
+                    "stretch": 0.0,
+                    "deadline": kind.hard_stop,
+                    "worth": kind.utility,
+                    "late_worth": kind.late_utility,
+                    "effect": EFFECTS[kind.effect],
+                    "group": GROUPS[kind.group],
+                    "repeat_window": kind.repeat_window,
+                    "streamed": False,
+                }
+                for kind in plan.kinds
+            ],
             "tenants": [{"portion": one.portion, "quota": one.portion * quota} for one in plan.customers],
         }
 
     def _node(self, depth: int, number: int, zone: int, at: Server | None) -> Node:
         node = Node(self, depth, number, zone, at)
-        node.decisions = self._make(self, node, self.terms(depth, number, zone),
-                                    chance.stream(self.seed, "node", depth, number, at.life if at else 0))
+        node.decisions = self._make(
+            self,
+            node,
+            self.terms(depth, number, zone),
+            chance.stream(self.seed, "node", depth, number, at.life if at else 0),
+        )
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(depth), True)
         return node
 
@@ -187,8 +228,12 @@
 
     def replace(self, server: Server) -> Server:
         """A new server of the same model and zone, under a number of its own."""
-        fresh = self._add(server.depth, server.model, server.zone, chance.stream(
-            self.seed, "successor", server.depth, server.number))
+        fresh = self._add(
+            server.depth,
+            server.model,
+            server.zone,
+            chance.stream(self.seed, "successor", server.depth, server.number),
+        )
         self.revive(fresh)
         return fresh
 
@@ -240,8 +285,15 @@
             server.fail(job)
             return
         call = above.call * 16 + job.at + 1
-        request = node.take(above.root, above.kind, call, left, -1, False,
-                            lambda answer, stay_away: self._called(job, server, answer))
+        request = node.take(
+            above.root,
+            above.kind,
+            call,
+            left,
+            -1,
+            False,
+            lambda answer, stay_away: self._called(job, server, answer),
+        )
         job.call = (node, request)
 
     def _called(self, job: Job, server: Server, answer: str) -> None:
@@ -284,5 +336,3 @@
 
 def _nothing(job: Job) -> None:
     """The last tier calls nobody."""
-
-
--- a/wheatroute/grpc/call.py
+++ b/wheatroute/grpc/call.py
@@ -69,8 +69,23 @@
 class Call:
     """One stream, of either side."""
 
-    __slots__ = ("number", "session", "head", "receiver", "holds", "local_end", "remote_end", "dead",
-                 "answered", "waiting", "unread", "_parts", "_queue", "_trailers", "never_ran")
+    __slots__ = (
+        "number",
+        "session",
+        "head",
+        "receiver",
+        "holds",
+        "local_end",
+        "remote_end",
+        "dead",
+        "answered",
+        "waiting",
+        "unread",
+        "_parts",
+        "_queue",
+        "_trailers",
+        "never_ran",
+    )
 
     def __init__(self, number: int, session: Session, head: dict[bytes, bytes]) -> None:
         self.number, self.session, self.head = number, session, head
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -29,10 +29,17 @@
 class Channel:
     """Calls to one place over one connection, which is made anew when it is lost."""
 
-    def __init__(self, place: tuple[str, int], bounds: Bounds | None = None,
-                 context: ssl.SSLContext | None = None, host: str | None = None,
-                 chance: random.Random | None = None, metadata: Headers | None = None,
-                 burst: Callable[[], None] | None = None, longest_wait: float = LONGEST_WAIT) -> None:
+    def __init__(
+        self,
+        place: tuple[str, int],
+        bounds: Bounds | None = None,
+        context: ssl.SSLContext | None = None,
+        host: str | None = None,
+        chance: random.Random | None = None,
+        metadata: Headers | None = None,
+        burst: Callable[[], None] | None = None,
+        longest_wait: float = LONGEST_WAIT,
+    ) -> None:
         self._longest_wait = longest_wait
         self.place, self.bounds, self.context, self.host = place, bounds or Bounds(), context, host
         self.metadata: Headers = metadata or []
@@ -43,8 +50,11 @@
         self._changed = trio.Event()
         self._trouble = "not connected yet"
         authority = host or "{}:{}".format(*place)
-        self._head: Headers = [(b":method", b"POST"), (b":scheme", b"https" if context else b"http"),
-                               (b":authority", authority.encode())]
+        self._head: Headers = [
+            (b":method", b"POST"),
+            (b":scheme", b"https" if context else b"http"),
+            (b":authority", authority.encode()),
+        ]
 
     async def run(self) -> None:
         """Keeps the connection up until it is cancelled."""
@@ -110,8 +120,9 @@
         session = self._session
         return session is not None and not session.leaving and not session.wire.closed
 
-    def start(self, path: bytes, receiver: Receiver, time_out: float = inf,
-              metadata: Headers | None = None) -> None:
+    def start(
+        self, path: bytes, receiver: Receiver, time_out: float = inf, metadata: Headers | None = None
+    ) -> None:
         """Opens a call at once on the connection there is; raises `CallError` if there is none."""
         if not self.up or self._session is None:
             raise CallError(Status.UNAVAILABLE, self._trouble)
@@ -125,8 +136,9 @@
             receiver.call = call  # type: ignore[attr-defined]
 
     @asynccontextmanager
-    async def call(self, path: bytes, time_out: float = inf,
-                   metadata: Headers | None = None) -> AsyncIterator[Talk]:
+    async def call(
+        self, path: bytes, time_out: float = inf, metadata: Headers | None = None
+    ) -> AsyncIterator[Talk]:
         """A call of any kind; it is cancelled if it is not over at the end of the block.
 
         Raises `CallError`, with DEADLINE_EXCEEDED once the time is over, also while connecting.
@@ -142,8 +154,9 @@
         if limit.cancelled_caught:
             raise CallError(Status.DEADLINE_EXCEEDED, "the call's time is over")
 
-    async def ask(self, path: bytes, message: bytes, time_out: float = inf,
-                  metadata: Headers | None = None) -> bytes:
+    async def ask(
+        self, path: bytes, message: bytes, time_out: float = inf, metadata: Headers | None = None
+    ) -> bytes:
         """A unary call."""
         async with self.call(path, time_out, metadata) as talk:
             await talk.send(message)
--- a/wheatroute/grpc/messages.py
+++ b/wheatroute/grpc/messages.py
@@ -64,14 +64,14 @@
         buffer = self._buffer + data if self._buffer else data
         messages, at, end = [], 0, len(buffer)
         while end - at >= 5:
-            length = int.from_bytes(buffer[at + 1:at + 5], "big")
+            length = int.from_bytes(buffer[at + 1 : at + 5], "big")
             if buffer[at]:
                 raise CallError(Status.UNIMPLEMENTED, "a compressed message, and no encoding was offered")
             if length > self._longest:
                 raise CallError(Status.RESOURCE_EXHAUSTED, f"a message of {length} bytes of {self._longest}")
             if end - at - 5 < length:
                 break
-            messages.append(buffer[at + 5:at + 5 + length])
+            messages.append(buffer[at + 5 : at + 5 + length])
             at += 5 + length
         self._buffer = buffer[at:]
         return messages
@@ -112,9 +112,16 @@
     code = headers.get(b"grpc-status", b"")
     if not code.isdigit():
         http = headers.get(b":status", b"")
-        known = {b"400": Status.INTERNAL, b"401": Status.UNAUTHENTICATED, b"403": Status.PERMISSION_DENIED,
-                 b"404": Status.UNIMPLEMENTED, b"429": Status.UNAVAILABLE, b"502": Status.UNAVAILABLE,
-                 b"503": Status.UNAVAILABLE, b"504": Status.UNAVAILABLE}
+        known = {
+            b"400": Status.INTERNAL,
+            b"401": Status.UNAUTHENTICATED,
+            b"403": Status.PERMISSION_DENIED,
+            b"404": Status.UNIMPLEMENTED,
+            b"429": Status.UNAVAILABLE,
+            b"502": Status.UNAVAILABLE,
+            b"503": Status.UNAVAILABLE,
+            b"504": Status.UNAVAILABLE,
+        }
         return CallError(known.get(http, Status.UNKNOWN), f"no status, HTTP {http.decode('latin-1')}")
     status = Status(int(code)) if int(code) <= Status.UNAUTHENTICATED else Status.UNKNOWN
     return CallError(status, unescaped(headers.get(b"grpc-message", b"")))
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -33,9 +33,16 @@
 class Server:
     """Serves `methods`, by path. `burst` is called once for all that came in one piece."""
 
-    def __init__(self, methods: dict[bytes, Opened], bounds: Bounds, log: Any, tls: Contexts | None = None,
-                 most_connections: int = 512, burst: Callable[[], None] | None = None,
-                 polite: bool = False) -> None:
+    def __init__(
+        self,
+        methods: dict[bytes, Opened],
+        bounds: Bounds,
+        log: Any,
+        tls: Contexts | None = None,
+        most_connections: int = 512,
+        burst: Callable[[], None] | None = None,
+        polite: bool = False,
+    ) -> None:
         self._polite = polite  # other processes accept from the same listener
         self._methods, self._bounds, self._log, self._tls = methods, bounds, log, tls
         self._most, self._burst = most_connections, burst
@@ -47,10 +54,12 @@
 
     def coroutine(self, method: Method) -> Opened:
         """A method that is a coroutine; it ends the call when it returns or raises `CallError`."""
+
         def opened(call: Call) -> Receiver:
             talk = Talk(call)
             self.nursery.start_soon(self._run, method, talk, call)
             return talk
+
         return opened
 
     async def _run(self, method: Method, talk: Talk, call: Call) -> None:
@@ -145,8 +154,13 @@
             wire.close()
             self._open -= 1
             self._room.set()
-            self._log.info("connection", side="proxy", peer=peer, reason=reason,
-                           seconds=round(trio.current_time() - began, 3))
+            self._log.info(
+                "connection",
+                side="proxy",
+                peer=peer,
+                reason=reason,
+                seconds=round(trio.current_time() - began, 3),
+            )
 
     async def _talk(self, wire: Wire) -> str:
         session = Session(wire, False, self._bounds, self._opened, self._burst, self._log)
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -35,25 +35,41 @@
 class Session:
     """The connection. `opened(call)` gives the receiver of a call that the other side has opened."""
 
-    def __init__(self, wire: Wire, client_side: bool, bounds: Bounds,
-                 opened: Callable[[Call], Receiver] | None = None,
-                 burst: Callable[[], None] | None = None, log: Any = None) -> None:
+    def __init__(
+        self,
+        wire: Wire,
+        client_side: bool,
+        bounds: Bounds,
+        opened: Callable[[Call], Receiver] | None = None,
+        burst: Callable[[], None] | None = None,
+        log: Any = None,
+    ) -> None:
         self.wire, self.client_side, self.bounds, self.opened = wire, client_side, bounds, opened
         self.log = log
         self._burst = burst
-        self.h2 = h2.connection.H2Connection(h2.config.H2Configuration(
-            client_side=client_side, header_encoding=None, validate_outbound_headers=False,
-            normalize_outbound_headers=False))
-        self.h2.local_settings = h2.settings.Settings(client=client_side, initial_values={
-            h2.settings.SettingCodes.ENABLE_PUSH: 0,
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: bounds.streams,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: bounds.header_list,
-            h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: bounds.stream_window,
-        } if client_side else {
-            h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: bounds.streams,
-            h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: bounds.header_list,
-            h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: bounds.stream_window,
-        })
+        self.h2 = h2.connection.H2Connection(
+            h2.config.H2Configuration(
+                client_side=client_side,
+                header_encoding=None,
+                validate_outbound_headers=False,
+                normalize_outbound_headers=False,
+            )
+        )
+        self.h2.local_settings = h2.settings.Settings(
+            client=client_side,
+            initial_values={
+                h2.settings.SettingCodes.ENABLE_PUSH: 0,
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: bounds.streams,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: bounds.header_list,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: bounds.stream_window,
+            }
+            if client_side
+            else {
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: bounds.streams,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: bounds.header_list,
+                h2.settings.SettingCodes.INITIAL_WINDOW_SIZE: bounds.stream_window,
+            },
+        )
         self.h2.decoder.max_header_list_size = bounds.header_list
         self.calls: dict[int, Call] = {}
         self.leaving = False  # a GOAWAY went out or came: no new calls
@@ -150,8 +166,9 @@
             return
         for number in [number for number in self.calls if number > last]:
             self.calls[number].never_ran = True
-            self._drop(self.calls[number],
-                       CallError(Status.UNAVAILABLE, "the server went away before it took this"))
+            self._drop(
+                self.calls[number], CallError(Status.UNAVAILABLE, "the server went away before it took this")
+            )
 
     # events
 
@@ -231,8 +248,9 @@
     def _count_reset(self) -> None:
         """Guards against a peer that opens and resets streams at full speed, which costs it nothing."""
         now = trio.current_time()
-        self._resets = min(self.bounds.resets,
-                           self._resets + (now - self._resets_at) * self.bounds.reset_rate) - 1.0
+        self._resets = (
+            min(self.bounds.resets, self._resets + (now - self._resets_at) * self.bounds.reset_rate) - 1.0
+        )
         self._resets_at = now
 
     def _window(self, event: Any) -> None:
--- a/wheatroute/learned.py
+++ b/wheatroute/learned.py
@@ -28,11 +28,31 @@
 class Request:
     """One request: its times, and the account of its attempts that rules one and two are kept by."""
 
-    __slots__ = ("number", "kind", "rules", "target", "give_up", "value", "servers", "out", "may",
-                 "group", "since", "over", "hedged", "queued", "idle", "opened", "share", "part", "size")
-
-    def __init__(self, number: int, kind: int, rules: Terms, target: float, give_up: float,
-                 value: float) -> None:
+    __slots__ = (
+        "number",
+        "kind",
+        "rules",
+        "target",
+        "give_up",
+        "value",
+        "servers",
+        "out",
+        "may",
+        "group",
+        "since",
+        "over",
+        "hedged",
+        "queued",
+        "idle",
+        "opened",
+        "share",
+        "part",
+        "size",
+    )
+
+    def __init__(
+        self, number: int, kind: int, rules: Terms, target: float, give_up: float, value: float
+    ) -> None:
         self.number, self.kind, self.rules, self.target = number, kind, rules, target
         self.give_up, self.value = give_up, value
         self.servers: list[int] = []  # by attempt
@@ -108,13 +128,26 @@
         count, mass = (sum(column) for column in zip((0.0, 0.0), *heard.values(), strict=True))
         mean = (PRIOR + mass) / (PRIOR + count)
         means = {model: (PRIOR * mean + mass) / (PRIOR + count) for model, (count, mass) in heard.items()}
-        return [(PRIOR * means[self.model[s]] + total) / (PRIOR + weight)
-                for s, (weight, total) in zip(members, own, strict=True)]
+        return [
+            (PRIOR * means[self.model[s]] + total) / (PRIOR + weight)
+            for s, (weight, total) in zip(members, own, strict=True)
+        ]
 
     def forget(self, server: int, born: float) -> None:
         """A process that started anew, or under a used number, has nothing in common with the one before."""
-        for figures in (self.latency, self.weight, self.errors, self.told, self.barred, self.penalty,
-                        self.spare, self.misses, self.no_new, self.wait_new, self.carried):
+        for figures in (
+            self.latency,
+            self.weight,
+            self.errors,
+            self.told,
+            self.barred,
+            self.penalty,
+            self.spare,
+            self.misses,
+            self.no_new,
+            self.wait_new,
+            self.carried,
+        ):
             figures[server] = 0
         self.born[server], self.trial[server] = born, False
         self.heard[server] = self.used[server] = self.told_at[server] = -inf
@@ -249,7 +282,7 @@
         self.rate += (self.served / step - self.rate) * weight
         self.served = 0
         self.level += (self.out - self.level) * weight
-        self.peak = max(self.rate, self.peak * RECALL ** step)
+        self.peak = max(self.rate, self.peak * RECALL**step)
         if self.rate * WINDOW < SAMPLES or not self.level:
             return
         stay = self.level / self.rate
--- a/wheatroute/memory.py
+++ b/wheatroute/memory.py
@@ -20,12 +20,19 @@
     servers = balancer.servers
     out = {}
     for name, server in names.items():
-        if server < len(servers.ready) and servers.ready[server] and (
-                servers.weight[server] or servers.barred[server]):
-            out[name] = {"latency": servers.latency[server], "weight": servers.weight[server],
-                         "age": now - servers.noted[server], "errors": servers.errors[server],
-                         "barred_for": servers.barred[server] - now if servers.barred[server] else 0.0,
-                         "penalty": servers.penalty[server]}
+        if (
+            server < len(servers.ready)
+            and servers.ready[server]
+            and (servers.weight[server] or servers.barred[server])
+        ):
+            out[name] = {
+                "latency": servers.latency[server],
+                "weight": servers.weight[server],
+                "age": now - servers.noted[server],
+                "errors": servers.errors[server],
+                "barred_for": servers.barred[server] - now if servers.barred[server] else 0.0,
+                "penalty": servers.penalty[server],
+            }
     return out
 
 
@@ -52,6 +59,9 @@
     names = ("latency", "weight", "age", "errors", "barred_for", "penalty")
     if not isinstance(one, dict) or not all(isinstance(one.get(name), int | float) for name in names):
         return False
-    return (all(isfinite(one[name]) and abs(one[name]) <= LONGEST for name in names)
-            and all(one[name] >= 0.0 for name in names if name != "barred_for")
-            and one["errors"] <= 1.0 and one["age"] + since <= LONGEST)
+    return (
+        all(isfinite(one[name]) and abs(one[name]) <= LONGEST for name in names)
+        and all(one[name] >= 0.0 for name in names if name != "barred_for")
+        and one["errors"] <= 1.0
+        and one["age"] + since <= LONGEST
+    )
--- a/wheatroute/net/boot.py
+++ b/wheatroute/net/boot.py
@@ -21,10 +21,26 @@
 AGREE_WITHIN = 10.0  # seconds within which processes agree, where the file names no other time
 USUAL_MEMORY = 64.0  # MB, where no limit is told
 # what a running node keeps until it starts again
-FIXED = ("listen", "descriptors", "settings", "peers", "work_header", "agreement", "followed", "rollout",
-         "beside")
-TAKEN = ("request-id", "request-timeout", "idempotency-key", "tenant", "client-retry", "content-length",
-         "host")  # headers that mean something else
+FIXED = (
+    "listen",
+    "descriptors",
+    "settings",
+    "peers",
+    "work_header",
+    "agreement",
+    "followed",
+    "rollout",
+    "beside",
+)
+TAKEN = (
+    "request-id",
+    "request-timeout",
+    "idempotency-key",
+    "tenant",
+    "client-retry",
+    "content-length",
+    "host",
+)  # headers that mean something else
 _HEADER = re.compile(r"[A-Za-z0-9-]{1,100}\Z")
 _PLACE = re.compile(r"((?:[0-9]{1,3}\.){3}[0-9]{1,3}):([0-9]{1,5})\Z")
 
@@ -46,7 +62,7 @@
     told = _file(environment.get("PROXY_CONFIG", ""))
     settings = told.get("settings")
     if not isinstance(settings, dict):
-        raise BootError("no object \"settings\" in the file that PROXY_CONFIG names")
+        raise BootError('no object "settings" in the file that PROXY_CONFIG names')
     boot: dict[str, Any] = {"settings": settings}
     try:
         boot["name"] = environment.get("PROXY_NAME") or told.get("name") or "node"
@@ -67,7 +83,7 @@
     boot["rollout"] = _agreement(told.get("rollout"), "rollout")
     boot["beside"] = told.get("beside", False)
     if not isinstance(boot["beside"], bool):
-        raise BootError(f"\"beside\" is neither true nor false: {boot['beside']!r}")
+        raise BootError(f'"beside" is neither true nor false: {boot["beside"]!r}')
     boot["peers"] = _peers(told.get("peers"), terms["peers"])
     terms["peers"] = boot["peers"] is not None  # guards against probes for others that nobody is told of
     return boot
@@ -119,19 +135,22 @@
     """Where to hear other nodes and where they are; None, as long as the file names none."""
     if told is None:
         return None
-    if (not isinstance(told, dict) or not isinstance(told.get("others"), list)
-            or told.keys() - {"listen", "others"}):
-        raise BootError("\"peers\" is no object of \"listen\" and a list \"others\"")
+    if (
+        not isinstance(told, dict)
+        or not isinstance(told.get("others"), list)
+        or told.keys() - {"listen", "others"}
+    ):
+        raise BootError('"peers" is no object of "listen" and a list "others"')
     if not allowed:
-        raise BootError("\"peers\" are named, but the settings do not allow them")
+        raise BootError('"peers" are named, but the settings do not allow them')
     try:
         place, others = address(told.get("listen")), [address(one) for one in told["others"]]
     except ValueError as trouble:
-        raise BootError(f"\"peers\": {trouble}") from trouble
+        raise BootError(f'"peers": {trouble}') from trouble
     if place in others:
-        raise BootError("\"peers\": its own place is among the others")
+        raise BootError('"peers": its own place is among the others')
     if len(set(others)) < len(others):
-        raise BootError("\"peers\": one of the others is named twice")
+        raise BootError('"peers": one of the others is named twice')
     return {"listen": place, "others": others}
 
 
@@ -140,14 +159,19 @@
     if told is None:
         return None
     keys = {"etcd", "prefix", "nodes_prefix"}
-    if (not isinstance(told, dict) or told.keys() - keys or not isinstance(told.get("etcd"), list)
-            or not told.get("prefix") or not isinstance(told["prefix"], str)
-            or not isinstance(told.get("nodes_prefix", ""), str)):
-        raise BootError("\"servers\" is no object of \"etcd\" endpoints, \"prefix\" and \"nodes_prefix\"")
+    if (
+        not isinstance(told, dict)
+        or told.keys() - keys
+        or not isinstance(told.get("etcd"), list)
+        or not told.get("prefix")
+        or not isinstance(told["prefix"], str)
+        or not isinstance(told.get("nodes_prefix", ""), str)
+    ):
+        raise BootError('"servers" is no object of "etcd" endpoints, "prefix" and "nodes_prefix"')
     for one in told["etcd"]:
         address(one)
     if not told["etcd"]:
-        raise BootError("\"servers\" names no endpoint of etcd")
+        raise BootError('"servers" names no endpoint of etcd')
     return {"endpoints": told["etcd"], "prefix": told["prefix"], "nodes_prefix": told.get("nodes_prefix", "")}
 
 
@@ -156,19 +180,19 @@
     if told is None:
         return None
     if not isinstance(told, dict) or told.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
-        raise BootError(f"\"{table}\" is no object of \"directory\", \"relay\", or \"etcd\" and \"prefix\"")
+        raise BootError(f'"{table}" is no object of "directory", "relay", or "etcd" and "prefix"')
     within, places = told.get("within", AGREE_WITHIN), told.get("etcd")
     if not isinstance(within, int | float) or not 0.0 < within < inf:
-        raise BootError(f"\"{table}\": \"within\" is no number of seconds: {within!r}")
+        raise BootError(f'"{table}": "within" is no number of seconds: {within!r}')
     kept = [key for key in ("directory", "relay") if isinstance(told.get(key), str) and told[key]]
     if len(kept) == 1 and places is None:
         return {kept[0]: told[kept[0]], "within": float(within)}
     if not isinstance(places, list) or not places or not isinstance(told.get("prefix"), str):
-        raise BootError(f"\"{table}\" names no \"directory\", nor \"etcd\" endpoints with a \"prefix\"")
+        raise BootError(f'"{table}" names no "directory", nor "etcd" endpoints with a "prefix"')
     try:
         return {"etcd": [address(one) for one in places], "prefix": told["prefix"], "within": float(within)}
     except ValueError as trouble:
-        raise BootError(f"\"{table}\": {trouble}") from trouble
+        raise BootError(f'"{table}": {trouble}') from trouble
 
 
 def _work_header(told: Any) -> bytes:
@@ -176,22 +200,23 @@
     if told is None:
         return b""
     if not isinstance(told, str) or not _HEADER.match(told) or told.lower() in TAKEN:
-        raise BootError(f"\"work_header\" is no header of its own: {told!r}")
+        raise BootError(f'"work_header" is no header of its own: {told!r}')
     return told.lower().encode()
 
 
 def _named(settings: dict[str, Any], name: str) -> list[dict[str, Any]]:
     found = settings.get(name) or []
     if not isinstance(found, list) or not all(
-            isinstance(one, dict) and isinstance(one.get("name"), str) for one in found):
-        raise BootError(f"the settings' \"{name}\" is not a list of objects with names")
+        isinstance(one, dict) and isinstance(one.get("name"), str) for one in found
+    ):
+        raise BootError(f'the settings\' "{name}" is not a list of objects with names')
     return found
 
 
 def _numbered(settings: dict[str, Any], name: str) -> words.Numbers:
     found = settings.get(name) or []
     if not isinstance(found, list) or not all(isinstance(one, str) for one in found):
-        raise BootError(f"the settings' \"{name}\" is not a list of names")
+        raise BootError(f'the settings\' "{name}" is not a list of names')
     return words.Numbers({one: i for i, one in enumerate(found)})
 
 
@@ -199,7 +224,7 @@
     """How many connections the node may hold, a reserve taken off."""
     most = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(most, int) or most < 16:
-        raise BootError("no usable \"limits.sockets\"")
+        raise BootError('no usable "limits.sockets"')
     return most - min(SPARE_DESCRIPTORS, int(most * SPARE_SHARE) + 6)
 
 
--- a/wheatroute/net/clients.py
+++ b/wheatroute/net/clients.py
@@ -35,12 +35,27 @@
 THROWN = 16  # reads of what a client goes on sending after its last answer
 AGAIN = 0.1  # seconds until a client that could not be accepted is tried again
 LINGER = 0.5  # seconds for a client to take its answer in and close, before what it sent is thrown away
-REASONS = {400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed", 408: b"Request Timeout",
-           409: b"Conflict", 413: b"Content Too Large", 431: b"Request Header Fields Too Large",
-           200: b"OK", 501: b"Not Implemented", 502: b"Bad Gateway", 503: b"Service Unavailable"}
+REASONS = {
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    431: b"Request Header Fields Too Large",
+    200: b"OK",
+    501: b"Not Implemented",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+}
 # a filter on a listener that drops what opens a connection: load the flags' byte, test SYN, drop or keep
-_NO_MORE = array("B", b"".join(struct.pack("=HBBI", *one) for one in (
-    (0x30, 0, 0, 13), (0x45, 0, 1, 2), (0x06, 0, 0, 0), (0x06, 0, 0, 0xffffffff))))
+_NO_MORE = array(
+    "B",
+    b"".join(
+        struct.pack("=HBBI", *one)
+        for one in ((0x30, 0, 0, 13), (0x45, 0, 1, 2), (0x06, 0, 0, 0), (0x06, 0, 0, 0xFFFFFFFF))
+    ),
+)
 SO_ATTACH_FILTER = 26
 
 
@@ -63,8 +78,9 @@
 class Clients:
     """Everyone who calls this node. Each has a task that reads; answers are written by whoever gives them."""
 
-    def __init__(self, boot: dict[str, Any], most: int, rounds: Rounds, discovery: Discovery,
-                 log: Any) -> None:
+    def __init__(
+        self, boot: dict[str, Any], most: int, rounds: Rounds, discovery: Discovery, log: Any
+    ) -> None:
         self._intake = Intake(boot)
         self._rounds, self._discovery, self._log = rounds, discovery, log
         # the rest is for clients that can only be told that there is no room
@@ -105,8 +121,11 @@
         They are taken first; and from before the last of them on nobody new gets into that queue.
         """
         with suppress(OSError):  # where the system knows no filters the moment between the two stays open
-            self._listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER,
-                                      struct.pack("HP", len(_NO_MORE) // 8, _NO_MORE.buffer_info()[0]))
+            self._listener.setsockopt(
+                socket.SOL_SOCKET,
+                SO_ATTACH_FILTER,
+                struct.pack("HP", len(_NO_MORE) // 8, _NO_MORE.buffer_info()[0]),
+            )
         with suppress(OSError):
             while self._accept_one():
                 pass
@@ -299,8 +318,11 @@
         self._idle.pop(client, None)
         path = line.head.target.split(b"?", 1)[0]
         # guards against a class of that name: who asks whether the node is ready says nothing of a request
-        if path == b"/up" and line.head.method == b"GET" and not any(
-                name in ONCE for name, _ in line.head.headers):
+        if (
+            path == b"/up"
+            and line.head.method == b"GET"
+            and not any(name in ONCE for name, _ in line.head.headers)
+        ):
             self._answer(client, Answer(200 if self._discovery.known else 503))
             return
         exchange = self._intake.exchange(line.head, path, line.body, self._lag(line), self._until)
@@ -417,10 +439,20 @@
             self._end(client, client.ending)
             return
         body = trouble.reason.encode("ascii", "replace") + b"\n"
-        headers = [(b"Content-Length", b"%d" % len(body)), (b"Content-Type", b"text/plain"),
-                   (b"Connection", b"close")]
-        self._send(client, h11.Response(status_code=trouble.status, headers=headers,
-                                        reason=REASONS.get(trouble.status, b"Bad Request")), body)
+        headers = [
+            (b"Content-Length", b"%d" % len(body)),
+            (b"Content-Type", b"text/plain"),
+            (b"Connection", b"close"),
+        ]
+        self._send(
+            client,
+            h11.Response(
+                status_code=trouble.status,
+                headers=headers,
+                reason=REASONS.get(trouble.status, b"Bad Request"),
+            ),
+            body,
+        )
 
     @staticmethod
     def _linger(client: Client, reason: Reason) -> None:
--- a/wheatroute/net/connection.py
+++ b/wheatroute/net/connection.py
@@ -29,8 +29,21 @@
 class Connection:
     """A socket with its h11 state; `role` is h11.SERVER towards clients, h11.CLIENT towards servers."""
 
-    __slots__ = ("sock", "http", "since", "messages", "whole", "peer", "head", "longest", "passes", "deaf",
-                 "_parts", "_length", "_unsent")
+    __slots__ = (
+        "sock",
+        "http",
+        "since",
+        "messages",
+        "whole",
+        "peer",
+        "head",
+        "longest",
+        "passes",
+        "deaf",
+        "_parts",
+        "_length",
+        "_unsent",
+    )
 
     def __init__(self, sock: socket.socket, role: type, peer: str) -> None:
         self.sock, self.peer = sock, peer
@@ -123,7 +136,7 @@
     def write(self) -> bool:
         """Writes what `send` left over as far as the socket takes it now; True if that was all."""
         try:
-            self._unsent = self._unsent[self.sock.send(self._unsent):]
+            self._unsent = self._unsent[self.sock.send(self._unsent) :]
         except BlockingIOError:
             return False
         if self._unsent:
--- a/wheatroute/net/exchange.py
+++ b/wheatroute/net/exchange.py
@@ -48,9 +48,26 @@
 class Exchange:
     """One request."""
 
-    __slots__ = ("number", "kind", "left", "tenant", "repeated", "work", "method", "target", "name",
-                 "key", "body", "deadline", "over", "answer", "attempts", "out", "when_settled",
-                 "has_left")
+    __slots__ = (
+        "number",
+        "kind",
+        "left",
+        "tenant",
+        "repeated",
+        "work",
+        "method",
+        "target",
+        "name",
+        "key",
+        "body",
+        "deadline",
+        "over",
+        "answer",
+        "attempts",
+        "out",
+        "when_settled",
+        "has_left",
+    )
 
     def __init__(self, method: bytes, target: bytes, name: bytes, key: bytes, body: bytes) -> None:
         self.method, self.target, self.name, self.key, self.body = method, target, name, key, body
--- a/wheatroute/net/intake.py
+++ b/wheatroute/net/intake.py
@@ -52,7 +52,10 @@
         A class's form follows from its effect, and clients hear of a change earlier or later than this node.
         """
         self._kinds, self._tenants, self._also = (
-            words.in_path(boot["request_classes"]), words.in_header(boot["tenants"]), also)
+            words.in_path(boot["request_classes"]),
+            words.in_header(boot["tenants"]),
+            also,
+        )
         self._terms = boot["terms"]["request_classes"]
         # never shorter: names that were taken are remembered for as long as was said then
         self.longest = max(self.longest, *(kind["deadline"] for kind in self._terms))
@@ -92,7 +95,7 @@
 
     def _form(self, kind: int, effect: Effect, method: bytes, key: bool) -> tuple[int, Effect]:
         """Class and form of a request; guards against a repeat where its form lacks what makes it safe."""
-        came_as = (Effect.SAFE if method == b"GET" else Effect.KEYED if key else Effect.UNSAFE)
+        came_as = Effect.SAFE if method == b"GET" else Effect.KEYED if key else Effect.UNSAFE
         forms, twin = self._also.get(kind, (frozenset(), kind))
         if came_as == effect or came_as not in forms:
             return kind, effect
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -66,16 +66,25 @@
 def open_log(name: str) -> Any:
     """The node's logger; every line bears the node's name."""
     structlog.configure(
-        processors=[structlog.processors.add_log_level,
-                    structlog.processors.TimeStamper(fmt="iso", utc=True),
-                    structlog.processors.format_exc_info,
-                    structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"])],
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso", utc=True),
+            structlog.processors.format_exc_info,
+            structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
+        ],
         logger_factory=Lines,
-        cache_logger_on_first_use=True)
+        cache_logger_on_first_use=True,
+    )
     return structlog.get_logger().bind(node=name)
 
 
 def ended(log: Any, side: str, peer: str, reason: Reason, since: float, messages: int) -> None:
     """The one line of a connection: which side, with whom, why it ended, how long it was and carried what."""
-    log.info("connection", side=side, peer=peer, reason=reason.value,
-             seconds=round(time.monotonic() - since, 3), messages=messages)
+    log.info(
+        "connection",
+        side=side,
+        peer=peer,
+        reason=reason.value,
+        seconds=round(time.monotonic() - since, 3),
+        messages=messages,
+    )
--- a/wheatroute/net/rounds.py
+++ b/wheatroute/net/rounds.py
@@ -115,8 +115,16 @@
         exchange.deadline = now() + exchange.left
         self._held[exchange.number] = exchange
         heappush(self._stops, (exchange.deadline + self._slack, exchange.number))
-        self.happened(Event.ARRIVED, exchange.number, exchange.kind, exchange.left, exchange.tenant,
-                      exchange.repeated, (), exchange.work)
+        self.happened(
+            Event.ARRIVED,
+            exchange.number,
+            exchange.kind,
+            exchange.left,
+            exchange.tenant,
+            exchange.repeated,
+            (),
+            exchange.work,
+        )
 
     def left(self, exchange: Exchange) -> None:
         if exchange.abandon():
@@ -126,8 +134,16 @@
     def returned(self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None) -> None:
         exchange.out -= 1
         self._forget(exchange)
-        self.happened(Event.RETURNED, exchange.number, attempt.n, attempt.server, outcome,
-                      now() - attempt.sent, exchange.over, report)
+        self.happened(
+            Event.RETURNED,
+            exchange.number,
+            attempt.n,
+            attempt.server,
+            outcome,
+            now() - attempt.sent,
+            exchange.over,
+            report,
+        )
 
     def agree(self, terms: dict[str, Any], binding: bool) -> None:
         """Other terms before all else is decided; where they bind, no repeat not yet written goes out."""
--- a/wheatroute/net/servers.py
+++ b/wheatroute/net/servers.py
@@ -143,8 +143,9 @@
         attempt.may_have_run &= outcome not in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
         self._rounds.returned(exchange, attempt, outcome, report)
 
-    async def _play(self, exchange: Exchange, attempt: Attempt,
-                    wire: "_Wire") -> tuple[Outcome, dict[str, float] | None]:
+    async def _play(
+        self, exchange: Exchange, attempt: Attempt, wire: "_Wire"
+    ) -> tuple[Outcome, dict[str, float] | None]:
         """One attempt up to its outcome; the connection stays in `wire` unless it can be used again."""
         try:
             doubted = now() < self._doubtful and self._only_once(self._kinds[exchange.kind])
@@ -238,8 +239,11 @@
     def _request(self, exchange: Exchange, attempt: Attempt) -> h11.Request:
         host, port = self._places[attempt.server]
         wait = max(1, int((attempt.scope.deadline - trio.current_time()) * 1e6))
-        headers = [(b"Host", b"%s:%d" % (host.encode(), port)), (b"Request-Id", exchange.name),
-                   (b"Request-Timeout", b"%du" % wait)]
+        headers = [
+            (b"Host", b"%s:%d" % (host.encode(), port)),
+            (b"Request-Id", exchange.name),
+            (b"Request-Timeout", b"%du" % wait),
+        ]
         if exchange.key:
             headers.append((b"Idempotency-Key", exchange.key))
         if exchange.body or exchange.method != b"GET":
--- a/wheatroute/net/signals.py
+++ b/wheatroute/net/signals.py
@@ -27,8 +27,9 @@
     return trio.open_signal_receiver(*STOPS, signal.SIGHUP)
 
 
-async def heed(signals: Any, stop: Callable[[], Awaitable[None]], read_anew: Callable[[], None],
-               log: Any) -> None:
+async def heed(
+    signals: Any, stop: Callable[[], Awaitable[None]], read_anew: Callable[[], None], log: Any
+) -> None:
     """SIGHUP also while it stops, as a list may move just then; a second signal to stop changes nothing."""
     async with trio.open_nursery() as nursery:
         stopping = False
--- a/wheatroute/orders.py
+++ b/wheatroute/orders.py
@@ -54,7 +54,10 @@
     def round(self) -> list[int]:
         """All in a round on which any stretch holds its part of each kind."""
         if self._round is None:
-            places = sorted(((i + 0.5) / len(like), server)
-                            for like in self._lists.values() for i, server in enumerate(like))
+            places = sorted(
+                ((i + 0.5) / len(like), server)
+                for like in self._lists.values()
+                for i, server in enumerate(like)
+            )
             self._round = [server for _, server in places]
         return self._round
--- a/wheatroute/processor/accounts.py
+++ b/wheatroute/processor/accounts.py
@@ -70,8 +70,9 @@
     def __len__(self) -> int:
         return len(self._tries)
 
-    def take(self, name: bytes, kind: int, now: float, left: float,
-             attempt: int) -> tuple[Try, tuple[Earlier, ...]]:
+    def take(
+        self, name: bytes, kind: int, now: float, left: float, attempt: int
+    ) -> tuple[Try, tuple[Earlier, ...]]:
         """Enters a try; returns it with what came before, for the module. Raises `RefusedError`.
 
         `attempt` is 1 for a first try, as far as the proxy says. Unsafe requests, and keyed ones whose
@@ -96,8 +97,11 @@
         if known[0] != kind or any(one.fate == Fate.UNDECIDED for one in known[1]):
             raise RefusedError(Refusal.CONFLICT)
         # a try that was refused before there was a decision went nowhere, and is none of the module's
-        earlier = tuple((one.server, one.decided, one.fate == Fate.MAY_HAVE_RUN) for one in known[1]
-                        if one.server >= 0 or one.fate == Fate.MAY_HAVE_RUN)
+        earlier = tuple(
+            (one.server, one.decided, one.fate == Fate.MAY_HAVE_RUN)
+            for one in known[1]
+            if one.server >= 0 or one.fate == Fate.MAY_HAVE_RUN
+        )
         effect = self._kinds[kind]["effect"]
         if (effect == Effect.UNSAFE or effect < strict) and any(may for *_, may in earlier):
             raise RefusedError(Refusal.MAY_HAVE_RUN)
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -52,8 +52,16 @@
         exchange.attempts = [Attempt(server, n, when, 0.0) for n, (server, when, _) in enumerate(earlier)]
         self._held[exchange.number] = exchange
         heappush(self._stops, (exchange.deadline + self._slack, exchange.number))
-        self.happened(Event.ARRIVED, exchange.number, exchange.kind, exchange.left, exchange.tenant,
-                      exchange.repeated, earlier, exchange.work)
+        self.happened(
+            Event.ARRIVED,
+            exchange.number,
+            exchange.kind,
+            exchange.left,
+            exchange.tenant,
+            exchange.repeated,
+            earlier,
+            exchange.work,
+        )
 
     def turn(self) -> None:
         """All that came in this burst, and what came of it."""
@@ -86,8 +94,14 @@
         self._out: list[tuple[float, int, Stream]] = []  # attempts out, by when their time is over
         self.asked = self.decisions = 0
 
-    def agree(self, names: dict[str, int], tenants: dict[str, int], terms: dict[str, Any],
-              twins: dict[int, int], binding: bool) -> None:
+    def agree(
+        self,
+        names: dict[str, int],
+        tenants: dict[str, int],
+        terms: dict[str, Any],
+        twins: dict[int, int],
+        binding: bool,
+    ) -> None:
         """Other terms; what is matched first follows from the order of `names`."""
         kinds = terms["request_classes"]
         self.rounds.agree(terms, binding)
@@ -207,6 +221,7 @@
         elif self._etcd is not None:
             # imported here: who does not follow etcd does not pay for it
             from wheatroute.etcd.start import Etcd3
+
             self.etcd = Etcd3(self._etcd, self._name, self._take, self._tell, self._log, self._steady)
             if self._floor is not None and self._steady:
                 self.etcd.follower.begin_at(*self._floor)
--- a/wheatroute/processor/keeping.py
+++ b/wheatroute/processor/keeping.py
@@ -18,8 +18,9 @@
 class Keeping:
     """One worker's snapshot; `told` is the file's table, `source` tells which pool it is of."""
 
-    def __init__(self, told: dict[str, Any], source: dict[str, Any], dispatcher: Dispatcher, listed: Listed,
-                 log: Any) -> None:
+    def __init__(
+        self, told: dict[str, Any], source: dict[str, Any], dispatcher: Dispatcher, listed: Listed, log: Any
+    ) -> None:
         self._path, self._every, self._oldest = told["path"], told["every"], told["oldest"]
         self._source, self._dispatcher, self._list, self._log = source, dispatcher, listed, log
         self.written = self.failed = 0
@@ -50,9 +51,13 @@
         """A disk that is full or gone costs a log line, no more."""
         if not self._list.entries:
             return  # nothing known is nothing worth keeping: the old one stands
-        body = {"source": self._source, "servers": list(self._list.entries.values()),
-                "peers": self._list.peers(), "floor": self._list.floor,
-                "learned": memory.learned(self._dispatcher.rounds.balancer, self._list.numbers, now())}
+        body = {
+            "source": self._source,
+            "servers": list(self._list.entries.values()),
+            "peers": self._list.peers(),
+            "floor": self._list.floor,
+            "learned": memory.learned(self._dispatcher.rounds.balancer, self._list.numbers, now()),
+        }
         data = snapshot.sealed(body, now())
         try:
             await trio.to_thread.run_sync(snapshot.write, self._path, data)
--- a/wheatroute/processor/mapping.py
+++ b/wheatroute/processor/mapping.py
@@ -25,12 +25,21 @@
 _TIME = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)([HMSmun]?)\Z")
 _UNITS = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9, "": 1e-3}
 # ORCA's names and ours; named metrics go by the names that reports of our own use
-_ORCA = {"cpu_utilization": "busy", "application_utilization": "busy", "rps_fractional": "rate",
-         "rps": "rate", "eps": "error_rate", "named_metrics.inflight": "held",
-         "named_metrics.queue": "queued"}
+_ORCA = {
+    "cpu_utilization": "busy",
+    "application_utilization": "busy",
+    "rps_fractional": "rate",
+    "rps": "rate",
+    "eps": "error_rate",
+    "named_metrics.inflight": "held",
+    "named_metrics.queue": "queued",
+}
 # what the proxy's response flags say of an answer that it made up itself: bits of its access log's flags
-_FLAGS = ((0x2 | 0x20 | 0x80, Outcome.UNCONNECTED),  # no healthy host, connection failure, overflow
-          (0x4, Outcome.TIMED_OUT), (0x8 | 0x10 | 0x40, Outcome.RESET))
+_FLAGS = (
+    (0x2 | 0x20 | 0x80, Outcome.UNCONNECTED),  # no healthy host, connection failure, overflow
+    (0x4, Outcome.TIMED_OUT),
+    (0x8 | 0x10 | 0x40, Outcome.RESET),
+)
 
 
 class UnfitError(Exception):
@@ -64,9 +73,14 @@
 class Reader:
     """Reads requests by the file's mapping: `headers` by meaning, `kinds` in the order of their match."""
 
-    def __init__(self, headers: Mapping[str, str], kinds: list[dict[str, Any]],
-                 tenants: Mapping[str, int], order: Sequence[int] | None = None,
-                 twins: Mapping[int, int] | None = None) -> None:
+    def __init__(
+        self,
+        headers: Mapping[str, str],
+        kinds: list[dict[str, Any]],
+        tenants: Mapping[str, int],
+        order: Sequence[int] | None = None,
+        twins: Mapping[int, int] | None = None,
+    ) -> None:
         self._meaning = {name.lower(): meaning for meaning, name in headers.items() if name}
         self._meaning |= {":path": "path", ":method": "method"}
         self._kinds, self._tenants = kinds, in_header(tenants)
@@ -96,11 +110,15 @@
         if "time_out" in found:
             left = min(left, seconds(found["time_out"]))
         attempt = found.get("attempt", "1")
-        return Ask(found["request_id"].encode("latin-1"), kind, left,
-                   self._tenants.get(found.get("customer", "").encode("latin-1"), -1),
-                   found.get("repeated") == "1",
-                   int(attempt) if attempt.isdigit() and len(attempt) < 7 else 1,
-                   hinted(found.get("work", "")))
+        return Ask(
+            found["request_id"].encode("latin-1"),
+            kind,
+            left,
+            self._tenants.get(found.get("customer", "").encode("latin-1"), -1),
+            found.get("repeated") == "1",
+            int(attempt) if attempt.isdigit() and len(attempt) < 7 else 1,
+            hinted(found.get("work", "")),
+        )
 
     def _kind(self, path: str, method: str) -> int:
         path = path.split("?", 1)[0]
@@ -165,13 +183,15 @@
     if not isinstance(told, dict):
         return {}
     named = told.get("named_metrics")
-    return told | ({f"named_metrics.{name}": value for name, value in named.items()}
-                   if isinstance(named, dict) else {})
+    return told | (
+        {f"named_metrics.{name}": value for name, value in named.items()} if isinstance(named, dict) else {}
+    )
 
 
 def _binary(text: bytes) -> dict[str, Any]:
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
+
     try:
         report = OrcaLoadReport.FromString(base64.b64decode(text + b"=" * (-len(text) % 4), validate=True))
     except (binascii.Error, DecodeError):
--- a/wheatroute/processor/service.py
+++ b/wheatroute/processor/service.py
@@ -51,8 +51,9 @@
 class Service:
     """One worker; `follow` is asked where the file names a place for versions of the settings."""
 
-    def __init__(self, file: config.File, path: str, worker: int, log: Any,
-                 follow: Follow | None = None) -> None:
+    def __init__(
+        self, file: config.File, path: str, worker: int, log: Any, follow: Follow | None = None
+    ) -> None:
         self._file, self._path, self._worker, self._log = file, path, worker, log
         told, front = config.told_to_processor(file, worker), file.processor
         assert front is not None
@@ -68,9 +69,15 @@
             self._following = follow(file, worker, told, self.dispatcher, self.list, log)
         tls = front.tls
         self._tls = Contexts(tls.certificate, tls.key, tls.client_authorities) if tls else None
-        self.server = Server({PATH: self.dispatcher.opened}, Bounds(streams=front.most_streams), log,
-                             self._tls,
-                             front.most_connections, self.dispatcher.burst, front.workers > 1)
+        self.server = Server(
+            {PATH: self.dispatcher.opened},
+            Bounds(streams=front.most_streams),
+            log,
+            self._tls,
+            front.most_connections,
+            self.dispatcher.burst,
+            front.workers > 1,
+        )
 
     async def run(self, listener: socket.socket, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until SIGTERM or `stop`, and until what is open is answered."""
@@ -123,15 +130,25 @@
 
 def until_restart(old: config.File, new: config.File) -> list[str]:
     """What of a new file a running worker does not take."""
-    kept = [name for name in ("name", "seed", "nodes", "node", "traffic_types", "customers", "processor")
-            if getattr(old, name) != getattr(new, name)]
-    bare = [[pool.model_copy(update={"servers": [], "list_service": None}) for pool in one.pools]
-            for one in (old, new)]
+    kept = [
+        name
+        for name in ("name", "seed", "nodes", "node", "traffic_types", "customers", "processor")
+        if getattr(old, name) != getattr(new, name)
+    ]
+    bare = [
+        [pool.model_copy(update={"servers": [], "list_service": None}) for pool in one.pools]
+        for one in (old, new)
+    ]
     return kept + (["pools"] if bare[0] != bare[1] else [])
 
 
-def serve(path: str, worker: int = 0, descriptor: int = -1, early: Sequence[int] | None = None,
-          follow: Follow | None = None) -> int:
+def serve(
+    path: str,
+    worker: int = 0,
+    descriptor: int = -1,
+    early: Sequence[int] | None = None,
+    follow: Follow | None = None,
+) -> int:
     """One worker in the foreground; the exit status. `early` are signals to stop that came already."""
     early = note_early() if early is None else early  # noted once: a second list would forget the first
     try:
@@ -195,15 +212,29 @@
 
 
 def _command(path: str, worker: int, descriptor: int) -> list[str]:
-    return [sys.executable, "-m", "wheatroute.cli", "processor", path, "--worker", str(worker),
-            "--descriptor", str(descriptor)]
+    return [
+        sys.executable,
+        "-m",
+        "wheatroute.cli",
+        "processor",
+        path,
+        "--worker",
+        str(worker),
+        "--descriptor",
+        str(descriptor),
+    ]
 
 
 class WorkerSupervisor:
     """Keeps one process for each command line going, until it is told to stop."""
 
-    def __init__(self, commands: list[list[str]], descriptors: tuple[int, ...], log: Any,
-                 start: Callable[..., subprocess.Popen[bytes]] = subprocess.Popen) -> None:
+    def __init__(
+        self,
+        commands: list[list[str]],
+        descriptors: tuple[int, ...],
+        log: Any,
+        start: Callable[..., subprocess.Popen[bytes]] = subprocess.Popen,
+    ) -> None:
         self._commands, self._descriptors, self._log, self._start = commands, descriptors, log, start
         self.children: dict[int, subprocess.Popen[bytes]] = {}
         self.status = 0
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -24,8 +24,11 @@
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ROUTED = 0  # the status of an exchange whose final answer to the proxy names a server
 FLAGS = "response.flags"  # attributes that a proxy may send along
-REFUSALS = {Refusal.CONFLICT: (409, "conflict"), Refusal.MAY_HAVE_RUN: (502, "may-have-run"),
-            Refusal.NO_ROOM: (503, "no-room")}
+REFUSALS = {
+    Refusal.CONFLICT: (409, "conflict"),
+    Refusal.MAY_HAVE_RUN: (502, "may-have-run"),
+    Refusal.NO_ROOM: (503, "no-room"),
+}
 
 
 class Asked(Exchange):
@@ -125,8 +128,9 @@
         if self.place not in (Place.DECIDED, Place.OVERDUE):
             self._refuse(Status.INVALID_ARGUMENT, "the response's headers out of turn")
             return
-        headers = {one.key: one.raw_value or one.value.encode() for one in
-                   request.response_headers.headers.headers}
+        headers = {
+            one.key: one.raw_value or one.value.encode() for one in request.response_headers.headers.headers
+        }
         if headers.get(":status", b"").startswith(b"1"):
             self.call.send(_PASS["response_headers"])
             return
@@ -254,5 +258,13 @@
     return answer.SerializeToString()
 
 
-_PASS = {which: _pass(which) for which in ("response_headers", "request_body", "response_body",
-                                           "request_trailers", "response_trailers")}
+_PASS = {
+    which: _pass(which)
+    for which in (
+        "response_headers",
+        "request_body",
+        "response_body",
+        "request_trailers",
+        "response_trailers",
+    )
+}
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -70,7 +70,7 @@
         while sheaves and sheaves[0].samples[-1][0] < oldest:
             sheaves.popleft()
         if sheaves and sheaves[0].samples[0][0] < oldest:
-            sheaves[0] = Sheaf(sheaves[0].samples[bisect_left(sheaves[0].samples, (oldest,)):])
+            sheaves[0] = Sheaf(sheaves[0].samples[bisect_left(sheaves[0].samples, (oldest,)) :])
         self.count = sum(len(sheaf.samples) for sheaf in sheaves)
 
     def latency(self, part: float) -> float:
--- a/wheatroute/snapshot.py
+++ b/wheatroute/snapshot.py
@@ -57,7 +57,7 @@
     try:
         view = memoryview(data)
         while view:
-            view = view[os.write(descriptor, view):]
+            view = view[os.write(descriptor, view) :]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -30,8 +30,9 @@
 class Member:
     """One endpoint of the cluster. The faults are attributes that a test sets."""
 
-    def __init__(self, store: Store, place: tuple[str, int] = ("127.0.0.1", 0),
-                 users: dict[str, str] | None = None) -> None:
+    def __init__(
+        self, store: Store, place: tuple[str, int] = ("127.0.0.1", 0), users: dict[str, str] | None = None
+    ) -> None:
         self.store, self.users = store, users or {}
         self.behind = 0  # revisions that this member does not have yet
         self.silent = False  # it takes what comes and says nothing
@@ -51,11 +52,24 @@
         if self._listener.fileno() < 0:
             self._listener = self._listen_again()
         self._running = trio.CancelScope()
-        methods = {f"{wire.KV}{name}": method for name, method in (
-            ("Range", self._range), ("Put", self._put), ("DeleteRange", self._delete), ("Txn", self._txn),
-            ("Compact", self._compact))}
-        methods |= {f"{wire.LEASES}{name}": method for name, method in (
-            ("LeaseGrant", self._grant), ("LeaseRevoke", self._revoke), ("LeaseKeepAlive", self._keep_alive))}
+        methods = {
+            f"{wire.KV}{name}": method
+            for name, method in (
+                ("Range", self._range),
+                ("Put", self._put),
+                ("DeleteRange", self._delete),
+                ("Txn", self._txn),
+                ("Compact", self._compact),
+            )
+        }
+        methods |= {
+            f"{wire.LEASES}{name}": method
+            for name, method in (
+                ("LeaseGrant", self._grant),
+                ("LeaseRevoke", self._revoke),
+                ("LeaseKeepAlive", self._keep_alive),
+            )
+        }
         methods |= {wire.WATCH: self._watch, wire.AUTH: self._authenticate, wire.MAINTENANCE: self._status}
         server = Server({}, Bounds(message=64 << 20), structlog.get_logger())
         server._methods |= {name.encode(): server.coroutine(method) for name, method in methods.items()}
@@ -203,9 +217,16 @@
         store = self.store
         if one.next <= store.compacted:
             del told[number]
-            await say(talk, wire.WatchResponse(
-                header=store.header(self.behind), watch_id=number, canceled=True, cancel_reason=COMPACTED,
-                compact_revision=store.compacted))
+            await say(
+                talk,
+                wire.WatchResponse(
+                    header=store.header(self.behind),
+                    watch_id=number,
+                    canceled=True,
+                    cancel_reason=COMPACTED,
+                    compact_revision=store.compacted,
+                ),
+            )
             return
         for revision, events in store.since(one.next, one.asked.key, one.asked.range_end):
             if revision > store.revision - self.behind:
@@ -217,7 +238,7 @@
     async def _tell_revision(self, talk: Talk, number: int, one: _Watched, events: list[Any]) -> None:
         size = self.fragment_at if one.asked.fragment else 10**9
         for at in range(0, len(events), size):
-            part = events[at:at + size]
+            part = events[at : at + size]
             answer = wire.WatchResponse(header=self.store.header(self.behind), watch_id=number, events=part)
             answer.fragment = at + size < len(events)
             await say(talk, answer)
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -61,11 +61,14 @@
 
     def range(self, asked: Any, behind: int = 0) -> Any:
         revision = asked.revision or (max(1, self.revision - behind) if behind else 0)
-        found = [kv for key, kv in sorted(self.at(revision).items())
-                 if within(key, asked.key, asked.range_end) and kv.mod_revision >= asked.min_mod_revision]
+        found = [
+            kv
+            for key, kv in sorted(self.at(revision).items())
+            if within(key, asked.key, asked.range_end) and kv.mod_revision >= asked.min_mod_revision
+        ]
         answer = wire.RangeResponse(header=self.header(behind), count=len(found))
         if asked.limit and len(found) > asked.limit:
-            found, answer.more = found[:asked.limit], True
+            found, answer.more = found[: asked.limit], True
         if not asked.count_only:
             answer.kvs.extend(bare(kv) for kv in found) if asked.keys_only else answer.kvs.extend(found)
         return answer
@@ -82,8 +85,9 @@
         return out
 
     def header(self, behind: int = 0) -> Any:
-        return wire.ResponseHeader(cluster_id=self.cluster, member_id=1, raft_term=2,
-                                   revision=max(1, self.revision - behind))
+        return wire.ResponseHeader(
+            cluster_id=self.cluster, member_id=1, raft_term=2, revision=max(1, self.revision - behind)
+        )
 
     # writing
 
@@ -106,9 +110,14 @@
         if asked.lease and asked.lease not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
         old = self.keys.get(asked.key)
-        kv = wire.KeyValue(key=asked.key, value=asked.value, lease=asked.lease, mod_revision=at,
-                           create_revision=old.create_revision if old else at,
-                           version=old.version + 1 if old else 1)
+        kv = wire.KeyValue(
+            key=asked.key,
+            value=asked.value,
+            lease=asked.lease,
+            mod_revision=at,
+            create_revision=old.create_revision if old else at,
+            version=old.version + 1 if old else 1,
+        )
         self.keys[asked.key] = kv
         self.history.append((at, wire.Event(type=wire.PUT, kv=kv, prev_kv=old)))
         return wire.PutResponse(prev_kv=old if asked.prev_kv else None), True
@@ -118,8 +127,9 @@
         answer = wire.DeleteRangeResponse(deleted=len(gone))
         for key in gone:
             old = self.keys.pop(key)
-            self.history.append((at, wire.Event(type=wire.DELETE, prev_kv=old,
-                                                kv=wire.KeyValue(key=key, mod_revision=at))))
+            self.history.append(
+                (at, wire.Event(type=wire.DELETE, prev_kv=old, kv=wire.KeyValue(key=key, mod_revision=at)))
+            )
             if asked.prev_kv:
                 answer.prev_kvs.append(old)
         return answer, bool(gone)
@@ -137,11 +147,15 @@
                 if which == "request_range":
                     response.response_range.CopyFrom(self.range(one.request_range))
                     continue
-                part, wrote = (self._put(one.request_put, at) if which == "request_put"
-                               else self._delete(one.request_delete_range, at))
+                part, wrote = (
+                    self._put(one.request_put, at)
+                    if which == "request_put"
+                    else self._delete(one.request_delete_range, at)
+                )
                 getattr(response, which.replace("request", "response")).CopyFrom(part)
                 changed = changed or wrote
             return answer, changed
+
         return self._write(apply)
 
     def _compare(self, one: Any) -> bool:
@@ -160,7 +174,8 @@
             raise CallError(Status.OUT_OF_RANGE, FUTURE)
         standing = sorted(self.at(revision).values(), key=lambda kv: kv.mod_revision)
         self.history = [(kv.mod_revision, wire.Event(type=wire.PUT, kv=kv)) for kv in standing] + [
-            item for item in self.history if item[0] > revision]
+            item for item in self.history if item[0] > revision
+        ]
         self.compacted = revision
 
     # leases
@@ -188,6 +203,7 @@
             for key in keys:
                 self._delete(wire.DeleteRangeRequest(key=key), at)
             return wire.LeaseRevokeResponse(), bool(keys)
+
         return self._write(drop)
 
     def expire(self) -> None:
--- a/wheatroute/standin/lean.py
+++ b/wheatroute/standin/lean.py
@@ -30,7 +30,7 @@
 
 
 def frame(kind: int, flags: int, number: int, payload: bytes) -> bytes:
-    return (len(payload).to_bytes(3, "big") + bytes((kind, flags)) + number.to_bytes(4, "big") + payload)
+    return len(payload).to_bytes(3, "big") + bytes((kind, flags)) + number.to_bytes(4, "big") + payload
 
 
 class Lean:
@@ -72,11 +72,11 @@
     def _take(self, buffer: bytes) -> bytes:
         at = 0
         while len(buffer) - at >= 9:
-            end = at + 9 + int.from_bytes(buffer[at:at + 3], "big")
+            end = at + 9 + int.from_bytes(buffer[at : at + 3], "big")
             if end > len(buffer):
                 break
             kind, flags = buffer[at + 3], buffer[at + 4]
-            self._frame(kind, flags, int.from_bytes(buffer[at + 5:at + 9], "big"), buffer[at + 9:end])
+            self._frame(kind, flags, int.from_bytes(buffer[at + 5 : at + 9], "big"), buffer[at + 9 : end])
             at = end
         return buffer[at:]
 
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -29,8 +29,14 @@
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 DESTINATION = "x-gateway-destination-endpoint"
 KINDS = (("view", "GET"), ("amend", "POST"), ("place", "POST"))
-HEAD: Headers = [(b":method", b"POST"), (b":scheme", b"http"), (b":path", PATH),
-                 (b":authority", b"processor"), (b"te", b"trailers"), (b"content-type", b"application/grpc")]
+HEAD: Headers = [
+    (b":method", b"POST"),
+    (b":scheme", b"http"),
+    (b":path", PATH),
+    (b":authority", b"processor"),
+    (b"te", b"trailers"),
+    (b"content-type", b"application/grpc"),
+]
 FINE = 0.0015  # seconds before something is due in which the clock is watched and not slept by
 SETTLE = 0.1  # seconds between two connections
 HIGHEST = 60_000_000  # microseconds that the histogram holds
@@ -43,9 +49,17 @@
 def request_headers(name: str, kind: int, attempt: int, time_out: float = 2.0, **more: str) -> bytes:
     """The first message of a stream."""
     message = ProcessingRequest()
-    told = {":method": KINDS[kind][1], ":path": f"/{KINDS[kind][0]}/7", ":authority": "shop.local",
-            "x-request-id": name, "request-timeout": f"{int(time_out * 1000)}m", "user-agent": "stand-in",
-            "x-envoy-attempt-count": str(attempt), "x-forwarded-proto": "http", "accept": "*/*"}
+    told = {
+        ":method": KINDS[kind][1],
+        ":path": f"/{KINDS[kind][0]}/7",
+        ":authority": "shop.local",
+        "x-request-id": name,
+        "request-timeout": f"{int(time_out * 1000)}m",
+        "user-agent": "stand-in",
+        "x-envoy-attempt-count": str(attempt),
+        "x-forwarded-proto": "http",
+        "accept": "*/*",
+    }
     if kind == 1:
         told["idempotency-key"] = name
     for key, value in (told | more).items():
@@ -108,8 +122,15 @@
 class Proxy:
     """Asks at an even pace, with a little chance, whatever becomes of what was asked before."""
 
-    def __init__(self, place: tuple[str, int], rate: float, seconds: float, connections: int, seed: int,
-                 vanish: float = 0.0) -> None:
+    def __init__(
+        self,
+        place: tuple[str, int],
+        rate: float,
+        seconds: float,
+        connections: int,
+        seed: int,
+        vanish: float = 0.0,
+    ) -> None:
         self._rate, self._seconds, self._vanish = rate, seconds, vanish
         self._chance, self._seed = random.Random(seed), seed
         self.lines = [Lean(place, HEAD) for _ in range(connections)]
@@ -202,8 +223,11 @@
             self.count[f"ended_{Status(status).name.lower() if status >= 0 else 'reset'}"] += 1
 
     def report(self) -> dict[str, Any]:
-        return {"count": dict(self.count), "delays": self.delays.encode().decode(),
-                "unsafe_twice": sum(1 for n in self._decisions.values() if n > 1)}
+        return {
+            "count": dict(self.count),
+            "delays": self.delays.encode().decode(),
+            "unsafe_twice": sum(1 for n in self._decisions.values() if n > 1),
+        }
 
 
 @click.command()
@@ -215,8 +239,16 @@
 @click.option("--vanish", type=float, default=0.0, help="share of requests whose end is never told")
 @click.option("--seen", type=click.Path(), help="writes there when each server was decided for")
 @click.option("--json", "as_json", is_flag=True, help="one JSON object, the histogram encoded")
-def main(place: str, rate: float, seconds: float, connections: int, seed: int, vanish: float,
-         seen: str | None, as_json: bool) -> None:
+def main(
+    place: str,
+    rate: float,
+    seconds: float,
+    connections: int,
+    seed: int,
+    vanish: float,
+    seen: str | None,
+    as_json: bool,
+) -> None:
     """Asks the external processor at PLACE for decisions and says what it saw."""
     host, _, port = place.rpartition(":")
     proxy = Proxy((host, int(port)), rate, seconds, connections, seed, vanish)
--- a/wheatroute/talk.py
+++ b/wheatroute/talk.py
@@ -30,17 +30,17 @@
     """As few messages as hold them all."""
     pieces = [short(name) + chr(_LOW + min(_BASE - 1, max(0, round(held / UNIT)))) for name, held in figures]
     most = (LONGEST - len(MARK)) // PIECE
-    return [MARK + "".join(pieces[i:i + most]) for i in range(0, len(pieces), most)]
+    return [MARK + "".join(pieces[i : i + most]) for i in range(0, len(pieces), most)]
 
 
 def unpack(text: str, known: Mapping[str, int]) -> dict[int, float]:
     """What a message tells of the servers known here by their short names."""
-    body = text[len(MARK):]
+    body = text[len(MARK) :]
     if not text.startswith(MARK) or len(body) % PIECE or len(text) > LONGEST:
         return {}
     out = {}
     for i in range(0, len(body), PIECE):
-        server, held = known.get(body[i:i + PIECE - 1]), ord(body[i + PIECE - 1]) - _LOW
+        server, held = known.get(body[i : i + PIECE - 1]), ord(body[i + PIECE - 1]) - _LOW
         if server is not None and 0 <= held < _BASE:
             out[server] = held * UNIT
     return out
--- a/wheatroute/tls.py
+++ b/wheatroute/tls.py
@@ -15,8 +15,9 @@
     """Files that make no usable context."""
 
 
-def server_context(certificate: str, key: str, client_authorities: str = "",
-                   protocols: Sequence[str] = ("h2",)) -> ssl.SSLContext:
+def server_context(
+    certificate: str, key: str, client_authorities: str = "", protocols: Sequence[str] = ("h2",)
+) -> ssl.SSLContext:
     """For listening; with `client_authorities` a client without a certificate of theirs is turned away."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -28,8 +29,9 @@
     return context
 
 
-def client_context(authorities: str = "", certificate: str = "", key: str = "",
-                   protocols: Sequence[str] = ("h2",)) -> ssl.SSLContext:
+def client_context(
+    authorities: str = "", certificate: str = "", key: str = "", protocols: Sequence[str] = ("h2",)
+) -> ssl.SSLContext:
     """For connecting; without `authorities` those of the system count."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -72,8 +74,9 @@
 class Contexts:
     """The context in force of one listener, and the way to a new one."""
 
-    def __init__(self, certificate: str, key: str, client_authorities: str = "",
-                 protocols: Sequence[str] = ("h2",)) -> None:
+    def __init__(
+        self, certificate: str, key: str, client_authorities: str = "", protocols: Sequence[str] = ("h2",)
+    ) -> None:
         self._told = certificate, key, client_authorities, protocols
         self.current = server_context(*self._told)
 
--- a/wheatroute/wire.py
+++ b/wheatroute/wire.py
@@ -19,8 +19,13 @@
 class Wire:
     """A non-blocking socket; `context` turns TLS on."""
 
-    def __init__(self, sock: socket.socket, context: ssl.SSLContext | None = None, server_side: bool = True,
-                 host: str | None = None) -> None:
+    def __init__(
+        self,
+        sock: socket.socket,
+        context: ssl.SSLContext | None = None,
+        server_side: bool = True,
+        host: str | None = None,
+    ) -> None:
         self.sock = sock
         sock.setblocking(False)
         with suppress(OSError):
--- a/wheatroute/words.py
+++ b/wheatroute/words.py
@@ -13,10 +13,20 @@
 EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 # what load reports tell: the simulator's names and those on the sockets, and ours
-FIGURES = {"active": "held", "waiting": "queued", "cpu": "busy", "avg_ms": "service_ms",
-           "rps": "rate", "err_rps": "error_rate",
-           "inflight": "held", "queue": "queued", "util": "busy", "latency_ms": "service_ms",
-           "qps": "rate", "eps": "error_rate"}
+FIGURES = {
+    "active": "held",
+    "waiting": "queued",
+    "cpu": "busy",
+    "avg_ms": "service_ms",
+    "rps": "rate",
+    "err_rps": "error_rate",
+    "inflight": "held",
+    "queue": "queued",
+    "util": "busy",
+    "latency_ms": "service_ms",
+    "qps": "rate",
+    "eps": "error_rate",
+}
 
 
 PLAIN = "!$&'()*+,;=:@"  # stand for themselves in a path, whether or not they are encoded
@@ -45,13 +55,18 @@
 
 
 def in_path(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    return spelt(numbers, lambda name: quote(name, safe="").encode(),
-                 lambda name: quote(name, safe=PLAIN).encode(), str.encode)
+    return spelt(
+        numbers,
+        lambda name: quote(name, safe="").encode(),
+        lambda name: quote(name, safe=PLAIN).encode(),
+        str.encode,
+    )
 
 
 def in_header(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    return spelt(numbers, str.encode, lambda name: quote(name, safe="").encode(),
-                 lambda name: name.encode("latin-1"))
+    return spelt(
+        numbers, str.encode, lambda name: quote(name, safe="").encode(), lambda name: name.encode("latin-1")
+    )
 
 
 # our name: (path on the wire, what stands in where it is absent)
@@ -121,6 +136,8 @@
     out["reported"] = [FIGURES.get(name, name) for name in _dig(info, "report.fields", [])]
     out["work_counts"] = info.get("utility-basis") == "work"
     out["request_classes"] = [_request_class(kind) for kind in info.get("traffic-types") or []]
-    out["tenants"] = [{"portion": one.get("portion", 0.0), "quota": one.get("quota-rps", 0.0)}
-                        for one in info.get("tenants") or []]
+    out["tenants"] = [
+        {"portion": one.get("portion", 0.0), "quota": one.get("quota-rps", 0.0)}
+        for one in info.get("tenants") or []
+    ]
     return out
