--- /dev/null
+++ b/benchmarks/upgrades.py
@@ -0,0 +1,300 @@
+"""Upgrades and downgrades of a router set that serves: old and new processes side by side, on the same disks.
+
+Real processes on loopback. A router set of an earlier commit is started, with its configuration on its
+disks; then each process is stopped with SIGTERM and started with the text of the working tree, one after the
+other, control nodes first or edge nodes first, and in the end all of them go back. Meanwhile clients send, an
+operator changes the configuration, and a server drains and comes back. Judged from outside: each acknowledged
+change is there at the end, no request ran twice or was rejected after it ran, none that ran stayed without an
+answer, and none reaches a server more than `DRAIN_S` after its drain was acknowledged.
+
+    python benchmarks/upgrades.py --from a3a74a3     both orders, with the way back
+    python benchmarks/upgrades.py --short --json     control nodes first, no way back; JSON as the last line
+"""
+
+import argparse
+import io
+import json
+import os
+import subprocess
+import sys
+import tarfile
+import tempfile
+import time
+from contextlib import suppress
+from pathlib import Path
+
+import trio
+
+ROOT = Path(__file__).resolve().parent.parent
+sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+
+from edge.harness import read_message  # noqa: E402
+from soak.processes import CONTROL_PORT, GRACE_S, READY_PORT, Process, System, Tenant, call  # noqa: E402
+
+EARLIER = "a3a74a3"  # the last text before types and fields got the field's names
+FIRST_BLOCK = 240  # of loopback addresses; the tests use those below
+DRAIN_S = 1.0  # seconds after its acknowledgement in which a drain has reached all edge nodes
+UNANSWERED_S = 3.0  # seconds that a request may be under way when clients end
+CHANGE_INTERVAL_S = 0.3
+DRAIN_INTERVAL_S = 2.5
+READY_LIMIT_S = 30.0
+
+
+def exported(commit: str, folder: Path) -> Path:
+    """The package as a commit has it, in a folder of its own."""
+    archive = subprocess.run(
+        ["git", "-C", str(ROOT), "archive", commit, "wheatroute"], capture_output=True, check=True
+    )
+    with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as files:
+        files.extractall(folder, filter="data")
+    return folder
+
+
+class VersionedProcess(Process):
+    """A process of the router set that runs the text in `text`."""
+
+    def __init__(self, system, role, host):
+        self.text = system.first_text
+        super().__init__(system, role, host)
+
+    def start(self):
+        """Starts the process, unless it runs."""
+        if self.running is not None and self.running.poll() is None:
+            return
+        self.write_settings()
+        self.lives += 1
+        with self.path.with_suffix(".log").open("ab") as log:
+            self.running = subprocess.Popen(
+                [sys.executable, "-m", "wheatroute.system", self.role],
+                stdout=log,
+                stderr=log,
+                cwd=self.text,
+                env=os.environ | {"WHEATROUTE_SETTINGS": str(self.path), "PYTHONPATH": str(self.text)},
+            )
+
+
+class MixedSystem(System):
+    """A router set whose processes run one of two texts, with a second server that drains now and then."""
+
+    def __init__(self, folder, block, first_text, tenants):
+        self.first_text = first_text
+        super().__init__(folder, block, block, controls=3, edges=3, tenants=tenants)
+        hosts = [process.host for process in self.controls]
+        self.controls = [VersionedProcess(self, "control", host) for host in hosts]
+        self.edges = [VersionedProcess(self, "edge", process.host) for process in list(self.edges)]
+        self.draining_address = (f"127.{block}.2.2", 18080)
+        self.drained_since = None  # when the drain of the second server was acknowledged
+        self.late_after_drain = []  # (request id, seconds after the acknowledgement)
+        self.drains = 0
+        self.answered = set()  # ids of requests that got an answer
+        self.arrived = {}  # by request id: when it reached a server
+
+    async def _run(self, headers, chance):
+        if "request-id" in headers:
+            self.arrived[headers["request-id"]] = trio.current_time()
+        return await super()._run(headers, chance)
+
+    async def _run_at_draining(self, stream):
+        """The second server: as the first one, and it notes requests that come after its drain."""
+        rest = b""
+        with suppress(OSError, trio.BrokenResourceError, trio.ClosedResourceError, ConnectionError):
+            while message := await read_message(stream, rest):
+                _, headers, _, rest = message
+                now, identity = trio.current_time(), headers.get("request-id", "")
+                since = self.drained_since
+                if since is not None and "tenant" in headers and now - since > DRAIN_S:
+                    self.late_after_drain.append((identity, round(now - since, 2)))
+                body = await self._run(headers, self.chance)
+                head = f"HTTP/1.1 200 OK\r\nRequest-Id: {identity}\r\nContent-Length: {len(body)}\r\n\r\n"
+                await stream.send_all(head.encode() + body)
+
+    async def serve_draining(self, task_status):
+        """Listens for the second server."""
+        host, port = self.draining_address
+        listeners = await trio.open_tcp_listeners(port, host=host)
+        task_status.started()
+        await trio.serve_listeners(self._run_at_draining, listeners)
+
+    async def _ask(self, stream, rest, tenant, identity, chance):
+        rest = await super()._ask(stream, rest, tenant, identity, chance)
+        self.answered.add(identity)
+        return rest
+
+    async def say(self, number, state):
+        """One heartbeat of the second server; whether a control node acknowledged it."""
+        heartbeat = {
+            "backend": "llm",
+            "addr": "{}:{}".format(*self.draining_address),
+            "zone": "here",
+            "slots": 256,
+            "state": state,
+            "seq": number,
+        }
+        for control in self.chance.sample(self.controls, len(self.controls)):
+            address = (control.host, CONTROL_PORT)
+            status, _ = await call(address, "PUT", "/-/instances/server-2", heartbeat, limit=1.0)
+            if status == 200:
+                return True
+        return False
+
+    async def drain_and_return(self):
+        """The second server drains, waits, and comes back, again and again."""
+        number = 0
+        while True:
+            for _ in range(4):
+                number += 1
+                await self.say(number, "ready")
+                await trio.sleep(DRAIN_INTERVAL_S / 8)
+            for _ in range(4):
+                number += 1
+                if await self.say(number, "draining"):
+                    if self.drained_since is None:
+                        self.drained_since, self.drains = trio.current_time(), self.drains + 1
+                await trio.sleep(DRAIN_INTERVAL_S / 8)
+            self.drained_since = None
+
+    async def change_regularly(self):
+        """The operator changes the configuration all the time."""
+        while True:
+            await self.configure()
+            await trio.sleep(CHANGE_INTERVAL_S)
+
+    async def committed(self):
+        """The generation that the control nodes have now."""
+        while True:
+            for control in self.controls:
+                status, body = await call((control.host, CONTROL_PORT), "GET", "/-/config", limit=1.0)
+                if status == 200:
+                    return json.loads(body)["generation"]
+            await trio.sleep(0.1)
+
+    def wrong(self, generation):
+        """What was lost or broken, a line each."""
+        found = self.verdict()
+        if generation < self.generation - 1:
+            found.append(f"generation {generation} at the end, {self.generation - 1} was acknowledged")
+        ended = max(self.arrived.values(), default=0.0) - UNANSWERED_S
+        lost = [one for one, at in self.arrived.items() if at < ended and one not in self.answered and one]
+        if lost:
+            found.append(f"ran without an answer: {lost[:3]} of {len(lost)}, before {ended:.2f}")
+        if self.late_after_drain:
+            found.append(f"sent to a drained server: {self.late_after_drain[:3]}")
+        return found
+
+
+class Replacement:
+    """Replaces every process by one of another text, one after the other; `steps` are (processes, text)."""
+
+    def __init__(self, steps):
+        self.steps = steps
+        self.generation = -1
+
+    async def __call__(self, system):
+        async with trio.open_nursery() as nursery:
+            await nursery.start(
+                lambda task_status=trio.TASK_STATUS_IGNORED: _begin(system, nursery, task_status)
+            )
+            await trio.sleep(2.0)
+            for processes, text in self.steps(system):
+                for process in processes:
+                    await self._replace(system, process, text)
+            await trio.sleep(1.0)
+            nursery.cancel_scope.cancel()
+        self.generation = await system.committed()
+
+    @staticmethod
+    async def _replace(system, process, text):
+        process.send(15)
+        await process.gone(GRACE_S)
+        process.text = text
+        process.start()
+        with trio.fail_after(READY_LIMIT_S):
+            if process.role == "edge":
+                while (await call((process.host, READY_PORT), "GET", "/-/readyz", limit=0.5))[0] != 200:
+                    await trio.sleep(0.05)
+            else:
+                while (await call((process.host, CONTROL_PORT), "GET", "/-/config", limit=0.5))[0] != 200:
+                    await trio.sleep(0.05)
+
+
+async def _begin(system, nursery, task_status):
+    await nursery.start(lambda task_status=trio.TASK_STATUS_IGNORED: system.serve_draining(task_status))
+    nursery.start_soon(system.drain_and_return)
+    nursery.start_soon(system.change_regularly)
+    task_status.started()
+
+
+class Play:
+    """One play: an order of replacement, on a router set of the earlier text."""
+
+    def __init__(self, order, earlier, later, both_ways):
+        self.order, self.earlier, self.later, self.both_ways = order, earlier, later, both_ways
+
+    def steps(self, system):
+        """(processes, text) in the order of replacement."""
+        groups = [system.controls, system.edges]
+        if self.order == "edge nodes first":
+            groups.reverse()
+        steps = [(group, self.later) for group in groups]
+        return steps + ([(group, self.earlier) for group in groups] if self.both_ways else [])
+
+    def run(self, folder, block):
+        """Plays it; the figures, and what was wrong."""
+        tenants = [Tenant("hot", 6_000.0, 6_000.0, clients=8, pause=0.1)]
+        system = MixedSystem(folder, block, self.earlier, tenants)
+        replacement = Replacement(self.steps)
+        begun = time.monotonic()
+        trio.run(self._play, system, replacement)
+        wrong = system.wrong(replacement.generation)
+        if not system.drains or system.generation < 10 or len(system.answered) < 100:
+            wrong.append("too little was done to judge")
+        return {
+            "order": self.order,
+            "both_ways": self.both_ways,
+            "seconds": round(time.monotonic() - begun, 1),
+            "answers": {str(status): count for status, count in sorted(system.answers.items(), key=str)},
+            "changes": system.generation,
+            "drains": system.drains,
+            "wrong": wrong,
+        }
+
+    @staticmethod
+    async def _play(system, replacement):
+        """As `System.play`, for as long as the replacement takes."""
+        done = trio.Event()
+
+        async def strike(_):
+            await replacement(system)
+            done.set()
+
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(system.play, strike, 600.0)
+            await done.wait()
+            nursery.cancel_scope.cancel()
+
+
+def main():
+    """Plays, and prints what it found; 1 if anything was lost or broken."""
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--from", dest="commit", default=EARLIER, help="the earlier text")
+    parser.add_argument("--short", action="store_true")
+    parser.add_argument("--json", action="store_true")
+    told = parser.parse_args()
+    orders = ["control nodes first"] if told.short else ["control nodes first", "edge nodes first"]
+    found = []
+    with tempfile.TemporaryDirectory() as folder:
+        earlier = exported(told.commit, Path(folder) / "earlier")
+        for number, order in enumerate(orders):
+            disks = Path(folder) / f"play-{number}"
+            disks.mkdir()
+            play = Play(order, earlier, ROOT, both_ways=not told.short)
+            found.append(play.run(disks, FIRST_BLOCK + number))
+            if not told.json:
+                print(json.dumps(found[-1], indent=2))
+    if told.json:
+        print(json.dumps({"from": told.commit, "plays": found}))
+    return 1 if any(one["wrong"] for one in found) else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
