--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -23,7 +23,7 @@
 from soak.drawn import day  # noqa: E402
 
 from wheatroute.cluster.configuration import Tenant  # noqa: E402
-from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaNeed, UsageReport  # noqa: E402
+from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, UsageReport  # noqa: E402
 from wheatroute.control.edge_nodes import EdgeNodes  # noqa: E402
 from wheatroute.control.quotas import QuotaBuckets, answer  # noqa: E402
 
@@ -38,8 +38,8 @@
 def report(node: str, chance: Random, account: bool) -> UsageReport:
     """What a node tells that has used every tenant in every slot of time."""
     recent = tuple(chance.randrange(20_000) for _ in range(SLOTS)) if account else ()
-    needs = {f"t{number}": QuotaNeed(0.0, 0.0, 5_000.0, recent=recent) for number in range(TENANTS)}
-    return UsageReport(node, needs, recent_s=WINDOW_S if account else None)
+    needs = {f"t{number}": QuotaDemand(0.0, 0.0, 5_000.0, recent=recent) for number in range(TENANTS)}
+    return UsageReport(node, needs, recent_usage_span_s=WINDOW_S if account else None)
 
 
 def cost(count: int) -> dict[str, float]:
--- a/tests/control/operators.py
+++ b/tests/control/operators.py
@@ -10,7 +10,7 @@
 
 from wheatroute.cluster.distribution import NOTHING, changed, decode_difference
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.cluster.messages import NotServing, RegistryVersion, UpdateRequest
+from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
 from wheatroute.control.changes import Change
 
 CALL_TIMEOUT = 1.0  # seconds of silence after which a caller moves on
@@ -209,6 +209,6 @@
                 update = await node.call(lambda service: service.updates(request))
         except (ConnectionError, TimeoutError):
             return None
-        if isinstance(update, NotServing):
+        if isinstance(update, NotPrimary):
             return None
         return update
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -27,15 +27,15 @@
 from wheatroute.cluster.messages import (
     Instance,
     InstanceState,
-    NotServing,
+    NotPrimary,
+    QuotaDemand,
     QuotaGrant,
-    QuotaNeed,
     RegistryVersion,
     ServerLoad,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
 from wheatroute.control.quotas import BucketLevels
@@ -45,9 +45,9 @@
 VERSION = RegistryVersion(epoch=7, number=12)
 INSTANCES = (
     Instance("s1", "llm", "10.0.1.1:80", "z1", 8, InstanceState.READY, 3, 250.0, ("m-a", "m-b")),
-    Instance("s2", "llm", "10.0.1.2:80", "z2", 8, InstanceState.SILENT, 4),
+    Instance("s2", "llm", "10.0.1.2:80", "z2", 8, InstanceState.UNRESPONSIVE, 4),
     Instance("s3", "llm", "10.0.1.3:80", "z2", 8, InstanceState.DRAINING, 5),
-    Instance("s4", "llm", "10.0.1.4:80", "z2", 8, InstanceState.GONE, 6),
+    Instance("s4", "llm", "10.0.1.4:80", "z2", 8, InstanceState.REMOVED, 6),
 )
 ROUTE = Route(
     "chat",
@@ -119,7 +119,7 @@
         id="update-without-configuration",
     ),
     pytest.param(
-        NotServing("10.0.0.1", ("10.0.0.1", "10.0.0.2")),
+        NotPrimary("10.0.0.1", ("10.0.0.1", "10.0.0.2")),
         (
             "82a77072696d617279a831302e302e302e31ad636f6e74726f6c5f686f73747392a831302e302e302e31"
             "a831302e302e302e32"
@@ -128,7 +128,7 @@
     ),
     pytest.param(ServerLoad(1200, 3), "92cd04b003", id="server-load"),
     pytest.param(
-        QuotaNeed(10.0, 2.5, 100.0, 30.0, 20.0, (5, 0, 7)),
+        QuotaDemand(10.0, 2.5, 100.0, 30.0, 20.0, (5, 0, 7)),
         (
             "86a677616e746564cb4024000000000000a872657475726e6564cb4004000000000000a472617465cb40"
             "59000000000000a5616c6f6e65cb403e000000000000aa616c6f6e655f746f6c64cb4034000000000000"
@@ -137,7 +137,7 @@
         id="quota-need",
     ),
     pytest.param(
-        QuotaNeed(),
+        QuotaDemand(),
         (
             "86a677616e746564cb0000000000000000a872657475726e6564cb0000000000000000a472617465cb00"
             "00000000000000a5616c6f6e65cb0000000000000000aa616c6f6e655f746f6c64cb0000000000000000"
@@ -154,7 +154,7 @@
         id="quota-grant",
     ),
     pytest.param(
-        UsageReport("edge-1", {"acme": QuotaNeed(1.0)}, {"s1": ServerLoad(10, 1)}, {"s2": 0.8}, 4.0),
+        UsageReport("edge-1", {"acme": QuotaDemand(1.0)}, {"s1": ServerLoad(10, 1)}, {"s2": 0.8}, 4.0),
         (
             "85a46e6f6465a6656467652d31a774656e616e747381a461636d6586a677616e746564cb3ff000000000"
             "0000a872657475726e6564cb0000000000000000a472617465cb0000000000000000a5616c6f6e65cb00"
@@ -173,7 +173,7 @@
         id="usage-report-unchanged",
     ),
     pytest.param(
-        UsageAnswer({"acme": QuotaGrant(1.0)}, {"s1": ServerLoad(10, 1)}, 3, 7),
+        UsageResponse({"acme": QuotaGrant(1.0)}, {"s1": ServerLoad(10, 1)}, 3, 7),
         (
             "84a66772616e747381a461636d6584a6746f6b656e73cb3ff0000000000000a6776169745f73cb000000"
             "0000000000a86f776e5f72617465cb0000000000000000aa6f776e5f746f6b656e73cb00000000000000"
--- a/tests/control/test_quota_accounts.py
+++ b/tests/control/test_quota_accounts.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wheatroute.cluster.configuration import Tenant
-from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaGrant, QuotaNeed, UsageReport
+from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, QuotaGrant, UsageReport
 from wheatroute.control.earlier_use import EarlierUse
 from wheatroute.control.edge_nodes import NODE_FORGOTTEN, NODE_LOST, NODE_SILENT, EdgeNodes
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
@@ -28,9 +28,9 @@
     return it.levels()["t"].limit
 
 
-def tell(it, node, recent=(), now=0.0, reach_s=WINDOW_S, alone=0.0, alone_told=0.0):
-    need = QuotaNeed(0.0, 0.0, 0.0, alone, alone_told, tuple(recent))
-    return answer(it, EdgeNodes(), now, UsageReport(node, {"t": need}, recent_s=reach_s))
+def tell(it, node, recent=(), now=0.0, reach_s=WINDOW_S, alone=0.0, isolated_usage_acknowledged=0.0):
+    need = QuotaDemand(0.0, 0.0, 0.0, alone, isolated_usage_acknowledged, tuple(recent))
+    return answer(it, EdgeNodes(), now, UsageReport(node, {"t": need}, recent_usage_span_s=reach_s))
 
 
 def test_levels_that_were_told_wait_for_the_tenants():
@@ -43,7 +43,7 @@
 
 def test_a_tenant_that_loses_its_limit_and_gets_it_back_has_used_what_it_had():
     it = successor()
-    it.grant(0.0, "a", "t", QuotaNeed(150.0))
+    it.grant(0.0, "a", "t", QuotaDemand(150.0))
     it.configure([Tenant("t", ("k",))], 0.0)
     it.configure([TENANT], 0.0)
     assert holds(it) == 50.0
@@ -61,7 +61,7 @@
 
 def test_what_was_granted_meanwhile_stays_granted():
     it = successor(levels=BURST)
-    it.grant(0.0, "a", "t", QuotaNeed(150.0))
+    it.grant(0.0, "a", "t", QuotaDemand(150.0))
     for node in "abc":
         tell(it, node, [200])
     assert holds(it) == pytest.approx(BURST + RATE * USAGE_SLOT_S / 2 - 600 - 150)
@@ -98,9 +98,9 @@
     it = successor()
     before = holds(it)
     for _ in range(3):
-        it.grant(0.0, "a", "t", QuotaNeed(alone=70.0, alone_told=20.0))
+        it.grant(0.0, "a", "t", QuotaDemand(isolated_usage=70.0, isolated_usage_acknowledged=20.0))
     assert holds(it) == before - 50
-    it.grant(0.0, "a", "t", QuotaNeed(alone=30.0))  # another process of that name
+    it.grant(0.0, "a", "t", QuotaDemand(isolated_usage=30.0))  # another process of that name
     assert holds(it) == before - 80
     # what an account holds is no debt besides
     other = successor()
@@ -111,13 +111,13 @@
 
 def test_a_bucket_owes_two_seconds_of_its_rate_at_most():
     it = successor()
-    it.grant(0.0, "a", "t", QuotaNeed(alone=1e9))
+    it.grant(0.0, "a", "t", QuotaDemand(isolated_usage=1e9))
     assert holds(it) == -2 * RATE
     # as after a lower limit: what was used under the one before must not stop the tenant altogether
     lowered = successor()
     tell(lowered, "a", [100_000] * 8)
     assert holds(lowered) == -2 * RATE
-    assert lowered.grant(3.0, "a", "t", QuotaNeed(400.0)).tokens == 400.0
+    assert lowered.grant(3.0, "a", "t", QuotaDemand(400.0)).tokens == 400.0
 
 
 def test_a_primary_that_has_just_begun_counts_the_nodes_that_the_one_before_counted():
@@ -135,11 +135,11 @@
     lease.refill_alone(TENANT, 1.0, 4, slack=0.0)
     assert lease.take("t", 80.0)  # 30 of them were granted
     need = lease.need("t", 0.0, 0.0, 1.0, recent=False)
-    assert (need.alone, need.alone_told, need.recent) == (50.0, 0.0, ())
-    spell = lease.granted("t", QuotaGrant(0.0), 1.5, told_alone=need.alone)
+    assert (need.isolated_usage, need.isolated_usage_acknowledged, need.recent_usage) == (50.0, 0.0, ())
+    spell = lease.granted("t", QuotaGrant(0.0), 1.5, told_alone=need.isolated_usage)
     assert spell is not None and (spell.tokens, spell.nodes) == (50.0, 4)
     assert not lease.take("t", 1.0)
-    assert lease.need("t", 0.0, 0.0, 1.5, recent=False).alone_told == 50.0
+    assert lease.need("t", 0.0, 0.0, 1.5, recent=False).isolated_usage_acknowledged == 50.0
 
 
 def test_an_account_holds_what_was_used_and_what_is_in_hand():
@@ -148,7 +148,7 @@
     lease.asked("t", 60.0, 1.0)
     assert lease.take("t", 60.0)
     lease.give_back("t", 20.0)
-    assert lease.need("t", 0.0, 0.0, 1.0 + 2 * USAGE_SLOT_S, recent=True).recent == (60, 0, 40)
+    assert lease.need("t", 0.0, 0.0, 1.0 + 2 * USAGE_SLOT_S, recent=True).recent_usage == (60, 0, 40)
 
 
 def test_a_history_forgets_what_lies_further_back():
@@ -163,7 +163,7 @@
 
 def reported(it, nodes, node, now, rate=100.0):
     """What a node is granted that tells its need."""
-    return answer(it, nodes, now, UsageReport(node, {"t": QuotaNeed(0.0, 0.0, rate)})).grants["t"]
+    return answer(it, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})).grants["t"]
 
 
 def test_the_parts_of_a_node_that_falls_silent_are_kept_for_it_until_it_tells_what_it_used():
@@ -173,10 +173,10 @@
     before = holds(it)
     nodes.heard(NODE_SILENT + 0.1, "b")
     it.withhold(NODE_SILENT + 0.1, nodes)
-    kept = told[0].own_tokens + told[0].own_rate * (NODE_SILENT + 0.1)
+    kept = told[0].local_burst + told[0].local_rate * (NODE_SILENT + 0.1)
     assert kept > 0 and holds(it) == pytest.approx(BURST - kept)  # the bucket had filled up meanwhile
     it.withhold(NODE_SILENT + 0.2, nodes)  # and what its part of the rate brings it
-    assert holds(it) == pytest.approx(BURST - kept + 0.1 * (RATE - told[0].own_rate))
+    assert holds(it) == pytest.approx(BURST - kept + 0.1 * (RATE - told[0].local_rate))
     reported(it, nodes, "a", NODE_SILENT + 0.2, rate=0.0)
     assert holds(it) == BURST >= before
 
@@ -210,7 +210,7 @@
 
 def test_shares_told_by_a_primary_that_knows_few_nodes_leave_the_others_theirs():
     it, nodes = successor(nodes=4), EdgeNodes(0.0, 4)
-    shares = [reported(it, nodes, node, 0.1).own_rate / RATE for node in "ab"]
+    shares = [reported(it, nodes, node, 0.1).local_rate / RATE for node in "ab"]
     assert shares == pytest.approx([0.9 / 4, 0.9 / 4])
 
 
@@ -219,9 +219,9 @@
     it.configure([TENANT], 0.0)
     for step in range(40):
         node = "abcd"[step % 4]
-        shares[node] = reported(it, nodes, node, step * 0.1, rate=2.0**step).own_rate / RATE
+        shares[node] = reported(it, nodes, node, step * 0.1, rate=2.0**step).local_rate / RATE
         assert sum(shares.values()) <= 0.9 + 1e-9
     for step in range(8):  # as soon as needs are even, shares are
         node = "abcd"[step % 4]
-        shares[node] = reported(it, nodes, node, 4.0 + step * 0.1).own_rate / RATE
+        shares[node] = reported(it, nodes, node, 4.0 + step * 0.1).local_rate / RATE
     assert shares == pytest.approx(dict.fromkeys("abcd", 0.9 / 4))
--- a/tests/control/test_quota_takeover.py
+++ b/tests/control/test_quota_takeover.py
@@ -6,7 +6,7 @@
 from control.virtual_cluster import play
 
 from wheatroute.cluster.errors import RequestError
-from wheatroute.cluster.messages import QuotaNeed, UsageAnswer, UsageReport
+from wheatroute.cluster.messages import QuotaDemand, UsageReport, UsageResponse
 from wheatroute.control.changes import Change
 
 BURST = 1000.0
@@ -33,10 +33,10 @@
     """Tokens that an edge node gets for one request."""
 
     async def act(service):
-        return service.usage(UsageReport("edge", {"t": QuotaNeed(tokens)}))
+        return service.usage(UsageReport("edge", {"t": QuotaDemand(tokens)}))
 
     answer = await node.call(act)
-    assert isinstance(answer, UsageAnswer)
+    assert isinstance(answer, UsageResponse)
     return answer.grants["t"].tokens
 
 
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wheatroute.cluster.configuration import Tenant
-from wheatroute.cluster.messages import QuotaGrant, QuotaNeed, ServerLoad, UsageReport
+from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, ServerLoad, UsageReport
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
 from wheatroute.edge.quota_leases import QuotaLeases, cost
@@ -25,7 +25,7 @@
     for _ in range(4000):
         now += 0.005 * chance.random()
         node = f"n{chance.randrange(9)}"
-        given += it.grant(now, node, "t", QuotaNeed(200 * chance.random(), 0.0, 500.0)).tokens
+        given += it.grant(now, node, "t", QuotaDemand(200 * chance.random(), 0.0, 500.0)).tokens
     assert 0.9 * (500 + 1000 * now) < given <= 500 + 1000 * now
 
 
@@ -37,7 +37,7 @@
         passed = 0.01 * chance.random()
         now, alone = now + passed, min(500.0, alone + 1000.0 * passed)
         wanted = chance.choice((3.0, 40.0, 90.0))
-        granted = it.grant(now, "n", "t", QuotaNeed(wanted)).tokens
+        granted = it.grant(now, "n", "t", QuotaDemand(wanted)).tokens
         if alone >= wanted:
             alone -= wanted
             assert granted == wanted
@@ -49,15 +49,15 @@
 
 def test_a_request_larger_than_the_limits_bucket_may_be_paid_from_both():
     it = buckets(slack=1000.0)
-    assert it.grant(0.0, "a", "t", QuotaNeed(851.0)) == QuotaGrant(0.0, 0.001)
-    assert it.grant(0.0, "a", "t", QuotaNeed(850.0)).tokens == 850.0
-    assert it.grant(0.0, "a", "t", QuotaNeed(1.0)).tokens == 0.0
+    assert it.grant(0.0, "a", "t", QuotaDemand(851.0)) == QuotaGrant(0.0, 0.001)
+    assert it.grant(0.0, "a", "t", QuotaDemand(850.0)).tokens == 850.0
+    assert it.grant(0.0, "a", "t", QuotaDemand(1.0)).tokens == 0.0
 
 
 def test_a_tenant_whose_burst_is_smaller_than_a_request_gets_its_rate():
     it = QuotaBuckets(1000.0, 0.1, first=True)
     it.configure([Tenant("t", ("k",), unit="token_usage", rate_per_s=1000.0, burst=0.0)], 0.0)
-    given = sum(it.grant(step / 10, "a", "t", QuotaNeed(90.0)).tokens for step in range(1, 101))
+    given = sum(it.grant(step / 10, "a", "t", QuotaDemand(90.0)).tokens for step in range(1, 101))
     assert given >= 0.8 * 1000 * 10
 
 
@@ -65,7 +65,7 @@
     it, chance, now, given = buckets(slack=1000.0, excess=0.1), Random(8), 0.0, []
     for _ in range(3000):
         now += 0.005 * chance.random() + 0.9 * (chance.random() < 0.01)
-        given.append((now, it.grant(now, "n", "t", QuotaNeed(chance.choice((3.0, 90.0, 600.0)))).tokens))
+        given.append((now, it.grant(now, "n", "t", QuotaDemand(chance.choice((3.0, 90.0, 600.0)))).tokens))
     for first in range(0, len(given), 50):
         total, begin = 0.0, given[first][0]
         for at, tokens in given[first:]:
@@ -75,37 +75,37 @@
 
 def test_what_is_given_back_fills_the_limit_first():
     it = buckets(slack=1000.0)
-    it.grant(0.0, "a", "t", QuotaNeed(300.0))
-    it.grant(0.0, "a", "t", QuotaNeed(350.0))  # beyond the limit
-    it.grant(0.0, "a", "t", QuotaNeed(0.0, returned=500.0))
+    it.grant(0.0, "a", "t", QuotaDemand(300.0))
+    it.grant(0.0, "a", "t", QuotaDemand(350.0))  # beyond the limit
+    it.grant(0.0, "a", "t", QuotaDemand(0.0, returned=500.0))
     assert it.levels()["t"] == BucketLevels(500.0, 200.0)
 
 
 def test_what_is_given_back_can_be_granted_again():
     it = buckets()
-    assert it.grant(0.0, "a", "t", QuotaNeed(500.0)).tokens == 500.0
-    assert it.grant(0.0, "b", "t", QuotaNeed(300.0)).wait_s == 0.3
-    assert it.grant(0.0, "b", "t", QuotaNeed(300.0, returned=300.0)).tokens == 300.0
+    assert it.grant(0.0, "a", "t", QuotaDemand(500.0)).tokens == 500.0
+    assert it.grant(0.0, "b", "t", QuotaDemand(300.0)).wait_s == 0.3
+    assert it.grant(0.0, "b", "t", QuotaDemand(300.0, returned=300.0)).tokens == 300.0
 
 
 def test_a_tenant_without_a_limit_gets_what_it_wants():
-    assert buckets().grant(0.0, "a", "free", QuotaNeed(1e9)).tokens == 1e9
+    assert buckets().grant(0.0, "a", "free", QuotaDemand(1e9)).tokens == 1e9
 
 
 def test_a_lower_limit_takes_what_is_above_it():
     it = buckets()
     it.configure([Tenant("t", ("k",), unit="token_usage", rate_per_s=100.0, burst=50.0)], 0.0)
-    assert it.grant(0.0, "a", "t", QuotaNeed(51.0)).tokens == 0.0
-    assert it.grant(0.0, "a", "t", QuotaNeed(50.0)).tokens == 50.0
+    assert it.grant(0.0, "a", "t", QuotaDemand(51.0)).tokens == 0.0
+    assert it.grant(0.0, "a", "t", QuotaDemand(50.0)).tokens == 50.0
 
 
 def test_the_next_primary_does_not_grant_again_what_was_granted():
     before, after = buckets(), buckets(first=False)
-    assert after.grant(0.0, "a", "t", QuotaNeed(201.0)).tokens == 0.0
-    before.grant(0.0, "a", "t", QuotaNeed(450.0))
+    assert after.grant(0.0, "a", "t", QuotaDemand(201.0)).tokens == 0.0
+    before.grant(0.0, "a", "t", QuotaDemand(450.0))
     after.restore(before.levels() | {"none": BucketLevels(1.0, 0.0)})
-    assert after.grant(0.0, "a", "t", QuotaNeed(51.0)).tokens == 0.0
-    assert after.grant(0.0, "a", "t", QuotaNeed(50.0)).tokens == 50.0
+    assert after.grant(0.0, "a", "t", QuotaDemand(51.0)).tokens == 0.0
+    assert after.grant(0.0, "a", "t", QuotaDemand(50.0)).tokens == 50.0
 
 
 def test_nodes_without_word_from_the_primary_stay_below_the_limit_together():
@@ -113,10 +113,10 @@
     for n, lease in enumerate(leases):
         for second in range(4):
             lease.asked("t", 500.0 * (n + 1), float(second))
-        need = QuotaNeed(0.0, 0.0, lease.asked_rate("t", 3.0))
+        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
         it.grant(3.0, f"n{n}", "t", need)
     for n, lease in enumerate(leases):
-        need = QuotaNeed(0.0, 0.0, lease.asked_rate("t", 3.0))
+        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
         lease.granted("t", it.grant(3.0, f"n{n}", "t", need), 3.0)
     for step in range(1, 101):
         for lease in leases:
@@ -135,17 +135,17 @@
     return sum(lease.take("t", 1.0) for _ in range(10_000))
 
 
-def lease_heard_at(heard, own_rate=100.0, own_tokens=100.0):
+def lease_heard_at(heard, local_rate=100.0, local_burst=100.0):
     lease = QuotaLeases(8.0)
-    lease.granted("t", QuotaGrant(0.0, 0.0, own_rate, own_tokens), heard)
+    lease.granted("t", QuotaGrant(0.0, 0.0, local_rate, local_burst), heard)
     return lease
 
 
 def test_a_node_without_word_has_its_part_from_the_last_word_on_and_of_what_the_bucket_held():
     assert used_alone(lease_heard_at(10.0), 10.5) == 50 + 100 + RESERVE
-    assert used_alone(lease_heard_at(10.0, own_tokens=0.0), 10.5) == 50 + RESERVE
+    assert used_alone(lease_heard_at(10.0, local_burst=0.0), 10.5) == 50 + RESERVE
     # a part of a full bucket is there at once, however much more than its rate that is
-    assert used_alone(lease_heard_at(10.0, own_tokens=700.0), 10.5) == 700 + RESERVE
+    assert used_alone(lease_heard_at(10.0, local_burst=700.0), 10.5) == 700 + RESERVE
     # and saves up two seconds of it at the most
     assert used_alone(lease_heard_at(10.0), 12.9) == 200 + RESERVE
 
@@ -163,7 +163,7 @@
 
 def test_a_part_that_was_told_long_ago_counts_no_more():
     even = 0.5 * 1000 / 4  # and a second of it ahead
-    assert used_alone(lease_heard_at(10.0, own_rate=900.0), 13.1) == int(even + RESERVE)
+    assert used_alone(lease_heard_at(10.0, local_rate=900.0), 13.1) == int(even + RESERVE)
 
 
 def test_a_lease_gives_back_what_it_does_not_need():
@@ -194,7 +194,7 @@
 
     def report(self, node, now, wanted=0.0):
         lease = self.leases[node]
-        need = QuotaNeed(wanted, lease.surplus("t", now), lease.asked_rate("t", now))
+        need = QuotaDemand(wanted, lease.surplus("t", now), lease.asked_rate("t", now))
         lease.granted("t", self.primary.grant(now, str(node), "t", need), now)
 
     def ask(self, node, now):
@@ -255,7 +255,7 @@
     answer(it, nodes, 0.0, UsageReport("a", {}, {"s": ServerLoad(100, 2)}))
     answer(it, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
     told = answer(it, nodes, 0.1, UsageReport("c", {}))
-    assert told.servers == {"s": ServerLoad(150, 3)} and told.edges == 3
+    assert told.servers == {"s": ServerLoad(150, 3)} and told.edge_node_count == 3
     # one that fell silent counts no more
     assert answer(it, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
 
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -12,13 +12,13 @@
 from wheatroute.cluster.errors import RequestError
 from wheatroute.cluster.messages import (
     InstanceState,
-    NotServing,
-    QuotaNeed,
+    NotPrimary,
+    QuotaDemand,
     RegistryVersion,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.api import Handlers, control_app, internal_app
@@ -119,7 +119,7 @@
     async def updates(self, configuration=-1, registry=None, wait_s=0.0):
         asked = UpdateRequest("edge-1", "z", configuration, registry or RegistryVersion(), wait_s)
         got = await self.client.post("/updates", content=msgspec.msgpack.encode(asked))
-        kind = Update if got.status_code == 200 else NotServing
+        kind = Update if got.status_code == 200 else NotPrimary
         return msgspec.msgpack.decode(got.content, type=kind)
 
 
@@ -193,7 +193,7 @@
 ):
     await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     service.replicator.confirms = False
-    assert isinstance(await inside.updates(), NotServing)
+    assert isinstance(await inside.updates(), NotPrimary)
     # a node that has one takes nothing older: the lease is enough for it, also for a newer one
     assert (await inside.updates(configuration=1)).configuration == 2
     assert isinstance(await inside.updates(configuration=2), Update)
@@ -211,7 +211,7 @@
         return True
 
     service.replicator.confirm = deposed
-    assert isinstance(await inside.updates(), NotServing)
+    assert isinstance(await inside.updates(), NotPrimary)
 
 
 @played
@@ -231,7 +231,7 @@
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
         assert got.status_code == 503 and 0 < float(got.headers["retry-after"]) < 1
-    assert await inside.updates() == NotServing("", Core.hosts)
+    assert await inside.updates() == NotPrimary("", Core.hosts)
 
 
 @played
@@ -250,14 +250,14 @@
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
         assert (got.status_code, got.headers["location"]) == (307, f"http://10.0.0.2:8080{path}")
-    assert await inside.updates() == NotServing("10.0.0.2", Core.hosts)
+    assert await inside.updates() == NotPrimary("10.0.0.2", Core.hosts)
 
 
 @played
 async def test_a_leader_without_a_majority_acknowledges_nothing(service, outside, inside):
     service.replicator.serving = False
     assert (await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))).status_code == 503
-    assert await inside.updates() == NotServing("", Core.hosts)
+    assert await inside.updates() == NotPrimary("", Core.hosts)
 
 
 @played
@@ -315,7 +315,7 @@
     await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))
     service._share_registry()
     shared = len(service.replicator.hints)
-    report = UsageReport("edge-1", {"t": QuotaNeed(4.0)})
+    report = UsageReport("edge-1", {"t": QuotaDemand(4.0)})
     await inside.client.post("/usage", content=msgspec.msgpack.encode(report))
     service._share_buckets(asyncio.get_running_loop().time() + 1.0)
     assert len(service.replicator.hints) == shared
@@ -367,7 +367,7 @@
     assert await state() == []  # a heartbeat came since that request was sent
     await report("edge-2", {})
     await report("edge-3", {"i-1": since_the_beat})
-    assert await state() == [InstanceState.SILENT]
+    assert await state() == [InstanceState.UNRESPONSIVE]
     await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT | {"seq": 2}))
     assert await state() == [InstanceState.READY]
 
@@ -375,7 +375,7 @@
 @played
 async def test_tokens_are_granted_by_the_configuration_in_force(service, outside, inside):
     await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
-    report = UsageReport("edge-1", {"t": QuotaNeed(4.0), "none": QuotaNeed(1.0)})
+    report = UsageReport("edge-1", {"t": QuotaDemand(4.0), "none": QuotaDemand(1.0)})
     got = await inside.client.post("/usage", content=msgspec.msgpack.encode(report))
-    told = msgspec.msgpack.decode(got.content, type=UsageAnswer)
+    told = msgspec.msgpack.decode(got.content, type=UsageResponse)
     assert told.grants["t"].tokens == 4.0 and told.grants["none"].tokens == 1.0
--- a/tests/control/test_storms.py
+++ b/tests/control/test_storms.py
@@ -8,7 +8,7 @@
 from control.virtual_cluster import play
 
 from wheatroute.cluster.distribution import decode_difference
-from wheatroute.cluster.messages import NotServing, RegistryVersion, UpdateRequest
+from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
 from wheatroute.control.api import encode
 from wheatroute.control.changes import Change
 from wheatroute.control.versions import KEPT_VERSIONS
@@ -66,7 +66,7 @@
         while True:
             asked = UpdateRequest(self.name, "z", self.table.sequence, registry, 0.7)
             update = await service.updates(asked)
-            if isinstance(update, NotServing):
+            if isinstance(update, NotPrimary):
                 await asyncio.sleep(0.06)
                 continue
             size = len(encode(update)) + HEAD_BYTES
--- a/tests/control/test_worst_days.py
+++ b/tests/control/test_worst_days.py
@@ -12,7 +12,7 @@
 from replication.simulation import patched
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.cluster.messages import NotServing, RegistryVersion, UpdateRequest
+from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
 from wheatroute.control.changes import Change
 from wheatroute.control.registry import Heartbeat
 from wheatroute.control.service import ControlService
@@ -142,7 +142,7 @@
             ErrorKind.NO_QUORUM,
             ErrorKind.NOT_PRIMARY,
         )
-        assert isinstance(await old.call(lambda service: service.updates(starting)), NotServing)
+        assert isinstance(await old.call(lambda service: service.updates(starting)), NotPrimary)
         # it sends nobody on to a primary that it hasn't heard for long
         assert old.service.not_serving().primary == ""
         await asyncio.sleep(0.7)
@@ -178,7 +178,7 @@
         old.call(lambda service: service.updates(starting)),
     )
     assert set(answers[:-1]) <= {ErrorKind.NO_QUORUM, ErrorKind.NOT_PRIMARY}
-    assert isinstance(answers[-1], NotServing)
+    assert isinstance(answers[-1], NotPrimary)
 
 
 def play_without_clocks(seed, tell):
--- a/tests/edge/primary.py
+++ b/tests/edge/primary.py
@@ -14,8 +14,8 @@
     RegistryVersion,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 
 
@@ -68,7 +68,7 @@
     async def answer(self, path, body):
         if path == b"/usage":
             self.reports.append(msgspec.msgpack.decode(body, type=UsageReport))
-            return 200, UsageAnswer({}, {}, 1)
+            return 200, UsageResponse({}, {}, 1)
         request = msgspec.msgpack.decode(body, type=UpdateRequest)
         self.asked.append(request)
         if self.polls:
--- a/tests/edge/test_role.py
+++ b/tests/edge/test_role.py
@@ -30,7 +30,7 @@
 
 from wheatroute.cluster.configuration import decode_configuration
 from wheatroute.cluster.distribution import difference, encode_difference, snapshot
-from wheatroute.cluster.messages import NotServing, QuotaGrant, UsageAnswer, UsageReport
+from wheatroute.cluster.messages import NotPrimary, QuotaGrant, UsageReport, UsageResponse
 from wheatroute.cluster.settings import SETTINGS_VARIABLE, Bounds, Settings
 from wheatroute.edge import control_client, selection
 from wheatroute.edge import main as edge_main
@@ -266,23 +266,23 @@
             it.primary.sequence = 1
             it.primary.polls.append(partial(with_change, it.primary, body))
             it.primary.quiet.set()
-            await until(lambda: any(asked.whole for asked in it.primary.asked))
-            (wanted,) = [asked for asked in it.primary.asked if asked.whole][:1]
+            await until(lambda: any(asked.wants_full for asked in it.primary.asked))
+            (wanted,) = [asked for asked in it.primary.asked if asked.wants_full][:1]
             assert wanted.configuration == it.node.table.sequence == 1
             it.primary.asked.clear()
         it.primary.sequence = 9
         await until(lambda: it.node.table.sequence == 9)
-        await until(lambda: not it.primary.asked[-1].whole)
+        await until(lambda: not it.primary.asked[-1].wants_full)
         assert status(await it.ask(request("/plain/1"))) == 200
 
 
 @story
 async def test_a_node_that_does_not_lead_is_asked_again_and_what_is_known_stays_in_force():
     async with running(ScriptedServer("i-1")) as it:
-        it.primary.polls += [lambda asked: (503, NotServing("", ("127.0.0.1",)))] * 3
+        it.primary.polls += [lambda asked: (503, NotPrimary("", ("127.0.0.1",)))] * 3
         await until(lambda: it.node.ready)
         assert len(it.primary.asked) >= 4
-        it.primary.polls += [lambda asked: (503, NotServing("", ("127.0.0.1",)))] * 3
+        it.primary.polls += [lambda asked: (503, NotPrimary("", ("127.0.0.1",)))] * 3
         it.primary.quiet.set()
         await until(lambda: not it.primary.polls)
         assert await it.ready() == 200
@@ -302,7 +302,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(it.ask, request("/plain/1"))
             await until(lambda: it.primary.reports)
-            assert it.primary.reports[0].servers["i-1"].running == 1
+            assert it.primary.reports[0].servers["i-1"].running_requests == 1
             box.set()
         await until(lambda: len(it.primary.asked) > 1)
         assert it.primary.asked[0].configuration == -1 and it.primary.asked[1].configuration == 1
@@ -323,11 +323,11 @@
             await until(lambda: it.node.ready)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(it.ask, request("/plain/1"))
-                await until(lambda: any(one.silent_for for one in it.primary.reports))
-                (named,) = [one.silent_for for one in it.primary.reports if one.silent_for][:1]
+                await until(lambda: any(one.unresponsive_for for one in it.primary.reports))
+                (named,) = [one.unresponsive_for for one in it.primary.reports if one.unresponsive_for][:1]
                 assert list(named) == ["i-1"] and named["i-1"] > 0.05
                 box.set()
-            await until(lambda: it.primary.reports[-1].silent_for == {})
+            await until(lambda: it.primary.reports[-1].unresponsive_for == {})
     finally:
         selection.SHORTEST_SILENCE = shortest
 
@@ -380,7 +380,7 @@
             report = msgspec.msgpack.decode(told, type=UsageReport)
             if any(need.wanted for need in report.tenants.values()):
                 leased.append(report)
-                return 200, UsageAnswer({"small": QuotaGrant(20.0)}, {}, 1)
+                return 200, UsageResponse({"small": QuotaGrant(20.0)}, {}, 1)
             return await plain(path, told)
 
         it.primary.answer = break_polls
@@ -410,4 +410,4 @@
 
 
 async def elsewhere(path, body):
-    return 503, NotServing("127.0.0.2", ("127.0.0.2", "127.0.0.1"))
+    return 503, NotPrimary("127.0.0.2", ("127.0.0.2", "127.0.0.1"))
--- a/tests/soak/virtual_fleet.py
+++ b/tests/soak/virtual_fleet.py
@@ -23,7 +23,7 @@
 from wheatroute.cluster.errors import RequestError
 from wheatroute.cluster.messages import (
     UPDATES_PATH,
-    NotServing,
+    NotPrimary,
     ServerLoad,
     UpdateRequest,
     UsageReport,
@@ -107,7 +107,7 @@
             await trio.sleep(fleet.latency() + fleet.answer_delay())
             if fleet.silent(self._name, host):
                 await trio.sleep_forever()
-            status = 503 if isinstance(answer, NotServing) else 200
+            status = 503 if isinstance(answer, NotPrimary) else 200
             return httpx.Response(status, content=msgspec.msgpack.encode(answer))
         raise httpx.ReadTimeout("silent")
 
--- a/wheatroute/control/api.py
+++ b/wheatroute/control/api.py
@@ -13,7 +13,7 @@
     MEDIA_TYPE,
     UPDATES_PATH,
     USAGE_PATH,
-    NotServing,
+    NotPrimary,
     UpdateRequest,
     UsageReport,
 )
@@ -103,7 +103,7 @@
 
 
 def _message(message: msgspec.Struct) -> Response[bytes]:
-    status = 503 if isinstance(message, NotServing) else 200
+    status = 503 if isinstance(message, NotPrimary) else 200
     return Response(encode(message), status_code=status, media_type=MEDIA_TYPE)
 
 
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -72,6 +72,6 @@
         running: dict[str, int] = defaultdict(int)
         for other, servers in self._servers.items():
             for server, load in servers.items() if other != node else ():
-                tokens[server] += load.waiting_tokens
-                running[server] += load.running
+                tokens[server] += load.queued_prompt_tokens
+                running[server] += load.running_requests
         return {server: ServerLoad(tokens[server], running[server]) for server in running}
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from wheatroute.cluster.configuration import Tenant
-from wheatroute.cluster.messages import QuotaGrant, QuotaNeed, UsageAnswer, UsageReport
+from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, UsageReport, UsageResponse
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.tenant_tokens import ALONE_SHARE, Bucket, TenantTokens
 
@@ -100,10 +100,10 @@
 
     def account(self, now: float, report: UsageReport) -> None:
         """Takes in what a node used before this primary began, the first time that it tells."""
-        if report.recent_s is None or report.node in self._accounted:
+        if report.recent_usage_span_s is None or report.node in self._accounted:
             return
         self._accounted.add(report.node)
-        if report.recent_s < self._window_s:
+        if report.recent_usage_span_s < self._window_s:
             self._expected = 0  # what a process before that one has used is not known any more
         for tenant in self._tenants.values():
             tenant.release(MISSING)  # kept anew, for those that are missing still
@@ -111,8 +111,8 @@
             told = self._tenants.get(name)
             if told is not None:
                 told.fill(now)
-                told.earlier.add(need.recent, now - self._began)
-                told.alone[report.node] = need.alone  # part of its account
+                told.earlier.add(need.recent_usage, now - self._began)
+                told.alone[report.node] = need.isolated_usage  # part of its account
         whole = 0 < self._expected <= len(self._accounted)
         for tenant in self._tenants.values():
             left = tenant.most_left()
@@ -145,7 +145,7 @@
             self._tenants[name] = TenantTokens(limit, extra, now)
             self._lower(name, self._tenants[name])
 
-    def grant(self, now: float, node: str, tenant: str, need: QuotaNeed, known: float = 1.0) -> QuotaGrant:
+    def grant(self, now: float, node: str, tenant: str, need: QuotaDemand, known: float = 1.0) -> QuotaGrant:
         """Tokens for one node: what it wants, and some ahead while there is plenty.
 
         `known` is the part of all nodes that have told their needs.
@@ -156,10 +156,10 @@
         tokens.fill(now)
         tokens.charge(node, need)
         tokens.put(need.returned)
-        share = tokens.share(node, need.rate, now, known)
+        share = tokens.share(node, need.demand_rate, now, known)
         granted, wait_s = 0.0, 0.0
         if tokens.take(need.wanted):
-            granted = need.wanted + tokens.ahead(need.rate)
+            granted = need.wanted + tokens.ahead(need.demand_rate)
         else:
             wait_s = tokens.wait(need.wanted)
         return QuotaGrant(granted, wait_s, share * tokens.limit.rate, tokens.part(node, share))
@@ -167,7 +167,7 @@
 
 def answer(
     buckets: QuotaBuckets, nodes: EdgeNodes, now: float, report: UsageReport, lead: int = -1
-) -> UsageAnswer:
+) -> UsageResponse:
     """The answer to one node's report, by the primary that began to lead in that epoch."""
     nodes.report(now, report)
     buckets.account(now, report)
@@ -178,4 +178,4 @@
         for tenant, need in report.tenants.items()
     }
     edges = nodes.count(now)
-    return UsageAnswer(grants, nodes.elsewhere(report.node), edges, lead)
+    return UsageResponse(grants, nodes.elsewhere(report.node), edges, lead)
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -91,14 +91,16 @@
     def known(self) -> tuple[Instance, ...]:
         """All that haven't left."""
         return tuple(
-            entry.instance for entry in self._entries.values() if entry.instance.state != InstanceState.GONE
+            entry.instance
+            for entry in self._entries.values()
+            if entry.instance.state != InstanceState.REMOVED
         )
 
     def heartbeat(self, now: float, identity: str, beat: Heartbeat) -> bool:
         """Takes a heartbeat in; true if something that others must know has changed."""
         entry = self._entries.get(identity)
         if entry is not None:
-            if beat.seq < entry.seq or entry.instance.state == InstanceState.GONE:
+            if beat.seq < entry.seq or entry.instance.state == InstanceState.REMOVED:
                 return False
             entry.seq, entry.heard, entry.unconfirmed = beat.seq, now, False
         state = InstanceState.READY if beat.state == "ready" else InstanceState.DRAINING
@@ -112,7 +114,7 @@
             slots=beat.slots,
             state=state,
             changed=0,
-            cold_until_ms=beat.cold_ms,
+            warmup_remaining_ms=beat.cold_ms,
             models=tuple(model.name for model in beat.models),
         )
         if entry is None:
@@ -128,11 +130,11 @@
         entry = self._entries.get(identity)
         if entry is None:
             gone = Instance(
-                id=identity, service="", address="", zone="", slots=0, state=InstanceState.GONE, changed=0
+                id=identity, service="", address="", zone="", slots=0, state=InstanceState.REMOVED, changed=0
             )
             self._entries[identity] = _Entry(self._changed(gone), 0, now)
             return True
-        return self._move(entry, InstanceState.GONE, now)
+        return self._move(entry, InstanceState.REMOVED, now)
 
     def heard(self, identity: str) -> float | None:
         """When a server that is ready was heard last; None for any other."""
@@ -142,7 +144,7 @@
     def suspect(self, identity: str) -> None:
         """Edge nodes get no answer of a server: it counts as silent before its heartbeats are missed."""
         entry = self._entries[identity]
-        self._move(entry, InstanceState.SILENT, entry.heard)
+        self._move(entry, InstanceState.UNRESPONSIVE, entry.heard)
 
     def tick(self, now: float) -> bool:
         """Time has passed; true if a server became silent or gone."""
@@ -156,14 +158,14 @@
         changed = False
         for identity, entry in list(self._entries.items()):
             silent = (now - entry.heard) / self._heartbeat_s
-            if entry.instance.state == InstanceState.GONE:
+            if entry.instance.state == InstanceState.REMOVED:
                 if now - entry.heard > KEEP_GONE:
                     self._pruned = max(self._pruned, entry.instance.changed)
                     del self._entries[identity]
             elif silent > (SETTLING_BEATS if entry.unconfirmed else GONE_BEATS):
-                changed |= self._move(entry, InstanceState.GONE, now)
+                changed |= self._move(entry, InstanceState.REMOVED, now)
             elif silent > SILENT_BEATS and entry.instance.state == InstanceState.READY:
-                changed |= self._move(entry, InstanceState.SILENT, entry.heard)
+                changed |= self._move(entry, InstanceState.UNRESPONSIVE, entry.heard)
         return changed
 
     def changes(self, known: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
@@ -188,9 +190,9 @@
 def _same(present: Instance, told: Instance) -> bool:
     """Whether a heartbeat says nothing new; how cold a server still is runs down by itself."""
     cold = (
-        told.cold_until_ms
-        if (told.cold_until_ms > 0) != (present.cold_until_ms > 0)
-        else present.cold_until_ms
+        told.warmup_remaining_ms
+        if (told.warmup_remaining_ms > 0) != (present.warmup_remaining_ms > 0)
+        else present.warmup_remaining_ms
     )
-    aligned: Any = msgspec.structs.replace(told, changed=present.changed, cold_until_ms=cold)
+    aligned: Any = msgspec.structs.replace(told, changed=present.changed, warmup_remaining_ms=cold)
     return bool(aligned == present)
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -11,12 +11,12 @@
 from wheatroute.cluster.distribution import NO_SEQUENCE
 from wheatroute.cluster.errors import ErrorKind, RequestError
 from wheatroute.cluster.messages import (
-    NotServing,
+    NotPrimary,
     RegistryVersion,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
@@ -316,11 +316,11 @@
 
     # edge nodes
 
-    def not_serving(self) -> NotServing:
+    def not_serving(self) -> NotPrimary:
         """Where an edge node should ask instead."""
-        return NotServing(self.primary_host, self.replicator.core.hosts)
+        return NotPrimary(self.primary_host, self.replicator.core.hosts)
 
-    async def updates(self, request: UpdateRequest) -> Update | NotServing:
+    async def updates(self, request: UpdateRequest) -> Update | NotPrimary:
         """Waits until there is something new for this edge node, or its time is up.
 
         An edge node's first configuration is handed out only once a majority has confirmed that this node
@@ -368,30 +368,30 @@
             configuration_change=self._configuration_change(request),
             registry=self._registry.version,
             instances=instances,
-            whole=whole,
-            settled=self._registry.settled(now),
+            is_full=whole,
+            is_settled=self._registry.settled(now),
             control_hosts=self.replicator.core.hosts,
-            edges=self._edges.count(now),
+            edge_node_count=self._edges.count(now),
         )
 
     def _lacks_configuration(self, request: UpdateRequest) -> bool:
-        return bool(self._state.body) and (request.whole or request.configuration < self._sequence)
+        return bool(self._state.body) and (request.wants_full or request.configuration < self._sequence)
 
     def _configuration_change(self, request: UpdateRequest) -> bytes | None:
         """The way from the version that an edge node has to the newest one, if it lacks anything."""
         if not self._lacks_configuration(request):
             return None
-        return self._versions.since(NO_SEQUENCE if request.whole else request.configuration)
+        return self._versions.since(NO_SEQUENCE if request.wants_full else request.configuration)
 
-    def usage(self, report: UsageReport) -> UsageAnswer | NotServing:
+    def usage(self, report: UsageReport) -> UsageResponse | NotPrimary:
         """Takes an edge node's use in; answers its parts of the tenants' rates."""
         try:
             self.require_primary()
         except RequestError:
             return self.not_serving()
         now = asyncio.get_running_loop().time()
-        if report.silent_for is not None:
-            self._suspect(now, report.node, report.silent_for)
+        if report.unresponsive_for is not None:
+            self._suspect(now, report.node, report.unresponsive_for)
         return answer(self._quotas, self._edges, now, report, self._registry.version.epoch)
 
     def _suspect(self, now: float, node: str, silent_for: dict[str, float]) -> None:
--- a/wheatroute/control/tenant_tokens.py
+++ b/wheatroute/control/tenant_tokens.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from wheatroute.cluster.messages import QuotaNeed
+from wheatroute.cluster.messages import QuotaDemand
 from wheatroute.control.earlier_use import EarlierUse
 from wheatroute.control.edge_nodes import NODE_LOST
 
@@ -157,13 +157,13 @@
         """What the limit's bucket may owe at most, below none."""
         return -LONGEST_DEBT_S * self.limit.rate
 
-    def charge(self, node: str, need: QuotaNeed) -> None:
+    def charge(self, node: str, need: QuotaDemand) -> None:
         """Takes out what a node has used without a grant, each token once; the bucket may owe them then."""
-        before = self.alone.get(node, need.alone_told)
-        if need.alone < before:  # another process of that name
-            before = need.alone_told
-        self.alone[node] = need.alone
-        self.limit.tokens = max(self.lowest, self.limit.tokens - (need.alone - before))
+        before = self.alone.get(node, need.isolated_usage_acknowledged)
+        if need.isolated_usage < before:  # another process of that name
+            before = need.isolated_usage_acknowledged
+        self.alone[node] = need.isolated_usage
+        self.limit.tokens = max(self.lowest, self.limit.tokens - (need.isolated_usage - before))
 
     def fill(self, now: float) -> None:
         """Time has passed."""
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -10,12 +10,12 @@
 from wheatroute.cluster.messages import (
     UPDATES_PATH,
     USAGE_PATH,
-    NotServing,
-    QuotaNeed,
+    NotPrimary,
+    QuotaDemand,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.quota_leases import AloneSpell
@@ -145,7 +145,7 @@
         if answer.status_code == 200:
             return answer.content
         if answer.status_code == 503:
-            told = msgspec.msgpack.decode(answer.content, type=NotServing)
+            told = msgspec.msgpack.decode(answer.content, type=NotPrimary)
             self._know(told.control_hosts)
             if told.primary and told.primary != host:
                 self._primary = told.primary
@@ -195,12 +195,12 @@
         body = await self._post(USAGE_PATH, report, httpx.Timeout(LEASE_TIMEOUT, connect=LEASE_TIMEOUT))
         if body is None:
             return False
-        answer = msgspec.msgpack.decode(body, type=UsageAnswer)
-        self._node.nodes = answer.edges
+        answer = msgspec.msgpack.decode(body, type=UsageResponse)
+        self._node.nodes = answer.edge_node_count
         self._accounts.answered(host, report, answer)
         self._node.selection.told(answer.servers)
         for tenant, grant in answer.grants.items():
-            told_alone = report.tenants[tenant].alone
+            told_alone = report.tenants[tenant].isolated_usage
             spell = self._node.quotas.granted(tenant, grant, trio.current_time(), told_alone)
             if spell is not None:
                 self._log_alone(spell)
@@ -236,9 +236,9 @@
             # tokens in hand belong to the account, so none are given back with it
             needs = {} if self._accounts.due(self._primary) else self._returns(now)
             report = self._accounts.report(node.settings.node, self._primary, needs, now)
-            await self._send_report(msgspec.structs.replace(report, servers=loads, silent_for=suspects))
+            await self._send_report(msgspec.structs.replace(report, servers=loads, unresponsive_for=suspects))
 
-    def _returns(self, now: float) -> dict[str, QuotaNeed]:
+    def _returns(self, now: float) -> dict[str, QuotaDemand]:
         """What each tenant's clients need, and what this node gives back as it doesn't."""
         quotas = self._node.quotas
         return {
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -58,8 +58,8 @@
     def take(self, instance: Instance, now: float) -> None:
         """The registry's newest word; a server that was leaving never comes back under its id."""
         self.instance = instance
-        self.left = self.left or instance.state in (InstanceState.DRAINING, InstanceState.GONE)
-        self.cold_until = max(self.cold_until, now + instance.cold_until_ms / 1000.0)
+        self.left = self.left or instance.state in (InstanceState.DRAINING, InstanceState.REMOVED)
+        self.cold_until = max(self.cold_until, now + instance.warmup_remaining_ms / 1000.0)
         if instance.address:
             self.place = split_address(instance.address)
 
@@ -75,7 +75,7 @@
 
     def doubtful(self, now: float) -> bool:
         """Whether it should be passed over while there are others."""
-        return self.avoid_until > now or self.instance.state == InstanceState.SILENT
+        return self.avoid_until > now or self.instance.state == InstanceState.UNRESPONSIVE
 
     def failed(self, now: float) -> None:
         """A connection to it was refused, reset or never came up."""
@@ -153,7 +153,7 @@
             return []
         self.version = update.registry
         left = [server for instance in update.instances if (server := self._take(instance, now))]
-        if update.whole and update.settled:
+        if update.is_full and update.is_settled:
             listed = {instance.id for instance in update.instances}
             left += [self._remove(identity) for identity in list(self._servers) if identity not in listed]
         self._sort()
@@ -163,10 +163,10 @@
         """Adds or changes a server; returns it if it has left by this."""
         server = self._servers.get(instance.id)
         if server is None:
-            if instance.state != InstanceState.GONE:
+            if instance.state != InstanceState.REMOVED:
                 self._servers[instance.id] = Server(instance, now)
             return None
-        if instance.state == InstanceState.GONE:
+        if instance.state == InstanceState.REMOVED:
             return self._remove(instance.id)
         stayed = server.usable
         server.take(instance, now)
--- a/wheatroute/edge/node.py
+++ b/wheatroute/edge/node.py
@@ -71,7 +71,7 @@
 
     def apply(self, update: Update, table: RoutingTable | None) -> None:
         """Takes the primary's word in: a newer configuration, and changes among the servers."""
-        self.nodes = update.edges
+        self.nodes = update.edge_node_count
         if table is not None and table.sequence > self.table.sequence:
             self.table = table
             self.log.info(
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from wheatroute.cluster.configuration import Tenant
-from wheatroute.cluster.messages import QuotaGrant, QuotaNeed
+from wheatroute.cluster.messages import QuotaDemand, QuotaGrant
 from wheatroute.edge.usage_history import UsageHistory
 
 RATE_MEMORY = 4.0  # seconds over which the need of a tenant's clients is measured
@@ -36,8 +36,8 @@
         "asked_rate",
         "asked_at",
         "wait_s",
-        "own_rate",
-        "own_tokens",
+        "local_rate",
+        "local_burst",
         "heard",
         "own",
         "used_alone",
@@ -56,8 +56,10 @@
         self.asked_rate = 0.0  # tokens a second that clients asked for of late
         self.asked_at = 0.0
         self.wait_s = 0.0  # until tokens are there, by the primary's word
-        self.own_rate = 0.0  # part of the tenant's rate for this node, while it has no word from the primary
-        self.own_tokens = 0.0  # part of what the tenant's bucket held then
+        self.local_rate = (
+            0.0  # part of the tenant's rate for this node, while it has no word from the primary
+        )
+        self.local_burst = 0.0  # part of what the tenant's bucket held then
         self.heard = -inf  # when the primary's last word on this tenant came
         self.own = 0.0  # of its own part, what it may use while alone; no primary has granted that
         self.used_alone = 0.0  # of its own part, since the process began
@@ -127,10 +129,10 @@
 
     def need(
         self, tenant: str, wanted: float, returned: float, now: float, recent: bool = False
-    ) -> QuotaNeed:
+    ) -> QuotaDemand:
         """What the primary is told and asked for; `recent` where it is to hear what was used of late."""
         lease = self._lease(tenant)
-        return QuotaNeed(
+        return QuotaDemand(
             wanted,
             returned,
             self.asked_rate(tenant, now),
@@ -164,7 +166,7 @@
             spell = AloneSpell(tenant, now - lease.alone_since, used, lease.alone_nodes)
         lease.balance += grant.tokens
         lease.told_alone = max(lease.told_alone, told_alone)
-        lease.wait_s, lease.own_rate, lease.own_tokens = grant.wait_s, grant.own_rate, grant.own_tokens
+        lease.wait_s, lease.local_rate, lease.local_burst = grant.wait_s, grant.local_rate, grant.local_burst
         lease.heard, lease.alone = now, False
         return spell
 
@@ -193,11 +195,11 @@
             lease.alone_since, lease.alone_before, lease.alone_nodes = now, lease.used_alone, nodes
             if now - lease.heard > OWN_RATE_VALID_S:
                 # its clients' need is another one by now, and other nodes' with it
-                lease.own_rate, lease.own_tokens, lease.heard = 0.0, 0.0, now
+                lease.local_rate, lease.local_burst, lease.heard = 0.0, 0.0, now
             lease.filled_at = lease.heard
         untold_rate = ALONE_SHARE * tenant.rate_per_s / max(1, nodes)
-        rate = lease.own_rate or untold_rate
-        ahead = lease.own_tokens if lease.own_rate else untold_rate * UNTOLD_S
+        rate = lease.local_rate or untold_rate
+        ahead = lease.local_burst if lease.local_rate else untold_rate * UNTOLD_S
         if begins and now - lease.credited_at >= self.window_s:
             lease.credited_at = now
             lease.own += reserve + ahead
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -262,12 +262,12 @@
     def running(self, server: Server) -> int:
         """Requests at a server, as far as this node knows."""
         held, other = self._held.get(server.id), self._elsewhere.get(server.id)
-        return (held.running if held else 0) + (other.running if other else 0)
+        return (held.running if held else 0) + (other.running_requests if other else 0)
 
     def _waiting_tokens(self, server: Server) -> float:
         """Prompt tokens that a server has still to read."""
         held, other = self._held.get(server.id), self._elsewhere.get(server.id)
-        return (held.waiting_tokens if held else 0.0) + (other.waiting_tokens if other else 0.0)
+        return (held.waiting_tokens if held else 0.0) + (other.queued_prompt_tokens if other else 0.0)
 
 
 def _hashed(key: str, server: str) -> float:
--- a/wheatroute/edge/usage_accounts.py
+++ b/wheatroute/edge/usage_accounts.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from wheatroute.cluster.messages import QuotaNeed, UsageAnswer, UsageReport
+from wheatroute.cluster.messages import QuotaDemand, UsageReport, UsageResponse
 from wheatroute.edge.quota_leases import QuotaLeases
 
 
@@ -23,7 +23,7 @@
         """Whether another one had been told: then this one has just begun, and is to be told soon."""
         return self.due(primary) and bool(self._host)
 
-    def report(self, node: str, primary: str, needs: dict[str, QuotaNeed], now: float) -> UsageReport:
+    def report(self, node: str, primary: str, needs: dict[str, QuotaDemand], now: float) -> UsageReport:
         """A report with these needs, and with the account if it is due."""
         if not self.due(primary):
             return UsageReport(node, needs)
@@ -33,11 +33,11 @@
         for tenant, need in needs.items():
             recent[tenant] = self._quotas.need(tenant, need.wanted, 0.0, now, recent=True)
         reach_s = min(self._quotas.window_s, now - self._begun)
-        return UsageReport(node, recent, recent_s=reach_s)
+        return UsageReport(node, recent, recent_usage_span_s=reach_s)
 
-    def answered(self, primary: str, report: UsageReport, answer: UsageAnswer) -> None:
+    def answered(self, primary: str, report: UsageReport, answer: UsageResponse) -> None:
         """The answer to a report that went to this primary."""
-        if report.recent_s is not None:
-            self._host, self._lead = primary, answer.lead
-        elif answer.lead != self._lead:
+        if report.recent_usage_span_s is not None:
+            self._host, self._lead = primary, answer.leadership_epoch
+        elif answer.leadership_epoch != self._lead:
             self._host = ""  # it had been deposed, leads again and has lost the account
