--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -130,13 +130,13 @@
     versions = ConfigurationVersions()
     versions.commit(many_routes(routes, 1), 1)
     whole = versions.since(NO_SEQUENCE)
-    table = EMPTY_TABLE.changed(decode_difference(whole))
+    table = EMPTY_TABLE.apply_difference(decode_difference(whole))
     newer = many_routes(routes + 1, 2)
     began = time.perf_counter()
     versions.commit(newer, 2)
     told = versions.since(1)
     encoded = time.perf_counter()
-    table.changed(decode_difference(told))
+    table.apply_difference(decode_difference(told))
     applied = time.perf_counter()
     return {
         f"version_bytes_{routes}": len(told),
--- a/tests/control/operators.py
+++ b/tests/control/operators.py
@@ -8,7 +8,7 @@
 import json
 from dataclasses import dataclass, field
 
-from wheatroute.cluster.distribution import NOTHING, changed, decode_difference
+from wheatroute.cluster.distribution import EMPTY_VERSION, apply_difference, decode_difference
 from wheatroute.cluster.errors import ErrorKind, RequestError
 from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
 from wheatroute.control.changes import Change
@@ -174,7 +174,7 @@
             await self._edge_life(name, min(until, self.now + life * (0.5 + self.chance.random())))
 
     async def _edge_life(self, name, until):
-        version, epoch, registry = NOTHING, -1, RegistryVersion()
+        version, epoch, registry = EMPTY_VERSION, -1, RegistryVersion()
         host = self.chance.choice(sorted(self.cluster.nodes))
         while self.now < until:
             known = self.acknowledged_by(self.now)
@@ -190,9 +190,9 @@
             epoch, registry = update.epoch, update.registry
             if update.configuration_change is not None:
                 told = decode_difference(update.configuration_change)
-                newer = changed(version if told.base >= 0 else NOTHING, told)
+                newer = apply_difference(version if told.base >= 0 else EMPTY_VERSION, told)
                 self.handed_out += 1
-                if version is NOTHING and newer.generation < known:
+                if version is EMPTY_VERSION and newer.generation < known:
                     raise ContradictionError(
                         f"{name} starts {newer.generation} after {known} was acknowledged"
                     )
--- a/tests/control/test_changes.py
+++ b/tests/control/test_changes.py
@@ -48,7 +48,7 @@
         try:
             after = apply_change(state, change)
         except RequestError as error:
-            told.append(error.answer.status)
+            told.append(error.response.status)
             continue
         told.append(200)
         state = after or state
@@ -163,7 +163,7 @@
     for one in orders[:3]:
         with pytest.raises(RequestError) as unclear:
             apply_change(state, one)
-        assert unclear.value.kind == ErrorKind.ORDER_FORGOTTEN and unclear.value.answer.status == 503
+        assert unclear.value.kind == ErrorKind.CHANGE_FORGOTTEN and unclear.value.response.status == 503
     other = Change(False, "4", b'{"generation": 9, "routes": [], "services": []}')
     with pytest.raises(RequestError) as refused:
         apply_change(state, other)
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -16,13 +16,13 @@
     decode_configuration,
 )
 from wheatroute.cluster.distribution import (
-    NOTHING,
+    EMPTY_VERSION,
     Difference,
     ItemChanges,
     decode_difference,
-    difference,
     encode_difference,
-    snapshot,
+    make_difference,
+    make_version,
 )
 from wheatroute.cluster.messages import (
     Instance,
@@ -350,9 +350,9 @@
 
 
 def test_a_configuration_keeps_its_digest_and_its_difference_from_nothing():
-    version = snapshot(decode_configuration(BODY), 41)
+    version = make_version(decode_configuration(BODY), 41)
     assert version.digest == 8673784257128854832
-    sent = encode_difference(difference(NOTHING, version))
+    sent = encode_difference(make_difference(EMPTY_VERSION, version))
     assert (
         hashlib.sha256(msgspec.msgpack.encode(decode_difference(sent))).hexdigest()
         == "4785f94a0c81f430a97fd53265282e89815596f5ddc981898f77aa1dbb1e6b13"
--- a/tests/control/test_nodes.py
+++ b/tests/control/test_nodes.py
@@ -303,7 +303,7 @@
             read.set()
 
     monkeypatch.setattr(control_main, "ControlService", Watched)
-    monkeypatch.setattr(control_main, "LOOK_INTERVAL", LIMIT)  # the signal alone is looked at here
+    monkeypatch.setattr(control_main, "CHECK_INTERVAL_S", LIMIT)  # the signal alone is looked at here
 
     async def tell():
         async with asyncio.timeout(LIMIT):
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -8,7 +8,7 @@
 from litestar.testing import AsyncTestClient
 
 from wheatroute.cluster.configuration import decode_configuration
-from wheatroute.cluster.distribution import NOTHING, changed, decode_difference, snapshot
+from wheatroute.cluster.distribution import EMPTY_VERSION, apply_difference, decode_difference, make_version
 from wheatroute.cluster.errors import RequestError
 from wheatroute.cluster.messages import (
     InstanceState,
@@ -39,7 +39,7 @@
 
 def version_of(update):
     """What a node that has nothing makes of an update."""
-    return changed(NOTHING, decode_difference(update.configuration_change))
+    return apply_difference(EMPTY_VERSION, decode_difference(update.configuration_change))
 
 
 class Core:
@@ -132,7 +132,7 @@
     assert (await outside.get("/-/config")).content == body
     told = await inside.updates()
     assert told.configuration == 2
-    assert version_of(told) == snapshot(decode_configuration(body), 2)
+    assert version_of(told) == make_version(decode_configuration(body), 2)
     assert (await inside.updates(configuration=2)).configuration_change is None
     bad = await outside.put("/-/config", content=body[:-4], headers={"If-Match": "3"})
     assert bad.status_code == 400 and bad.json()["error"] == "invalid-configuration"
--- a/tests/control/test_storms.py
+++ b/tests/control/test_storms.py
@@ -74,7 +74,7 @@
             await self.link.carry(size)
             registry = update.registry
             if update.configuration_change is not None:
-                self.table = self.table.changed(decode_difference(update.configuration_change))
+                self.table = self.table.apply_difference(decode_difference(update.configuration_change))
                 self.had.append((loop.time(), self.table.generation))
 
 
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -12,7 +12,7 @@
 import trio
 
 from wheatroute.cluster.configuration import decode_configuration
-from wheatroute.cluster.distribution import snapshot
+from wheatroute.cluster.distribution import make_version
 from wheatroute.cluster.messages import Instance, InstanceState, QuotaGrant, RegistryVersion, Update
 from wheatroute.cluster.settings import Bounds, Settings
 from wheatroute.edge.clients import Clients
@@ -191,7 +191,7 @@
         self.configure(configuration)
 
     def configure(self, configuration, sequence=1):
-        self.table = RoutingTable(snapshot(decode_configuration(json.dumps(configuration)), sequence))
+        self.table = RoutingTable(make_version(decode_configuration(json.dumps(configuration)), sequence))
 
     async def lease(self, tenant, tokens):
         self.leased.append((tenant, tokens))
--- a/tests/edge/primary.py
+++ b/tests/edge/primary.py
@@ -7,7 +7,7 @@
 from edge.harness import read_message
 
 from wheatroute.cluster.configuration import decode_configuration
-from wheatroute.cluster.distribution import NOTHING, difference, encode_difference, snapshot
+from wheatroute.cluster.distribution import EMPTY_VERSION, encode_difference, make_difference, make_version
 from wheatroute.cluster.messages import (
     Instance,
     InstanceState,
@@ -55,7 +55,7 @@
     def whole(self):
         """The configuration as a difference from nothing."""
         configuration = decode_configuration(json.dumps(self.configuration))
-        return encode_difference(difference(NOTHING, snapshot(configuration, self.sequence)))
+        return encode_difference(make_difference(EMPTY_VERSION, make_version(configuration, self.sequence)))
 
     async def serve(self, stream):
         rest = b""
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -47,12 +47,12 @@
 def test_a_changed_file_is_taken_whole_with_one_line_in_the_log(path, caplog):
     caplog.set_level(logging.INFO)
     file = watched()
-    assert not file.changed()
+    assert not file.has_changed()
     path.write_text(LATER)
-    assert not file.changed() and file.changed()  # it may just be being written
-    assert file.read() == parse_settings(LATER) and not file.changed()
+    assert not file.has_changed() and file.has_changed()  # it may just be being written
+    assert file.reload() == parse_settings(LATER) and not file.has_changed()
     (line,) = caplog.records
-    assert line.message == "settings-taken" and line.needs_restart == []
+    assert line.message == "settings-applied" and line.needs_restart == []
     assert line.changed == ["zone", "seeds", "tolerate", "bounds"]
 
 
@@ -60,7 +60,7 @@
     caplog.set_level(logging.INFO)
     file = watched()
     path.write_text(LATER.replace("8360", "8361").replace("4100", "900"))
-    taken = file.read()
+    taken = file.reload()
     assert taken.listen["front"] == "10.1.0.3:8360" and taken.limits.max_fds == 4100
     assert taken.bounds.grace_s == 5 and caplog.records[0].needs_restart == ["listen", "limits"]
 
@@ -68,16 +68,16 @@
 @pytest.mark.parametrize("text", ["half a fi: [", FILE.replace("ip:", "pi:"), None])
 def test_of_a_file_that_is_no_use_nothing_is_taken(path, text, caplog):
     file = watched()
-    file.read()
+    file.reload()
     caplog.clear()
     if text is None:
         path.unlink()
     else:
         path.write_text(text)
-    assert not file.changed() and file.changed() and file.read() == parse_settings(FILE)
-    assert [line.message for line in caplog.records] == ["settings-refused"]
+    assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(FILE)
+    assert [line.message for line in caplog.records] == ["settings-rejected"]
     path.write_text(LATER)  # whole, a moment later, and without another signal
-    assert not file.changed() and file.changed() and file.read() == parse_settings(LATER)
+    assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
 def test_a_file_is_taken_once_it_stands_still_whatever_its_size_and_time(path):
@@ -85,19 +85,19 @@
     half = LATER[: LATER.index("tolerate")]  # a whole file by chance
     for text in (half, half + "tolerate:", LATER):
         path.write_text(text)
-        assert not file.changed()
-    assert file.changed() and file.read() == parse_settings(LATER)
+        assert not file.has_changed()
+    assert file.has_changed() and file.reload() == parse_settings(LATER)
     status = path.stat()
     path.write_text(LATER.replace("grace_s: 5", "grace_s: 6"))
     os.utime(path, ns=(status.st_atime_ns, status.st_mtime_ns))
-    assert not file.changed() and file.changed() and file.read().bounds.grace_s == 6
+    assert not file.has_changed() and file.has_changed() and file.reload().bounds.grace_s == 6
 
 
 def test_a_file_that_changed_before_the_first_look_is_taken(path):
     settings = parse_settings(FILE)  # as the process read it
     path.write_text(LATER)
     file = SettingsFile(settings, logging.getLogger("test-reload"))
-    assert not file.changed() and file.changed() and file.read() == parse_settings(LATER)
+    assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
 def test_a_control_node_takes_what_may_be_lost_and_the_bounds(tmp_path):
--- a/tests/edge/test_role.py
+++ b/tests/edge/test_role.py
@@ -29,7 +29,7 @@
 from edge.primary import ScriptedPrimary
 
 from wheatroute.cluster.configuration import decode_configuration
-from wheatroute.cluster.distribution import difference, encode_difference, snapshot
+from wheatroute.cluster.distribution import encode_difference, make_difference, make_version
 from wheatroute.cluster.messages import NotPrimary, QuotaGrant, UsageReport, UsageResponse
 from wheatroute.cluster.settings import SETTINGS_VARIABLE, Bounds, Settings
 from wheatroute.edge import control_client, selection
@@ -208,7 +208,7 @@
         await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + END)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(edge_main, "LOOK_INTERVAL", 0.01)
+        patch.setattr(edge_main, "CHECK_INTERVAL_S", 0.01)
         await changes_during_a_stream(path, play, go_on)
 
 
@@ -258,11 +258,11 @@
 @story
 async def test_a_difference_that_does_not_fit_is_not_used_and_the_whole_is_asked_for():
     """One from a version that this node doesn't have, and one that can't be read."""
-    first = snapshot(decode_configuration(json.dumps(CONFIGURATION)), 7)
-    second = snapshot(decode_configuration(json.dumps(CONFIGURATION | {"generation": 4})), 8)
+    first = make_version(decode_configuration(json.dumps(CONFIGURATION)), 7)
+    second = make_version(decode_configuration(json.dumps(CONFIGURATION | {"generation": 4})), 8)
     async with running(ScriptedServer("i-1")) as it:
         await until(lambda: it.node.ready)
-        for body in (encode_difference(difference(first, second)), b"no zlib"):
+        for body in (encode_difference(make_difference(first, second)), b"no zlib"):
             it.primary.sequence = 1
             it.primary.polls.append(partial(with_change, it.primary, body))
             it.primary.quiet.set()
--- a/tests/edge/test_routing.py
+++ b/tests/edge/test_routing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wheatroute.cluster.configuration import Configuration, Route, Tenant
-from wheatroute.cluster.distribution import snapshot
+from wheatroute.cluster.distribution import make_version
 from wheatroute.edge.routing import SERVER_LEVELS, SIZE_BOUNDS, RoutingTable
 
 SHORT, MIDDLE, LONG = 100, SIZE_BOUNDS[0], SIZE_BOUNDS[1]
@@ -11,7 +11,7 @@
 
 def table(priorities, tenants=()):
     routes = [Route(f"r{number}", "h", f"/{number}/", priority=number) for number in priorities]
-    return RoutingTable(snapshot(Configuration(1, tuple(routes), tenants=tuple(tenants)), 1))
+    return RoutingTable(make_version(Configuration(1, tuple(routes), tenants=tuple(tenants)), 1))
 
 
 def ranks(told, tokens, tenant=None):
--- a/wheatroute/cluster/configuration.py
+++ b/wheatroute/cluster/configuration.py
@@ -1,6 +1,7 @@
-"""The operator's configuration as the data plane uses it.
+"""The operators' configuration as the data plane uses it.
 
-`wheatroute.control.schema` checks what operators send; here it is known to be valid, so it is only decoded.
+`wheatroute.control.schema` validates what operators send; a configuration that is decoded here is valid.
+Keys are those of the operators' JSON.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated."""
+    """How the requests of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -20,7 +21,7 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """One part of a split."""
+    """A service with its weight in a route's split."""
 
     backend: str
     weight: float = 0.0
@@ -42,11 +43,11 @@
     public: bool = False
     sticky: bool = False
     resume: bool = False
-    gap_aim_ms: float = 0.0
+    inter_token_target_ms: float = msgspec.field(name="gap_aim_ms", default=0.0)
 
     @property
     def streaming(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether responses are event streams."""
         return self.kind == RouteKind.STREAMING
 
     @property
@@ -58,19 +59,19 @@
     def services(self) -> tuple[tuple[str, float], ...]:
         """The services that may run its requests, with their weights."""
         if self.split:
-            return tuple((part.backend, part.weight) for part in self.split if part.weight > 0)
+            return tuple((service.backend, service.weight) for service in self.split if service.weight > 0)
         return ((self.backend, 1.0),) if self.backend else ()
 
 
 class Engine(msgspec.Struct, frozen=True):
-    """What a service's model servers hold."""
+    """The capacity of a service's model servers: request slots, and tokens in the KV cache."""
 
     slots: int = 0
     kv_capacity: int = 0
 
 
 class Service(msgspec.Struct, frozen=True):
-    """The servers behind routes."""
+    """A service: the servers that routes lead to."""
 
     name: str
     health_path: str = "/"
@@ -79,7 +80,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """What a client may send, and how long it may take or rest."""
+    """Limits of a client's connection: bytes of a message, milliseconds for its head and between requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -88,7 +89,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """Who pays for requests, and how much they may use."""
+    """A tenant: the API keys of its clients, and its rate limit in `unit` a second with a burst."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -100,7 +101,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """One version of the whole configuration."""
+    """One generation of the complete configuration."""
 
     generation: int = 0
     routes: tuple[Route, ...] = ()
@@ -110,11 +111,11 @@
 
 
 def decode_configuration(body: bytes | str) -> Configuration:
-    """The configuration of a valid JSON body; numbers may come as text."""
+    """The configuration of a valid JSON body; numbers may be sent as strings."""
     return msgspec.json.decode(body, type=Configuration, strict=False)
 
 
-def as_plain(body: bytes) -> dict[str, Any]:
-    """The same as plain JSON objects, with every field that it came with."""
+def as_json_object(body: bytes) -> dict[str, Any]:
+    """The configuration as plain JSON objects, with fields that this version does not know."""
     found: dict[str, Any] = msgspec.json.decode(body)
     return found
--- a/wheatroute/cluster/distribution.py
+++ b/wheatroute/cluster/distribution.py
@@ -1,8 +1,8 @@
-"""What an edge node is sent of the configuration: the difference from the version that it has.
+"""Distribution of the configuration to edge nodes as differences between committed versions. No I/O.
 
-A `Snapshot` is one committed version, by name of its items. `difference` and `changed` are each other's
-inverse; a digest tells whether the receiver had the version that the difference was made from. A whole
-configuration is the difference from `NOTHING`. Free of I/O.
+A `ConfigurationVersion` holds the items of one committed version by name. `make_difference` and
+`apply_difference` are inverse to each other; a digest detects a receiver whose version is not the one that
+the difference was made from. A full configuration is the difference from `EMPTY_VERSION`.
 """
 
 from __future__ import annotations
@@ -20,24 +20,27 @@
 NO_SEQUENCE = -1
 DIGEST_BYTES = 8
 DIGEST_MASK = (1 << 8 * DIGEST_BYTES) - 1
-COMPRESSION = 1  # of zlib's levels: the fastest; documents of names repeat themselves enough for it
+COMPRESSION_LEVEL = 1  # zlib's fastest: configurations repeat names so often that it compresses them well
+
+# kinds of items as they enter digests, which old and new versions of this program must agree on
+DIGEST_KINDS = {Route: b"Route", Service: b"Service", Tenant: b"Tenant"}
 
 Item = TypeVar("Item", Route, Service, Tenant)
 
 
 class DifferenceError(Exception):
-    """A difference can't be used here: unreadable, or made from another version than the one at hand."""
+    """A difference that can't be applied: unreadable, or made from another version than the present one."""
 
 
 class ItemChanges(msgspec.Struct, frozen=True):
-    """New and changed items of a configuration, and the names of those that are gone."""
+    """New and changed items of a configuration, and the names of removed ones."""
 
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
     tenants: tuple[Tenant, ...] = ()
-    gone_routes: tuple[str, ...] = ()
-    gone_services: tuple[str, ...] = ()
-    gone_tenants: tuple[str, ...] = ()
+    removed_routes: tuple[str, ...] = msgspec.field(name="gone_routes", default=())
+    removed_services: tuple[str, ...] = msgspec.field(name="gone_services", default=())
+    removed_tenants: tuple[str, ...] = msgspec.field(name="gone_tenants", default=())
 
 
 class Difference(msgspec.Struct, frozen=True):
@@ -52,7 +55,7 @@
 
 
 @dataclass(frozen=True)
-class Snapshot:
+class ConfigurationVersion:
     """One version: `sequence` is that of its replicated document, `generation` the operator's number."""
 
     sequence: int
@@ -64,38 +67,40 @@
     digest: int  # of the items, whatever their order
 
 
-NOTHING = Snapshot(NO_SEQUENCE, 0, ClientLimits(), {}, {}, {}, 0)
+EMPTY_VERSION = ConfigurationVersion(NO_SEQUENCE, 0, ClientLimits(), {}, {}, {}, 0)
 
 
-def snapshot(configuration: Configuration, sequence: int, before: Snapshot = NOTHING) -> Snapshot:
-    """A version of the configuration; items that are as in `before` are shared with it."""
-    routes = _shared(configuration.routes, before.routes)
-    services = _shared(configuration.services, before.services)
-    tenants = _shared(configuration.tenants, before.tenants)
+def make_version(
+    configuration: Configuration, sequence: int, before: ConfigurationVersion = EMPTY_VERSION
+) -> ConfigurationVersion:
+    """The version of a configuration; items equal to those of `before` are shared with it, as objects."""
+    routes = _share_equal_items(configuration.routes, before.routes)
+    services = _share_equal_items(configuration.services, before.services)
+    tenants = _share_equal_items(configuration.tenants, before.tenants)
     changes = _item_changes(before, routes, services, tenants)
     digest = _digest_after(before, changes)
-    return Snapshot(
+    return ConfigurationVersion(
         sequence, configuration.generation, configuration.limits, routes, services, tenants, digest
     )
 
 
-def _shared(items: Iterable[Item], before: Mapping[str, Item]) -> dict[str, Item]:
-    """The items by name, each as the object that `before` has if it is equal."""
+def _share_equal_items(items: Iterable[Item], before: Mapping[str, Item]) -> dict[str, Item]:
+    """The items by name, each as the object of `before` where that is equal."""
     found: dict[str, Item] = {}
     for item in items:
-        known = before.get(item.name)
-        found[item.name] = known if known is not None and known == item else item
+        present = before.get(item.name)
+        found[item.name] = present if present is not None and present == item else item
     return found
 
 
-def difference(old: Snapshot, new: Snapshot) -> Difference:
-    """What a node with the version `old` needs to have the version `new`."""
+def make_difference(old: ConfigurationVersion, new: ConfigurationVersion) -> Difference:
+    """The difference that turns the version `old` into the version `new`."""
     items = _item_changes(old, new.routes, new.services, new.tenants)
     return Difference(old.sequence, new.sequence, new.generation, new.limits, items, new.digest)
 
 
 def _item_changes(
-    old: Snapshot,
+    old: ConfigurationVersion,
     routes: Mapping[str, Route],
     services: Mapping[str, Service],
     tenants: Mapping[str, Tenant],
@@ -104,9 +109,9 @@
         _upserts(old.routes, routes),
         _upserts(old.services, services),
         _upserts(old.tenants, tenants),
-        _gone(old.routes, routes),
-        _gone(old.services, services),
-        _gone(old.tenants, tenants),
+        _removed(old.routes, routes),
+        _removed(old.services, services),
+        _removed(old.tenants, tenants),
     )
 
 
@@ -114,74 +119,76 @@
     """Items that are new, or differ; those that both versions share are the same object."""
     found: list[Item] = []
     for name, item in new.items():
-        known = old.get(name)
-        if known is not item and known != item:
+        present = old.get(name)
+        if present is not item and present != item:
             found.append(item)
     return tuple(found)
 
 
-def _gone(old: Mapping[str, Item], new: Mapping[str, Item]) -> tuple[str, ...]:
+def _removed(old: Mapping[str, Item], new: Mapping[str, Item]) -> tuple[str, ...]:
     return tuple(name for name in old if name not in new)
 
 
-def changed(old: Snapshot, told: Difference) -> Snapshot:
-    """The version that a difference tells; raises DifferenceError unless `old` is what it was made from."""
-    if told.base != old.sequence:
-        raise DifferenceError(f"made from {told.base}, not from {old.sequence}")
-    digest = _digest_after(old, told.items)
-    if digest != told.digest:
-        raise DifferenceError(f"version {told.sequence} has another digest than it should")
-    items = told.items
-    return Snapshot(
-        told.sequence,
-        told.generation,
-        told.limits,
-        _applied(old.routes, items.routes, items.gone_routes),
-        _applied(old.services, items.services, items.gone_services),
-        _applied(old.tenants, items.tenants, items.gone_tenants),
+def apply_difference(old: ConfigurationVersion, difference: Difference) -> ConfigurationVersion:
+    """The version that a difference leads to; raises DifferenceError unless it was made from `old`."""
+    if difference.base != old.sequence:
+        raise DifferenceError(f"made from {difference.base}, not from {old.sequence}")
+    digest = _digest_after(old, difference.items)
+    if digest != difference.digest:
+        raise DifferenceError(f"version {difference.sequence} has another digest than it should")
+    items = difference.items
+    return ConfigurationVersion(
+        difference.sequence,
+        difference.generation,
+        difference.limits,
+        _applied(old.routes, items.routes, items.removed_routes),
+        _applied(old.services, items.services, items.removed_services),
+        _applied(old.tenants, items.tenants, items.removed_tenants),
         digest,
     )
 
 
-def _applied(old: Mapping[str, Item], upserts: tuple[Item, ...], gone: tuple[str, ...]) -> Mapping[str, Item]:
-    if not upserts and not gone:
+def _applied(
+    old: Mapping[str, Item], upserts: tuple[Item, ...], removed: tuple[str, ...]
+) -> Mapping[str, Item]:
+    if not upserts and not removed:
         return old
     found = dict(old)
-    for name in gone:
+    for name in removed:
         found.pop(name, None)
     found.update((item.name, item) for item in upserts)
     return found
 
 
-def _digest_after(old: Snapshot, changes: ItemChanges) -> int:
+def _digest_after(old: ConfigurationVersion, changes: ItemChanges) -> int:
     """The digest of a version that differs from `old` by these changes: a sum, so only they are hashed."""
     digest = old.digest
-    digest += _digest_of_changes(old.routes, changes.routes, changes.gone_routes)
-    digest += _digest_of_changes(old.services, changes.services, changes.gone_services)
-    digest += _digest_of_changes(old.tenants, changes.tenants, changes.gone_tenants)
+    digest += _digest_of_changes(old.routes, changes.routes, changes.removed_routes)
+    digest += _digest_of_changes(old.services, changes.services, changes.removed_services)
+    digest += _digest_of_changes(old.tenants, changes.tenants, changes.removed_tenants)
     return digest & DIGEST_MASK
 
 
-def _digest_of_changes(old: Mapping[str, Item], upserts: tuple[Item, ...], gone: tuple[str, ...]) -> int:
+def _digest_of_changes(old: Mapping[str, Item], upserts: tuple[Item, ...], removed: tuple[str, ...]) -> int:
     """What a change adds to the sum, less what it takes away."""
-    names = [*gone, *(item.name for item in upserts)]
-    taken = sum(_item_digest(old[name]) for name in names if name in old)
-    return sum(_item_digest(item) for item in upserts) - taken
+    names = [*removed, *(item.name for item in upserts)]
+    replaced = sum(_item_digest(old[name]) for name in names if name in old)
+    return sum(_item_digest(item) for item in upserts) - replaced
 
 
 def _item_digest(item: Route | Service | Tenant) -> int:
-    kind = type(item).__name__.encode()
+    kind = DIGEST_KINDS[type(item)]
     found = hashlib.blake2b(msgspec.msgpack.encode(item), digest_size=DIGEST_BYTES, person=kind)
     return int.from_bytes(found.digest(), "big")
 
 
-def encode_difference(told: Difference) -> bytes:
-    """A difference as it is sent: msgpack, compressed."""
-    return zlib.compress(msgspec.msgpack.encode(told), COMPRESSION)
+def encode_difference(difference: Difference) -> bytes:
+    """The encoded difference: msgpack, compressed with zlib."""
+    return zlib.compress(msgspec.msgpack.encode(difference), COMPRESSION_LEVEL)
 
 
 def decode_difference(body: bytes) -> Difference:
-    """The difference that was sent; raises DifferenceError if it can't be read."""
+    """The decoded difference; raises DifferenceError if it can't be read."""
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=Difference)
     except (zlib.error, msgspec.DecodeError) as error:
--- a/wheatroute/cluster/reload.py
+++ b/wheatroute/cluster/reload.py
@@ -1,9 +1,8 @@
-"""The settings file of a running process: read again on SIGHUP, and when it has changed without a signal.
+"""The settings file of a running process: reloaded on SIGHUP, and when its content has changed.
 
-Its text is compared, not its time or size: a copy may keep both.
-
-A file is taken whole or not at all. What a process cannot change while it runs (its addresses, its folder,
-what the machine gives it) stays as it was until the next start, and is named in the log.
+The content is compared, not modification time or size, as a copy may keep both. A file is applied completely
+or not at all. Settings that need a restart (addresses, folder, limits of the machine) keep their values until
+the next start; the log names them.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 
 from wheatroute.cluster.settings import Settings, SettingsError, parse_settings, settings_path
 
-LOOK_INTERVAL = 1.0  # seconds between two looks at the file
+CHECK_INTERVAL_S = 1.0  # between two checks of the file's content
 NEEDS_RESTART = ("node", "ip", "listen", "port_range", "role", "data_dir", "bootstrap", "limits")
 
 
 class SettingsFile:
-    """The file and what was taken from it; calls read a small local file and may block that long."""
+    """The settings file and the settings in force; calls block for the reading of a small local file."""
 
     def __init__(
         self, settings: Settings, log: logging.Logger, environment: Mapping[str, str] = os.environ
@@ -30,31 +29,31 @@
         self.settings = settings
         self._log = log
         self._environment = environment
-        # what the settings were read from isn't known: the file may have changed since
-        self._taken = self._looked = b""
+        # unknown at the start: the file may have changed since the settings were read from it
+        self._applied_content = self._last_content = b""
 
-    def changed(self) -> bool:
-        """Whether the file holds something else than was taken last, and did so at the look before.
+    def has_changed(self) -> bool:
+        """Whether the content differs from the applied one, and did not change since the last check.
 
-        Two looks, so that a file which is just being written is not taken half.
+        It must be the same at two checks, so that a file is not read while it is being written.
         """
-        before, self._looked = self._looked, self._content()
-        return self._looked == before != self._taken
+        previous, self._last_content = self._last_content, self._content()
+        return self._last_content == previous != self._applied_content
 
-    def read(self) -> Settings:
-        """The settings in force from now on; those of before where the file can't be used."""
-        self._taken = self._looked = self._content()
+    def reload(self) -> Settings:
+        """Applies the file; returns the settings in force, unchanged where the file can't be used."""
+        self._applied_content = self._last_content = self._content()
         try:
-            told = parse_settings(self._taken.decode())
+            requested = parse_settings(self._applied_content.decode())
         except (SettingsError, UnicodeDecodeError) as error:
-            self._log.error("settings-refused", extra={"trouble": str(error)})
+            self._log.error("settings-rejected", extra={"error": str(error)})
             return self.settings
-        before, self.settings = self.settings, _merged(self.settings, told)
+        before, self.settings = self.settings, _keep_until_restart(self.settings, requested)
         self._log.info(
-            "settings-taken",
+            "settings-applied",
             extra={
-                "changed": _differing(before, self.settings),
-                "needs_restart": _differing(self.settings, told),
+                "changed": _differing_fields(before, self.settings),
+                "needs_restart": _differing_fields(self.settings, requested),
             },
         )
         return self.settings
@@ -66,11 +65,11 @@
             return b""
 
 
-def _merged(before: Settings, told: Settings) -> Settings:
-    """What was told, but for what needs a restart."""
-    return msgspec.structs.replace(told, **{name: getattr(before, name) for name in NEEDS_RESTART})
+def _keep_until_restart(before: Settings, requested: Settings) -> Settings:
+    """The requested settings, but for those that need a restart, which keep their values."""
+    return msgspec.structs.replace(requested, **{name: getattr(before, name) for name in NEEDS_RESTART})
 
 
-def _differing(one: Settings, other: Settings) -> list[str]:
+def _differing_fields(one: Settings, other: Settings) -> list[str]:
     """The names of the fields in which two settings differ."""
     return [name for name in one.__struct_fields__ if getattr(one, name) != getattr(other, name)]
--- a/wheatroute/control/api.py
+++ b/wheatroute/control/api.py
@@ -42,8 +42,8 @@
         if error.kind == ErrorKind.NOT_PRIMARY and error.detail and error.detail != error.kind.value:
             place = f"http://{error.detail}:{self._port}{request.url.path}"
             return _json(307, {"error": error.kind.value}, {"Location": place})
-        answer = error.answer
-        headers = {"Retry-After": f"{answer.retry_after:g}"} if answer.retry_after else {}
+        answer = error.response
+        headers = {"Retry-After": f"{answer.retry_after_s:g}"} if answer.retry_after_s else {}
         return _json(answer.status, {"error": error.kind.value, "detail": error.detail}, headers)
 
     async def change(self, request: Request[Any, Any, Any], partial: bool) -> Response[bytes]:
--- a/wheatroute/control/changes.py
+++ b/wheatroute/control/changes.py
@@ -105,7 +105,7 @@
     text = _version(match)
     if text.isdecimal() and int(text) <= state.forgotten:
         return RequestError(
-            ErrorKind.ORDER_FORGOTTEN, f"whether it was taken on {text} is not known any more"
+            ErrorKind.CHANGE_FORGOTTEN, f"whether it was taken on {text} is not known any more"
         )
     return RequestError(ErrorKind.VERSION_MISMATCH, f"the current version is {state.generation}")
 
--- a/wheatroute/control/main.py
+++ b/wheatroute/control/main.py
@@ -11,7 +11,7 @@
 import signal
 from typing import TYPE_CHECKING
 
-from wheatroute.cluster.reload import LOOK_INTERVAL, SettingsFile
+from wheatroute.cluster.reload import CHECK_INTERVAL_S, SettingsFile
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.service import ControlService
 
@@ -31,9 +31,9 @@
 async def _watch_settings(file: SettingsFile, service: ControlService) -> None:
     """Takes a settings file that changed without a signal."""
     while True:
-        await asyncio.sleep(LOOK_INTERVAL)
-        if file.changed():
-            service.take_settings(file.read())
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        if file.has_changed():
+            service.take_settings(file.reload())
 
 
 async def serve(settings: Settings, log: logging.Logger) -> None:
@@ -45,7 +45,7 @@
     service = ControlService(settings, log)
     await service.start()
     file = SettingsFile(settings, log)
-    loop.add_signal_handler(signal.SIGHUP, lambda: service.take_settings(file.read()))
+    loop.add_signal_handler(signal.SIGHUP, lambda: service.take_settings(file.reload()))
     watch = loop.create_task(_watch_settings(file, service))
     servers = await asyncio.to_thread(_loaded, settings, service, log)
     tasks = [loop.create_task(server.serve()) for server in servers]
--- a/wheatroute/control/versions.py
+++ b/wheatroute/control/versions.py
@@ -10,11 +10,11 @@
 
 from wheatroute.cluster.configuration import Configuration, Tenant
 from wheatroute.cluster.distribution import (
-    NOTHING,
-    Snapshot,
-    difference,
+    EMPTY_VERSION,
+    ConfigurationVersion,
     encode_difference,
-    snapshot,
+    make_difference,
+    make_version,
 )
 
 KEPT_VERSIONS = 32  # items that versions have in common are kept once
@@ -24,9 +24,9 @@
     """Versions that this primary has committed, the newest last."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[int, Snapshot] = OrderedDict()
+        self._kept: OrderedDict[int, ConfigurationVersion] = OrderedDict()
         self._encoded: dict[int, bytes] = {}  # the way to the newest version, by the version that a node has
-        self._newest = NOTHING
+        self._newest = EMPTY_VERSION
 
     @property
     def tenants(self) -> list[Tenant]:
@@ -35,7 +35,7 @@
 
     def commit(self, configuration: Configuration, sequence: int) -> None:
         """A newer version is in force."""
-        self._newest = snapshot(configuration, sequence, self._newest)
+        self._newest = make_version(configuration, sequence, self._newest)
         self._kept[sequence] = self._newest
         self._encoded.clear()
         while len(self._kept) > KEPT_VERSIONS:
@@ -43,7 +43,7 @@
 
     def since(self, sequence: int) -> bytes:
         """What a node with this version is sent: a difference, the whole if it is too far behind."""
-        base = self._kept.get(sequence, NOTHING)
+        base = self._kept.get(sequence, EMPTY_VERSION)
         if base.sequence not in self._encoded:
-            self._encoded[base.sequence] = encode_difference(difference(base, self._newest))
+            self._encoded[base.sequence] = encode_difference(make_difference(base, self._newest))
         return self._encoded[base.sequence]
--- a/wheatroute/edge/answers.py
+++ b/wheatroute/edge/answers.py
@@ -41,11 +41,11 @@
 
     async def refuse(self, request_id: bytes, error: RequestError, retry_after: float = 0.0) -> None:
         """An answer of this node's own."""
-        told = error.answer
+        told = error.response
         headers: Headers = [(b"Content-Type", b"text/plain")]
         if request_id:
             headers.append((b"Request-Id", request_id))
-        wait = retry_after or told.retry_after
+        wait = retry_after or told.retry_after_s
         if wait:
             headers.append((b"Retry-After", b"%.3f" % wait))
         await self.answer(told.status, headers, error.kind.value.encode() + b"\n", told.reason.encode())
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -118,7 +118,7 @@
             return None
         node = self._node
         try:
-            table = node.table.changed(decode_difference(update.configuration_change))
+            table = node.table.apply_difference(decode_difference(update.configuration_change))
         except DifferenceError as error:
             self._whole = True
             node.log.warning("difference-not-used", extra={"trouble": str(error)})
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -99,9 +99,9 @@
         waited = trio.current_time() - request.received
         if not full and waited <= patience and request.sends < MOST_SENDS:
             return
-        kind = ErrorKind.NO_ROOM if full else ErrorKind.NO_SERVER
+        kind = ErrorKind.NO_CAPACITY if full else ErrorKind.NO_SERVER
         if request.may_have_run:
-            kind = ErrorKind.SERVER_BROKE
+            kind = ErrorKind.SERVER_FAILED
         raise RequestError(kind, f"no server of {request.service} takes it")
 
     def _try_elsewhere(self, delivery: Delivery, attempt: Attempt) -> bool:
@@ -120,9 +120,9 @@
         request, outcome = delivery.request, finished.outcome
         if outcome == Outcome.BROKEN:
             if not self._repeatable(delivery) or not self.may_repeat(request):
-                raise RequestError(ErrorKind.SERVER_BROKE, finished.attempt.detail)
+                raise RequestError(ErrorKind.SERVER_FAILED, finished.attempt.detail)
         elif outcome in (Outcome.NOT_EXECUTED, Outcome.MISDIRECTED) and not self.may_repeat(request):
-            kind = ErrorKind.SERVER_BROKE if request.may_have_run else ErrorKind.NO_ROOM
+            kind = ErrorKind.SERVER_FAILED if request.may_have_run else ErrorKind.NO_CAPACITY
             raise RequestError(kind, "the retry budget is used up")
 
     # servers
--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -44,7 +44,7 @@
         with trio.move_on_at(request.deadline) as limit:
             await self._forward(request, client)
         if limit.cancelled_caught and not client.begun:  # what was begun breaks off
-            kind = ErrorKind.DEADLINE if request.may_have_run else ErrorKind.DEADLINE_UNSENT
+            kind = ErrorKind.DEADLINE_EXCEEDED if request.may_have_run else ErrorKind.DEADLINE_EXCEEDED_UNSENT
             raise RequestError(kind, "out of time")
 
     async def _refuse(self, request: ClientRequest, client: ClientAnswer, error: RequestError) -> None:
@@ -70,7 +70,7 @@
 
     def _come_back(self, request: ClientRequest, error: RequestError) -> float:
         """Seconds after which a refused client should come back; spread, so that not all come at once."""
-        wait = error.answer.retry_after
+        wait = error.response.retry_after_s
         if error.kind == ErrorKind.OVER_QUOTA and request.tenant is not None:
             wait = max(wait, self._node.quotas.wait(request.tenant.name))
         return wait * (1.0 + COME_BACK_SPREAD * self._node.chance.random())
@@ -123,9 +123,9 @@
         last = broken.splitter.last_id
         allowed = request.route.resume and last is not None and request.sends <= request.route.retries
         if not allowed or not self._dispatcher.may_repeat(request):
-            raise RequestError(ErrorKind.SERVER_BROKE, f"stream broke: {detail}")
+            raise RequestError(ErrorKind.SERVER_FAILED, f"stream broke: {detail}")
         resumed = await self._dispatcher.begin(request, lambda: not client.gone, last)
         if not resumed.streaming or resumed.status != broken.status:
             self._dispatcher.let_go(resumed)
-            raise RequestError(ErrorKind.SERVER_BROKE, "the stream could not be taken up")
+            raise RequestError(ErrorKind.SERVER_FAILED, "the stream could not be taken up")
         return resumed
--- a/wheatroute/edge/main.py
+++ b/wheatroute/edge/main.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from wheatroute.cluster.reload import LOOK_INTERVAL, SettingsFile
+from wheatroute.cluster.reload import CHECK_INTERVAL_S, SettingsFile
 from wheatroute.cluster.settings import Settings
 from wheatroute.edge.clients import Clients
 from wheatroute.edge.control_client import ControlClient
@@ -56,12 +56,12 @@
 
     async def _watch_settings(self) -> None:
         while True:
-            await trio.sleep(LOOK_INTERVAL)
-            if self._file.changed():
+            await trio.sleep(CHECK_INTERVAL_S)
+            if self._file.has_changed():
                 self._read_settings()
 
     def _read_settings(self) -> None:
-        self._node.take_settings(self._file.read())
+        self._node.take_settings(self._file.reload())
         self._control.know_seeds(self._node.settings.seed_hosts)
 
     async def _sweep(self) -> None:
--- a/wheatroute/edge/routing.py
+++ b/wheatroute/edge/routing.py
@@ -8,7 +8,13 @@
 import msgspec
 
 from wheatroute.cluster.configuration import ClientLimits, Route, Service, Tenant
-from wheatroute.cluster.distribution import NO_SEQUENCE, NOTHING, Difference, Snapshot, changed
+from wheatroute.cluster.distribution import (
+    EMPTY_VERSION,
+    NO_SEQUENCE,
+    ConfigurationVersion,
+    Difference,
+    apply_difference,
+)
 from wheatroute.cluster.errors import ErrorKind, RequestError
 
 KEY_SCHEME = "token "
@@ -19,7 +25,7 @@
 class RoutingTable:
     """One version of the configuration, made for look-ups."""
 
-    def __init__(self, version: Snapshot) -> None:
+    def __init__(self, version: ConfigurationVersion) -> None:
         self.version = version
         self._by_host = _routes_by_host(version.routes.values())
         self._index()
@@ -35,22 +41,22 @@
             (route.priority for route in version.routes.values() if route.idempotent), default=None
         )
 
-    def changed(self, told: Difference) -> RoutingTable:
+    def apply_difference(self, told: Difference) -> RoutingTable:
         """The table of the version that a difference tells; raises DifferenceError if it isn't for this one.
 
         Hosts none of whose routes changed keep their part.
         """
         if told.base == NO_SEQUENCE:
-            return RoutingTable(changed(NOTHING, told))
+            return RoutingTable(apply_difference(EMPTY_VERSION, told))
         table = copy(self)
-        table.version = changed(self.version, told)
+        table.version = apply_difference(self.version, told)
         table._by_host = self._changed_hosts(told)
         table._index()
         return table
 
     def _changed_hosts(self, told: Difference) -> dict[str, list[Route]]:
         old = self.version.routes
-        names = {*told.items.gone_routes, *(route.name for route in told.items.routes)}
+        names = {*told.items.removed_routes, *(route.name for route in told.items.routes)}
         replaced = [old[name] for name in names if name in old]
         by_host = dict(self._by_host)
         new = _routes_by_host(told.items.routes)
@@ -102,7 +108,7 @@
         key = key[len(KEY_SCHEME) :].strip() if key.lower().startswith(KEY_SCHEME) else ""
         tenant = self._by_key.get(key)
         if tenant is None and self.tenants and not route.public:
-            raise RequestError(ErrorKind.UNKNOWN_KEY, "the key is not known")
+            raise RequestError(ErrorKind.UNKNOWN_API_KEY, "the key is not known")
         return tenant
 
     def priority(self, route: Route, tenant: Tenant | None, unread: float) -> int:
@@ -119,7 +125,7 @@
         return route.idempotent and route.retries > 1 and route.priority == self._hedged_priority
 
 
-def priority_places(version: Snapshot) -> dict[int, int]:
+def priority_places(version: ConfigurationVersion) -> dict[int, int]:
     """The priorities in use, each with its place among them, the most urgent first."""
     used = {route.priority for route in version.routes.values()}
     used |= {tenant.priority for tenant in version.tenants.values() if tenant.priority is not None}
@@ -137,7 +143,7 @@
     return sorted(routes, key=lambda route: -len(route.path_prefix))
 
 
-EMPTY_TABLE = RoutingTable(NOTHING)
+EMPTY_TABLE = RoutingTable(EMPTY_VERSION)
 
 
 class PromptPart(msgspec.Struct, frozen=True):
