--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -25,7 +25,7 @@
 CONFIDENCE = 0.95
 SELECTION, DISPATCH = "wheatroute/edge/selection.py", "wheatroute/edge/dispatch.py"
 ROUTING, CONTROL_CLIENT = "wheatroute/edge/routing.py", "wheatroute/edge/control_client.py"
-INSTANCES, SUSPICION = "wheatroute/edge/instances.py", "wheatroute/control/suspicion.py"
+INSTANCES = "wheatroute/edge/instances.py"
 
 
 class Substitution(msgspec.Struct, frozen=True):
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -111,7 +111,7 @@
             told = self._tenants.get(name)
             if told is not None:
                 told.fill(now)
-                told.earlier.add(need.recent_usage, now - self._began)
+                told.prior_usage.add(need.recent_usage, now - self._began)
                 told.alone[report.node] = need.isolated_usage  # part of its account
         whole = 0 < self._expected <= len(self._accounted)
         for tenant in self._tenants.values():
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -1,7 +1,11 @@
-"""Which servers there are, by their heartbeats; a state machine without I/O.
+"""The registry of servers, kept by their heartbeats. A state machine without I/O.
 
-It is kept by the primary alone and built anew from heartbeats by the next one: until a primary has listened
-for some heartbeats, a server that it hasn't heard from is unknown and not gone.
+The primary alone keeps it; the next primary builds it anew from heartbeats. Until a primary has listened for
+`SETTLING_HEARTBEATS`, a server that it has no heartbeat of is unknown, not removed.
+
+States of an instance: READY <-> UNRESPONSIVE by heartbeats; either -> DRAINING -> REMOVED. DRAINING and
+REMOVED are never taken back, since an incarnation that drains ends. All times are in seconds of the steady
+clock.
 """
 
 from __future__ import annotations
@@ -12,22 +16,24 @@
 
 from wheatroute.cluster.messages import Instance, InstanceState, RegistryVersion
 
-SILENT_BEATS = 2.3  # heartbeats missing until a server counts as silent
-GONE_BEATS = 8.0  # and until it counts as gone
-SETTLING_BEATS = 3.0  # that a new primary listens before it calls unknown servers gone
-KEEP_GONE = 120.0  # seconds that a server which left is remembered
-STALLED = 1.0  # seconds between two ticks that make up for no missing heartbeat
+UNRESPONSIVE_HEARTBEATS = 2.3  # heartbeat intervals without a heartbeat until a server is unresponsive
+REMOVED_HEARTBEATS = 8.0  # and until it is removed
+SETTLING_HEARTBEATS = (
+    3.0  # heartbeat intervals that a new primary listens before it calls unknown servers removed
+)
+REMOVED_KEPT_S = 120.0  # for which a removed server is remembered
+STALLED_S = 1.0  # between two ticks, from which missing heartbeats may lie unread in this process
 
 
 class HeartbeatModel(msgspec.Struct, frozen=True):
-    """One model of a server."""
+    """A model that a server has loaded."""
 
     name: str
     generation: int = 0
 
 
-class Heartbeat(msgspec.Struct, frozen=True):
-    """What a server says of itself."""
+class ServerHeartbeat(msgspec.Struct, frozen=True):
+    """The JSON body of a server's heartbeat; fields are its keys."""
 
     backend: str
     addr: str
@@ -42,157 +48,161 @@
 
 
 class _Entry:
-    """One incarnation, with what is needed to judge its next heartbeat."""
+    """An instance with the number and time of its last heartbeat."""
 
-    __slots__ = ("instance", "seq", "heard", "unconfirmed")
+    __slots__ = ("instance", "seq", "last_heartbeat", "is_unconfirmed")
 
-    def __init__(self, instance: Instance, seq: int, heard: float) -> None:
-        self.instance, self.seq, self.heard = instance, seq, heard
-        self.unconfirmed = False  # only the primary before has heard it
+    def __init__(self, instance: Instance, seq: int, last_heartbeat: float) -> None:
+        self.instance, self.seq, self.last_heartbeat = instance, seq, last_heartbeat
+        self.is_unconfirmed = False  # known from the primary before, without a heartbeat since
 
 
-def decode_heartbeat(body: bytes) -> Heartbeat:
-    """The heartbeat of a JSON body; raises msgspec.DecodeError."""
-    return msgspec.json.decode(body, type=Heartbeat, strict=False)
+def decode_heartbeat(body: bytes) -> ServerHeartbeat:
+    """The heartbeat of a JSON body; raises `msgspec.DecodeError`."""
+    return msgspec.json.decode(body, type=ServerHeartbeat, strict=False)
 
 
 class Registry:
-    """All servers that one primary has heard from, in one epoch."""
+    """All servers that one primary knows, in one epoch."""
 
     def __init__(self, epoch: int, heartbeat_s: float, now: float) -> None:
         self._epoch = epoch
         self._heartbeat_s = heartbeat_s
         self._entries: dict[str, _Entry] = {}
         self._number = 0
-        self._pruned = 0  # the newest change of what is no longer remembered
-        self._since = now
-        self._ticked = now
+        self._pruned = 0  # the newest change of an instance that was forgotten
+        self._listening_since = now
+        self._last_tick = now
 
     @property
     def version(self) -> RegistryVersion:
-        """Rises with each change."""
+        """The version, which rises with each change."""
         return RegistryVersion(self._epoch, self._number)
 
     def expect_heartbeats(self, heartbeat_s: float) -> None:
-        """Servers send a heartbeat so often, in seconds."""
+        """Sets the interval in which servers send heartbeats, in seconds."""
         self._heartbeat_s = heartbeat_s
 
-    def settled(self, now: float) -> bool:
-        """Whether a server that isn't listed can be called gone."""
-        return now - self._since > SETTLING_BEATS * self._heartbeat_s
+    def is_settled(self, now: float) -> bool:
+        """Whether an unknown server can be called removed."""
+        return now - self._listening_since > SETTLING_HEARTBEATS * self._heartbeat_s
 
-    def remember(self, now: float, instances: tuple[Instance, ...]) -> None:
-        """Starts from what the primary before told; who isn't heard from soon is gone."""
+    def restore(self, now: float, instances: tuple[Instance, ...]) -> None:
+        """Starts from the registry of the primary before; instances without a heartbeat soon are removed."""
         for instance in instances:
-            entry = _Entry(self._changed(instance), -1, now)
-            entry.unconfirmed = True
+            entry = _Entry(self._with_new_version(instance), -1, now)
+            entry.is_unconfirmed = True
             self._entries[instance.id] = entry
 
-    def known(self) -> tuple[Instance, ...]:
-        """All that haven't left."""
+    def present(self) -> tuple[Instance, ...]:
+        """All instances that are not removed."""
         return tuple(
             entry.instance
             for entry in self._entries.values()
             if entry.instance.state != InstanceState.REMOVED
         )
 
-    def heartbeat(self, now: float, identity: str, beat: Heartbeat) -> bool:
-        """Takes a heartbeat in; true if something that others must know has changed."""
+    def heartbeat(self, now: float, identity: str, heartbeat: ServerHeartbeat) -> bool:
+        """Applies a heartbeat; true if it changed something that edge nodes must know."""
         entry = self._entries.get(identity)
         if entry is not None:
-            if beat.seq < entry.seq or entry.instance.state == InstanceState.REMOVED:
+            if heartbeat.seq < entry.seq or entry.instance.state == InstanceState.REMOVED:
                 return False
-            entry.seq, entry.heard, entry.unconfirmed = beat.seq, now, False
-        state = InstanceState.READY if beat.state == "ready" else InstanceState.DRAINING
+            entry.seq, entry.last_heartbeat, entry.is_unconfirmed = heartbeat.seq, now, False
+        state = InstanceState.READY if heartbeat.state == "ready" else InstanceState.DRAINING
         if entry is not None and entry.instance.state == InstanceState.DRAINING:
             state = InstanceState.DRAINING
-        told = Instance(
+        reported = Instance(
             id=identity,
-            service=beat.backend,
-            address=beat.addr,
-            zone=beat.zone,
-            slots=beat.slots,
+            service=heartbeat.backend,
+            address=heartbeat.addr,
+            zone=heartbeat.zone,
+            slots=heartbeat.slots,
             state=state,
             changed=0,
-            warmup_remaining_ms=beat.cold_ms,
-            models=tuple(model.name for model in beat.models),
+            warmup_remaining_ms=heartbeat.cold_ms,
+            models=tuple(model.name for model in heartbeat.models),
         )
         if entry is None:
-            self._entries[identity] = _Entry(self._changed(told), beat.seq, now)
+            self._entries[identity] = _Entry(self._with_new_version(reported), heartbeat.seq, now)
             return True
-        if _same(entry.instance, told):
+        if _is_unchanged(entry.instance, reported):
             return False
-        entry.instance = self._changed(told)
+        entry.instance = self._with_new_version(reported)
         return True
 
-    def leave(self, now: float, identity: str) -> bool:
-        """A server says that it ends; true if that was not known."""
+    def remove(self, now: float, identity: str) -> bool:
+        """Removes a server that announces its end; true if it was not removed yet."""
         entry = self._entries.get(identity)
         if entry is None:
-            gone = Instance(
+            removed = Instance(
                 id=identity, service="", address="", zone="", slots=0, state=InstanceState.REMOVED, changed=0
             )
-            self._entries[identity] = _Entry(self._changed(gone), 0, now)
+            self._entries[identity] = _Entry(self._with_new_version(removed), 0, now)
             return True
-        return self._move(entry, InstanceState.REMOVED, now)
+        return self._set_state(entry, InstanceState.REMOVED, now)
 
-    def heard(self, identity: str) -> float | None:
-        """When a server that is ready was heard last; None for any other."""
+    def last_heartbeat(self, identity: str) -> float | None:
+        """The time of a ready server's last heartbeat; None for any other."""
         entry = self._entries.get(identity)
-        return entry.heard if entry is not None and entry.instance.state == InstanceState.READY else None
+        return (
+            entry.last_heartbeat
+            if entry is not None and entry.instance.state == InstanceState.READY
+            else None
+        )
 
-    def suspect(self, identity: str) -> None:
-        """Edge nodes get no answer of a server: it counts as silent before its heartbeats are missed."""
+    def mark_unresponsive(self, identity: str) -> None:
+        """Marks a ready server that the failure detector suspects, before its heartbeats are missed."""
         entry = self._entries[identity]
-        self._move(entry, InstanceState.UNRESPONSIVE, entry.heard)
+        self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
 
     def tick(self, now: float) -> bool:
-        """Time has passed; true if a server became silent or gone."""
-        stalled, self._ticked = now - self._ticked > STALLED, now
-        if stalled:
-            # nobody is blamed for heartbeats that this process could not read
-            self._since = now
+        """Applies missing heartbeats; true if a server became unresponsive or was removed."""
+        is_stalled, self._last_tick = now - self._last_tick > STALLED_S, now
+        if is_stalled:
+            # heartbeats may have come that this process could not read
+            self._listening_since = now
             for entry in self._entries.values():
-                entry.heard = now
+                entry.last_heartbeat = now
             return False
         changed = False
         for identity, entry in list(self._entries.items()):
-            silent = (now - entry.heard) / self._heartbeat_s
+            missed = (now - entry.last_heartbeat) / self._heartbeat_s
             if entry.instance.state == InstanceState.REMOVED:
-                if now - entry.heard > KEEP_GONE:
+                if now - entry.last_heartbeat > REMOVED_KEPT_S:
                     self._pruned = max(self._pruned, entry.instance.changed)
                     del self._entries[identity]
-            elif silent > (SETTLING_BEATS if entry.unconfirmed else GONE_BEATS):
-                changed |= self._move(entry, InstanceState.REMOVED, now)
-            elif silent > SILENT_BEATS and entry.instance.state == InstanceState.READY:
-                changed |= self._move(entry, InstanceState.UNRESPONSIVE, entry.heard)
+            elif missed > (SETTLING_HEARTBEATS if entry.is_unconfirmed else REMOVED_HEARTBEATS):
+                changed |= self._set_state(entry, InstanceState.REMOVED, now)
+            elif missed > UNRESPONSIVE_HEARTBEATS and entry.instance.state == InstanceState.READY:
+                changed |= self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
         return changed
 
-    def changes(self, known: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
-        """What has changed since a version, and whether that is all there is."""
+    def changes(self, since: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
+        """The instances that changed since a version, and whether they are the full registry."""
         instances = [entry.instance for entry in self._entries.values()]
-        if known.epoch != self._epoch or known.number < self._pruned or known.number > self._number:
+        if since.epoch != self._epoch or since.number < self._pruned or since.number > self._number:
             return tuple(instances), True
-        return tuple(one for one in instances if one.changed > known.number), False
+        return tuple(one for one in instances if one.changed > since.number), False
 
-    def _changed(self, instance: Instance) -> Instance:
+    def _with_new_version(self, instance: Instance) -> Instance:
         self._number += 1
         return msgspec.structs.replace(instance, changed=self._number)
 
-    def _move(self, entry: _Entry, state: InstanceState, heard: float) -> bool:
-        entry.heard = heard
+    def _set_state(self, entry: _Entry, state: InstanceState, last_heartbeat: float) -> bool:
+        entry.last_heartbeat = last_heartbeat
         if entry.instance.state == state:
             return False
-        entry.instance = self._changed(msgspec.structs.replace(entry.instance, state=state))
+        entry.instance = self._with_new_version(msgspec.structs.replace(entry.instance, state=state))
         return True
 
 
-def _same(present: Instance, told: Instance) -> bool:
-    """Whether a heartbeat says nothing new; how cold a server still is runs down by itself."""
-    cold = (
-        told.warmup_remaining_ms
-        if (told.warmup_remaining_ms > 0) != (present.warmup_remaining_ms > 0)
+def _is_unchanged(present: Instance, reported: Instance) -> bool:
+    """Whether a heartbeat reports nothing new; the rest of a warm-up runs down by itself."""
+    warmup_ms = (
+        reported.warmup_remaining_ms
+        if (reported.warmup_remaining_ms > 0) != (present.warmup_remaining_ms > 0)
         else present.warmup_remaining_ms
     )
-    aligned: Any = msgspec.structs.replace(told, changed=present.changed, warmup_remaining_ms=cold)
+    aligned: Any = msgspec.structs.replace(reported, changed=present.changed, warmup_remaining_ms=warmup_ms)
     return bool(aligned == present)
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -21,10 +21,10 @@
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
 from wheatroute.control.edge_nodes import EdgeNodes
+from wheatroute.control.failure_detector import FailureDetector
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
-from wheatroute.control.registry import Heartbeat, Registry
+from wheatroute.control.registry import Registry, ServerHeartbeat
 from wheatroute.control.soft_state import SoftState, soft_state, told_levels
-from wheatroute.control.suspicion import Suspicions
 from wheatroute.control.versions import ConfigurationVersions
 from wheatroute.replication.replicator import Replicator
 from wheatroute.replication.soft_state import Order
@@ -55,7 +55,7 @@
         self._registry = Registry(-1, settings.heartbeat_ms / 1000.0, 0.0)
         self._quotas = self._new_quotas(first=True)
         self._edges = EdgeNodes()
-        self._suspicions = self._new_suspicions()
+        self._failure_detector = self._new_failure_detector()
         self._shared_version: RegistryVersion | None = None
         self._shared_edges = 0
         self._shared = (-1, 0)
@@ -76,12 +76,12 @@
         self._settings = settings
         heartbeat_s = settings.heartbeat_ms / 1000.0
         self._registry.expect_heartbeats(heartbeat_s)
-        self._suspicions.expect_heartbeats(heartbeat_s)
+        self._failure_detector.expect_heartbeats(heartbeat_s)
         self._quotas.allow(settings.bounds.quota_slack, settings.bounds.quota_excess)
         self.replicator.take_settings(settings)
 
-    def _new_suspicions(self) -> Suspicions:
-        return Suspicions(self._settings.heartbeat_ms / 1000.0)
+    def _new_failure_detector(self) -> FailureDetector:
+        return FailureDetector(self._settings.heartbeat_ms / 1000.0)
 
     async def start(self) -> None:
         """Begins to take part in replication."""
@@ -125,7 +125,7 @@
             self._quotas = self._new_quotas(first=core.view.epoch <= 1)
             self._quotas.configure(self._versions.tenants, now)
             self._edges = EdgeNodes(now)
-            self._suspicions = self._new_suspicions()
+            self._failure_detector = self._new_failure_detector()
             self._quotas.begin(now, 0, self._settings.bounds.quota_window_s)
             if self.replicator.hint:
                 self._restore(now)
@@ -141,7 +141,7 @@
             # of another version of this program: heartbeats tell the same soon
             self._log.warning("soft-state-skipped", extra={"trouble": str(error)})
             return
-        self._registry.remember(now, soft.instances)
+        self._registry.restore(now, soft.instances)
         self._edges = EdgeNodes(now, soft.edges)
         self._quotas.begin(now, soft.edges, self._settings.bounds.quota_window_s)
         levels = self._told_levels() or told_levels(soft)
@@ -195,7 +195,7 @@
 
     def _soft_state(self) -> bytes:
         levels = self._quotas.levels()
-        return msgspec.msgpack.encode(soft_state(self._registry.known(), levels, self._shared_edges))
+        return msgspec.msgpack.encode(soft_state(self._registry.present(), levels, self._shared_edges))
 
     async def _left(self) -> None:
         """A server that leaves is acknowledged once every member knows, as one of them leads next.
@@ -299,18 +299,18 @@
 
     # servers
 
-    async def heartbeat(self, identity: str, beat: Heartbeat) -> None:
+    async def heartbeat(self, identity: str, heartbeat: ServerHeartbeat) -> None:
         """A server says that it is there, or about to leave."""
         self.require_primary()
-        if self._registry.heartbeat(asyncio.get_running_loop().time(), identity, beat):
+        if self._registry.heartbeat(asyncio.get_running_loop().time(), identity, heartbeat):
             self._tell()
-        if beat.state != READY:
+        if heartbeat.state != READY:
             await self._left()
 
     async def leave(self, identity: str) -> None:
         """A server says that it ends."""
         self.require_primary()
-        if self._registry.leave(asyncio.get_running_loop().time(), identity):
+        if self._registry.remove(asyncio.get_running_loop().time(), identity):
             self._tell()
         await self._left()
 
@@ -369,7 +369,7 @@
             registry=self._registry.version,
             instances=instances,
             is_full=whole,
-            is_settled=self._registry.settled(now),
+            is_settled=self._registry.is_settled(now),
             control_hosts=self.replicator.core.hosts,
             edge_node_count=self._edges.count(now),
         )
@@ -394,15 +394,20 @@
             self._suspect(now, report.node, report.unresponsive_for)
         return answer(self._quotas, self._edges, now, report, self._registry.version.epoch)
 
-    def _suspect(self, now: float, node: str, silent_for: dict[str, float]) -> None:
+    def _suspect(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
         """Tells all edge nodes of a server at once that several of them suspect."""
-        self._suspicions.told(now, node, silent_for)
-        for server in silent_for:
-            heard = self._registry.heard(server)
-            if heard is None or not self._suspicions.believed(now, server, heard, self._edges.count(now)):
+        self._failure_detector.report(now, node, unresponsive_for)
+        for server in unresponsive_for:
+            last_heartbeat = self._registry.last_heartbeat(server)
+            if last_heartbeat is None or not self._failure_detector.is_suspected(
+                now, server, last_heartbeat, self._edges.count(now)
+            ):
                 continue
-            self._registry.suspect(server)
-            self._log.info("server-suspected", extra={"server": server, "heard_s": round(now - heard, 2)})
+            self._registry.mark_unresponsive(server)
+            self._log.info(
+                "server-suspected",
+                extra={"server": server, "last_heartbeat_s": round(now - last_heartbeat, 2)},
+            )
             self._tell()
 
 
--- a/wheatroute/control/tenant_tokens.py
+++ b/wheatroute/control/tenant_tokens.py
@@ -8,8 +8,8 @@
 from __future__ import annotations
 
 from wheatroute.cluster.messages import QuotaDemand
-from wheatroute.control.earlier_use import EarlierUse
 from wheatroute.control.edge_nodes import NODE_LOST
+from wheatroute.control.prior_usage import PriorUsage
 
 AHEAD_S = 0.25  # seconds of a node's own need that it is granted ahead, while the bucket is well filled
 FILLED = 0.5  # of a bucket: below, nothing is granted ahead
@@ -59,7 +59,7 @@
         "told_shares",
         "alone",
         "withheld",
-        "earlier",
+        "prior_usage",
         "begun_with",
         "_rates",
         "_shares",
@@ -74,7 +74,7 @@
         self.told_shares: dict[str, float] = {}  # by node: its part of the rate as it was told last
         self.alone: dict[str, float] = {}  # by node: what its process has used alone, as it told last
         self.withheld: dict[str, Withheld] = {}  # by node that is silent
-        self.earlier = EarlierUse()
+        self.prior_usage = PriorUsage()
         self._rates = self._shares = self._parts = 0.0  # sums over the nodes of `needs`
         self._summed_at = now
         self.begun_with = limit.tokens  # what the limit's bucket is taken to have held at the beginning
@@ -149,8 +149,8 @@
         self.begun_with = tokens
 
     def most_left(self) -> float:
-        """What it can have held then, by what nodes have told of earlier use."""
-        return max(self.lowest, self.earlier.most_left(self.limit.rate, self.limit.size))
+        """What it can have held then, by what nodes have told of prior_usage use."""
+        return max(self.lowest, self.prior_usage.max_level(self.limit.rate, self.limit.size))
 
     @property
     def lowest(self) -> float:
