--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -25,7 +25,7 @@
 from wheatroute.cluster.configuration import Tenant  # noqa: E402
 from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, UsageReport  # noqa: E402
 from wheatroute.control.edge_nodes import EdgeNodes  # noqa: E402
-from wheatroute.control.quotas import QuotaBuckets, answer  # noqa: E402
+from wheatroute.control.quotas import QuotaBuckets, respond  # noqa: E402
 
 TENANTS = 16
 WINDOW_S = 8.0
@@ -38,15 +38,15 @@
 def report(node: str, chance: Random, account: bool) -> UsageReport:
     """What a node tells that has used every tenant in every slot of time."""
     recent = tuple(chance.randrange(20_000) for _ in range(SLOTS)) if account else ()
-    needs = {f"t{number}": QuotaDemand(0.0, 0.0, 5_000.0, recent=recent) for number in range(TENANTS)}
+    needs = {f"t{number}": QuotaDemand(0.0, 0.0, 5_000.0, recent_usage=recent) for number in range(TENANTS)}
     return UsageReport(node, needs, recent_usage_span_s=WINDOW_S if account else None)
 
 
 def cost(count: int) -> dict[str, float]:
     """Microseconds of one report of each kind, and bytes of an account, with so many nodes."""
     chance = Random(count)
-    buckets, nodes = QuotaBuckets(190_000.0, 0.1, first=False), EdgeNodes(0.0, count)
-    buckets.begin(0.0, count, WINDOW_S)
+    buckets, nodes = QuotaBuckets(190_000.0, 0.1, is_first=False), EdgeNodes(0.0, count)
+    buckets.begin_term(0.0, count, WINDOW_S)
     tenants = [
         Tenant(f"t{number}", rate_per_s=190_000.0, burst=300_000.0, unit="token_usage")
         for number in range(TENANTS)
@@ -58,7 +58,7 @@
         told = [report(name, chance, account) for name in names]
         begun = time.process_time()
         for one in told:
-            answer(buckets, nodes, 1.0, one)
+            respond(buckets, nodes, 1.0, one)
         found[f"{kind}_us"] = round((time.process_time() - begun) / count * 1e6, 1)
         found[f"{kind}_bytes"] = len(msgspec.msgpack.encode(told[0]))
     return found
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -40,7 +40,7 @@
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
 from wheatroute.control.quotas import BucketLevels
 from wheatroute.control.registry import HeartbeatModel, ServerHeartbeat, decode_heartbeat
-from wheatroute.control.soft_state import SoftState, soft_state
+from wheatroute.control.soft_state import SoftState, make_soft_state
 
 VERSION = RegistryVersion(epoch=7, number=12)
 INSTANCES = (
@@ -200,7 +200,7 @@
         id="soft-state",
     ),
     pytest.param(
-        soft_state(INSTANCES, {"acme": BucketLevels(400.0, 20.0)}, 3),
+        make_soft_state(INSTANCES, {"acme": BucketLevels(400.0, 20.0)}, 3),
         (
             "84a9696e7374616e6365739489a26964a27331a773657276696365a36c6c6da761646472657373ab3130"
             "2e302e312e313a3830a47a6f6e65a27a31a5736c6f747308a57374617465a57265616479a76368616e67"
--- a/tests/control/test_quota_accounts.py
+++ b/tests/control/test_quota_accounts.py
@@ -4,9 +4,9 @@
 
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, QuotaGrant, UsageReport
-from wheatroute.control.edge_nodes import NODE_FORGOTTEN, NODE_LOST, NODE_SILENT, EdgeNodes
+from wheatroute.control.edge_nodes import NODE_FORGOTTEN, NODE_LOST, NODE_UNRESPONSIVE, EdgeNodes
 from wheatroute.control.prior_usage import PriorUsage
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
 from wheatroute.edge.quota_leases import QuotaLeases
 from wheatroute.edge.usage_history import UsageHistory
 
@@ -16,8 +16,8 @@
 
 def successor(nodes=3, levels=None, age=0.0):
     """A new primary's buckets, as they are made when it is elected: the tenants are known last."""
-    it = QuotaBuckets(0.0, 0.0, first=False)
-    it.begin(0.0, nodes, WINDOW_S)
+    it = QuotaBuckets(0.0, 0.0, is_first=False)
+    it.begin_term(0.0, nodes, WINDOW_S)
     if levels is not None:
         it.restore({"t": BucketLevels(levels, 0.0)}, age)
     it.configure([TENANT], 0.0)
@@ -30,7 +30,7 @@
 
 def tell(it, node, recent=(), now=0.0, reach_s=WINDOW_S, alone=0.0, isolated_usage_acknowledged=0.0):
     need = QuotaDemand(0.0, 0.0, 0.0, alone, isolated_usage_acknowledged, tuple(recent))
-    return answer(it, EdgeNodes(), now, UsageReport(node, {"t": need}, recent_usage_span_s=reach_s))
+    return respond(it, EdgeNodes(), now, UsageReport(node, {"t": need}, recent_usage_span_s=reach_s))
 
 
 def test_levels_that_were_told_wait_for_the_tenants():
@@ -122,9 +122,9 @@
 
 def test_a_primary_that_has_just_begun_counts_the_nodes_that_the_one_before_counted():
     nodes = EdgeNodes(10.0, 63)
-    nodes.heard(10.1, "a")
+    nodes.contact(10.1, "a")
     assert nodes.count(10.1) == 63
-    nodes.heard(10.0 + NODE_LOST, "a")
+    nodes.contact(10.0 + NODE_LOST, "a")
     assert nodes.count(10.0 + NODE_LOST) == 1
     assert EdgeNodes(10.0).count(10.1) == 1
 
@@ -163,32 +163,32 @@
 
 def reported(it, nodes, node, now, rate=100.0):
     """What a node is granted that tells its need."""
-    return answer(it, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})).grants["t"]
+    return respond(it, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})).grants["t"]
 
 
 def test_the_parts_of_a_node_that_falls_silent_are_kept_for_it_until_it_tells_what_it_used():
-    it, nodes = QuotaBuckets(0.0, 0.0, first=True), EdgeNodes()
+    it, nodes = QuotaBuckets(0.0, 0.0, is_first=True), EdgeNodes()
     it.configure([TENANT], 0.0)
     told = [reported(it, nodes, node, 0.0) for node in "ab"]
     before = holds(it)
-    nodes.heard(NODE_SILENT + 0.1, "b")
-    it.withhold(NODE_SILENT + 0.1, nodes)
-    kept = told[0].local_burst + told[0].local_rate * (NODE_SILENT + 0.1)
+    nodes.contact(NODE_UNRESPONSIVE + 0.1, "b")
+    it.reserve(NODE_UNRESPONSIVE + 0.1, nodes)
+    kept = told[0].local_burst + told[0].local_rate * (NODE_UNRESPONSIVE + 0.1)
     assert kept > 0 and holds(it) == pytest.approx(BURST - kept)  # the bucket had filled up meanwhile
-    it.withhold(NODE_SILENT + 0.2, nodes)  # and what its part of the rate brings it
+    it.reserve(NODE_UNRESPONSIVE + 0.2, nodes)  # and what its part of the rate brings it
     assert holds(it) == pytest.approx(BURST - kept + 0.1 * (RATE - told[0].local_rate))
-    reported(it, nodes, "a", NODE_SILENT + 0.2, rate=0.0)
+    reported(it, nodes, "a", NODE_UNRESPONSIVE + 0.2, rate=0.0)
     assert holds(it) == BURST >= before
 
 
 def test_a_node_that_stays_away_is_given_up_in_the_end():
-    it, nodes = QuotaBuckets(0.0, 0.0, first=True), EdgeNodes()
+    it, nodes = QuotaBuckets(0.0, 0.0, is_first=True), EdgeNodes()
     it.configure([TENANT], 0.0)
     reported(it, nodes, "a", 0.0)
     for step in range(1, round(NODE_FORGOTTEN) + 3):
         nodes.count(float(step))
-        it.withhold(float(step), nodes)
-    assert nodes.silent(NODE_FORGOTTEN + 2.0) == {}
+        it.reserve(float(step), nodes)
+    assert nodes.unresponsive(NODE_FORGOTTEN + 2.0) == {}
     reported(it, nodes, "b", NODE_FORGOTTEN + 5.0, rate=0.0)
     assert holds(it) == BURST
 
@@ -197,14 +197,14 @@
     it, nodes = successor(nodes=4), EdgeNodes(0.0, 4)
     for node in "ab":
         tell(it, node)
-        nodes.heard(0.1, node)
-    it.withhold(NODE_SILENT, nodes)
+        nodes.contact(0.1, node)
+    it.reserve(NODE_UNRESPONSIVE, nodes)
     assert holds(it) == 0.4 * BURST  # not yet: all may have heard of it only now
-    now = NODE_SILENT + 0.5
-    it.withhold(now, nodes)
+    now = NODE_UNRESPONSIVE + 0.5
+    it.reserve(now, nodes)
     assert holds(it) == pytest.approx(BURST * (1 - 0.9 / 2) - 0.9 / 2 * RATE * now, rel=0.01)
     tell(it, "c", now=now)
-    nodes.heard(now, "c")
+    nodes.contact(now, "c")
     assert holds(it) == BURST
 
 
@@ -215,7 +215,7 @@
 
 
 def test_shares_sum_to_no_more_than_there_is_however_needs_change():
-    it, nodes, shares = QuotaBuckets(0.0, 0.0, first=True), EdgeNodes(), {}
+    it, nodes, shares = QuotaBuckets(0.0, 0.0, is_first=True), EdgeNodes(), {}
     it.configure([TENANT], 0.0)
     for step in range(40):
         node = "abcd"[step % 4]
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -7,15 +7,15 @@
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, ServerLoad, UsageReport
 from wheatroute.control.edge_nodes import EdgeNodes
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
 from wheatroute.edge.quota_leases import QuotaLeases, cost
 from wheatroute.edge.retry_budget import RetryBudget
 
 TENANT = Tenant("t", ("k",), unit="token_usage", uncached_tokens=7.0, rate_per_s=1000.0, burst=500.0)
 
 
-def buckets(slack=0.0, first=True, excess=0.0):
-    it = QuotaBuckets(slack, excess, first)
+def buckets(slack=0.0, is_first=True, excess=0.0):
+    it = QuotaBuckets(slack, excess, is_first)
     it.configure([TENANT, Tenant("free")], 0.0)
     return it
 
@@ -55,7 +55,7 @@
 
 
 def test_a_tenant_whose_burst_is_smaller_than_a_request_gets_its_rate():
-    it = QuotaBuckets(1000.0, 0.1, first=True)
+    it = QuotaBuckets(1000.0, 0.1, is_first=True)
     it.configure([Tenant("t", ("k",), unit="token_usage", rate_per_s=1000.0, burst=0.0)], 0.0)
     given = sum(it.grant(step / 10, "a", "t", QuotaDemand(90.0)).tokens for step in range(1, 101))
     assert given >= 0.8 * 1000 * 10
@@ -100,7 +100,7 @@
 
 
 def test_the_next_primary_does_not_grant_again_what_was_granted():
-    before, after = buckets(), buckets(first=False)
+    before, after = buckets(), buckets(is_first=False)
     assert after.grant(0.0, "a", "t", QuotaDemand(201.0)).tokens == 0.0
     before.grant(0.0, "a", "t", QuotaDemand(450.0))
     after.restore(before.levels() | {"none": BucketLevels(1.0, 0.0)})
@@ -185,10 +185,10 @@
         self.chance, self.used = Random(seed), []
         self.tenant = Tenant("t", ("k",), unit="token_usage", rate_per_s=self.RATE, burst=self.BURST)
         self.leases = [QuotaLeases(self.WINDOW) for _ in range(self.NODES)]
-        self.primary = self.elected(first=True, now=0.0)
+        self.primary = self.elected(is_first=True, now=0.0)
 
-    def elected(self, first, now):
-        primary = QuotaBuckets(self.SLACK, self.EXCESS, first)
+    def elected(self, is_first, now):
+        primary = QuotaBuckets(self.SLACK, self.EXCESS, is_first)
         primary.configure([self.tenant], now)
         return primary
 
@@ -217,7 +217,7 @@
             if lost <= now < back:
                 self.primary = None
             elif self.primary is None:
-                self.primary = self.elected(first=False, now=now)
+                self.primary = self.elected(is_first=False, now=now)
             for node in range(self.NODES):
                 if self.chance.random() < self.STEP / self.REPORT and self.primary is not None:
                     self.report(node, now)
@@ -252,12 +252,12 @@
 
 def test_nodes_are_told_what_all_others_have_at_servers():
     nodes, it = EdgeNodes(), buckets()
-    answer(it, nodes, 0.0, UsageReport("a", {}, {"s": ServerLoad(100, 2)}))
-    answer(it, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
-    told = answer(it, nodes, 0.1, UsageReport("c", {}))
+    respond(it, nodes, 0.0, UsageReport("a", {}, {"s": ServerLoad(100, 2)}))
+    respond(it, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
+    told = respond(it, nodes, 0.1, UsageReport("c", {}))
     assert told.servers == {"s": ServerLoad(150, 3)} and told.edge_node_count == 3
     # one that fell silent counts no more
-    assert answer(it, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
+    assert respond(it, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
 
 
 def test_repeats_stay_within_their_part_of_requests_and_slack():
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -323,7 +323,7 @@
     assert told["t"].limit < 2.0
     # a primary that starts from both goes by the newer word
     service.replicator.hint = service.replicator.hints[-1]
-    service._quotas = service._new_quotas(first=True)
+    service._quotas = service._new_quotas(is_first=True)
     service._quotas.configure(service._versions.tenants, asyncio.get_running_loop().time())
     service._restore(asyncio.get_running_loop().time())
     assert service._quotas.levels()["t"].limit < 2.0
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -1,4 +1,7 @@
-"""Which edge nodes there are, and what they have at servers; a state machine without I/O."""
+"""The edge nodes that exist, and the load that they have at servers. A state machine without I/O.
+
+Times are in seconds of the steady clock.
+"""
 
 from __future__ import annotations
 
@@ -6,71 +9,71 @@
 
 from wheatroute.cluster.messages import ServerLoad, UsageReport
 
-NODE_LOST = 3.0  # seconds of silence after which an edge node no longer counts
-NODE_SILENT = 1.5  # seconds after which one may be there and live on its own parts of the quotas
-NODE_FORGOTTEN = 20.0  # seconds after which one is taken to be gone
+NODE_LOST = 3.0  # seconds without contact after which an edge node is lost and no longer counts
+NODE_UNRESPONSIVE = 1.5  # seconds after which a node may be running isolated, on its local quotas
+NODE_FORGOTTEN = 20.0  # seconds after which a lost node is taken to have ended
 
 
 class EdgeNodes:
-    """The edge nodes that were heard of late, and what they have at servers.
+    """The edge nodes in contact with this primary, and their load at servers.
 
-    A primary that has just begun has heard few of them: until it has listened long enough there are at least
-    as many as the one before had counted.
+    A primary that has just begun has contact with few of them. Until it has listened for `NODE_LOST` seconds,
+    there are at least `previous_count`, which the primary before counted.
     """
 
-    def __init__(self, now: float = 0.0, counted_before: int = 0) -> None:
+    def __init__(self, now: float = 0.0, previous_count: int = 0) -> None:
         self._began = now
-        self._counted_before = counted_before
-        self._silent: dict[str, float] = {}  # nodes that are lost, and when they were heard last
-        self._known: set[str] = set()  # all that were ever heard
-        self._reported: set[str] = set()  # all that ever told what they need
-        self._heard: dict[str, float] = {}
-        self._servers: dict[str, dict[str, ServerLoad]] = {}
-
-    def heard(self, now: float, node: str) -> None:
-        """An edge node is there."""
-        self._heard[node] = now
-        self._known.add(node)
-        self._silent.pop(node, None)
+        self._previous_count = previous_count
+        self._last_contact: dict[str, float] = {}  # of nodes that count
+        self._lost: dict[str, float] = {}  # the last contact of nodes that are lost
+        self._ever_seen: set[str] = set()
+        self._ever_reported: set[str] = set()  # nodes whose demand is known
+        self._loads: dict[str, dict[str, ServerLoad]] = {}  # by node and server
+
+    def contact(self, now: float, node: str) -> None:
+        """Notes a message of an edge node."""
+        self._last_contact[node] = now
+        self._ever_seen.add(node)
+        self._lost.pop(node, None)
 
     def count(self, now: float) -> int:
-        """How many there are."""
-        for node in [node for node, heard in self._heard.items() if now - heard > NODE_LOST]:
-            self._silent[node] = self._heard.pop(node)
-            self._servers.pop(node, None)
-        before = self._counted_before if now - self._began < NODE_LOST else 0
-        return max(1, len(self._heard), before)
-
-    def silent(self, now: float) -> dict[str, float]:
-        """Nodes that were heard, but not of late: by name, when they were heard last."""
-        self._silent = {node: heard for node, heard in self._silent.items() if now - heard < NODE_FORGOTTEN}
-        late = {node: heard for node, heard in self._heard.items() if now - heard > NODE_SILENT}
-        return self._silent | late
-
-    def missing(self, now: float) -> float:
-        """The part of the nodes counted before that this primary, though it has listened, never heard."""
-        if not self._counted_before or not NODE_SILENT < now - self._began < NODE_FORGOTTEN:
+        """The number of edge nodes."""
+        for node in [node for node, last in self._last_contact.items() if now - last > NODE_LOST]:
+            self._lost[node] = self._last_contact.pop(node)
+            self._loads.pop(node, None)
+        previous = self._previous_count if now - self._began < NODE_LOST else 0
+        return max(1, len(self._last_contact), previous)
+
+    def unresponsive(self, now: float) -> dict[str, float]:
+        """Nodes without recent contact, and when the last one was."""
+        self._lost = {node: last for node, last in self._lost.items() if now - last < NODE_FORGOTTEN}
+        late = {node: last for node, last in self._last_contact.items() if now - last > NODE_UNRESPONSIVE}
+        return self._lost | late
+
+    def missing_fraction(self, now: float) -> float:
+        """The fraction of the nodes counted before that this primary, though it has listened, never saw."""
+        if not self._previous_count or not NODE_UNRESPONSIVE < now - self._began < NODE_FORGOTTEN:
             return 0.0
-        return max(0.0, 1.0 - len(self._known) / self._counted_before)
+        return max(0.0, 1.0 - len(self._ever_seen) / self._previous_count)
 
-    def known(self, now: float) -> float:
-        """The part of all nodes whose needs this primary knows, until it has listened long enough."""
-        if not self._counted_before or now - self._began >= NODE_LOST:
+    def known_fraction(self, now: float) -> float:
+        """The fraction of all nodes whose demand is known; 1 once this primary has listened long enough."""
+        if not self._previous_count or now - self._began >= NODE_LOST:
             return 1.0
-        return min(1.0, max(1, len(self._reported)) / self._counted_before)
+        return min(1.0, max(1, len(self._ever_reported)) / self._previous_count)
 
     def report(self, now: float, report: UsageReport) -> None:
-        """Takes in what a node has at servers."""
-        self.heard(now, report.node)
-        self._reported.add(report.node)
+        """Takes the load of a node's report."""
+        self.contact(now, report.node)
+        self._ever_reported.add(report.node)
         if report.servers is not None:
-            self._servers[report.node] = report.servers
+            self._loads[report.node] = report.servers
 
-    def elsewhere(self, node: str) -> dict[str, ServerLoad]:
-        """What all other nodes have at each server."""
+    def load_elsewhere(self, node: str) -> dict[str, ServerLoad]:
+        """The load of all other nodes, by server."""
         tokens: dict[str, int] = defaultdict(int)
         running: dict[str, int] = defaultdict(int)
-        for other, servers in self._servers.items():
+        for other, servers in self._loads.items():
             for server, load in servers.items() if other != node else ():
                 tokens[server] += load.queued_prompt_tokens
                 running[server] += load.running_requests
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -1,7 +1,11 @@
-"""The tokens of each tenant, from which edge nodes lease; a state machine without I/O.
+"""The token buckets of all tenants, from which edge nodes lease. A state machine without I/O.
 
-All that edge nodes may use comes out of the one place, so their sum keeps to the limit whoever is cut off: a
-node tells afterwards what it used without a grant, and while it is silent its parts are kept for it.
+All that edge nodes use comes out of the buckets of one primary, so that their sum stays within the limit
+whoever is isolated: a node reports afterwards what it used without a grant, and while it does not report, its
+shares are reserved for it.
+
+A new primary restores the levels of the one before, and lowers them by the recent usage that nodes report to
+it. Times are in seconds of the steady clock, rates in tokens a second.
 """
 
 from __future__ import annotations
@@ -13,169 +17,183 @@
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, UsageReport, UsageResponse
 from wheatroute.control.edge_nodes import EdgeNodes
-from wheatroute.control.tenant_tokens import ALONE_SHARE, Bucket, TenantTokens
+from wheatroute.control.tenant_buckets import ISOLATED_FRACTION, TenantBuckets, TokenBucket
 
-SLACK_USED = 0.35  # of the rule's slack, the size of the bucket beyond the limit
-EXCESS_USED = 0.25  # of the part of the rate that the rule allows beyond the limit
-MISSING = "missing nodes"  # for which parts are kept together: they haven't told this primary anything
-LEVELS_VALID_S = 2.0  # age of the levels of the primary before up to which a bucket goes on from them
-START_FILLED = 0.4  # of the limit's bucket, where nothing is known of what was granted just before
+SLACK_FRACTION = 0.35  # of the quota rule's slack, which is the capacity of the excess bucket
+EXCESS_FRACTION = 0.25  # of the excess rate that the quota rule allows beyond the limit
+MISSING_NODES = "missing nodes"  # key of the common reserve for nodes that have not reported to this primary
+LEVELS_VALID_S = 2.0  # age of the levels of the primary before, up to which the rate since then is added
+INITIAL_LEVEL = 0.4  # of the limit's bucket, where nothing is known of recent grants
 
 
 class BucketLevels(msgspec.Struct, frozen=True):
-    """Tokens that a tenant's buckets hold."""
+    """Tokens in the buckets of a tenant."""
 
     limit: float
-    extra: float
+    excess: float = msgspec.field(name="extra")
 
 
 class QuotaBuckets:
     """The buckets of all tenants with a limit.
 
-    `slack`, in tokens, and `excess`, a part of the limit, are what the rule allows beyond it.
+    `slack` (tokens) and `excess` (a fraction of the limit) are what the quota rule allows beyond the limit.
+    `is_first` tells a primary before which there was none: its buckets are full at first.
     """
 
-    def __init__(self, slack: float, excess: float, first: bool) -> None:
-        self._filled, self._extra_filled = (1.0, 1.0) if first else (START_FILLED, 0.0)
-        self._tenants: dict[str, TenantTokens] = {}
-        self._told: dict[str, BucketLevels] = {}  # of tenants that haven't been configured here yet
-        self._told_age = inf
-        self._began, self._expected = -inf, 0
-        self._accounted: set[str] = set()  # nodes that have told what they used before
-        self._window_s = 0.0  # that an account goes back if nothing is missing
-        self.allow(slack, excess)
-
-    def allow(self, slack: float, excess: float) -> None:
-        """Other figures of the rule; what the buckets hold stays, as far as there is room."""
-        self._slack = slack * SLACK_USED
-        self._excess = excess * EXCESS_USED
-        for tenant in self._tenants.values():
-            tenant.extra.resize(tenant.limit.rate * self._excess, self._slack)
+    def __init__(self, slack: float, excess: float, is_first: bool) -> None:
+        self._limit_level, self._excess_level = (1.0, 1.0) if is_first else (INITIAL_LEVEL, 0.0)
+        self._tenants: dict[str, TenantBuckets] = {}
+        self._restored: dict[str, BucketLevels] = {}  # of tenants that are not configured here yet
+        self._restored_age_s = inf
+        self._term_began, self._expected_nodes = -inf, 0
+        self._nodes_accounted: set[str] = set()  # that have reported their usage before this primary
+        self._window_s = 0.0  # that the recent usage of a node covers if nothing is missing
+        self.change_rule(slack, excess)
+
+    def change_rule(self, slack: float, excess: float) -> None:
+        """Changes the figures of the quota rule; tokens are kept as far as they fit."""
+        self._slack = slack * SLACK_FRACTION
+        self._excess = excess * EXCESS_FRACTION
+        for buckets in self._tenants.values():
+            buckets.excess.change_limit(buckets.limit.rate * self._excess, self._slack)
 
-    def levels(self) -> dict[str, BucketLevels]:
-        """What the buckets hold, for the next primary."""
-        return {
-            name: BucketLevels(tenant.limit.tokens, tenant.extra.tokens)
-            for name, tenant in self._tenants.items()
-        }
+    def configure(self, tenants: list[Tenant], now: float) -> None:
+        """Applies the tenants' limits; tokens are kept as far as they fit."""
+        limited = {tenant.name: tenant for tenant in tenants if tenant.rate_per_s > 0}
+        for name in [name for name in self._tenants if name not in limited]:
+            # kept for a tenant that gets a limit again: what it used before still counts
+            removed = self._tenants.pop(name)
+            self._restored[name] = BucketLevels(removed.limit.tokens, removed.excess.tokens)
+        for name, tenant in limited.items():
+            if buckets := self._tenants.get(name):
+                buckets.refill(now)
+                buckets.limit.change_limit(tenant.rate_per_s, tenant.burst)
+                buckets.excess.change_limit(tenant.rate_per_s * self._excess, self._slack)
+                continue
+            limit = TokenBucket(tenant.rate_per_s, tenant.burst, self._limit_level)
+            excess = TokenBucket(tenant.rate_per_s * self._excess, self._slack, self._excess_level)
+            self._tenants[name] = TenantBuckets(limit, excess, now)
+            self._apply_restored(name, self._tenants[name])
+
+    # the beginning of a primary's term
 
-    def restore(self, levels: dict[str, BucketLevels], age: float = inf) -> None:
-        """Goes on from the levels that the primary before told last, so many seconds ago.
+    def begin_term(self, now: float, node_count: int, window_s: float) -> None:
+        """A primary begins to lead after one that counted so many edge nodes; usage is counted by window."""
+        self._term_began, self._expected_nodes, self._window_s = now, node_count, window_s
 
-        What nodes have used since then they tell, so the rate of that time counts as well; where levels are
-        too old for that, it doesn't. A bucket never begins with more than it would without them.
+    def restore(self, levels: dict[str, BucketLevels], age_s: float = inf) -> None:
+        """Starts from the levels that the primary before shared last, `age_s` seconds ago.
+
+        Nodes report what they have used since then, so the rate of that time is added; not where the levels
+        are too old. No bucket begins with more than it would without the levels.
         """
-        # kept for tenants that aren't known yet: a new primary commits the configuration after it has begun
-        self._told, self._told_age = dict(levels), age
-        for name, tenant in self._tenants.items():
-            self._lower(name, tenant)
-
-    def _lower(self, name: str, tenant: TenantTokens) -> None:
-        """Has a bucket begin with what the primary before told of it, if it did; only once."""
-        held = self._told.pop(name, None)
-        if held is None:
+        # kept for tenants that are not known yet: a new primary commits the configuration later
+        self._restored, self._restored_age_s = dict(levels), age_s
+        for name, buckets in self._tenants.items():
+            self._apply_restored(name, buckets)
+
+    def _apply_restored(self, name: str, buckets: TenantBuckets) -> None:
+        """Lowers buckets to their restored levels, if there are any; once."""
+        levels = self._restored.pop(name, None)
+        if levels is None:
             return
-        since = tenant.limit.rate * self._told_age if self._told_age <= LEVELS_VALID_S else 0.0
-        tenant.begin_with(min(tenant.limit.tokens, held.limit + since))
-        tenant.extra.tokens = min(tenant.extra.tokens, held.extra)
-
-    def begin(self, now: float, nodes: int, window_s: float) -> None:
-        """A new primary begins, after one that counted so many edge nodes; accounts go back a window."""
-        self._began, self._expected, self._window_s = now, nodes, window_s
-
-    def withhold(self, now: float, nodes: EdgeNodes) -> None:
-        """Keeps, for nodes that are silent, the parts of each tenant that they may be using."""
-        silent = nodes.silent(now)
-        missing = nodes.missing(now)
-        for tenant in self._tenants.values() if silent or missing else ():
-            tenant.fill(now)
-            for node, heard in silent.items():
-                if share := tenant.told_shares.get(node, 0.0):
-                    rate = share * tenant.limit.rate
-                    tenant.withhold(node, heard, rate, tenant.told.get(node, 0.0), now)
-            if missing:
-                part = ALONE_SHARE * missing
-                tokens = part * max(0.0, tenant.limit.tokens)
-                tenant.withhold(MISSING, self._began, part * tenant.limit.rate, tokens, now)
+        is_recent = self._restored_age_s <= LEVELS_VALID_S
+        added_since = buckets.limit.rate * self._restored_age_s if is_recent else 0.0
+        buckets.set_initial_tokens(min(buckets.limit.tokens, levels.limit + added_since))
+        buckets.excess.tokens = min(buckets.excess.tokens, levels.excess)
+
+    def levels(self) -> dict[str, BucketLevels]:
+        """The tokens in all buckets, for the next primary."""
+        return {
+            name: BucketLevels(buckets.limit.tokens, buckets.excess.tokens)
+            for name, buckets in self._tenants.items()
+        }
 
     def account(self, now: float, report: UsageReport) -> None:
-        """Takes in what a node used before this primary began, the first time that it tells."""
-        if report.recent_usage_span_s is None or report.node in self._accounted:
+        """Takes in what a node used before this primary's term, from its first report with recent usage."""
+        if report.recent_usage_span_s is None or report.node in self._nodes_accounted:
             return
-        self._accounted.add(report.node)
+        self._nodes_accounted.add(report.node)
         if report.recent_usage_span_s < self._window_s:
-            self._expected = 0  # what a process before that one has used is not known any more
-        for tenant in self._tenants.values():
-            tenant.release(MISSING)  # kept anew, for those that are missing still
-        for name, need in report.tenants.items():
-            told = self._tenants.get(name)
-            if told is not None:
-                told.fill(now)
-                told.prior_usage.add(need.recent_usage, now - self._began)
-                told.alone[report.node] = need.isolated_usage  # part of its account
-        whole = 0 < self._expected <= len(self._accounted)
-        for tenant in self._tenants.values():
-            left = tenant.most_left()
-            if whole or left < tenant.begun_with:
-                tenant.begin_with(left)
-        if whole:
-            self._expected = 0
-
-    def heard(self, node: str) -> None:
-        """A node tells what it has used itself."""
-        for tenant in self._tenants.values():
-            if node in tenant.withheld:
-                tenant.release(node)
-
-    def configure(self, tenants: list[Tenant], now: float) -> None:
-        """Other limits; what a bucket holds stays, as far as its new size allows."""
-        limited = {tenant.name: tenant for tenant in tenants if tenant.rate_per_s > 0}
-        for name in [name for name in self._tenants if name not in limited]:
-            # a tenant that gets a limit again soon has used what it had used
-            before = self._tenants.pop(name)
-            self._told[name] = BucketLevels(before.limit.tokens, before.extra.tokens)
-        for name, told in limited.items():
-            if tenant := self._tenants.get(name):
-                tenant.fill(now)
-                tenant.limit.resize(told.rate_per_s, told.burst)
-                tenant.extra.resize(told.rate_per_s * self._excess, self._slack)
-                continue
-            limit = Bucket(told.rate_per_s, told.burst, self._filled)
-            extra = Bucket(told.rate_per_s * self._excess, self._slack, self._extra_filled)
-            self._tenants[name] = TenantTokens(limit, extra, now)
-            self._lower(name, self._tenants[name])
-
-    def grant(self, now: float, node: str, tenant: str, need: QuotaDemand, known: float = 1.0) -> QuotaGrant:
-        """Tokens for one node: what it wants, and some ahead while there is plenty.
-
-        `known` is the part of all nodes that have told their needs.
+            self._expected_nodes = 0  # what the node's process before that one used is unknown
+        for buckets in self._tenants.values():
+            buckets.release(MISSING_NODES)  # reserved anew for the nodes that are still missing
+        for name, demand in report.tenants.items():
+            tenant_buckets = self._tenants.get(name)
+            if tenant_buckets is not None:
+                tenant_buckets.refill(now)
+                tenant_buckets.prior_usage.add(demand.recent_usage, now - self._term_began)
+                tenant_buckets.isolated_usage[report.node] = demand.isolated_usage  # part of its recent usage
+        self._correct_initial_tokens()
+
+    def _correct_initial_tokens(self) -> None:
+        """Lowers initial tokens by the usage reported so far; raises them once all nodes have reported."""
+        is_complete = 0 < self._expected_nodes <= len(self._nodes_accounted)
+        for buckets in self._tenants.values():
+            tokens = buckets.max_initial_tokens()
+            if is_complete or tokens < buckets.initial_tokens:
+                buckets.set_initial_tokens(tokens)
+        if is_complete:
+            self._expected_nodes = 0
+
+    # nodes that do not report
+
+    def reserve(self, now: float, nodes: EdgeNodes) -> None:
+        """Reserves, for nodes that do not report, the shares of each tenant that they may be using."""
+        unresponsive = nodes.unresponsive(now)
+        missing_fraction = nodes.missing_fraction(now)
+        for buckets in self._tenants.values() if unresponsive or missing_fraction else ():
+            buckets.refill(now)
+            for node, last_contact in unresponsive.items():
+                if share := buckets.quota_shares.get(node, 0.0):
+                    burst = buckets.local_bursts.get(node, 0.0)
+                    buckets.reserve(node, last_contact, share * buckets.limit.rate, burst, now)
+            if missing_fraction:
+                share = ISOLATED_FRACTION * missing_fraction
+                burst = share * max(0.0, buckets.limit.tokens)
+                buckets.reserve(MISSING_NODES, self._term_began, share * buckets.limit.rate, burst, now)
+
+    def release(self, node: str) -> None:
+        """Returns the reserves of a node that reports."""
+        for buckets in self._tenants.values():
+            if node in buckets.reserves:
+                buckets.release(node)
+
+    # grants
+
+    def grant(
+        self, now: float, node: str, tenant: str, demand: QuotaDemand, known_fraction: float = 1.0
+    ) -> QuotaGrant:
+        """Grants a node the tokens that it wants, and some in advance while the bucket is well filled.
+
+        `known_fraction` is the fraction of all nodes whose demand is known.
         """
-        tokens = self._tenants.get(tenant)
-        if tokens is None:
-            return QuotaGrant(need.wanted)
-        tokens.fill(now)
-        tokens.charge(node, need)
-        tokens.put(need.returned)
-        share = tokens.share(node, need.demand_rate, now, known)
-        granted, wait_s = 0.0, 0.0
-        if tokens.take(need.wanted):
-            granted = need.wanted + tokens.ahead(need.demand_rate)
+        buckets = self._tenants.get(tenant)
+        if buckets is None:
+            return QuotaGrant(demand.wanted)
+        buckets.refill(now)
+        buckets.charge(node, demand)
+        buckets.add(demand.returned)
+        share = buckets.quota_share(node, demand.demand_rate, now, known_fraction)
+        tokens, wait_s = 0.0, 0.0
+        if buckets.take(demand.wanted):
+            tokens = demand.wanted + buckets.take_in_advance(demand.demand_rate)
         else:
-            wait_s = tokens.wait(need.wanted)
-        return QuotaGrant(granted, wait_s, share * tokens.limit.rate, tokens.part(node, share))
+            wait_s = buckets.seconds_until(demand.wanted)
+        return QuotaGrant(tokens, wait_s, share * buckets.limit.rate, buckets.local_burst(node, share))
 
 
-def answer(
-    buckets: QuotaBuckets, nodes: EdgeNodes, now: float, report: UsageReport, lead: int = -1
+def respond(
+    buckets: QuotaBuckets, nodes: EdgeNodes, now: float, report: UsageReport, leadership_epoch: int = -1
 ) -> UsageResponse:
-    """The answer to one node's report, by the primary that began to lead in that epoch."""
+    """The response to one node's report, of the primary that began to lead in that epoch."""
     nodes.report(now, report)
     buckets.account(now, report)
-    buckets.heard(report.node)
-    known = nodes.known(now)
+    buckets.release(report.node)
+    known_fraction = nodes.known_fraction(now)
     grants = {
-        tenant: buckets.grant(now, report.node, tenant, need, known)
-        for tenant, need in report.tenants.items()
+        tenant: buckets.grant(now, report.node, tenant, demand, known_fraction)
+        for tenant, demand in report.tenants.items()
     }
-    edges = nodes.count(now)
-    return UsageResponse(grants, nodes.elsewhere(report.node), edges, lead)
+    node_count = nodes.count(now)  # first, as it forgets the load of lost nodes
+    return UsageResponse(grants, nodes.load_elsewhere(report.node), node_count, leadership_epoch)
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -22,9 +22,9 @@
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.failure_detector import FailureDetector
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, answer
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
 from wheatroute.control.registry import Registry, ServerHeartbeat
-from wheatroute.control.soft_state import SoftState, soft_state, told_levels
+from wheatroute.control.soft_state import SoftState, make_soft_state
 from wheatroute.control.versions import ConfigurationVersions
 from wheatroute.replication.replicator import Replicator
 from wheatroute.replication.soft_state import Order
@@ -53,7 +53,7 @@
         self._sequence = -1
         self._versions = ConfigurationVersions()
         self._registry = Registry(-1, settings.heartbeat_ms / 1000.0, 0.0)
-        self._quotas = self._new_quotas(first=True)
+        self._quotas = self._new_quotas(is_first=True)
         self._edges = EdgeNodes()
         self._failure_detector = self._new_failure_detector()
         self._shared_version: RegistryVersion | None = None
@@ -67,9 +67,9 @@
         self._news = asyncio.Event()
         self.stopping = False
 
-    def _new_quotas(self, first: bool) -> QuotaBuckets:
+    def _new_quotas(self, is_first: bool) -> QuotaBuckets:
         bounds = self._settings.bounds
-        return QuotaBuckets(bounds.quota_slack, bounds.quota_excess, first)
+        return QuotaBuckets(bounds.quota_slack, bounds.quota_excess, is_first)
 
     def take_settings(self, settings: Settings) -> None:
         """The settings file has changed; what is known of servers, nodes and tokens stays."""
@@ -77,7 +77,7 @@
         heartbeat_s = settings.heartbeat_ms / 1000.0
         self._registry.expect_heartbeats(heartbeat_s)
         self._failure_detector.expect_heartbeats(heartbeat_s)
-        self._quotas.allow(settings.bounds.quota_slack, settings.bounds.quota_excess)
+        self._quotas.change_rule(settings.bounds.quota_slack, settings.bounds.quota_excess)
         self.replicator.take_settings(settings)
 
     def _new_failure_detector(self) -> FailureDetector:
@@ -122,11 +122,11 @@
             self._sequence = -1
         elif self._registry.version.epoch < 0:
             self._registry = Registry(core.view.epoch, self._settings.heartbeat_ms / 1000.0, now)
-            self._quotas = self._new_quotas(first=core.view.epoch <= 1)
+            self._quotas = self._new_quotas(is_first=core.view.epoch <= 1)
             self._quotas.configure(self._versions.tenants, now)
             self._edges = EdgeNodes(now)
             self._failure_detector = self._new_failure_detector()
-            self._quotas.begin(now, 0, self._settings.bounds.quota_window_s)
+            self._quotas.begin_term(now, 0, self._settings.bounds.quota_window_s)
             if self.replicator.hint:
                 self._restore(now)
         # a node that has come into the view may have nothing, and may lead the next one
@@ -142,18 +142,18 @@
             self._log.warning("soft-state-skipped", extra={"trouble": str(error)})
             return
         self._registry.restore(now, soft.instances)
-        self._edges = EdgeNodes(now, soft.edges)
-        self._quotas.begin(now, soft.edges, self._settings.bounds.quota_window_s)
-        levels = self._told_levels() or told_levels(soft)
+        self._edges = EdgeNodes(now, soft.edge_node_count)
+        self._quotas.begin_term(now, soft.edge_node_count, self._settings.bounds.quota_window_s)
+        levels = self._shared_levels_since() or soft.levels()
         self._quotas.restore(levels, now - self.replicator.levels_at)
         self._log_levels(levels)
 
     def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
         """What tenants' buckets held by the last word of the primary before, in tokens."""
-        told = {tenant: round(held.limit) for tenant, held in levels.items()}
+        told = {tenant: round(level.limit) for tenant, level in levels.items()}
         self._log.info("quota-levels", extra={"epoch": self.replicator.core.view.epoch, "levels": told})
 
-    def _told_levels(self) -> dict[str, BucketLevels]:
+    def _shared_levels_since(self) -> dict[str, BucketLevels]:
         """What buckets held by the word that came after the soft state, if any did."""
         if not self.replicator.levels:
             return {}
@@ -171,7 +171,7 @@
             if self._registry.tick(loop.time()):
                 self._tell()
             if self.replicator.core.leading:
-                self._quotas.withhold(loop.time(), self._edges)
+                self._quotas.reserve(loop.time(), self._edges)
                 self._share_registry()
                 self._share_buckets(loop.time())
 
@@ -195,7 +195,7 @@
 
     def _soft_state(self) -> bytes:
         levels = self._quotas.levels()
-        return msgspec.msgpack.encode(soft_state(self._registry.present(), levels, self._shared_edges))
+        return msgspec.msgpack.encode(make_soft_state(self._registry.present(), levels, self._shared_edges))
 
     async def _left(self) -> None:
         """A server that leaves is acknowledged once every member knows, as one of them leads next.
@@ -338,7 +338,7 @@
             if self.stopping:
                 return self.not_serving()
             now = loop.time()
-            self._edges.heard(now, request.node)
+            self._edges.contact(now, request.node)
             if now >= end or self._is_news(request):
                 if request.configuration >= 0 or not self._state.body:
                     return self._update(request, now)
@@ -392,7 +392,7 @@
         now = asyncio.get_running_loop().time()
         if report.unresponsive_for is not None:
             self._suspect(now, report.node, report.unresponsive_for)
-        return answer(self._quotas, self._edges, now, report, self._registry.version.epoch)
+        return respond(self._quotas, self._edges, now, report, self._registry.version.epoch)
 
     def _suspect(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
         """Tells all edge nodes of a server at once that several of them suspect."""
--- a/wheatroute/control/soft_state.py
+++ b/wheatroute/control/soft_state.py
@@ -1,4 +1,4 @@
-"""What a primary shares with the other control nodes without writing it: the next one starts from it."""
+"""Soft state of the primary: sent to the other control nodes without a write, for whoever leads next."""
 
 from __future__ import annotations
 
@@ -9,21 +9,25 @@
 
 
 class SoftState(msgspec.Struct, frozen=True):
-    """What the next primary starts from: the servers that are there, and what tenants' buckets hold."""
+    """What the next primary starts from: the servers, the levels of buckets, the number of edge nodes."""
 
     instances: tuple[Instance, ...]
-    buckets: dict[str, float]  # those of the limits
-    extras: dict[str, float] = {}  # those beyond them
-    edges: int = 0  # edge nodes that were there
-
-
-def soft_state(instances: tuple[Instance, ...], levels: dict[str, BucketLevels], edges: int) -> SoftState:
-    """As it is sent and kept."""
-    limits = {tenant: held.limit for tenant, held in levels.items()}
-    extras = {tenant: held.extra for tenant, held in levels.items()}
-    return SoftState(instances, limits, extras, edges)
-
-
-def told_levels(soft: SoftState) -> dict[str, BucketLevels]:
-    """What the buckets held."""
-    return {tenant: BucketLevels(held, soft.extras.get(tenant, 0.0)) for tenant, held in soft.buckets.items()}
+    limit_levels: dict[str, float] = msgspec.field(name="buckets")  # tokens, by tenant
+    excess_levels: dict[str, float] = msgspec.field(name="extras", default_factory=dict)
+    edge_node_count: int = msgspec.field(name="edges", default=0)
+
+    def levels(self) -> dict[str, BucketLevels]:
+        """The levels of all buckets."""
+        return {
+            tenant: BucketLevels(tokens, self.excess_levels.get(tenant, 0.0))
+            for tenant, tokens in self.limit_levels.items()
+        }
+
+
+def make_soft_state(
+    instances: tuple[Instance, ...], levels: dict[str, BucketLevels], edge_node_count: int
+) -> SoftState:
+    """The soft state with these instances and levels."""
+    limits = {tenant: level.limit for tenant, level in levels.items()}
+    excesses = {tenant: level.excess for tenant, level in levels.items()}
+    return SoftState(instances, limits, excesses, edge_node_count)
