--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -23,9 +23,9 @@
 ROOT = Path(__file__).resolve().parent.parent
 BUILT = Path("target") / "deps"
 CONFIDENCE = 0.95
-SELECTION, DISPATCH = "wheatroute/edge/selection.py", "wheatroute/edge/dispatch.py"
-ROUTING, CONTROL_CLIENT = "wheatroute/edge/routing.py", "wheatroute/edge/control_client.py"
-INSTANCES = "wheatroute/edge/instances.py"
+SELECTION, ROUTING = "wheatroute/edge/selection.py", "wheatroute/edge/routing.py"
+LATENCY_WEIGHTS, SERVER_LOAD = "wheatroute/edge/latency_weights.py", "wheatroute/edge/server_load.py"
+INSTANCES, USAGE_REPORTER = "wheatroute/edge/instances.py", "wheatroute/edge/usage_reporter.py"
 
 
 class Substitution(msgspec.Struct, frozen=True):
@@ -43,39 +43,47 @@
 MECHANISMS: dict[str, Substitution] = {
     "keyed draw": Substitution(
         SELECTION,
-        "drawn = self._chance.random() if key is None else _hashed(key, server.id)",
-        "drawn = self._chance.random()",
+        "drawn = self._rng.random() if key is None else _hash_fraction(key, server.id)",
+        "drawn = self._rng.random()",
     ),
-    "redraw off crowded servers": Substitution(
-        SELECTION, "waits[server.id] if waits[server.id] > most else 0.0", "0.0"
+    "redraw off congested servers": Substitution(
+        SELECTION, "waits[server.id] if waits[server.id] > max_wait else 0.0", "0.0"
     ),
     "inverse split": Substitution(
-        SELECTION, "clamped_shares([self._expected(name, now) for name in names])", "[1.0 for name in names]"
+        LATENCY_WEIGHTS,
+        "clamped_weights([self.relative_latency(server_id, now) for server_id in server_ids])",
+        "[1.0 for _ in server_ids]",
     ),
     "steady band of the split": Substitution(
-        SELECTION, "return 1.0 if STEADY_LOW < expected < STEADY_HIGH else expected", "return expected"
+        LATENCY_WEIGHTS,
+        "return 1.0 if MIN_STEADY_RATIO < expected < MAX_STEADY_RATIO else expected",
+        "return expected",
     ),
-    "cold share": Substitution(SELECTION, "COLD_SHARE = 0.5 ", "COLD_SHARE = 1.0 "),
-    "kept parts": Substitution(SELECTION, "KEPT_MULTIPLE = 6.0 ", "KEPT_MULTIPLE = 0.0 "),
-    "parts read again weigh more": Substitution(SELECTION, "READ_AGAIN = 3.0 ", "READ_AGAIN = 1.0 "),
-    "ranks by size": Substitution(ROUTING, "sum(unread >= bound for bound in SIZE_BOUNDS)", "0"),
-    "loads of other nodes": Substitution(SELECTION, "self._elsewhere = loads", "self._elsewhere = {}"),
+    "warmup weight": Substitution(SELECTION, "WARMUP_WEIGHT_FACTOR = 0.5 ", "WARMUP_WEIGHT_FACTOR = 1.0 "),
+    "prefix cache index": Substitution(SELECTION, "CACHE_TTL_FACTOR = 6.0 ", "CACHE_TTL_FACTOR = 0.0 "),
+    "cost of repeated prefills": Substitution(
+        SELECTION, "OTHER_MISS_COST = 3.0\n", "OTHER_MISS_COST = 1.0\n"
+    ),
+    "ranks by size": Substitution(
+        ROUTING, "sum(prefill_tokens >= bound for bound in PROMPT_SIZE_BOUNDS)", "0"
+    ),
+    "load of other nodes": Substitution(SERVER_LOAD, "self._remote = loads", "self._remote = {}"),
     "hedge": Substitution(
         ROUTING,
         "return route.idempotent and route.retries > 1 and route.priority == self._hedged_priority",
         "return False",
     ),
-    "silent servers": Substitution(
-        SELECTION,
-        "silent = server.silent_for(now) > self.patience or server.unacknowledged(now)",
-        "silent = False",
+    "unresponsive servers": Substitution(
+        SELECTION, "has_timed_out or server.has_unacknowledged_bytes(now) or ", ""
     ),
     "unacknowledged bytes": Substitution(
-        SELECTION, "> self.patience or server.unacknowledged(now)", "> self.patience"
+        SELECTION, "has_timed_out or server.has_unacknowledged_bytes(now)", "has_timed_out"
     ),
-    "error share": Substitution(INSTANCES, "FAILING = 0.3 ", "FAILING = 1.1 "),
-    "suspicion by several nodes": Substitution(
-        CONTROL_CLIENT, "suspects = silent if silent or self._suspected else None", "suspects = None"
+    "ejection by error rate": Substitution(INSTANCES, "MAX_ERROR_RATE = 0.3 ", "MAX_ERROR_RATE = 1.1 "),
+    "failure detection by several nodes": Substitution(
+        USAGE_REPORTER,
+        "reported = unresponsive if unresponsive or self._has_reported_unresponsive else None",
+        "reported = None",
     ),
 }
 
--- a/tests/control/test_distribution.py
+++ b/tests/control/test_distribution.py
@@ -93,10 +93,10 @@
         for host in (f"h{number % 7}", "moved"):
             assert found(table, host, number) == found(new, host, number)
     for key in ("k1", "k2", "k3"):
-        assert table._by_key.get(key) == new._by_key.get(key)
+        assert table._by_api_key.get(key) == new._by_api_key.get(key)
     for one in SECOND.routes.values():
         assert table.may_hedge(one) == new.may_hedge(one)
-        assert table.priority(one, None, 0.0) == new.priority(one, None, 0.0)
+        assert table.server_rank(one, None, 0.0) == new.server_rank(one, None, 0.0)
     assert found(old, "h4", 39) == "r39"  # requests that came under the older version still have it
 
 
--- a/tests/control/test_quota_accounts.py
+++ b/tests/control/test_quota_accounts.py
@@ -131,24 +131,25 @@
 
 def test_a_node_tells_what_it_used_of_its_own_part_and_uses_none_of_it_while_a_primary_answers():
     lease = QuotaLeases(WINDOW_S)
-    lease.granted("t", QuotaGrant(30.0, 0.0, 100.0, 100.0), 1.0)
-    lease.refill_alone(TENANT, 1.0, 4, slack=0.0)
-    assert lease.take("t", 80.0)  # 30 of them were granted
-    need = lease.need("t", 0.0, 0.0, 1.0, recent=False)
+    lease.apply_grant("t", QuotaGrant(30.0, 0.0, 100.0, 100.0), 1.0)
+    lease.refill_isolated(TENANT, 1.0, 4, slack=0.0)
+    assert lease.try_use("t", 80.0)  # 30 of them were granted
+    need = lease.demand("t", 0.0, 0.0, 1.0, with_recent_usage=False)
     assert (need.isolated_usage, need.isolated_usage_acknowledged, need.recent_usage) == (50.0, 0.0, ())
-    spell = lease.granted("t", QuotaGrant(0.0), 1.5, told_alone=need.isolated_usage)
-    assert spell is not None and (spell.tokens, spell.nodes) == (50.0, 4)
-    assert not lease.take("t", 1.0)
-    assert lease.need("t", 0.0, 0.0, 1.5, recent=False).isolated_usage_acknowledged == 50.0
+    period = lease.apply_grant("t", QuotaGrant(0.0), 1.5, isolated_usage=need.isolated_usage)
+    assert period is not None and (period.tokens, period.edge_node_count) == (50.0, 4)
+    assert not lease.try_use("t", 1.0)
+    assert lease.demand("t", 0.0, 0.0, 1.5, with_recent_usage=False).isolated_usage_acknowledged == 50.0
 
 
 def test_an_account_holds_what_was_used_and_what_is_in_hand():
     lease = QuotaLeases(WINDOW_S)
-    lease.granted("t", QuotaGrant(100.0), 1.0)
-    lease.asked("t", 60.0, 1.0)
-    assert lease.take("t", 60.0)
-    lease.give_back("t", 20.0)
-    assert lease.need("t", 0.0, 0.0, 1.0 + 2 * USAGE_SLOT_S, recent=True).recent_usage == (60, 0, 40)
+    lease.apply_grant("t", QuotaGrant(100.0), 1.0)
+    lease.record_demand("t", 60.0, 1.0)
+    assert lease.try_use("t", 60.0)
+    lease.refund("t", 20.0)
+    demand = lease.demand("t", 0.0, 0.0, 1.0 + 2 * USAGE_SLOT_S, with_recent_usage=True)
+    assert demand.recent_usage == (60, 0, 40)
 
 
 def test_a_history_forgets_what_lies_further_back():
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -8,7 +8,8 @@
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, ServerLoad, UsageReport
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
-from wheatroute.edge.quota_leases import QuotaLeases, cost
+from wheatroute.edge.prompt_headers import TokenCount
+from wheatroute.edge.quota_leases import QuotaLeases, request_cost
 from wheatroute.edge.retry_budget import RetryBudget
 
 TENANT = Tenant("t", ("k",), unit="token_usage", uncached_tokens=7.0, rate_per_s=1000.0, burst=500.0)
@@ -112,16 +113,16 @@
     it, leases, used = buckets(), [QuotaLeases(8.0) for _ in range(4)], 0.0
     for n, lease in enumerate(leases):
         for second in range(4):
-            lease.asked("t", 500.0 * (n + 1), float(second))
-        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
+            lease.record_demand("t", 500.0 * (n + 1), float(second))
+        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
         it.grant(3.0, f"n{n}", "t", need)
     for n, lease in enumerate(leases):
-        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
-        lease.granted("t", it.grant(3.0, f"n{n}", "t", need), 3.0)
+        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
+        lease.apply_grant("t", it.grant(3.0, f"n{n}", "t", need), 3.0)
     for step in range(1, 101):
         for lease in leases:
-            lease.refill_alone(TENANT, 3.0 + step / 10, 4, slack=400.0)
-            while lease.take("t", 10.0):
+            lease.refill_isolated(TENANT, 3.0 + step / 10, 4, slack=400.0)
+            while lease.try_use("t", 10.0):
                 used += 10.0
     assert 0.7 * 1000 * 10 < used <= 1000 * 10 + 400
 
@@ -129,47 +130,47 @@
 RESERVE = 0.3 * 400 / 4  # a node's part of what the rule allows beyond the limit
 
 
-def used_alone(lease, now):
+def used_while_isolated(lease, now):
     """Tokens that a node without word takes at once, being asked for more than it has."""
-    lease.refill_alone(TENANT, now, 4, slack=400.0)
-    return sum(lease.take("t", 1.0) for _ in range(10_000))
+    lease.refill_isolated(TENANT, now, 4, slack=400.0)
+    return sum(lease.try_use("t", 1.0) for _ in range(10_000))
 
 
-def lease_heard_at(heard, local_rate=100.0, local_burst=100.0):
+def lease_granted_at(granted_at, local_rate=100.0, local_burst=100.0):
     lease = QuotaLeases(8.0)
-    lease.granted("t", QuotaGrant(0.0, 0.0, local_rate, local_burst), heard)
+    lease.apply_grant("t", QuotaGrant(0.0, 0.0, local_rate, local_burst), granted_at)
     return lease
 
 
 def test_a_node_without_word_has_its_part_from_the_last_word_on_and_of_what_the_bucket_held():
-    assert used_alone(lease_heard_at(10.0), 10.5) == 50 + 100 + RESERVE
-    assert used_alone(lease_heard_at(10.0, local_burst=0.0), 10.5) == 50 + RESERVE
+    assert used_while_isolated(lease_granted_at(10.0), 10.5) == 50 + 100 + RESERVE
+    assert used_while_isolated(lease_granted_at(10.0, local_burst=0.0), 10.5) == 50 + RESERVE
     # a part of a full bucket is there at once, however much more than its rate that is
-    assert used_alone(lease_heard_at(10.0, local_burst=700.0), 10.5) == 700 + RESERVE
+    assert used_while_isolated(lease_granted_at(10.0, local_burst=700.0), 10.5) == 700 + RESERVE
     # and saves up two seconds of it at the most
-    assert used_alone(lease_heard_at(10.0), 12.9) == 200 + RESERVE
+    assert used_while_isolated(lease_granted_at(10.0), 12.9) == 200 + RESERVE
 
 
 def test_what_a_node_has_ahead_comes_once_a_window_however_often_the_primary_is_lost():
-    lease = lease_heard_at(10.0)
-    used = used_alone(lease, 10.0)
+    lease = lease_granted_at(10.0)
+    used = used_while_isolated(lease, 10.0)
     for step in range(1, 70):
-        lease.granted("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 10.0 + step / 10)
-        used += used_alone(lease, 10.1 + step / 10)
+        lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 10.0 + step / 10)
+        used += used_while_isolated(lease, 10.1 + step / 10)
     assert 0 <= 100 + RESERVE + 6.9 * 100 - used < 2  # whole tokens alone are taken
-    lease.granted("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 18.0)
-    assert used_alone(lease, 18.0) >= 100 + RESERVE
+    lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 18.0)
+    assert used_while_isolated(lease, 18.0) >= 100 + RESERVE
 
 
 def test_a_part_that_was_told_long_ago_counts_no_more():
     even = 0.5 * 1000 / 4  # and a second of it ahead
-    assert used_alone(lease_heard_at(10.0, local_rate=900.0), 13.1) == int(even + RESERVE)
+    assert used_while_isolated(lease_granted_at(10.0, local_rate=900.0), 13.1) == int(even + RESERVE)
 
 
 def test_a_lease_gives_back_what_it_does_not_need():
     lease = QuotaLeases(8.0)
-    lease.give_back("t", 1000.0)
-    assert lease.surplus("t", 0.0) == 1000.0 and not lease.take("t", 1.0)
+    lease.refund("t", 1000.0)
+    assert lease.take_surplus("t", 0.0) == 1000.0 and not lease.try_use("t", 1.0)
 
 
 class HotTenant:
@@ -194,19 +195,19 @@
 
     def report(self, node, now, wanted=0.0):
         lease = self.leases[node]
-        need = QuotaDemand(wanted, lease.surplus("t", now), lease.asked_rate("t", now))
-        lease.granted("t", self.primary.grant(now, str(node), "t", need), now)
+        need = QuotaDemand(wanted, lease.take_surplus("t", now), lease.demand_rate("t", now))
+        lease.apply_grant("t", self.primary.grant(now, str(node), "t", need), now)
 
     def ask(self, node, now):
         """One client's request."""
         lease, tokens = self.leases[node], self.chance.choice((1_630.0, 9_240.0, 17_140.0))
-        lease.asked("t", tokens, now)
-        if not lease.take("t", tokens):
+        lease.record_demand("t", tokens, now)
+        if not lease.try_use("t", tokens):
             if self.primary is not None:
                 self.report(node, now, tokens)
             else:
-                lease.refill_alone(self.tenant, now, self.NODES, self.SLACK)
-            if not lease.take("t", tokens):
+                lease.refill_isolated(self.tenant, now, self.NODES, self.SLACK)
+            if not lease.try_use("t", tokens):
                 return
         self.used.append((now, tokens))
 
@@ -247,7 +248,11 @@
 
 
 def test_requests_are_charged_by_tokens_or_one_by_one():
-    assert [cost(TENANT, (100, 20)), cost(TENANT, None), cost(Tenant("r"), (100, 20))] == [120.0, 7.0, 1.0]
+    assert [
+        request_cost(TENANT, TokenCount(100, 20)),
+        request_cost(TENANT, None),
+        request_cost(Tenant("r"), TokenCount(100, 20)),
+    ] == [120.0, 7.0, 1.0]
 
 
 def test_nodes_are_told_what_all_others_have_at_servers():
@@ -266,12 +271,12 @@
     for second in range(100):
         for budget in budgets:
             for _ in range(4):
-                budget.requested(second / 10)
-                sent += budget.repeat(second / 10, 5)
+                budget.record_request(second / 10)
+                sent += budget.try_retry(second / 10, 5)
     assert 100 < sent <= 0.2 * 100 * 5 * 4 + 50
 
 
 def test_the_part_of_the_slack_comes_back_with_the_window():
     budget = RetryBudget(0.0, 10.0, 10.0)
-    assert [budget.repeat(0.0, 1) for _ in range(8)] == [True] * 7 + [False]
-    assert budget.repeat(10.5, 1)
+    assert [budget.try_retry(0.0, 1) for _ in range(8)] == [True] * 7 + [False]
+    assert budget.try_retry(10.5, 1)
--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -17,7 +17,7 @@
 from wheatroute.cluster.settings import Bounds, Settings
 from wheatroute.edge.clients import Clients
 from wheatroute.edge.forwarding import Forwarder
-from wheatroute.edge.listening import listen
+from wheatroute.edge.listeners import listen
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.routing import RoutingTable
 
@@ -196,7 +196,7 @@
     async def lease(self, tenant, tokens):
         self.leased.append((tenant, tokens))
         if tenant in self.grants:
-            self.node.quotas.granted(tenant, self.grants[tenant], trio.current_time())
+            self.node.quotas.apply_grant(tenant, self.grants[tenant], trio.current_time())
 
     def grant(self, tenant, tokens, wait_s=0.0):
         self.grants[tenant] = QuotaGrant(tokens, wait_s)
--- a/tests/edge/test_crossings_of_answers.py
+++ b/tests/edge/test_crossings_of_answers.py
@@ -18,7 +18,7 @@
     status,
 )
 
-from wheatroute.edge import dispatch
+from wheatroute.edge import attempt
 
 REJECTION = (
     b"HTTP/1.1 503 Service Unavailable\r\nRequest-Id: {id}\r\nServer-Signature: s1\r\nNot-Executed: 1\r\n"
@@ -49,13 +49,13 @@
     server = ScriptedServer("i-1", answer(b"kept"), raw(REJECTION, keep=True))
     async with edge(server) as it:
         await it.ask(request("/plain/0", identity="r0"))
-        it.node.selection.order = by_id
-        kept = it.node.pool._idle["i-1"][0][1]
+        it.node.selector.rank = by_id
+        kept = it.node.pool._idle["i-1"][0].connection
         await it.ask(request("/plain/1", identity="r1"))
-        assert b"r1" in kept.answered and b"r0" not in kept.answered
-        line = await it.node.pool.take(next(iter(it.node.instances.of("llm"))), b"r1")
-        assert line is not kept
-        assert await it.node.pool.take(next(iter(it.node.instances.of("llm"))), b"r2") is kept
+        assert b"r1" in kept.answered_ids and b"r0" not in kept.answered_ids
+        (at,) = it.node.instances.available("llm")
+        assert await it.node.pool.acquire(at, b"r1") is not kept
+        assert await it.node.pool.acquire(at, b"r2") is kept
 
 
 @story
@@ -119,7 +119,7 @@
             before = [answer(b"warm")] if kept else []
             first, second = ScriptedServer("i-1", *before, after(part, how)), ScriptedServer("i-2")
             async with edge(first, second) as it:
-                it.node.selection.order = by_id
+                it.node.selector.rank = by_id
                 for _ in before:
                     assert status(await it.ask(request("/plain/0", identity="r0"))) == 200
                 assert status(await it.ask(request("/plain/1", identity="r1"))) == 502
@@ -179,7 +179,7 @@
     first = EarlyServer("i-1", REJECTION, break_off)
     second = ScriptedServer("i-2", answer(b"taken"))
     async with edge(first, second) as it:
-        it.node.selection.order = by_id
+        it.node.selector.rank = by_id
         got = await it.ask(request("/plain/1", body=LONG))
     assert status(got) == 200 and first.heads == ["r1"] and ids(second) == ["r1"]
     assert second.requests[0][2] == LONG
@@ -190,7 +190,7 @@
     first = EarlyServer("i-1", REJECTION, read_on)
     second = ScriptedServer("i-2", answer(b"taken"))
     async with edge(first, second) as it:
-        it.node.selection.order = by_id
+        it.node.selector.rank = by_id
         got = await it.ask(request("/plain/1", body=LONG))
         await until(lambda: first.read == 1)
         assert status(got) == 200 and first.heads == ["r1"] and ids(second) == ["r1"]
@@ -212,13 +212,13 @@
 
     first, second = EarlyServer("i-1", b"", nothing), ScriptedServer("i-2")
     async with edge(first, second) as it:
-        it.node.selection.order = by_id
+        it.node.selector.rank = by_id
         client = await trio.open_tcp_stream("127.0.0.1", it.port)
         await client.send_all(request("/plain/1", body=LONG))
         await held.wait()
         await client.aclose()
-        await until(lambda: not it.clients.busy)
-        assert it.node.pool.open_to(next(one for one in it.node.instances.of("llm") if one.id == "i-1")) == 0
+        await until(lambda: not it.clients.busy_count)
+        assert it.node.pool.connection_count(it.node.instances.get("i-1")) == 0
     assert ids(second) == []
 
 
@@ -236,9 +236,9 @@
 
 def test_each_pair_of_outcome_and_proof_is_told_apart():
     """What may follow an outcome: nothing but a proof lets an unsafe request go on."""
-    assert dispatch.NEVER_RAN == {
-        dispatch.Outcome.UNREACHED,
-        dispatch.Outcome.WITHDRAWN,
-        dispatch.Outcome.NOT_EXECUTED,
-        dispatch.Outcome.MISDIRECTED,
+    assert attempt.NEVER_RAN == {
+        attempt.Outcome.NOT_SENT,
+        attempt.Outcome.CANCELLED,
+        attempt.Outcome.NOT_EXECUTED,
+        attempt.Outcome.MISDIRECTED,
     }
--- a/tests/edge/test_crossings_of_changes.py
+++ b/tests/edge/test_crossings_of_changes.py
@@ -27,7 +27,7 @@
         it.register(number=2)
         waiting = await trio.open_tcp_stream("127.0.0.1", it.port)
         await waiting.send_all(request("/plain/1"))
-        await until(lambda: it.clients.busy)
+        await until(lambda: it.clients.busy_count)
         it.configure(without, sequence=2)
         it.register(server, number=3)
         assert status(await read_all(waiting)) == 200
@@ -61,9 +61,9 @@
         it.register(number=2)
         gone = await trio.open_tcp_stream("127.0.0.1", it.port)
         await gone.send_all(request("/plain/1"))
-        await until(lambda: it.clients.busy)
+        await until(lambda: it.clients.busy_count)
         await gone.aclose()
-        await until(lambda: not it.clients.busy)
+        await until(lambda: not it.clients.busy_count)
         it.register(server, number=3)
         assert status(await it.ask(request("/plain/1", identity="r2"))) == 200
     assert [headers["request-id"] for _, headers, _ in server.requests] == ["r2"]
@@ -76,8 +76,8 @@
         it.register(number=2)
         waiting = await trio.open_tcp_stream("127.0.0.1", it.port)
         await waiting.send_all(request("/plain/1"))
-        await until(lambda: it.clients.busy)
-        it.node.stopping = True
+        await until(lambda: it.clients.busy_count)
+        it.node.is_stopping = True
         it.clients.close_listener()
         it.clients.close_idle()
         it.register(server, number=3)
@@ -91,7 +91,7 @@
     async with running(ScriptedServer("i-1"), seeds=("127.0.0.9:1",), seeds_file=path) as it:
         # nobody is there: all that the node knows is wrong
         await trio.testing.wait_all_tasks_blocked()
-        assert not it.node.configured
+        assert not it.node.is_configured
         settings = {
             "node": "edge-1",
             "ip": "127.0.0.1",
@@ -101,7 +101,7 @@
             "seeds": ["127.0.0.1:1"],
         }
         path.write_text(json.dumps(settings))
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         assert status(await it.ask(request("/plain/1"))) == 200
 
 
--- a/tests/edge/test_exchanges.py
+++ b/tests/edge/test_exchanges.py
@@ -24,7 +24,7 @@
 from wheatroute.cluster.messages import InstanceState
 from wheatroute.edge import instances
 from wheatroute.edge.attempt import Attempt
-from wheatroute.edge.instances import Outstanding
+from wheatroute.edge.instances import PendingAttempt
 
 RUN_ATTEMPT = Attempt.run
 
@@ -206,22 +206,22 @@
     server = ScriptedServer("i-1", elsewhere)
     async with edge(server) as it:
         assert status(await it.ask(request("/plain/1"))) == 503
-        assert not it.node.instances.of("llm")
+        assert not it.node.instances.available("llm")
 
 
 @story
 async def test_nothing_is_written_to_a_server_that_leaves_while_the_connection_comes_up():
     leaving, staying = ScriptedServer("i-1"), ScriptedServer("i-2")
     async with edge(leaving, staying) as it:
-        take = it.node.pool.take
+        acquire = it.node.pool.acquire
 
         async def late(server, request_id):
-            line = await take(server, request_id)
+            connection = await acquire(server, request_id)
             if server.id == "i-1":
                 it.register(leaving, staying, number=2, states={"i-1": InstanceState.DRAINING})
-            return line
+            return connection
 
-        it.node.pool.take = late
+        it.node.pool.acquire = late
         for n in range(6):
             assert status(await it.ask(request("/plain/1", identity=f"r{n}"))) == 200
     assert not leaving.requests and len(staying.requests) == 6
@@ -238,7 +238,7 @@
         await server.arrived.wait()
         await stream.aclose()
         await server.cancelled.wait()
-        await until(lambda: it.clients.busy == 0)
+        await until(lambda: it.clients.busy_count == 0)
 
 
 @story
@@ -276,7 +276,7 @@
     async with edge() as it:
         it.grant("small", 500.0)
         assert status(await it.ask(request("/plain/1", key="k2"))) == 503
-        assert it.node.quotas.take("small", 500.0)
+        assert it.node.quotas.try_use("small", 500.0)
 
 
 @story
@@ -368,7 +368,7 @@
     servers = [ScriptedServer(f"i-{n}", play, play) for n in range(3)]
     async with edge(*servers) as it:
         for _ in range(30):
-            it.node.timer.add(trio.current_time(), 0.01)
+            it.node.hedge_timer.record(trio.current_time(), 0.01)
         box.append(servers[0])
         got = await it.ask(request("/resume/1"))
         await servers[0].cancelled.wait()
@@ -400,14 +400,14 @@
     try:
         async with edge(*servers) as it:
             for _ in range(30):
-                it.node.timer.add(trio.current_time(), 0.001)
+                it.node.hedge_timer.record(trio.current_time(), 0.001)
             client = await trio.open_tcp_stream("127.0.0.1", it.port)
             await client.send_all(request("/resume/1"))
             await both.wait()
             yield it, client, [attempt.server for attempt in ended]
             await until(lambda: not it.clients._clients)
-            await until(lambda: not any(it.node.pool.open_to(attempt.server) for attempt in ended))
-            assert not any(it.node.selection.running(attempt.server) for attempt in ended)
+            await until(lambda: not any(it.node.pool.connection_count(attempt.server) for attempt in ended))
+            assert not any(it.node.selector.load.running_requests(attempt.server.id) for attempt in ended)
     finally:
         Attempt.run = RUN_ATTEMPT
 
@@ -418,9 +418,9 @@
         got = b""
         while b"data: a" not in got:
             got += await client.receive_some(65536)
-        running = [it.node.selection.running(server) for server in servers]
+        running = [it.node.selector.load.running_requests(server.id) for server in servers]
         assert sorted(running) == [0, 1]
-        assert running == [it.node.pool.open_to(server) for server in servers]
+        assert running == [it.node.pool.connection_count(server) for server in servers]
         await client.aclose()
 
 
@@ -436,11 +436,11 @@
         server = ScriptedServer("i-1")
         async with edge(server) as it:
 
-            async def begin(asked, *rest, sent=sent):
+            async def dispatch(asked, *rest, sent=sent):
                 asked.may_have_run = sent
                 raise ZeroDivisionError
 
-            it.clients._forwarder._dispatcher.begin = begin
+            it.clients._forwarder._dispatcher.dispatch = dispatch
             got = await it.ask(request("/plain/1"))
         assert (status(got), got.split(b"\r\n\r\n", 1)[1]) == expected
         assert (b"Retry-After" in got) == (not sent)
@@ -469,8 +469,8 @@
             seen, still = (len(sent), 0) if len(sent) > seen else (seen, still + 1)
             assert status(await it.ask(request("/plain/1", identity=f"r{seen}-{still}"))) == 200
         assert len(sent) < offered / 2
-        (one,) = [client for client in it.clients._clients if client.busy]
-        assert len(one.line._unsent) <= 4 * size
+        (one,) = [client for client in it.clients._clients if client.is_busy]
+        assert len(one.connection._unsent) <= 4 * size
         await slow.aclose()
         await until(lambda: not it.clients._clients)
 
@@ -483,7 +483,7 @@
         box.append(servers[0])
         async with edge(*servers) as it:
             for _ in range(times):
-                it.node.timer.add(trio.current_time(), 0.001)
+                it.node.hedge_timer.record(trio.current_time(), 0.001)
             await it.ask(request(path, headers=("Timeout-Ms: 60",)))
         assert sum(len(one.requests) for one in servers) == 1
 
@@ -496,7 +496,7 @@
         await kept.send_all(request("/plain/1", close=False))
         got = await kept.receive_some(65536)
         assert status(got) == 200 and b"Connection: close" not in got
-        it.node.stopping = True
+        it.node.is_stopping = True
         await kept.send_all(request("/plain/2", close=False))
         got = await kept.receive_some(65536)
         assert status(got) == 200 and b"Connection: close" in got
@@ -541,8 +541,8 @@
 
 @story
 async def test_a_server_whose_machine_acknowledges_nothing_is_passed_over_at_once():
-    kept = instances.ACKNOWLEDGED_WITHIN, instances.ACKNOWLEDGED_LOOK
-    instances.ACKNOWLEDGED_WITHIN = instances.ACKNOWLEDGED_LOOK = 0.0
+    kept = instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S
+    instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
     good, gone = ScriptedServer("i-2"), ScriptedServer("i-1")
     try:
         # what it has no room for is never acknowledged: nobody reads
@@ -556,16 +556,16 @@
                 server = it.node.instances.get("i-1")
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(it.ask, request("/plain/1", body=b"x" * 65536))
-                    await until(lambda: server.unacknowledged(trio.current_time()))
-                    assert server.silent_for(trio.current_time()) < it.node.selection.patience
-                    assert list(it.node.instances.silent(trio.current_time(), LIMIT)) == ["i-1"]
+                    await until(lambda: server.has_unacknowledged_bytes(trio.current_time()))
+                    assert server.unresponsive_for(trio.current_time()) < it.node.selector.response_timeout_s
+                    assert list(it.node.instances.unresponsive_for(trio.current_time(), LIMIT)) == ["i-1"]
                     it.register(good, gone, number=3)
                     for n in range(20):
                         assert status(await it.ask(request("/plain/1", identity=f"s{n}"))) == 200
                     nursery.cancel_scope.cancel()
         assert len(good.requests) == 20
     finally:
-        instances.ACKNOWLEDGED_WITHIN, instances.ACKNOWLEDGED_LOOK = kept
+        instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S = kept
 
 
 @story
@@ -576,8 +576,8 @@
     async with edge(dark, good) as it:
         server = it.node.instances.get("i-1")
         # a request has been there for longer than any answer takes
-        server.heard = trio.current_time() - 1.0
-        server.out[0] = Outstanding(server.heard, lambda: False)
+        server.last_response_at = trio.current_time() - 1.0
+        server.pending[0] = PendingAttempt(server.last_response_at, lambda: False)
         for n in range(20):
             assert status(await it.ask(request("/plain/1", identity=f"r{n}"))) == 200
     assert not dark.requests
--- a/tests/edge/test_role.py
+++ b/tests/edge/test_role.py
@@ -32,9 +32,9 @@
 from wheatroute.cluster.distribution import encode_difference, make_difference, make_version
 from wheatroute.cluster.messages import NotPrimary, QuotaGrant, UsageReport, UsageResponse
 from wheatroute.cluster.settings import SETTINGS_VARIABLE, Bounds, Settings
-from wheatroute.edge import control_client, selection
+from wheatroute.edge import control_client, selection, usage_reporter
 from wheatroute.edge import main as edge_main
-from wheatroute.edge.listening import Listeners, listen
+from wheatroute.edge.listeners import Listeners, listen
 from wheatroute.edge.main import EdgeRole
 
 
@@ -44,7 +44,7 @@
     def __init__(self, role, listeners, primary):
         self.role, self.node, self.primary = role, role._node, primary
         self.port = listeners.clients.getsockname()[1]
-        self.ready_port = listeners.ready.getsockname()[1]
+        self.ready_port = listeners.readiness.getsockname()[1]
         self.ended = trio.Event()
 
     async def ask(self, text, port=None):
@@ -106,7 +106,7 @@
 @story
 async def test_it_is_ready_once_it_has_a_configuration_and_servers():
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         assert await it.ready() == 200
         assert status(await it.ask(request("/plain/1"))) == 200
 
@@ -129,7 +129,7 @@
                 got.append(await it.ask(request("/plain/1")))
 
             nursery.start_soon(ask)
-            await until(lambda: it.role._clients.busy)
+            await until(lambda: it.role._clients.busy_count)
             assert await it.ready() == 503
             late.set()
         assert status(got[0]) == 200
@@ -147,13 +147,13 @@
         return True
 
     async with running(ScriptedServer("i-1", play, answer(b"late"))) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         stream = await trio.open_tcp_stream("127.0.0.1", it.port)
         await stream.send_all(request("/stream/1"))
         idle = await trio.open_tcp_stream("127.0.0.1", it.port)
         got = await stream.receive_some(65536)
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: it.node.stopping)
+        await until(lambda: it.node.is_stopping)
         # until the platform has asked twice, clients may still be sent here
         assert status(await it.ask(request("/plain/1", identity="r2"))) == 200
         assert [await it.ready(), await it.ready()] == [503, 503]
@@ -173,7 +173,7 @@
         await trio.sleep_forever()
 
     async with running(ScriptedServer("i-1", play)) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         stream = await trio.open_tcp_stream("127.0.0.1", it.port)
         await stream.send_all(request("/stream/1"))
         got = await stream.receive_some(65536)
@@ -188,9 +188,9 @@
 @story
 async def test_on_sighup_the_seeds_are_read_again_and_nothing_ends():
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         read = []
-        it.role._control.know_seeds = read.append
+        it.role._control_client.set_seeds = read.append
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: read)
         assert await it.ready() == 200 and not it.ended.is_set()
@@ -214,7 +214,7 @@
 
 async def changes_during_a_stream(path, play, go_on):
     async with running(ScriptedServer("i-1", play), seeds_file=path) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         stream = await trio.open_tcp_stream("127.0.0.1", it.port)
         await stream.send_all(request("/stream/1"))
         got = await stream.receive_some(65536)
@@ -226,7 +226,7 @@
         tell(retry_ratio=0.1, grace_s=3.0)
         os.kill(os.getpid(), signal.SIGHUP)
         await until(lambda: it.node.settings.bounds.grace_s == 3.0)
-        assert all(budget._ratio < 0.1 for budget in it.node._budgets.values())
+        assert all(budget._ratio < 0.1 for budget in it.node._retry_budgets.values())
         tell(retry_ratio=0.1, grace_s=4.5)  # and nobody says so
         await until(lambda: it.node.settings.bounds.grace_s == 4.5)
         go_on.set()
@@ -237,7 +237,7 @@
 @story
 async def test_a_primary_of_an_older_epoch_is_not_believed():
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
 
         def older(asked):
             return 200, msgspec.structs.replace(it.primary.update(asked), epoch=3, configuration=9)
@@ -261,7 +261,7 @@
     first = make_version(decode_configuration(json.dumps(CONFIGURATION)), 7)
     second = make_version(decode_configuration(json.dumps(CONFIGURATION | {"generation": 4})), 8)
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         for body in (encode_difference(make_difference(first, second)), b"no zlib"):
             it.primary.sequence = 1
             it.primary.polls.append(partial(with_change, it.primary, body))
@@ -280,7 +280,7 @@
 async def test_a_node_that_does_not_lead_is_asked_again_and_what_is_known_stays_in_force():
     async with running(ScriptedServer("i-1")) as it:
         it.primary.polls += [lambda asked: (503, NotPrimary("", ("127.0.0.1",)))] * 3
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         assert len(it.primary.asked) >= 4
         it.primary.polls += [lambda asked: (503, NotPrimary("", ("127.0.0.1",)))] * 3
         it.primary.quiet.set()
@@ -298,7 +298,7 @@
         return await answer(b"ok")(stream, asked)
 
     async with running(ScriptedServer("i-1", play)) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(it.ask, request("/plain/1"))
             await until(lambda: it.primary.reports)
@@ -312,7 +312,7 @@
 @story
 async def test_a_report_names_a_server_that_answers_nothing_until_it_answers():
     box = trio.Event()
-    shortest, selection.SHORTEST_SILENCE = selection.SHORTEST_SILENCE, 0.05
+    min_timeout_s, selection.MIN_RESPONSE_TIMEOUT_S = selection.MIN_RESPONSE_TIMEOUT_S, 0.05
 
     async def play(stream, asked):
         await box.wait()
@@ -320,7 +320,7 @@
 
     try:
         async with running(ScriptedServer("i-1", play)) as it:
-            await until(lambda: it.node.ready)
+            await until(lambda: it.node.is_ready)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(it.ask, request("/plain/1"))
                 await until(lambda: any(one.unresponsive_for for one in it.primary.reports))
@@ -329,22 +329,23 @@
                 box.set()
             await until(lambda: it.primary.reports[-1].unresponsive_for == {})
     finally:
-        selection.SHORTEST_SILENCE = shortest
+        selection.MIN_RESPONSE_TIMEOUT_S = min_timeout_s
 
 
 @story
 async def test_without_a_primary_requests_use_this_nodes_part_and_only_the_first_waits_for_an_answer():
-    pause, control_client.LEASE_PAUSE = control_client.LEASE_PAUSE, LIMIT  # however slow this machine is
+    backoff_s = usage_reporter.LEASE_BACKOFF_S
+    usage_reporter.LEASE_BACKOFF_S = LIMIT  # however slow this machine is
     try:
         await without_a_primary()
     finally:
-        control_client.LEASE_PAUSE = pause
+        usage_reporter.LEASE_BACKOFF_S = backoff_s
 
 
 async def without_a_primary():
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         waited = []
         plain = it.primary.answer
 
@@ -357,7 +358,7 @@
             await trio.sleep_forever()
 
         # its part: 100 tokens a second, told just now
-        it.node.quotas.granted("small", QuotaGrant(0.0, 0.0, 100.0), trio.current_time() - 1.0)
+        it.node.quotas.apply_grant("small", QuotaGrant(0.0, 0.0, 100.0), trio.current_time() - 1.0)
         it.primary.answer = answer_nothing
         assert status(await it.ask(body)) == 200
         answered = [status(await it.ask(body)) for _ in range(10)]
@@ -370,7 +371,7 @@
     """A connection that was reset says nothing of the primary: tokens are asked for at once."""
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
     async with running(ScriptedServer("i-1")) as it:
-        await until(lambda: it.node.ready)
+        await until(lambda: it.node.is_ready)
         plain, leased, broken = it.primary.answer, [], trio.Event()
 
         async def break_polls(path, told):
@@ -392,7 +393,8 @@
 
 @story
 async def test_a_primary_that_another_node_names_is_asked_at_once():
-    pause, control_client.PAUSE = control_client.PAUSE, 9 * LIMIT  # with a pause it would hang
+    backoff_s = control_client.HOST_BACKOFF_S
+    control_client.HOST_BACKOFF_S = 9 * LIMIT  # after a backoff it would hang
     try:
         async with running(ScriptedServer("i-1"), seeds=("127.0.0.1:1", "127.0.0.2:1")) as it:
             there = ScriptedPrimary(CONFIGURATION, *it.primary.servers)
@@ -402,11 +404,11 @@
                 await nursery.start(partial(trio.serve_tcp, guarded(there.serve), port, host="127.0.0.2"))
                 it.primary.answer = elsewhere
                 await until(lambda: there.asked)
-                await until(lambda: it.node.ready)
+                await until(lambda: it.node.is_ready)
                 assert status(await it.ask(request("/plain/1"))) == 200
                 nursery.cancel_scope.cancel()
     finally:
-        control_client.PAUSE = pause
+        control_client.HOST_BACKOFF_S = backoff_s
 
 
 async def elsewhere(path, body):
--- a/tests/edge/test_routing.py
+++ b/tests/edge/test_routing.py
@@ -4,9 +4,9 @@
 
 from wheatroute.cluster.configuration import Configuration, Route, Tenant
 from wheatroute.cluster.distribution import make_version
-from wheatroute.edge.routing import SERVER_LEVELS, SIZE_BOUNDS, RoutingTable
+from wheatroute.edge.routing import PROMPT_SIZE_BOUNDS, SERVER_RANKS, RoutingTable
 
-SHORT, MIDDLE, LONG = 100, SIZE_BOUNDS[0], SIZE_BOUNDS[1]
+SHORT, MIDDLE, LONG = 100, PROMPT_SIZE_BOUNDS[0], PROMPT_SIZE_BOUNDS[1]
 
 
 def table(priorities, tenants=()):
@@ -15,7 +15,7 @@
 
 
 def ranks(told, tokens, tenant=None):
-    return [told.priority(route, tenant, tokens) for route in told.version.routes.values()]
+    return [told.server_rank(route, tenant, tokens) for route in told.version.routes.values()]
 
 
 def test_short_prompts_of_every_priority_go_before_long_ones_and_priorities_order_each_size():
@@ -29,7 +29,7 @@
 def test_ranks_stay_within_those_that_servers_know(count, sizes):
     told = table([7 * number for number in range(count)])
     found = [ranks(told, tokens) for tokens in (SHORT, MIDDLE, LONG)]
-    assert all(0 <= rank < SERVER_LEVELS for row in found for rank in row)
+    assert all(0 <= rank < SERVER_RANKS for row in found for rank in row)
     assert all(row == sorted(row) for row in found)
     assert len({tuple(row) for row in found}) == sizes
 
--- a/tests/soak/virtual_fleet.py
+++ b/tests/soak/virtual_fleet.py
@@ -142,11 +142,11 @@
             bounds=BOUNDS,
         )
         node = EdgeNode(settings, LOG)
-        node.chance = Random(fleet.chance.random())
-        node.selection.loads = lambda: {"s": ServerLoad(100, 1)}
+        node.rng = Random(fleet.chance.random())
+        node.selector.load.local = lambda: {"s": ServerLoad(100, 1)}
         control = ControlClient(node)
-        control._client = httpx.AsyncClient(transport=Network(fleet, self.name))
-        admission = Admission(node, control.lease)
+        control._primary_client._http = httpx.AsyncClient(transport=Network(fleet, self.name))
+        admission = Admission(node, control.request_lease)
         with trio.CancelScope() as self.scope:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(control.run)
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -18,7 +18,7 @@
 from wheatroute.interface import Effect, Entry, Event, Group, Outcome, Report, Round, State, Terms, Writer
 from wheatroute.learned import FLOOR, MARGIN, RESOLVE, SAMPLES, WINDOW, Idleness, Pace, Request, Ring, Servers
 from wheatroute.orders import Alike, Waiting
-from wheatroute.split import clamped_shares
+from wheatroute.split import clamped_weights
 
 # The design's own figures.
 BEAT = 0.25  # health, window and waiting room are looked at this often, in shares of RESOLVE
@@ -238,7 +238,7 @@
         below = (1.0 - 1.0 / self._depth) * min(expected, default=0.0)
         # a server in another building looks slower by what crossing costs
         price, zone = CROSSED * self._terms["crossing_price"], self._terms["zone"]
-        wish = clamped_shares(
+        wish = clamped_weights(
             [
                 one - below + price * (servers.zone[s] != zone)
                 for s, one in zip(ring.servers, expected, strict=True)
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt of a request at one server, from its connection to the last event of its answer.
+"""One attempt of a request at one server, from its connection to the last event of its response.
 
-What was decided is judged once more in the moment of the write: the server may have left, and the client or
-its deadline may be gone. Before the last byte is written the request can't have run; after it, only an answer
-with `Not-Executed`, or status 421, proves that it did not.
+The decision to send is checked once more at the moment of the write: the server may have left, the client may
+be gone or the deadline past. Before its last byte is written a request can't have run; after it, only a
+response with `Not-Executed`, or status 421, proves that it did not.
 """
 
 from __future__ import annotations
@@ -14,221 +14,244 @@
 import trio
 
 from wheatroute.edge.connection import StreamConnection, unacknowledged_bytes
-from wheatroute.edge.events import EventSplitter
+from wheatroute.edge.event_stream import EventSplitter
 from wheatroute.edge.instances import Server
-from wheatroute.edge.pool import ConnectionPool, UnreachableError
-from wheatroute.edge.request import ClientRequest, Headers, server_headers
+from wheatroute.edge.pool import ConnectError, ConnectionPool
+from wheatroute.edge.request import ClientRequest, Headers, request_headers
 from wheatroute.net.connection import MalformedError
 
-MISDIRECTED = 421
-SERVER_ERROR = 500  # status from which an answer is a server's failure
-LONGEST_ANSWER = 64 << 20  # bytes of an answer that isn't a stream
-WRITE_CHECK = 0.1  # seconds between two judgements of a write that the server's side holds up
+MISDIRECTED_REQUEST = 421  # RFC 9110, 15.5.20
+MIN_SERVER_ERROR = 500  # status from which a response is a server's failure (RFC 9110, 15.6)
+STATUSES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3
+MAX_RESPONSE_BYTES = 64 << 20  # of a response that isn't a stream
+WRITE_CHECK_INTERVAL_S = 0.1  # between two checks of a write that the server's side holds up
 
 
 class Outcome(Enum):
-    """What became of an attempt up to its first event, or whole answer."""
+    """The result of an attempt up to its first event, or to the end of its response."""
 
-    STARTED = "started"  # the first event of a stream is here
-    ANSWERED = "answered"  # the whole answer is here
-    UNREACHED = "unreached"  # never written
-    WITHDRAWN = "withdrawn"  # never written, as it was no longer wanted
+    STREAM_STARTED = "stream-started"  # the first event of a stream is here
+    ANSWERED = "answered"  # the complete response is here
+    NOT_SENT = "not-sent"  # no connection, or it broke before the last byte was written
+    CANCELLED = "cancelled"  # not sent, as server, client or deadline were gone by then
     NOT_EXECUTED = "not-executed"  # the server says that it didn't run it
-    MISDIRECTED = "misdirected"  # another server answered
-    BROKEN = "broken"  # it may have run
+    MISDIRECTED = "misdirected"  # another server responded
+    FAILED = "failed"  # it may have run
 
 
-NEVER_RAN = frozenset((Outcome.UNREACHED, Outcome.WITHDRAWN, Outcome.NOT_EXECUTED, Outcome.MISDIRECTED))
+SUCCEEDED = frozenset((Outcome.STREAM_STARTED, Outcome.ANSWERED))
+NEVER_RAN = frozenset((Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.NOT_EXECUTED, Outcome.MISDIRECTED))
 
 
 class Attempt:
-    """One attempt; `run` is called once, then `events` for the rest of a stream."""
+    """One attempt; `run` is called once, then `next_events` for the rest of a stream.
+
+    `is_wanted` tells whether the client still waits; `prefill_tokens` is what the server is expected to read;
+    `last_event_id` the event after which a broken stream is resumed.
+    """
 
     def __init__(
         self,
         request: ClientRequest,
         server: Server,
         pool: ConnectionPool,
-        wanted: Callable[[], bool],
-        unread: float = 0.0,
-        last_event: bytes | None = None,
+        is_wanted: Callable[[], bool],
+        prefill_tokens: float = 0.0,
+        last_event_id: bytes | None = None,
     ) -> None:
         self.request, self.server = request, server
-        self.written_at = 0.0
-        self.written = False
+        self.prefill_tokens = prefill_tokens
+        self.is_written = False  # to the last byte
+        self.is_streaming = False
         self.status = 0
         self.reason = b""
         self.headers: Headers = []
-        self.body = b""  # the whole answer, or the first events of a stream
+        self.body = b""  # the complete response, or the first events of a stream
         self.splitter = EventSplitter()
-        self.streaming = False
-        self.detail = ""
-        self.own_fault = False
-        self.retry_after = ""
+        self.error_detail = ""
+        self.is_local_failure = False  # this machine was the reason that there was no connection
         self._pool = pool
-        self._wanted = wanted
-        self.unread = unread
-        self._last_event = last_event
-        self._line: StreamConnection | None = None
-        self._ended = False
+        self._is_wanted = is_wanted
+        self._last_event_id = last_event_id
+        self._connection: StreamConnection | None = None
+        self._is_complete = False
 
     async def run(self) -> Outcome:
-        """Sends the request and waits for the first event or the whole answer."""
+        """Send the request and wait for the first event or the complete response."""
         try:
-            self._line = await self._pool.take(self.server, self.request.id)
-        except UnreachableError as error:
-            self.detail, self.own_fault = str(error), error.own
-            return Outcome.UNREACHED
+            self._connection = await self._pool.acquire(self.server, self.request.id)
+        except ConnectError as error:
+            self.error_detail, self.is_local_failure = str(error), error.is_local
+            return Outcome.NOT_SENT
         try:
-            return await self._exchange(self._line)
-        except OSError as error:
-            self.detail = str(error)
-        except MalformedError as error:
-            self.detail = error.args[0] if error.args else "malformed"
+            return await self._exchange(self._connection)
+        except (OSError, MalformedError) as error:
+            self.error_detail = str(error)
         finally:
-            if not self.streaming:
+            if not self.is_streaming:
                 self.close()
-        return Outcome.BROKEN if self.written else Outcome.UNREACHED
-
-    def unacknowledged(self) -> bool:
-        """Whether the server's machine has not acknowledged all of the request that was written."""
-        return self.written and self._line is not None and unacknowledged_bytes(self._line.sock) > 0
-
-    def _may_go(self) -> bool:
-        return self.server.usable and self._wanted() and trio.current_time() < self.request.deadline
-
-    async def _exchange(self, line: StreamConnection) -> Outcome:
-        head = self._head()
-        if not self._may_go():
-            self._pool.keep(self.server, line)
-            self._line = None
-            return Outcome.WITHDRAWN
-        done = line.send(head, self.request.body)
-        while not done:
-            with trio.move_on_after(WRITE_CHECK):
-                await trio.lowlevel.wait_writable(line.sock)
-            if not self._may_go():
-                # without its rest it never runs
-                return Outcome.WITHDRAWN
-            done = line.write()
-        self.written, self.written_at = True, trio.current_time()
-        self.request.sends += 1
-        await self._read_head(line, head)
-        return await self._read_answer(line)
-
-    def _head(self) -> h11.Request:
-        left = self.request.deadline - trio.current_time()
-        headers = server_headers(self.request, self.server.id, left, self.unread, self._last_event)
+        return Outcome.FAILED if self.is_written else Outcome.NOT_SENT
+
+    def has_unacknowledged_bytes(self) -> bool:
+        """Return whether the server's host has not acknowledged all of the request that was written."""
+        connection = self._connection
+        return self.is_written and connection is not None and unacknowledged_bytes(connection.sock) > 0
+
+    def _may_write(self) -> bool:
+        return not self.server.has_left and self._is_wanted() and trio.current_time() < self.request.deadline
+
+    async def _exchange(self, connection: StreamConnection) -> Outcome:
+        head = self._request_head()
+        if not self._may_write():
+            self._pool.release(self.server, connection)
+            self._connection = None
+            return Outcome.CANCELLED
+        if not await self._write(connection, head):
+            return Outcome.CANCELLED
+        self.is_written = True
+        self.request.sent_attempts += 1
+        await self._read_head(connection, head)
+        return await self._read_response(connection)
+
+    async def _write(self, connection: StreamConnection, head: h11.Request) -> bool:
+        """Write the request; return False if it was given up before its last byte, so that it never runs."""
+        is_done = connection.send(head, self.request.body)
+        while not is_done:
+            with trio.move_on_after(WRITE_CHECK_INTERVAL_S):
+                await trio.lowlevel.wait_writable(connection.sock)
+            if not self._may_write():
+                return False
+            is_done = connection.write()
+        return True
+
+    def _request_head(self) -> h11.Request:
+        remaining_s = self.request.deadline - trio.current_time()
+        headers = request_headers(
+            self.request, self.server.id, remaining_s, self.prefill_tokens, self._last_event_id
+        )
         return h11.Request(method=self.request.method, target=self.request.target, headers=headers)
 
-    async def _read_head(self, line: StreamConnection, head: h11.Request) -> None:
-        """Reads the head of this request's answer; surplus answers to earlier ones are passed over."""
+    async def _read_head(self, connection: StreamConnection, request_head: h11.Request) -> None:
+        """Read the head of this request's response; surplus responses to earlier requests are skipped."""
         while True:
-            event = await line.next_event()
+            event = await connection.next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
                 raise MalformedError(0, "no answer")
             headers: Headers = [(bytes(key), bytes(value)) for key, value in event.headers]
-            told = dict(headers)
-            if not self._is_own(told, line):
-                await self._skip_body(line)
-                line.restart(head)
+            fields = dict(headers)
+            if not self._is_own_response(fields, connection):
+                await self._skip_body(connection)
+                connection.restart(request_head)
                 continue
             self.status, self.reason, self.headers = event.status_code, bytes(event.reason), headers
-            self._pool.note_keep_alive(self.server, told.get(b"keep-alive", b""))
+            self._pool.record_keep_alive(self.server, fields.get(b"keep-alive", b""))
             return
 
-    def _is_own(self, told: dict[bytes, bytes], line: StreamConnection) -> bool:
-        """Whether an answer is to this request; raises MalformedError where nothing can tell.
+    def _is_own_response(self, fields: dict[bytes, bytes], connection: StreamConnection) -> bool:
+        """Return whether a response is to this request.
 
-        Without an id it is if nothing else was ever asked on its connection.
+        A response without an id is, if no other request was ever written on its connection; else it can't be
+        told, and MalformedError is raised.
         """
-        identity = told.get(b"request-id", b"")
-        if not identity:
-            if line.messages > 1:
+        response_id = fields.get(b"request-id", b"")
+        if not response_id:
+            if connection.messages > 1:
                 raise MalformedError(0, "an answer without an id on a kept connection")
             return True
-        return identity == self.request.id
+        return response_id == self.request.id
 
     @staticmethod
-    async def _skip_body(line: StreamConnection) -> None:
-        while not isinstance(await line.next_event(), h11.EndOfMessage):
+    async def _skip_body(connection: StreamConnection) -> None:
+        while not isinstance(await connection.next_event(), h11.EndOfMessage):
             pass
 
-    async def _read_answer(self, line: StreamConnection) -> Outcome:
-        told = dict(self.headers)
-        framed = b"content-length" in told or b"transfer-encoding" in told
-        is_stream = told.get(b"content-type", b"").startswith(b"text/event-stream")
+    async def _read_response(self, connection: StreamConnection) -> Outcome:
+        fields = dict(self.headers)
+        is_stream = fields.get(b"content-type", b"").startswith(b"text/event-stream")
         if is_stream and 200 <= self.status < 300:
-            return await self._read_first_event(line)
-        parts: list[bytes] = []
+            return await self._read_first_event(connection)
+        self.body = await self._read_body(connection)
+        if not _has_framing(fields) and self.status not in STATUSES_WITHOUT_BODY:
+            raise MalformedError(0, "an answer without an end")
+        outcome = self._classify(fields)
+        if outcome != Outcome.ANSWERED or self.status >= MIN_SERVER_ERROR:
+            connection.answered_ids.add(self.request.id)
+        self._pool.release(self.server, connection)
+        self._connection = None
+        return outcome
+
+    @staticmethod
+    async def _read_body(connection: StreamConnection) -> bytes:
+        chunks: list[bytes] = []
         length = 0
-        while not isinstance(event := await line.next_event(), h11.EndOfMessage):
+        while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
             length += len(event.data)
-            if length > LONGEST_ANSWER:
+            if length > MAX_RESPONSE_BYTES:
                 raise MalformedError(0, "an answer too long")
-            parts.append(bytes(event.data))
-        if not framed and self.status not in (204, 304):
-            raise MalformedError(0, "an answer without an end")
-        self.body = b"".join(parts)
-        outcome = self._judge(told)
-        if outcome != Outcome.ANSWERED or self.status >= SERVER_ERROR:
-            line.answered.add(self.request.id)
-        self._pool.keep(self.server, line)
-        self._line = None
-        return outcome
+            chunks.append(bytes(event.data))
+        return b"".join(chunks)
 
-    def _judge(self, told: dict[bytes, bytes]) -> Outcome:
-        if self.status == MISDIRECTED:
+    def _classify(self, fields: dict[bytes, bytes]) -> Outcome:
+        if self.status == MISDIRECTED_REQUEST:
             return Outcome.MISDIRECTED
-        if told.get(b"not-executed", b"").strip() not in (b"", b"0"):
-            self.retry_after = told.get(b"retry-after", b"").decode("latin-1")
+        if fields.get(b"not-executed", b"").strip() not in (b"", b"0"):
             return Outcome.NOT_EXECUTED
         return Outcome.ANSWERED
 
-    async def _read_first_event(self, line: StreamConnection) -> Outcome:
+    async def _read_first_event(self, connection: StreamConnection) -> Outcome:
         while True:
-            event = await line.next_event()
+            event = await connection.next_event()
             if isinstance(event, h11.EndOfMessage):
-                self.body = self.splitter.partial
-                self._ended = True
+                self.body = self.splitter.incomplete
+                self._is_complete = True
                 break
             self.body = self.splitter.feed(bytes(event.data))
             if self.body:
                 break
-        self.streaming = True
-        return Outcome.STARTED
+        self.is_streaming = True
+        return Outcome.STREAM_STARTED
 
     async def next_events(self) -> bytes | None:
-        """The bytes of the next whole events, None at the proper end.
+        """Return the bytes of the next complete events, None at the end of the stream.
 
-        Raises OSError or MalformedError where the stream breaks off; the partial event is dropped then.
+        Raises OSError or MalformedError where the stream breaks off; an incomplete event is dropped then.
         """
-        line = self._line
-        if self._ended or line is None:
+        connection = self._connection
+        if self._is_complete or connection is None:
             return None
         while True:
-            event = await line.next_event()
+            event = await connection.next_event()
             if isinstance(event, h11.EndOfMessage):
-                if b"transfer-encoding" not in dict(self.headers) and b"content-length" not in dict(
-                    self.headers
-                ):
-                    raise MalformedError(0, "a stream without an end")
-                if self.splitter.partial:
-                    raise MalformedError(0, "a stream that ends inside an event")
-                self._ended = True
+                self._check_end_of_stream()
+                self._is_complete = True
                 return None
-            whole = self.splitter.feed(bytes(event.data))
-            if whole:
-                return whole
+            events = self.splitter.feed(bytes(event.data))
+            if events:
+                return events
+
+    def _check_end_of_stream(self) -> None:
+        """Raise MalformedError unless the stream's end proves that it is complete.
+
+        A response without framing ends with its connection, as a broken one does (RFC 9112, 8).
+        """
+        if not _has_framing(dict(self.headers)):
+            raise MalformedError(0, "a stream without an end")
+        if self.splitter.incomplete:
+            raise MalformedError(0, "a stream that ends inside an event")
 
     def close(self) -> None:
-        """Lets go of the connection: kept after a whole answer, else closed, which cancels the request."""
-        line, self._line = self._line, None
-        if line is None:
+        """Give the connection back after a complete response, else close it, which cancels the request."""
+        connection, self._connection = self._connection, None
+        if connection is None:
             return
-        if self._ended:
-            self._pool.keep(self.server, line)
+        if self._is_complete:
+            self._pool.release(self.server, connection)
         else:
-            self._pool.drop(self.server, line)
+            self._pool.discard(self.server, connection)
+
+
+def _has_framing(fields: dict[bytes, bytes]) -> bool:
+    """Return whether a response's length is known from its head (RFC 9112, 6.3)."""
+    return b"content-length" in fields or b"transfer-encoding" in fields
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -1,38 +1,40 @@
-"""The listener for clients, and their connections."""
+"""Accepts clients' connections, reads their requests, and has each answered.
+
+Does the accepting itself; reading and writing is done by `wheatroute.edge.connection`.
+"""
 
 from __future__ import annotations
 
-import errno
 import logging
 import socket
 from contextlib import suppress
+from math import inf
 
 import h11
 import trio
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.edge.answers import ClientAnswer, ClientGoneError
-from wheatroute.edge.connection import StreamConnection, tune
+from wheatroute.edge.client_response import ClientDisconnectedError, ClientResponse
+from wheatroute.edge.connection import OUT_OF_DESCRIPTORS, StreamConnection, tune
 from wheatroute.edge.forwarding import Forwarder
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.request import ClientRequest
 from wheatroute.net.connection import MalformedError
 
-BODY_TIME = 20.0  # seconds for a body, on top of the head's
-LINGER = 0.5  # seconds for a client to take its last answer in, while what it still sends is thrown away
-AHEAD = 65536  # bytes that a client may send ahead of its answer
-ACCEPT_PAUSE = 0.05
-STATUS_KINDS = {413: ErrorKind.BODY_TOO_LARGE, 431: ErrorKind.HEAD_TOO_LARGE}
-OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
+BODY_TIMEOUT_S = 20.0  # for a body, on top of the head's
+LINGER_TIMEOUT_S = 0.5  # for a client to read its last response, while what it still sends is discarded
+MAX_PIPELINED_BYTES = 65536  # that a client may send before its response is complete
+ACCEPT_BACKOFF_S = 0.05  # while this process has no descriptors left
+ERRORS_BY_STATUS = {413: ErrorKind.BODY_TOO_LARGE, 431: ErrorKind.HEAD_TOO_LARGE}
 
 
 class _Client:
     """One client's connection."""
 
-    def __init__(self, line: StreamConnection) -> None:
-        self.line = line
-        self.busy = False
-        self.scope = trio.CancelScope()  # of its wait for the next request
+    def __init__(self, connection: StreamConnection) -> None:
+        self.connection = connection
+        self.is_busy = False  # a request is being read or answered
+        self.idle_scope = trio.CancelScope()  # of its wait for the next request
 
 
 class Clients:
@@ -46,12 +48,14 @@
         self._listener: socket.socket | None = None
 
     @property
-    def busy(self) -> int:
-        """Clients whose request is under way."""
-        return sum(1 for client in self._clients if client.busy)
+    def busy_count(self) -> int:
+        """Number of clients with a request that is being read or answered."""
+        return sum(1 for client in self._clients if client.is_busy)
+
+    # connections
 
     async def run(self, listener: socket.socket) -> None:
-        """Accepts until `close_listener`."""
+        """Accept connections until `close_listener`."""
         self._listener = listener
         async with trio.open_nursery() as nursery:
             while True:
@@ -67,129 +71,157 @@
                     if listener.fileno() < 0:
                         return
                     if error.errno in OUT_OF_DESCRIPTORS:
-                        await trio.sleep(ACCEPT_PAUSE)
+                        await trio.sleep(ACCEPT_BACKOFF_S)
                     continue
                 sock.setblocking(False)
                 nursery.start_soon(self._serve, sock, f"{peer[0]}:{peer[1]}")
 
     def close_listener(self) -> None:
-        """Takes no more connections."""
+        """Accept no more connections."""
         listener, self._listener = self._listener, None
         if listener is not None:
             trio.lowlevel.notify_closing(listener)
             listener.close()
 
     def close_idle(self) -> None:
-        """Ends the connections that have no request under way."""
+        """Close the connections that have no request in progress."""
         for client in self._clients:
-            if not client.busy:
-                client.scope.cancel()
+            if not client.is_busy:
+                client.idle_scope.cancel()
 
     async def _serve(self, sock: socket.socket, peer: str) -> None:
         tune(sock)
-        line = StreamConnection(sock, h11.SERVER, peer)
-        client = _Client(line)
+        connection = StreamConnection(sock, h11.SERVER, peer)
+        client = _Client(connection)
         self._clients.add(client)
         try:
-            while await self._one(client) and line.next_message():
-                client.busy = False
-                client.scope = trio.CancelScope()
-        except (OSError, ClientGoneError):
+            while await self._serve_request(client) and connection.next_message():
+                client.is_busy = False
+                client.idle_scope = trio.CancelScope()
+        except (OSError, ClientDisconnectedError):
             pass
         except Exception:
             self._log.exception("fault")
         finally:
             self._clients.discard(client)
-            line.close()
+            connection.close()
 
-    async def _one(self, client: _Client) -> bool:
-        """One request and its answer; false if the connection is to end."""
-        line = client.line
+    # requests
+
+    async def _serve_request(self, client: _Client) -> bool:
+        """Read and answer one request; return False if the connection is to end."""
         limits = self._node.table.limits
-        line.longest = limits.max_body_bytes
+        client.connection.longest = limits.max_body_bytes
+        idle_timeout_s, head_timeout_s = limits.idle_timeout_ms / 1000, limits.header_timeout_ms / 1000
         try:
-            request = await self._read(client, limits.idle_timeout_ms / 1000, limits.header_timeout_ms / 1000)
+            request = await self._read_request(client, idle_timeout_s, head_timeout_s)
         except MalformedError as error:
-            if error.args and error.args[0] == "closed":
+            if str(error) == "closed":
                 return False
-            kind = STATUS_KINDS.get(error.status, ErrorKind.BAD_REQUEST)
-            await self._refuse(client, RequestError(kind, str(error)))
+            kind = ERRORS_BY_STATUS.get(error.status, ErrorKind.BAD_REQUEST)
+            await self._reject(client, RequestError(kind, str(error)))
             return False
         except trio.TooSlowError:
-            await self._refuse(client, RequestError(ErrorKind.REQUEST_TIMEOUT, "the request came too slowly"))
+            await self._reject(client, RequestError(ErrorKind.REQUEST_TIMEOUT, "the request came too slowly"))
             return False
         if request is None:
             return False
         return await self._answer(client, request)
 
-    async def _refuse(self, client: _Client, error: RequestError) -> None:
-        """An answer to what is no whole request; the connection ends with it."""
-        line = client.line
-        if line.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+    async def _reject(self, client: _Client, error: RequestError) -> None:
+        """Answer what is not a complete request, and end the connection.
+
+        What the client still sends is read and discarded: closing a socket with unread bytes resets the
+        connection, by which the client could lose the response (RFC 9112, 9.6).
+        """
+        connection = client.connection
+        if connection.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
-        with trio.move_on_after(LINGER):
-            await ClientAnswer(line, closing=True).refuse(b"", error)
+        with trio.move_on_after(LINGER_TIMEOUT_S):
+            await ClientResponse(connection, is_closing=True).send_error(b"", error)
             with suppress(OSError):
-                line.sock.shutdown(socket.SHUT_WR)
-            line.deaf = True
-            while await line.more():
+                connection.sock.shutdown(socket.SHUT_WR)
+            connection.deaf = True
+            while await connection.more():
                 pass
 
-    async def _read(self, client: _Client, idle: float, head_time: float) -> ClientRequest | None:
-        """The next whole request; None if the client is silent for too long, or gone."""
-        line = client.line
-        with client.scope, trio.move_on_after(idle):
-            while not line.begun:
-                if line.parse():
-                    break
-                if not await line.more():
-                    return None
-            else:
-                client.busy = True
-        if not line.begun and line.http.their_state is h11.IDLE:
+    async def _read_request(
+        self, client: _Client, idle_timeout_s: float, head_timeout_s: float
+    ) -> ClientRequest | None:
+        """Return the next complete request; None if the client was idle for too long, or is gone.
+
+        Raises MalformedError, and trio.TooSlowError if the request takes too long after its first byte.
+        """
+        if not await self._wait_for_first_byte(client, idle_timeout_s):
             return None
-        client.busy = True
-        received = trio.current_time()
-        interim = False
-        with trio.fail_after(head_time + BODY_TIME):
-            while not line.parse():
-                if line.http.they_are_waiting_for_100_continue and not interim:
-                    interim = True
-                    await line.send_interim()
-                if line.http.their_state is not h11.SEND_BODY and trio.current_time() > received + head_time:
-                    raise trio.TooSlowError
-                limit = received + head_time if line.http.their_state is h11.IDLE else float("inf")
-                with trio.move_on_at(limit) as scope:
-                    if not await line.more():
-                        return None
-                if scope.cancelled_caught:
-                    raise trio.TooSlowError
-        head = line.head
+        client.is_busy = True
+        received_at = trio.current_time()
+        with trio.fail_after(head_timeout_s + BODY_TIMEOUT_S):
+            if not await self._read_message(client.connection, received_at + head_timeout_s):
+                return None
+        connection = client.connection
+        head = connection.head
         headers = [(bytes(name), bytes(value)) for name, value in head.headers]
-        return ClientRequest(bytes(head.method), bytes(head.target), headers, line.body, received)
+        return ClientRequest(bytes(head.method), bytes(head.target), headers, connection.body, received_at)
+
+    @staticmethod
+    async def _wait_for_first_byte(client: _Client, idle_timeout_s: float) -> bool:
+        """Wait until part of a request is here; return False at the idle timeout or the connection's end."""
+        connection = client.connection
+        with client.idle_scope, trio.move_on_after(idle_timeout_s):
+            while not connection.begun:
+                if connection.parse():
+                    break
+                if not await connection.more():
+                    return False
+            else:
+                client.is_busy = True
+        return connection.begun or connection.http.their_state is not h11.IDLE
+
+    @staticmethod
+    async def _read_message(connection: StreamConnection, head_deadline: float) -> bool:
+        """Read until a request is complete; return False if the client has closed the connection before.
+
+        Raises MalformedError, and trio.TooSlowError if its head isn't complete at the deadline.
+        """
+        has_sent_continue = False
+        while not connection.parse():
+            if connection.http.they_are_waiting_for_100_continue and not has_sent_continue:
+                has_sent_continue = True
+                await connection.send_interim()
+            is_reading_body = connection.http.their_state is h11.SEND_BODY
+            if not is_reading_body and trio.current_time() > head_deadline:
+                raise trio.TooSlowError
+            deadline = head_deadline if connection.http.their_state is h11.IDLE else inf
+            with trio.move_on_at(deadline) as scope:
+                if not await connection.more():
+                    return False
+            if scope.cancelled_caught:
+                raise trio.TooSlowError
+        return True
 
     async def _answer(self, client: _Client, request: ClientRequest) -> bool:
-        """Has the request carried, while the client is watched; true if the connection can go on."""
-        answer = ClientAnswer(client.line, closing=self._node.stopping)
+        """Have a request answered, while its client is watched; return True if the connection can go on."""
+        response = ClientResponse(client.connection, is_closing=self._node.is_stopping)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, client, answer, nursery.cancel_scope)
-            with suppress(ClientGoneError):
-                await self._forwarder.handle(request, answer)
+            nursery.start_soon(self._watch_disconnect, client, response, nursery.cancel_scope)
+            with suppress(ClientDisconnectedError):
+                await self._forwarder.handle(request, response)
             nursery.cancel_scope.cancel()
-        # a client that wasn't told of the end may be about to send: its connection ends once it is idle
-        return answer.whole and not answer.closing
+        # without `Connection: close` the client may be about to send: its connection ends once it is idle
+        return response.is_complete and not response.is_closing
 
     @staticmethod
-    async def _watch(client: _Client, answer: ClientAnswer, scope: trio.CancelScope) -> None:
-        """Notices a client that goes while its request is under way."""
-        line = client.line
+    async def _watch_disconnect(client: _Client, response: ClientResponse, scope: trio.CancelScope) -> None:
+        """Cancel a request when its client disconnects."""
+        connection = client.connection
         try:
-            while len(line.http.trailing_data[0]) < AHEAD:
-                if not await line.more():
+            while len(connection.http.trailing_data[0]) < MAX_PIPELINED_BYTES:
+                if not await connection.more():
                     break
             else:
                 return
         except OSError:
             pass
-        answer.gone = True
+        response.is_client_gone = True
         scope.cancel()
--- a/wheatroute/edge/connection.py
+++ b/wheatroute/edge/connection.py
@@ -1,7 +1,12 @@
-"""A connection whose messages are passed on in parts, as streams need; both sides of the edge use it."""
+"""HTTP/1.1 connections whose messages are read and written piece by piece, as streams need.
+
+Used towards clients and servers. All socket I/O of the edge role's requests is done here and in
+`wheatroute.net.connection`.
+"""
 
 from __future__ import annotations
 
+import errno
 import fcntl
 import socket
 import struct
@@ -13,14 +18,15 @@
 
 from wheatroute.net.connection import LONGEST_HEAD, Connection, MalformedError
 
-USER_TIMEOUT_MS = 2000  # of bytes that the other end's machine has not acknowledged
+USER_TIMEOUT_MS = 2000  # after which bytes that the peer's host has not acknowledged end a connection
 SIOCOUTQ = 0x5411  # Linux, asm-generic/ioctls.h
-COUNT = struct.Struct("i")
+OUTPUT_QUEUE_SIZE = struct.Struct("i")  # what SIOCOUTQ fills in
 KEEPALIVE_IDLE_S, KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 2, 1, 2
+OUT_OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
 
 
 def tune(sock: socket.socket) -> None:
-    """Small messages go at once, and a machine that went dark is noticed."""
+    """Set socket options: small writes aren't delayed, and a peer whose host is down is noticed."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with suppress(OSError, AttributeError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
@@ -31,56 +37,61 @@
 
 
 def unacknowledged_bytes(sock: socket.socket) -> int:
-    """Bytes written that the other end's machine has not acknowledged (Linux, tcp(7)); 0 if unknown."""
+    """Return how many written bytes the peer's host has not acknowledged (Linux, tcp(7)); 0 if unknown."""
     try:
-        (count,) = COUNT.unpack(fcntl.ioctl(sock.fileno(), SIOCOUTQ, bytes(COUNT.size)))
+        filled_in = fcntl.ioctl(sock.fileno(), SIOCOUTQ, bytes(OUTPUT_QUEUE_SIZE.size))
+        (count,) = OUTPUT_QUEUE_SIZE.unpack(filled_in)
     except OSError:
         return 0
     return int(count)
 
 
 class StreamConnection(Connection):
-    """A connection that also writes a message in parts, and reads an answer part by part.
+    """A connection that also writes a message piece by piece, and reads one event by event.
 
-    `answered` are the ids of requests that were answered here and may be sent again: a surplus copy of such
-    an answer could not be told from the answer to the second send, so that one takes another connection.
+    `answered_ids` are the ids of requests that were answered here and may be sent again. A surplus copy of
+    such a response could not be told from the response to the second attempt, so that one takes another
+    connection.
     """
 
-    __slots__ = ("answered",)
+    __slots__ = ("answered_ids",)
 
     def __init__(self, sock: socket.socket, role: type, peer: str) -> None:
         super().__init__(sock, role, peer)
-        self.answered: set[bytes] = set()
+        self.answered_ids: set[bytes] = set()
 
     def _queue(self, event: Any) -> None:
         self._unsent += self.http.send(event) or b""
 
     async def send_head(self, head: h11.Response, first: bytes) -> None:
-        """Writes a head and the first part of its body together."""
+        """Write a head and the first bytes of its body together."""
         self.whole = False
         self._queue(head)
-        await self.send_part(first)
+        await self.send_body(first)
 
-    async def send_part(self, data: bytes) -> None:
-        """Writes one part of a body; waits while the other side doesn't read."""
+    async def send_body(self, data: bytes) -> None:
+        """Write more of a body; waits while the peer doesn't read."""
         if data:
             self._queue(h11.Data(data=data))
         if self._unsent:
             await self.rest()
 
     async def send_end(self) -> None:
-        """Writes the end of a message, which tells the other side that it is whole."""
+        """Write the end of a message, by which the peer knows that it is complete."""
         self._queue(h11.EndOfMessage())
         if self._unsent:
             await self.rest()
 
     async def send_interim(self) -> None:
-        """Tells a client that waits for it to go on with the body."""
+        """Write 100 (Continue) to a client that waits for it before its body (RFC 9110, 10.1.1)."""
         self._queue(h11.InformationalResponse(status_code=100, headers=[]))
         await self.rest()
 
     async def next_event(self) -> Any:
-        """The next event of the message that is read; raises MalformedError where it is cut off or spoilt."""
+        """Return the next event of the message that is read.
+
+        Raises MalformedError if the message is cut off or malformed.
+        """
         while True:
             try:
                 event = self.http.next_event()
@@ -91,7 +102,7 @@
             if event is not h11.NEED_DATA:
                 return event
             if not await self.more():
-                # h11 tells apart a message that may end here from one that is cut off
+                # only h11 knows whether the message may end with its connection (RFC 9112, 6.3)
                 try:
                     event = self.http.next_event()
                 except h11.RemoteProtocolError as error:
@@ -101,26 +112,26 @@
                 return event
 
     def restart(self, request: h11.Request) -> None:
-        """Begins to read another answer to a request that was already written, behind a surplus one."""
-        rest = self.http.trailing_data[0]
+        """Read another response to a request that is already written, after a surplus response."""
+        unread = self.http.trailing_data[0]
         self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LONGEST_HEAD)
-        # how an answer is read depends on the method alone; a length would ask for the body once more
+        # framing of a response depends on the request's method alone; h11 would want the body of a length
         headers = [(b"Host", b"-")]
         self.http.send(h11.Request(method=request.method, target=request.target, headers=headers))
         self.http.send(h11.EndOfMessage())
-        if rest:
-            self.http.receive_data(rest)
+        if unread:
+            self.http.receive_data(unread)
 
 
-async def connect(place: tuple[str, int], timeout: float) -> StreamConnection:
-    """A new connection to a server; raises OSError or trio.TooSlowError."""
+async def connect(address: tuple[str, int], timeout_s: float) -> StreamConnection:
+    """Open a connection to a server; raises OSError or trio.TooSlowError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
         tune(sock)
-        code = sock.connect_ex(place)
+        code = sock.connect_ex(address)
         if code:
-            with trio.fail_after(timeout):
+            with trio.fail_after(timeout_s):
                 await trio.lowlevel.wait_writable(sock)
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
@@ -128,4 +139,4 @@
     except BaseException:
         sock.close()
         raise
-    return StreamConnection(sock, h11.CLIENT, f"{place[0]}:{place[1]}")
+    return StreamConnection(sock, h11.CLIENT, f"{address[0]}:{address[1]}")
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -1,278 +1,176 @@
-"""Brings a request to a server that begins to answer it: chooses, sends, hedges and repeats."""
+"""Brings a request to a server that begins to answer it: waits for one, sends, hedges and retries."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 
 import trio
 
-from wheatroute.cluster.configuration import Route
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.edge.attempt import NEVER_RAN, SERVER_ERROR, Attempt, Outcome
-from wheatroute.edge.instances import Outstanding, Server
+from wheatroute.edge.attempt import Attempt, Outcome
+from wheatroute.edge.attempt_runner import AttemptRunner
+from wheatroute.edge.delivery import Delivery, FinishedAttempt
+from wheatroute.edge.instances import Server
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.request import ClientRequest
 
-PATIENCE = 0.22  # of a route's target that a request may wait for a server before it is refused
-SHORTEST_PATIENCE = 0.02  # seconds
-SILENT = 2.0  # times the p95 after which a server that answers nothing is passed over
-POLL = 0.02  # seconds between two looks for a server
-MOST_SENDS = 4  # attempts of a request, those included that provably never ran
-SUCCEEDED = frozenset((Outcome.STARTED, Outcome.ANSWERED))
-
-
-@dataclass(frozen=True)
-class FinishedAttempt:
-    """An attempt whose first event or whole answer is here, or that failed before."""
-
-    attempt: Attempt
-    outcome: Outcome
-
-    @property
-    def succeeded(self) -> bool:
-        """Whether there is something to pass on; it stays on its server's account then."""
-        return self.outcome in SUCCEEDED
-
-
-@dataclass
-class Delivery:
-    """One request on its way to a server."""
-
-    request: ClientRequest
-    route: Route
-    wanted: Callable[[], bool]  # whether its client still waits
-    last_event: bytes | None  # after which a stream is resumed
-    tried: set[str]  # ids of servers that had their turn
+QUEUE_TIMEOUT_FRACTION = 0.22  # of a route's latency target that a request may wait for a server
+MIN_QUEUE_TIMEOUT_S = 0.02
+QUEUE_POLL_INTERVAL_S = 0.02  # between two checks whether there is a server
+MAX_SENT_ATTEMPTS = 4  # of a request that waits, including those that provably never ran
 
 
 class Dispatcher:
-    """All attempts of this node."""
+    """All attempts of one node."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
+        self._attempts = AttemptRunner(node)
 
-    async def begin(
-        self, request: ClientRequest, wanted: Callable[[], bool], last_event: bytes | None = None
+    async def dispatch(
+        self, request: ClientRequest, is_wanted: Callable[[], bool], last_event_id: bytes | None = None
     ) -> Attempt:
-        """An attempt that has its first event or whole answer; raises RequestError if there will be none.
+        """Return an attempt that has its first event or complete response; the caller releases it.
 
-        The caller lets go of it when its answer is passed on.
+        `is_wanted` tells whether the client still waits. Raises RequestError if there will be no response.
         """
         assert request.route is not None
-        delivery = Delivery(request, request.route, wanted, last_event, set())
-        full = False
+        delivery = Delivery(request, request.route, is_wanted, last_event_id, set())
+        was_rejected = False  # by a server, for want of capacity
         while True:
-            server = self._choose(delivery)
+            server = self._choose_server(delivery)
             if server is None:
-                self._check_patience(delivery, full)
-                await trio.sleep(POLL)
-                delivery.tried.clear()
+                self._check_queue_timeout(delivery, was_rejected)
+                await trio.sleep(QUEUE_POLL_INTERVAL_S)
+                delivery.attempted_ids.clear()
                 continue
-            delivery.tried.add(server.id)
+            delivery.attempted_ids.add(server.id)
             finished = await self._send(delivery, server)
-            if finished.succeeded and not self._try_elsewhere(delivery, finished.attempt):
-                return finished.attempt
-            if finished.succeeded:
-                self.let_go(finished.attempt)
+            if finished.has_succeeded:
+                if not self._may_retry_error(delivery, finished):
+                    return finished.attempt
+                self.release(finished.attempt)
                 continue
-            self._learn_failure(finished)
-            full = full or finished.outcome == Outcome.NOT_EXECUTED
-            self._check_repeat(delivery, finished)
+            self._attempts.learn_failure(finished)
+            was_rejected = was_rejected or finished.outcome == Outcome.NOT_EXECUTED
+            self._check_retry(delivery, finished)
+
+    def release(self, attempt: Attempt) -> None:
+        """End an attempt that `dispatch` has returned."""
+        self._attempts.release(attempt)
 
-    def let_go(self, attempt: Attempt) -> None:
-        """Takes an attempt that had begun its answer off its server's account, and closes what is open."""
-        self._node.selection.ended(attempt.server)
-        attempt.close()
+    def may_retry(self, request: ClientRequest) -> bool:
+        """Return whether the service's retry budget allows one more attempt; counts it if so."""
+        budget = self._node.retry_budget(request.service)
+        return budget.try_retry(trio.current_time(), self._node.edge_node_count)
 
-    def may_repeat(self, request: ClientRequest) -> bool:
-        """Whether the service's retry budget allows one more send; counts it if so."""
-        return self._node.budget(request.service).repeat(trio.current_time(), self._node.nodes)
+    # queue
 
-    # repeats
+    def _choose_server(self, delivery: Delivery) -> Server | None:
+        """Return the best server that hasn't been tried and has a connection to spare."""
+        node, request = self._node, delivery.request
+        available = node.instances.available(request.service)
+        servers = [server for server in available if server.id not in delivery.attempted_ids]
+        if not servers:
+            return None
+        service = request.table.services.get(request.service) if request.table is not None else None
+        max_connections = service.max_conns if service is not None else 0
+        node.hedge_timer.delay_s(trio.current_time())  # updates the p95
+        node.selector.set_response_timeout(node.hedge_timer.p95_s)
+        ranked = node.selector.rank(
+            request.service, servers, request.prefix_key, request.prefix_blocks, delivery.target_s
+        )
+        for server in ranked:
+            if node.pool.has_capacity(server, max_connections, node.edge_node_count):
+                return server
+        return None
 
     @staticmethod
-    def _check_patience(delivery: Delivery, full: bool) -> None:
-        """Raises RequestError once a request has waited for a server as long as its target allows."""
+    def _check_queue_timeout(delivery: Delivery, was_rejected: bool) -> None:
+        """Raise RequestError once a request has waited for a server as long as its target allows."""
         request = delivery.request
-        patience = max(SHORTEST_PATIENCE, PATIENCE * delivery.route.target_ms / 1000.0)
-        waited = trio.current_time() - request.received
-        if not full and waited <= patience and request.sends < MOST_SENDS:
+        queue_timeout_s = max(MIN_QUEUE_TIMEOUT_S, QUEUE_TIMEOUT_FRACTION * delivery.target_s)
+        waited_s = trio.current_time() - request.received_at
+        may_wait = waited_s <= queue_timeout_s and request.sent_attempts < MAX_SENT_ATTEMPTS
+        if may_wait and not was_rejected:
             return
-        kind = ErrorKind.NO_CAPACITY if full else ErrorKind.NO_SERVER
+        kind = ErrorKind.NO_CAPACITY if was_rejected else ErrorKind.NO_SERVER
         if request.may_have_run:
             kind = ErrorKind.SERVER_FAILED
         raise RequestError(kind, f"no server of {request.service} takes it")
 
-    def _try_elsewhere(self, delivery: Delivery, attempt: Attempt) -> bool:
-        """Whether a server's own failure is answered by another attempt; counts it if so."""
-        if attempt.streaming or attempt.status < SERVER_ERROR:
-            return False
-        return self._repeatable(delivery) and self.may_repeat(delivery.request)
+    # retries
 
-    @staticmethod
-    def _repeatable(delivery: Delivery) -> bool:
-        """Whether a request that may have run may be sent again at all."""
-        return delivery.route.idempotent and delivery.request.sends < delivery.route.retries
+    def _may_retry_error(self, delivery: Delivery, finished: FinishedAttempt) -> bool:
+        """Return whether a server's error response is dropped for another attempt; counts it if so."""
+        if not finished.is_server_error:
+            return False
+        return delivery.has_retries_left and self.may_retry(delivery.request)
 
-    def _check_repeat(self, delivery: Delivery, finished: FinishedAttempt) -> None:
-        """Raises RequestError unless a request whose attempt failed may go to another server."""
+    def _check_retry(self, delivery: Delivery, finished: FinishedAttempt) -> None:
+        """Raise RequestError unless a request whose attempt failed may go to another server."""
         request, outcome = delivery.request, finished.outcome
-        if outcome == Outcome.BROKEN:
-            if not self._repeatable(delivery) or not self.may_repeat(request):
-                raise RequestError(ErrorKind.SERVER_FAILED, finished.attempt.detail)
-        elif outcome in (Outcome.NOT_EXECUTED, Outcome.MISDIRECTED) and not self.may_repeat(request):
+        if outcome == Outcome.FAILED:
+            if not delivery.has_retries_left or not self.may_retry(request):
+                raise RequestError(ErrorKind.SERVER_FAILED, finished.attempt.error_detail)
+        elif outcome in (Outcome.NOT_EXECUTED, Outcome.MISDIRECTED) and not self.may_retry(request):
             kind = ErrorKind.SERVER_FAILED if request.may_have_run else ErrorKind.NO_CAPACITY
             raise RequestError(kind, "the retry budget is used up")
 
-    # servers
-
-    def _choose(self, delivery: Delivery) -> Server | None:
-        """The best server that hasn't been tried and has a connection to spare."""
-        node, request = self._node, delivery.request
-        servers = [one for one in node.instances.of(request.service) if one.id not in delivery.tried]
-        if not servers:
-            return None
-        service = request.table.services.get(request.service) if request.table is not None else None
-        most = service.max_conns if service is not None else 0
-        target = delivery.route.target_ms / 1000.0
-        node.timer.wait(trio.current_time())
-        node.selection.silence = SILENT * node.timer.p95
-        for server in node.selection.order(request.service, servers, request.key, request.parts, target):
-            if node.pool.room(server, most, node.nodes):
-                return server
-        return None
-
-    def _learn_failure(self, finished: FinishedAttempt) -> None:
-        server, outcome = finished.attempt.server, finished.outcome
-        now = trio.current_time()
-        if outcome == Outcome.MISDIRECTED:
-            self._node.instances.misdirected(server)
-            self._node.pool.close_idle(server)
-        elif outcome == Outcome.UNREACHED and not finished.attempt.own_fault:
-            server.failed(now)
-            self._node.pool.close_idle(server)
-        elif outcome == Outcome.BROKEN:
-            server.failed(now)
-        elif outcome == Outcome.NOT_EXECUTED:
-            server.shed(now)
-
-    # one or two attempts
+    # hedging
 
     async def _send(self, delivery: Delivery, server: Server) -> FinishedAttempt:
-        """One attempt, and the design's one hedge where it is allowed; the loser is cancelled."""
-        if not self._hedgeable(delivery):
-            return await self._attempt(delivery, server)
+        """Run one attempt, and a hedge where it is allowed; the attempt that loses is cancelled."""
+        if not delivery.is_hedgeable:
+            return await self._attempts.run(delivery, server)
         finished: list[FinishedAttempt] = []
-        kept: FinishedAttempt | None = None
+        winner: FinishedAttempt | None = None
         try:
             async with trio.open_nursery() as nursery:
-                kept = await self._first(delivery, server, nursery, finished)
+                winner = await self._send_hedged(delivery, server, nursery, finished)
                 nursery.cancel_scope.cancel()
         except BaseException:
-            kept = None
+            winner = None
             raise
         finally:
-            # the loser may have begun its answer before it was cancelled, and so may both if the request ends
+            # a loser may have succeeded before it was cancelled, and so may both if the request ends
             for other in finished:
-                if other.succeeded and other is not kept:
-                    self.let_go(other.attempt)
-        assert kept is not None
-        return kept
+                if other.has_succeeded and other is not winner:
+                    self.release(other.attempt)
+        assert winner is not None
+        return winner
 
-    async def _first(
+    async def _send_hedged(
         self, delivery: Delivery, server: Server, nursery: trio.Nursery, finished: list[FinishedAttempt]
     ) -> FinishedAttempt:
-        """The first of one or two attempts that succeeds, else the last one; `finished` gets all that end."""
-        ended, endings = trio.open_memory_channel[FinishedAttempt](2)
+        """Return the first of one or two attempts that succeeds, else the last one.
 
-        async def run(one: Server) -> None:
-            result = await self._attempt(delivery, one)
+        All attempts that finish are added to `finished`.
+        """
+        send, receive = trio.open_memory_channel[FinishedAttempt](2)
+
+        async def run(target: Server) -> None:
+            result = await self._attempts.run(delivery, target)
             finished.append(result)
-            ended.send_nowait(result)
+            send.send_nowait(result)
 
         nursery.start_soon(run, server)
-        with trio.move_on_after(self._node.timer.wait(trio.current_time())):
-            return await endings.receive()
-        hedge = self._hedge(delivery)
-        if hedge is None:
-            return await endings.receive()
-        delivery.tried.add(hedge.id)
-        nursery.start_soon(run, hedge)
-        first = await endings.receive()
-        if first.succeeded:
+        with trio.move_on_after(self._node.hedge_timer.delay_s(trio.current_time())):
+            return await receive.receive()
+        hedge_server = self._choose_hedge_server(delivery)
+        if hedge_server is None:
+            return await receive.receive()
+        delivery.attempted_ids.add(hedge_server.id)
+        nursery.start_soon(run, hedge_server)
+        first = await receive.receive()
+        if first.has_succeeded:
             return first
-        self._learn_failure(first)
-        return await endings.receive()
-
-    @staticmethod
-    def _hedgeable(delivery: Delivery) -> bool:
-        request = delivery.request
-        if delivery.last_event is not None or request.sends or request.table is None:
-            return False
-        return request.table.may_hedge(delivery.route)
+        self._attempts.learn_failure(first)
+        return await receive.receive()
 
-    def _hedge(self, delivery: Delivery) -> Server | None:
-        """Another server for the hedge, within the route's retries and the shared budget."""
-        server = self._choose(delivery)
-        if server is None or server.doubtful(trio.current_time()):
+    def _choose_hedge_server(self, delivery: Delivery) -> Server | None:
+        """Return another server for a hedge, if there is one and the retry budget allows it."""
+        server = self._choose_server(delivery)
+        if server is None or server.is_degraded(trio.current_time()):
             return None
-        return server if self.may_repeat(delivery.request) else None
-
-    async def _attempt(self, delivery: Delivery, server: Server) -> FinishedAttempt:
-        """Runs one attempt and keeps the account of what is at its server.
-
-        An attempt that succeeded stays on the account until it is let go.
-        """
-        request = delivery.request
-        selection = self._node.selection
-        begun = trio.current_time()
-        unread = selection.expected_unread(server, request.key, request.parts)
-        attempt = Attempt(request, server, self._node.pool, delivery.wanted, unread, delivery.last_event)
-        ahead = selection.started(server, unread)
-        outcome = Outcome.BROKEN
-        server.out[id(attempt)] = Outstanding(begun, attempt.unacknowledged)
-        try:
-            outcome = await attempt.run()
-        finally:
-            del server.out[id(attempt)]
-            selection.answered(server, unread)
-            if outcome not in SUCCEEDED:
-                selection.ended(server)
-            if attempt.written and outcome not in NEVER_RAN:
-                request.may_have_run = True
-            self._learn_time(delivery, attempt, outcome, trio.current_time() - begun, ahead)
-        if outcome in SUCCEEDED:
-            server.answered(trio.current_time(), _failed(attempt, outcome))
-            selection.kept.sent(server.id, request.parts, trio.current_time())
-        return FinishedAttempt(attempt, outcome)
-
-    def _learn_time(
-        self, delivery: Delivery, attempt: Attempt, outcome: Outcome, took: float, ahead: float
-    ) -> None:
-        """Counts a time to first token, in seconds; one that was given up late counts at its length."""
-        succeeded = outcome in SUCCEEDED
-        late = took > delivery.route.target_ms / 1000.0
-        if attempt.written and (late or succeeded and not _failed(attempt, outcome)):
-            self._node.timer.add(trio.current_time(), took)
-            self._node.selection.first_token(attempt.server, ahead, took)
-        if succeeded and late:
-            self._log_late(delivery, attempt, took)
-
-    def _log_late(self, delivery: Delivery, attempt: Attempt, took: float) -> None:
-        self._node.log.info(
-            "request-late",
-            extra={
-                "request": delivery.request.id.decode("latin-1"),
-                "route": delivery.route.name,
-                "server": attempt.server.id,
-                "ms": round(took * 1000),
-                "unread": round(attempt.unread),
-                "running": self._node.selection.running(attempt.server),
-            },
-        )
-
-
-def _failed(attempt: Attempt, outcome: Outcome) -> bool:
-    """Whether a whole answer is a server's own failure."""
-    return outcome == Outcome.ANSWERED and attempt.status >= SERVER_ERROR
+        return server if self.may_retry(delivery.request) else None
--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -1,61 +1,65 @@
-"""Gives each request its one answer: admits it, has it sent, and passes on what comes back."""
+"""Gives each request its one response: admits it, has it dispatched, and forwards what comes back.
+
+Invariants: each request gets exactly one response, or a closed connection; what broke off after its first
+byte never looks complete to the client.
+"""
 
 from __future__ import annotations
 
 import trio
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.edge.admission import Admission, Lease
-from wheatroute.edge.answers import ClientAnswer, ClientGoneError
+from wheatroute.edge.admission import Admission, RequestLease
 from wheatroute.edge.attempt import Attempt
+from wheatroute.edge.client_response import ClientDisconnectedError, ClientResponse
 from wheatroute.edge.dispatch import Dispatcher
 from wheatroute.edge.node import EdgeNode
-from wheatroute.edge.request import ClientRequest, answer_headers
+from wheatroute.edge.request import ClientRequest, response_headers
 from wheatroute.net.connection import MalformedError
 
-COME_BACK_SPREAD = 0.5  # of the time that a refused client is told to wait
+RETRY_AFTER_JITTER = 0.5  # of the `Retry-After` time, added at random
 
 
 class Forwarder:
     """The path of every request through this node."""
 
-    def __init__(self, node: EdgeNode, lease: Lease) -> None:
+    def __init__(self, node: EdgeNode, request_lease: RequestLease) -> None:
         self._node = node
-        self._admission = Admission(node, lease)
+        self._admission = Admission(node, request_lease)
         self._dispatcher = Dispatcher(node)
 
-    async def handle(self, request: ClientRequest, client: ClientAnswer) -> None:
-        """Gives the request its one answer; raises ClientGoneError if there is nobody to give it to."""
+    async def handle(self, request: ClientRequest, response: ClientResponse) -> None:
+        """Give a request its response; raises ClientDisconnectedError if it can't be written to its end."""
         try:
-            await self._handle(request, client)
+            await self._handle(request, response)
         except RequestError as error:
-            await self._refuse(request, client, error)
-        except ClientGoneError:
+            await self._fail(request, response, error)
+        except ClientDisconnectedError:
             raise
         except Exception:
             self._node.log.exception("fault", extra={"request": request.id.decode("latin-1")})
-            if client.begun:
-                raise ClientGoneError("a fault of this node") from None
+            if response.has_begun:
+                raise ClientDisconnectedError("a fault of this node") from None
             kind = ErrorKind.INTERNAL if request.may_have_run else ErrorKind.INTERNAL_UNSENT
-            await self._refuse(request, client, RequestError(kind, "a fault of this node"))
+            await self._fail(request, response, RequestError(kind, "a fault of this node"))
 
-    async def _handle(self, request: ClientRequest, client: ClientAnswer) -> None:
+    async def _handle(self, request: ClientRequest, response: ClientResponse) -> None:
         await self._admission.admit(request)
-        with trio.move_on_at(request.deadline) as limit:
-            await self._forward(request, client)
-        if limit.cancelled_caught and not client.begun:  # what was begun breaks off
+        with trio.move_on_at(request.deadline) as scope:
+            await self._forward(request, response)
+        # a response that has begun just breaks off at the deadline
+        if scope.cancelled_caught and not response.has_begun:
             kind = ErrorKind.DEADLINE_EXCEEDED if request.may_have_run else ErrorKind.DEADLINE_EXCEEDED_UNSENT
             raise RequestError(kind, "out of time")
 
-    async def _refuse(self, request: ClientRequest, client: ClientAnswer, error: RequestError) -> None:
-        """Answers a request that has no answer of a server, and never will."""
+    async def _fail(self, request: ClientRequest, response: ClientResponse, error: RequestError) -> None:
+        """Answer a request with an error of this node's own."""
         self._admission.refund(request)
         if request.service:
             self._log_failure(request, error)
-        await client.refuse(request.id, error, self._come_back(request, error))
+        await response.send_error(request.id, error, self._retry_after_s(request, error))
 
     def _log_failure(self, request: ClientRequest, error: RequestError) -> None:
-        epoch = self._node.instances.version.epoch
         self._node.log.info(
             "request-failed",
             extra={
@@ -63,69 +67,76 @@
                 "kind": error.kind.value,
                 "detail": error.detail,
                 "version": self._node.table.generation,
-                "epoch": epoch,
-                "sends": request.sends,
+                "epoch": self._node.instances.version.epoch,
+                "sends": request.sent_attempts,
             },
         )
 
-    def _come_back(self, request: ClientRequest, error: RequestError) -> float:
-        """Seconds after which a refused client should come back; spread, so that not all come at once."""
-        wait = error.response.retry_after_s
+    def _retry_after_s(self, request: ClientRequest, error: RequestError) -> float:
+        """Return the seconds until a client should retry; with jitter, so that not all come at once."""
+        retry_after_s = error.response.retry_after_s
         if error.kind == ErrorKind.OVER_QUOTA and request.tenant is not None:
-            wait = max(wait, self._node.quotas.wait(request.tenant.name))
-        return wait * (1.0 + COME_BACK_SPREAD * self._node.chance.random())
+            retry_after_s = max(retry_after_s, self._node.quotas.retry_after_s(request.tenant.name))
+        return retry_after_s * (1.0 + RETRY_AFTER_JITTER * self._node.rng.random())
 
-    async def _forward(self, request: ClientRequest, client: ClientAnswer) -> None:
-        attempt = await self._dispatcher.begin(request, lambda: not client.gone)
+    async def _forward(self, request: ClientRequest, response: ClientResponse) -> None:
+        attempt = await self._dispatcher.dispatch(request, lambda: not response.is_client_gone)
         try:
-            if attempt.streaming:
-                await self._pass_on(request, attempt, client)
+            if attempt.is_streaming:
+                await self._forward_stream(request, attempt, response)
             else:
-                headers = answer_headers(attempt.headers)
-                await client.answer(attempt.status, headers, attempt.body, attempt.reason)
+                headers = response_headers(attempt.headers)
+                await response.send(attempt.status, headers, attempt.body, attempt.reason)
         finally:
-            self._dispatcher.let_go(attempt)
+            self._dispatcher.release(attempt)
 
     # streams
 
-    async def _pass_on(self, request: ClientRequest, attempt: Attempt, client: ClientAnswer) -> None:
-        """Passes a stream on; one that breaks is taken up at another server where its route allows that."""
-        await client.start(attempt.status, answer_headers(attempt.headers), attempt.body, attempt.reason)
-        current = attempt
+    async def _forward_stream(
+        self, request: ClientRequest, first_attempt: Attempt, response: ClientResponse
+    ) -> None:
+        """Forward a stream; one that breaks off is resumed at another server if its route allows that."""
+        headers = response_headers(first_attempt.headers)
+        await response.start_stream(first_attempt.status, headers, first_attempt.body, first_attempt.reason)
+        attempt = first_attempt
         try:
             while True:
                 try:
-                    data = await current.next_events()
+                    events = await attempt.next_events()
                 except (OSError, MalformedError) as error:
-                    current.server.failed(trio.current_time())
-                    resumed = await self._resume(request, client, current, str(error))
-                    if current is not attempt:
-                        self._dispatcher.let_go(current)
-                    current = resumed
-                    await client.part(current.body)
+                    attempt.server.record_failure(trio.current_time())
+                    resumed = await self._resume(request, response, attempt, str(error))
+                    if attempt is not first_attempt:
+                        self._dispatcher.release(attempt)
+                    attempt = resumed
+                    await response.send_events(attempt.body)
                     continue
-                if data is None:
+                if events is None:
                     break
-                await client.part(data)
+                await response.send_events(events)
         except RequestError as error:
             self._log_failure(request, error)
-            raise ClientGoneError("the stream broke off") from error
+            raise ClientDisconnectedError("the stream broke off") from error
         finally:
-            if current is not attempt:
-                self._dispatcher.let_go(current)
-        await client.end()
+            if attempt is not first_attempt:
+                self._dispatcher.release(attempt)
+        await response.end_stream()
 
     async def _resume(
-        self, request: ClientRequest, client: ClientAnswer, broken: Attempt, detail: str
+        self, request: ClientRequest, response: ClientResponse, broken: Attempt, detail: str
     ) -> Attempt:
-        """The same stream from another server, from behind the last event that was passed on."""
+        """Return an attempt with the same stream from another server, after the last event forwarded.
+
+        Raises RequestError if the stream can't be resumed.
+        """
         assert request.route is not None
-        last = broken.splitter.last_id
-        allowed = request.route.resume and last is not None and request.sends <= request.route.retries
-        if not allowed or not self._dispatcher.may_repeat(request):
+        last_event_id = broken.splitter.last_event_id
+        has_retries_left = request.sent_attempts <= request.route.retries
+        may_resume = request.route.resume and last_event_id is not None and has_retries_left
+        if not may_resume or not self._dispatcher.may_retry(request):
             raise RequestError(ErrorKind.SERVER_FAILED, f"stream broke: {detail}")
-        resumed = await self._dispatcher.begin(request, lambda: not client.gone, last)
-        if not resumed.streaming or resumed.status != broken.status:
-            self._dispatcher.let_go(resumed)
+        resumed = await self._dispatcher.dispatch(request, lambda: not response.is_client_gone, last_event_id)
+        if not resumed.is_streaming or resumed.status != broken.status:
+            self._dispatcher.release(resumed)
             raise RequestError(ErrorKind.SERVER_FAILED, "the stream could not be taken up")
         return resumed
--- /dev/null
+++ b/wheatroute/edge/hedge_timer.py
@@ -0,0 +1,43 @@
+"""Delay of the hedge: the p95 of this node's time to first token over a window, plus a margin. No I/O.
+
+Source: J. Dean, L. A. Barroso, "The Tail at Scale", CACM 2013.
+"""
+
+from __future__ import annotations
+
+from math import inf
+
+from wheatroute.quantiles import Window
+
+WINDOW_S = 10.0
+MARGIN = 0.1  # of the p95
+MIN_SAMPLES = 20  # there is no hedge before
+UPDATE_INTERVAL_S = 0.5
+QUANTILE = 0.95
+
+
+class HedgeTimer:
+    """Sliding window of times to first token; one that timed out counts at its length."""
+
+    def __init__(self) -> None:
+        self._window = Window(WINDOW_S)
+        self._updated_at = -inf
+        self._delay_s = inf
+
+    def record(self, now: float, latency_s: float) -> None:
+        """Add a time to first token."""
+        self._window.add(now, latency_s, 1.0)
+
+    @property
+    def p95_s(self) -> float:
+        """The p95 as of the last update; 0 while there are too few samples."""
+        return self._delay_s / (1.0 + MARGIN) if self._delay_s < inf else 0.0
+
+    def delay_s(self, now: float) -> float:
+        """Return the seconds after which a hedge may be sent; infinite while there are too few samples."""
+        if now - self._updated_at >= UPDATE_INTERVAL_S:
+            self._updated_at = now
+            self._window.settle(now)
+            has_samples = self._window.count >= MIN_SAMPLES
+            self._delay_s = self._window.latency(QUANTILE) * (1.0 + MARGIN) if has_samples else inf
+        return self._delay_s
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -1,4 +1,7 @@
-"""The servers that this node knows, by the registry's word and by what its own sockets met."""
+"""The servers that this node knows: the registry's view of them, and what this node's attempts met there.
+
+No I/O of its own; whether bytes are unacknowledged is asked of the kernel through a callback.
+"""
 
 from __future__ import annotations
 
@@ -8,159 +11,163 @@
 from wheatroute.cluster.messages import Instance, InstanceState, RegistryVersion, Update
 from wheatroute.cluster.settings import split_address
 
-ERROR_SMOOTHING = 0.25  # weight of the newest answer in a server's share of errors
-FAILING = 0.3  # share of errors from which a server is passed over
-FAILING_PAUSE = 2.0  # seconds
-SHED_PAUSE = 0.25  # seconds that a server is passed over which turned a request away
-FAILURE_PAUSE = 0.5  # seconds that a server is passed over after its first failed connection
-LONGEST_PAUSE = 4.0
-ACKNOWLEDGED_WITHIN = 0.25  # seconds in which a machine that is there acknowledges what was written to it
-ACKNOWLEDGED_LOOK = 0.1  # seconds between two questions to the kernel about that
+ERROR_SMOOTHING = 0.25  # weight of the newest response in a server's error rate
+MAX_ERROR_RATE = 0.3  # from which a server is ejected
+ERROR_EJECTION_S = 2.0
+REJECTION_BACKOFF_S = 0.25  # after a request that the server rejected
+FAILURE_BACKOFF_S = 0.5  # after the first failed connection; doubles with each further one
+MAX_BACKOFF_S = 4.0
+ACKNOWLEDGE_TIMEOUT_S = 0.25  # in which a host that is up acknowledges what was written to it
+ACKNOWLEDGE_CHECK_INTERVAL_S = 0.1  # between two queries of the kernel about that
 
 
 @dataclass(frozen=True)
-class Outstanding:
+class PendingAttempt:
     """An attempt that has no first token yet."""
 
-    since: float  # when it began
-    unacknowledged: Callable[[], bool]  # whether the server's machine lacks some of what was written
+    started_at: float
+    has_unacknowledged_bytes: Callable[[], bool]  # whether the host lacks some of what was written
 
 
 class Server:
-    """One incarnation of a server."""
+    """One incarnation of a server. Times are those of the node's steady clock, in seconds."""
 
     __slots__ = (
         "instance",
-        "place",
-        "cold_until",
-        "failures",
-        "avoid_until",
-        "left",
-        "error_share",
-        "heard",
-        "out",
-        "_unacknowledged",
-        "_looked_at",
+        "address",
+        "warmup_until",
+        "consecutive_failures",
+        "ejected_until",
+        "has_left",
+        "error_rate",
+        "last_response_at",
+        "pending",
+        "_has_unacknowledged_bytes",
+        "_acknowledge_checked_at",
     )
 
     def __init__(self, instance: Instance, now: float) -> None:
-        self.failures = 0
-        self.avoid_until = 0.0
-        self.left = False  # draining or gone, by whoever said so first
-        self.cold_until = 0.0
-        self.error_share = 0.0
-        self.heard = now
-        self.out: dict[int, Outstanding] = {}  # attempts without a first token, the oldest first
-        self._unacknowledged = False
-        self._looked_at = 0.0
-        self.take(instance, now)
-
-    def take(self, instance: Instance, now: float) -> None:
-        """The registry's newest word; a server that was leaving never comes back under its id."""
+        self.consecutive_failures = 0
+        self.ejected_until = 0.0
+        self.has_left = False  # draining or removed; once set it stays
+        self.warmup_until = 0.0
+        self.error_rate = 0.0
+        self.last_response_at = now
+        self.pending: dict[int, PendingAttempt] = {}  # the oldest first
+        self._has_unacknowledged_bytes = False
+        self._acknowledge_checked_at = 0.0
+        self.update(instance, now)
+
+    def update(self, instance: Instance, now: float) -> None:
+        """Apply the registry's newest state; a server that was leaving never comes back under its id."""
         self.instance = instance
-        self.left = self.left or instance.state in (InstanceState.DRAINING, InstanceState.REMOVED)
-        self.cold_until = max(self.cold_until, now + instance.warmup_remaining_ms / 1000.0)
+        self.has_left = self.has_left or instance.state in (InstanceState.DRAINING, InstanceState.REMOVED)
+        self.warmup_until = max(self.warmup_until, now + instance.warmup_remaining_ms / 1000.0)
         if instance.address:
-            self.place = split_address(instance.address)
+            self.address = split_address(instance.address)
 
     @property
     def id(self) -> str:
         """The id of this incarnation."""
         return self.instance.id
 
-    @property
-    def usable(self) -> bool:
-        """Whether anything new may be sent to it."""
-        return not self.left
-
-    def doubtful(self, now: float) -> bool:
-        """Whether it should be passed over while there are others."""
-        return self.avoid_until > now or self.instance.state == InstanceState.UNRESPONSIVE
-
-    def failed(self, now: float) -> None:
-        """A connection to it was refused, reset or never came up."""
-        pause = min(LONGEST_PAUSE, FAILURE_PAUSE * 2 ** min(self.failures, 4))
-        self.failures += 1
-        self.avoid_until = now + pause
-
-    def answered(self, now: float, error: bool) -> None:
-        """It gave an answer; one that fails often is passed over, however fast it does."""
-        self.heard = now
-        self.failures = 0
-        self.error_share += ERROR_SMOOTHING * (error - self.error_share)
-        failing = error and self.error_share > FAILING
-        self.avoid_until = now + FAILING_PAUSE if failing else 0.0
-
-    def shed(self, now: float) -> None:
-        """It turned a request away."""
-        self.heard = now
-        self.avoid_until = max(self.avoid_until, now + SHED_PAUSE)
-
-    def silent_for(self, now: float) -> float:
-        """Seconds for which it has had requests and answered none of them."""
-        if not self.out:
+    def is_warming_up(self, now: float) -> bool:
+        """Return whether it is still slower than usual after its start."""
+        return self.warmup_until > now
+
+    def is_degraded(self, now: float) -> bool:
+        """Return whether other servers should be tried first."""
+        return self.ejected_until > now or self.instance.state == InstanceState.UNRESPONSIVE
+
+    def record_failure(self, now: float) -> None:
+        """Eject it after a connection that was refused, reset or never established."""
+        backoff_s = min(MAX_BACKOFF_S, FAILURE_BACKOFF_S * 2 ** min(self.consecutive_failures, 4))
+        self.consecutive_failures += 1
+        self.ejected_until = now + backoff_s
+
+    def record_response(self, now: float, is_error: bool) -> None:
+        """Count a response; a server that often fails is ejected, however fast it does."""
+        self.last_response_at = now
+        self.consecutive_failures = 0
+        self.error_rate += ERROR_SMOOTHING * (is_error - self.error_rate)
+        is_failing = is_error and self.error_rate > MAX_ERROR_RATE
+        self.ejected_until = now + ERROR_EJECTION_S if is_failing else 0.0
+
+    def record_rejection(self, now: float) -> None:
+        """Back off for a moment after it rejected a request for want of capacity."""
+        self.last_response_at = now
+        self.ejected_until = max(self.ejected_until, now + REJECTION_BACKOFF_S)
+
+    def unresponsive_for(self, now: float) -> float:
+        """Return the seconds for which attempts were pending and none got a response."""
+        if not self.pending:
             return 0.0
-        return now - max(self.heard, next(iter(self.out.values())).since)
+        return now - max(self.last_response_at, next(iter(self.pending.values())).started_at)
 
-    def unacknowledged(self, now: float) -> bool:
-        """Whether its machine is gone as it seems: nobody there takes what was written a while ago.
+    def has_unacknowledged_bytes(self, now: float) -> bool:
+        """Return whether its host seems down: it has not acknowledged what was written a while ago.
 
-        The kernel of a machine that is there acknowledges at once, however busy the server is.
+        The kernel of a host that is up acknowledges at once, however busy the server is.
         """
-        if not self.out:
+        if not self.pending:
             return False
-        if now - self._looked_at > ACKNOWLEDGED_LOOK:
-            self._looked_at = now
-            old = (one for one in self.out.values() if now - one.since > ACKNOWLEDGED_WITHIN)
-            self._unacknowledged = any(one.unacknowledged() for one in old)
-        return self._unacknowledged
+        if now - self._acknowledge_checked_at > ACKNOWLEDGE_CHECK_INTERVAL_S:
+            self._acknowledge_checked_at = now
+            overdue = (
+                attempt
+                for attempt in self.pending.values()
+                if now - attempt.started_at > ACKNOWLEDGE_TIMEOUT_S
+            )
+            self._has_unacknowledged_bytes = any(attempt.has_unacknowledged_bytes() for attempt in overdue)
+        return self._has_unacknowledged_bytes
 
 
 class InstanceTable:
-    """All servers, by service."""
+    """All servers, by id and by service."""
 
     def __init__(self) -> None:
         self.version = RegistryVersion()
         self._servers: dict[str, Server] = {}
-        self._by_service: dict[str, list[Server]] = {}
+        self._by_service: dict[str, list[Server]] = {}  # those that may get new requests
 
     def __len__(self) -> int:
         return len(self._servers)
 
-    def get(self, identity: str) -> Server | None:
-        """The server with this id, if it is known."""
-        return self._servers.get(identity)
+    def get(self, server_id: str) -> Server | None:
+        """Return the server with this id, None if it is unknown."""
+        return self._servers.get(server_id)
+
+    def available(self, service: str) -> list[Server]:
+        """Return the servers of a service that may get new requests."""
+        return self._by_service.get(service, [])
 
-    def silent(self, now: float, patience: float) -> dict[str, float]:
-        """By server that seems gone, for how many seconds it has answered nothing.
+    def unresponsive_for(self, now: float, response_timeout_s: float) -> dict[str, float]:
+        """Return the seconds without a response of each server that seems to be down.
 
-        It does if it answers nothing for longer than `patience`, or its machine doesn't acknowledge.
+        It does if that is longer than the timeout, or its host doesn't acknowledge bytes.
         """
-        usable = (server for servers in self._by_service.values() for server in servers)
+        available = (server for servers in self._by_service.values() for server in servers)
         return {
-            server.id: server.silent_for(now)
-            for server in usable
-            if server.silent_for(now) > patience or server.unacknowledged(now)
+            server.id: server.unresponsive_for(now)
+            for server in available
+            if server.unresponsive_for(now) > response_timeout_s or server.has_unacknowledged_bytes(now)
         }
 
-    def of(self, service: str) -> list[Server]:
-        """The servers of a service to which something new may be sent."""
-        return self._by_service.get(service, [])
-
     def apply(self, update: Update, now: float) -> list[Server]:
-        """Takes an update in; returns the servers that have left by it."""
+        """Apply an update of the registry; return the servers that have left by it."""
         if update.registry < self.version:
             return []
         self.version = update.registry
-        left = [server for instance in update.instances if (server := self._take(instance, now))]
+        departed = [server for instance in update.instances if (server := self._update(instance, now))]
         if update.is_full and update.is_settled:
-            listed = {instance.id for instance in update.instances}
-            left += [self._remove(identity) for identity in list(self._servers) if identity not in listed]
-        self._sort()
-        return left
-
-    def _take(self, instance: Instance, now: float) -> Server | None:
-        """Adds or changes a server; returns it if it has left by this."""
+            current_ids = {instance.id for instance in update.instances}
+            missing_ids = [server_id for server_id in self._servers if server_id not in current_ids]
+            departed += [self._remove(server_id) for server_id in missing_ids]
+        self._group_by_service()
+        return departed
+
+    def _update(self, instance: Instance, now: float) -> Server | None:
+        """Add or change a server; return it if it has left by this."""
         server = self._servers.get(instance.id)
         if server is None:
             if instance.state != InstanceState.REMOVED:
@@ -168,22 +175,22 @@
             return None
         if instance.state == InstanceState.REMOVED:
             return self._remove(instance.id)
-        stayed = server.usable
-        server.take(instance, now)
-        return server if stayed and not server.usable else None
+        had_left = server.has_left
+        server.update(instance, now)
+        return server if server.has_left and not had_left else None
 
-    def _remove(self, identity: str) -> Server:
-        server = self._servers.pop(identity)
-        server.left = True
+    def _remove(self, server_id: str) -> Server:
+        server = self._servers.pop(server_id)
+        server.has_left = True
         return server
 
-    def _sort(self) -> None:
+    def _group_by_service(self) -> None:
         self._by_service = {}
         for server in self._servers.values():
-            if server.usable:
+            if not server.has_left:
                 self._by_service.setdefault(server.instance.service, []).append(server)
 
-    def misdirected(self, server: Server) -> None:
-        """Another server answered at this one's address: this one is gone."""
-        server.left = True
-        self._sort()
+    def mark_left(self, server: Server) -> None:
+        """Exclude a server whose address has been taken over by another one."""
+        server.has_left = True
+        self._group_by_service()
--- a/wheatroute/edge/listening.py
+++ b/wheatroute/edge/listeners.py
@@ -1,7 +1,7 @@
-"""The edge role's listeners, opened before anything heavy is loaded.
+"""The edge role's listening sockets, opened before anything heavy is loaded.
 
 A process that starts takes a third of a second of processor time to load its libraries. Connections that
-come meanwhile wait in the listener's queue instead of being refused.
+arrive meanwhile wait in the listener's backlog instead of being refused.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Listeners:
-    """Open sockets for clients and for the platform's question."""
+    """Open sockets for clients and for the platform's readiness probe."""
 
     clients: socket.socket
-    ready: socket.socket
+    readiness: socket.socket
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """A listening socket that doesn't block."""
+    """Open a listening, non-blocking socket; raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -33,5 +33,5 @@
 
 
 def open_listeners(settings: Settings) -> Listeners:
-    """Both listeners; raises OSError."""
+    """Open both listeners; raises OSError."""
     return Listeners(listen(settings.address("front")), listen(settings.address("ready")))
--- a/wheatroute/edge/main.py
+++ b/wheatroute/edge/main.py
@@ -1,4 +1,4 @@
-"""Starts and stops the edge role."""
+"""Starts, reloads and stops the edge role."""
 
 from __future__ import annotations
 
@@ -12,80 +12,85 @@
 from wheatroute.edge.clients import Clients
 from wheatroute.edge.control_client import ControlClient
 from wheatroute.edge.forwarding import Forwarder
-from wheatroute.edge.listening import Listeners
+from wheatroute.edge.listeners import Listeners
 from wheatroute.edge.node import EdgeNode
-from wheatroute.edge.readiness import Readiness
+from wheatroute.edge.readiness import ReadinessProbe
 
-SWEEP_INTERVAL = 0.5  # seconds between two looks at idle connections
-ENOUGH_REFUSALS = 2  # answers of not being ready after which the platform sends nobody new
-LONGEST_NOTICE = 2.4  # seconds that the platform may take to notice
-SETTLE = 0.3  # seconds for connections that were on their way
-RESERVE = 0.5  # seconds before the kill by which everything has ended
-LOOK = 0.05
+POOL_CHECK_INTERVAL_S = 0.5  # between two checks of idle connections to servers
+MAX_FAILED_PROBES = 2  # after which the platform sends no new clients
+PROBE_TIMEOUT_S = 2.4  # that the platform may take for those probes
+DRAIN_DELAY_S = 0.3  # for connections that were on their way
+SHUTDOWN_MARGIN_S = 0.5  # before the platform kills the process, by which everything has ended
+POLL_INTERVAL_S = 0.05  # between two checks of a condition of the shutdown
 
 
 class EdgeRole:
     """One edge node with all its tasks."""
 
     def __init__(self, settings: Settings, listeners: Listeners, log: logging.Logger) -> None:
-        self._file = SettingsFile(settings, log)
+        self._settings_file = SettingsFile(settings, log)
         self._listeners = listeners
         self._log = log
         self._node = EdgeNode(settings, log)
-        self._control = ControlClient(self._node)
-        self._clients = Clients(self._node, Forwarder(self._node, self._control.lease), log)
-        self._readiness = Readiness(self._node)
+        self._control_client = ControlClient(self._node)
+        forwarder = Forwarder(self._node, self._control_client.request_lease)
+        self._clients = Clients(self._node, forwarder, log)
+        self._readiness = ReadinessProbe(self._node)
 
     async def run(self) -> None:
-        """Runs until SIGTERM or SIGINT and all that was taken is answered."""
+        """Run until SIGTERM or SIGINT, and then until all accepted requests are answered."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._control.run)
+                nursery.start_soon(self._control_client.run)
                 nursery.start_soon(self._clients.run, self._listeners.clients)
-                nursery.start_soon(self._readiness.run, self._listeners.ready)
-                nursery.start_soon(self._sweep)
+                nursery.start_soon(self._readiness.run, self._listeners.readiness)
+                nursery.start_soon(self._check_pool)
                 nursery.start_soon(self._watch_settings)
                 self._log.info("listening")
                 async for number in signals:
                     if number != signal.SIGHUP:
                         break
-                    self._read_settings()
-                await self._stop()
+                    self._reload_settings()
+                await self._shut_down()
                 nursery.cancel_scope.cancel()
         self._log.info("stopped")
 
     async def _watch_settings(self) -> None:
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
-            if self._file.has_changed():
-                self._read_settings()
+            if self._settings_file.has_changed():
+                self._reload_settings()
 
-    def _read_settings(self) -> None:
-        self._node.take_settings(self._file.reload())
-        self._control.know_seeds(self._node.settings.seed_hosts)
+    def _reload_settings(self) -> None:
+        self._node.apply_settings(self._settings_file.reload())
+        self._control_client.set_seeds(self._node.settings.seed_hosts)
 
-    async def _sweep(self) -> None:
+    async def _check_pool(self) -> None:
         while True:
-            await trio.sleep(SWEEP_INTERVAL)
-            self._node.pool.sweep()
-
-    async def _stop(self) -> None:
-        """Serves on until the platform sends nobody new, then ends what is idle and waits for the rest."""
-        self._node.stopping = True
-        begun = trio.current_time()
-        last = begun + self._node.settings.bounds.grace_s - RESERVE
-        self._log.info("stopping", extra={"busy": self._clients.busy})
-        while self._readiness.refusals < ENOUGH_REFUSALS and trio.current_time() < begun + LONGEST_NOTICE:
-            await trio.sleep(LOOK)
-        await trio.sleep(SETTLE)
+            await trio.sleep(POOL_CHECK_INTERVAL_S)
+            self._node.pool.close_expired()
+
+    async def _shut_down(self) -> None:
+        """Serve on until the platform sends no new clients, close idle connections, and await the rest."""
+        self._node.is_stopping = True
+        started_at = trio.current_time()
+        deadline = started_at + self._node.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
+        self._log.info("stopping", extra={"busy": self._clients.busy_count})
+        await self._wait_for_failed_probes(started_at + PROBE_TIMEOUT_S)
+        await trio.sleep(DRAIN_DELAY_S)
         self._clients.close_listener()
-        while trio.current_time() < last:
+        while trio.current_time() < deadline:
             self._clients.close_idle()
-            if not self._clients.busy:
+            if not self._clients.busy_count:
                 break
-            await trio.sleep(LOOK)
+            await trio.sleep(POLL_INTERVAL_S)
+
+    async def _wait_for_failed_probes(self, deadline: float) -> None:
+        """Wait until the platform must have noticed that this node isn't ready."""
+        while self._readiness.failed_while_stopping < MAX_FAILED_PROBES and trio.current_time() < deadline:
+            await trio.sleep(POLL_INTERVAL_S)
 
 
 async def serve(settings: Settings, listeners: Listeners, log: logging.Logger) -> None:
-    """Runs the edge role."""
+    """Run the edge role until it is stopped by a signal."""
     await EdgeRole(settings, listeners, log).run()
--- a/wheatroute/edge/node.py
+++ b/wheatroute/edge/node.py
@@ -1,4 +1,4 @@
-"""What one edge node knows and shares among its requests."""
+"""State that all requests of one edge node share. Does no I/O of its own; times are those of trio's clock."""
 
 from __future__ import annotations
 
@@ -9,69 +9,69 @@
 
 from wheatroute.cluster.messages import Update
 from wheatroute.cluster.settings import Settings
+from wheatroute.edge.hedge_timer import HedgeTimer
 from wheatroute.edge.instances import InstanceTable
 from wheatroute.edge.pool import ConnectionPool
 from wheatroute.edge.quota_leases import QuotaLeases
 from wheatroute.edge.retry_budget import RetryBudget
 from wheatroute.edge.routing import EMPTY_TABLE, RoutingTable
-from wheatroute.edge.selection import Selection
-from wheatroute.edge.timer import HedgeTimer
+from wheatroute.edge.selection import ServerSelector
 
-FILES_KEPT = 200  # descriptors that aren't for sockets
-SERVERS_SHARE = 0.45  # of the sockets are for connections to servers
-USUAL_NODES = 8  # counted on until the primary tells how many there are
+RESERVED_DESCRIPTORS = 200  # that aren't for connections
+MIN_CONNECTIONS = 64
+SERVER_CONNECTIONS_FRACTION = 0.45  # of all connections, for those to servers
+DEFAULT_EDGE_NODE_COUNT = 8  # assumed until the primary tells the count
 
 
 class EdgeNode:
-    """The state of one edge node; times are of trio's clock."""
+    """The configuration in force, the servers, and what was learned and leased."""
 
     def __init__(self, settings: Settings, log: logging.Logger) -> None:
         self.settings = settings
         self.log = log
         self.table: RoutingTable = EMPTY_TABLE
         self.instances = InstanceTable()
-        sockets = max(64, settings.limits.max_fds - FILES_KEPT)
-        self.most_clients = int(sockets * (1 - SERVERS_SHARE))
-        self.pool = ConnectionPool(int(sockets * SERVERS_SHARE))
-        self.chance = Random()
-        self.selection = Selection(settings.bounds.again_s, self.chance, trio.current_time)
-        self.timer = HedgeTimer()
+        connections = max(MIN_CONNECTIONS, settings.limits.max_fds - RESERVED_DESCRIPTORS)
+        self.pool = ConnectionPool(int(connections * SERVER_CONNECTIONS_FRACTION))
+        self.rng = Random()
+        self.selector = ServerSelector(settings.bounds.again_s, self.rng, trio.current_time)
+        self.hedge_timer = HedgeTimer()
         self.quotas = QuotaLeases(settings.bounds.quota_window_s)
-        self.nodes = USUAL_NODES
-        self.stopping = False
-        self._budgets: dict[str, RetryBudget] = {}
+        self.edge_node_count = DEFAULT_EDGE_NODE_COUNT
+        self.is_stopping = False
+        self._retry_budgets: dict[str, RetryBudget] = {}  # by service
 
-    def take_settings(self, settings: Settings) -> None:
-        """The settings file has changed; connections and what is known of servers stay as they are."""
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply a changed settings file; connections and what is known of servers stay as they are."""
         self.settings = settings
         bounds = settings.bounds
-        self.selection.keep(bounds.again_s)
-        self.quotas.count_over(bounds.quota_window_s)
-        for budget in self._budgets.values():
-            budget.allow(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
+        self.selector.set_cache_ttl(bounds.again_s)
+        self.quotas.set_window(bounds.quota_window_s)
+        for budget in self._retry_budgets.values():
+            budget.configure(bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s)
 
     @property
-    def configured(self) -> bool:
-        """Whether a configuration is in force here."""
+    def is_configured(self) -> bool:
+        """Whether a configuration is in force."""
         return self.table.sequence >= 0
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this node should get new clients."""
-        return self.configured and len(self.instances) > 0 and not self.stopping
+        return self.is_configured and len(self.instances) > 0 and not self.is_stopping
 
-    def budget(self, service: str) -> RetryBudget:
-        """The retry budget of a service."""
-        if service not in self._budgets:
+    def retry_budget(self, service: str) -> RetryBudget:
+        """Return the retry budget of a service."""
+        if service not in self._retry_budgets:
             bounds = self.settings.bounds
-            self._budgets[service] = RetryBudget(
+            self._retry_budgets[service] = RetryBudget(
                 bounds.retry_ratio, bounds.retry_slack, bounds.retry_window_s
             )
-        return self._budgets[service]
+        return self._retry_budgets[service]
 
     def apply(self, update: Update, table: RoutingTable | None) -> None:
-        """Takes the primary's word in: a newer configuration, and changes among the servers."""
-        self.nodes = update.edge_node_count
+        """Apply the primary's update: a newer configuration, if `table` is one, and changes of servers."""
+        self.edge_node_count = update.edge_node_count
         if table is not None and table.sequence > self.table.sequence:
             self.table = table
             self.log.info(
@@ -80,4 +80,4 @@
             )
         for server in self.instances.apply(update, trio.current_time()):
             self.pool.close_idle(server)
-            self.selection.forget(server)
+            self.selector.forget(server)
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -1,158 +1,168 @@
-"""Connections to servers that are kept for the next request."""
+"""Pool of connections to servers: opens them, and keeps idle ones for the next request.
+
+Invariant: `connection_count` counts each open connection, idle or in use, until it is closed here.
+"""
 
 from __future__ import annotations
 
-import errno
+from dataclasses import dataclass
 
 import trio
 
-from wheatroute.edge.connection import StreamConnection, connect
+from wheatroute.edge.connection import OUT_OF_DESCRIPTORS, StreamConnection, connect
 from wheatroute.edge.instances import Server
 
-CONNECT_TIMEOUT = 0.4  # seconds
-KEEP = 0.9  # of the time after which a server closes an idle connection
-LONGEST_IDLE = 60.0  # seconds, where a server doesn't say how long it keeps one
-SHORTEST_IDLE = 0.5  # a connection that ends sooner is taken for one that broke
-ROOM_USED = 0.9  # of a service's connections, divided evenly among the nodes
-SMALLEST_ROOM = 2
-MOST_ANSWERED = 200  # ids that a connection remembers; one that would need more is closed
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE)
+CONNECT_TIMEOUT_S = 0.4
+IDLE_TIMEOUT_FRACTION = 0.9  # of the time after which a server closes an idle connection
+DEFAULT_IDLE_TIMEOUT_S = 60.0  # where a server doesn't say how long it keeps one
+MIN_IDLE_TIMEOUT_S = 0.5  # a connection that was closed sooner counts as broken
+CAPACITY_FRACTION = 0.9  # of a service's connections that is used, divided evenly among the nodes
+MIN_CAPACITY = 2
+MAX_ANSWERED_IDS = 200  # ids that a connection remembers; one that would need more is closed
 
 
-class UnreachableError(Exception):
-    """No connection could be had; `own` is set where the reason lies on this machine."""
+class ConnectError(Exception):
+    """No connection could be opened; `is_local` is set where this machine is the reason."""
 
-    def __init__(self, detail: str, own: bool = False) -> None:
+    def __init__(self, detail: str, is_local: bool = False) -> None:
         super().__init__(detail)
-        self.own = own
+        self.is_local = is_local
+
+
+@dataclass(slots=True)
+class IdleConnection:
+    """A connection without a request, and since when."""
+
+    since: float
+    connection: StreamConnection
 
 
 class ConnectionPool:
-    """Idle connections by server, the one used last at the end; and how many are in use."""
+    """Connections by server; of the idle ones, the one used last is taken first.
+
+    `max_connections` bounds the connections to all servers, beyond which idle ones are closed.
+    """
 
-    def __init__(self, most: int) -> None:
-        self._most = most
-        self._idle: dict[str, list[tuple[float, StreamConnection]]] = {}
-        self._idle_time: dict[str, float] = {}  # by service, in seconds
+    def __init__(self, max_connections: int) -> None:
+        self._max_connections = max_connections
+        self._idle: dict[str, list[IdleConnection]] = {}  # by server, the one used last at the end
+        self._idle_timeout_s: dict[str, float] = {}  # by service
         self._services: dict[str, str] = {}  # by server
-        self._open: dict[str, int] = {}
-        self.opened = 0  # connections made so far
+        self._counts: dict[str, int] = {}  # open connections by server
 
-    def room(self, server: Server, max_connections: int, nodes: int) -> bool:
-        """Whether another request may have a connection, as the service's servers take only so many."""
+    def has_capacity(self, server: Server, max_connections: int, edge_node_count: int) -> bool:
+        """Return whether another request may have a connection to a server.
+
+        `max_connections` is what the service's servers accept from all nodes, 0 for no limit.
+        """
         if self._idle.get(server.id):
             return True
         if max_connections <= 0:
             return True
-        most = max(SMALLEST_ROOM, int(ROOM_USED * max_connections / max(1, nodes)))
-        return self.open_to(server) < most
+        capacity = int(CAPACITY_FRACTION * max_connections / max(1, edge_node_count))
+        return self.connection_count(server) < max(MIN_CAPACITY, capacity)
 
-    def open_to(self, server: Server) -> int:
-        """Connections to a server, idle ones included."""
-        return self._open.get(server.id, 0)
+    def connection_count(self, server: Server) -> int:
+        """Return the number of open connections to a server, idle ones included."""
+        return self._counts.get(server.id, 0)
 
-    async def take(self, server: Server, request_id: bytes) -> StreamConnection:
-        """The connection that was used last, or a new one; raises UnreachableError.
+    async def acquire(self, server: Server, request_id: bytes) -> StreamConnection:
+        """Return the idle connection that was used last, or a new one; raises ConnectError.
 
         One that has answered a request of this id before is passed over.
         """
-        kept = self._idle.get(server.id, [])
-        answered = [entry for entry in kept if request_id in entry[1].answered]
-        kept[:] = [entry for entry in kept if request_id not in entry[1].answered]
+        idle = self._idle.get(server.id, [])
+        passed_over = [entry for entry in idle if request_id in entry.connection.answered_ids]
+        idle[:] = [entry for entry in idle if request_id not in entry.connection.answered_ids]
         try:
-            while kept:
-                since, line = kept.pop()
-                if self._fresh(server.id, since, line):
-                    return line
-                self.drop(server, line)
+            while idle:
+                entry = idle.pop()
+                if self._is_reusable(server.id, entry):
+                    return entry.connection
+                self.discard(server, entry.connection)
         finally:
-            kept[:0] = answered
+            idle[:0] = passed_over
         return await self._connect(server)
 
-    def _fresh(self, identity: str, since: float, line: StreamConnection) -> bool:
-        """Whether an idle connection can still be used; learns how long the servers of a service keep one."""
-        service = self._services[identity]
-        most = self._idle_time.get(service, LONGEST_IDLE)
-        age = trio.current_time() - since
-        if line.quiet():
-            return age < KEEP * most
-        if SHORTEST_IDLE < age < most:
-            self._idle_time[service] = age
+    def _is_reusable(self, server_id: str, entry: IdleConnection) -> bool:
+        """Return whether an idle connection is open and not about to be closed by its server.
+
+        Learns from a closed one how long the servers of its service keep idle connections.
+        """
+        service = self._services[server_id]
+        idle_timeout_s = self._idle_timeout_s.get(service, DEFAULT_IDLE_TIMEOUT_S)
+        age_s = trio.current_time() - entry.since
+        if entry.connection.quiet():
+            return age_s < IDLE_TIMEOUT_FRACTION * idle_timeout_s
+        if MIN_IDLE_TIMEOUT_S < age_s < idle_timeout_s:
+            self._idle_timeout_s[service] = age_s
         return False
 
     async def _connect(self, server: Server) -> StreamConnection:
-        if sum(self._open.values()) >= self._most:
-            self._make_room()
-        self._open[server.id] = self._open.get(server.id, 0) + 1
+        if sum(self._counts.values()) >= self._max_connections:
+            self._close_longest_idle()
+        self._counts[server.id] = self._counts.get(server.id, 0) + 1
         try:
-            line = await connect(server.place, CONNECT_TIMEOUT)
+            return await connect(server.address, CONNECT_TIMEOUT_S)
         except (OSError, trio.TooSlowError) as error:
-            self._closed(server.id)
-            own = isinstance(error, OSError) and error.errno in NO_DESCRIPTOR
-            raise UnreachableError(str(error) or "timeout", own) from error
+            self._uncount(server.id)
+            is_local = isinstance(error, OSError) and error.errno in OUT_OF_DESCRIPTORS
+            raise ConnectError(str(error) or "timeout", is_local) from error
         except BaseException:
-            self._closed(server.id)
+            self._uncount(server.id)
             raise
-        self.opened += 1
-        return line
 
-    def note_keep_alive(self, server: Server, header: bytes) -> None:
-        """A server told how long it keeps an idle connection, in seconds."""
-        for part in header.decode("latin-1").split(","):
-            name, _, value = part.strip().partition("=")
+    def record_keep_alive(self, server: Server, header: bytes) -> None:
+        """Learn from a `Keep-Alive` header (`timeout=SECONDS`) how long a server keeps idle connections."""
+        for parameter in header.decode("latin-1").split(","):
+            name, _, value = parameter.strip().partition("=")
             if name.strip().lower() == "timeout" and value.strip().isdigit():
-                self._idle_time[server.instance.service] = float(value)
+                self._idle_timeout_s[server.instance.service] = float(value)
 
-    def keep(self, server: Server, line: StreamConnection) -> None:
-        """Takes a connection back if it can carry another request."""
-        if server.left or line.http.trailing_data[0] or not line.next_message():
-            self.drop(server, line)
+    def release(self, server: Server, connection: StreamConnection) -> None:
+        """Take a connection back: it becomes idle if it can carry another request, else it is closed."""
+        has_surplus_bytes = bool(connection.http.trailing_data[0])
+        if server.has_left or has_surplus_bytes or not connection.next_message():
+            self.discard(server, connection)
             return
-        if len(line.answered) > MOST_ANSWERED:
-            self.drop(server, line)
+        if len(connection.answered_ids) > MAX_ANSWERED_IDS:
+            self.discard(server, connection)
             return
-        self._idle.setdefault(server.id, []).append((trio.current_time(), line))
+        self._idle.setdefault(server.id, []).append(IdleConnection(trio.current_time(), connection))
         self._services[server.id] = server.instance.service
 
-    def drop(self, server: Server, line: StreamConnection) -> None:
-        """Closes a connection."""
-        line.close()
-        self._closed(server.id)
+    def discard(self, server: Server, connection: StreamConnection) -> None:
+        """Close a connection that was acquired."""
+        connection.close()
+        self._uncount(server.id)
 
-    def _closed(self, identity: str) -> None:
-        self._open[identity] -= 1
-        if not self._open[identity]:
-            del self._open[identity]
+    def _uncount(self, server_id: str) -> None:
+        self._counts[server_id] -= 1
+        if not self._counts[server_id]:
+            del self._counts[server_id]
 
     def close_idle(self, server: Server) -> None:
-        """A server has left: what is idle to it goes."""
-        for _, line in self._idle.pop(server.id, []):
-            self.drop(server, line)
-        if server.id not in self._open:
+        """Close the idle connections to a server that has left."""
+        for entry in self._idle.pop(server.id, []):
+            self.discard(server, entry.connection)
+        if server.id not in self._counts:
             self._services.pop(server.id, None)
 
-    def sweep(self) -> None:
-        """Closes what is idle for too long, or was closed by its server."""
-        for identity, kept in list(self._idle.items()):
-            for entry in kept[:]:
-                if not self._fresh(identity, *entry):
-                    kept.remove(entry)
-                    entry[1].close()
-                    self._closed(identity)
-            if not kept:
-                del self._idle[identity]
-
-    def _make_room(self) -> None:
-        """Closes the connection that is idle for longest, of any server."""
-        found = [(kept[0][0], identity) for identity, kept in self._idle.items() if kept]
-        if found:
-            identity = min(found)[1]
-            self._idle[identity].pop(0)[1].close()
-            self._closed(identity)
-
-    def close_all(self) -> None:
-        """The node stops."""
-        for kept in self._idle.values():
-            for _, line in kept:
-                line.close()
-        self._idle.clear()
+    def close_expired(self) -> None:
+        """Close connections that were idle for too long, or that their servers have closed."""
+        for server_id, idle in list(self._idle.items()):
+            for entry in idle[:]:
+                if not self._is_reusable(server_id, entry):
+                    idle.remove(entry)
+                    entry.connection.close()
+                    self._uncount(server_id)
+            if not idle:
+                del self._idle[server_id]
+
+    def _close_longest_idle(self) -> None:
+        """Close the connection that has been idle for longest, of any server."""
+        oldest = [(idle[0].since, server_id) for server_id, idle in self._idle.items() if idle]
+        if oldest:
+            server_id = min(oldest)[1]
+            self._idle[server_id].pop(0).connection.close()
+            self._uncount(server_id)
--- a/wheatroute/edge/prefill.py
+++ b/wheatroute/edge/prefill.py
@@ -1,43 +1,60 @@
-"""How long a server needs until the first token, learned from this node's own requests.
+"""Model of the time to first token, fitted to this node's own requests. No I/O.
 
-The model is `base + slope * tokens`, fitted by least squares with forgetting, where `tokens` are the prompt
-tokens that the server had to read before: those of the request, and those that waited ahead of it.
+The model is `base + slope * tokens`, fitted by least squares with exponential forgetting, where `tokens` are
+the prompt tokens that the server had to read before: those of the request, and those queued ahead of it.
 """
 
 from __future__ import annotations
 
-FORGETTING = 0.98  # weight of what was known, at each new time
-PRIOR_BASE = 0.1  # seconds
-PRIOR_SLOPE = 1 / 50_000  # seconds for each token
-PRIOR_WEIGHT = 4.0  # times that the prior stands for
-PRIOR_TOKENS = 10_000.0  # around which the prior's times lie
-SLOPE_LOW, SLOPE_HIGH = 0.2, 5.0  # multiples of the prior slope that the fit stays within
+FORGETTING_FACTOR = 0.98  # weight of all earlier samples at each new one
+PRIOR_BASE_S = 0.1
+PRIOR_SLOPE_S = 1 / 50_000  # seconds a token
+PRIOR_WEIGHT = 4.0  # samples that the prior stands for
+PRIOR_TOKENS = 10_000.0  # mean of the prior's samples
+MIN_SLOPE_RATIO, MAX_SLOPE_RATIO = 0.2, 5.0  # multiples of the prior slope that the fit stays within
 
 
 class PrefillModel:
-    """The times to first token of one service."""
+    """Linear model of the time to first token of one service.
+
+    `base` is in seconds, `slope` in seconds a token.
+    """
 
     def __init__(self) -> None:
-        self._weight = self._x = self._y = self._xx = self._xy = 0.0
+        self._weight = 0.0
+        self._sum_x = 0.0  # x: tokens
+        self._sum_y = 0.0  # y: seconds
+        self._sum_xx = 0.0
+        self._sum_xy = 0.0
         for tokens in (0.0, 2 * PRIOR_TOKENS):
-            self._add(tokens, PRIOR_BASE + PRIOR_SLOPE * tokens, PRIOR_WEIGHT / 2)
-        self.base, self.slope = PRIOR_BASE, PRIOR_SLOPE
+            self._add_sample(tokens, PRIOR_BASE_S + PRIOR_SLOPE_S * tokens, PRIOR_WEIGHT / 2)
+        self.base, self.slope = PRIOR_BASE_S, PRIOR_SLOPE_S
 
-    def _add(self, tokens: float, took: float, weight: float) -> None:
+    def _add_sample(self, tokens: float, latency_s: float, weight: float) -> None:
         self._weight += weight
-        self._x += weight * tokens
-        self._y += weight * took
-        self._xx += weight * tokens * tokens
-        self._xy += weight * tokens * took
-
-    def learn(self, tokens: float, took: float) -> None:
-        """A time to first token, in seconds, with so many tokens to read before."""
-        for name in ("_weight", "_x", "_y", "_xx", "_xy"):
-            setattr(self, name, getattr(self, name) * FORGETTING)
-        self._add(tokens, took, 1.0)
-        spread = self._weight * self._xx - self._x * self._x
-        if spread <= 0:
+        self._sum_x += weight * tokens
+        self._sum_y += weight * latency_s
+        self._sum_xx += weight * tokens * tokens
+        self._sum_xy += weight * tokens * latency_s
+
+    def _discount_samples(self) -> None:
+        self._weight *= FORGETTING_FACTOR
+        self._sum_x *= FORGETTING_FACTOR
+        self._sum_y *= FORGETTING_FACTOR
+        self._sum_xx *= FORGETTING_FACTOR
+        self._sum_xy *= FORGETTING_FACTOR
+
+    def predict(self, tokens: float) -> float:
+        """Return the expected time to first token, in seconds."""
+        return self.base + self.slope * tokens
+
+    def learn(self, tokens: float, latency_s: float) -> None:
+        """Fit the model to one more time to first token."""
+        self._discount_samples()
+        self._add_sample(tokens, latency_s, 1.0)
+        determinant = self._weight * self._sum_xx - self._sum_x * self._sum_x
+        if determinant <= 0:
             return
-        slope = (self._weight * self._xy - self._x * self._y) / spread
-        self.slope = min(SLOPE_HIGH * PRIOR_SLOPE, max(SLOPE_LOW * PRIOR_SLOPE, slope))
-        self.base = max(0.0, (self._y - self.slope * self._x) / self._weight)
+        slope = (self._weight * self._sum_xy - self._sum_x * self._sum_y) / determinant
+        self.slope = min(MAX_SLOPE_RATIO * PRIOR_SLOPE_S, max(MIN_SLOPE_RATIO * PRIOR_SLOPE_S, slope))
+        self.base = max(0.0, (self._sum_y - self.slope * self._sum_x) / self._weight)
--- /dev/null
+++ b/wheatroute/edge/prompt_headers.py
@@ -0,0 +1,43 @@
+"""Request headers that describe a prompt: its prefix blocks and its size in tokens. No I/O."""
+
+from __future__ import annotations
+
+import msgspec
+
+
+class PrefixBlock(msgspec.Struct, frozen=True):
+    """One block of a prompt's prefix: the hash that identifies it, and its size in tokens."""
+
+    id: str
+    tokens: int
+
+
+class TokenCount(msgspec.Struct, frozen=True):
+    """The size of a request in tokens."""
+
+    prompt: int
+    max_generated: int
+
+    @property
+    def total(self) -> int:
+        """All tokens that the request may use."""
+        return self.prompt + self.max_generated
+
+
+def parse_prefix_blocks(header: str) -> tuple[PrefixBlock, ...]:
+    """Return the blocks of a `Prefix-Hash` header (`HASH:TOKENS,...`) up to the first malformed one."""
+    blocks: list[PrefixBlock] = []
+    for text in header.split(",") if header else ():
+        name, _, tokens = text.strip().partition(":")
+        if not name or not tokens.isdigit():
+            break
+        blocks.append(PrefixBlock(name, int(tokens)))
+    return tuple(blocks)
+
+
+def parse_token_count(header: str) -> TokenCount | None:
+    """Return the value of a `Token-Count` header (`PROMPT,MAX_GENERATED`), None if there is no valid one."""
+    prompt, comma, generated = header.partition(",")
+    if not comma or not prompt.strip().isdigit() or not generated.strip().isdigit():
+        return None
+    return TokenCount(int(prompt), int(generated))
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -1,4 +1,11 @@
-"""Tokens of tenants that this node has leased from the primary; a state machine without I/O."""
+"""Tokens of tenants that this node has leased from the primary. A state machine without I/O.
+
+Invariant: what the primary grants is taken out of the one bucket of the tenant, so the leases of all nodes
+sum to the rate limit. A node is isolated while it has no contact with a primary. It then uses the local rate
+and burst of its last grant, and an even share of what the operators' rule allows beyond the limit. It reports
+that usage to the next primary, which takes it out of the bucket. What is left of it can't be used while a
+primary answers.
+"""
 
 from __future__ import annotations
 
@@ -8,212 +15,222 @@
 
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant
+from wheatroute.edge.prompt_headers import TokenCount
 from wheatroute.edge.usage_history import UsageHistory
 
-RATE_MEMORY = 4.0  # seconds over which the need of a tenant's clients is measured
-KEEP_S = 0.4  # seconds of that need which a lease may hold without giving it back
-ALONE_KEEP_S = 2.0  # seconds of its part that a node without word may save up
-OWN_RATE_VALID_S = 3.0  # seconds from the primary's word within which a node's part of a rate still holds
-ALONE_SHARE = 0.5  # of an even part of the rate that a node uses which never had word from the primary
-UNTOLD_S = 1.0  # seconds of that part that such a node may use ahead, else a large request never fits
-ALONE_SLACK = 0.3  # of what the rule allows beyond the limit that nodes without word use together
+DEMAND_WINDOW_S = 4.0  # over which the demand of a tenant's clients is measured
+MAX_LEASE_S = 0.4  # seconds of that demand that a lease may hold without returning it
+MAX_LOCAL_BURST_S = 2.0  # seconds of the local rate that an isolated node may save up
+LOCAL_RATE_TTL_S = 3.0  # after the last grant, for which its local rate is valid
+# of an even share of the rate limit, that a node uses which never had a grant
+DEFAULT_LOCAL_RATE_FRACTION = 0.5
+DEFAULT_LOCAL_BURST_S = 1.0  # seconds of that rate usable in advance, else a large request would never fit
+LOCAL_SLACK_FRACTION = 0.3  # of what the rule allows beyond the limit, that all isolated nodes use together
 
 
-class AloneSpell(msgspec.Struct, frozen=True):
-    """A time without word from the primary, and the tokens that this node used of its own part meanwhile."""
+class IsolationPeriod(msgspec.Struct, frozen=True):
+    """A time without contact to a primary, and the tokens of a tenant used meanwhile without a grant."""
 
     tenant: str
-    seconds: float
+    duration_s: float
     tokens: float
-    nodes: int  # edge nodes that its part was reckoned by
+    edge_node_count: int  # by which the node's share was computed
 
 
-class TenantLease:
-    """Tokens of one tenant that this node may use."""
+class QuotaLease:
+    """Tokens of one tenant that this node may use. Times are those of a steady clock, in seconds."""
 
     __slots__ = (
-        "balance",
-        "asked_rate",
-        "asked_at",
-        "wait_s",
+        "granted_tokens",
+        "demand_rate",
+        "demand_updated_at",
+        "retry_after_s",
         "local_rate",
         "local_burst",
-        "heard",
-        "own",
-        "used_alone",
-        "told_alone",
-        "alone",
-        "alone_since",
-        "alone_before",
-        "alone_nodes",
-        "filled_at",
-        "credited_at",
-        "history",
+        "granted_at",
+        "local_tokens",
+        "isolated_usage",
+        "isolated_usage_acknowledged",
+        "is_isolated",
+        "isolated_since",
+        "isolated_usage_before",
+        "edge_node_count",
+        "refilled_at",
+        "burst_credited_at",
+        "usage",
     )
 
     def __init__(self, window_s: float) -> None:
-        self.balance = 0.0  # granted by a primary
-        self.asked_rate = 0.0  # tokens a second that clients asked for of late
-        self.asked_at = 0.0
-        self.wait_s = 0.0  # until tokens are there, by the primary's word
-        self.local_rate = (
-            0.0  # part of the tenant's rate for this node, while it has no word from the primary
-        )
-        self.local_burst = 0.0  # part of what the tenant's bucket held then
-        self.heard = -inf  # when the primary's last word on this tenant came
-        self.own = 0.0  # of its own part, what it may use while alone; no primary has granted that
-        self.used_alone = 0.0  # of its own part, since the process began
-        self.told_alone = 0.0  # how much of that a primary has heard of
-        self.alone = False  # since then this node lives on its own part
-        self.alone_since = 0.0
-        self.alone_before = 0.0  # `used_alone` at that time
-        self.alone_nodes = 0
-        self.filled_at = 0.0
-        self.credited_at = -inf  # when this node last began to live on its own part with something in hand
-        self.history = UsageHistory(window_s)
+        self.granted_tokens = 0.0
+        self.demand_rate = 0.0  # tokens a second that clients asked for, as of `demand_updated_at`
+        self.demand_updated_at = 0.0
+        self.retry_after_s = 0.0  # until the bucket holds tokens, by the last grant
+        # of the last grant, for the time of isolation: tokens a second, and tokens
+        self.local_rate = 0.0
+        self.local_burst = 0.0
+        self.granted_at = -inf  # when the last grant came
+        self.local_tokens = 0.0  # usable while isolated; no primary has granted them
+        self.isolated_usage = 0.0  # local tokens used since the process started
+        self.isolated_usage_acknowledged = 0.0  # the part of it that a primary knows
+        self.is_isolated = False
+        self.isolated_since = 0.0
+        self.isolated_usage_before = 0.0  # `isolated_usage` at that time
+        self.edge_node_count = 0  # by which the local rate was computed at that time
+        self.refilled_at = 0.0
+        self.burst_credited_at = -inf  # when an isolation last began with the local burst
+        self.usage = UsageHistory(window_s)
+
+    def begin_isolation(self, now: float, edge_node_count: int) -> None:
+        """Enter isolation; the local rate counts from the last grant on, as nothing was granted since."""
+        self.is_isolated = True
+        self.isolated_since = now
+        self.isolated_usage_before = self.isolated_usage
+        self.edge_node_count = edge_node_count
+        if now - self.granted_at > LOCAL_RATE_TTL_S:
+            # the demand has changed since, that of other nodes too
+            self.local_rate, self.local_burst, self.granted_at = 0.0, 0.0, now
+        self.refilled_at = self.granted_at
 
 
 class QuotaLeases:
-    """Tokens leased from the primary's buckets, by tenant.
-
-    Whatever the primary grants is taken out of the one bucket of the tenant, so the nodes' leases sum to the
-    limit. Without word from the primary a node lives on the part of the rate that it was told last, and on an
-    even part of what the rule allows beyond the limit. What it uses of those it tells the primary that it
-    reaches next, which takes it out of the bucket. What is left can't be used while a primary answers.
-    """
+    """Leases by tenant; `window_s` is the window of the operators' rule, in seconds."""
 
     def __init__(self, window_s: float) -> None:
-        self.window_s = window_s  # over which the rule counts
-        self._leases: dict[str, TenantLease] = {}
+        self.window_s = window_s
+        self._leases: dict[str, QuotaLease] = {}
 
-    def count_over(self, window_s: float) -> None:
-        """Another window of the rule, in seconds."""
+    def set_window(self, window_s: float) -> None:
+        """Change the window of the rule, in seconds."""
         self.window_s = window_s
         for lease in self._leases.values():
-            lease.history.keep(window_s)
+            lease.usage.set_span(window_s)
 
-    def _lease(self, tenant: str) -> TenantLease:
+    def _lease(self, tenant: str) -> QuotaLease:
         if tenant not in self._leases:
-            self._leases[tenant] = TenantLease(self.window_s)
+            self._leases[tenant] = QuotaLease(self.window_s)
         return self._leases[tenant]
 
-    def asked(self, tenant: str, tokens: float, now: float) -> None:
-        """A client asks for tokens."""
-        lease = self._lease(tenant)
-        kept = max(0.0, 1.0 - (now - lease.asked_at) / RATE_MEMORY)
-        lease.asked_rate = lease.asked_rate * kept + tokens / RATE_MEMORY
-        lease.asked_at = now
+    def tenants(self) -> list[str]:
+        """Return all tenants with a lease."""
+        return list(self._leases)
 
-    def asked_rate(self, tenant: str, now: float) -> float:
-        """Tokens a second that clients asked for of late."""
-        lease = self._lease(tenant)
-        return lease.asked_rate * max(0.0, 1.0 - (now - lease.asked_at) / RATE_MEMORY)
+    # demand
 
-    def take(self, tenant: str, tokens: float) -> bool:
-        """Uses tokens of the lease; false if it doesn't hold so many."""
+    def record_demand(self, tenant: str, tokens: float, now: float) -> None:
+        """Count tokens that a client asks for."""
         lease = self._lease(tenant)
-        if lease.balance + (lease.own if lease.alone else 0.0) < tokens:
-            return False
-        granted = min(lease.balance, tokens)
-        lease.balance -= granted
-        lease.own -= tokens - granted
-        lease.used_alone += tokens - granted
-        lease.history.add(lease.asked_at, tokens)
-        return True
+        remaining = max(0.0, 1.0 - (now - lease.demand_updated_at) / DEMAND_WINDOW_S)
+        lease.demand_rate = lease.demand_rate * remaining + tokens / DEMAND_WINDOW_S
+        lease.demand_updated_at = now
 
-    def give_back(self, tenant: str, tokens: float) -> None:
-        """A request that was charged never went out."""
+    def demand_rate(self, tenant: str, now: float) -> float:
+        """Return the tokens a second that clients asked for lately."""
         lease = self._lease(tenant)
-        lease.balance += tokens
-        lease.history.add(lease.asked_at, -tokens)
+        return lease.demand_rate * max(0.0, 1.0 - (now - lease.demand_updated_at) / DEMAND_WINDOW_S)
 
-    def need(
-        self, tenant: str, wanted: float, returned: float, now: float, recent: bool = False
+    def demand(
+        self, tenant: str, wanted: float, returned: float, now: float, with_recent_usage: bool = False
     ) -> QuotaDemand:
-        """What the primary is told and asked for; `recent` where it is to hear what was used of late."""
+        """Return a tenant's part of a usage report, with tokens wanted and returned."""
         lease = self._lease(tenant)
         return QuotaDemand(
             wanted,
             returned,
-            self.asked_rate(tenant, now),
-            lease.used_alone,
-            lease.told_alone,
-            self._recent(lease, now) if recent else (),
+            self.demand_rate(tenant, now),
+            lease.isolated_usage,
+            lease.isolated_usage_acknowledged,
+            self._recent_usage(lease, now) if with_recent_usage else (),
         )
 
-    def owes(self, tenant: str) -> bool:
-        """Whether tokens were used alone of which no primary has heard."""
+    def has_unacknowledged_usage(self, tenant: str) -> bool:
+        """Return whether there is isolated usage that no primary knows."""
         lease = self._lease(tenant)
-        return lease.used_alone > lease.told_alone
+        return lease.isolated_usage > lease.isolated_usage_acknowledged
 
-    def _recent(self, lease: TenantLease, now: float) -> tuple[int, ...]:
-        """Tokens used by slots of time, the newest first; those in hand may be used without another word."""
-        slots = lease.history.by_age(now) or [0.0]
-        slots[0] += lease.balance
+    def _recent_usage(self, lease: QuotaLease, now: float) -> tuple[int, ...]:
+        """Return the usage by slots, the newest first; leased tokens count as used in the newest."""
+        slots = lease.usage.by_age(now) or [0.0]
+        slots[0] += lease.granted_tokens
         return tuple(round(tokens) for tokens in slots)
 
-    def granted(
-        self, tenant: str, grant: QuotaGrant, now: float, told_alone: float = 0.0
-    ) -> AloneSpell | None:
-        """The primary's answer to a need that told of so much used alone.
+    # use
 
-        Returns what a time without an answer came to, if this ends one.
-        """
+    def try_use(self, tenant: str, tokens: float) -> bool:
+        """Use tokens of the lease; return False if it doesn't hold as many."""
         lease = self._lease(tenant)
-        spell = None
-        if lease.alone:
-            used = lease.used_alone - lease.alone_before
-            spell = AloneSpell(tenant, now - lease.alone_since, used, lease.alone_nodes)
-        lease.balance += grant.tokens
-        lease.told_alone = max(lease.told_alone, told_alone)
-        lease.wait_s, lease.local_rate, lease.local_burst = grant.wait_s, grant.local_rate, grant.local_burst
-        lease.heard, lease.alone = now, False
-        return spell
-
-    def wait(self, tenant: str) -> float:
-        """Seconds after which a refused client should come back."""
-        return self._lease(tenant).wait_s
-
-    def surplus(self, tenant: str, now: float) -> float:
-        """Takes out what a lease holds beyond its need, to be given back to the primary."""
+        if lease.granted_tokens + (lease.local_tokens if lease.is_isolated else 0.0) < tokens:
+            return False
+        granted = min(lease.granted_tokens, tokens)
+        lease.granted_tokens -= granted
+        lease.local_tokens -= tokens - granted
+        lease.isolated_usage += tokens - granted
+        lease.usage.add(lease.demand_updated_at, tokens)
+        return True
+
+    def refund(self, tenant: str, tokens: float) -> None:
+        """Return tokens to the lease that a request used which never ran."""
         lease = self._lease(tenant)
-        surplus = max(0.0, lease.balance - KEEP_S * self.asked_rate(tenant, now))
-        lease.balance -= surplus
-        return surplus
+        lease.granted_tokens += tokens
+        lease.usage.add(lease.demand_updated_at, -tokens)
 
-    def refill_alone(self, tenant: Tenant, now: float, nodes: int, slack: float) -> None:
-        """Without word from the primary; `slack` is what the rule allows beyond the limit, in tokens.
+    # grants
 
-        The node's part of the rate counts from the primary's last word on: since then nobody has granted it
-        any. Its part of what the bucket held then, and of the slack, it has at once, but once in a window.
+    def apply_grant(
+        self, tenant: str, grant: QuotaGrant, now: float, isolated_usage: float = 0.0
+    ) -> IsolationPeriod | None:
+        """Apply the primary's grant, in response to a report with this isolated usage.
+
+        Returns the period of isolation that it ends, if there was one.
         """
-        lease = self._lease(tenant.name)
-        reserve = ALONE_SLACK * slack / max(1, nodes)
-        begins = not lease.alone
-        if begins:
-            lease.alone = True
-            lease.alone_since, lease.alone_before, lease.alone_nodes = now, lease.used_alone, nodes
-            if now - lease.heard > OWN_RATE_VALID_S:
-                # its clients' need is another one by now, and other nodes' with it
-                lease.local_rate, lease.local_burst, lease.heard = 0.0, 0.0, now
-            lease.filled_at = lease.heard
-        untold_rate = ALONE_SHARE * tenant.rate_per_s / max(1, nodes)
-        rate = lease.local_rate or untold_rate
-        ahead = lease.local_burst if lease.local_rate else untold_rate * UNTOLD_S
-        if begins and now - lease.credited_at >= self.window_s:
-            lease.credited_at = now
-            lease.own += reserve + ahead
-        most = reserve + max(rate * ALONE_KEEP_S, ahead)
-        lease.own = min(most, lease.own + rate * (now - lease.filled_at))
-        lease.filled_at = now
+        lease = self._lease(tenant)
+        period = None
+        if lease.is_isolated:
+            used = lease.isolated_usage - lease.isolated_usage_before
+            period = IsolationPeriod(tenant, now - lease.isolated_since, used, lease.edge_node_count)
+        lease.granted_tokens += grant.tokens
+        lease.isolated_usage_acknowledged = max(lease.isolated_usage_acknowledged, isolated_usage)
+        lease.retry_after_s = grant.wait_s
+        lease.local_rate, lease.local_burst = grant.local_rate, grant.local_burst
+        lease.granted_at, lease.is_isolated = now, False
+        return period
+
+    def retry_after_s(self, tenant: str) -> float:
+        """Return the seconds after which a rejected client should retry."""
+        return self._lease(tenant).retry_after_s
+
+    def take_surplus(self, tenant: str, now: float) -> float:
+        """Take out the tokens that a lease holds beyond its demand, to be returned to the primary."""
+        lease = self._lease(tenant)
+        surplus = max(0.0, lease.granted_tokens - MAX_LEASE_S * self.demand_rate(tenant, now))
+        lease.granted_tokens -= surplus
+        return surplus
 
-    def tenants(self) -> list[str]:
-        """All tenants with a lease."""
-        return list(self._leases)
+    # isolation
 
+    def refill_isolated(self, tenant: Tenant, now: float, edge_node_count: int, slack: float) -> None:
+        """Refill the local tokens of an isolated node; `slack` is the rule's allowance beyond the limit.
 
-def cost(tenant: Tenant, tokens: tuple[int, int] | None) -> float:
-    """What a request is charged, in the unit of its tenant's limit."""
+        The local rate counts from the last grant on. The local burst and the share of the slack are there at
+        once, but only once in a window.
+        """
+        lease = self._lease(tenant.name)
+        slack_share = LOCAL_SLACK_FRACTION * slack / max(1, edge_node_count)
+        is_beginning = not lease.is_isolated
+        if is_beginning:
+            lease.begin_isolation(now, edge_node_count)
+        default_rate = DEFAULT_LOCAL_RATE_FRACTION * tenant.rate_per_s / max(1, edge_node_count)
+        rate = lease.local_rate or default_rate
+        burst = lease.local_burst if lease.local_rate else default_rate * DEFAULT_LOCAL_BURST_S
+        if is_beginning and now - lease.burst_credited_at >= self.window_s:
+            lease.burst_credited_at = now
+            lease.local_tokens += slack_share + burst
+        capacity = slack_share + max(rate * MAX_LOCAL_BURST_S, burst)
+        lease.local_tokens = min(capacity, lease.local_tokens + rate * (now - lease.refilled_at))
+        lease.refilled_at = now
+
+
+def request_cost(tenant: Tenant, token_count: TokenCount | None) -> float:
+    """Return what a request is charged, in the unit of its tenant's limit: tokens or requests."""
     if tenant.unit != "token_usage":
         return 1.0
-    return float(sum(tokens)) if tokens is not None else tenant.uncached_tokens
+    return float(token_count.total) if token_count is not None else tenant.uncached_tokens
--- a/wheatroute/edge/readiness.py
+++ b/wheatroute/edge/readiness.py
@@ -1,4 +1,7 @@
-"""Answers the platform's question whether this node should get new clients."""
+"""Answers the platform's readiness probe: whether this node should get new clients.
+
+Does its own socket I/O. Each probe has a connection of its own.
+"""
 
 from __future__ import annotations
 
@@ -9,40 +12,40 @@
 
 from wheatroute.edge.node import EdgeNode
 
-READ_TIME = 2.0
-LONGEST_QUESTION = 8192
-YES = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nok\n"
-NO = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\nConnection: close\r\n\r\nno\n"
+READ_TIMEOUT_S = 2.0
+MAX_PROBE_BYTES = 8192
+READY = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nok\n"
+NOT_READY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 3\r\nConnection: close\r\n\r\nno\n"
 
 
-class Readiness:
-    """One short connection for each question; counts the refusals since the node stops."""
+class ReadinessProbe:
+    """Answers probes, and counts those that it failed since the node began to stop."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
-        self.refusals = 0
+        self.failed_while_stopping = 0
 
-    async def run(self, opened: socket.socket) -> None:
-        """Answers for ever."""
-        listener = trio.socket.from_stdlib_socket(opened)
+    async def run(self, sock: socket.socket) -> None:
+        """Answer probes on a listening socket until cancelled."""
+        listener = trio.socket.from_stdlib_socket(sock)
         async with trio.open_nursery() as nursery:
             while True:
                 with suppress(OSError):
-                    sock, _ = await listener.accept()
-                    nursery.start_soon(self._answer, sock)
-
-    async def _answer(self, sock: trio.socket.SocketType) -> None:
-        with sock, suppress(OSError), trio.move_on_after(READ_TIME):
-            question = b""
-            while b"\r\n\r\n" not in question:
-                data = await sock.recv(1024)
-                question += data
-                if not data or len(question) > LONGEST_QUESTION:
+                    connection, _ = await listener.accept()
+                    nursery.start_soon(self._answer, connection)
+
+    async def _answer(self, connection: trio.socket.SocketType) -> None:
+        with connection, suppress(OSError), trio.move_on_after(READ_TIMEOUT_S):
+            head = b""
+            while b"\r\n\r\n" not in head:
+                data = await connection.recv(1024)
+                head += data
+                if not data or len(head) > MAX_PROBE_BYTES:
                     return
-            ready = self._node.ready
-            await trio.SocketStream(sock).send_all(YES if ready else NO)
-            if self._node.stopping:
-                self.refusals += 1
-            sock.shutdown(socket.SHUT_WR)
-            while await sock.recv(1024):
+            response = READY if self._node.is_ready else NOT_READY
+            await trio.SocketStream(connection).send_all(response)
+            if self._node.is_stopping:
+                self.failed_while_stopping += 1
+            connection.shutdown(socket.SHUT_WR)
+            while await connection.recv(1024):
                 pass
--- a/wheatroute/edge/request.py
+++ b/wheatroute/edge/request.py
@@ -1,14 +1,19 @@
-"""One request of a client: what came, where it may go, and what became of its attempts."""
+"""One request of a client: what it sent, where it may go, and what became of its attempts.
+
+Also the headers that pass between client and server. No I/O.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
 from wheatroute.cluster.configuration import Route, Tenant
-from wheatroute.edge.routing import PromptPart, RoutingTable, prompt_parts, token_count
+from wheatroute.edge.prompt_headers import PrefixBlock, TokenCount, parse_prefix_blocks, parse_token_count
+from wheatroute.edge.routing import RoutingTable
 
 Headers = list[tuple[bytes, bytes]]
 
+# fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -23,7 +28,8 @@
         b"upgrade",
     )
 )
-SET_HERE = frozenset(
+# fields that each attempt sets anew, or that servers must not see
+REPLACED = frozenset(
     (
         b"authorization",
         b"content-length",
@@ -34,91 +40,93 @@
         b"priority",
     )
 )
+RESPONSE_REPLACED = frozenset((b"content-length",))
 
 
 class ClientRequest(msgspec.Struct):
-    """A whole request; times are of the steady clock."""
+    """A complete request; times are those of the node's steady clock, in seconds."""
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    received: float
+    received_at: float
     id: bytes = b""
     table: RoutingTable | None = None
     route: Route | None = None
     tenant: Tenant | None = None
     service: str = ""
     deadline: float = 0.0
-    parts: tuple[PromptPart, ...] = ()
-    tokens: tuple[int, int] | None = None
-    charged: float = 0.0
-    sends: int = 0  # attempts written to a server
+    prefix_blocks: tuple[PrefixBlock, ...] = ()
+    token_count: TokenCount | None = None
+    charged_tokens: float = 0.0
+    sent_attempts: int = 0  # attempts that were written to a server
     may_have_run: bool = False
 
     def header(self, name: bytes) -> str:
-        """The first value of a header, or nothing."""
+        """Return the first value of a header field, the empty string if it is missing."""
         for key, value in self.headers:
             if key == name:
                 return value.decode("latin-1")
         return ""
 
     @property
-    def key(self) -> str | None:
-        """What a server should keep from request to request: the last shared part of the prompt.
+    def prefix_key(self) -> str | None:
+        """The last prefix block that other requests may share; None without prefix blocks.
 
-        The last part of all belongs to the request itself or its session; a prompt of one part has only that.
+        The last block of all belongs to the request or its session alone, unless it is the only one.
         """
-        if not self.parts:
+        if not self.prefix_blocks:
             return None
-        return self.parts[-2].id if len(self.parts) > 1 else self.parts[-1].id
+        return self.prefix_blocks[-2].id if len(self.prefix_blocks) > 1 else self.prefix_blocks[-1].id
 
-    def describe(self) -> None:
-        """Reads the headers that say what a prompt holds."""
+    def parse_headers(self) -> None:
+        """Fill in the fields that header fields carry: the id, the prefix blocks and the token count."""
         self.id = self.header(b"request-id").encode("latin-1")
-        self.parts = prompt_parts(self.header(b"prefix-hash"))
-        self.tokens = token_count(self.header(b"token-count"))
+        self.prefix_blocks = parse_prefix_blocks(self.header(b"prefix-hash"))
+        self.token_count = parse_token_count(self.header(b"token-count"))
 
 
-def forwarded_headers(headers: Headers) -> Headers:
-    """The headers that concern more than one connection, less those that this node sets."""
-    named = {
-        name.strip().lower() for key, value in headers if key == b"connection" for name in value.split(b",")
-    }
-    return [
-        (key, value)
-        for key, value in headers
-        if key not in HOP_BY_HOP and key not in SET_HERE and key not in named
-    ]
-
-
-def server_headers(
-    request: ClientRequest, instance: str, left_s: float, unread: float, last_event: bytes | None
+def request_headers(
+    request: ClientRequest,
+    server_id: str,
+    remaining_s: float,
+    prefill_tokens: float,
+    last_event_id: bytes | None,
 ) -> Headers:
-    """The headers of an attempt at a server."""
-    headers = forwarded_headers(request.headers)
-    if last_event is not None:
-        headers = [one for one in headers if one[0] != b"last-event-id"]
-        headers.append((b"Last-Event-Id", last_event))
-    headers.append((b"Timeout-Ms", b"%d" % max(1, int(left_s * 1000))))
-    headers.append((b"Target-Instance", instance.encode("latin-1")))
+    """Return the header fields of an attempt.
+
+    `remaining_s` is the time until the request's deadline, `prefill_tokens` what the server is expected to
+    read, and `last_event_id` the event after which a broken stream is resumed.
+    """
+    headers = _end_to_end_headers(request.headers, REPLACED)
+    if last_event_id is not None:
+        headers = [field for field in headers if field[0] != b"last-event-id"]
+        headers.append((b"Last-Event-Id", last_event_id))
+    headers.append((b"Timeout-Ms", b"%d" % max(1, int(remaining_s * 1000))))
+    headers.append((b"Target-Instance", server_id.encode("latin-1")))
     if request.tenant is not None:
         headers.append((b"Tenant", request.tenant.name.encode("latin-1")))
     if request.table is not None and request.route is not None:
-        rank = request.table.priority(request.route, request.tenant, unread)
+        rank = request.table.server_rank(request.route, request.tenant, prefill_tokens)
         headers.append((b"Priority", b"%d" % rank))
     if request.body or request.method not in (b"GET", b"HEAD", b"DELETE", b"OPTIONS"):
         headers.append((b"Content-Length", b"%d" % len(request.body)))
     return headers
 
 
-def answer_headers(headers: Headers) -> Headers:
-    """The headers of a server's answer that a client gets."""
-    named = {
+def response_headers(headers: Headers) -> Headers:
+    """Return the header fields of a server's response that its client gets."""
+    return _end_to_end_headers(headers, RESPONSE_REPLACED)
+
+
+def _end_to_end_headers(headers: Headers, excluded: frozenset[bytes]) -> Headers:
+    """Return the fields that are neither hop-by-hop nor excluded (RFC 9110, 7.6.1)."""
+    connection_options = {
         name.strip().lower() for key, value in headers if key == b"connection" for name in value.split(b",")
     }
     return [
         (key, value)
         for key, value in headers
-        if key not in HOP_BY_HOP and key != b"content-length" and key not in named
+        if key not in HOP_BY_HOP and key not in excluded and key not in connection_options
     ]
