--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -1,11 +1,11 @@
-"""Which server gets a request: the design's split, drawn by what the server keeps of the prompt.
+"""Choice of a server for a request: weighted rendezvous hashing, corrected by expected wait. No I/O.
 
-Each second the split is solved inverse to the smoothed time to first token of this node's own requests,
-clamped to half..twice the even share. A draw by the split is keyed by the last shared part of the prompt
-(weighted rendezvous hashing), so that all nodes come to the same server for the same part, without talk; a
-request without parts is drawn by chance. A draw that lands on a crowded server is redrawn: on one where the
-first token would come later than at the best one by more than a part of the request's target, counting the
-prompt tokens that wait there and those that this server would have to read again.
+A server is drawn with a probability in proportion to its weight (`latency_weights.py`). The draw is keyed by
+the last shared prefix block of the prompt, so that all nodes draw the same server for the same prefix without
+any coordination; a request without prefix blocks is drawn at random. A draw that lands on a congested server
+is overruled: on one whose first token is expected later than the best server's by more than a fraction of
+the latency target, counting the prompt tokens queued there and those that this server would have to prefill
+again.
 
 Source of the weighted form: C. Schindelhauer, G. Schomaker, "Weighted distributed hash tables", SPAA 2005.
 """
@@ -13,264 +13,149 @@
 from __future__ import annotations
 
 import hashlib
-from collections import OrderedDict
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from math import log
 from random import Random
 
-from wheatroute.cluster.messages import ServerLoad
 from wheatroute.edge.instances import Server
+from wheatroute.edge.latency_weights import LatencyWeights
 from wheatroute.edge.prefill import PrefillModel
-from wheatroute.edge.routing import PromptPart
-from wheatroute.split import clamped_shares
-
-SOLVE_INTERVAL = 1.0  # seconds
-SMOOTHING = 0.2  # weight of the newest time to first token
-PRIOR = 3.0  # times to first token that the mean stands for beside a server's own
-MEMORY = 10.0  # seconds after which half of a server's own times are forgotten
-STEADY_LOW, STEADY_HIGH = 0.75, 1.35  # times of the mean between which a server gets the even share
-COLD_SHARE = 0.5  # of its share that a cold server gets
-CROWDED_SHARE = 0.15  # of a request's target by which the first token may come later than elsewhere
-READ_AGAIN = 3.0  # times that a shared part counts which another server than the first would read
-KEPT_MULTIPLE = 6.0  # of the time in which a part that is read again has a price; servers keep it for longer
-READ_AT_HOME = 0.15  # of the shared parts that the first server of the draw is expected to read
-SHORTEST_SILENCE = 0.8  # seconds that a server may answer nothing before it is passed over
-SHORTEST = 0.001  # seconds that a time to first token is taken for at the least
-REMEMBERED_PARTS = 20000
-HASH_SPAN = 2.0**64
-
-
-class _Sample:
-    """Smoothed relative time to first token of one server."""
-
-    __slots__ = ("ratio", "weight", "noted")
-
-    def __init__(self) -> None:
-        self.ratio, self.weight, self.noted = 1.0, 0.0, 0.0
-
-
-class _Held:
-    """What this node has at one server."""
-
-    __slots__ = ("running", "waiting_tokens")
-
-    def __init__(self) -> None:
-        self.running, self.waiting_tokens = 0, 0.0
-
-
-class KeptParts:
-    """Parts of prompts that servers should still keep, by this node's own requests; bounded and expiring."""
-
-    def __init__(self, keep_s: float) -> None:
-        self._keep_s = keep_s
-        self._used: OrderedDict[tuple[str, str], float] = OrderedDict()
-
-    def keep(self, keep_s: float) -> None:
-        """Servers keep a part for so long after its last use, in seconds."""
-        self._keep_s = keep_s
-
-    def sent(self, server: str, parts: Iterable[PromptPart], now: float) -> None:
-        """A request with these parts has begun at a server."""
-        for part in parts:
-            key = (server, part.id)
-            self._used[key] = now
-            self._used.move_to_end(key)
-        while len(self._used) > REMEMBERED_PARTS:
-            self._used.popitem(last=False)
-
-    def unread(self, server: str, parts: tuple[PromptPart, ...], now: float) -> int:
-        """Tokens that a server has to read: those behind the first part that it doesn't keep."""
-        for place, part in enumerate(parts):
-            used = self._used.get((server, part.id))
-            if used is None or now - used > self._keep_s:
-                return sum(later.tokens for later in parts[place:])
-        return 0
-
-
-class Selection:
-    """Shares and loads of the servers of all services, as this node sees them."""
-
-    def __init__(self, keep_s: float, chance: Random, clock: Callable[[], float]) -> None:
-        self.kept = KeptParts(KEPT_MULTIPLE * keep_s)
-        self._models: dict[str, PrefillModel] = {}
-        self._chance = chance
+from wheatroute.edge.prefix_cache import PreferredServers, PrefixCacheIndex
+from wheatroute.edge.prompt_headers import PrefixBlock
+from wheatroute.edge.server_load import LoadTracker
+
+WARMUP_WEIGHT_FACTOR = 0.5  # of its weight, for a server that is warming up
+CONGESTION_THRESHOLD = 0.15  # of the latency target by which the first token may come later than elsewhere
+# expected cost of a shared token that this node hasn't sent to a server lately; at the preferred server other
+# nodes' requests have mostly filled the cache, elsewhere a prefill evicts what that server has cached
+PREFERRED_MISS_COST = 0.15
+OTHER_MISS_COST = 3.0
+CACHE_TTL_FACTOR = 6.0  # of the time in which a repeated prefill has a price; servers cache for longer
+MIN_RESPONSE_TIMEOUT_S = 0.8
+RESPONSE_TIMEOUT_FACTOR = 2.0  # of the p95 of the time to first token
+MIN_LATENCY_S = 0.001  # lower bound of an expected time to first token
+HASH_RANGE = 2.0**64
+
+
+class ServerSelector:
+    """Ranks the servers of all services, by what this node knows of them.
+
+    `cache_ttl_s` is the time in which a repeated prefill has a price.
+    """
+
+    def __init__(self, cache_ttl_s: float, rng: Random, clock: Callable[[], float]) -> None:
+        self.prefix_cache = PrefixCacheIndex(CACHE_TTL_FACTOR * cache_ttl_s)
+        self.load = LoadTracker()
+        self.response_timeout_s = MIN_RESPONSE_TIMEOUT_S  # without a response, a server is avoided after it
+        self._weights = LatencyWeights()
+        self._preferred = PreferredServers()
+        self._prefill_models: dict[str, PrefillModel] = {}  # by service
+        self._rng = rng
         self._clock = clock
-        self._samples: dict[str, _Sample] = {}
-        self._held: dict[str, _Held] = {}
-        self._elsewhere: dict[str, ServerLoad] = {}
-        self._shares: dict[str, float] = {}
-        self.silence = 0.0  # the same by this node's own p95, in seconds
-        self._homes: OrderedDict[str, str] = OrderedDict()
-        self._solved: dict[str, tuple[float, tuple[str, ...]]] = {}
-
-    def keep(self, keep_s: float) -> None:
-        """For how long servers are said to keep prompts, in seconds; what is known of them stays."""
-        self.kept.keep(KEPT_MULTIPLE * keep_s)
-
-    # what is observed
 
-    def started(self, server: Server, tokens: float) -> float:
-        """A request with so many tokens to read goes to a server; returns how many wait there then."""
-        held = self._held.setdefault(server.id, _Held())
-        held.running += 1
-        held.waiting_tokens += tokens
-        return self._waiting_tokens(server)
+    def set_cache_ttl(self, cache_ttl_s: float) -> None:
+        """Change the time in which a repeated prefill has a price; the index of what is cached stays."""
+        self.prefix_cache.set_ttl(CACHE_TTL_FACTOR * cache_ttl_s)
 
-    def answered(self, server: Server, tokens: float) -> None:
-        """Its first token came, or it never will."""
-        held = self._held.get(server.id)
-        if held is not None:
-            held.waiting_tokens = max(0.0, held.waiting_tokens - tokens)
+    def set_response_timeout(self, p95_s: float) -> None:
+        """Set the response timeout by the p95 of the time to first token; 0 while that is unknown."""
+        self.response_timeout_s = max(MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_FACTOR * p95_s)
 
-    def ended(self, server: Server) -> None:
-        """The request is over."""
-        held = self._held.get(server.id)
-        if held is not None:
-            held.running -= 1
+    def record_latency(self, server: Server, tokens: float, latency_s: float) -> None:
+        """Learn from a time to first token, with this many tokens to read before.
 
-    def first_token(self, server: Server, tokens: float, took: float) -> None:
-        """A time to first token, in seconds, with so many tokens to read before.
-
-        It counts in multiples of what is usual for as many: else a server looks slow for one long prompt.
+        It counts in multiples of the expected time: else a server would look slow for one long prompt.
         """
-        model = self._model(server.instance.service)
-        usual = model.base + model.slope * tokens
-        model.learn(tokens, took)
-        sample = self._samples.setdefault(server.id, _Sample())
-        now = self._clock()
-        kept = sample.weight * min(1.0 - SMOOTHING, 1.0 / (1.0 + (now - sample.noted) / MEMORY))
-        ratio = took / max(SHORTEST, usual)
-        sample.ratio += (ratio - sample.ratio) / (kept + 1.0)
-        sample.weight, sample.noted = kept + 1.0, now
-
-    def told(self, loads: dict[str, ServerLoad]) -> None:
-        """What other nodes have at servers."""
-        self._elsewhere = loads
-
-    def loads(self) -> dict[str, ServerLoad]:
-        """What this node has at servers."""
-        return {
-            server: ServerLoad(round(held.waiting_tokens), held.running)
-            for server, held in self._held.items()
-            if held.running
-        }
+        model = self._prefill_model(server.instance.service)
+        expected_s = model.predict(tokens)
+        model.learn(tokens, latency_s)
+        self._weights.record(server.id, latency_s / max(MIN_LATENCY_S, expected_s), self._clock())
 
     def forget(self, server: Server) -> None:
-        """A server has left."""
-        self._samples.pop(server.id, None)
-        self._shares.pop(server.id, None)
-        held = self._held.get(server.id)
-        if held is not None and not held.running:
-            del self._held[server.id]
-
-    # the split
+        """Drop what is known of a server that has left."""
+        self._weights.forget(server.id)
+        self.load.forget(server.id)
 
-    def _solve(self, service: str, servers: list[Server], now: float) -> None:
-        names = tuple(server.id for server in servers)
-        solved, known = self._solved.get(service, (-SOLVE_INTERVAL, ()))
-        if known == names and now - solved < SOLVE_INTERVAL:
-            return
-        self._solved[service] = (now, names)
-        shares = clamped_shares([self._expected(name, now) for name in names])
-        self._shares.update(zip(names, shares, strict=True))
-
-    def _expected(self, name: str, now: float) -> float:
-        """A server's time in multiples of the usual; the mean while little was heard.
-
-        What lies near the mean counts as the mean: a share that moves with every answer would move prompts
-        away from the servers that keep them.
-        """
-        sample = self._samples.get(name)
-        if sample is None:
-            return 1.0
-        weight = sample.weight / (1.0 + (now - sample.noted) / MEMORY)
-        expected = (PRIOR + weight * sample.ratio) / (PRIOR + weight)
-        return 1.0 if STEADY_LOW < expected < STEADY_HIGH else expected
-
-    def order(
+    def rank(
         self,
         service: str,
         servers: list[Server],
         key: str | None,
-        parts: tuple[PromptPart, ...],
-        target: float,
+        blocks: tuple[PrefixBlock, ...],
+        target_s: float,
     ) -> list[Server]:
-        """Servers in the order in which to try them; `target` in seconds."""
+        """Return the servers of a service in the order in which to try them.
+
+        `key` is the prefix key of the prompt (see `ClientRequest.prefix_key`), None for a random draw;
+        `target_s` the latency target.
+        """
         now = self._clock()
-        self._solve(service, servers, now)
-        doubtful = {server.id for server in servers if self._doubtful(server, now)}
-        ranked = sorted(servers, key=lambda server: (server.id in doubtful, -self._score(server, key, now)))
-        if not ranked:
+        self._weights.update(service, tuple(server.id for server in servers), now)
+        avoided = {server.id for server in servers if self._is_avoided(server, now)}
+        drawn = sorted(servers, key=lambda server: (server.id in avoided, -self._score(server, key, now)))
+        if not drawn:
             return []
-        waits = {server.id: self.wait(server, parts, server is ranked[0]) for server in ranked}
+        waits = {server.id: self._expected_wait(server, blocks, server is drawn[0], now) for server in drawn}
         if key is not None:
-            self._homes[key] = ranked[0].id
-            self._homes.move_to_end(key)
-            if len(self._homes) > REMEMBERED_PARTS:
-                self._homes.popitem(last=False)
-        sound = [waits[server.id] for server in ranked if server.id not in doubtful]
-        most = min(sound or waits.values()) + CROWDED_SHARE * target
-        # the order of the draw among servers that are not crowded, then by how crowded they are
+            self._preferred.record(key, drawn[0].id)
+        accepted_waits = [waits[server.id] for server in drawn if server.id not in avoided]
+        max_wait = min(accepted_waits or waits.values()) + CONGESTION_THRESHOLD * target_s
+        # the order of the draw among servers that aren't congested, then by expected wait
         return sorted(
-            ranked,
-            key=lambda server: (server.id in doubtful, waits[server.id] if waits[server.id] > most else 0.0),
+            drawn,
+            key=lambda server: (
+                server.id in avoided,
+                waits[server.id] if waits[server.id] > max_wait else 0.0,
+            ),
         )
 
-    def _doubtful(self, server: Server, now: float) -> bool:
-        """Whether a server is passed over while there are others."""
-        silent = server.silent_for(now) > self.patience or server.unacknowledged(now)
-        return silent or server.doubtful(now)
-
-    @property
-    def patience(self) -> float:
-        """Seconds for which a server may answer nothing before it is passed over."""
-        return max(SHORTEST_SILENCE, self.silence)
-
-    def wait(self, server: Server, parts: tuple[PromptPart, ...], home: bool) -> float:
-        """Seconds until the first token at a server, beyond what is the same at all of them."""
-        service = server.instance.service
-        model = self._model(service)
-        again = READ_AT_HOME if home else READ_AGAIN
-        tokens = self._waiting_tokens(server) + self._to_read(server, parts, again)
-        running = self.running(server) * model.base / max(1, server.instance.slots)
-        return (model.slope * tokens + running) * self._expected(server.id, self._clock())
-
-    def _to_read(self, server: Server, parts: tuple[PromptPart, ...], again: float) -> float:
-        """Tokens that a server would have to read, the shared ones among them counted `again` times."""
-        unread = self.kept.unread(server.id, parts, self._clock())
-        own = parts[-1].tokens if parts else 0
-        return own + (unread - own) * again if unread > own else unread
-
-    def expected_unread(self, server: Server, key: str | None, parts: tuple[PromptPart, ...]) -> float:
-        """Tokens that a server will read; other nodes' requests have filled the first of the draw too."""
-        home = key is not None and self._homes.get(key) == server.id
-        return self._to_read(server, parts, READ_AT_HOME if home else 1.0)
-
-    def _model(self, service: str) -> PrefillModel:
-        if service not in self._models:
-            self._models[service] = PrefillModel()
-        return self._models[service]
+    def expected_prefill_tokens(
+        self, server: Server, key: str | None, blocks: tuple[PrefixBlock, ...]
+    ) -> float:
+        """Return how many prompt tokens a server will read if it gets a request."""
+        is_preferred = self._preferred.is_preferred(key, server.id)
+        return self._prefill_cost(server, blocks, PREFERRED_MISS_COST if is_preferred else 1.0, self._clock())
+
+    def _is_avoided(self, server: Server, now: float) -> bool:
+        """Return whether a server is tried only after all others."""
+        has_timed_out = server.unresponsive_for(now) > self.response_timeout_s
+        return has_timed_out or server.has_unacknowledged_bytes(now) or server.is_degraded(now)
+
+    def _expected_wait(
+        self, server: Server, blocks: tuple[PrefixBlock, ...], is_preferred: bool, now: float
+    ) -> float:
+        """Return the seconds until the first token at a server, less what is the same at all of them."""
+        model = self._prefill_model(server.instance.service)
+        miss_cost = PREFERRED_MISS_COST if is_preferred else OTHER_MISS_COST
+        tokens = self.load.queued_tokens(server.id) + self._prefill_cost(server, blocks, miss_cost, now)
+        running_s = self.load.running_requests(server.id) * model.base / max(1, server.instance.slots)
+        return (model.slope * tokens + running_s) * self._weights.relative_latency(server.id, now)
+
+    def _prefill_cost(
+        self, server: Server, blocks: tuple[PrefixBlock, ...], miss_cost: float, now: float
+    ) -> float:
+        """Return the tokens that a server would have to read, the shared ones counted `miss_cost` times."""
+        uncached = self.prefix_cache.uncached_tokens(server.id, blocks, now)
+        unshared = blocks[-1].tokens if blocks else 0
+        if uncached <= unshared:
+            return uncached
+        return unshared + (uncached - unshared) * miss_cost
+
+    def _prefill_model(self, service: str) -> PrefillModel:
+        if service not in self._prefill_models:
+            self._prefill_models[service] = PrefillModel()
+        return self._prefill_models[service]
 
     def _score(self, server: Server, key: str | None, now: float) -> float:
-        """Weighted rendezvous: the highest goes first, each server as often as its share says."""
-        share = self._shares.get(server.id, 1.0)
-        if server.cold_until > now:
-            share *= COLD_SHARE
-        drawn = self._chance.random() if key is None else _hashed(key, server.id)
-        return share / -log(max(drawn, 1e-18))
-
-    def running(self, server: Server) -> int:
-        """Requests at a server, as far as this node knows."""
-        held, other = self._held.get(server.id), self._elsewhere.get(server.id)
-        return (held.running if held else 0) + (other.running_requests if other else 0)
-
-    def _waiting_tokens(self, server: Server) -> float:
-        """Prompt tokens that a server has still to read."""
-        held, other = self._held.get(server.id), self._elsewhere.get(server.id)
-        return (held.waiting_tokens if held else 0.0) + (other.queued_prompt_tokens if other else 0.0)
-
-
-def _hashed(key: str, server: str) -> float:
-    """A fixed draw between 0 and 1 for a key and a server, alike on all nodes."""
-    digest = hashlib.blake2b(f"{key}\n{server}".encode(), digest_size=8).digest()
-    return (int.from_bytes(digest, "big") + 0.5) / HASH_SPAN
+        """Return the server's score in weighted rendezvous hashing; the highest score wins the draw."""
+        weight = self._weights.weight(server.id)
+        if server.is_warming_up(now):
+            weight *= WARMUP_WEIGHT_FACTOR
+        drawn = self._rng.random() if key is None else _hash_fraction(key, server.id)
+        return weight / -log(max(drawn, 1e-18))
+
+
+def _hash_fraction(key: str, server_id: str) -> float:
+    """Return a number between 0 and 1 for a key and a server, the same on all nodes."""
+    digest = hashlib.blake2b(f"{key}\n{server_id}".encode(), digest_size=8).digest()
+    return (int.from_bytes(digest, "big") + 0.5) / HASH_RANGE
--- a/wheatroute/edge/usage_history.py
+++ b/wheatroute/edge/usage_history.py
@@ -1,4 +1,4 @@
-"""What one tenant has used of late on this node, in slots of time; a state machine without I/O."""
+"""What one tenant has used in the last window on this node, in slots of time. A state machine without I/O."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class UsageHistory:
-    """Tokens by the slot of time in which they were used."""
+    """Tokens by the slot of time in which they were used; `span_s` is how far back it goes."""
 
-    __slots__ = ("_slots", "_reach")
+    __slots__ = ("_slots", "_span_slots")
 
-    def __init__(self, reach_s: float) -> None:
-        self._slots: deque[tuple[int, float]] = deque()  # the slot's number, and its tokens; oldest first
-        self.keep(reach_s)
+    def __init__(self, span_s: float) -> None:
+        self._slots: deque[tuple[int, float]] = deque()  # a slot's number and its tokens, the oldest first
+        self.set_span(span_s)
 
-    def keep(self, reach_s: float) -> None:
-        """So many seconds are to be told."""
-        self._reach = int(reach_s / USAGE_SLOT_S)
-        self._slots = deque(self._slots, maxlen=self._reach + 2)
+    def set_span(self, span_s: float) -> None:
+        """Change how far back the history goes, in seconds."""
+        self._span_slots = int(span_s / USAGE_SLOT_S)
+        self._slots = deque(self._slots, maxlen=self._span_slots + 2)
 
     def add(self, now: float, tokens: float) -> None:
-        """Tokens were used, or given back where fewer than none."""
+        """Add tokens that were used; a negative number takes back tokens that were not."""
         slot = int(now // USAGE_SLOT_S)
         if self._slots and self._slots[-1][0] >= slot:
-            newest, before = self._slots.pop()
-            self._slots.append((newest, before + tokens))
+            newest_slot, newest_tokens = self._slots.pop()
+            self._slots.append((newest_slot, newest_tokens + tokens))
         else:
             self._slots.append((slot, tokens))
 
     def by_age(self, now: float) -> list[float]:
-        """Tokens in each slot, the newest first; what is older than what is to be told is forgotten."""
+        """Return the tokens of each slot, the newest first; slots before the span are dropped."""
         newest = int(now // USAGE_SLOT_S)
-        oldest = newest - self._reach
+        oldest = newest - self._span_slots
         while self._slots and self._slots[0][0] < oldest:
             self._slots.popleft()
-        found = [0.0] * (newest - self._slots[0][0] + 1) if self._slots else []
+        by_age = [0.0] * (newest - self._slots[0][0] + 1) if self._slots else []
         for slot, tokens in self._slots:
-            found[max(0, newest - slot)] += tokens
-        return found
+            by_age[max(0, newest - slot)] += tokens
+        return by_age
--- a/wheatroute/split.py
+++ b/wheatroute/split.py
@@ -1,15 +1,24 @@
-"""The design's split, for both data planes: shares inverse to latency, clamped around the even share."""
+"""Weights of the servers of a service, inverse to their latency and clamped around the mean weight.
+
+Both data planes use it. A pure function; no I/O.
+"""
 
 from collections.abc import Sequence
 
-CLAMP_LOW, CLAMP_HIGH = 0.5, 2.0  # of the even share
+MIN_WEIGHT_RATIO, MAX_WEIGHT_RATIO = 0.5, 2.0  # of the mean weight
+ITERATIONS = 3  # the sum hardly changes after that
+
 
+def clamped_weights(latencies: Sequence[float]) -> list[float]:
+    """Return the weight of each server, from latencies above 0 in any unit.
 
-def clamped_shares(latencies: Sequence[float]) -> list[float]:
-    """The share of each server, from latencies above 0; where the clamps bind, the sum isn't quite 1."""
-    shares = [1.0 / latency for latency in latencies]
-    even = 1.0 / max(1, len(shares))
-    for _ in range(3):  # the sum hardly moves after that
-        total = sum(shares)
-        shares = [min(CLAMP_HIGH * even, max(CLAMP_LOW * even, share / total)) for share in shares]
-    return shares
+    The sum is not quite 1 where the clamps bind.
+    """
+    weights = [1.0 / latency for latency in latencies]
+    mean = 1.0 / max(1, len(weights))
+    for _ in range(ITERATIONS):
+        total = sum(weights)
+        weights = [
+            min(MAX_WEIGHT_RATIO * mean, max(MIN_WEIGHT_RATIO * mean, weight / total)) for weight in weights
+        ]
+    return weights
--- a/wheatroute/system.py
+++ b/wheatroute/system.py
@@ -7,7 +7,7 @@
 
 import signal
 import sys
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, NoReturn
 
 import click
 
@@ -18,25 +18,31 @@
 
 BAD_SETTINGS = 2
 CANNOT_LISTEN = 1
-LISTENS = {"edge": ("front", "ready"), "control": ("control",)}  # what each role needs an address for
+REQUIRED_ADDRESSES = {"edge": ("front", "ready"), "control": ("control",)}  # keys of `listen` by role
 
 
-def _prepared(role: str) -> tuple[Settings, Logger]:
-    # a role loads only what it needs, since memory and the time to start count
+def _read_settings(role: str) -> tuple[Settings, Logger]:
+    """Read the settings and open the log; exits with a message if the settings are invalid."""
+    # imported here: a role loads only what it needs, as memory and the time to start count
     from wheatroute.cluster.logs import open_log
     from wheatroute.cluster.settings import SettingsError, read_settings
 
-    # until the role heeds it itself: by default this signal would end a process that has just started
+    # until the role handles it: by default SIGHUP would end a process that has just started
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         settings = read_settings()
-        settings.require(LISTENS[role])
+        settings.require(REQUIRED_ADDRESSES[role])
     except SettingsError as error:
         click.echo(f"wheatroute: {error}", err=True)
         sys.exit(BAD_SETTINGS)
     return settings, open_log(settings.node, role)
 
 
+def _exit_without_address(log: Logger, error: OSError) -> NoReturn:
+    log.error("listen-failed", extra={"error": str(error)})
+    sys.exit(CANNOT_LISTEN)
+
+
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def system() -> None:
     """The roles of the router set; each reads the settings file that WHEATROUTE_SETTINGS names."""
@@ -45,15 +51,14 @@
 @system.command()
 def edge() -> None:
     """Takes clients' requests and carries them to model servers."""
-    settings, log = _prepared("edge")
-    from wheatroute.edge.listening import open_listeners
+    settings, log = _read_settings("edge")
+    from wheatroute.edge.listeners import open_listeners
 
     try:
         listeners = open_listeners(settings)
     except OSError as error:
-        log.error("cannot-listen", extra={"trouble": str(error)})
-        sys.exit(CANNOT_LISTEN)
-    # loaded while clients already wait in the listener's queue
+        _exit_without_address(log, error)
+    # imported while clients can already wait in the listener's backlog
     import trio
 
     from wheatroute.edge.main import serve
@@ -64,7 +69,7 @@
 @system.command()
 def control() -> None:
     """Keeps the configuration and the registry of servers, and hands both to edge nodes."""
-    settings, log = _prepared("control")
+    settings, log = _read_settings("control")
     import asyncio
 
     from wheatroute.control.main import serve
@@ -72,8 +77,7 @@
     try:
         asyncio.run(serve(settings, log))
     except OSError as error:
-        log.error("cannot-listen", extra={"trouble": str(error)})
-        sys.exit(CANNOT_LISTEN)
+        _exit_without_address(log, error)
 
 
 if __name__ == "__main__":
