--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -15,6 +15,7 @@
 import io
 import json
 import os
+import signal
 import subprocess
 import sys
 import tarfile
@@ -29,15 +30,18 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from edge.harness import read_message  # noqa: E402
-from soak.processes import CONTROL_PORT, GRACE_S, READY_PORT, Process, System, Tenant, call  # noqa: E402
+from soak.processes import CONTROL_PORT, READY_PORT, Process, System, Tenant, call  # noqa: E402
 
 EARLIER = "a3a74a3"  # the last text before types and fields got the field's names
 FIRST_BLOCK = 240  # of loopback addresses; the tests use those below
 DRAIN_S = 1.0  # seconds after its acknowledgement in which a drain has reached all edge nodes
 UNANSWERED_S = 3.0  # seconds that a request may be under way when clients end
+GRACE_S = 8.0  # seconds from SIGTERM until SIGKILL, as the platform gives them
+READINESS_INTERVAL_S = 0.3  # between two questions of the platform whether an edge node is ready
 CHANGE_INTERVAL_S = 0.3
 DRAIN_INTERVAL_S = 2.5
 READY_LIMIT_S = 30.0
+CLOSED_BEHIND_ANSWER = "the node closes it"  # by which a client of the play says so
 
 
 def exported(commit: str, folder: Path) -> Path:
@@ -61,7 +65,7 @@
         """Starts the process, unless it runs."""
         if self.running is not None and self.running.poll() is None:
             return
-        self.write_settings()
+        self.write_settings(grace_s=GRACE_S)
         self.lives += 1
         with self.path.with_suffix(".log").open("ab") as log:
             self.running = subprocess.Popen(
@@ -116,7 +120,12 @@
         await trio.serve_listeners(self._run_at_draining, listeners)
 
     async def _ask(self, stream, rest, tenant, identity, chance):
-        rest = await super()._ask(stream, rest, tenant, identity, chance)
+        try:
+            rest = await super()._ask(stream, rest, tenant, identity, chance)
+        except ConnectionError as error:
+            if str(error) == CLOSED_BEHIND_ANSWER:
+                self.answered.add(identity)
+            raise
         self.answered.add(identity)
         return rest
 
@@ -204,8 +213,12 @@
 
     @staticmethod
     async def _replace(system, process, text):
-        process.send(15)
-        await process.gone(GRACE_S)
+        process.send(signal.SIGTERM)
+        async with trio.open_nursery() as nursery:
+            if process.role == "edge":
+                nursery.start_soon(_ask_readiness, process)
+            await process.gone(GRACE_S)
+            nursery.cancel_scope.cancel()
         process.text = text
         process.start()
         with trio.fail_after(READY_LIMIT_S):
@@ -217,6 +230,13 @@
                     await trio.sleep(0.05)
 
 
+async def _ask_readiness(process):
+    """Asks an edge node as the platform does; one that is stopping waits for two refusals."""
+    while True:
+        await call((process.host, READY_PORT), "GET", "/-/readyz", limit=0.5)
+        await trio.sleep(READINESS_INTERVAL_S)
+
+
 async def _begin(system, nursery, task_status):
     await nursery.start(lambda task_status=trio.TASK_STATUS_IGNORED: system.serve_draining(task_status))
     nursery.start_soon(system.drain_and_return)
