--- a/wheatroute/edge/__init__.py
+++ b/wheatroute/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: clients' requests, carried to model servers by this project's design."""
+"""The edge role: takes clients' requests and carries them to model servers."""
