--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -1,7 +1,7 @@
-"""A whole edge node on loopback, between scripted servers and a raw client.
+"""A complete edge node on loopback, between scripted servers and a raw client.
 
-Nothing sleeps: a story goes on when bytes arrive. Control is not there: the test hands configuration and
-servers over as the primary would.
+Nothing sleeps: a test goes on when bytes arrive. There are no control nodes: the test applies configuration
+and servers as an update of the primary would.
 """
 
 import json
@@ -21,12 +21,12 @@
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.routing import RoutingTable
 
-LIMIT = 10.0  # seconds that a story may take before it counts as hung
+TIME_LIMIT_S = 10.0  # after which a test counts as hung
 HOST = "shop.example"
 
 
 def route(name, prefix, **fields):
-    told = {
+    defaults = {
         "name": name,
         "hostname": HOST,
         "path_prefix": prefix,
@@ -38,7 +38,7 @@
         "retries": 1,
         "public": False,
     }
-    return told | fields
+    return defaults | fields
 
 
 CONFIGURATION = {
@@ -67,7 +67,7 @@
 
 
 async def read_message(stream, rest):
-    """The head and body of the next message, and what came behind it; None at the end of the connection."""
+    """Return the head and body of the next message, and the bytes after it; None at the connection's end."""
     while b"\r\n\r\n" not in rest:
         data = await stream.receive_some(65536)
         if not data:
@@ -85,14 +85,14 @@
     return lines[0], headers, rest[:length], rest[length:]
 
 
-async def listening(nursery, serve):
-    """Has `serve` called for each connection from now on; the port."""
-    opened = await nursery.start(partial(trio.serve_tcp, guarded(serve), 0, host="127.0.0.1"))
+async def serve_on_free_port(nursery, serve):
+    """Call `serve` for each connection from now on; return the port."""
+    opened = await nursery.start(partial(trio.serve_tcp, ignoring_disconnects(serve), 0, host="127.0.0.1"))
     return opened[0].socket.getsockname()[1]
 
 
 class ScriptedServer:
-    """Plays one script for each request that arrives; keeps what arrived."""
+    """Plays one script for each request that arrives, and records the requests."""
 
     def __init__(self, identity, *scripts, service="llm"):
         self.identity, self.service = identity, service
@@ -109,17 +109,17 @@
             line, headers, body, rest = message
             self.requests.append((line, headers, body))
             self.arrived.set()
-            script = self.scripts.pop(0) if self.scripts else answer(b"ok")
+            script = self.scripts.pop(0) if self.scripts else respond(b"ok")
             if not await script(stream, headers):
                 await stream.aclose()
                 return
 
 
-def answer(body, status="200 OK", headers=(), request_id=None, after=b""):
-    """A whole answer with its length; `after` follows it unasked."""
+def respond(body, status="200 OK", headers=(), request_id=None, after=b""):
+    """A complete response with its length; `after` are surplus bytes that follow it."""
 
-    async def play(stream, asked):
-        identity = request_id or asked.get("request-id", "")
+    async def script(stream, fields):
+        identity = request_id or fields.get("request-id", "")
         lines = [
             f"HTTP/1.1 {status}",
             f"Request-Id: {identity}",
@@ -130,29 +130,29 @@
         await stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + body + after)
         return True
 
-    return play
+    return script
 
 
-def raw(data, keep=False):
-    """Bytes as they are, then the end of the connection."""
+def respond_raw(data, keep=False):
+    """Unchanged bytes, and then the end of the connection unless `keep` is set."""
 
-    async def play(stream, asked):
-        await stream.send_all(data.replace(b"{id}", asked.get("request-id", "").encode()))
+    async def script(stream, fields):
+        await stream.send_all(data.replace(b"{id}", fields.get("request-id", "").encode()))
         return keep
 
-    return play
+    return script
 
 
-def silence(server_box):
-    """Nothing, until the connection is closed; that is noted on the server."""
+def never_respond(server_box):
+    """No response until the connection is closed, which is recorded at the server in the box."""
 
-    async def play(stream, asked):
+    async def script(stream, fields):
         while await stream.receive_some(1024):
             pass
         server_box[0].cancelled.set()
         return False
 
-    return play
+    return script
 
 
 STREAM_HEAD = (
@@ -169,7 +169,7 @@
 
 
 class Edge:
-    """The node, and how a test acts as primary and client."""
+    """The node, and how a test acts as its primary and its client."""
 
     def __init__(self, configuration):
         log = logging.getLogger("test-edge")
@@ -185,7 +185,7 @@
             bounds=Bounds(retry_slack=50.0),
         )
         self.node = EdgeNode(settings, log)
-        self.leased = []
+        self.requested_leases = []
         self.grants = {}
         self.clients = Clients(self.node, Forwarder(self.node, self.lease), log)
         self.configure(configuration)
@@ -194,7 +194,7 @@
         self.table = RoutingTable(make_version(decode_configuration(json.dumps(configuration)), sequence))
 
     async def lease(self, tenant, tokens):
-        self.leased.append((tenant, tokens))
+        self.requested_leases.append((tenant, tokens))
         if tenant in self.grants:
             self.node.quotas.apply_grant(tenant, self.grants[tenant], trio.current_time())
 
@@ -202,7 +202,7 @@
         self.grants[tenant] = QuotaGrant(tokens, wait_s)
 
     def register(self, *servers, number=1, states=()):
-        """As the primary tells; `states` are those that aren't ready, by id."""
+        """Apply an update with these servers; `states` are those that aren't ready, by id."""
         states = dict(states)
         instances = tuple(
             Instance(
@@ -221,22 +221,22 @@
         )
         self.node.apply(update, self.table)
 
-    async def ask(self, text, shut=False):
-        """Sends bytes on a new connection; returns all that comes until the node closes it."""
+    async def exchange(self, data):
+        """Send bytes on a new connection; return all that comes until the node closes it."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         async with stream:
-            await stream.send_all(text)
+            await stream.send_all(data)
             return await read_all(stream)
 
 
 async def read_all(stream):
-    found = b""
+    received = b""
     try:
         while data := await stream.receive_some(65536):
-            found += data
+            received += data
     except trio.BrokenResourceError:
-        found += b"<reset>"
-    return found
+        received += b"<reset>"
+    return received
 
 
 def request(path, key="k1", headers=(), body=b"", close=True, identity="r1"):
@@ -254,22 +254,22 @@
 
 
 @asynccontextmanager
-async def edge(*servers, configuration=CONFIGURATION):
-    with trio.fail_after(LIMIT):
+async def running_edge(*servers, configuration=CONFIGURATION):
+    with trio.fail_after(TIME_LIMIT_S):
         async with trio.open_nursery() as nursery:
             for server in servers:
-                server.port = await listening(nursery, server.serve)
-            it = Edge(configuration)
-            it.register(*servers)
-            nursery.start_soon(it.clients.run, listen(("127.0.0.1", 0)))
-            while it.clients._listener is None:
+                server.port = await serve_on_free_port(nursery, server.serve)
+            edge = Edge(configuration)
+            edge.register(*servers)
+            nursery.start_soon(edge.clients.run, listen(("127.0.0.1", 0)))
+            while edge.clients._listener is None:
                 await trio.lowlevel.checkpoint()
-            it.port = it.clients._listener.getsockname()[1]
-            yield it
+            edge.port = edge.clients._listener.getsockname()[1]
+            yield edge
             nursery.cancel_scope.cancel()
 
 
-def guarded(serve):
+def ignoring_disconnects(serve):
     async def run(stream):
         try:
             await serve(stream)
@@ -279,5 +279,5 @@
     return run
 
 
-def status(answered):
-    return int(answered.split(b" ", 2)[1]) if answered.startswith(b"HTTP/1.1 ") else None
+def status(response):
+    return int(response.split(b" ", 2)[1]) if response.startswith(b"HTTP/1.1 ") else None
--- a/tests/edge/primary.py
+++ b/tests/edge/primary.py
@@ -1,4 +1,4 @@
-"""A stand-in for a control node as edge nodes see it: each long poll and report gets a scripted answer."""
+"""A stand-in for the primary: each long poll and report of an edge node gets a scripted response."""
 
 import json
 
@@ -20,21 +20,21 @@
 
 
 class ScriptedPrimary:
-    """Plays `polls` in their order, then answers each poll with what it has; keeps what arrived."""
+    """Answers long polls by `scripted_polls` in order, then with all it has; records what arrived."""
 
     def __init__(self, configuration, *servers):
         self.configuration = configuration
         self.servers = servers
-        self.polls = []  # calls that make the next answers: (status, message)
-        self.asked = []
+        self.scripted_polls = []  # functions from an update request to (status, response)
+        self.update_requests = []
         self.reports = []
         self.sequence = 1
         self.epoch = 4
         self.hosts = ("127.0.0.1",)
-        self.quiet = trio.Event()  # a poll that has nothing new waits for this
+        self.release_polls = trio.Event()  # polls without anything new wait for it
 
     def update(self, request):
-        """What this primary knows, as the answer to a poll."""
+        """Return all that this primary has, as the response to a poll."""
         newer = request.configuration < self.sequence
         instances = tuple(
             Instance(one.identity, one.service, f"127.0.0.1:{one.port}", "z", 4, InstanceState.READY, 1)
@@ -43,7 +43,7 @@
         return Update(
             self.epoch,
             self.sequence,
-            self.whole() if newer else None,
+            self.full_configuration() if newer else None,
             RegistryVersion(self.epoch, 1),
             instances,
             True,
@@ -52,28 +52,28 @@
             1,
         )
 
-    def whole(self):
+    def full_configuration(self):
         """The configuration as a difference from nothing."""
         configuration = decode_configuration(json.dumps(self.configuration))
         return encode_difference(make_difference(EMPTY_VERSION, make_version(configuration, self.sequence)))
 
     async def serve(self, stream):
         rest = b""
-        while asked := await read_message(stream, rest):
-            line, _, body, rest = asked
-            status, message = await self.answer(line.split(" ", 2)[1].encode(), body)
-            data = msgspec.msgpack.encode(message)
+        while message := await read_message(stream, rest):
+            line, _, body, rest = message
+            status, response = await self.respond(line.split(" ", 2)[1].encode(), body)
+            data = msgspec.msgpack.encode(response)
             await stream.send_all(b"HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n" % (status, len(data)) + data)
 
-    async def answer(self, path, body):
+    async def respond(self, path, body):
         if path == b"/usage":
             self.reports.append(msgspec.msgpack.decode(body, type=UsageReport))
             return 200, UsageResponse({}, {}, 1)
         request = msgspec.msgpack.decode(body, type=UpdateRequest)
-        self.asked.append(request)
-        if self.polls:
-            return self.polls.pop(0)(request)
+        self.update_requests.append(request)
+        if self.scripted_polls:
+            return self.scripted_polls.pop(0)(request)
         if request.configuration == self.sequence and request.registry == RegistryVersion(self.epoch, 1):
             with trio.move_on_after(request.wait_s):
-                await self.quiet.wait()
+                await self.release_polls.wait()
         return 200, self.update(request)
--- /dev/null
+++ b/tests/edge/test_attempt.py
@@ -0,0 +1,301 @@
+"""Attempts: resets, closes, surplus and early responses, at each stage of a request.
+
+See docs/control-state.md. The servers are scripted on real sockets, and each order of events is forced.
+"""
+
+import pytest
+import trio
+from asynchronous import story, until
+from edge.harness import (
+    END,
+    STREAM_HEAD,
+    ScriptedServer,
+    chunk,
+    request,
+    respond,
+    respond_raw,
+    running_edge,
+    status,
+)
+
+from wheatroute.edge import attempt
+
+REJECTION = (
+    b"HTTP/1.1 503 Service Unavailable\r\nRequest-Id: {id}\r\nServer-Signature: s1\r\nNot-Executed: 1\r\n"
+    b"Content-Length: 0\r\n\r\n"
+)
+
+
+NO_ID = b"HTTP/1.1 200 OK\r\nServer-Signature: s1\r\nContent-Length: 2\r\n\r\nno"
+
+
+LONG = b"x" * 3_000_000  # more than the buffers of both sides take
+
+
+def request_ids(*servers):
+    return [headers["request-id"] for server in servers for _, headers, _ in server.requests]
+
+
+@story
+async def test_an_informational_response_is_skipped():
+    interim = b"HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n"
+    whole = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n\r\nok"
+    server = ScriptedServer("i-1", respond_raw(interim + whole))
+    async with running_edge(server) as edge:
+        response = await edge.exchange(request("/plain/1"))
+    assert status(response) == 200 and response.endswith(b"\r\n\r\nok")
+
+
+@story
+async def test_bytes_after_a_complete_response_belong_to_no_other_request():
+    server = ScriptedServer("i-1", respond(b"one", after=b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"))
+    async with running_edge(server) as edge:
+        first = await edge.exchange(request("/plain/1", identity="r1"))
+        second = await edge.exchange(request("/plain/2", identity="r2"))
+    assert first.endswith(b"one") and second.endswith(b"ok") and server.connections == 2
+
+
+@story
+async def test_a_surplus_response_to_an_earlier_request_is_skipped():
+    surplus = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Signature: old\r\nContent-Length: 3\r\n\r\nold"
+    own = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Signature: new\r\nContent-Length: 3\r\n\r\nnew"
+    server = ScriptedServer("i-1", respond(b"one"), respond_raw(surplus + own, keep=True))
+    async with running_edge(server) as edge:
+        await edge.exchange(request("/plain/1", identity="r1"))
+        second = await edge.exchange(request("/plain/2", identity="r2"))
+    assert second.endswith(b"new") and b"server-signature: new" in second and server.connections == 1
+
+
+@story
+async def test_a_truncated_response_does_not_look_complete():
+    for cut in (
+        b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 9\r\n\r\nhal",
+        b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+        b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n\r\nno end at all",
+        b"no answer at all\r\n\r\n",
+    ):
+        server = ScriptedServer("i-1", respond_raw(cut))
+        async with running_edge(server) as edge:
+            response = await edge.exchange(request("/plain/1"))
+        assert status(response) == 502 and b"half" not in response and len(server.requests) == 1
+
+
+@story
+async def test_a_rejection_that_comes_twice_is_not_taken_for_the_response_to_a_second_attempt():
+    """A server that rejected a request doesn't get it again, and the copy belongs to no other request."""
+    server = ScriptedServer("i-1", respond_raw(REJECTION + REJECTION, keep=True))
+    async with running_edge(server) as edge:
+        assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 503
+        assert request_ids(server) == ["r1"]
+        assert status(await edge.exchange(request("/plain/2", identity="r2"))) == 200
+    assert request_ids(server) == ["r1", "r2"] and server.connections == 2
+
+
+@story
+async def test_a_connection_on_which_a_request_was_rejected_never_carries_it_again():
+    """Whatever path leads to a second send: there a late copy of the rejection would match by its id."""
+    server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
+    async with running_edge(server) as edge:
+        await edge.exchange(request("/plain/0", identity="r0"))
+        edge.node.selector.rank = by_id
+        kept = edge.node.pool._idle["i-1"][0].connection
+        await edge.exchange(request("/plain/1", identity="r1"))
+        assert b"r1" in kept.answered_ids and b"r0" not in kept.answered_ids
+        (at,) = edge.node.instances.available("llm")
+        assert await edge.node.pool.acquire(at, b"r1") is not kept
+        assert await edge.node.pool.acquire(at, b"r2") is kept
+
+
+@story
+async def test_a_response_without_an_id_counts_only_on_a_connection_without_other_requests():
+    fresh = ScriptedServer("i-1", respond_raw(NO_ID, keep=True))
+    async with running_edge(fresh) as edge:
+        assert status(await edge.exchange(request("/plain/1"))) == 200
+    kept = ScriptedServer("i-1", respond(b"one"), respond_raw(NO_ID, keep=True))
+    async with running_edge(kept) as edge:
+        assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 200
+        # it may be a surplus response to r1: r2 may have run, and is neither answered with it nor retried
+        assert status(await edge.exchange(request("/plain/2", identity="r2"))) == 502
+    assert request_ids(kept) == ["r1", "r2"] and kept.connections == 1
+
+
+@story
+async def test_a_surplus_response_is_skipped_also_for_a_request_with_a_body():
+    surplus = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Signature: old\r\nContent-Length: 3\r\n\r\nold"
+    own = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Signature: new\r\nContent-Length: 3\r\n\r\nnew"
+    server = ScriptedServer("i-1", respond(b"one"), respond_raw(surplus + own, keep=True))
+    async with running_edge(server) as edge:
+        await edge.exchange(request("/plain/1", identity="r1", body=b"some body"))
+        response = await edge.exchange(request("/plain/2", identity="r2", body=b"another body"))
+    assert status(response) == 200 and response.endswith(b"new") and b"server-signature: new" in response
+
+
+def by_id(service, servers, *rest):
+    """Replaces the ranking of servers: by id."""
+    return sorted(servers, key=lambda one: one.id)
+
+
+def reset(stream):
+    stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
+
+
+def break_off_after(part, how):
+    """A script that sends a part of the response, and then closes or resets the connection."""
+
+    async def script(stream, fields):
+        await stream.send_all(part.replace(b"{id}", fields["request-id"].encode()))
+        if how == "reset":
+            reset(stream)
+        return False
+
+    return script
+
+
+HALF_HEAD = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n"
+
+
+HALF_BODY = HALF_HEAD + b"Server-Signature: s1\r\nContent-Length: 9\r\n\r\nhalf"
+
+
+UNFRAMED = HALF_HEAD + b"Server-Signature: s1\r\n\r\nno length"
+
+
+@pytest.mark.parametrize("how", ("close", "reset"))
+@pytest.mark.parametrize(
+    "part", (b"", HALF_HEAD, HALF_BODY, UNFRAMED), ids=("nothing", "head", "body", "open")
+)
+def test_a_request_whose_response_breaks_off_is_retried_only_if_idempotent(part, how):
+    @story
+    async def script():
+        for kept in (False, True):
+            before = [respond(b"warm")] if kept else []
+            first, second = ScriptedServer("i-1", *before, break_off_after(part, how)), ScriptedServer("i-2")
+            async with running_edge(first, second) as edge:
+                edge.node.selector.rank = by_id
+                for _ in before:
+                    assert status(await edge.exchange(request("/plain/0", identity="r0"))) == 200
+                assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 502
+            assert request_ids(first) == ["r0", "r1"][-1 - kept :]
+            assert first.connections == 1
+            assert request_ids(second) == []
+        # an idempotent one is retried at the other server, once
+        first, second = (
+            ScriptedServer("i-1", break_off_after(part, how)),
+            ScriptedServer("i-2", break_off_after(part, how)),
+        )
+        async with running_edge(first, second) as edge:
+            first.scripts.append(respond(b"again"))
+            second.scripts.append(respond(b"again"))
+            await edge.exchange(request("/safe/1", identity="r1"))
+        assert request_ids(first, second) == ["r1", "r1"]
+
+    script()
+
+
+class EarlyServer(ScriptedServer):
+    """Responds once it has a request's head, whatever is still to come of its body."""
+
+    def __init__(self, identity, data, then):
+        super().__init__(identity)
+        self.data, self.then = data, then
+        self.heads, self.read = [], 0
+        self.ended = trio.Event()
+
+    async def serve(self, stream):
+        self.connections += 1
+        head = b""
+        while b"\r\n\r\n" not in head:
+            head += await stream.receive_some(1000)
+        fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n\r\n")[0].split(b"\r\n")[1:])
+        self.heads.append(fields[b"request-id"].decode())
+        await stream.send_all(self.data.replace(b"{id}", fields[b"request-id"]))
+        try:
+            await self.then(self, stream, int(fields[b"content-length"]) - len(head.split(b"\r\n\r\n", 1)[1]))
+        finally:
+            self.ended.set()
+
+
+async def break_off(server, stream, due):
+    reset(stream)
+    await stream.aclose()
+
+
+async def read_on(server, stream, due):
+    """It keeps the connection; the rest of the body has to come, and nothing else."""
+    while due > 0:
+        data = await stream.receive_some(65536)
+        assert data and data == b"x" * min(len(data), due)
+        due -= len(data)
+    server.read += 1
+    while rest := await stream.receive_some(65536):
+        server.heads.append(rest)
+
+
+@story
+async def test_a_long_body_that_is_rejected_early_by_a_reset_never_ran_and_is_retried():
+    first = EarlyServer("i-1", REJECTION, break_off)
+    second = ScriptedServer("i-2", respond(b"taken"))
+    async with running_edge(first, second) as edge:
+        edge.node.selector.rank = by_id
+        response = await edge.exchange(request("/plain/1", body=LONG))
+    assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
+    assert second.requests[0][2] == LONG
+
+
+@story
+async def test_a_server_that_rejects_early_and_reads_on_gets_the_rest_of_that_body():
+    first = EarlyServer("i-1", REJECTION, read_on)
+    second = ScriptedServer("i-2", respond(b"taken"))
+    async with running_edge(first, second) as edge:
+        edge.node.selector.rank = by_id
+        response = await edge.exchange(request("/plain/1", body=LONG))
+        await until(lambda: first.read == 1)
+        assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
+
+
+@story
+async def test_a_request_cancelled_inside_its_body_is_never_completed():
+    """Its client leaves while the server doesn't read: the request can't run, and goes nowhere else."""
+    held = trio.Event()
+
+    async def hold(server, stream, due):
+        held.set()
+        while await stream.receive_some(65536):
+            pass
+
+    async def nothing(server, stream, due):
+        held.set()
+        await trio.sleep_forever()
+
+    first, second = EarlyServer("i-1", b"", nothing), ScriptedServer("i-2")
+    async with running_edge(first, second) as edge:
+        edge.node.selector.rank = by_id
+        client = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await client.send_all(request("/plain/1", body=LONG))
+        await held.wait()
+        await client.aclose()
+        await until(lambda: not edge.clients.busy_count)
+        assert edge.node.pool.connection_count(edge.node.instances.get("i-1")) == 0
+    assert request_ids(second) == []
+
+
+@story
+async def test_a_resumed_stream_uses_another_connection():
+    """Also at the same server: the surplus end of the first answer would belong to the second."""
+    begun = STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n")
+    rest = STREAM_HEAD + chunk(b"id: 2\ndata: b\n\n") + END
+    server = ScriptedServer("i-1", respond_raw(begun), respond_raw(rest, keep=True))
+    async with running_edge(server) as edge:
+        response = await edge.exchange(request("/resume/1"))
+    assert request_ids(server) == ["r1", "r1"] and server.connections == 2
+    assert response.count(b"data: a") == 1 and response.count(b"data: b") == 1 and response.endswith(END)
+
+
+def test_only_outcomes_with_a_proof_count_as_never_ran():
+    """What may follow an outcome: nothing but a proof lets an unsafe request go on."""
+    assert attempt.NEVER_RAN == {
+        attempt.Outcome.NOT_SENT,
+        attempt.Outcome.CANCELLED,
+        attempt.Outcome.NOT_EXECUTED,
+        attempt.Outcome.MISDIRECTED,
+    }
--- /dev/null
+++ b/tests/edge/test_changes_while_waiting.py
@@ -0,0 +1,148 @@
+"""Requests that meet a change of configuration, of servers or of clients while they wait in the node."""
+
+from copy import deepcopy
+
+import trio
+import trio.testing
+from asynchronous import story, until
+from edge.harness import (
+    CONFIGURATION,
+    ScriptedServer,
+    read_all,
+    request,
+    running_edge,
+    serve_on_free_port,
+    status,
+)
+
+from wheatroute.cluster.messages import InstanceState
+
+PATIENT = deepcopy(CONFIGURATION)
+for one in PATIENT["routes"]:
+    one["target_ms"] = 20_000  # so that a request waits for a server for seconds
+
+
+@story
+async def test_a_waiting_request_keeps_a_route_that_is_removed():
+    """It is carried by the version that it came under, and the next one is refused by the new version."""
+    server = ScriptedServer("i-1")
+    without = deepcopy(PATIENT)
+    without["generation"] = 4
+    without["routes"] = [route for route in PATIENT["routes"] if route["name"] != "plain"]
+    async with running_edge(server, configuration=PATIENT) as edge:
+        edge.register(number=2)
+        waiting = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await waiting.send_all(request("/plain/1"))
+        await until(lambda: edge.clients.busy_count)
+        edge.configure(without, sequence=2)
+        edge.register(server, number=3)
+        assert status(await read_all(waiting)) == 200
+        assert status(await edge.exchange(request("/plain/1", identity="r2"))) == 404
+    assert len(server.requests) == 1
+
+
+@story
+async def test_an_api_key_moved_to_another_tenant_counts_from_the_next_request_on():
+    server = ScriptedServer("i-1")
+    moved = deepcopy(CONFIGURATION)
+    moved["generation"] = 4
+    moved["tenants"] = [
+        {"name": "mill", "api_keys": ["k3"], "priority": 2},
+        {"name": "dye-works", "api_keys": ["k1"]},
+    ]
+    async with running_edge(server) as edge:
+        assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 200
+        edge.configure(moved, sequence=2)
+        edge.register(server, number=2)
+        assert status(await edge.exchange(request("/plain/1", identity="r2"))) == 200
+        assert status(await edge.exchange(request("/plain/1", identity="r3", key="k3"))) == 200
+        assert status(await edge.exchange(request("/plain/1", identity="r4", key="k2"))) == 401
+    assert [headers["tenant"] for _, headers, _ in server.requests] == ["mill", "dye-works", "mill"]
+
+
+@story
+async def test_a_waiting_request_whose_client_disconnects_reaches_no_server():
+    server = ScriptedServer("i-1")
+    async with running_edge(server, configuration=PATIENT) as edge:
+        edge.register(number=2)
+        gone = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await gone.send_all(request("/plain/1"))
+        await until(lambda: edge.clients.busy_count)
+        await gone.aclose()
+        await until(lambda: not edge.clients.busy_count)
+        edge.register(server, number=3)
+        assert status(await edge.exchange(request("/plain/1", identity="r2"))) == 200
+    assert [headers["request-id"] for _, headers, _ in server.requests] == ["r2"]
+
+
+@story
+async def test_a_waiting_request_is_answered_before_a_stopping_node_ends():
+    server = ScriptedServer("i-1")
+    async with running_edge(server, configuration=PATIENT) as edge:
+        edge.register(number=2)
+        waiting = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await waiting.send_all(request("/plain/1"))
+        await until(lambda: edge.clients.busy_count)
+        edge.node.is_stopping = True
+        edge.clients.close_listener()
+        edge.clients.close_idle()
+        edge.register(server, number=3)
+        assert status(await read_all(waiting)) == 200
+    assert len(server.requests) == 1
+
+
+@story
+async def test_a_server_that_leaves_while_it_accepts_no_bytes_delays_no_request():
+    """Its socket is never writable again: the request goes to another server all the same."""
+    body = b"x" * (24 << 20)  # more than the sockets between take
+    large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
+    begun, other = trio.Event(), ScriptedServer("i-2")
+
+    class Stuck(ScriptedServer):
+        async def serve(self, stream):
+            await stream.receive_some(1024)
+            begun.set()
+            await trio.sleep_forever()
+
+    leaving = Stuck("i-1")
+    async with running_edge(leaving, configuration=large) as edge:
+        client = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(client.send_all, request("/plain/1", body=body))
+            await begun.wait()
+            other.port = await serve_on_free_port(nursery, other.serve)
+            edge.register(leaving, other, number=2, states={"i-1": InstanceState.DRAINING})
+            response = await read_all(client)
+            nursery.cancel_scope.cancel()
+    assert status(response) == 200 and len(other.requests) == 1
+
+
+@story
+async def test_a_server_that_leaves_before_the_last_byte_never_gets_a_complete_request():
+    """Without its rest the request never runs there, so an unsafe one may go to another server."""
+    body = b"x" * (24 << 20)  # more than the sockets between take
+    large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
+    begun, drained, other = trio.Event(), trio.Event(), ScriptedServer("i-2")
+    halves = []
+
+    class Reluctant(ScriptedServer):
+        async def serve(self, stream):
+            halves.append(await stream.receive_some(1024))
+            begun.set()
+            await drained.wait()
+            while data := await stream.receive_some(1 << 16):
+                halves.append(data)
+
+    leaving = Reluctant("i-1")
+    async with running_edge(leaving, configuration=large) as edge:
+        client = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(client.send_all, request("/plain/1", body=body))
+            await begun.wait()
+            other.port = await serve_on_free_port(nursery, other.serve)
+            edge.register(leaving, other, number=2, states={"i-1": InstanceState.DRAINING})
+            drained.set()
+            response = await read_all(client)
+            nursery.cancel_scope.cancel()
+    assert status(response) == 200 and len(other.requests) == 1
+    assert sum(map(len, halves)) < len(body)
--- /dev/null
+++ b/tests/edge/test_client_connections.py
@@ -0,0 +1,103 @@
+"""Clients' connections: framing, disconnection, backpressure and shutdown."""
+
+import trio
+from asynchronous import story, until
+from edge.harness import (
+    END,
+    STREAM_HEAD,
+    ScriptedServer,
+    chunk,
+    never_respond,
+    request,
+    respond,
+    running_edge,
+    status,
+)
+
+
+@story
+async def test_a_chunked_body_is_sent_on_complete_with_its_length():
+    server = ScriptedServer("i-1")
+    message = request("/plain/1").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
+    async with running_edge(server) as edge:
+        assert status(await edge.exchange(message + chunk(b"abc") + chunk(b"defg") + END)) == 200
+    _, headers, body = server.requests[0]
+    assert body == b"abcdefg" and headers["content-length"] == "7" and "transfer-encoding" not in headers
+
+
+@story
+async def test_a_request_with_two_lengths_reaches_no_server():
+    server = ScriptedServer("i-1")
+    message = request("/plain/1", body=b"x" * 5).replace(
+        b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n", 1
+    )
+    async with running_edge(server) as edge:
+        assert status(await edge.exchange(message)) == 400
+    assert not server.requests
+
+
+@story
+async def test_a_request_is_cancelled_when_its_client_disconnects():
+    box = []
+    server = ScriptedServer("i-1", never_respond(box))
+    box.append(server)
+    async with running_edge(server) as edge:
+        stream = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await stream.send_all(request("/plain/1"))
+        await server.arrived.wait()
+        await stream.aclose()
+        await server.cancelled.wait()
+        await until(lambda: edge.clients.busy_count == 0)
+
+
+@story
+async def test_a_client_that_reads_nothing_delays_no_other_and_fills_no_memory():
+    offered, size = 3000, 1 << 16
+    sent = []
+
+    async def script(stream, fields):
+        await stream.send_all(STREAM_HEAD.replace(b"{id}", fields["request-id"].encode()))
+        event = chunk(b"data: " + b"x" * size + b"\n\n")
+        for number in range(offered):
+            await stream.send_all(event)
+            sent.append(number)
+        return False
+
+    server = ScriptedServer("i-1", script, *[respond(b"ok")] * 30)
+    async with running_edge(server) as edge:
+        slow = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await slow.send_all(request("/stream/1"))
+        await until(lambda: sent)
+        seen, still = 0, 0
+        while still < 30:  # rounds of other clients in which the slow one's stream no longer moves
+            seen, still = (len(sent), 0) if len(sent) > seen else (seen, still + 1)
+            assert status(await edge.exchange(request("/plain/1", identity=f"r{seen}-{still}"))) == 200
+        assert len(sent) < offered / 2
+        (one,) = [client for client in edge.clients._clients if client.is_busy]
+        assert len(one.connection._unsent) <= 4 * size
+        await slow.aclose()
+        await until(lambda: not edge.clients._clients)
+
+
+@story
+async def test_a_stopping_node_ends_connections_with_their_responses():
+    server = ScriptedServer("i-1")
+    async with running_edge(server) as edge:
+        connection = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await connection.send_all(request("/plain/1", close=False))
+        response = await connection.receive_some(65536)
+        assert status(response) == 200 and b"Connection: close" not in response
+        edge.node.is_stopping = True
+        await connection.send_all(request("/plain/2", close=False))
+        response = await connection.receive_some(65536)
+        assert status(response) == 200 and b"Connection: close" in response
+        assert await connection.receive_some(10) == b""
+
+
+@story
+async def test_idle_connections_are_closed_by_close_idle():
+    async with running_edge(ScriptedServer("i-1")) as edge:
+        idle = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await until(lambda: edge.clients._clients)
+        edge.clients.close_idle()
+        assert await idle.receive_some(10) == b""
--- /dev/null
+++ b/tests/edge/test_forwarding.py
@@ -0,0 +1,127 @@
+"""Forwarding: what a server gets of a request, and a client of a response or stream."""
+
+import trio
+from asynchronous import story
+from edge.harness import (
+    END,
+    STREAM_HEAD,
+    ScriptedServer,
+    chunk,
+    request,
+    respond,
+    respond_raw,
+    running_edge,
+    status,
+)
+
+
+@story
+async def test_a_response_is_forwarded_unchanged():
+    server = ScriptedServer("i-1", respond(b"hello", headers=("X-Own: 7", "Connection: X-Hop", "X-Hop: 1")))
+    async with running_edge(server) as edge:
+        response = await edge.exchange(request("/plain/2f?x=1", body=b"abc"))
+    assert response == (
+        b"HTTP/1.1 200 OK\r\nrequest-id: r1\r\nserver-signature: s1\r\nx-own: 7\r\n"
+        b"Content-Length: 5\r\nConnection: close\r\n\r\nhello"
+    )
+    line, headers, body = server.requests[0]
+    assert (line, body) == ("POST /plain/2f?x=1 HTTP/1.1", b"abc")
+    assert headers["request-id"] == "r1" and headers["host"] == "shop.example"
+    assert headers["target-instance"] == "i-1" and 0 < int(headers["timeout-ms"]) <= 5000
+
+
+@story
+async def test_the_api_key_is_not_forwarded_and_the_tenant_is_set_by_the_node():
+    server = ScriptedServer("i-1")
+    async with running_edge(server) as edge:
+        await edge.exchange(
+            request(
+                "/plain/1",
+                headers=(
+                    "Tenant: somebody",
+                    "Target-Instance: i-9",
+                    "Priority: 0",
+                    "Connection: X-Hop",
+                    "X-Hop: 1",
+                    "TE: x",
+                    "X-Kept: 1",
+                    "Timeout-Ms: 900",
+                ),
+            )
+        )
+    _, headers, _ = server.requests[0]
+    assert "authorization" not in headers and "x-hop" not in headers and "te" not in headers
+    assert headers["tenant"] == "mill" and headers["target-instance"] == "i-1" and headers["x-kept"] == "1"
+    assert int(headers["timeout-ms"]) <= 900
+
+
+@story
+async def test_a_stream_is_forwarded_event_by_event():
+    first = trio.Event()
+
+    async def script(stream, fields):
+        await stream.send_all(STREAM_HEAD.replace(b"{id}", fields["request-id"].encode()))
+        # an event longer than a read, and one in two pieces
+        await stream.send_all(chunk(b"id: 1\ndata: " + b"x" * 200_000 + b"\n\n") + chunk(b"id: 2\nda"))
+        await first.wait()
+        await stream.send_all(chunk(b"ta: b\n\n") + END)
+        return True
+
+    server = ScriptedServer("i-1", script)
+    async with running_edge(server) as edge:
+        stream = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await stream.send_all(request("/stream/1"))
+        response = b""
+        while response.count(b"x") < 200_000:
+            response += await stream.receive_some(65536)
+        assert b"id: 2" not in response
+        first.set()
+        while not response.endswith(END):
+            response += await stream.receive_some(65536)
+    assert response.startswith(b"HTTP/1.1 200 OK\r\n") and b"id: 2\ndata: b\n\n" in response
+
+
+@story
+async def test_a_broken_stream_does_not_look_complete_and_loses_its_incomplete_event():
+    broken = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\nid: 2\ndata: ha"))
+    server = ScriptedServer("i-1", broken)
+    async with running_edge(server) as edge:
+        response = await edge.exchange(request("/stream/1"))
+    assert b"id: 1\ndata: a\n\n" in response and b"id: 2" not in response and END not in response
+    assert len(server.requests) == 1
+
+
+@story
+async def test_a_broken_stream_is_resumed_at_another_server():
+    broken = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\nid: 2\ndata: ha"))
+    rest = respond_raw(STREAM_HEAD.replace(b"s1", b"s2") + chunk(b"id: 2\ndata: b\n\n") + END, keep=True)
+
+    async def script(stream, fields):
+        return await (rest if "last-event-id" in fields else broken)(stream, fields)
+
+    servers = [ScriptedServer(f"i-{n}", script, script) for n in range(2)]
+    async with running_edge(*servers) as edge:
+        response = await edge.exchange(request("/resume/1"))
+    body = response.split(b"\r\n\r\n", 1)[1]
+    assert body == chunk(b"id: 1\ndata: a\n\n") + chunk(b"id: 2\ndata: b\n\n") + END
+    assert b"server-signature: s1" in response and b"s2" not in response
+    assert [headers.get("last-event-id") for one in servers for _, headers, _ in one.requests] in (
+        [None, "1"],
+        ["1", None],
+    )
+
+
+@story
+async def test_an_unhandled_exception_is_answered_by_whether_the_request_may_have_run():
+    for sent, expected in ((False, (503, b"internal-unsent\n")), (True, (500, b"internal\n"))):
+        server = ScriptedServer("i-1")
+        async with running_edge(server) as edge:
+
+            async def dispatch(client_request, *rest, sent=sent):
+                client_request.may_have_run = sent
+                raise ZeroDivisionError
+
+            edge.clients._forwarder._dispatcher.dispatch = dispatch
+            response = await edge.exchange(request("/plain/1"))
+        assert (status(response), response.split(b"\r\n\r\n", 1)[1]) == expected
+        assert (b"Retry-After" in response) == (not sent)
--- /dev/null
+++ b/tests/edge/test_instances.py
@@ -0,0 +1,85 @@
+"""Servers that are ejected or unresponsive."""
+
+import socket
+
+import trio
+from asynchronous import story, until
+from edge.harness import (
+    TIME_LIMIT_S,
+    ScriptedServer,
+    never_respond,
+    request,
+    respond,
+    running_edge,
+    status,
+)
+
+from wheatroute.edge import instances
+from wheatroute.edge.instances import PendingAttempt
+
+
+@story
+async def test_a_server_whose_address_was_taken_over_is_excluded():
+    elsewhere = respond(b"", status="421 Misdirected Request", headers=("Instance-Id: i-9",))
+    server = ScriptedServer("i-1", elsewhere)
+    async with running_edge(server) as edge:
+        assert status(await edge.exchange(request("/plain/1"))) == 503
+        assert not edge.node.instances.available("llm")
+
+
+@story
+async def test_a_server_that_fails_fast_is_ejected():
+    failed = respond(b"broken", status="500 Internal Server Error")
+    bad, good = ScriptedServer("i-1", *[failed] * 50), ScriptedServer("i-2")
+    async with running_edge(bad, good) as edge:
+        for n in range(40):
+            await edge.exchange(request("/plain/1", identity=f"r{n}"))
+    assert len(bad.requests) < 10
+
+
+@story
+async def test_a_server_whose_host_acknowledges_nothing_is_avoided_at_once():
+    previous = instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S
+    instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
+    good, gone = ScriptedServer("i-2"), ScriptedServer("i-1")
+    try:
+        # what it has no room for is never acknowledged: nobody reads
+        with socket.socket() as deaf:
+            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            deaf.bind(("127.0.0.1", 0))
+            deaf.listen()
+            gone.port = deaf.getsockname()[1]
+            async with running_edge(good) as edge:
+                edge.register(gone, number=2)
+                server = edge.node.instances.get("i-1")
+                async with trio.open_nursery() as nursery:
+                    nursery.start_soon(edge.exchange, request("/plain/1", body=b"x" * 65536))
+                    await until(lambda: server.has_unacknowledged_bytes(trio.current_time()))
+                    assert (
+                        server.unresponsive_for(trio.current_time()) < edge.node.selector.response_timeout_s
+                    )
+                    assert list(edge.node.instances.unresponsive_for(trio.current_time(), TIME_LIMIT_S)) == [
+                        "i-1"
+                    ]
+                    edge.register(good, gone, number=3)
+                    for n in range(20):
+                        assert status(await edge.exchange(request("/plain/1", identity=f"s{n}"))) == 200
+                    nursery.cancel_scope.cancel()
+        assert len(good.requests) == 20
+    finally:
+        instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S = previous
+
+
+@story
+async def test_an_unresponsive_server_is_avoided():
+    box = []
+    dark, good = ScriptedServer("i-1", never_respond(box)), ScriptedServer("i-2")
+    box.append(dark)
+    async with running_edge(dark, good) as edge:
+        server = edge.node.instances.get("i-1")
+        # a request has been there for longer than any answer takes
+        server.last_response_at = trio.current_time() - 1.0
+        server.pending[0] = PendingAttempt(server.last_response_at, lambda: False)
+        for n in range(20):
+            assert status(await edge.exchange(request("/plain/1", identity=f"r{n}"))) == 200
+    assert not dark.requests
