--- a/tests/control/test_long_lives.py
+++ b/tests/control/test_long_lives.py
@@ -8,8 +8,10 @@
 from control.virtual_cluster import Cluster, play
 
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, encode_state
+from wheatroute.replication.messages import Replicate
+from wheatroute.replication.records import AcceptorRecord, Document, DocumentVersion, NodeRecord
 from wheatroute.replication.storage import FILE_NAME, Storage, StorageError
-from wheatroute.replication.view import Document, NodeRecord, Replicate, Stamp, View, WitnessRecord
+from wheatroute.replication.views import View
 
 TENANTS = 19
 DISK_MB = 128
@@ -48,8 +50,8 @@
 
 def record(state, epoch=3):
     view = View(epoch, "a/0", ("a/0", "b/0"), ("a/0", "b/0", "c/0"))
-    document = Document(Stamp(epoch, state.generation), encode_state(state))
-    return NodeRecord("a/0", WitnessRecord(view), document)
+    document = Document(DocumentVersion(epoch, state.generation), encode_state(state))
+    return NodeRecord("a/0", AcceptorRecord(view), document)
 
 
 def largest_file(folder, changes):
@@ -58,7 +60,7 @@
     for number in range(changes):
         state = next_state(state)
         disk.write(record(state, epoch=3 + number // 100))
-        disk.write_hint(drawn(str(number)).encode() * 2000)
+        disk.write_soft_state(drawn(str(number)).encode() * 2000)
         largest = max(largest, (folder / FILE_NAME).stat().st_size)
     disk.close()
     return largest, record(state, epoch=3 + (changes - 1) // 100)
@@ -161,7 +163,7 @@
         change = Change(True, str(state.generation), msgspec.json.encode(patch))
         state = apply_change(state, change)
         await leader.service.change(change)
-    assert identity not in core.view.members and identity in core.view.seats
+    assert identity not in core.view.members and identity in core.view.voters
     full.disk.write = write
     while identity not in core.view.members:
         await asyncio.sleep(0.01)
--- a/tests/control/test_nodes.py
+++ b/tests/control/test_nodes.py
@@ -17,8 +17,8 @@
 from wheatroute.control.changes import Change, decode_state
 from wheatroute.control.registry import ServerHeartbeat
 from wheatroute.control.service import ControlService
+from wheatroute.replication.messages import SoftStateUpdate
 from wheatroute.replication.storage import FILE_NAME, MemoryStorage
-from wheatroute.replication.view import Hint
 
 LIMIT = 20.0  # seconds that a story may take before it counts as hung
 HOSTS = ("127.0.0.21", "127.0.0.22", "127.0.0.23")
@@ -82,7 +82,7 @@
         """The one that serves, once there is one."""
         while True:
             for host, service in self.services.items():
-                if host != but and service.replicator.serving and service._sequence >= 0:
+                if host != but and service.replicator.is_serving and service._sequence >= 0:
                     return host, service
             await asyncio.sleep(0.01)
 
@@ -161,7 +161,7 @@
     host, service = await nodes.leader()
     assert await service.change(first()) == 1
     await service.stop()
-    assert not service.replicator.core.leading
+    assert not service.replicator.core.is_leading
     with pytest.raises(RequestError) as refused:
         await service.change(next_one(2))
     other, successor = await nodes.leader(but=host)
@@ -184,7 +184,7 @@
     assert again.identity != before
     while again.identity not in service.replicator.core.view.members:
         await asyncio.sleep(0.01)
-    assert before not in service.replicator.core.view.seats
+    assert before not in service.replicator.core.view.voters
     assert again.document.payload == service.replicator.core.document.payload
 
 
@@ -212,7 +212,7 @@
     send, lost = links.send, set()
 
     def lossy(host, message):
-        if isinstance(message, Hint) and host not in lost:
+        if isinstance(message, SoftStateUpdate) and host not in lost:
             lost.add(host)
             return
         send(host, message)
@@ -228,7 +228,7 @@
     host, service = await nodes.leader()
     await service.change(first())
     await service.heartbeat("i-1", ServerHeartbeat(backend="s", addr="10.0.0.9:80", zone="z", slots=4, seq=1))
-    while not all(b"i-1" in one.replicator._storage.read_hint() for one in nodes.services.values()):
+    while not all(b"i-1" in one.replicator._storage.read_soft_state() for one in nodes.services.values()):
         await asyncio.sleep(0.01)
     lost = next(one for one in HOSTS if one != host)
     await nodes.end(lost)
@@ -238,10 +238,10 @@
     joined = nodes.services[lost].replicator
     while joined.core.identity not in service.replicator.core.view.members:
         await asyncio.sleep(0.01)
-    while b"i-1" not in joined._storage.read_hint():
+    while b"i-1" not in joined._storage.read_soft_state():
         await asyncio.sleep(0.01)
     for one in HOSTS:  # else the seats that could decide without the leader are those of the view before
-        while joined.core.identity not in (await nodes.on_disk(one)).witness.view.members:
+        while joined.core.identity not in (await nodes.on_disk(one)).acceptor.view.members:
             await asyncio.sleep(0.01)
     for one in HOSTS:
         await nodes.end(one)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -26,7 +26,8 @@
 from wheatroute.control.quotas import BucketLevels
 from wheatroute.control.registry import Registry, decode_heartbeat
 from wheatroute.control.service import ControlService, SoftState
-from wheatroute.replication.view import Document, Stamp, View
+from wheatroute.replication.records import Document, DocumentVersion
+from wheatroute.replication.views import View
 
 FIRST = {
     "generation": 3,
@@ -43,17 +44,17 @@
 
 
 class Core:
-    leading = healthy = True
+    is_leading = is_healthy = True
     view = View(4, "10.0.0.2/0", ("10.0.0.1/0", "10.0.0.2/0"), ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"))
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     identity = "10.0.0.1/0"
 
     def __init__(self):
-        self.document = self.committed = Document(Stamp(4, 1), encode_state(ConfigurationState()))
+        self.document = self.committed = Document(DocumentVersion(4, 1), encode_state(ConfigurationState()))
         self.primary_heard = True
 
     def primary_host(self, now):
-        return "10.0.0.2" if self.primary_heard and not self.leading else ""
+        return "10.0.0.2" if self.primary_heard and not self.is_leading else ""
 
 
 class Replicator:
@@ -62,33 +63,33 @@
     def __init__(self, service):
         self.service = service
         self.core = Core()
-        self.serving = True
-        self.hint = self.levels = b""
-        self.levels_at = 0.0
-        self.acknowledges = self.confirms = self.takes_hints = True
-        self.hints = []
+        self.is_serving = True
+        self.soft_state = self.bucket_levels = b""
+        self.bucket_levels_at = 0.0
+        self.acknowledges = self.confirms = self.acknowledges_soft_state = True
+        self.soft_states = []
 
     async def write(self, payload, timeout):
         if not self.acknowledges:
             return False
         self.core.document = self.core.committed = Document(
-            Stamp(4, self.core.document.stamp.sequence + 1), payload
+            DocumentVersion(4, self.core.document.version.sequence + 1), payload
         )
         self.service._committed(self.core.document)
         return True
 
-    async def confirm(self, timeout):
+    async def confirm_leadership(self, timeout):
         return self.confirms
 
-    def share(self, payload):
-        self.hints.append(payload)
-        return 4, len(self.hints)
+    def replicate_soft_state(self, payload):
+        self.soft_states.append(payload)
+        return 4, len(self.soft_states)
 
-    def share_levels(self, payload):
-        self.levels = payload
+    def replicate_bucket_levels(self, payload):
+        self.bucket_levels = payload
 
-    async def shared(self, order, timeout):
-        return self.takes_hints
+    async def wait_for_soft_state_acks(self, version, timeout):
+        return self.acknowledges_soft_state
 
 
 def played(tell):
@@ -206,11 +207,11 @@
     await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
 
     async def deposed(timeout):
-        service.replicator.core.leading = service.replicator.serving = False
+        service.replicator.core.is_leading = service.replicator.is_serving = False
         service._view_changed()
         return True
 
-    service.replicator.confirm = deposed
+    service.replicator.confirm_leadership = deposed
     assert isinstance(await inside.updates(), NotPrimary)
 
 
@@ -227,7 +228,7 @@
 
 @played
 async def test_a_follower_that_hears_no_primary_sends_nobody_to_it(service, outside, inside):
-    service.replicator.core.leading = service.replicator.core.primary_heard = False
+    service.replicator.core.is_leading = service.replicator.core.primary_heard = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
         assert got.status_code == 503 and 0 < float(got.headers["retry-after"]) < 1
@@ -237,16 +238,16 @@
 @played
 async def test_a_primary_whose_disk_takes_no_writes_says_so_and_keeps_its_state(service, outside, inside):
     body = msgspec.json.encode(FIRST)
-    service.replicator.core.healthy = False
+    service.replicator.core.is_healthy = False
     told = await outside.put("/-/config", content=body, headers={"If-Match": "0"})
     assert (told.status_code, told.json()["error"]) == (503, "storage") and "Retry-After" in told.headers
-    service.replicator.core.healthy = True
+    service.replicator.core.is_healthy = True
     assert (await outside.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
 
 
 @played
 async def test_callers_are_sent_to_the_primary(service, outside, inside):
-    service.replicator.core.leading = False
+    service.replicator.core.is_leading = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
         assert (got.status_code, got.headers["location"]) == (307, f"http://10.0.0.2:8080{path}")
@@ -255,7 +256,7 @@
 
 @played
 async def test_a_leader_without_a_majority_acknowledges_nothing(service, outside, inside):
-    service.replicator.serving = False
+    service.replicator.is_serving = False
     assert (await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))).status_code == 503
     assert await inside.updates() == NotPrimary("", Core.hosts)
 
@@ -267,13 +268,13 @@
     assert (await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))).status_code == 200
     known = (await inside.updates()).registry
     draining = msgspec.json.encode(BEAT | {"state": "draining", "seq": 2})
-    service.replicator.takes_hints = False
+    service.replicator.acknowledges_soft_state = False
     assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 503
-    service.replicator.takes_hints = True
+    service.replicator.acknowledges_soft_state = True
     assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 200
     told = await inside.updates(configuration=1, registry=known, wait_s=5.0)
     assert [(one.id, one.state) for one in told.instances] == [("i-1", InstanceState.DRAINING)]
-    shared = msgspec.msgpack.decode(service.replicator.hints[-1], type=dict)["instances"]
+    shared = msgspec.msgpack.decode(service.replicator.soft_states[-1], type=dict)["instances"]
     assert [(one["id"], one["state"]) for one in shared] == [("i-1", "draining")]
     assert (await outside.delete("/-/instances/i-1")).status_code == 200
 
@@ -283,12 +284,12 @@
     """The registry is sent whole: once for each of them grows with the square of the servers."""
     for n in range(50):
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(BEAT)))
-    before = len(service.replicator.hints)
+    before = len(service.replicator.soft_states)
     beat = decode_heartbeat(msgspec.json.encode(BEAT | {"state": "draining", "seq": 2}))
     async with asyncio.TaskGroup() as group:
         for n in range(50):
             group.create_task(service.heartbeat(f"i-{n}", beat))
-    hints = service.replicator.hints[before:]
+    hints = service.replicator.soft_states[before:]
     assert len(hints) <= 2
     told = msgspec.msgpack.decode(hints[-1], type=SoftState)
     assert {one.state for one in told.instances} == {InstanceState.DRAINING} and len(told.instances) == 50
@@ -300,13 +301,13 @@
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(BEAT)))
     draining = decode_heartbeat(msgspec.json.encode(BEAT | {"state": "draining", "seq": 2}))
     await service.heartbeat("i-0", draining)  # the next sharing waits a moment
-    shared = len(service.replicator.hints)
+    shared = len(service.replicator.soft_states)
     second = asyncio.create_task(service.heartbeat("i-1", draining))
     await asyncio.sleep(0)
-    service.replicator.core.leading = False
+    service.replicator.core.is_leading = False
     with pytest.raises(RequestError):
         await second
-    assert len(service.replicator.hints) == shared
+    assert len(service.replicator.soft_states) == shared
 
 
 @played
@@ -314,15 +315,15 @@
     await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))
     service._share_registry()
-    shared = len(service.replicator.hints)
+    shared = len(service.replicator.soft_states)
     report = UsageReport("edge-1", {"t": QuotaDemand(4.0)})
     await inside.client.post("/usage", content=msgspec.msgpack.encode(report))
     service._share_buckets(asyncio.get_running_loop().time() + 1.0)
-    assert len(service.replicator.hints) == shared
-    told = msgspec.msgpack.decode(service.replicator.levels, type=dict[str, BucketLevels])
+    assert len(service.replicator.soft_states) == shared
+    told = msgspec.msgpack.decode(service.replicator.bucket_levels, type=dict[str, BucketLevels])
     assert told["t"].limit < 2.0
     # a primary that starts from both goes by the newer word
-    service.replicator.hint = service.replicator.hints[-1]
+    service.replicator.soft_state = service.replicator.soft_states[-1]
     service._quotas = service._new_quotas(is_first=True)
     service._quotas.configure(service._versions.tenants, asyncio.get_running_loop().time())
     service._restore(asyncio.get_running_loop().time())
--- a/tests/control/test_worst_days.py
+++ b/tests/control/test_worst_days.py
@@ -206,11 +206,11 @@
         async def confirm(timeout):
             return True
 
-        kept, self.replicator.confirm = self.replicator.confirm, confirm
+        kept, self.replicator.confirm_leadership = self.replicator.confirm_leadership, confirm
         try:
             return await super().updates(request)
         finally:
-            self.replicator.confirm = kept
+            self.replicator.confirm_leadership = kept
 
 
 class ForgetfulOrders(ControlService):
--- a/tests/control/virtual_cluster.py
+++ b/tests/control/virtual_cluster.py
@@ -97,10 +97,10 @@
     def scrub(self):
         return []
 
-    def read_hint(self):
+    def read_soft_state(self):
         return self.hint
 
-    def write_hint(self, payload):
+    def write_soft_state(self, payload):
         self.hint = payload
 
 
@@ -147,7 +147,7 @@
 
     @property
     def leads(self):
-        return self.started and self.service.replicator.serving
+        return self.started and self.service.replicator.is_serving
 
     async def start(self):
         if self.service is not None:
@@ -242,7 +242,7 @@
         def note(document):
             committed(document)
             state = service._state
-            entry = (document.stamp.sequence, state.generation, state.taken)
+            entry = (document.version.sequence, state.generation, state.taken)
             known = [one for one in self.history if one[1] == entry[0]]
             if known:
                 assert known[0][1:] == entry, f"two histories: {known[0]} and {entry} on {node.host}"
--- a/tests/replication/histories.py
+++ b/tests/replication/histories.py
@@ -22,7 +22,7 @@
 def random_history(seed, length=20.0, hosts=3, seeds=3, tolerate=1, make_core=ReplicationCore):
     """A day of drawn faults within what may be lost at one time, then calm; returns the simulation.
 
-    In every other history all members stand for election at once, and again without a pause, and no seat is
+    In every other history all members stand for election at once, and again without a pause, and no voter is
     bound by a lease: what is acknowledged must not rest on clocks.
     """
     with patched(core_module, **CONTESTED) if seed % 2 else nullcontext():
--- a/tests/replication/lease_model.py
+++ b/tests/replication/lease_model.py
@@ -1,8 +1,8 @@
 """Every order of heartbeats, answers, votes and restarts around one lease, in whole steps of a clock.
 
-Node `a` leads a view with the seats a, b and c, and sends heartbeats; the seats may help to decide another
+Node `a` leads a view with the voters a, b and c, and sends heartbeats; the voters may help to decide another
 view that b proposes. A message may be on its way for any time; one that is older than `OLDEST` is lost. The
-clock of `a` is as slow and those of the seats are as fast as `lease.CLOCK_DRIFT` allows. What each does at a
+clock of `a` is as slow and those of the voters are as fast as `lease.CLOCK_DRIFT` allows. What each does at a
 moment is asked of the shipped `LeaseGrant`, `grants` and `Peers`, looked up in their modules at each call.
 
 Times in a state are ages in steps; none matters that is longer than `OLDEST`.
@@ -14,17 +14,19 @@
 from typing import NamedTuple
 
 from wheatroute.replication import lease, peers
-from wheatroute.replication.view import Ballot, BeatAnswer, Stamp, View, WitnessRecord
+from wheatroute.replication.messages import HeartbeatAck
+from wheatroute.replication.records import AcceptorRecord, DocumentVersion, ProposalNumber
+from wheatroute.replication.views import View
 
 STEP = 0.05  # seconds
 OLDEST = 14  # steps; longer than any grant
 NOW = 1000.0  # of a look, on either clock
-SLOW, FAST = 1.0, 1.0 + lease.CLOCK_DRIFT - 0.001  # rates of the leader's clock and of the seats'
+SLOW, FAST = 1.0, 1.0 + lease.CLOCK_DRIFT - 0.001  # rates of the leader's clock and of the voters'
 VIEW = View(1, "a/0", ("a/0", "b/0", "c/0"), ("a/0", "b/0", "c/0"))
-OTHER = View(2, "b/0", VIEW.members, VIEW.seats)
-SEATS = ("b/0", "c/0")  # beside that of the leader
+OTHER = View(2, "b/0", VIEW.members, VIEW.voters)
+VOTERS = ("b/0", "c/0")  # beside that of the leader
 
-Ages = tuple[tuple[str, int], ...]  # by seat
+Ages = tuple[tuple[str, int], ...]  # by voter
 
 
 class State(NamedTuple):
@@ -33,8 +35,10 @@
     beats: Ages = ()  # on their way, with the age of their sending
     answers: Ages = ()  # the same, of the heartbeat that each answers
     granted: Ages = ()  # what the leader counts by: the age of the sending, at least as it takes it
-    renewed: Ages = tuple((seat, OLDEST) for seat in SEATS)  # since each seat granted the lease, or started
-    voted: frozenset[str] = frozenset()  # seats that accepted the other view
+    renewed: Ages = tuple(
+        (voter, OLDEST) for voter in VOTERS
+    )  # since each voter granted the lease, or started
+    voted: frozenset[str] = frozenset()  # voters that accepted the other view
     sent: int = 0
     restarts: int = 0
 
@@ -42,32 +46,32 @@
 class Limits(NamedTuple):
     """How much may happen."""
 
-    beats: int = 2  # heartbeats, each to both seats
-    restarts: int = 1  # of seats
+    beats: int = 2  # heartbeats, each to both voters
+    restarts: int = 1  # of voters
 
 
-def seat_record(state: State, seat: str) -> WitnessRecord:
-    """What a seat has on disk."""
-    if seat not in state.voted:
-        return WitnessRecord(VIEW)
-    ballot = Ballot(1, "b/0")
-    return WitnessRecord(VIEW, ballot, ballot, OTHER)
+def voter_record(state: State, voter: str) -> AcceptorRecord:
+    """What a voter has on disk."""
+    if voter not in state.voted:
+        return AcceptorRecord(VIEW)
+    proposal_number = ProposalNumber(1, "b/0")
+    return AcceptorRecord(VIEW, proposal_number, proposal_number, OTHER)
 
 
 def holds_lease(state: State) -> bool:
     """Whether `a` may act alone now."""
     known = peers.Peers("a/0")
-    for seat, age in state.granted:
-        known.get(seat).granted_sent = NOW - age * STEP * SLOW
-    return known.lease_holds(VIEW, NOW, lease.grants(seat_record(state, "a/0"), "a/0"))
+    for voter, age in state.granted:
+        known.get(voter).granted_sent = NOW - age * STEP * SLOW
+    return known.lease_holds(VIEW, NOW, lease.grants(voter_record(state, "a/0"), "a/0"))
 
 
-def bound(state: State, seat: str) -> bool:
-    """Whether a seat's vote is bound to `a` now."""
-    if seat == "a/0":
+def bound(state: State, voter: str) -> bool:
+    """Whether a voter's vote is bound to `a` now."""
+    if voter == "a/0":
         return holds_lease(state)
     grant = lease.LeaseGrant(NOW)
-    grant._bound_until = NOW - dict(state.renewed)[seat] * STEP * FAST + lease.GRANT
+    grant._bound_until = NOW - dict(state.renewed)[voter] * STEP * FAST + lease.GRANT
     return grant.remaining(NOW, VIEW) > 0
 
 
@@ -75,28 +79,28 @@
     """Everything that may happen next."""
     yield _later(state)
     if state.sent < limits.beats:
-        beats = (*state.beats, *((seat, 0) for seat in SEATS))
+        beats = (*state.beats, *((voter, 0) for voter in VOTERS))
         yield state._replace(beats=tuple(sorted(beats)), sent=state.sent + 1)
     for beat in set(state.beats):
         yield _delivered(state, beat)
     for answer in set(state.answers):
         yield _counted(state, answer)
-    for seat in VIEW.seats:
-        if seat not in state.voted and not bound(state, seat):
-            yield state._replace(voted=state.voted | {seat})
+    for voter in VIEW.voters:
+        if voter not in state.voted and not bound(state, voter):
+            yield state._replace(voted=state.voted | {voter})
     if state.restarts < limits.restarts:
-        for seat in SEATS:
-            yield _restarted(state, seat)
+        for voter in VOTERS:
+            yield _restarted(state, voter)
 
 
 def _later(state: State) -> State:
     """One step of the clock."""
 
     def older(ages: Ages) -> Ages:
-        return tuple((seat, min(OLDEST, age + 1)) for seat, age in ages)
+        return tuple((voter, min(OLDEST, age + 1)) for voter, age in ages)
 
     def on_their_way(ages: Ages) -> Ages:
-        return tuple((seat, age) for seat, age in older(ages) if age < OLDEST)
+        return tuple((voter, age) for voter, age in older(ages) if age < OLDEST)
 
     return state._replace(
         beats=on_their_way(state.beats),
@@ -121,36 +125,38 @@
 
 
 def _delivered(state: State, beat: tuple[str, int]) -> State:
-    """A seat takes a heartbeat; it answers with a lease if it hasn't voted for another view."""
+    """A voter takes a heartbeat; it answers with a lease if it hasn't voted for another view."""
     state = _without_beat(state, beat)
-    seat = beat[0]
-    if not lease.grants(seat_record(state, seat), "a/0"):
+    voter = beat[0]
+    if not lease.grants(voter_record(state, voter), "a/0"):
         return state
     grant = lease.LeaseGrant(-1e9)
     grant.renew(NOW)
     age = (NOW + lease.GRANT - grant._bound_until) / (STEP * FAST)
-    renewed = tuple(sorted({**dict(state.renewed), seat: round(age)}.items()))
+    renewed = tuple(sorted({**dict(state.renewed), voter: round(age)}.items()))
     return state._replace(renewed=renewed, answers=tuple(sorted((*state.answers, beat))))
 
 
 def _counted(state: State, answer: tuple[str, int]) -> State:
     """The leader takes an answer."""
-    seat, age = answer
+    voter, age = answer
     known = peers.Peers("a/0")
     known._beat_sent[1] = NOW - age * STEP * SLOW
-    told = BeatAnswer(epoch=1, number=1, stamp=Stamp(), healthy=True, leaving=False, granted=True)
-    known.beat_answered(seat, told, NOW)
-    counted = round((NOW - known.get(seat).granted_sent) / (STEP * SLOW))
+    told = HeartbeatAck(
+        epoch=1, number=1, version=DocumentVersion(), is_healthy=True, is_leaving=False, is_lease_granted=True
+    )
+    known.beat_answered(voter, told, NOW)
+    counted = round((NOW - known.get(voter).granted_sent) / (STEP * SLOW))
     granted = {**dict(state.granted)}
-    granted[seat] = min(granted.get(seat, OLDEST), counted)
+    granted[voter] = min(granted.get(voter, OLDEST), counted)
     return _without_answer(state, answer)._replace(granted=tuple(sorted(granted.items())))
 
 
-def _restarted(state: State, seat: str) -> State:
-    """A seat's process starts anew: of its grants it knows nothing, of its vote all."""
+def _restarted(state: State, voter: str) -> State:
+    """A voter's process starts anew: of its grants it knows nothing, of its vote all."""
     grant = lease.LeaseGrant(NOW)
     age = round((NOW + lease.GRANT - grant._bound_until) / (STEP * FAST))
-    renewed = {**dict(state.renewed), seat: min(OLDEST, age)}
+    renewed = {**dict(state.renewed), voter: min(OLDEST, age)}
     return state._replace(renewed=tuple(sorted(renewed.items())), restarts=state.restarts + 1)
 
 
--- a/tests/replication/lease_mutants.py
+++ b/tests/replication/lease_mutants.py
@@ -14,7 +14,7 @@
 
 
 class ForgetsGrants(LeaseGrant):
-    """A seat whose process starts is free at once."""
+    """A voter whose process starts is free at once."""
 
     def __init__(self, started):
         super().__init__(started)
@@ -26,7 +26,7 @@
 
     def beat_answered(self, sender, answer, now):
         super().beat_answered(sender, answer, now)
-        if answer.granted:
+        if answer.is_lease_granted:
             self.get(sender).granted_sent = now
 
 
@@ -37,12 +37,12 @@
         return super().majority_answered(view, number - 3, own_vote)
 
 
-def commits_by_the_old_members(self, stamp):
+def commits_by_the_old_members(self, version):
     """A write needs the members of the present view alone, also while another view is being decided."""
     kept, self._proposed_members, proposal = self._proposed_members, frozenset(), self._proposal
     self._proposal = None
     try:
-        ReplicationCore._check_commit(self, stamp)
+        ReplicationCore._check_commit(self, version)
     finally:
         self._proposed_members, self._proposal = kept, proposal
 
@@ -52,17 +52,17 @@
 
 
 def seats_for_anybody(view, known, synced, tolerate, now):
-    """A free or lost seat goes to whoever answers, in sync or not."""
+    """A place that is free or lost goes to whoever answers, in sync or not."""
     there = [one.identity for one in known.values() if one.fit(now)]
-    return _SEATS(view, known, there, tolerate, now)
+    return _VOTERS(view, known, there, tolerate, now)
 
 
-_SEATS = reconfiguration._seats
+_VOTERS = reconfiguration._voters
 
 
-def shows_what_is_not_committed(self, stamp):
-    ReplicationCore._check_commit(self, stamp)
-    if self.leading and self.committed is None:
+def shows_what_is_not_committed(self, version):
+    ReplicationCore._check_commit(self, version)
+    if self.is_leading and self.committed is None:
         self.committed = self.document
         self._effects.append(Committed(self.document))
 
@@ -81,7 +81,7 @@
     "a grant by a seat that voted for another": [(core_module, {"grants": lambda record, primary: True})],
     "a lease counted from the answer": [(core_module, {"Peers": CountsFromTheAnswer})],
     "a read confirmed by older answers": [(core_module, {"Peers": CountsOldAnswers})],
-    "a seat for a node that is not in sync": [(reconfiguration, {"_seats": seats_for_anybody})],
+    "a seat for a node that is not in sync": [(reconfiguration, {"_voters": seats_for_anybody})],
     "clocks that drift beyond what is stated": [(lease, {"GRANT": 0.3})],
 }
 
--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -20,7 +20,15 @@
 from replication import membership_model as model
 from replication.membership_model import Leading, Machine, ViolationError, World
 
-from wheatroute.replication.view import Ballot, Document, NodeRecord, Stamp, View, WitnessRecord, host_of
+from wheatroute.replication.identity import host_of
+from wheatroute.replication.records import (
+    AcceptorRecord,
+    Document,
+    DocumentVersion,
+    NodeRecord,
+    ProposalNumber,
+)
+from wheatroute.replication.views import View
 
 MOST_GAP = 2  # between two epochs that nothing here could tell from a larger gap
 
@@ -101,10 +109,10 @@
     yield Step("restart", f"h{number} is started again", lambda: model.restart(world, number))
     if may_be_lost:
         yield Step("down", f"h{number} goes down", lambda: _counting(model.end(world, number), number))
-    if machine.leaving:
+    if machine.is_leaving:
         yield from _ends(world, number)
     elif not world.lost():
-        leaving = machine._replace(leaving=True, lost=True)
+        leaving = machine._replace(is_leaving=True, lost=True)
         yield Step("stop", f"h{number} is told to stop", lambda: world.put(number, leaving))
 
 
@@ -151,10 +159,10 @@
 
 def _attempts(world: World, number: int) -> Iterator[Step]:
     machine, attempt = world.machines[number], world.machines[number].attempt
-    seats = _reached(world, number, machine.view)
+    voters = _reached(world, number, machine.view)
     if attempt is None:
         for plan in _plans(world, number):
-            for asked in model.majorities(seats, machine.view.majority):
+            for asked in model.majorities(voters, machine.view.majority):
                 name = f"h{number} stands before {asked}"
                 yield Step("stand", name, lambda a=asked, p=plan: model.stand(world, number, a, p))
         return
@@ -162,12 +170,12 @@
     yield Step("give up", f"h{number} gives its attempt up", lambda: world.put(number, given_up))
     if attempt.view is None:
         return
-    for asked in model.majorities(seats, attempt.base.majority):
+    for asked in model.majorities(voters, attempt.base.majority):
         yield Step("vote", f"{asked} vote for h{number}", lambda a=asked: model.vote(world, number, a))
-    for seat in seats:
-        if seat != number:
-            name = f"h{number} and h{seat} vote for h{number}, unheard"
-            yield Step("unheard", name, lambda s=seat: model.vote(world, number, (number, s), heard=False))
+    for voter in voters:
+        if voter != number:
+            name = f"h{number} and h{voter} vote for h{number}, unheard"
+            yield Step("unheard", name, lambda s=voter: model.vote(world, number, (number, s), heard=False))
 
 
 def _plans(world: World, number: int) -> list[View | None]:
@@ -182,8 +190,8 @@
 
 
 def _reached(world: World, number: int, view: View) -> list[int]:
-    """The machines at the addresses of the seats that this one reaches."""
-    places = [world.at(seat) for seat in view.seats]
+    """The machines at the addresses of the voters that this one reaches."""
+    places = [world.at(voter) for voter in view.voters]
     return sorted({place for place in places if place is not None and world.reaches(number, place)})
 
 
@@ -222,7 +230,7 @@
 def at_rest(world: World) -> World:
     """The world under the names and numbers that all those have which behave the same.
 
-    - Addresses are interchangeable, and so is the order of members and of seats: both only break ties.
+    - Addresses are interchangeable, and so is the order of members and of voters: both only break ties.
     - A node is told by its address and by whether it still exists; nonces say no more.
     - Epochs keep their order, with gaps of `MOST_GAP` at most.
     - A document either lacks something acknowledged, or is what was acknowledged, or has writes beyond it.
@@ -237,7 +245,7 @@
     for machine in world.machines:
         if not machine.gone:
             view = machine.view
-            named |= {host_of(one) for one in (view.primary, *view.members, *view.seats)}
+            named |= {host_of(one) for one in (view.primary, *view.members, *view.voters)}
     kept = [n for n, machine in enumerate(world.machines) if not machine.gone or f"h{n}" in named]
     names = {f"h{old}": f"h{new}" for new, old in enumerate(kept)}
     exist = {machine.identity for machine in world.machines if not machine.gone}
@@ -267,25 +275,25 @@
 
 
 def _renamed(machine: Machine, rename: Callable[[str], str]) -> Machine:
-    """The machine with other identities; members and seats in the order of names."""
+    """The machine with other identities; members and voters in the order of names."""
 
     def view(one: View) -> View:
         members = tuple(sorted({rename(member) for member in one.members}))
-        seats = tuple(sorted({rename(seat) for seat in one.seats}))
-        return View(one.epoch, rename(one.primary), members, seats, one.process)
+        voters = tuple(sorted({rename(voter) for voter in one.voters}))
+        return View(one.epoch, rename(one.primary), members, voters, one.incarnation)
 
-    seat = machine.record.witness
-    accepted = msgspec.structs.replace(seat.accepted, proposer=rename(seat.accepted.proposer))
-    accepted_view = None if seat.accepted_view is None else view(seat.accepted_view)
+    voter = machine.record.acceptor
+    accepted = msgspec.structs.replace(voter.accepted, proposer=rename(voter.accepted.proposer))
+    accepted_view = None if voter.accepted_view is None else view(voter.accepted_view)
     record = NodeRecord(
         rename(machine.identity),
-        WitnessRecord(view(seat.view), accepted, accepted, accepted_view),
+        AcceptorRecord(view(voter.view), accepted, accepted, accepted_view),
         machine.document,
     )
     leading = machine.leading
     if leading is not None:
-        stamps = tuple(sorted((rename(one), stamp) for one, stamp in leading.stamps))
-        leading = Leading(leading.committed, stamps, tuple(sorted(rename(one) for one in leading.proposed)))
+        versions = tuple(sorted((rename(one), version) for one, version in leading.versions))
+        leading = Leading(leading.committed, versions, tuple(sorted(rename(one) for one in leading.proposed)))
     return machine._replace(record=record, leading=leading)
 
 
@@ -300,15 +308,15 @@
 
 
 def _renumbered(world: World) -> World:
-    """Epochs, ballots, processes and writes made small."""
+    """Epochs, proposal numbers, processes and writes made small."""
     epochs = {model.NO_VIEW.epoch, 0}
-    ballots = {0}
+    proposal_numbers = {0}
     for machine in world.machines:
-        seat = machine.record.witness
-        epochs |= {seat.view.epoch, machine.document.stamp.epoch}
-        epochs |= set() if seat.accepted_view is None else {seat.accepted_view.epoch}
-        ballots.add(seat.accepted.number)
-    renumber = Renumbering(_ranks(epochs), _ranks(ballots), world)
+        voter = machine.record.acceptor
+        epochs |= {voter.view.epoch, machine.document.version.epoch}
+        epochs |= set() if voter.accepted_view is None else {voter.accepted_view.epoch}
+        proposal_numbers.add(voter.accepted.number)
+    renumber = Renumbering(_ranks(epochs), _ranks(proposal_numbers), world)
     machines = tuple(renumber.machine(machine) for machine in world.machines)
     return world._replace(machines=machines, decided=(), acknowledged=ACKNOWLEDGED, writes=len(BEYOND))
 
@@ -321,21 +329,21 @@
     """The small numbers of a world at rest."""
 
     epoch: dict[int, int]
-    ballot: dict[int, int]
+    proposal_number: dict[int, int]
     world: World
 
     def machine(self, machine: Machine) -> Machine:
         if machine.gone:
             return Machine(
-                model.new_record(machine.identity, WitnessRecord(model.NO_VIEW)), gone=True, up=False
+                model.new_record(machine.identity, AcceptorRecord(model.NO_VIEW)), gone=True, up=False
             )
-        seat = machine.record.witness
-        accepted = Ballot(self.ballot[seat.accepted.number], seat.accepted.proposer)
-        accepted_view = None if seat.accepted_view is None else self._view(seat.accepted_view)
-        witness_record = WitnessRecord(self._view(seat.view), accepted, accepted, accepted_view)
-        record = NodeRecord(machine.identity, witness_record, self._document(machine.document))
-        process = 0 if machine.leading else 1
-        return machine._replace(record=record, leading=self._leading(machine), process=process)
+        voter = machine.record.acceptor
+        accepted = ProposalNumber(self.proposal_number[voter.accepted.number], voter.accepted.proposer)
+        accepted_view = None if voter.accepted_view is None else self._view(voter.accepted_view)
+        acceptor_record = AcceptorRecord(self._view(voter.view), accepted, accepted, accepted_view)
+        record = NodeRecord(machine.identity, acceptor_record, self._document(machine.document))
+        incarnation = 0 if machine.leading else 1
+        return machine._replace(record=record, leading=self._leading(machine), incarnation=incarnation)
 
     def _leading(self, machine: Machine) -> Leading | None:
         """Of those that are away nothing is remembered: they have been silent for long."""
@@ -343,17 +351,17 @@
             return None
         here = [other for other in self.world.machines if other.up and other is not machine]
         document = self._document(machine.document)
-        stamps = tuple((other.identity, document.stamp) for other in here)
-        return Leading(document, stamps, machine.leading.proposed)
+        versions = tuple((other.identity, document.version) for other in here)
+        return Leading(document, versions, machine.leading.proposed)
 
     def _view(self, view: View) -> View:
-        return msgspec.structs.replace(view, epoch=self.epoch[view.epoch], process=0)
+        return msgspec.structs.replace(view, epoch=self.epoch[view.epoch], incarnation=0)
 
     def _document(self, document: Document) -> Document:
         payload = b""
         if document.payload.startswith(self.world.acknowledged):
             payload = ACKNOWLEDGED if document.payload == self.world.acknowledged else BEYOND
-        return Document(Stamp(self.epoch[document.stamp.epoch], len(payload)), payload)
+        return Document(DocumentVersion(self.epoch[document.version.epoch], len(payload)), payload)
 
 
 # the search
--- a/tests/replication/membership_model.py
+++ b/tests/replication/membership_model.py
@@ -1,9 +1,9 @@
-"""Views, seats, members and disks as a state machine whose every step can be explored.
+"""Views, voters, members and disks as a state machine whose every step can be explored.
 
 A `World` is what all disks and processes hold at one moment, without a clock: messages are taken or lost in
 whole phases (the questions for promises, the votes, a heartbeat with the document), and any phase may be cut
 short by a fault. What is decided in a step is asked of the shipped functions, looked up in their modules at
-each call so that tests can put faults into them: `witness.Witness`, `proposal.Proposal`,
+each call so that tests can put faults into them: `acceptor.Acceptor`, `proposal.Proposal`,
 `takeover.takeover_view`, `reconfiguration.next_view`, `departure.released`, `commit.may_commit` and
 `lease.grants`. No vote is bound by a lease here: what is acknowledged must not rest on clocks, and leases
 have an exploration of their own (`lease_model`).
@@ -16,23 +16,19 @@
 
 import msgspec
 
-from wheatroute.replication import commit, departure, lease, proposal, reconfiguration, takeover, witness
+from wheatroute.replication import acceptor, commit, departure, lease, proposal, reconfiguration, takeover
+from wheatroute.replication.identity import genesis_identity, host_of
+from wheatroute.replication.messages import Accepted, Promise
 from wheatroute.replication.peers import Peer
-from wheatroute.replication.storage import new_record
-from wheatroute.replication.view import (
-    NO_VIEW,
-    Accepted,
-    Ballot,
+from wheatroute.replication.records import (
+    AcceptorRecord,
     Document,
+    DocumentVersion,
     NodeRecord,
-    Promise,
-    Stamp,
-    View,
-    WitnessRecord,
-    genesis_identity,
-    genesis_view,
-    host_of,
+    ProposalNumber,
+    new_record,
 )
+from wheatroute.replication.views import NO_VIEW, View, genesis_view
 
 NOW = 100.0  # the moment of every look at a peer, on its leader's clock
 SILENCES = {"just": 0.1, "missed": 0.8, "long": 50.0}  # seconds since a node that is away was heard
@@ -47,7 +43,7 @@
     """A proposal under way: the fields of a `proposal.Proposal`."""
 
     base: View
-    ballot: Ballot
+    proposal_number: ProposalNumber
     planned: View | None  # a leader's; None for a takeover
     view: View | None
     promises: tuple[tuple[str, Promise], ...]
@@ -58,7 +54,7 @@
     """What a leader has in memory."""
 
     committed: Document | None
-    stamps: tuple[tuple[str, Stamp], ...]  # that other nodes said they have on disk
+    versions: tuple[tuple[str, DocumentVersion], ...]  # that other nodes said they have on disk
     proposed: tuple[str, ...]  # members of views that it has asked votes for, sorted
 
 
@@ -67,9 +63,9 @@
 
     record: NodeRecord
     up: bool = True
-    process: int = 1
+    incarnation: int = 1
     lost: bool = False  # counts as lost: since its fault, until it has had its time to settle
-    leaving: bool = False
+    is_leaving: bool = False
     gone: bool = False  # never comes back
     leading: Leading | None = None
     attempt: Attempt | None = None
@@ -80,7 +76,7 @@
 
     @property
     def view(self) -> View:
-        return self.record.witness.view
+        return self.record.acceptor.view
 
     @property
     def document(self) -> Document:
@@ -133,9 +129,9 @@
     made = []
     for number in range(machines):
         if number < seeds:
-            record = new_record(genesis_identity(f"h{number}"), WitnessRecord(view))
+            record = new_record(genesis_identity(f"h{number}"), AcceptorRecord(view))
         else:
-            record = new_record(f"h{number}/1", WitnessRecord(NO_VIEW))
+            record = new_record(f"h{number}/1", AcceptorRecord(NO_VIEW))
         made.append(Machine(record))
     return World(tuple(made), tolerate, decided=(view,), disks_made=1)
 
@@ -149,12 +145,12 @@
     if view.epoch <= machine.view.epoch:
         return world
     world = _observe_decided(world, view)
-    seat = witness.Witness(machine.identity, machine.record.witness)
-    seat.learn(view)
+    voter = acceptor.Acceptor(machine.identity, machine.record.acceptor)
+    voter.learn(view)
     machine = machine._replace(
-        record=msgspec.structs.replace(machine.record, witness=seat.record), attempt=None
+        record=msgspec.structs.replace(machine.record, acceptor=voter.record), attempt=None
     )
-    if view.primary == machine.identity and view.process == machine.process:
+    if view.primary == machine.identity and view.incarnation == machine.incarnation:
         return world.put(number, _start_leading(machine, view))
     return world.put(number, machine._replace(leading=None))
 
@@ -165,18 +161,20 @@
             if known != view:
                 raise ViolationError(f"two views of one epoch: {known} and {view}")
             return world
-    if len(set(view.seats)) < len(view.seats):
-        raise ViolationError(f"a seat is given twice: {view.seats}")
-    hosts = [host_of(seat) for seat in view.seats]
+    if len(set(view.voters)) < len(view.voters):
+        raise ViolationError(f"a seat is given twice: {view.voters}")
+    hosts = [host_of(voter) for voter in view.voters]
     if len(set(hosts)) < len(hosts):
-        raise ViolationError(f"two seats at one address: {view.seats}")
+        raise ViolationError(f"two seats at one address: {view.voters}")
     return world._replace(decided=(*world.decided, view))
 
 
 def _start_leading(machine: Machine, view: View) -> Machine:
     was = machine.leading
     leading = was._replace(proposed=()) if was else Leading(None, (), ())
-    document = Document(Stamp(view.epoch, machine.document.stamp.sequence), machine.document.payload)
+    document = Document(
+        DocumentVersion(view.epoch, machine.document.version.sequence), machine.document.payload
+    )
     return machine._replace(
         record=msgspec.structs.replace(machine.record, document=document), leading=leading
     )
@@ -191,7 +189,7 @@
     Names break ties, so the shipped function is asked once for each order of the names that could matter.
     """
     machine = world.machines[number]
-    orders = permutations(range(len(world.machines))) if machine.leaving else [range(len(world.machines))]
+    orders = permutations(range(len(world.machines))) if machine.is_leaving else [range(len(world.machines))]
     found: list[View] = []
     for order in orders:
         view = _wanted(world, number, silence, tuple(order))
@@ -211,7 +209,7 @@
         renamed(machine.view, rename),
         _renamed_peer(own_peer(machine), rename),
         peers,
-        held.stamp,
+        held.version,
         world.tolerate,
         NOW,
     )
@@ -235,62 +233,70 @@
         view.epoch,
         renamed_identity(view.primary, names),
         tuple(renamed_identity(one, names) for one in view.members),
-        tuple(renamed_identity(one, names) for one in view.seats),
-        view.process,
+        tuple(renamed_identity(one, names) for one in view.voters),
+        view.incarnation,
     )
 
 
 def own_peer(machine: Machine) -> Peer:
     """A leader as it sees itself."""
-    stamp = machine.document.stamp
-    return Peer(machine.identity, stamp=stamp, leaving=machine.leaving, answered=NOW, process=machine.process)
+    version = machine.document.version
+    return Peer(
+        machine.identity,
+        version=version,
+        is_leaving=machine.is_leaving,
+        answered=NOW,
+        incarnation=machine.incarnation,
+    )
 
 
 def peers_of(world: World, number: int, silence: str) -> list[Peer]:
     """The other nodes as a leader sees them."""
     machine = world.machines[number]
     assert machine.leading is not None
-    stamps = dict(machine.leading.stamps)
+    versions = dict(machine.leading.versions)
     peers = []
-    for identity in {**dict.fromkeys(machine.view.seats), **stamps}:
+    for identity in {**dict.fromkeys(machine.view.voters), **versions}:
         if identity != machine.identity:
-            peers.append(_peer(world, number, identity, stamps.get(identity, Stamp()), silence))
+            peers.append(_peer(world, number, identity, versions.get(identity, DocumentVersion()), silence))
     return peers
 
 
-def _peer(world: World, number: int, identity: str, stamp: Stamp, silence: str) -> Peer:
+def _peer(world: World, number: int, identity: str, version: DocumentVersion, silence: str) -> Peer:
     there = world.at(identity)
     answers = (
         there is not None and world.machines[there].identity == identity and world.reaches(number, there)
     )
     if not answers or there is None:
-        return Peer(identity, stamp=stamp, answered=NOW - SILENCES[silence])
+        return Peer(identity, version=version, answered=NOW - SILENCES[silence])
     other = world.machines[there]
-    return Peer(identity, stamp=stamp, answered=NOW, leaving=other.leaving, process=other.process)
+    return Peer(
+        identity, version=version, answered=NOW, is_leaving=other.is_leaving, incarnation=other.incarnation
+    )
 
 
 def renewed_view(world: World, number: int) -> View | None:
     """The present view once more, where votes or attempts of before stand in its leader's way."""
     machine = world.machines[number]
     assert machine.leading is not None
-    granted = all(lease.grants(record, machine.identity) for record in seat_records(world, number))
+    granted = all(lease.grants(record, machine.identity) for record in voter_records(world, number))
     return reconfiguration.renewed_view(
-        machine.view, machine.process, granted, frozenset(machine.leading.proposed)
+        machine.view, machine.incarnation, granted, frozenset(machine.leading.proposed)
     )
 
 
-def seat_records(world: World, number: int) -> list[WitnessRecord]:
-    """Of the seats of this machine's view that it reaches and that know nothing newer."""
+def voter_records(world: World, number: int) -> list[AcceptorRecord]:
+    """Of the voters of this machine's view that it reaches and that know nothing newer."""
     view = world.machines[number].view
     records = []
-    for seat in view.seats:
-        there = world.at(seat)
+    for voter in view.voters:
+        there = world.at(voter)
         if there is None or not world.reaches(number, there):
             continue
         other = world.machines[there]
-        if other.identity == seat and other.view.epoch <= view.epoch:
-            record = other.record.witness
-            records.append(record if other.view.epoch == view.epoch else WitnessRecord(view))
+        if other.identity == voter and other.view.epoch <= view.epoch:
+            record = other.record.acceptor
+            records.append(record if other.view.epoch == view.epoch else AcceptorRecord(view))
     return records
 
 
@@ -299,7 +305,7 @@
     machine = world.machines[number]
     return (
         machine.up
-        and not machine.leaving
+        and not machine.is_leaving
         and not machine.leading
         and machine.identity in machine.view.members
     )
@@ -309,8 +315,12 @@
     """An attempt begins: the machines `asked` take the question for a promise, their answers come back."""
     machine = world.machines[number]
     base = machine.view
-    ballot = Ballot(1 + _highest_promise(world, number), machine.identity, machine.process)
-    world = world.put(number, machine._replace(attempt=Attempt(base, ballot, planned, None, (), frozenset())))
+    proposal_number = ProposalNumber(
+        1 + _highest_promise(world, number), machine.identity, machine.incarnation
+    )
+    world = world.put(
+        number, machine._replace(attempt=Attempt(base, proposal_number, planned, None, (), frozenset()))
+    )
     for other in asked:
         attempt = world.machines[number].attempt
         if attempt is None:
@@ -324,9 +334,9 @@
 
 
 def _highest_promise(world: World, number: int) -> int:
-    """The ballot that refusals would have told of."""
+    """The proposal number that refusals would have told of."""
     base = world.machines[number].view
-    records = [world.machines[other].record.witness for other in world.up() if world.reaches(number, other)]
+    records = [world.machines[other].record.acceptor for other in world.up() if world.reaches(number, other)]
     return max((record.promised.number for record in records if record.view.epoch == base.epoch), default=0)
 
 
@@ -336,9 +346,9 @@
     def choose(base: View, promised: frozenset[str]) -> View | None:
         if attempt.planned is not None:
             return attempt.planned
-        return takeover.takeover_view(base, promised, machine.identity, machine.process, world.tolerate)
+        return takeover.takeover_view(base, promised, machine.identity, machine.incarnation, world.tolerate)
 
-    made = proposal.Proposal(attempt.base, attempt.ballot, choose, NOW)
+    made = proposal.Proposal(attempt.base, attempt.proposal_number, choose, NOW)
     made.view = attempt.view
     made._promises = dict(attempt.promises)
     made._votes = set(attempt.votes)
@@ -346,15 +356,15 @@
 
 
 def _ask(world: World, other: int, made: proposal.Proposal, phase: str):
-    """A seat learns the base of the proposal and answers one of its questions; what it answers is on disk."""
+    """A voter learns the base of the proposal and answers one of its requests; its vote is on disk."""
     world = learn(world, other, made.base)
     machine = world.machines[other]
-    seat = witness.Witness(machine.identity, machine.record.witness)
+    voter = acceptor.Acceptor(machine.identity, machine.record.acceptor)
     if phase == "prepare":
-        answer = seat.prepare(made.prepare())
+        answer = voter.prepare(made.prepare())
     else:
-        answer = seat.accept(proposal.Accept(made.base, made.ballot, made.view))
-    record = msgspec.structs.replace(machine.record, witness=seat.record)
+        answer = voter.accept(proposal.Accept(made.base, made.proposal_number, made.view))
+    record = msgspec.structs.replace(machine.record, acceptor=voter.record)
     return world.put(other, machine._replace(record=record)), answer
 
 
@@ -399,7 +409,7 @@
             return learn(world, number, follower.view)
         world = learn(world, other, leader.view)
         follower = world.machines[other]
-        if leader.document.stamp >= follower.document.stamp:
+        if leader.document.version >= follower.document.version:
             record = msgspec.structs.replace(follower.record, document=leader.document)
             world = world.put(other, follower._replace(record=record))
         if heard:
@@ -410,9 +420,11 @@
 def _acknowledged(world: World, number: int, other: int) -> World:
     leader, follower = world.machines[number], world.machines[other]
     assert leader.leading is not None
-    stamps = dict(leader.leading.stamps)
-    stamps[follower.identity] = max(stamps.get(follower.identity, Stamp()), follower.document.stamp)
-    leading = leader.leading._replace(stamps=tuple(sorted(stamps.items())))
+    versions = dict(leader.leading.versions)
+    versions[follower.identity] = max(
+        versions.get(follower.identity, DocumentVersion()), follower.document.version
+    )
+    leading = leader.leading._replace(versions=tuple(sorted(versions.items())))
     return world.put(number, leader._replace(leading=leading))
 
 
@@ -420,12 +432,12 @@
     """Commits the leader's document where the shipped rule allows it; an observer sees that."""
     leader = world.machines[number]
     leading, document = leader.leading, leader.document
-    if leading is None or (leading.committed is not None and leading.committed.stamp == document.stamp):
+    if leading is None or (leading.committed is not None and leading.committed.version == document.version):
         return world
-    stamps = dict(leading.stamps)
+    versions = dict(leading.versions)
 
     def holds(member: str) -> bool:
-        return member == leader.identity or stamps.get(member) == document.stamp
+        return member == leader.identity or versions.get(member) == document.version
 
     planned = leader.attempt.planned if leader.attempt is not None else None
     proposed = frozenset((*leading.proposed, *(planned.members if planned is not None else ())))
@@ -443,24 +455,28 @@
     """Whether a leader takes a write: the one before it is committed."""
     leading = world.machines[number].leading
     document = world.machines[number].document
-    return leading is not None and leading.committed is not None and leading.committed.stamp == document.stamp
+    return (
+        leading is not None
+        and leading.committed is not None
+        and leading.committed.version == document.version
+    )
 
 
 def write(world: World, number: int) -> World:
     """A leader puts one more write on top of its document, on its own disk first."""
     machine = world.machines[number]
-    stamp = Stamp(machine.view.epoch, machine.document.stamp.sequence + 1)
-    document = Document(stamp, machine.document.payload + bytes([world.writes + 1]))
+    version = DocumentVersion(machine.view.epoch, machine.document.version.sequence + 1)
+    document = Document(version, machine.document.payload + bytes([world.writes + 1]))
     record = msgspec.structs.replace(machine.record, document=document)
     return world.put(number, machine._replace(record=record))._replace(writes=world.writes + 1)
 
 
 def speaks(world: World, number: int) -> bool:
-    """Whether this leader would get a final word confirmed now: a majority of its seats answers."""
+    """Whether this leader would get a final word confirmed now: a majority of its voters answers."""
     machine = world.machines[number]
     if not machine.up or machine.leading is None or machine.leading.committed is None:
         return False
-    granting = [record for record in seat_records(world, number) if lease.grants(record, machine.identity)]
+    granting = [record for record in voter_records(world, number) if lease.grants(record, machine.identity)]
     return len(granting) >= machine.view.majority
 
 
@@ -486,7 +502,7 @@
     committed = leader.leading.committed
     settled = (
         committed is not None
-        and committed.stamp.epoch == leader.view.epoch
+        and committed.version.epoch == leader.view.epoch
         and leader.attempt is None
         and not wanted_views(world, number, silence)
     )
@@ -497,9 +513,9 @@
     """Whether a process that was told to stop may end: its leader says so, or it has no part any more."""
     machine = world.machines[number]
     if machine.leading is not None:
-        others = [seat for seat in machine.view.seats if seat != machine.identity]
+        others = [voter for voter in machine.view.voters if voter != machine.identity]
         return not others or machine.identity in released(world, number)
-    if machine.identity not in machine.view.seats and machine.identity not in machine.view.members:
+    if machine.identity not in machine.view.voters and machine.identity not in machine.view.members:
         return True
     leaders = [one for one in world.up() if world.machines[one].leading and world.reaches(one, number)]
     same = [one for one in leaders if world.machines[one].view.epoch == machine.view.epoch]
@@ -512,13 +528,13 @@
 def end(world: World, number: int) -> World:
     """The process ends; its disk stays."""
     machine = world.machines[number]
-    return world.put(number, machine._replace(up=False, leading=None, attempt=None, leaving=False))
+    return world.put(number, machine._replace(up=False, leading=None, attempt=None, is_leaving=False))
 
 
 def start(world: World, number: int) -> World:
     """A process starts on what the disk holds."""
     machine = world.machines[number]
-    return world.put(number, machine._replace(up=True, process=machine.process + 1))
+    return world.put(number, machine._replace(up=True, incarnation=machine.incarnation + 1))
 
 
 def restart(world: World, number: int) -> World:
@@ -528,7 +544,7 @@
 
 def empty_record(world: World, number: int) -> NodeRecord:
     """Of a machine whose disk is empty: it is another node."""
-    return new_record(f"h{number}/{world.disks_made + 1}", WitnessRecord(NO_VIEW))
+    return new_record(f"h{number}/{world.disks_made + 1}", AcceptorRecord(NO_VIEW))
 
 
 def wipe(world: World, number: int) -> World:
@@ -594,7 +610,7 @@
 
 def _calm_departures(world: World) -> World:
     for number in world.up():
-        if world.machines[number].leaving and may_stop(world, number):
+        if world.machines[number].is_leaving and may_stop(world, number):
             return end(world, number)
     return world
 
@@ -626,7 +642,7 @@
         )
     for number in world.up():
         world = world.put(number, world.machines[number]._replace(lost=False))
-    if not world.lost() and any(machine.leaving for machine in world.machines):
+    if not world.lost() and any(machine.is_leaving for machine in world.machines):
         raise ViolationError("a node that leaves is never released")
     return world
 
--- a/tests/replication/membership_mutants.py
+++ b/tests/replication/membership_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into seats, members, takeovers and departures on purpose; the exploration finds each."""
+"""Faults put into voters, members, takeovers and departures on purpose; the exploration finds each."""
 
 from contextlib import ExitStack, contextmanager
 
@@ -8,49 +8,49 @@
 
 from wheatroute.replication import commit, departure, proposal, reconfiguration, takeover
 from wheatroute.replication.proposal import Proposal
-from wheatroute.replication.storage import new_record
-from wheatroute.replication.view import View, WitnessRecord
+from wheatroute.replication.records import AcceptorRecord, new_record
+from wheatroute.replication.views import View
 
-_SEATS = reconfiguration._seats
+_VOTERS = reconfiguration._voters
 _TAKEOVER, _EMPTY_RECORD = takeover.takeover_view, membership_model.empty_record
 
 
-def all_seats_are_members(view, known, synced, seats, tolerate, now):
+def all_seats_are_members(view, known, synced, voters, tolerate, now):
     """Whether they are in sync or not."""
-    return seats
+    return voters
 
 
-def members_in_sync_alone(view, known, synced, seats, tolerate, now):
+def members_in_sync_alone(view, known, synced, voters, tolerate, now):
     """Fewer than may be lost at once, plus one."""
-    return tuple(seat for seat in seats if seat in synced)
+    return tuple(voter for voter in voters if voter in synced)
 
 
 def seat_beside_the_lost_one(view, known, synced, tolerate, now):
-    """A machine that lost its disk gets a seat beside its old one."""
-    seats = list(_SEATS(view, known, synced, tolerate, now))
+    """A machine that lost its disk gets a voter beside its old one."""
+    voters = list(_VOTERS(view, known, synced, tolerate, now))
     for newcomer in synced:
-        if newcomer not in seats:
-            seats.append(newcomer)
-    for seat in view.seats:
-        if seat not in seats:
-            seats.append(seat)
-    return tuple(seats)
+        if newcomer not in voters:
+            voters.append(newcomer)
+    for voter in view.voters:
+        if voter not in voters:
+            voters.append(voter)
+    return tuple(voters)
 
 
-def takeover_alone(base, promised, own, process, tolerate):
+def takeover_alone(base, promised, own, incarnation, tolerate):
     """By a view of one member."""
-    return View(base.epoch + 1, own, (own,), base.seats, process)
+    return View(base.epoch + 1, own, (own,), base.voters, incarnation)
 
 
-def takeover_of_all_that_promised(base, promised, own, process, tolerate):
+def takeover_of_all_that_promised(base, promised, own, incarnation, tolerate):
     """Whoever promised counts as in sync."""
-    return View(base.epoch + 1, own, tuple(sorted(promised | {own})), base.seats, process)
+    return View(base.epoch + 1, own, tuple(sorted(promised | {own})), base.voters, incarnation)
 
 
-def takeover_with_the_seats_that_promised(base, promised, own, process, tolerate):
-    """The others lose their seats to nobody."""
-    view = _TAKEOVER(base, promised, own, process, tolerate)
-    return msgspec.structs.replace(view, seats=tuple(sorted(promised | {own})))
+def takeover_with_the_seats_that_promised(base, promised, own, incarnation, tolerate):
+    """The others lose their voters to nobody."""
+    view = _TAKEOVER(base, promised, own, incarnation, tolerate)
+    return msgspec.structs.replace(view, voters=tuple(sorted(promised | {own})))
 
 
 def commit_by_the_view_alone(view, proposed, tolerate, holds):
@@ -60,7 +60,7 @@
 
 def commit_by_any_majority(view, proposed, tolerate, holds):
     """Members or not."""
-    return sum(1 for seat in view.seats if holds(seat)) >= view.majority
+    return sum(1 for voter in view.voters if holds(voter)) >= view.majority
 
 
 def commit_on_one_disk(view, proposed, tolerate, holds):
@@ -68,20 +68,20 @@
 
 
 def released_at_once(view, own, peers, settled, now):
-    return tuple(one.identity for one in [own, *peers] if one.leaving)
+    return tuple(one.identity for one in [own, *peers] if one.is_leaving)
 
 
 def never_released(view, own, peers, settled, now):
     return ()
 
 
-def never_renewed(view, process, granted, proposed):
+def never_renewed(view, incarnation, granted, proposed):
     return None
 
 
-def renewed_for_votes_alone(view, process, granted, proposed):
+def renewed_for_votes_alone(view, incarnation, granted, proposed):
     """A view that was proposed and given up goes on holding commits up."""
-    return None if granted else View(view.epoch + 1, view.primary, view.members, view.seats, process)
+    return None if granted else View(view.epoch + 1, view.primary, view.members, view.voters, incarnation)
 
 
 class ProposesOver(Proposal):
@@ -96,13 +96,13 @@
     if number == len(world.machines):
         return _EMPTY_RECORD(world, number)
     machine = world.machines[number]
-    return new_record(machine.identity, WitnessRecord(machine.view))
+    return new_record(machine.identity, AcceptorRecord(machine.view))
 
 
 MUTANTS = {
     "members that are not in sync": [(reconfiguration, {"_members": all_seats_are_members})],
     "members fewer than may be lost": [(reconfiguration, {"_members": members_in_sync_alone})],
-    "a seat beside the one that was lost": [(reconfiguration, {"_seats": seat_beside_the_lost_one})],
+    "a seat beside the one that was lost": [(reconfiguration, {"_voters": seat_beside_the_lost_one})],
     "a takeover alone": [(takeover, {"takeover_view": takeover_alone})],
     "a takeover that calls all in sync": [(takeover, {"takeover_view": takeover_of_all_that_promised})],
     "a takeover that drops seats": [(takeover, {"takeover_view": takeover_with_the_seats_that_promised})],
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -4,27 +4,29 @@
 
 from wheatroute.replication import core as core_module
 from wheatroute.replication import reconfiguration
+from wheatroute.replication.acceptor import Acceptor
 from wheatroute.replication.core import ReplicationCore
 from wheatroute.replication.effects import Committed, ReadDone, WriteDone
+from wheatroute.replication.messages import Accepted, Promise, Replicated
 from wheatroute.replication.proposal import Proposal
-from wheatroute.replication.view import Accepted, Document, Promise, Replicated, Stamp, View
-from wheatroute.replication.witness import Witness
+from wheatroute.replication.records import Document, DocumentVersion
+from wheatroute.replication.views import View
 
 
-class PromisesAnything(Witness):
-    def _refused(self, base, ballot):
+class PromisesAnything(Acceptor):
+    def _rejected(self, base, proposal_number):
         return None
 
 
-class ForgetsItsVote(Witness):
+class ForgetsItsVote(Acceptor):
     def prepare(self, message):
         answer = super().prepare(message)
         if isinstance(answer, Promise):
-            return Promise(answer.epoch, answer.ballot, type(answer.accepted)(), None)
+            return Promise(answer.epoch, answer.proposal_number, type(answer.accepted)(), None)
         return answer
 
 
-class KeepsNoVote(Witness):
+class KeepsNoVote(Acceptor):
     """It answers that it accepted, and stores nothing."""
 
     def accept(self, message):
@@ -43,8 +45,8 @@
 class _FewerSeats(Proposal):
     def __init__(self, base, *rest):
         super().__init__(base, *rest)
-        seats = base.seats
-        self.base = _Lenient(base.epoch, base.primary, base.members, seats)
+        voters = base.voters
+        self.base = _Lenient(base.epoch, base.primary, base.members, voters)
 
 
 class _Lenient(View, frozen=True):
@@ -53,14 +55,14 @@
         return 1
 
 
-def core_with(witness=None, proposal=None, **methods):
-    """A core with another witness, proposal or other methods."""
+def core_with(acceptor=None, proposal=None, **methods):
+    """A core with another acceptor, proposal or other methods."""
 
     class Mutant(ReplicationCore):
         def __init__(self, record, *rest):
             super().__init__(record, *rest)
-            if witness is not None:
-                self.witness = witness(record.identity, record.witness)
+            if acceptor is not None:
+                self.acceptor = acceptor(record.identity, record.acceptor)
 
         def _propose(self, choose):
             kept = core_module.Proposal
@@ -76,44 +78,44 @@
 
 
 def commit_on(disks):
-    """Commits once so many seats hold the document, members or not."""
+    """Commits once so many voters hold the document, members or not."""
 
-    def check_commit(self, stamp):
-        if not self.leading or stamp != self.document.stamp:
+    def check_commit(self, version):
+        if not self.is_leading or version != self.document.version:
             return
-        if self.committed is not None and self.committed.stamp == stamp:
+        if self.committed is not None and self.committed.version == version:
             return
-        if sum(1 for seat in self.view.seats if self._holds(seat, stamp)) < disks:
+        if sum(1 for voter in self.view.voters if self._holds(voter, version)) < disks:
             return
         self.committed = self.document
         self._effects.append(Committed(self.document))
-        self._effects += self._waiting.committed(stamp)
+        self._effects += self._waiting.committed(version)
 
     return check_commit
 
 
-def holds_unsynced(self, member, stamp):
-    return member == self.identity or self._peer(member).stamp == stamp
+def holds_unsynced(self, member, version):
+    return member == self.identity or self._peer(member).version == version
 
 
 def answers_before_the_disk(self, sender, message):
     if message.view.epoch < self.view.epoch:
         return
     self._learn(message.view)
-    if message.document.stamp < self.document.stamp:
+    if message.document.version < self.document.version:
         return
     self.document = message.document
     self._save(lambda: None)
-    self._send(simulation_host(sender), Replicated(message.view.epoch, message.document.stamp))
+    self._send(simulation_host(sender), Replicated(message.view.epoch, message.document.version))
 
 
 def takes_old_epochs(self, sender, message):
     self._learn(message.view)
-    stamp = message.document.stamp
-    if stamp.sequence < self.document.stamp.sequence:
+    version = message.document.version
+    if version.sequence < self.document.version.sequence:
         return
     self.document = message.document
-    self._save(lambda: self._send(simulation_host(sender), Replicated(message.view.epoch, stamp)))
+    self._save(lambda: self._send(simulation_host(sender), Replicated(message.view.epoch, version)))
 
 
 def takes_older_documents(self, sender, message):
@@ -121,8 +123,8 @@
         return
     self._learn(message.view)
     self.document = message.document
-    stamp = message.document.stamp
-    self._save(lambda: self._send(simulation_host(sender), Replicated(message.view.epoch, stamp)))
+    version = message.document.version
+    self._save(lambda: self._send(simulation_host(sender), Replicated(message.view.epoch, version)))
 
 
 def simulation_host(identity):
@@ -132,7 +134,7 @@
 def leads_again(self, view):
     """A primary that was started anew goes on in its old epoch."""
     ReplicationCore._learn(self, view)
-    if view.primary == self.identity and view.epoch == self.view.epoch and not self.leading:
+    if view.primary == self.identity and view.epoch == self.view.epoch and not self.is_leading:
         self._start_leading()
 
 
@@ -145,27 +147,27 @@
 
 
 def takes_any_acknowledgement(self, sender, message):
-    if not self.leading:
+    if not self.is_leading:
         return
-    self._peer(sender).stamp = Stamp(self.view.epoch, message.stamp.sequence)
-    self._check_commit(self.document.stamp)
+    self._peer(sender).version = DocumentVersion(self.view.epoch, message.version.sequence)
+    self._check_commit(self.document.version)
 
 
 def anybody_stands(self):
     """A node that isn't in sync stands for election too."""
-    if self._now - self._heard > self._patience and not self._proposal and self.view.seats:
-        self._propose(lambda base, promised: View(base.epoch + 1, self.identity, base.seats, base.seats))
+    if self._now - self._heard > self._patience and not self._proposal and self.view.voters:
+        self._propose(lambda base, promised: View(base.epoch + 1, self.identity, base.voters, base.voters))
     ReplicationCore._follow(self)
 
 
 def takeover_drops_seats(self, base, promised):
     view = ReplicationCore._choose_takeover(self, base, promised)
-    return msgspec.structs.replace(view, seats=(self.identity,), members=(self.identity,))
+    return msgspec.structs.replace(view, voters=(self.identity,), members=(self.identity,))
 
 
 def takeover_of_all(self, base, promised):
     """Whoever promised counts as in sync."""
-    return View(base.epoch + 1, self.identity, tuple(sorted(promised | {self.identity})), base.seats)
+    return View(base.epoch + 1, self.identity, tuple(sorted(promised | {self.identity})), base.voters)
 
 
 def reads_unasked(self, now, request):
@@ -180,21 +182,21 @@
 
 
 def learns_nothing_from_deposal(self, view):
-    if self.leading and view.primary != self.identity:
+    if self.is_leading and view.primary != self.identity:
         return
     ReplicationCore._learn(self, view)
 
 
 def number_reused(self, now, request, payload):
-    """Another document under the same stamp."""
+    """Another document under the same version."""
     self._now = now
-    if not self.serving(now):
+    if not self.is_serving(now):
         return []
-    self.document = Document(self.document.stamp, payload)
+    self.document = Document(self.document.version, payload)
     self.committed = None
-    self._waiting.write(request, self.document.stamp)
+    self._waiting.write(request, self.document.version)
     self._replicate_all()
-    self._check_commit(self.document.stamp)
+    self._check_commit(self.document.version)
     return self._taken()
 
 
@@ -214,12 +216,12 @@
             setattr(reconfiguration, name, function)
 
 
-def everyone_a_member(view, known, synced, seats, tolerate, now):
-    return seats
+def everyone_a_member(view, known, synced, voters, tolerate, now):
+    return voters
 
 
-def alone_is_enough(view, known, synced, seats, tolerate, now):
-    return tuple(seat for seat in seats if seat in synced) or view.members[:1]
+def alone_is_enough(view, known, synced, voters, tolerate, now):
+    return tuple(voter for voter in voters if voter in synced) or view.members[:1]
 
 
 MUTANTS = {
@@ -235,7 +237,7 @@
     "a leader that commits before it is in sync": core_with(_start_leading=keeps_old_stamp),
     "a candidate out of sync": core_with(_follow=anybody_stands),
     "a takeover that drops seats": core_with(_choose_takeover=takeover_drops_seats),
-    "a read that asks nobody": core_with(confirm=reads_unasked),
+    "a read that asks nobody": core_with(confirm_leadership=reads_unasked),
     "a write acknowledged at once": core_with(write=writes_at_once),
     "a stamp used twice": core_with(write=number_reused),
     "a leader that won't be deposed": core_with(_learn=learns_nothing_from_deposal),
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -13,9 +13,10 @@
 from wheatroute.replication import lease as lease_module
 from wheatroute.replication.core import ReplicationCore
 from wheatroute.replication.effects import Committed, ReadDone, Save, Send, WriteDone
+from wheatroute.replication.identity import genesis_identity
 from wheatroute.replication.lease import CLOCK_DRIFT
-from wheatroute.replication.storage import new_record
-from wheatroute.replication.view import NO_VIEW, WitnessRecord, genesis_identity, genesis_view
+from wheatroute.replication.records import AcceptorRecord, new_record
+from wheatroute.replication.views import NO_VIEW, genesis_view
 
 TICK = 0.05
 CONTESTED = {"ELECTION_STEP": 0.0, "RETRY_MIN": 0.01, "RETRY_SPREAD": 0.02}
@@ -99,8 +100,8 @@
 
     def first_record(self, name):
         if name in self.seeds and not self.now:
-            return new_record(genesis_identity(name), WitnessRecord(genesis_view(self.seeds)))
-        return new_record(f"{name}/{next(self.nonces)}", WitnessRecord(NO_VIEW))
+            return new_record(genesis_identity(name), AcceptorRecord(genesis_view(self.seeds)))
+        return new_record(f"{name}/{next(self.nonces)}", AcceptorRecord(NO_VIEW))
 
     # time
 
@@ -153,7 +154,7 @@
 
         def look():
             alive = host.life == life
-            released = alive and not host.frozen and host.core.may_stop(self.clock(host))
+            released = alive and not host.frozen and host.core.can_stop(self.clock(host))
             if alive and not released and self.now < end:
                 self.at(TICK / 2, look)
                 return
@@ -232,19 +233,19 @@
     # clients
 
     def leading(self):
-        return [name for name, host in self.hosts.items() if host.core is not None and host.core.leading]
+        return [name for name, host in self.hosts.items() if host.core is not None and host.core.is_leading]
 
     def serving(self):
         return [
             name
             for name, host in self.hosts.items()
-            if host.core is not None and not host.frozen and host.core.serving(self.clock(host))
+            if host.core is not None and not host.frozen and host.core.is_serving(self.clock(host))
         ]
 
     def write(self, name):
         host = self.hosts[name]
         core = host.core
-        if core.committed is None or core.committed.stamp != core.document.stamp:
+        if core.committed is None or core.committed.version != core.document.version:
             return
         request = next(self.requests)
         payload = msgspec.json.encode([*writes_of(core.document.payload), request])
@@ -255,7 +256,7 @@
         request = next(self.requests)
         self.reading[request] = set(self.acknowledged)
         host = self.hosts[name]
-        self.carry_out(name, host.core.confirm(self.clock(host), request))
+        self.carry_out(name, host.core.confirm_leadership(self.clock(host), request))
 
     # invariants
 
@@ -267,7 +268,7 @@
             raise ViolationError(f"two histories: {writes} at {name}, {self.committed} before")
         self.committed = longer
         self.commits += 1
-        self.check_leases(document.stamp.epoch)
+        self.check_leases(document.version.epoch)
 
     def check_leases(self, epoch):
         """Nobody still serves by the lease of an older view once a newer one has committed."""
--- a/tests/replication/test_departures.py
+++ b/tests/replication/test_departures.py
@@ -10,14 +10,14 @@
 
 
 def loss_after_a_replacement(seed, make_core=core_module.ReplicationCore, leader_leaves=False):
-    """Four nodes, three seats: one is told to stop; right after its end the next one loses its disk."""
+    """Four nodes, three voters: one is told to stop; right after its end the next one loses its disk."""
     it = Simulation(seed, hosts=4, make_core=make_core)
     it.run(3.0 + SYNC_S + 2.0)  # the fourth has been in sync for long
     leader = it.serving()[0]
     for _ in range(5):
         it.write(leader)
         it.run(it.now + 0.05)
-    seated = [seat.partition("/")[0] for seat in it.hosts[leader].core.view.seats]
+    seated = [voter.partition("/")[0] for voter in it.hosts[leader].core.view.voters]
     leaver = leader if leader_leaves else next(name for name in seated if name != leader)
     gone = []
     it.stop(leaver, gone.append)
@@ -41,7 +41,7 @@
 
 
 def test_a_leaver_that_goes_at_once_is_found():
-    mutant = core_with(may_stop=lambda self, now: not self.leading, leave=lambda self, now: [])
+    mutant = core_with(can_stop=lambda self, now: not self.is_leading, leave=lambda self, now: [])
     with pytest.raises(ViolationError, match="nobody serves"):
         for seed in range(PLAYS):
             loss_after_a_replacement(seed, mutant)
@@ -104,14 +104,14 @@
 def test_a_node_without_seat_or_copy_goes_at_once():
     it = Simulation(1, hosts=4)
     it.run(9.0)
-    spare = next(name for name in it.hosts if f"{name}/0" not in it.hosts[it.serving()[0]].core.view.seats)
+    spare = next(name for name in it.hosts if f"{name}/0" not in it.hosts[it.serving()[0]].core.view.voters)
     gone = []
     it.stop(spare, gone.append)
     assert gone == [True]
 
 
 def test_a_new_leader_lets_nobody_go_before_successors_could_join_it():
-    """Found by history 2030: it released the holder of a seat before the successor had returned."""
+    """Found by history 2030: it released the holder of a voter before the successor had returned."""
     released = []
     for survey in (core_module.SURVEY, 0.0):
         with patched(core_module, SURVEY=survey):
@@ -119,8 +119,8 @@
                 it = Simulation(seed, hosts=4)
                 it.run(9.0)
                 view = it.hosts[it.serving()[0]].core.view
-                spare = next(name for name in it.hosts if f"{name}/0" not in view.seats)
-                leaver = next(seat.partition("/")[0] for seat in view.seats if seat != view.primary)
+                spare = next(name for name in it.hosts if f"{name}/0" not in view.voters)
+                leaver = next(voter.partition("/")[0] for voter in view.voters if voter != view.primary)
                 leader = it.serving()[0]
                 it.kill(spare)
                 it.kill(leader)
@@ -131,9 +131,9 @@
                 it.at(0.35, lambda it=it, spare=spare: it.start(spare))
                 while not gone:
                     it.run(it.now + 0.01)
-                released.append(survey == 0.0 and f"{leaver}/0" in _newest(it).seats)
+                released.append(survey == 0.0 and f"{leaver}/0" in _newest(it).voters)
                 if survey:
-                    assert f"{leaver}/0" not in _newest(it).seats
+                    assert f"{leaver}/0" not in _newest(it).voters
     assert any(released)
 
 
--- a/tests/replication/test_histories.py
+++ b/tests/replication/test_histories.py
@@ -5,7 +5,7 @@
 from replication.histories import random_history
 from replication.simulation import Simulation
 
-from wheatroute.replication.view import Document
+from wheatroute.replication.records import Document
 
 
 @pytest.mark.parametrize("block", range(8))
@@ -31,7 +31,7 @@
     it.run(4.0)
     right = it.hosts[leader].core.document
     other = next(name for name in it.hosts if name != leader)
-    wrong = Document(right.stamp, b"[7]")
+    wrong = Document(right.version, b"[7]")
     it.hosts[other].core.document = wrong
     it.hosts[other].disk = msgspec.structs.replace(it.hosts[other].disk, document=wrong)
     it.run(5.0)
@@ -51,7 +51,7 @@
     it.kill("h1")
     it.start("h0")
     it.start("h2")
-    while not it.hosts["h0"].core.leading:
+    while not it.hosts["h0"].core.is_leading:
         it.run(it.now + 0.002)
     it.wipe("h0")
     it.start("h1")
--- a/tests/replication/test_lease_model.py
+++ b/tests/replication/test_lease_model.py
@@ -12,7 +12,7 @@
 
 
 class HelpsThoughBound(lease.LeaseGrant):
-    """A seat's vote is free whatever it granted."""
+    """A voter's vote is free whatever it granted."""
 
     def remaining(self, now, base):
         return 0.0
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -11,25 +11,26 @@
 from wheatroute.replication import lease
 from wheatroute.replication.core import ReplicationCore
 from wheatroute.replication.effects import Send
-from wheatroute.replication.storage import new_record
-from wheatroute.replication.view import (
+from wheatroute.replication.messages import (
     Accept,
     Accepted,
-    Ballot,
-    Beat,
-    BeatAnswer,
-    Known,
-    NodeRecord,
+    Heartbeat,
+    HeartbeatAck,
     Prepare,
-    Refused,
+    Rejected,
     Replicate,
-    Stamp,
-    View,
-    WitnessRecord,
-    genesis_view,
+    ViewAnnouncement,
+)
+from wheatroute.replication.records import (
+    AcceptorRecord,
+    DocumentVersion,
+    NodeRecord,
+    ProposalNumber,
+    new_record,
 )
+from wheatroute.replication.views import View, genesis_view
 
-SEATS = ("h0/0", "h1/0", "h2/0")
+VOTERS = ("h0/0", "h1/0", "h2/0")
 PLAYS = 40
 
 
@@ -130,7 +131,8 @@
 
 def node(name, view, record=None, seed=1):
     core = ReplicationCore(
-        record or NodeRecord(f"{name}/0", WitnessRecord(view), new_record("", WitnessRecord(view)).document),
+        record
+        or NodeRecord(f"{name}/0", AcceptorRecord(view), new_record("", AcceptorRecord(view)).document),
         ("h0", "h1", "h2"),
         1,
         Random(seed),
@@ -145,61 +147,71 @@
     ]
 
 
-VIEW = View(4, "h0/0", SEATS, SEATS, 77)
-NEXT = View(5, "h2/0", ("h1/0", "h2/0"), SEATS, 78)
+VIEW = View(4, "h0/0", VOTERS, VOTERS, 77)
+NEXT = View(5, "h2/0", ("h1/0", "h2/0"), VOTERS, 78)
 
 
 def beat(number=1):
-    return Beat(VIEW, number, Stamp(), ("h0", "h1", "h2"))
+    return Heartbeat(VIEW, number, DocumentVersion(), ("h0", "h1", "h2"))
 
 
 def test_a_seat_is_bound_from_each_answer_on_and_then_free():
     core = node("h1", VIEW)
-    prepare, accept = Prepare(VIEW, Ballot(9, "h2/0", 3)), Accept(VIEW, Ballot(9, "h2/0", 3), NEXT)
-    (answer,) = sent(core.receive(20.0, "h0/0", beat()), BeatAnswer)
-    assert answer.granted
+    prepare, accept = (
+        Prepare(VIEW, ProposalNumber(9, "h2/0", 3)),
+        Accept(VIEW, ProposalNumber(9, "h2/0", 3), NEXT),
+    )
+    (answer,) = sent(core.receive(20.0, "h0/0", beat()), HeartbeatAck)
+    assert answer.is_lease_granted
     for message in (prepare, accept):
-        (refused,) = sent(core.receive(20.5, "h2/0", message), Refused)
-        assert 0.0 < refused.bound_s <= lease.GRANT
+        (refused,) = sent(core.receive(20.5, "h2/0", message), Rejected)
+        assert 0.0 < refused.lease_remaining_s <= lease.GRANT
     later = core.receive(20.0 + lease.GRANT + 0.001, "h2/0", accept) + core.saved(20.6)
     assert sent(later, Accepted)
     # from its vote on it grants nothing more
-    (answer,) = sent(core.receive(20.7, "h0/0", beat(2)), BeatAnswer)
-    assert not answer.granted
+    (answer,) = sent(core.receive(20.7, "h0/0", beat(2)), HeartbeatAck)
+    assert not answer.is_lease_granted
 
 
 def test_a_seat_that_has_just_started_is_bound_unless_its_primary_says_that_its_lease_is_over():
-    prepare = Prepare(VIEW, Ballot(9, "h2/0", 3))
-    assert sent(node("h1", VIEW).receive(10.1, "h2/0", prepare), Refused)
+    prepare = Prepare(VIEW, ProposalNumber(9, "h2/0", 3))
+    assert sent(node("h1", VIEW).receive(10.1, "h2/0", prepare), Rejected)
     freed = node("h1", VIEW)
     freed.receive(10.05, "h2/0", lease_ended(4))  # not the primary: its word frees nobody
-    assert sent(freed.receive(10.06, "h2/0", prepare), Refused)
+    assert sent(freed.receive(10.06, "h2/0", prepare), Rejected)
     freed.receive(10.05, "h0/0", lease_ended(3))  # nor does that of an earlier epoch
-    assert sent(freed.receive(10.06, "h2/0", prepare), Refused)
+    assert sent(freed.receive(10.06, "h2/0", prepare), Rejected)
     freed.receive(10.05, "h0/0", lease_ended(4))
-    assert not sent(freed.receive(10.1, "h2/0", prepare), Refused)
+    assert not sent(freed.receive(10.1, "h2/0", prepare), Rejected)
     # the primary itself, started again, needs nobody's patience; nor does the first start of all
-    assert not sent(node("h1", VIEW).receive(10.1, "h0/0", Prepare(VIEW, Ballot(9, "h0/0", 3))), Refused)
+    assert not sent(
+        node("h1", VIEW).receive(10.1, "h0/0", Prepare(VIEW, ProposalNumber(9, "h0/0", 3))), Rejected
+    )
     begin = genesis_view(("h0", "h1", "h2"))
-    assert not sent(node("h1", begin).receive(10.1, "h2/0", Prepare(begin, Ballot(9, "h2/0", 3))), Refused)
+    assert not sent(
+        node("h1", begin).receive(10.1, "h2/0", Prepare(begin, ProposalNumber(9, "h2/0", 3))), Rejected
+    )
 
 
 def lease_ended(epoch):
-    from wheatroute.replication.view import LeaseEnded
+    from wheatroute.replication.messages import LeaseEnded
 
     return LeaseEnded(epoch)
 
 
 def test_a_process_leads_no_view_and_uses_no_ballot_of_the_process_before_it():
-    first, second = node("h0", View(3, "h1/0", SEATS, SEATS, 5)), node("h0", VIEW, seed=2)
-    decided = View(4, "h0/0", SEATS, SEATS, first._process)
-    again = node("h0", View(3, "h1/0", SEATS, SEATS, 5), seed=2)
-    first.receive(11.0, "h1/0", Known(decided, ()))
-    again.receive(11.0, "h1/0", Known(decided, ()))
-    assert first.leading and not again.leading and not second.leading
-    assert again.lease_given_up
+    first, second = node("h0", View(3, "h1/0", VOTERS, VOTERS, 5)), node("h0", VIEW, seed=2)
+    decided = View(4, "h0/0", VOTERS, VOTERS, first._process)
+    again = node("h0", View(3, "h1/0", VOTERS, VOTERS, 5), seed=2)
+    first.receive(11.0, "h1/0", ViewAnnouncement(decided, ()))
+    again.receive(11.0, "h1/0", ViewAnnouncement(decided, ()))
+    assert first.is_leading and not again.is_leading and not second.is_leading
+    assert again.has_given_up_lease
     prepares = [sent(core.tick(13.0), Prepare)[0] for core in (node("h1", VIEW), node("h1", VIEW, seed=2))]
-    assert prepares[0].ballot.number == prepares[1].ballot.number and prepares[0] != prepares[1]
+    assert (
+        prepares[0].proposal_number.number == prepares[1].proposal_number.number
+        and prepares[0] != prepares[1]
+    )
 
 
 # commits while the next view is being decided
--- a/tests/replication/test_links.py
+++ b/tests/replication/test_links.py
@@ -8,7 +8,7 @@
 
 from wheatroute.replication import links as links_module
 from wheatroute.replication.links import LENGTH_BYTES, Link, Links
-from wheatroute.replication.view import Envelope, Join, LeaseEnded
+from wheatroute.replication.messages import Envelope, JoinRequest, LeaseEnded
 
 LIMIT = 10.0  # seconds that a story may take before it counts as hung
 LOG = logging.getLogger("test-links")
@@ -69,18 +69,18 @@
     await until(lambda: begun == [PEER])
     peer = Links(f"{PEER}/0", (PEER, port), lambda sender, message: got.append((sender, message)), LOG)
     await peer.listen()
-    here.send(PEER, Join(4))
+    here.send(PEER, JoinRequest(4))
     assert begun == [PEER]  # the attempt is still under way, and nothing has arrived
-    peer.send(HERE, Join(4))
+    peer.send(HERE, JoinRequest(4))
     await until(lambda: len(got) == 2)
-    assert got == [(f"{HERE}/0", LeaseEnded(4)), (f"{HERE}/0", Join(4))]
+    assert got == [(f"{HERE}/0", LeaseEnded(4)), (f"{HERE}/0", JoinRequest(4))]
     here.close()
     peer.close()
 
 
 async def five_messages(port):
     """On one connection from the peer."""
-    body = msgspec.msgpack.encode(Envelope(f"{PEER}/0", Join(4)))
+    body = msgspec.msgpack.encode(Envelope(f"{PEER}/0", JoinRequest(4)))
     _, writer = await asyncio.open_connection(HERE, port)
     writer.write(5 * (len(body).to_bytes(LENGTH_BYTES, "big") + body))
     return writer
@@ -93,7 +93,7 @@
     port, got = await free_port(), []
     here = Links(f"{HERE}/0", (HERE, port), lambda *told: got.append(told), LOG)
     await here.listen()
-    here.send(PEER, Join(4))
+    here.send(PEER, JoinRequest(4))
     await until(lambda: len(begun) == 1)
     for connection in (1, 2):
         writer = await five_messages(port)
--- a/tests/replication/test_membership.py
+++ b/tests/replication/test_membership.py
@@ -1,4 +1,4 @@
-"""Every sequence of steps of views, seats, members and disks, to a stated depth; faults put in are found."""
+"""Every sequence of steps of views, voters, members and disks, to a stated depth; faults put in are found."""
 
 import pytest
 from replication.membership_beyond import TABLE, outcome
--- a/tests/replication/test_renewal.py
+++ b/tests/replication/test_renewal.py
@@ -2,7 +2,7 @@
 
 from replication.simulation import Simulation
 
-from wheatroute.replication.view import Accept
+from wheatroute.replication.messages import Accept
 
 
 def test_a_member_that_was_proposed_and_then_lost_holds_no_write_up():
--- a/tests/replication/test_replication_format.py
+++ b/tests/replication/test_replication_format.py
@@ -6,46 +6,48 @@
 import msgspec
 import pytest
 
-from wheatroute.replication.storage import Storage
-from wheatroute.replication.view import (
+from wheatroute.replication.messages import (
     Accept,
     Accepted,
-    Ballot,
-    Beat,
-    BeatAnswer,
-    Document,
+    BucketLevelsUpdate,
     Envelope,
-    Hint,
-    HintTaken,
-    Join,
-    Known,
+    Heartbeat,
+    HeartbeatAck,
+    JoinRequest,
     LeaseEnded,
-    Levels,
-    NodeRecord,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     Replicate,
     Replicated,
-    Stamp,
-    View,
-    WitnessRecord,
+    SoftStateAck,
+    SoftStateUpdate,
+    ViewAnnouncement,
+)
+from wheatroute.replication.records import (
+    AcceptorRecord,
+    Document,
+    DocumentVersion,
+    NodeRecord,
+    ProposalNumber,
 )
+from wheatroute.replication.storage import Storage
+from wheatroute.replication.views import View
 
 A, B, C = "10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/6f6e"
-OLD = View(epoch=7, primary=A, members=(A, B), seats=(A, B, C), process=99)
-NEW = View(epoch=8, primary=B, members=(B, C), seats=(A, B, C), process=1234567890123)
-BALLOT = Ballot(number=5, proposer=B, process=1234567890123)
-STAMP = Stamp(epoch=7, sequence=41)
-DOCUMENT = Document(stamp=STAMP, payload=b"\x00configuration\xff")
+OLD = View(epoch=7, primary=A, members=(A, B), voters=(A, B, C), incarnation=99)
+NEW = View(epoch=8, primary=B, members=(B, C), voters=(A, B, C), incarnation=1234567890123)
+PROPOSAL_NUMBER = ProposalNumber(number=5, proposer=B, incarnation=1234567890123)
+VERSION = DocumentVersion(epoch=7, sequence=41)
+DOCUMENT = Document(version=VERSION, payload=b"\x00configuration\xff")
 
 CASES = [
     pytest.param(
-        BALLOT,
+        PROPOSAL_NUMBER,
         ("83a66e756d62657205a870726f706f736572aa31302e302e302e322f30a770726f63657373cf0000011f71fb04cb"),
         id="ballot",
     ),
-    pytest.param(STAMP, "82a565706f636807a873657175656e636529", id="stamp"),
+    pytest.param(VERSION, "82a565706f636807a873657175656e636529", id="stamp"),
     pytest.param(
         OLD,
         (
@@ -64,7 +66,9 @@
         id="document",
     ),
     pytest.param(
-        WitnessRecord(view=OLD, promised=BALLOT, accepted=Ballot(4, A, 99), accepted_view=NEW),
+        AcceptorRecord(
+            view=OLD, promised=PROPOSAL_NUMBER, accepted=ProposalNumber(4, A, 99), accepted_view=NEW
+        ),
         (
             "84a47669657785a565706f636807a77072696d617279aa31302e302e302e312f30a76d656d6265727392"
             "aa31302e302e302e312f30aa31302e302e302e322f30a5736561747393aa31302e302e302e312f30aa31"
@@ -79,7 +83,7 @@
         id="witness",
     ),
     pytest.param(
-        WitnessRecord(view=OLD),
+        AcceptorRecord(view=OLD),
         (
             "84a47669657785a565706f636807a77072696d617279aa31302e302e302e312f30a76d656d6265727392"
             "aa31302e302e302e312f30aa31302e302e302e322f30a5736561747393aa31302e302e302e312f30aa31"
@@ -90,7 +94,9 @@
         id="witness-without-votes",
     ),
     pytest.param(
-        NodeRecord(identity=A, witness=WitnessRecord(view=OLD, promised=BALLOT), document=DOCUMENT),
+        NodeRecord(
+            identity=A, acceptor=AcceptorRecord(view=OLD, promised=PROPOSAL_NUMBER), document=DOCUMENT
+        ),
         (
             "83a86964656e74697479aa31302e302e302e312f30a77769746e65737384a47669657785a565706f6368"
             "07a77072696d617279aa31302e302e302e312f30a76d656d6265727392aa31302e302e302e312f30aa31"
@@ -104,7 +110,7 @@
         id="record",
     ),
     pytest.param(
-        Envelope(sender=A, message=Prepare(base=OLD, ballot=BALLOT)),
+        Envelope(sender=A, message=Prepare(base=OLD, proposal_number=PROPOSAL_NUMBER)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065a770726570617265a4"
             "6261736585a565706f636807a77072696d617279aa31302e302e302e312f30a76d656d6265727392aa31"
@@ -116,7 +122,10 @@
     ),
     pytest.param(
         Envelope(
-            sender=A, message=Promise(epoch=7, ballot=BALLOT, accepted=Ballot(4, A, 99), accepted_view=NEW)
+            sender=A,
+            message=Promise(
+                epoch=7, proposal_number=PROPOSAL_NUMBER, accepted=ProposalNumber(4, A, 99), accepted_view=NEW
+            ),
         ),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676585a474797065a770726f6d697365a5"
@@ -130,7 +139,12 @@
         id="promise",
     ),
     pytest.param(
-        Envelope(sender=A, message=Promise(epoch=7, ballot=BALLOT, accepted=Ballot(), accepted_view=None)),
+        Envelope(
+            sender=A,
+            message=Promise(
+                epoch=7, proposal_number=PROPOSAL_NUMBER, accepted=ProposalNumber(), accepted_view=None
+            ),
+        ),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676585a474797065a770726f6d697365a5"
             "65706f636807a662616c6c6f7483a66e756d62657205a870726f706f736572aa31302e302e302e322f30"
@@ -140,7 +154,7 @@
         id="promise-of-nothing",
     ),
     pytest.param(
-        Envelope(sender=A, message=Accept(base=OLD, ballot=BALLOT, view=NEW)),
+        Envelope(sender=A, message=Accept(base=OLD, proposal_number=PROPOSAL_NUMBER, view=NEW)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676584a474797065a6616363657074a462"
             "61736585a565706f636807a77072696d617279aa31302e302e302e312f30a76d656d6265727392aa3130"
@@ -154,7 +168,7 @@
         id="accept",
     ),
     pytest.param(
-        Envelope(sender=A, message=Accepted(epoch=7, ballot=BALLOT)),
+        Envelope(sender=A, message=Accepted(epoch=7, proposal_number=PROPOSAL_NUMBER)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065a86163636570746564"
             "a565706f636807a662616c6c6f7483a66e756d62657205a870726f706f736572aa31302e302e302e322f"
@@ -163,7 +177,7 @@
         id="accepted",
     ),
     pytest.param(
-        Envelope(sender=A, message=Refused(view=NEW, promised=BALLOT, bound_s=0.25)),
+        Envelope(sender=A, message=Rejected(view=NEW, promised=PROPOSAL_NUMBER, lease_remaining_s=0.25)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676584a474797065a772656675736564a4"
             "7669657785a565706f636808a77072696d617279aa31302e302e302e322f30a76d656d6265727392aa31"
@@ -184,7 +198,8 @@
     ),
     pytest.param(
         Envelope(
-            sender=A, message=Beat(view=OLD, number=17, committed=STAMP, nodes=(A, B, C), released=(C,))
+            sender=A,
+            message=Heartbeat(view=OLD, number=17, committed=VERSION, nodes=(A, B, C), released=(C,)),
         ),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676586a474797065a462656174a4766965"
@@ -200,15 +215,15 @@
     pytest.param(
         Envelope(
             sender=A,
-            message=BeatAnswer(
+            message=HeartbeatAck(
                 epoch=7,
                 number=17,
-                stamp=STAMP,
-                healthy=True,
-                leaving=False,
+                version=VERSION,
+                is_healthy=True,
+                is_leaving=False,
                 digest=3735928559,
-                granted=True,
-                process=42,
+                is_lease_granted=True,
+                incarnation=42,
             ),
         ),
         (
@@ -220,7 +235,10 @@
         id="beat-answer",
     ),
     pytest.param(
-        Envelope(sender=A, message=BeatAnswer(epoch=7, number=17, stamp=STAMP, healthy=False, leaving=True)),
+        Envelope(
+            sender=A,
+            message=HeartbeatAck(epoch=7, number=17, version=VERSION, is_healthy=False, is_leaving=True),
+        ),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676589a474797065ab626561742d616e73"
             "776572a565706f636807a66e756d62657211a57374616d7082a565706f636807a873657175656e636529"
@@ -242,7 +260,7 @@
         id="replicate",
     ),
     pytest.param(
-        Envelope(sender=A, message=Replicated(epoch=7, stamp=STAMP)),
+        Envelope(sender=A, message=Replicated(epoch=7, version=VERSION)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065aa7265706c69636174"
             "6564a565706f636807a57374616d7082a565706f636807a873657175656e636529"
@@ -250,12 +268,12 @@
         id="replicated",
     ),
     pytest.param(
-        Envelope(sender=A, message=Join(epoch=7)),
+        Envelope(sender=A, message=JoinRequest(epoch=7)),
         ("82a673656e646572aa31302e302e302e312f30a76d65737361676582a474797065a46a6f696ea565706f636807"),
         id="join",
     ),
     pytest.param(
-        Envelope(sender=A, message=Known(view=OLD, nodes=(A, B, C))),
+        Envelope(sender=A, message=ViewAnnouncement(view=OLD, nodes=(A, B, C))),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065a56b6e6f776ea47669"
             "657785a565706f636807a77072696d617279aa31302e302e302e312f30a76d656d6265727392aa31302e"
@@ -266,7 +284,7 @@
         id="known",
     ),
     pytest.param(
-        Envelope(sender=A, message=Hint(epoch=7, number=3, payload=b"soft state")),
+        Envelope(sender=A, message=SoftStateUpdate(epoch=7, number=3, payload=b"soft state")),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676584a474797065a468696e74a565706f"
             "636807a66e756d62657203a77061796c6f6164c40a736f6674207374617465"
@@ -274,7 +292,7 @@
         id="hint",
     ),
     pytest.param(
-        Envelope(sender=A, message=HintTaken(epoch=7, number=3)),
+        Envelope(sender=A, message=SoftStateAck(epoch=7, number=3)),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065aa68696e742d74616b"
             "656ea565706f636807a66e756d62657203"
@@ -282,7 +300,7 @@
         id="hint-taken",
     ),
     pytest.param(
-        Envelope(sender=A, message=Levels(epoch=7, payload=b"levels")),
+        Envelope(sender=A, message=BucketLevelsUpdate(epoch=7, payload=b"levels")),
         (
             "82a673656e646572aa31302e302e302e312f30a76d65737361676583a474797065a66c6576656c73a565"
             "706f636807a77061796c6f6164c4066c6576656c73"
@@ -306,8 +324,8 @@
 )
 RECORD = NodeRecord(
     identity=A,
-    witness=WitnessRecord(view=OLD, promised=BALLOT),
-    document=Document(stamp=STAMP, payload=PAYLOAD),
+    acceptor=AcceptorRecord(view=OLD, promised=PROPOSAL_NUMBER),
+    document=Document(version=VERSION, payload=PAYLOAD),
 )
 # control.mdb as written by Storage.write(RECORD) and Storage.write_hint(b"soft state"): zlib, base 85
 DISK = (
@@ -338,6 +356,6 @@
     storage = Storage(str(tmp_path), disk_mb=32)
     try:
         assert storage.read() == RECORD
-        assert storage.read_hint() == b"soft state"
+        assert storage.read_soft_state() == b"soft state"
     finally:
         storage.close()
--- a/tests/replication/test_restarts.py
+++ b/tests/replication/test_restarts.py
@@ -80,14 +80,14 @@
         it.kill(leader)
         it.start(leader)
     it.run(it.now + 3.0)
-    old = it.hosts[away].disk.witness.view.epoch
+    old = it.hosts[away].disk.acceptor.view.epoch
     (leader,) = it.serving()
     assert it.hosts[leader].core.view.epoch >= old + 3
     it.kill(leader)  # only the old disk and one member are left
     it.start(away)
     while not it.serving():
         it.run(it.now + 0.002)
-        assert not it.hosts[away].core.leading
+        assert not it.hosts[away].core.is_leading
     it.start(leader)
     it.run(it.now + 5.0)
     it.check_end()
--- a/tests/replication/test_soft_state.py
+++ b/tests/replication/test_soft_state.py
@@ -1,13 +1,13 @@
 """The leader's soft state: it reaches every member although links lose messages."""
 
 from wheatroute.replication.effects import Send
+from wheatroute.replication.messages import SoftStateAck, SoftStateUpdate
 from wheatroute.replication.soft_state import RESEND, SoftStateCopy
-from wheatroute.replication.view import Hint, HintTaken
 
 OWN, SECOND, THIRD = "10.0.0.1/a", "10.0.0.2/b", "10.0.0.3/c"
 MEMBERS = (OWN, SECOND, THIRD)
 HOSTS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
-FIRST = Hint(4, 1, b"servers")
+FIRST = SoftStateUpdate(4, 1, b"servers")
 
 
 def shared_at(now):
@@ -19,35 +19,35 @@
 def test_it_goes_to_all_others_and_counts_as_held_once_each_has_said_so():
     copy, sent = shared_at(1.0)
     assert sent == [Send("10.0.0.2", FIRST), Send("10.0.0.3", FIRST)]
-    copy.taken(SECOND, HintTaken(4, 1))
-    assert copy.missing(MEMBERS, copy.order) == [THIRD]
-    copy.taken(THIRD, HintTaken(4, 1))
-    assert copy.missing(MEMBERS, copy.order) == []
+    copy.taken(SECOND, SoftStateAck(4, 1))
+    assert copy.missing(MEMBERS, copy.version) == [THIRD]
+    copy.taken(THIRD, SoftStateAck(4, 1))
+    assert copy.missing(MEMBERS, copy.version) == []
 
 
 def test_what_a_link_lost_is_sent_again_to_the_member_that_lacks_it_and_to_nobody_else():
     copy, _ = shared_at(1.0)
-    copy.taken(SECOND, HintTaken(4, 1))
+    copy.taken(SECOND, SoftStateAck(4, 1))
     assert copy.resend(1.0 + RESEND / 2, 4, MEMBERS) == []
     assert copy.resend(1.0 + 1.1 * RESEND, 4, MEMBERS) == [Send("10.0.0.3", FIRST)]
     assert copy.resend(1.0 + 1.6 * RESEND, 4, MEMBERS) == []
-    copy.taken(THIRD, HintTaken(4, 1))
+    copy.taken(THIRD, SoftStateAck(4, 1))
     assert copy.resend(9.0, 4, MEMBERS) == []
 
 
 def test_a_node_that_has_come_into_the_view_gets_it_at_once():
     copy, _ = shared_at(1.0)
-    copy.taken(SECOND, HintTaken(4, 1))
-    copy.taken(THIRD, HintTaken(4, 1))
+    copy.taken(SECOND, SoftStateAck(4, 1))
+    copy.taken(THIRD, SoftStateAck(4, 1))
     assert copy.resend(1.01, 4, (*MEMBERS, "10.0.0.4/d")) == [Send("10.0.0.4", FIRST)]
 
 
 def test_an_answer_to_an_older_one_says_nothing_of_the_newest():
     copy, _ = shared_at(1.0)
     copy.share(1.2, 4, b"more servers", HOSTS)
-    copy.taken(SECOND, HintTaken(4, 2))
-    copy.taken(SECOND, HintTaken(4, 1))  # late
-    copy.taken(THIRD, HintTaken(4, 1))
+    copy.taken(SECOND, SoftStateAck(4, 2))
+    copy.taken(SECOND, SoftStateAck(4, 1))  # late
+    copy.taken(THIRD, SoftStateAck(4, 1))
     assert copy.missing(MEMBERS, (4, 1)) == [] and copy.missing(MEMBERS, (4, 2)) == [THIRD]
 
 
@@ -59,7 +59,7 @@
 
 def test_only_what_is_newer_is_taken_and_a_new_leader_counts_on_from_it():
     copy = SoftStateCopy(OWN)
-    assert copy.received(Hint(4, 7, b"")) and not copy.received(Hint(4, 6, b""))
-    assert not copy.received(Hint(3, 9, b""))
+    assert copy.received(SoftStateUpdate(4, 7, b"")) and not copy.received(SoftStateUpdate(4, 6, b""))
+    assert not copy.received(SoftStateUpdate(3, 9, b""))
     copy.share(1.0, 5, b"", HOSTS)
-    assert copy.order == (5, 8)
+    assert copy.version == (5, 8)
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -6,25 +6,26 @@
 
 from wheatroute.cluster.settings import Settings
 from wheatroute.replication import storage as storage_module
-from wheatroute.replication.replicator import first_record
-from wheatroute.replication.storage import FILE_NAME, Storage, StorageError, new_record
-from wheatroute.replication.view import (
-    NO_VIEW,
-    Ballot,
+from wheatroute.replication.records import (
+    AcceptorRecord,
     Document,
+    DocumentVersion,
     NodeRecord,
-    Stamp,
-    View,
-    WitnessRecord,
-    genesis_view,
+    ProposalNumber,
+    new_record,
 )
+from wheatroute.replication.replicator import first_record
+from wheatroute.replication.storage import FILE_NAME, Storage, StorageError
+from wheatroute.replication.views import NO_VIEW, View, genesis_view
 
 VIEW = View(7, "a/0", ("a/0", "b/0"), ("a/0", "b/0", "c/0"))
 
 
 def record(sequence=3, payload=b"payload " * 500):
-    witness = WitnessRecord(VIEW, Ballot(4, "b/0"), Ballot(4, "b/0"), View(8, "b/0", ("b/0",), VIEW.seats))
-    return NodeRecord("a/0", witness, Document(Stamp(7, sequence), payload))
+    acceptor = AcceptorRecord(
+        VIEW, ProposalNumber(4, "b/0"), ProposalNumber(4, "b/0"), View(8, "b/0", ("b/0",), VIEW.voters)
+    )
+    return NodeRecord("a/0", acceptor, Document(DocumentVersion(7, sequence), payload))
 
 
 def opened(folder):
@@ -36,10 +37,10 @@
     assert disk.read() is None
     disk.write(record(1))
     disk.write(record(2))
-    disk.write_hint(b"soft")
+    disk.write_soft_state(b"soft")
     disk.close()
     again = opened(tmp_path)
-    assert again.read() == record(2) and again.read_hint() == b"soft"
+    assert again.read() == record(2) and again.read_soft_state() == b"soft"
 
 
 def test_a_record_whose_bytes_changed_makes_a_new_node_and_is_kept_for_a_look(tmp_path):
@@ -84,7 +85,7 @@
 
 def test_a_part_that_is_missing_makes_a_new_node(tmp_path, monkeypatch):
     disk = opened(tmp_path)
-    monkeypatch.setattr(storage_module, "_WITNESS", b"elsewhere")
+    monkeypatch.setattr(storage_module, "_ACCEPTOR", b"elsewhere")
     disk.write(record())
     disk.close()
     monkeypatch.undo()
@@ -108,7 +109,9 @@
     disk.write(first)
     before = (tmp_path / FILE_NAME).stat().st_size
     for number in range(200):
-        disk.write(NodeRecord(first.identity, WitnessRecord(VIEW, Ballot(number, "b/0")), first.document))
+        disk.write(
+            NodeRecord(first.identity, AcceptorRecord(VIEW, ProposalNumber(number, "b/0")), first.document)
+        )
     assert (tmp_path / FILE_NAME).stat().st_size < before + (1 << 20)
     disk.close()
     assert opened(tmp_path).read().document == first.document
@@ -137,11 +140,11 @@
 def test_only_seeds_of_the_first_start_begin_from_the_first_view():
     first = first_record(settings())
     assert first == new_record(
-        "10.0.0.1/0", WitnessRecord(genesis_view(("10.0.0.3", "10.0.0.2", "10.0.0.1")))
+        "10.0.0.1/0", AcceptorRecord(genesis_view(("10.0.0.3", "10.0.0.2", "10.0.0.1")))
     )
     for later in (settings(bootstrap=False), settings(ip="10.0.0.9")):
         joined = first_record(later)
-        assert joined.witness.view == NO_VIEW and not joined.identity.endswith("/0")
+        assert joined.acceptor.view == NO_VIEW and not joined.identity.endswith("/0")
     assert (
         first_record(settings(bootstrap=False)).identity != first_record(settings(bootstrap=False)).identity
     )
--- a/tests/replication/test_voting.py
+++ b/tests/replication/test_voting.py
@@ -1,39 +1,45 @@
-"""Every order in which the messages of two proposals can arrive at the seats, and any of them not at all."""
+"""Every order in which the messages of two proposals can arrive at the voters, and any of them not at all."""
 
 from copy import copy
 
 from replication.mutants import ForgetsItsVote, KeepsNoVote, PromisesAnything, ProposesOver
 
+from wheatroute.replication.acceptor import Acceptor
+from wheatroute.replication.messages import Accept, Accepted, Prepare, Promise
 from wheatroute.replication.proposal import Proposal
-from wheatroute.replication.view import Accept, Accepted, Ballot, Prepare, Promise, View, WitnessRecord
-from wheatroute.replication.witness import Witness
+from wheatroute.replication.records import AcceptorRecord, ProposalNumber
+from wheatroute.replication.views import View
 
-SEATS = ("a", "b", "c")
-BASE = View(0, "", SEATS, SEATS)
+VOTERS = ("a", "b", "c")
+BASE = View(0, "", VOTERS, VOTERS)
 
 
 def next_view(name):
-    return View(1, name, (name,), SEATS)
+    return View(1, name, (name,), VOTERS)
 
 
 class State:
-    """Three witnesses, two proposals, and the messages that are on their way."""
+    """Three acceptors, two proposals, and the messages that are on their way."""
 
-    def __init__(self, witness, proposal):
-        self.witnesses = {seat: witness(seat, WitnessRecord(BASE)) for seat in SEATS}
+    def __init__(self, acceptor, proposal):
+        self.witnesses = {voter: acceptor(voter, AcceptorRecord(BASE)) for voter in VOTERS}
         self.proposals = [
-            proposal(BASE, Ballot(number, name), lambda base, promised, name=name: next_view(name), 0.0)
+            proposal(
+                BASE, ProposalNumber(number, name), lambda base, promised, name=name: next_view(name), 0.0
+            )
             for number, name in ((1, "a"), (2, "b"))
         ]
         self.on_way = [
-            (seat, one, proposal.prepare()) for one, proposal in enumerate(self.proposals) for seat in SEATS
+            (voter, one, proposal.prepare())
+            for one, proposal in enumerate(self.proposals)
+            for voter in VOTERS
         ]
         self.decided = set()
 
     def copy(self):
         """Records and messages are frozen: only what holds them is copied."""
         other = copy(self)
-        other.witnesses = {seat: copy(one) for seat, one in self.witnesses.items()}
+        other.witnesses = {voter: copy(one) for voter, one in self.witnesses.items()}
         other.proposals = [copy(one) for one in self.proposals]
         for one in other.proposals:
             one._promises, one._votes = dict(one._promises), set(one._votes)
@@ -41,44 +47,44 @@
         return other
 
     def key(self):
-        """States that differ only in which seat is which are one."""
+        """States that differ only in which voter is which are one."""
         chosen = tuple(one.view is not None and one.view.primary for one in self.proposals)
-        return chosen, tuple(sorted(self._seat_key(seat) for seat in SEATS))
+        return chosen, tuple(sorted(self._seat_key(voter) for voter in VOTERS))
 
-    def _seat_key(self, seat):
-        record = self.witnesses[seat].record
+    def _seat_key(self, voter):
+        record = self.witnesses[voter].record
         told = tuple(
             (
-                seat in one._promises and one.view is None and one._promises[seat].accepted.number + 1,
-                seat in one._votes,
+                voter in one._promises and one.view is None and one._promises[voter].accepted.number + 1,
+                voter in one._votes,
             )
             for one in self.proposals
         )
         on_way = sorted(
             (number, type(message).__name__, message.accepted.number if isinstance(message, Promise) else 0)
             for other, number, message in self.on_way
-            if other == seat
+            if other == voter
         )
         return record.promised.number, record.accepted.number, told, tuple(on_way)
 
     def deliver(self, place):
         """One message arrives; what follows from it is on its way."""
-        seat, number, message = self.on_way.pop(place)
-        proposal, witness = self.proposals[number], self.witnesses[seat]
+        voter, number, message = self.on_way.pop(place)
+        proposal, acceptor = self.proposals[number], self.witnesses[voter]
         if isinstance(message, Prepare | Accept):
-            answer = witness.prepare(message) if isinstance(message, Prepare) else witness.accept(message)
+            answer = acceptor.prepare(message) if isinstance(message, Prepare) else acceptor.accept(message)
             if isinstance(answer, Promise | Accepted):
-                self.on_way.append((seat, number, answer))
+                self.on_way.append((voter, number, answer))
         elif isinstance(message, Promise):
-            question = proposal.promised(seat, message)
+            question = proposal.promised(voter, message)
             if question is not None:
                 # further promises change nothing
                 self.on_way = [
                     one for one in self.on_way if one[1] != number or not isinstance(one[2], Promise)
                 ]
-                self.on_way += [(other, number, question) for other in SEATS]
+                self.on_way += [(other, number, question) for other in VOTERS]
         else:
-            view = proposal.accepted(seat, message)
+            view = proposal.accepted(voter, message)
             if view is not None:
                 self.decided.add(view)
                 # nor do further votes
@@ -87,9 +93,9 @@
                 ]
 
 
-def explore(witness=Witness, proposal=Proposal):
+def explore(acceptor=Acceptor, proposal=Proposal):
     """How many states there are, and whether two views are decided in any of them."""
-    begin = State(witness, proposal)
+    begin = State(acceptor, proposal)
     seen, stack = {begin.key()}, [begin]
     while stack:
         state = stack.pop()
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -26,9 +26,9 @@
 from wheatroute.control.registry import Registry, ServerHeartbeat
 from wheatroute.control.soft_state import SoftState, make_soft_state
 from wheatroute.control.versions import ConfigurationVersions
+from wheatroute.replication.records import Document
 from wheatroute.replication.replicator import Replicator
-from wheatroute.replication.soft_state import Order
-from wheatroute.replication.view import Document
+from wheatroute.replication.soft_state import SoftStateVersion
 
 WRITE_TIMEOUT = 0.8  # seconds: a caller moves to another node after one second of silence
 READ_TIMEOUT = 0.6
@@ -60,7 +60,7 @@
         self._shared_edges = 0
         self._shared = (-1, 0)
         self._shared_at = 0.0
-        self._sharing: asyncio.Task[Order] | None = None
+        self._sharing: asyncio.Task[SoftStateVersion] | None = None
         self._shared_levels: dict[str, BucketLevels] = {}
         self._buckets_shared = 0.0
         self._writing = asyncio.Lock()
@@ -78,7 +78,7 @@
         self._registry.expect_heartbeats(heartbeat_s)
         self._failure_detector.expect_heartbeats(heartbeat_s)
         self._quotas.change_rule(settings.bounds.quota_slack, settings.bounds.quota_excess)
-        self.replicator.take_settings(settings)
+        self.replicator.apply_settings(settings)
 
     def _new_failure_detector(self) -> FailureDetector:
         return FailureDetector(self._settings.heartbeat_ms / 1000.0)
@@ -97,10 +97,10 @@
     # replication
 
     def _committed(self, document: Document) -> None:
-        if document.stamp.sequence == self._sequence:
+        if document.version.sequence == self._sequence:
             return
         self._state = decode_state(document.payload)
-        self._sequence = document.stamp.sequence
+        self._sequence = document.version.sequence
         configuration = decode_configuration(self._state.body) if self._state.body else Configuration()
         self._versions.commit(configuration, self._sequence)
         self._quotas.configure(self._versions.tenants, asyncio.get_running_loop().time())
@@ -108,8 +108,8 @@
             "configuration",
             extra={
                 "version": self._state.generation,
-                "sequence": document.stamp.sequence,
-                "epoch": document.stamp.epoch,
+                "sequence": document.version.sequence,
+                "epoch": document.version.epoch,
             },
         )
         self._tell()
@@ -117,7 +117,7 @@
     def _view_changed(self) -> None:
         core = self.replicator.core
         now = asyncio.get_running_loop().time()
-        if not core.leading:
+        if not core.is_leading:
             self._registry = Registry(-1, self._settings.heartbeat_ms / 1000.0, now)
             self._sequence = -1
         elif self._registry.version.epoch < 0:
@@ -127,7 +127,7 @@
             self._edges = EdgeNodes(now)
             self._failure_detector = self._new_failure_detector()
             self._quotas.begin_term(now, 0, self._settings.bounds.quota_window_s)
-            if self.replicator.hint:
+            if self.replicator.soft_state:
                 self._restore(now)
         # a node that has come into the view may have nothing, and may lead the next one
         self._shared_version = None
@@ -136,7 +136,7 @@
     def _restore(self, now: float) -> None:
         """Starts from what the primary before shared."""
         try:
-            soft = msgspec.msgpack.decode(self.replicator.hint, type=SoftState)
+            soft = msgspec.msgpack.decode(self.replicator.soft_state, type=SoftState)
         except msgspec.DecodeError as error:
             # of another version of this program: heartbeats tell the same soon
             self._log.warning("soft-state-skipped", extra={"trouble": str(error)})
@@ -145,7 +145,7 @@
         self._edges = EdgeNodes(now, soft.edge_node_count)
         self._quotas.begin_term(now, soft.edge_node_count, self._settings.bounds.quota_window_s)
         levels = self._shared_levels_since() or soft.levels()
-        self._quotas.restore(levels, now - self.replicator.levels_at)
+        self._quotas.restore(levels, now - self.replicator.bucket_levels_at)
         self._log_levels(levels)
 
     def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
@@ -155,9 +155,9 @@
 
     def _shared_levels_since(self) -> dict[str, BucketLevels]:
         """What buckets held by the word that came after the soft state, if any did."""
-        if not self.replicator.levels:
+        if not self.replicator.bucket_levels:
             return {}
-        return msgspec.msgpack.decode(self.replicator.levels, type=dict[str, BucketLevels])
+        return msgspec.msgpack.decode(self.replicator.bucket_levels, type=dict[str, BucketLevels])
 
     def _tell(self) -> None:
         """Wakes every poll that waits."""
@@ -170,7 +170,7 @@
             await asyncio.sleep(REGISTRY_TICK)
             if self._registry.tick(loop.time()):
                 self._tell()
-            if self.replicator.core.leading:
+            if self.replicator.core.is_leading:
                 self._quotas.reserve(loop.time(), self._edges)
                 self._share_registry()
                 self._share_buckets(loop.time())
@@ -183,7 +183,7 @@
             return
         self._shared_version, self._shared_edges = self._registry.version, edges
         self._shared_at = now
-        self._shared = self.replicator.share(self._soft_state())
+        self._shared = self.replicator.replicate_soft_state(self._soft_state())
 
     def _share_buckets(self, now: float) -> None:
         """Tells what tenants' buckets hold, so that the next primary grants nothing twice."""
@@ -191,7 +191,7 @@
         if levels == self._shared_levels or now - self._buckets_shared < BUCKETS_INTERVAL:
             return
         self._shared_levels, self._buckets_shared = levels, now
-        self.replicator.share_levels(msgspec.msgpack.encode(levels))
+        self.replicator.replicate_bucket_levels(msgspec.msgpack.encode(levels))
 
     def _soft_state(self) -> bytes:
         levels = self._quotas.levels()
@@ -204,20 +204,21 @@
         """
         order = await self._share_soon()
         confirmed, shared = await asyncio.gather(
-            self.replicator.confirm(READ_TIMEOUT), self.replicator.shared(order, SHARE_TIMEOUT)
+            self.replicator.confirm_leadership(READ_TIMEOUT),
+            self.replicator.wait_for_soft_state_acks(order, SHARE_TIMEOUT),
         )
         if not shared:
             raise RequestError(ErrorKind.NO_QUORUM, "not taken by all members in time")
         if not confirmed:
             raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
 
-    async def _share_soon(self) -> Order:
+    async def _share_soon(self) -> SoftStateVersion:
         """Shares the registry as it is in a moment; many servers that leave together share it once."""
         if self._sharing is None or self._sharing.done():
             self._sharing = asyncio.get_running_loop().create_task(self._share_spaced())
         return await asyncio.shield(self._sharing)
 
-    async def _share_spaced(self) -> Order:
+    async def _share_spaced(self) -> SoftStateVersion:
         await asyncio.sleep(self._shared_at + SHARE_SPACING - asyncio.get_running_loop().time())
         self.require_primary()  # it may have been deposed meanwhile, and knows no servers then
         self._share_registry()
@@ -233,9 +234,9 @@
     def require_primary(self) -> None:
         """Raises RequestError unless this node leads and can acknowledge."""
         core = self.replicator.core
-        if not core.leading:
+        if not core.is_leading:
             raise RequestError(ErrorKind.NOT_PRIMARY, self.primary_host)
-        if not self.replicator.serving or self._sequence < 0:
+        if not self.replicator.is_serving or self._sequence < 0:
             raise RequestError(ErrorKind.NO_QUORUM, "no majority of control nodes answers")
 
     # operators
@@ -246,7 +247,7 @@
             await self._writing.acquire()
         try:
             await self._wait_for_commit()
-            if not self.replicator.core.healthy:
+            if not self.replicator.core.is_healthy:
                 raise RequestError(ErrorKind.STORAGE, "the disk takes no writes")
             state = await self._judge(change)
             if state is None:
@@ -274,7 +275,7 @@
 
     async def _confirm(self) -> None:
         """Raises RequestError unless a majority says, asked from now on, that this node leads."""
-        if not await self.replicator.confirm(READ_TIMEOUT):
+        if not await self.replicator.confirm_leadership(READ_TIMEOUT):
             raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
 
     async def _wait_for_commit(self) -> None:
@@ -283,9 +284,9 @@
         end = loop.time() + COMMIT_TIMEOUT
         while True:
             self.require_primary()
-            if core.committed is not None and core.committed.stamp == core.document.stamp:
+            if core.committed is not None and core.committed.version == core.document.version:
                 return
-            if loop.time() >= end or not core.healthy:
+            if loop.time() >= end or not core.is_healthy:
                 raise RequestError(ErrorKind.NO_QUORUM, "an earlier change is not acknowledged yet")
             await asyncio.sleep(COMMIT_LOOK)
 
@@ -342,9 +343,9 @@
             if now >= end or self._is_news(request):
                 if request.configuration >= 0 or not self._state.body:
                     return self._update(request, now)
-                if not await self.replicator.confirm(READ_TIMEOUT):
+                if not await self.replicator.confirm_leadership(READ_TIMEOUT):
                     return self.not_serving()
-                if self.replicator.serving and self._sequence >= 0:  # else it was deposed meanwhile
+                if self.replicator.is_serving and self._sequence >= 0:  # else it was deposed meanwhile
                     return self._update(request, loop.time())
                 continue
             try:
--- a/wheatroute/replication/commit.py
+++ b/wheatroute/replication/commit.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from wheatroute.replication.view import View
+from wheatroute.replication.views import View
 
 
 def may_commit(view: View, proposed: frozenset[str], tolerate: int, holds: Callable[[str], bool]) -> bool:
@@ -14,7 +14,7 @@
     of the views that this leader has proposed, or is about to: one of those may be decided, now or by others
     later, and any of its members may lead the view after it.
     """
-    needed = min(tolerate + 1, len(view.seats))
+    needed = min(tolerate + 1, len(view.voters))
     if len(view.members) < needed:
         return False
     return all(holds(member) for member in {*view.members, *proposed})
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -2,9 +2,9 @@
 
 Inputs are calls with the current time (steady clock, seconds); each returns the effects that the caller has
 to carry out, in their order. A leader acknowledges a document once every member of its view has it on disk,
-and no fewer members than may be lost at once plus one. Only the seats' majority changes a view, so a leader
+and no fewer members than may be lost at once plus one. Only the voters' majority changes a view, so a leader
 that was deposed can gather no acknowledgement: a member of the next view answers none for an older one. When
-a leader may act alone, and when a seat may help to depose it, is told in `lease`.
+a leader may act alone, and when a voter may help to depose it, is told in `lease`.
 """
 
 from __future__ import annotations
@@ -12,38 +12,35 @@
 from collections.abc import Callable
 from random import Random
 
+from wheatroute.replication.acceptor import Acceptor
 from wheatroute.replication.commit import may_commit
 from wheatroute.replication.departure import released
 from wheatroute.replication.effects import Committed, Effect, ReadDone, Save, Send, WriteDone
+from wheatroute.replication.identity import host_of
 from wheatroute.replication.lease import LeaseGrant, grants
-from wheatroute.replication.peers import Peer, Peers
-from wheatroute.replication.proposal import Choice, Proposal
-from wheatroute.replication.reconfiguration import next_view, renewed_view
-from wheatroute.replication.saving import RecordSaver
-from wheatroute.replication.takeover import takeover_view
-from wheatroute.replication.view import (
+from wheatroute.replication.messages import (
     Accept,
     Accepted,
-    Ballot,
-    Beat,
-    BeatAnswer,
-    Document,
-    Join,
-    Known,
+    Heartbeat,
+    HeartbeatAck,
+    JoinRequest,
     LeaseEnded,
     Message,
-    NodeRecord,
     Prepare,
     Promise,
-    Refused,
+    Rejected,
     Replicate,
     Replicated,
-    Stamp,
-    View,
-    host_of,
+    ViewAnnouncement,
 )
+from wheatroute.replication.peers import Peer, Peers
+from wheatroute.replication.proposal import Choice, Proposal
+from wheatroute.replication.reconfiguration import next_view, renewed_view
+from wheatroute.replication.records import Document, DocumentVersion, NodeRecord, ProposalNumber
+from wheatroute.replication.saving import RecordSaver
+from wheatroute.replication.takeover import takeover_view
+from wheatroute.replication.views import View
 from wheatroute.replication.waiting import WaitingRequests
-from wheatroute.replication.witness import Witness
 
 BEAT_INTERVAL = 0.15  # seconds between a leader's heartbeats
 ELECTION_TIMEOUT = (
@@ -70,13 +67,13 @@
     ) -> None:
         self.identity = record.identity
         self.host = host_of(record.identity)
-        self.witness = Witness(record.identity, record.witness)
+        self.acceptor = Acceptor(record.identity, record.acceptor)
         self.document = record.document
         self._digested = (record.document, record.document.digest)
-        self.leading = False
-        self.leaving = False
+        self.is_leading = False
+        self.is_leaving = False
         self._released = False  # the leader says that this node, which is leaving, isn't needed
-        self._newest_beat: Beat | None = None  # of the present view's primary
+        self._newest_heartbeat: Heartbeat | None = None  # of the present view's primary
         self.tolerate = tolerate
         self._chance = chance
         self._hosts = set(seed_hosts)
@@ -87,10 +84,10 @@
         self._next_join = now
         self._next_lease_ended = now
         self._next_attempt = now
-        self._highest_ballot = record.witness.promised.number
+        self._highest_proposal_number = record.acceptor.promised.number
         self._proposal: Proposal | None = None
         self._effects: list[Effect] = []
-        self._saver = RecordSaver(record.document.stamp)
+        self._saver = RecordSaver(record.document.version)
         # leader
         self._peers = Peers(record.identity)
         self._planned_members: frozenset[str] = frozenset()  # of the view that the present attempt is for
@@ -110,27 +107,27 @@
     @property
     def view(self) -> View:
         """The newest view known here."""
-        return self.witness.view
+        return self.acceptor.view
 
     @property
     def hosts(self) -> tuple[str, ...]:
         """All control nodes that this node has heard of."""
-        known = self._hosts | {host_of(seat) for seat in self.view.seats} | {self.host}
-        if self.leading:
+        known = self._hosts | {host_of(voter) for voter in self.view.voters} | {self.host}
+        if self.is_leading:
             known |= {host_of(peer.identity) for peer in self._peers.all()}
         return tuple(sorted(known))
 
-    def serving(self, now: float) -> bool:
+    def is_serving(self, now: float) -> bool:
         """Whether this node leads, has a committed document and was heard by a majority of late."""
-        return self.leading and self.committed is not None and self._lease_holds(now)
+        return self.is_leading and self.committed is not None and self._lease_holds(now)
 
     @property
-    def lease_given_up(self) -> bool:
+    def has_given_up_lease(self) -> bool:
         """Whether this node is the newest view's primary and doesn't lead it, nor ever will again.
 
         It was started again, or had no lease for `STEP_DOWN`; it may lead a later view.
         """
-        return self.view.primary == self.identity and not self.leading
+        return self.view.primary == self.identity and not self.is_leading
 
     def primary_host(self, now: float) -> str:
         """The host of the primary, or nothing if it is unknown, silent or this node."""
@@ -139,26 +136,26 @@
             return ""
         return host_of(self.view.primary)
 
-    def may_stop(self, now: float) -> bool:
+    def can_stop(self, now: float) -> bool:
         """Whether nothing would be lost or without a majority by the end of this node, which is leaving."""
-        if self.leading:
-            others = [seat for seat in self.view.seats if seat != self.identity]
+        if self.is_leading:
+            others = [voter for voter in self.view.voters if voter != self.identity]
             return not others or self.identity in self._released_told
-        without_part = self.identity not in self.view.seats and self.identity not in self.view.members
+        without_part = self.identity not in self.view.voters and self.identity not in self.view.members
         return without_part or self._released
 
     @property
-    def healthy(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether the disk takes writes."""
-        return self._saver.healthy(self._now)
+        return self._saver.is_healthy(self._now)
 
     def silent_for(self, now: float) -> float:
         """Seconds since a primary was heard, 0 for the primary itself."""
-        return 0.0 if self.leading else now - self._heard
+        return 0.0 if self.is_leading else now - self._heard
 
     # inputs
 
-    def know(self, hosts: tuple[str, ...]) -> None:
+    def add_hosts(self, hosts: tuple[str, ...]) -> None:
         """There may be control nodes at these hosts."""
         self._hosts.update(hosts)
 
@@ -168,7 +165,7 @@
         self._start_save()
         if self._proposal is not None and now - self._proposal.started > PROPOSAL_TIMEOUT:
             self._give_up()
-        if self.leading:
+        if self.is_leading:
             self._lead()
         else:
             self._follow()
@@ -194,7 +191,7 @@
         self._saver.refused(now)
         return self._taken()
 
-    def rewrite(self, now: float) -> list[Effect]:
+    def rewrite_record(self, now: float) -> list[Effect]:
         """The record on disk was found damaged: it is written anew from memory."""
         self._now = now
         self._save(lambda: None)
@@ -203,21 +200,23 @@
     def write(self, now: float, request: int, payload: bytes) -> list[Effect]:
         """Replicates a new document on top of the present one; `WriteDone` tells what became of it."""
         self._now = now
-        if not self.serving(now) or self._handing_over():
+        if not self.is_serving(now) or self._handing_over():
             self._effects.append(WriteDone(request, False))
             return self._taken()
-        self.document = Document(Stamp(self.view.epoch, self.document.stamp.sequence + 1), payload)
-        self._waiting.write(request, self.document.stamp)
+        self.document = Document(
+            DocumentVersion(self.view.epoch, self.document.version.sequence + 1), payload
+        )
+        self._waiting.write(request, self.document.version)
         self._replicate_all()
         return self._taken()
 
-    def confirm(self, now: float, request: int) -> list[Effect]:
-        """Asks the seats whether this node still leads; `ReadDone` tells.
+    def confirm_leadership(self, now: float, request: int) -> list[Effect]:
+        """Asks the voters whether this node still leads; `ReadDone` tells.
 
         Only answers to a heartbeat that is sent from now on count.
         """
         self._now = now
-        if not self.serving(now):
+        if not self.is_serving(now):
             self._effects.append(ReadDone(request, False))
             return self._taken()
         self._waiting.read(request, self._peers.newest_beat + 1)
@@ -229,11 +228,11 @@
     def leave(self, now: float) -> list[Effect]:
         """This node is about to stop: a leader hands over, a follower says so at once; see `may_stop`."""
         self._now = now
-        self.leaving = True
-        if self.leading:
+        self.is_leaving = True
+        if self.is_leading:
             self._lead()
-        elif self._newest_beat is not None and self._newest_beat.view.epoch == self.view.epoch:
-            self._send(host_of(self.view.primary), self._beat_answer(self._newest_beat))
+        elif self._newest_heartbeat is not None and self._newest_heartbeat.view.epoch == self.view.epoch:
+            self._send(host_of(self.view.primary), self._beat_answer(self._newest_heartbeat))
         return self._taken()
 
     # effects
@@ -256,8 +255,8 @@
 
     def _start_save(self) -> None:
         if self._saver.due(self._now):
-            self._saver.begin(self._now, self.document.stamp)
-            self._effects.append(Save(NodeRecord(self.identity, self.witness.record, self.document)))
+            self._saver.begin(self._now, self.document.version)
+            self._effects.append(Save(NodeRecord(self.identity, self.acceptor.record, self.document)))
 
     # messages
 
@@ -271,35 +270,35 @@
                 self._on_accept(sender, message)
             case Accepted():
                 self._on_accepted(sender, message)
-            case Refused():
-                self._on_refused(sender, message)
+            case Rejected():
+                self._on_rejected(sender, message)
             case LeaseEnded():
                 self._lease.ended(message.epoch, sender)
-            case Beat():
-                self._on_beat(sender, message)
-            case BeatAnswer():
-                self._on_beat_answer(sender, message)
+            case Heartbeat():
+                self._on_heartbeat(sender, message)
+            case HeartbeatAck():
+                self._on_heartbeat_ack(sender, message)
             case Replicate():
                 self._on_replicate(sender, message)
             case Replicated():
                 self._on_replicated(sender, message)
-            case Join():
+            case JoinRequest():
                 self._on_join(sender, message)
-            case Known():
+            case ViewAnnouncement():
                 self._hosts.update(message.nodes)
                 self._learn(message.view)
 
     def _learn(self, view: View) -> None:
         """Takes in a decided view: this node follows its primary, or leads if it is that one."""
-        if not self.witness.learn(view):
+        if not self.acceptor.learn(view):
             return
         if self._proposal is not None and self._proposal.base.epoch < view.epoch:
             self._proposal = None
-        self._hosts.update(host_of(seat) for seat in view.seats)
+        self._hosts.update(host_of(voter) for voter in view.voters)
         self._save(lambda: None)
         self._heard = self._now
         self._released = False
-        self._newest_beat = None
+        self._newest_heartbeat = None
         self._proposed_members = frozenset()
         self._patience = self._election_timeout()
         if self._leads(view):
@@ -308,21 +307,21 @@
             self._stop_leading()
 
     def _leads(self, view: View) -> bool:
-        return view.primary == self.identity and view.process == self._process
+        return view.primary == self.identity and view.incarnation == self._process
 
     # followers and candidates
 
     def _follow(self) -> None:
         silent = self._now - self._heard
-        unheard = self._newest_beat is None or silent > ELECTION_TIMEOUT / 2
+        unheard = self._newest_heartbeat is None or silent > ELECTION_TIMEOUT / 2
         if unheard and self._now >= self._next_join:
             self._next_join = self._now + JOIN_INTERVAL
             for host in self.hosts:
                 if host != self.host:
-                    self._send(host, Join(self.view.epoch))
-        if self.lease_given_up and self._now >= self._next_lease_ended:
+                    self._send(host, JoinRequest(self.view.epoch))
+        if self.has_given_up_lease and self._now >= self._next_lease_ended:
             self._say_lease_ended()
-        eligible = self.identity in self.view.members and self.healthy and not self.leaving
+        eligible = self.identity in self.view.members and self.is_healthy and not self.is_leaving
         due = silent > self._patience and self._now >= self._next_attempt and not self._proposal
         if eligible and due and not self._bound(self.view, self.identity):
             self._propose(self._choose_takeover)
@@ -343,44 +342,44 @@
         return takeover_view(base, promised, self.identity, self._process, self.tolerate)
 
     def _propose(self, choose: Choice) -> None:
-        self._highest_ballot += 1
-        ballot = Ballot(self._highest_ballot, self.identity, self._process)
-        self._proposal = Proposal(self.view, ballot, choose, self._now)
+        self._highest_proposal_number += 1
+        proposal_number = ProposalNumber(self._highest_proposal_number, self.identity, self._process)
+        self._proposal = Proposal(self.view, proposal_number, choose, self._now)
         question = self._proposal.prepare()
-        for seat in self.view.seats:
-            self._send(host_of(seat), question)
+        for voter in self.view.voters:
+            self._send(host_of(voter), question)
 
     def _give_up(self, wait: float = 0.0) -> None:
         self._proposal = None
         self._next_attempt = self._now + wait + RETRY_MIN + RETRY_SPREAD * self._chance.random()
 
     def _bound(self, base: View, proposer: str) -> float:
-        """Seconds for which a lease binds this seat to the primary of `base` against `proposer`."""
+        """Seconds for which a lease binds this voter to the primary of `base` against `proposer`."""
         if proposer == base.primary or base.epoch < self.view.epoch:
             return 0.0
-        if self.leading:
+        if self.is_leading:
             return BEAT_INTERVAL if self._lease_holds(self._now) else 0.0
         return self._lease.remaining(self._now, base)
 
     def _on_prepare(self, sender: str, message: Prepare) -> None:
         self._learn(message.base)
-        self._vote(sender, message.base, lambda: self.witness.prepare(message))
+        self._vote(sender, message.base, lambda: self.acceptor.prepare(message))
 
     def _on_accept(self, sender: str, message: Accept) -> None:
         self._learn(message.base)
-        self._vote(sender, message.base, lambda: self.witness.accept(message))
+        self._vote(sender, message.base, lambda: self.acceptor.accept(message))
 
     def _vote(self, sender: str, base: View, vote: Callable[[], Message | None]) -> None:
         bound = self._bound(base, sender)
         if bound > 0:
-            self._send(host_of(sender), Refused(self.view, self.witness.record.promised, bound))
+            self._send(host_of(sender), Rejected(self.view, self.acceptor.record.promised, bound))
             return
         self._answer_vote(sender, vote())
 
     def _answer_vote(self, sender: str, answer: Message | None) -> None:
         if answer is None:
             return
-        if isinstance(answer, Refused):
+        if isinstance(answer, Rejected):
             self._send(host_of(sender), answer)
             return
         self._save(lambda: self._send(host_of(sender), answer))
@@ -392,8 +391,8 @@
         if question is None:
             return
         self._proposed_members |= set(question.view.members)
-        for seat in self._proposal.base.seats:
-            self._send(host_of(seat), question)
+        for voter in self._proposal.base.voters:
+            self._send(host_of(voter), question)
 
     def _on_accepted(self, sender: str, message: Accepted) -> None:
         if self._proposal is None:
@@ -403,48 +402,48 @@
             return
         self._proposal = None
         self._learn(view)
-        for host in sorted({host_of(seat) for seat in view.seats}):
+        for host in sorted({host_of(voter) for voter in view.voters}):
             if host != self.host:
-                self._send(host, Known(view, self.hosts))
+                self._send(host, ViewAnnouncement(view, self.hosts))
 
-    def _on_refused(self, sender: str, message: Refused) -> None:
-        self._highest_ballot = max(self._highest_ballot, message.promised.number)
+    def _on_rejected(self, sender: str, message: Rejected) -> None:
+        self._highest_proposal_number = max(self._highest_proposal_number, message.promised.number)
         if message.view.epoch > self.view.epoch:
             self._learn(message.view)
         elif self._proposal is None:
             return
-        elif message.promised > self._proposal.ballot:
+        elif message.promised > self._proposal.proposal_number:
             self._give_up()
-        elif message.bound_s > 0 and self._proposal.bound(sender, message.bound_s):
+        elif message.lease_remaining_s > 0 and self._proposal.bound(sender, message.lease_remaining_s):
             self._give_up(self._proposal.longest_bound)
 
-    def _on_beat(self, sender: str, message: Beat) -> None:
+    def _on_heartbeat(self, sender: str, message: Heartbeat) -> None:
         if message.view.epoch < self.view.epoch:
-            self._send(host_of(sender), Known(self.view, self.hosts))
+            self._send(host_of(sender), ViewAnnouncement(self.view, self.hosts))
             return
         self._learn(message.view)
         self._hosts.update(message.nodes)
         self._heard = self._now
-        self._newest_beat = message
+        self._newest_heartbeat = message
         self._released = self.identity in message.released
         self._send(host_of(sender), self._beat_answer(message))
 
-    def _beat_answer(self, beat: Beat) -> BeatAnswer:
+    def _beat_answer(self, beat: Heartbeat) -> HeartbeatAck:
         """What is on this node's disk; where its vote is still free, it is bound by this answer."""
-        granted = grants(self.witness.record, beat.view.primary)
+        granted = grants(self.acceptor.record, beat.view.primary)
         if granted:
             self._lease.renew(self._now)
-        stamp = self._saver.stamp
-        digest = self._digest() if stamp == self.document.stamp else None
-        return BeatAnswer(
+        version = self._saver.version
+        digest = self._digest() if version == self.document.version else None
+        return HeartbeatAck(
             epoch=beat.view.epoch,
             number=beat.number,
-            stamp=stamp,
-            healthy=self.healthy,
-            leaving=self.leaving,
+            version=version,
+            is_healthy=self.is_healthy,
+            is_leaving=self.is_leaving,
             digest=digest,
-            granted=granted,
-            process=self._process,
+            is_lease_granted=granted,
+            incarnation=self._process,
         )
 
     def _digest(self) -> int:
@@ -457,24 +456,24 @@
 
     def _on_replicate(self, sender: str, message: Replicate) -> None:
         if message.view.epoch < self.view.epoch:
-            self._send(host_of(sender), Known(self.view, self.hosts))
+            self._send(host_of(sender), ViewAnnouncement(self.view, self.hosts))
             return
         self._learn(message.view)
-        stamp = message.document.stamp
-        if stamp < self.document.stamp:
+        version = message.document.version
+        if version < self.document.version:
             return
-        answer = Replicated(message.view.epoch, stamp)
-        if message.document == self.document and self._saver.stamp == stamp:
+        answer = Replicated(message.view.epoch, version)
+        if message.document == self.document and self._saver.version == version:
             self._send(host_of(sender), answer)
             return
         self.document = message.document
         self._save(lambda: self._send(host_of(sender), answer))
 
-    def _on_join(self, sender: str, message: Join) -> None:
-        if self.leading:
+    def _on_join(self, sender: str, message: JoinRequest) -> None:
+        if self.is_leading:
             self._peer(sender).joined = self._now
-        elif self.view.epoch >= message.epoch and self.view.seats:
-            self._send(host_of(sender), Known(self.view, self.hosts))
+        elif self.view.epoch >= message.epoch and self.view.voters:
+            self._send(host_of(sender), ViewAnnouncement(self.view, self.hosts))
 
     # the leader
 
@@ -483,7 +482,7 @@
 
     @property
     def _own_vote(self) -> bool:
-        return grants(self.witness.record, self.identity)
+        return grants(self.acceptor.record, self.identity)
 
     def _lease_holds(self, now: float) -> bool:
         return self._peers.lease_holds(self.view, now, self._own_vote)
@@ -492,22 +491,22 @@
         """This node as it sees the others."""
         return Peer(
             self.identity,
-            stamp=self._saver.stamp,
-            healthy=self.healthy,
-            leaving=self.leaving,
+            version=self._saver.version,
+            is_healthy=self.is_healthy,
+            is_leaving=self.is_leaving,
             answered=self._now,
-            process=self._process,
+            incarnation=self._process,
         )
 
     def _handing_over(self) -> bool:
         """Whether this leader is about to stop and there is another that may lead."""
-        seats = [peer for peer in self._peers.all() if peer.identity in self.view.seats]
-        return self.leaving and any(peer.fit(self._now) for peer in seats)
+        voters = [peer for peer in self._peers.all() if peer.identity in self.view.voters]
+        return self.is_leaving and any(peer.fit(self._now) for peer in voters)
 
     def _released_nodes(self) -> tuple[str, ...]:
         """Nodes that are about to stop and aren't needed any more."""
-        committed = self.committed is not None and self.committed.stamp.epoch == self.view.epoch
-        # whoever could take a seat has had the time to join this leader
+        committed = self.committed is not None and self.committed.version.epoch == self.view.epoch
+        # whoever could take a voter has had the time to join this leader
         surveyed = self._now - self._led_since > SURVEY
         settled = committed and surveyed and self._proposal is None and self._wanted_view() is None
         return released(self.view, self._own_peer(), self._peers.all(), settled, self._now)
@@ -517,19 +516,21 @@
 
         A leader that changed its own view goes on with the writes and reads that wait.
         """
-        if not self.leading:
-            self.leading = True
+        if not self.is_leading:
+            self.is_leading = True
             self._led_since = self._lease_held = self._now
             self._released_told = ()
             self.committed = None
             self._peers.restart()
         self._peers.expect(self.view, self._now)
-        self.document = Document(Stamp(self.view.epoch, self.document.stamp.sequence), self.document.payload)
+        self.document = Document(
+            DocumentVersion(self.view.epoch, self.document.version.sequence), self.document.payload
+        )
         self._replicate_all()
         self._send_beats()
 
     def _stop_leading(self) -> None:
-        self.leading = False
+        self.is_leading = False
         self.committed = None
         self._effects += self._waiting.fail()
 
@@ -538,7 +539,7 @@
         self._stop_leading()
         self._proposal = None
         self._heard = self._now
-        self._newest_beat = None
+        self._newest_heartbeat = None
         self._patience = self._election_timeout()
 
     def _lead(self) -> None:
@@ -551,21 +552,25 @@
         if now >= self._next_beat or self._waiting.unasked(self._peers.newest_beat):
             self._send_beats()
             self._check_reads()
-        self._peers.forget_silent(self.view.seats, now)
+        self._peers.forget_silent(self.view.voters, now)
         for peer in self._peers.all():
-            if peer.stamp != self.document.stamp and peer.alive(now) and now - peer.document_sent > RESEND:
+            if (
+                peer.version != self.document.version
+                and peer.alive(now)
+                and now - peer.document_sent > RESEND
+            ):
                 self._replicate(peer)
         if self._proposal is None and now >= self._next_attempt:
             self._reconfigure()
 
     def _wanted_view(self) -> View | None:
-        held = self.committed.stamp if self.committed is not None else self.document.stamp
+        held = self.committed.version if self.committed is not None else self.document.version
         return next_view(self.view, self._own_peer(), self._peers.all(), held, self.tolerate, self._now)
 
     def _renewed_view(self) -> View | None:
         """The present view once more, where votes or attempts of before stand in this leader's way."""
         refusing = [
-            seat for seat in self.view.seats if seat != self.identity and not self._peer(seat).granting
+            voter for voter in self.view.voters if voter != self.identity and not self._peer(voter).granting
         ]
         granted = self._lease_holds(self._now) or (self._own_vote and not refusing)
         return renewed_view(self.view, self._process, granted, self._proposed_members)
@@ -581,10 +586,10 @@
         self._next_beat = self._now + BEAT_INTERVAL
         self._next_confirm = self._now + CONFIRM_INTERVAL
         number = self._peers.next_beat(self._now)
-        committed = self.committed.stamp if self.committed is not None else Stamp()
-        leaving = self.leaving or any(peer.leaving for peer in self._peers.all())
+        committed = self.committed.version if self.committed is not None else DocumentVersion()
+        leaving = self.is_leaving or any(peer.is_leaving for peer in self._peers.all())
         self._released_told = self._released_nodes() if leaving else ()
-        beat = Beat(self.view, number, committed, self.hosts, self._released_told)
+        beat = Heartbeat(self.view, number, committed, self.hosts, self._released_told)
         for peer in self._peers.all():
             self._send(host_of(peer.identity), beat)
         return number
@@ -594,46 +599,46 @@
         self._send(host_of(peer.identity), Replicate(self.view, self.document))
 
     def _replicate_all(self) -> None:
-        stamp = self.document.stamp
-        self._save(lambda: self._check_commit(stamp))
+        version = self.document.version
+        self._save(lambda: self._check_commit(version))
         for peer in self._peers.all():
-            if peer.identity in self.view.seats or peer.alive(self._now):
+            if peer.identity in self.view.voters or peer.alive(self._now):
                 self._replicate(peer)
 
-    def _on_beat_answer(self, sender: str, message: BeatAnswer) -> None:
-        if not self.leading or message.epoch != self.view.epoch:
+    def _on_heartbeat_ack(self, sender: str, message: HeartbeatAck) -> None:
+        if not self.is_leading or message.epoch != self.view.epoch:
             return
         self._peers.beat_answered(sender, message, self._now)
-        if message.stamp == self.document.stamp and message.digest not in (None, self._digest()):
-            # another content under the same stamp: it isn't in sync, and gets the document again
-            self._peer(sender).stamp = Stamp()
+        if message.version == self.document.version and message.digest not in (None, self._digest()):
+            # another content under the same version: it isn't in sync, and gets the document again
+            self._peer(sender).version = DocumentVersion()
         self._check_reads()
-        self._check_commit(self.document.stamp)
+        self._check_commit(self.document.version)
 
     def _on_replicated(self, sender: str, message: Replicated) -> None:
-        if not self.leading or message.epoch != self.view.epoch:
+        if not self.is_leading or message.epoch != self.view.epoch:
             return
         self._peers.replicated(sender, message, self._now)
-        self._check_commit(self.document.stamp)
+        self._check_commit(self.document.version)
 
-    def _check_commit(self, stamp: Stamp) -> None:
+    def _check_commit(self, version: DocumentVersion) -> None:
         """Commits the present document if the disks that it is known to be on are enough; see `commit`."""
-        if not self.leading or stamp != self.document.stamp:
+        if not self.is_leading or version != self.document.version:
             return
-        if self.committed is not None and self.committed.stamp == stamp:
+        if self.committed is not None and self.committed.version == version:
             return
         planned = self._planned_members if self._proposal is not None else frozenset()
         proposed = self._proposed_members | planned
-        if not may_commit(self.view, proposed, self.tolerate, lambda member: self._holds(member, stamp)):
+        if not may_commit(self.view, proposed, self.tolerate, lambda member: self._holds(member, version)):
             return
         self.committed = self.document
         self._effects.append(Committed(self.document))
-        self._effects += self._waiting.committed(stamp)
+        self._effects += self._waiting.committed(version)
 
-    def _holds(self, member: str, stamp: Stamp) -> bool:
+    def _holds(self, member: str, version: DocumentVersion) -> bool:
         if member == self.identity:
-            return self._saver.stamp == stamp
-        return self._peer(member).stamp == stamp
+            return self._saver.version == version
+        return self._peer(member).version == version
 
     def _check_reads(self) -> None:
         view, own_vote = self.view, self._own_vote
--- a/wheatroute/replication/effects.py
+++ b/wheatroute/replication/effects.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from wheatroute.replication.view import Document, Message, NodeRecord
+from wheatroute.replication.messages import Message
+from wheatroute.replication.records import Document, NodeRecord
 
 
 @dataclass(frozen=True)
--- a/wheatroute/replication/lease.py
+++ b/wheatroute/replication/lease.py
@@ -1,9 +1,9 @@
 """The lease of a primary: who grants it, how long it holds, and why two leaders never hold one at once.
 
-A primary may act alone while a majority of its view's seats has answered heartbeats that it *sent* within
-`LEADER_LEASE`. A seat that answers a heartbeat binds its vote for `GRANT` from the moment of its answer:
-until then it accepts no view that another node proposes. A seat that has accepted such a view grants nothing
-any more. Every majority that accepts a view shares a seat with every majority that grants a lease, and
+A primary may act alone while a majority of its view's voters has answered heartbeats that it *sent* within
+`LEADER_LEASE`. A voter that answers a heartbeat binds its vote for `GRANT` from the moment of its answer:
+until then it accepts no view that another node proposes. A voter that has accepted such a view grants nothing
+any more. Every majority that accepts a view shares a voter with every majority that grants a lease, and
 `GRANT` is longer than `LEADER_LEASE` on any two clocks whose rates differ by less than `CLOCK_DRIFT`, so the
 lease has ended before the next view can be decided. Source: C. Gray, D. Cheriton, "Leases", SOSP 1989; the
 vote of a lease's grantor as in T. Chandra, R. Griesemer, J. Redstone, "Paxos Made Live", PODC 2007, section
@@ -17,7 +17,8 @@
 
 from __future__ import annotations
 
-from wheatroute.replication.view import View, WitnessRecord
+from wheatroute.replication.records import AcceptorRecord
+from wheatroute.replication.views import View
 
 LEADER_LEASE = 0.5  # seconds since a heartbeat was sent that a majority answered
 GRANT = 0.55  # seconds since the answer to a heartbeat
@@ -25,7 +26,7 @@
 
 
 class LeaseGrant:
-    """What one seat has granted: until when its vote is bound to the primary of its view."""
+    """What one voter has granted: until when its vote is bound to the primary of its view."""
 
     def __init__(self, started: float) -> None:
         self._bound_until = started + GRANT
@@ -40,12 +41,12 @@
         self._ended = (epoch, primary)
 
     def remaining(self, now: float, base: View) -> float:
-        """Seconds for which this seat's vote on the view after `base` is bound, 0 if it is free."""
+        """Seconds for which this voter's vote on the view after `base` is bound, 0 if it is free."""
         if not base.primary or self._ended == (base.epoch, base.primary):
             return 0.0
         return max(0.0, self._bound_until - now)
 
 
-def grants(record: WitnessRecord, primary: str) -> bool:
-    """Whether a seat with this record still grants a lease: it has accepted no view of another proposer."""
+def grants(record: AcceptorRecord, primary: str) -> bool:
+    """Whether a voter with this record still grants a lease: it has accepted no view of another proposer."""
     return record.accepted_view is None or record.accepted.proposed_by(primary)
--- a/wheatroute/replication/links.py
+++ b/wheatroute/replication/links.py
@@ -17,7 +17,8 @@
 
 import msgspec
 
-from wheatroute.replication.view import Envelope, Message, host_of
+from wheatroute.replication.identity import host_of
+from wheatroute.replication.messages import Envelope, Message
 
 CONNECT_TIMEOUT = 0.4  # seconds
 USER_TIMEOUT_MS = 700  # of unacknowledged bytes
--- a/wheatroute/replication/replicator.py
+++ b/wheatroute/replication/replicator.py
@@ -14,22 +14,13 @@
 from wheatroute.cluster.settings import Settings
 from wheatroute.replication.core import ReplicationCore
 from wheatroute.replication.effects import Committed, Effect, ReadDone, Save, Send, WriteDone
+from wheatroute.replication.identity import genesis_identity, host_of
 from wheatroute.replication.links import Links
-from wheatroute.replication.soft_state import Order, SoftStateCopy
-from wheatroute.replication.storage import MemoryStorage, Storage, StorageError, new_record
-from wheatroute.replication.view import (
-    NO_VIEW,
-    Document,
-    Hint,
-    HintTaken,
-    Levels,
-    Message,
-    NodeRecord,
-    WitnessRecord,
-    genesis_identity,
-    genesis_view,
-    host_of,
-)
+from wheatroute.replication.messages import BucketLevelsUpdate, Message, SoftStateAck, SoftStateUpdate
+from wheatroute.replication.records import AcceptorRecord, Document, NodeRecord, new_record
+from wheatroute.replication.soft_state import SoftStateCopy, SoftStateVersion
+from wheatroute.replication.storage import MemoryStorage, Storage, StorageError
+from wheatroute.replication.views import NO_VIEW, genesis_view
 
 TICK = 0.05  # seconds
 STOP_RESERVE = 3.0  # seconds of the time until SIGKILL that are left for what comes after replication
@@ -48,9 +39,9 @@
     """
     view = genesis_view(settings.seed_hosts)
     if settings.bootstrap and settings.ip in settings.seed_hosts:
-        return new_record(genesis_identity(settings.ip), WitnessRecord(view))
+        return new_record(genesis_identity(settings.ip), AcceptorRecord(view))
     nonce = secrets.token_hex(EMPTY_NONCE_BYTES)
-    return new_record(f"{settings.ip}/{nonce}", WitnessRecord(NO_VIEW))
+    return new_record(f"{settings.ip}/{nonce}", AcceptorRecord(NO_VIEW))
 
 
 class Replicator:
@@ -73,10 +64,10 @@
         self._numbers = count(1)
         self._requests: dict[int, asyncio.Future[bool]] = {}
         self._was = (False, -2)
-        self.hint = b""
-        self.levels = b""  # of buckets, if they were told after the hint; in memory alone
-        self.levels_at = -inf  # when they, or the hint, came; of the loop's clock
-        self._hint_news = asyncio.Event()
+        self.soft_state = b""
+        self.bucket_levels = b""  # of buckets, if they were told after the hint; in memory alone
+        self.bucket_levels_at = -inf  # when they, or the hint, came; of the loop's clock
+        self._soft_state_changed = asyncio.Event()
         self._soft_state: SoftStateCopy
         self.core: ReplicationCore
         self._links: Links
@@ -85,7 +76,7 @@
         """Reads the disk and begins to take part."""
         loop = asyncio.get_running_loop()
         record = await loop.run_in_executor(self._executor, self._storage.read)
-        self.hint = await loop.run_in_executor(self._executor, self._storage.read_hint)
+        self.soft_state = await loop.run_in_executor(self._executor, self._storage.read_soft_state)
         fresh = record is None
         if record is None:
             record = first_record(self._settings)
@@ -102,8 +93,8 @@
             extra={
                 "identity": record.identity,
                 "fresh": fresh,
-                "epoch": record.witness.view.epoch,
-                "sequence": record.document.stamp.sequence,
+                "epoch": record.acceptor.view.epoch,
+                "sequence": record.document.version.sequence,
             },
         )
         loop.create_task(self._run())
@@ -123,7 +114,7 @@
         loop = asyncio.get_running_loop()
         while True:
             self._carry_out(self.core.tick(loop.time()))
-            self._share_again(loop.time())
+            self._resend_soft_state(loop.time())
             await asyncio.sleep(TICK)
 
     async def _scrub(self) -> None:
@@ -134,25 +125,25 @@
             damaged = await loop.run_in_executor(self._executor, self._storage.scrub)
             if damaged:
                 self._log.error("scrub", extra={"damaged": damaged})
-                self._carry_out(self.core.rewrite(loop.time()))
+                self._carry_out(self.core.rewrite_record(loop.time()))
 
-    def take_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """The settings file has changed: seeds, and how many nodes may be lost at once."""
         self._settings = settings
-        self.core.know(settings.seed_hosts)
+        self.core.add_hosts(settings.seed_hosts)
         self.core.tolerate = settings.tolerate.machines
 
     def _received(self, sender: str, message: Message) -> None:
-        if isinstance(message, Hint):
-            self._take_hint(sender, message)
+        if isinstance(message, SoftStateUpdate):
+            self._on_soft_state_update(sender, message)
             return
-        if isinstance(message, Levels):
+        if isinstance(message, BucketLevelsUpdate):
             if message.epoch >= self.core.view.epoch:
-                self._keep_levels(message.payload)
+                self._store_bucket_levels(message.payload)
             return
-        if isinstance(message, HintTaken):
+        if isinstance(message, SoftStateAck):
             self._soft_state.taken(sender, message)
-            self._hint_news.set()
+            self._soft_state_changed.set()
             return
         self._carry_out(self.core.receive(asyncio.get_running_loop().time(), sender, message))
 
@@ -169,18 +160,18 @@
                     future = self._requests.pop(request, None)
                     if future is not None and not future.done():
                         future.set_result(done)
-        state = (self.core.leading, self.core.view.epoch)
+        state = (self.core.is_leading, self.core.view.epoch)
         if state != self._was:
             self._was = state
-            self._hint_news.set()  # a member that is waited for may have left the view
+            self._soft_state_changed.set()  # a member that is waited for may have left the view
             self._log.info(
                 "view",
                 extra={
                     "epoch": self.core.view.epoch,
-                    "leading": self.core.leading,
+                    "leading": self.core.is_leading,
                     "primary": self.core.view.primary,
                     "members": list(self.core.view.members),
-                    "seats": list(self.core.view.seats),
+                    "seats": list(self.core.view.voters),
                 },
             )
             self._on_change()
@@ -196,19 +187,19 @@
         self._carry_out(self.core.saved(loop.time()))
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether this node may acknowledge and answer now."""
-        return self.core.serving(asyncio.get_running_loop().time())
+        return self.core.is_serving(asyncio.get_running_loop().time())
 
     async def write(self, payload: bytes, timeout: float) -> bool:
         """Replicates a new document; false if it isn't acknowledged, in which case it may still be taken."""
         request = next(self._numbers)
         return await self._wait(request, timeout, lambda now: self.core.write(now, request, payload))
 
-    async def confirm(self, timeout: float) -> bool:
+    async def confirm_leadership(self, timeout: float) -> bool:
         """Whether this node still leads, by the word of a majority asked just now."""
         request = next(self._numbers)
-        return await self._wait(request, timeout, lambda now: self.core.confirm(now, request))
+        return await self._wait(request, timeout, lambda now: self.core.confirm_leadership(now, request))
 
     async def _wait(self, request: int, timeout: float, start: Callable[[float], list[Effect]]) -> bool:
         loop = asyncio.get_running_loop()
@@ -225,39 +216,39 @@
 
     # soft state
 
-    def _take_hint(self, sender: str, message: Hint) -> None:
+    def _on_soft_state_update(self, sender: str, message: SoftStateUpdate) -> None:
         """Keeps the leader's soft state, in memory at once and on disk when there is time."""
         if message.epoch < self.core.view.epoch:
             return
         if self._soft_state.received(message):
-            self._keep_hint(message.payload)
-        self._links.send(host_of(sender), HintTaken(message.epoch, message.number))
+            self._store_soft_state(message.payload)
+        self._links.send(host_of(sender), SoftStateAck(message.epoch, message.number))
 
-    def _keep_hint(self, payload: bytes) -> None:
-        self.hint = payload
-        self._keep_levels(b"")
-        self._executor.submit(self._storage.write_hint, payload)
+    def _store_soft_state(self, payload: bytes) -> None:
+        self.soft_state = payload
+        self._store_bucket_levels(b"")
+        self._executor.submit(self._storage.write_soft_state, payload)
 
-    def _keep_levels(self, payload: bytes) -> None:
-        self.levels, self.levels_at = payload, asyncio.get_running_loop().time()
+    def _store_bucket_levels(self, payload: bytes) -> None:
+        self.bucket_levels, self.bucket_levels_at = payload, asyncio.get_running_loop().time()
 
-    def share(self, payload: bytes) -> Order:
+    def replicate_soft_state(self, payload: bytes) -> SoftStateVersion:
         """Sends this leader's soft state to all others; returns its order for `shared`."""
         now = asyncio.get_running_loop().time()
-        self._keep_hint(payload)
+        self._store_soft_state(payload)
         core = self.core
         self._send_all(self._soft_state.share(now, core.view.epoch, payload, core.hosts))
-        return self._soft_state.order
+        return self._soft_state.version
 
-    def share_levels(self, payload: bytes) -> None:
+    def replicate_bucket_levels(self, payload: bytes) -> None:
         """Tells all others what buckets hold; one that is lost is followed by the next."""
         core = self.core
-        self._keep_levels(payload)
+        self._store_bucket_levels(payload)
         others = [host for host in core.hosts if host != core.host]
-        self._send_all([Send(host, Levels(core.view.epoch, payload)) for host in others])
+        self._send_all([Send(host, BucketLevelsUpdate(core.view.epoch, payload)) for host in others])
 
-    def _share_again(self, now: float) -> None:
-        if self.core.leading:
+    def _resend_soft_state(self, now: float) -> None:
+        if self.core.is_leading:
             view = self.core.view
             self._send_all(self._soft_state.resend(now, view.epoch, view.members))
 
@@ -265,13 +256,13 @@
         for message in messages:
             self._links.send(message.host, message.message)
 
-    async def shared(self, order: Order, timeout: float) -> bool:
+    async def wait_for_soft_state_acks(self, order: SoftStateVersion, timeout: float) -> bool:
         """Whether every member of the view has taken this soft state: one of them leads next."""
         try:
             async with asyncio.timeout(timeout):
                 while self._soft_state.missing(self.core.view.members, order):
-                    self._hint_news = asyncio.Event()
-                    await self._hint_news.wait()
+                    self._soft_state_changed = asyncio.Event()
+                    await self._soft_state_changed.wait()
                 return True
         except TimeoutError:
             return False
@@ -282,7 +273,7 @@
         begun = loop.time()
         end = begun + max(SHORTEST_STOP, self._settings.bounds.grace_s - STOP_RESERVE)
         self._carry_out(self.core.leave(begun))
-        while not self.core.may_stop(loop.time()) and loop.time() < end:
+        while not self.core.can_stop(loop.time()) and loop.time() < end:
             await asyncio.sleep(TICK / 2)
         self._log_departure(loop.time() - begun)
         self._links.close()
@@ -290,16 +281,16 @@
     def _log_departure(self, waited: float) -> None:
         """What this node leaves behind; a warning where nobody has taken it over."""
         core = self.core
-        released = core.may_stop(asyncio.get_running_loop().time())
+        released = core.can_stop(asyncio.get_running_loop().time())
         self._log.log(
             logging.INFO if released else logging.WARNING,
             "replication-stopped",
             extra={
                 "released": released,
                 "waited_s": round(waited, 2),
-                "leads": core.leading,
+                "leads": core.is_leading,
                 "member": core.identity in core.view.members,
-                "seat": core.identity in core.view.seats,
+                "seat": core.identity in core.view.voters,
                 "epoch": core.view.epoch,
             },
         )
--- a/wheatroute/replication/saving.py
+++ b/wheatroute/replication/saving.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from wheatroute.replication.view import Stamp
+from wheatroute.replication.records import DocumentVersion
 
 DISK_STALL = 0.5  # seconds that a write may take before this node calls its disk unhealthy
 DISK_RETRY = 0.5  # seconds until a failed write is tried again
@@ -15,9 +15,9 @@
 class RecordSaver:
     """One write at a time; whatever changed meanwhile goes with the next one."""
 
-    def __init__(self, stamp: Stamp) -> None:
-        self.stamp = stamp  # of the document on disk
-        self._writing_stamp = stamp
+    def __init__(self, version: DocumentVersion) -> None:
+        self.version = version  # of the document on disk
+        self._writing_stamp = version
         self._writing_since: float | None = None
         self.failed = False  # the last write was refused
         self._retry_at = 0.0
@@ -36,18 +36,18 @@
             return False
         return not self.failed or now >= self._retry_at
 
-    def begin(self, now: float, stamp: Stamp) -> None:
-        """A write begins, of a record whose document has this stamp."""
+    def begin(self, now: float, version: DocumentVersion) -> None:
+        """A write begins, of a record whose document has this version."""
         self._changed = False
         self._after_this += self._after_next
         self._after_next = []
-        self._writing_since, self._writing_stamp = now, stamp
+        self._writing_since, self._writing_stamp = now, version
 
     def done(self) -> list[Action]:
         """The write is on disk; returns what waited for it."""
         self._writing_since = None
         self.failed = False
-        self.stamp = self._writing_stamp
+        self.version = self._writing_stamp
         actions, self._after_this = self._after_this, []
         return actions
 
@@ -60,7 +60,7 @@
         self._after_this = []
         self._changed = True
 
-    def healthy(self, now: float) -> bool:
+    def is_healthy(self, now: float) -> bool:
         """Whether the disk takes writes."""
         stalled = self._writing_since is not None and now - self._writing_since > DISK_STALL
         return not self.failed and not stalled
--- a/wheatroute/replication/storage.py
+++ b/wheatroute/replication/storage.py
@@ -16,14 +16,14 @@
 import lmdb
 import msgspec
 
-from wheatroute.replication.view import Document, NodeRecord, Stamp, WitnessRecord
+from wheatroute.replication.records import AcceptorRecord, Document, NodeRecord
 
 FILE_NAME = "control.mdb"
 MAP_SIZE_SHARE = 0.6  # of the disk
 SMALLEST_MAP = 8 << 20
 CHECKSUM_BYTES = 4
 
-_IDENTITY, _WITNESS, _DOCUMENT, _HINT = b"identity", b"witness", b"document", b"hint"
+_IDENTITY, _ACCEPTOR, _DOCUMENT, _SOFT_STATE = b"identity", b"witness", b"document", b"hint"
 
 
 class StorageError(Exception):
@@ -45,12 +45,12 @@
             return None
         try:
             with self._open().begin() as transaction:
-                parts = {key: transaction.get(key) for key in (_IDENTITY, _WITNESS, _DOCUMENT)}
+                parts = {key: transaction.get(key) for key in (_IDENTITY, _ACCEPTOR, _DOCUMENT)}
             if all(part is None for part in parts.values()):
                 return None
             return NodeRecord(
                 identity=msgspec.msgpack.decode(_checked(parts[_IDENTITY]), type=str),
-                witness=msgspec.msgpack.decode(_checked(parts[_WITNESS]), type=WitnessRecord),
+                acceptor=msgspec.msgpack.decode(_checked(parts[_ACCEPTOR]), type=AcceptorRecord),
                 document=msgspec.msgpack.decode(_checked(parts[_DOCUMENT]), type=Document),
             )
         except (lmdb.Error, msgspec.DecodeError, StorageError):
@@ -59,7 +59,7 @@
 
     def write(self, record: NodeRecord) -> None:
         """Writes what changed and syncs it; raises StorageError, after which the old record stands."""
-        parts = {_IDENTITY: record.identity, _WITNESS: record.witness, _DOCUMENT: record.document}
+        parts = {_IDENTITY: record.identity, _ACCEPTOR: record.acceptor, _DOCUMENT: record.document}
         changed = {key: part for key, part in parts.items() if self._written.get(key) is not part}
         try:
             with self._open().begin(write=True) as transaction:
@@ -90,21 +90,21 @@
         except (lmdb.Error, OSError):
             return False
 
-    def read_hint(self) -> bytes:
+    def read_soft_state(self) -> bytes:
         """The soft state written last, or nothing."""
         if not self._path.exists():
             return b""
         try:
             with self._open().begin() as transaction:
-                return _checked(transaction.get(_HINT))
+                return _checked(transaction.get(_SOFT_STATE))
         except (lmdb.Error, StorageError):
             return b""
 
-    def write_hint(self, payload: bytes) -> None:
+    def write_soft_state(self, payload: bytes) -> None:
         """Writes soft state; what the disk refuses is lost without harm."""
         try:
             with self._open().begin(write=True) as transaction:
-                transaction.put(_HINT, _sealed(payload))
+                transaction.put(_SOFT_STATE, _sealed(payload))
             self._open().sync(True)
         except (lmdb.Error, OSError):
             self._written = {}
@@ -160,11 +160,11 @@
         """Nothing can be damaged."""
         return []
 
-    def read_hint(self) -> bytes:
+    def read_soft_state(self) -> bytes:
         """Nothing is ever found."""
         return b""
 
-    def write_hint(self, payload: bytes) -> None:
+    def write_soft_state(self, payload: bytes) -> None:
         """Nothing is kept."""
 
     def close(self) -> None:
@@ -182,8 +182,3 @@
     if zlib.crc32(body) != int.from_bytes(data[:CHECKSUM_BYTES], "big"):
         raise StorageError("checksum")
     return body
-
-
-def new_record(identity: str, witness: WitnessRecord) -> NodeRecord:
-    """The record of a node on an empty disk."""
-    return NodeRecord(identity, witness, Document(Stamp(), b""))
--- a/wheatroute/replication/waiting.py
+++ b/wheatroute/replication/waiting.py
@@ -5,19 +5,19 @@
 from collections.abc import Callable
 
 from wheatroute.replication.effects import Effect, ReadDone, WriteDone
-from wheatroute.replication.view import Stamp
+from wheatroute.replication.records import DocumentVersion
 
 
 class WaitingRequests:
-    """By the caller's number: a write waits for a document's stamp, a read for a heartbeat's answers."""
+    """By the caller's number: a write waits for a document's version, a read for a heartbeat's answers."""
 
     def __init__(self) -> None:
-        self._writes: list[tuple[int, Stamp]] = []
+        self._writes: list[tuple[int, DocumentVersion]] = []
         self._reads: list[tuple[int, int]] = []
 
-    def write(self, request: int, stamp: Stamp) -> None:
-        """A write is done once the document of this stamp, or a later one, is committed."""
-        self._writes.append((request, stamp))
+    def write(self, request: int, version: DocumentVersion) -> None:
+        """A write is done once the document of this version, or a later one, is committed."""
+        self._writes.append((request, version))
 
     def read(self, request: int, beat: int) -> None:
         """A read is done once a majority has answered this heartbeat, or a later one."""
@@ -27,10 +27,10 @@
         """Whether a read waits for a heartbeat that is newer than the newest one sent."""
         return any(beat > newest for _, beat in self._reads)
 
-    def committed(self, stamp: Stamp) -> list[Effect]:
-        """The document of this stamp is committed; tells the writes that are done by that."""
-        done = [request for request, wanted in self._writes if wanted <= stamp]
-        self._writes = [one for one in self._writes if one[1] > stamp]
+    def committed(self, version: DocumentVersion) -> list[Effect]:
+        """The document of this version is committed; tells the writes that are done by that."""
+        done = [request for request, wanted in self._writes if wanted <= version]
+        self._writes = [one for one in self._writes if one[1] > version]
         return [WriteDone(request, True) for request in done]
 
     def answered(self, majority_answered: Callable[[int], bool]) -> list[Effect]:
