--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -114,5 +114,5 @@
     tolerate = 1
     hosts = ()
 
-    def know(self, hosts):
+    def add_hosts(self, hosts):
         self.hosts = hosts
