--- a/tests/edge/test_reload.py
+++ b/tests/cluster/test_reload.py
@@ -1,4 +1,4 @@
-"""A running process takes a changed settings file whole; by SIGHUP and without: see `test_role`."""
+"""Reload of a changed settings file. By SIGHUP and without in a running process: see `test_edge_role`."""
 
 import logging
 import os
@@ -40,13 +40,13 @@
     return path
 
 
-def watched(log="test-reload"):
+def settings_file(log="test-reload"):
     return SettingsFile(parse_settings(FILE), logging.getLogger(log))
 
 
-def test_a_changed_file_is_taken_whole_with_one_line_in_the_log(path, caplog):
+def test_a_changed_file_is_applied_with_one_line_in_the_log(path, caplog):
     caplog.set_level(logging.INFO)
-    file = watched()
+    file = settings_file()
     assert not file.has_changed()
     path.write_text(LATER)
     assert not file.has_changed() and file.has_changed()  # it may just be being written
@@ -56,18 +56,18 @@
     assert line.changed == ["zone", "seeds", "tolerate", "bounds"]
 
 
-def test_what_needs_a_restart_stays_and_is_named(path, caplog):
+def test_settings_that_need_a_restart_are_kept_and_logged(path, caplog):
     caplog.set_level(logging.INFO)
-    file = watched()
+    file = settings_file()
     path.write_text(LATER.replace("8360", "8361").replace("4100", "900"))
-    taken = file.reload()
-    assert taken.listen["front"] == "10.1.0.3:8360" and taken.limits.max_fds == 4100
-    assert taken.bounds.grace_s == 5 and caplog.records[0].needs_restart == ["listen", "limits"]
+    applied = file.reload()
+    assert applied.listen["front"] == "10.1.0.3:8360" and applied.limits.max_fds == 4100
+    assert applied.bounds.grace_s == 5 and caplog.records[0].needs_restart == ["listen", "limits"]
 
 
 @pytest.mark.parametrize("text", ["half a fi: [", FILE.replace("ip:", "pi:"), None])
-def test_of_a_file_that_is_no_use_nothing_is_taken(path, text, caplog):
-    file = watched()
+def test_nothing_of_an_invalid_file_is_applied(path, text, caplog):
+    file = settings_file()
     file.reload()
     caplog.clear()
     if text is None:
@@ -80,8 +80,8 @@
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
-def test_a_file_is_taken_once_it_stands_still_whatever_its_size_and_time(path):
-    file = watched()
+def test_a_file_is_applied_once_it_no_longer_changes_whatever_its_size_and_time(path):
+    file = settings_file()
     half = LATER[: LATER.index("tolerate")]  # a whole file by chance
     for text in (half, half + "tolerate:", LATER):
         path.write_text(text)
@@ -93,14 +93,14 @@
     assert not file.has_changed() and file.has_changed() and file.reload().bounds.grace_s == 6
 
 
-def test_a_file_that_changed_before_the_first_look_is_taken(path):
+def test_a_file_that_changed_before_the_first_check_is_applied(path):
     settings = parse_settings(FILE)  # as the process read it
     path.write_text(LATER)
     file = SettingsFile(settings, logging.getLogger("test-reload"))
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
-def test_a_control_node_takes_what_may_be_lost_and_the_bounds(tmp_path):
+def test_a_control_node_applies_tolerate_seeds_and_bounds(tmp_path):
     service = ControlService(settings(HOSTS[0], 1, tmp_path), logging.getLogger("test-reload"))
     service.replicator.core = core = _Core()
     service.take_settings(parse_settings(LATER))
--- a/tests/edge/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: read whole, or refused with one clear line."""
+"""The settings file: read completely, or rejected with one clear line."""
 
 import pytest
 from click.testing import CliRunner
@@ -21,7 +21,7 @@
 """
 
 
-def test_fields_that_are_not_known_are_ignored():
+def test_unknown_fields_are_ignored():
     settings = parse_settings(GOOD)
     assert settings.seed_hosts == ("10.1.0.6", "10.2.0.20") and settings.bounds.drain_ms == 2000
     assert (settings.replication_port, settings.internal_port) == (7500, 7501)
@@ -41,13 +41,13 @@
         (("later: [1, 2]", "later: 2026-13-45"), "not YAML"),
     ],
 )
-def test_a_mistake_is_told_in_one_line(change, named):
+def test_an_invalid_file_is_reported_in_one_line(change, named):
     with pytest.raises(SettingsError) as error:
         parse_settings(GOOD.replace(*change))
     assert named in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_service_without_an_address_is_told():
+def test_a_missing_address_is_reported():
     with pytest.raises(SettingsError, match="'control'"):
         parse_settings(GOOD).address("control")
 
@@ -56,7 +56,7 @@
     ("role", "line"),
     [("control", "no address for 'control'"), ("edge", "no address for 'ready'")],
 )
-def test_a_role_without_an_address_ends_with_2_and_one_line(role, line, tmp_path, monkeypatch):
+def test_a_role_without_an_address_exits_with_2_and_one_line(role, line, tmp_path, monkeypatch):
     path = tmp_path / "boot.yaml"
     path.write_text(GOOD.replace(', ready: "10.1.0.3:8365"', ""))
     monkeypatch.setenv("WHEATROUTE_SETTINGS", str(path))
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("role", ["edge", "control"])
-def test_a_role_says_what_it_is_and_ends_with_2_for_a_bad_file(role, tmp_path, monkeypatch):
+def test_a_role_has_a_help_text_and_exits_with_2_for_an_invalid_file(role, tmp_path, monkeypatch):
     assert "Usage" in CliRunner().invoke(main, [role, "--help"]).output
     monkeypatch.delenv("WHEATROUTE_SETTINGS", raising=False)
     result = CliRunner().invoke(main, [role])
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -95,12 +95,22 @@
         drawn = sorted(servers, key=lambda server: (server.id in avoided, -self._score(server, key, now)))
         if not drawn:
             return []
-        waits = {server.id: self._expected_wait(server, blocks, server is drawn[0], now) for server in drawn}
         if key is not None:
             self._preferred.record(key, drawn[0].id)
+        return self._demote_congested(drawn, avoided, blocks, target_s, now)
+
+    def _demote_congested(
+        self,
+        drawn: list[Server],
+        avoided: set[str],
+        blocks: tuple[PrefixBlock, ...],
+        target_s: float,
+        now: float,
+    ) -> list[Server]:
+        """Return the servers in the order of the draw, the congested ones behind the others by their wait."""
+        waits = {server.id: self._expected_wait(server, blocks, server is drawn[0], now) for server in drawn}
         accepted_waits = [waits[server.id] for server in drawn if server.id not in avoided]
         max_wait = min(accepted_waits or waits.values()) + CONGESTION_THRESHOLD * target_s
-        # the order of the draw among servers that aren't congested, then by expected wait
         return sorted(
             drawn,
             key=lambda server: (
