--- a/tests/fleet/test_fleet_functions.py
+++ b/tests/fleet/test_fleet_functions.py
@@ -1,26 +1,28 @@
 """What single functions give, one after the other; no sockets, no clock."""
 
-from wheatroute.fleet import chance, engine, experiment, report, scenarios
+from wheatroute.fleet import distributions, engine, experiment, random_streams, report, scenarios
 
 
-def test_chance_law():
-    assert [round(chance.law("exponential", 2.0)(one), 3) for one in (0.1, 0.5, 0.9)] == [0.211, 1.386, 4.605]
-    assert (chance.law("none", 2.0)(0.3), round(chance.law("bimodal", 1.0, 2.0)(0.999), 1)) == (2.0, 9.0)
+def test_distributions():
+    exponential = distributions.distribution("exponential", 2.0)
+    assert [round(exponential(one), 3) for one in (0.1, 0.5, 0.9)] == [0.211, 1.386, 4.605]
+    assert distributions.distribution("none", 2.0)(0.3) == 2.0
+    assert round(distributions.distribution("bimodal", 1.0, 2.0)(0.999), 1) == 9.0
 
 
 def test_chance_stream():
     assert (
-        chance.stream(1, "works").random()
-        == chance.stream(1, "works").random()
-        != chance.stream(1, "faults").random()
+        random_streams.stream(1, "works").random()
+        == random_streams.stream(1, "works").random()
+        != random_streams.stream(1, "faults").random()
     )
 
 
 def test_chance_uniform():
     assert (
-        0.0 < chance.uniform(1, 2) < 1.0,
-        chance.uniform(1, 2) == chance.uniform(1, 2),
-        chance.uniform(1, 2) == chance.uniform(2, 1),
+        0.0 < random_streams.uniform(1, 2) < 1.0,
+        random_streams.uniform(1, 2) == random_streams.uniform(1, 2),
+        random_streams.uniform(1, 2) == random_streams.uniform(2, 1),
     ) == (True, True, False)
 
 
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -12,7 +12,7 @@
 from math import inf, pi, sin
 from typing import TYPE_CHECKING, Any
 
-from wheatroute.fleet import chance
+from wheatroute.fleet import random_streams
 
 if TYPE_CHECKING:
     from wheatroute.fleet.nodes import Node, Request
@@ -63,10 +63,10 @@
         self.start = world.engine.now
         clients = self.plan.callers
         self._rate = clients.load * self.plan.capacity()
-        self._when = chance.stream(world.seed, "arrivals")
-        self._what = chance.stream(world.seed, "commands")
-        self._which = chance.stream(world.seed, "front")
-        self._wait = chance.stream(world.seed, "retries")
+        self._when = random_streams.stream(world.seed, "arrivals")
+        self._what = random_streams.stream(world.seed, "commands")
+        self._which = random_streams.stream(world.seed, "front")
+        self._wait = random_streams.stream(world.seed, "retries")
         self._kinds = list(accumulate(kind.share for kind in self.plan.kinds))
         usage = [one.portion * one.usage for one in self.plan.customers]
         self._tenants = list(accumulate(usage))
--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -11,9 +11,10 @@
 from dataclasses import dataclass
 from math import factorial
 
-from wheatroute.fleet.chance import law, stream
+from wheatroute.fleet.distributions import distribution
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.plan import Model, Tier
+from wheatroute.fleet.random_streams import stream
 from wheatroute.fleet.servers import Job, Server
 from wheatroute.interface import Outcome
 
@@ -92,7 +93,7 @@
     all_of_them = [Server(engine, i, tier, model, (0, 0, 0, 0), 1.0, draw) for i in range(servers)]
     for server in all_of_them:
         server.room = room
-    work, rate, started, skip = law(name, 1.0, cv), load * cores * servers, 0, jobs // 10
+    work, rate, started, skip = distribution(name, 1.0, cv), load * cores * servers, 0, jobs // 10
     times: list[float] = []
     tail, looks, lost = [0] * 64, 0, 0
 
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from wheatroute.fleet import chance
+from wheatroute.fleet import random_streams
 from wheatroute.fleet.plan import Fault
 from wheatroute.interface import State
 
@@ -28,7 +28,7 @@
     def __init__(self, world: World) -> None:
         self.world, self.engine = world, world.engine
         for number, fault in enumerate(world.plan.faults):
-            draw = chance.stream(world.seed, "fault", number)
+            draw = random_streams.stream(world.seed, "fault", number)
             begin: Callable[[Fault, str, Random], None] = getattr(self, f"_{fault.kind}")
             self.engine.after(fault.at, begin, fault, f"{fault.kind}/{number}", draw)
 
@@ -166,14 +166,14 @@
         places = frozenset() if zones else frozenset(one.place for one in self._struck(fault, draw))
 
         def begin() -> None:
-            self.world.paths.cut(name, zones)
-            self.world.paths.mute(name, places)
+            self.world.network.partition(name, zones)
+            self.world.network.isolate(name, places)
 
-        self._for_a_while(fault, begin, lambda: self.world.paths.mend(name))
+        self._for_a_while(fault, begin, lambda: self.world.network.repair(name))
 
     def _lossy(self, fault: Fault, name: str, draw: Random) -> None:
         self._for_a_while(
             fault,
-            lambda: self.world.paths.lose(name, min(1.0, fault.size)),
-            lambda: self.world.paths.mend(name),
+            lambda: self.world.network.lose_responses(name, min(1.0, fault.size)),
+            lambda: self.world.network.repair(name),
         )
--- a/wheatroute/fleet/network.py
+++ b/wheatroute/fleet/network.py
@@ -1,7 +1,7 @@
-"""Paths between places: how long a message takes, and whether it comes at all.
+"""The network between machines: latency, loss and partitions. No I/O.
 
-Owns latency, loss and partitions. It knows places by zone and by a name of their own, and nothing of what is
-sent. It must never be asked twice for one message: each draw is a message.
+Machines are known by their zone and by an address (a pair of numbers); what is sent is not known here. Each
+call of `message_delay` or `loses_response` is one random draw, so it is called once a message.
 """
 
 from __future__ import annotations
@@ -12,45 +12,52 @@
 from wheatroute.fleet.plan import Network
 
 
-class Paths:
-    """Latency in seconds one way; `inf` for a message that never comes."""
+class SimulatedNetwork:
+    """One-way latencies in seconds; `inf` for a message that never arrives."""
 
-    def __init__(self, network: Network, chance: Random) -> None:
-        self._network, self._chance = network, chance
-        self._cut: dict[str, frozenset[int]] = {}  # by fault: zones cut off from all others
-        self._mute: dict[str, frozenset[tuple[int, int]]] = {}  # by fault: places that nothing comes from
-        self._loss: dict[str, float] = {}  # by fault: share of answers lost
+    def __init__(self, network: Network, rng: Random) -> None:
+        self._network, self._rng = network, rng
+        # by fault
+        self._partitions: dict[str, frozenset[int]] = {}  # zones cut off from all others
+        self._isolated: dict[str, frozenset[tuple[int, int]]] = {}  # addresses that nothing reaches or leaves
+        self._loss_rates: dict[str, float] = {}  # fraction of responses lost
 
     def latency(self, a: int, b: int) -> float:
+        """A draw of the latency between two zones."""
         network = self._network
         base = network.inside if a == b else network.between
         if not network.jitter:
             return base
-        return base * (1.0 - network.jitter / 2 - network.jitter / 2 * log(1.0 - self._chance.random()))
+        return base * (1.0 - network.jitter / 2 - network.jitter / 2 * log(1.0 - self._rng.random()))
 
-    def reaches(self, a: int, b: int, *places: tuple[int, int]) -> bool:
-        """Whether zones and places can hear of each other at all."""
-        if a != b and any((a in zones) != (b in zones) for zones in self._cut.values()):
+    def reaches(self, a: int, b: int, *addresses: tuple[int, int]) -> bool:
+        """Whether messages between two zones and these addresses arrive at all."""
+        if a != b and any((a in zones) != (b in zones) for zones in self._partitions.values()):
             return False
-        return not any(place in mute for mute in self._mute.values() for place in places)
+        return not any(address in isolated for isolated in self._isolated.values() for address in addresses)
 
-    def message(self, a: int, b: int, *places: tuple[int, int]) -> float:
-        """How long this message takes."""
-        return self.latency(a, b) if self.reaches(a, b, *places) else inf
+    def message_delay(self, a: int, b: int, *addresses: tuple[int, int]) -> float:
+        """The delay of one message."""
+        return self.latency(a, b) if self.reaches(a, b, *addresses) else inf
 
-    def loses(self) -> bool:
-        """Whether an answer is lost on a path that forgets."""
-        return bool(self._loss) and self._chance.random() < max(self._loss.values())
+    def loses_response(self) -> bool:
+        """Whether one response is lost."""
+        return bool(self._loss_rates) and self._rng.random() < max(self._loss_rates.values())
 
-    def cut(self, fault: str, zones: frozenset[int]) -> None:
-        self._cut[fault] = zones
+    def partition(self, fault: str, zones: frozenset[int]) -> None:
+        """Cuts zones off from all others until `repair`."""
+        self._partitions[fault] = zones
 
-    def mute(self, fault: str, places: frozenset[tuple[int, int]]) -> None:
-        self._mute[fault] = places
+    def isolate(self, fault: str, addresses: frozenset[tuple[int, int]]) -> None:
+        """Isolates single addresses until `repair`."""
+        self._isolated[fault] = addresses
 
-    def lose(self, fault: str, share: float) -> None:
-        self._loss[fault] = share
+    def lose_responses(self, fault: str, fraction: float) -> None:
+        """Loses a fraction of the responses until `repair`."""
+        self._loss_rates[fault] = fraction
 
-    def mend(self, fault: str) -> None:
-        for kept in (self._cut, self._mute, self._loss):
-            kept.pop(fault, None)  # type: ignore[attr-defined]
+    def repair(self, fault: str) -> None:
+        """Ends what a fault has begun."""
+        self._partitions.pop(fault, None)
+        self._isolated.pop(fault, None)
+        self._loss_rates.pop(fault, None)
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -215,7 +215,7 @@
     def sound(self, server: int) -> None:
         """Probes are answered with the report as it stands, beside the queue."""
         place = self._servers[server]
-        there = self.world.paths.message(self.zone, place.zone, self.place, place.place)
+        there = self.world.network.message_delay(self.zone, place.zone, self.place, place.place)
         if there == inf or not place.alive:
             self.engine.after(
                 self.world.plan.network.connect_within,
@@ -272,7 +272,7 @@
                 self._send(attempt)
                 return
             self._disconnect(server, life)
-        there = self.world.paths.message(self.zone, server.zone, self.place, server.place)
+        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.place)
         if there == inf:
             self.engine.after(network.connect_within, self._unconnected, attempt)
         elif not server.alive or server.connections >= server.most_connections:
@@ -291,7 +291,7 @@
         if attempt.over:
             return
         server, attempt.written = attempt.server, True
-        there = self.world.paths.message(self.zone, server.zone, self.place, server.place)
+        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.place)
         if there < inf:
             self.engine.after(there, self._arrive, attempt)
 
@@ -316,8 +316,8 @@
 
     def _answered(self, attempt: Attempt, outcome: Outcome) -> None:
         server = attempt.server
-        back = self.world.paths.message(server.zone, self.zone, server.place, self.place)
-        if back < inf and not (outcome == Outcome.SERVED and self.world.paths.loses()):
+        back = self.world.network.message_delay(server.zone, self.zone, server.place, self.place)
+        if back < inf and not (outcome == Outcome.SERVED and self.world.network.loses_response()):
             report = None
             if server.tier.reports is not None:
                 held, rate, errors = server.reported
@@ -337,7 +337,7 @@
         server = attempt.server
         if attempt.over or not self.alive:
             return
-        back = self.world.paths.message(server.zone, self.zone, server.place, self.place)
+        back = self.world.network.message_delay(server.zone, self.zone, server.place, self.place)
         if back < inf:
             self.engine.after(back, self._reset, attempt)
 
@@ -362,7 +362,9 @@
             self._disconnect(attempt.server, attempt.life)
         job = attempt.job
         if job is not None and not job.over:
-            there = self.world.paths.message(self.zone, attempt.server.zone, self.place, attempt.server.place)
+            there = self.world.network.message_delay(
+                self.zone, attempt.server.zone, self.place, attempt.server.place
+            )
             if there < inf:
                 self.engine.after(there, self.world.cancel, attempt)
 
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -11,11 +11,11 @@
 from random import Random
 from typing import Any
 
-from wheatroute.fleet import chance
+from wheatroute.fleet import distributions, random_streams
 from wheatroute.fleet.clients import Crowd
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.faults import Script
-from wheatroute.fleet.network import Paths
+from wheatroute.fleet.network import SimulatedNetwork
 from wheatroute.fleet.nodes import LISTED_LATE, Attempt, Decisions, Node
 from wheatroute.fleet.plan import Fleet, Model, Tier
 from wheatroute.fleet.rules import Watch
@@ -36,7 +36,7 @@
     def __init__(self, plan: Fleet, seed: int, make: Maker) -> None:
         self.plan, self.seed, self._make = plan, seed, make
         self.engine = Engine(START)
-        self.paths = Paths(plan.network, chance.stream(seed, "network"))
+        self.network = SimulatedNetwork(plan.network, random_streams.stream(seed, "network"))
         self.watch = Watch(self)
         self.tiers: list[list[Server]] = [[] for _ in plan.tiers]
         self.beside: dict[tuple[int, int], Node] = {}  # the node of a server, for its calls
@@ -44,9 +44,9 @@
         self.traced = -1  # the request whose story is told
         self.story: list[str] = []
         self.list_late = 0.0  # seconds beyond the usual, while a fault has it so
-        self._spread = chance.stream(seed, "list")
-        self._laws = [chance.law(kind.law, 1.0, kind.cv) for kind in plan.kinds]
-        self._noises = [chance.law("lognormal", 1.0, kind.relay_noise) for kind in plan.kinds]
+        self._spread = random_streams.stream(seed, "list")
+        self._laws = [distributions.distribution(kind.law, 1.0, kind.cv) for kind in plan.kinds]
+        self._noises = [distributions.distribution("lognormal", 1.0, kind.relay_noise) for kind in plan.kinds]
         for depth, tier in enumerate(plan.tiers):
             self._build(depth, tier)
         zones = len(plan.network.zones)
@@ -60,7 +60,7 @@
         self._look()
 
     def _build(self, depth: int, tier: Tier) -> None:
-        draw = chance.stream(self.seed, "servers", depth)
+        draw = random_streams.stream(self.seed, "servers", depth)
         shares, drawn = sum(model.share for model in tier.models), []
         owed = [0.0] * len(tier.models)
         for _ in range(tier.servers):  # the model that is owed most comes next: shares hold at any size
@@ -77,7 +77,7 @@
         tier: Tier = self.plan.tiers[depth]
         number = len(self.tiers[depth])
         kept: Model = tier.models[model]
-        speed = chance.law("lognormal", kept.speed, kept.speed_cv)(draw.random())
+        speed = distributions.distribution("lognormal", kept.speed, kept.speed_cv)(draw.random())
         server = Server(
             self.engine,
             number,
@@ -85,7 +85,7 @@
             kept,
             (depth, zone, model, number // CELL),
             speed,
-            chance.stream(self.seed, "server", depth, number),
+            random_streams.stream(self.seed, "server", depth, number),
         )
         self.tiers[depth].append(server)
         if tier.reports is not None:
@@ -171,7 +171,7 @@
             self,
             node,
             self.terms(depth, number, zone),
-            chance.stream(self.seed, "node", depth, number, at.life if at else 0),
+            random_streams.stream(self.seed, "node", depth, number, at.life if at else 0),
         )
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(depth), True)
         return node
@@ -232,7 +232,7 @@
             server.depth,
             server.model,
             server.zone,
-            chance.stream(self.seed, "successor", server.depth, server.number),
+            random_streams.stream(self.seed, "successor", server.depth, server.number),
         )
         self.revive(fresh)
         return fresh
@@ -261,12 +261,14 @@
         """What an attempt asks of its server: parts of work with calls to the tier below between them."""
         request, depth = attempt.request, node.depth
         root, kind = self.crowd.roots[request.root], request.kind
-        noise = self._noises[kind](chance.uniform(self.seed, root.index, request.call, depth, attempt.n))
+        noise = self._noises[kind](
+            random_streams.uniform(self.seed, root.index, request.call, depth, attempt.n)
+        )
         work = root.size * self.usual_work(kind, depth) * noise
         if depth + 1 == len(self.plan.tiers):
             return Job([work], _nothing, self._job_done, attempt)
         mean = self.plan.tiers[depth + 1].calls
-        calls = floor(mean + chance.uniform(self.seed, root.index, request.call, depth, -1))
+        calls = floor(mean + random_streams.uniform(self.seed, root.index, request.call, depth, -1))
         return Job([work / (calls + 1)] * (calls + 1), self._call, self._job_done, attempt)
 
     def law_size(self, kind: int, draw: float) -> float:
