--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -26,6 +26,7 @@
 
 
 def route(name, prefix, **fields):
+    """A route of the configuration, with defaults for all fields that aren't given."""
     defaults = {
         "name": name,
         "hostname": HOST,
@@ -162,6 +163,7 @@
 
 
 def chunk(data):
+    """One chunk of the chunked transfer coding (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -191,14 +193,17 @@
         self.configure(configuration)
 
     def configure(self, configuration, sequence=1):
+        """Set the configuration that `register` applies."""
         self.table = RoutingTable(make_version(decode_configuration(json.dumps(configuration)), sequence))
 
     async def lease(self, tenant, tokens):
+        """Stand in for the primary: record the request, and apply the grant that the test has set."""
         self.requested_leases.append((tenant, tokens))
         if tenant in self.grants:
             self.node.quotas.apply_grant(tenant, self.grants[tenant], trio.current_time())
 
     def grant(self, tenant, tokens, wait_s=0.0):
+        """Set what a tenant's next lease requests get."""
         self.grants[tenant] = QuotaGrant(tokens, wait_s)
 
     def register(self, *servers, number=1, states=()):
@@ -230,6 +235,7 @@
 
 
 async def read_all(stream):
+    """Return all bytes up to the connection's end, and a mark if it was reset."""
     received = b""
     try:
         while data := await stream.receive_some(65536):
@@ -240,6 +246,7 @@
 
 
 def request(path, key="k1", headers=(), body=b"", close=True, identity="r1"):
+    """The bytes of a POST request."""
     lines = [
         f"POST {path} HTTP/1.1",
         f"Host: {HOST}",
@@ -255,6 +262,7 @@
 
 @asynccontextmanager
 async def running_edge(*servers, configuration=CONFIGURATION):
+    """Run a node with these servers and this configuration."""
     with trio.fail_after(TIME_LIMIT_S):
         async with trio.open_nursery() as nursery:
             for server in servers:
@@ -270,6 +278,8 @@
 
 
 def ignoring_disconnects(serve):
+    """`serve`, but a connection that is closed or reset by the other side just ends it."""
+
     async def run(stream):
         try:
             await serve(stream)
@@ -280,4 +290,5 @@
 
 
 def status(response):
+    """The status of a response, None if it isn't one."""
     return int(response.split(b" ", 2)[1]) if response.startswith(b"HTTP/1.1 ") else None
