--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,23 +1,27 @@
-"""What a decision costs, and that the decisions are those of an earlier text of the module.
+"""What a decision costs, and that the decisions are those of an earlier commit.
 
-Owns a host in virtual time (servers of unequal speed, faults on a script), which plays the same requests to
-`Balancer` at several sizes of the tier, and to two texts of it side by side. It must never touch the clock of
-what it plays: only the time inside `Balancer.round` is real.
+A host in virtual time (servers of unequal speed, scripted faults) plays the same requests to `Balancer` at
+several sizes of the tier, and to the present package and that of an earlier commit side by side. Only the
+time inside `Balancer.round` is measured by a real clock.
 
     python benchmarks/decisions.py                       cost at 8, 64 and 512 servers
-    python benchmarks/decisions.py --against 925ebb7     also: every write of both texts, compared
+    python benchmarks/decisions.py --against a3a74a3     also the cost of that commit
     python benchmarks/decisions.py --short --json        one JSON object as the last line
 """
 
 import argparse
 import gc
-import importlib.util
+import importlib
 import json
 import random
 import subprocess
 import sys
+import tempfile
 import time
 from collections import Counter
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from functools import partial
 from heapq import heappop, heappush
 from pathlib import Path
 from types import ModuleType
@@ -29,31 +33,76 @@
 from wheatroute import decide  # noqa: E402
 from wheatroute.interface import Effect, Event, Group, Outcome, State  # noqa: E402
 
-BASE = "f888918"  # the text after the last renaming, which decisions are compared with
-NEWER = {  # stories that it cannot be told
-    "test_a_try_that_comes_by_itself_is_bound_by_those_before_it",
-    "test_half_of_the_nodes_cut_off_from_the_others_keep_the_budget_of_a_cold_server_with_them",
-}
-APART = 0.0005  # seconds between requests
-WORK = 0.02  # seconds a server takes for one
+BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
+STORIES = ("test_stories", "test_shapes", "test_agreed")  # test modules that are played to both
+REQUEST_INTERVAL_S = 0.0005
+SERVICE_TIME_S = 0.02
+
+# names of the package of BASE, by the present ones, where they differ
+EARLIER_COMMANDS: dict[str, str] = {}
+
+
+@contextmanager
+def package_at(commit: str) -> Iterator[None]:
+    """Imports inside find the package `wheatroute` as a commit has it, and none of the present one."""
+    present = {name: sys.modules.pop(name) for name in list(sys.modules) if _is_ours(name)}
+    with tempfile.TemporaryDirectory() as folder:
+        archive = subprocess.run(
+            ["git", "-C", str(ROOT), "archive", commit, "wheatroute"], capture_output=True, check=True
+        )
+        subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
+        sys.path.insert(0, folder)
+        importlib.invalidate_caches()
+        try:
+            yield
+        finally:
+            sys.path.remove(folder)
+            for name in [name for name in sys.modules if _is_ours(name)]:
+                del sys.modules[name]
+            sys.modules.update(present)
+
+
+def _is_ours(name: str) -> bool:
+    return name == "wheatroute" or name.startswith("wheatroute.")
 
 
 def module_at(commit: str) -> ModuleType:
-    """The module as a commit has it."""
-    text = subprocess.run(
-        ["git", "-C", str(ROOT), "show", f"{commit}:wheatroute/decide.py"],
-        capture_output=True,
-        text=True,
-        check=True,
-    ).stdout
-    spec = importlib.util.spec_from_loader(f"decide_{commit}", None)
-    module = importlib.util.module_from_spec(spec)  # type: ignore[arg-type]
-    sys.modules[module.__name__] = module
-    exec(compile(text, f"{commit}:decide.py", "exec"), module.__dict__)
-    for event in Event:  # those that came later are none of its
-        if not hasattr(module.Balancer, name := f"_{event.name.lower()}"):
-            setattr(module.Balancer, name, None)
-    return module
+    """The decision module with all that it imports, as a commit has it."""
+    with package_at(commit):
+        return importlib.import_module("wheatroute.decide")
+
+
+class EarlierCommands:
+    """Gives the commands of an earlier module to a present writer, under their present names."""
+
+    def __init__(self, writer: Any) -> None:
+        for present, earlier in EARLIER_COMMANDS.items():
+            setattr(self, earlier, getattr(writer, present))
+        self._writer = writer
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._writer, name)
+
+
+class EarlierBalancer:
+    """The `Balancer` of an earlier commit behind the present interface."""
+
+    def __init__(self, module: ModuleType, settings: Any, rng: random.Random) -> None:
+        self._balancer = module.Balancer(earlier_settings(settings), rng)
+
+    def round(self, now: float, events: Any, writer: Any) -> None:
+        """One event batch; settings in it are handed over under their earlier names."""
+        if any(event[0] == Event.AGREED for event in events):
+            events = [
+                (event[0], earlier_settings(event[1]), event[2]) if event[0] == Event.AGREED else event
+                for event in events
+            ]
+        self._balancer.round(now, events, EarlierCommands(writer))
+
+
+def earlier_settings(settings: Any) -> Any:
+    """Decision settings as the module of BASE takes them."""
+    return settings
 
 
 def terms(nodes: int = 1, **changes: Any) -> dict[str, Any]:
@@ -115,7 +164,13 @@
     """Requests at an even pace before servers of unequal speed, some in trouble, in virtual time."""
 
     def __init__(
-        self, servers: int, seed: int, rough: bool, apart: float = APART, work: float = WORK, zones: int = 1
+        self,
+        servers: int,
+        seed: int,
+        rough: bool,
+        apart: float = REQUEST_INTERVAL_S,
+        work: float = SERVICE_TIME_S,
+        zones: int = 1,
     ) -> None:
         self.chance = random.Random(seed)
         self.servers, self.rough, self.apart, self.work, self.zones = servers, rough, apart, work, zones
@@ -262,46 +317,47 @@
 
 
 class Twin:
-    """Two texts of the module in one place: the first decides, the second is asked the same and compared."""
+    """The present module and an earlier one in one place: the first decides, the second is compared."""
 
     tally: Counter[str] = Counter()
-    firsts: list[str] = []
+    first_differences: list[str] = []
 
-    def __init__(self, old: ModuleType, new: ModuleType, told: Any, chance: random.Random) -> None:
-        other = random.Random()
-        other.setstate(chance.getstate())
-        self._old, self._new = old.Balancer(told, chance), new.Balancer(told, other)
+    def __init__(self, earlier: ModuleType, settings: Any, rng: random.Random) -> None:
+        same_rng = random.Random()
+        same_rng.setstate(rng.getstate())
+        self._present = decide.Balancer(settings, rng)
+        self._earlier = EarlierBalancer(earlier, settings, same_rng)
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self._old, name)
+        return getattr(self._present, name)
 
     def round(self, now: float, events: Any, writer: Any) -> None:
-        first, second = Notes(), Notes()
-        self._new.round(now, list(events), second)
-        self._old.round(now, events, first)
-        for name, *what in first.made:
-            getattr(writer, name)(*what)
+        present, earlier = Notes(), Notes()
+        self._earlier.round(now, list(events), earlier)
+        self._present.round(now, events, present)
+        for name, *arguments in present.made:
+            getattr(writer, name)(*arguments)
         self.tally["rounds"] += 1
-        self.tally["writes"] += len(first.made)
-        if first.made != second.made:
+        self.tally["writes"] += len(present.made)
+        if earlier.made != present.made:
             self.tally["differ"] += 1
-            if len(self.firsts) < 5:
-                self.firsts.append(f"{now:.4f}: {first.made[:4]} against {second.made[:4]}")
+            if len(self.first_differences) < 5:
+                self.first_differences.append(f"{now:.4f}: {earlier.made[:4]} against {present.made[:4]}")
 
 
 def compare(commit: str, requests: int, stories: bool) -> Counter[str]:
-    """Both texts on generated days of many shapes, and on every story told of the decisions.
+    """Both modules on generated days of many shapes, and on every story of the decisions.
 
     The two departures that spread work over rounds are off here: they begin with `LARGE` servers kept to and
     with `SORTED` requests that wait, and what they change is for the bench to judge.
     """
-    old = module_at(commit)
-    Twin.tally, Twin.firsts = Counter(), []
+    earlier = module_at(commit)
+    Twin.tally, Twin.first_differences = Counter(), []
     decide.LARGE, decide.SORTED, usual = 10**9, 10**9, (decide.LARGE, decide.SORTED)
-    vars(old).update(LARGE=10**9, SORTED=10**9)  # its own, where it has them
+    vars(earlier).update(LARGE=10**9, SORTED=10**9)  # its own, where it has them
 
-    def twin(told: Any, chance: random.Random) -> Twin:
-        return Twin(old, decide, told, chance)
+    def twin(settings: Any, rng: random.Random) -> Twin:
+        return Twin(earlier, settings, rng)
 
     shapes = [
         (8, 1, 0.0005, 0.02, 1, {}),
@@ -322,24 +378,27 @@
     return Twin.tally
 
 
-def _stories(twin: Any) -> None:
-    """The tests of the decisions, with both texts in the place of one."""
+def _stories(twin: Callable[[Any, random.Random], Twin]) -> None:
+    """The tests of the decisions, with both modules in the place of one."""
     import fakehost
-    import test_stories
 
     fakehost.Balancer = twin
-    for name, told in vars(test_stories).items():
-        if name.startswith("test_") and not told.__code__.co_argcount and name not in NEWER:
-            told()
+    for name in STORIES:
+        for test_name, test in vars(importlib.import_module(name)).items():
+            if test_name.startswith("test_") and not test.__code__.co_argcount:
+                test()
+                Twin.tally["stories"] += 1
     fakehost.Balancer = decide.Balancer
 
 
-def cost(module: ModuleType, servers: int, requests: int, rough: bool) -> dict[str, float]:
+def cost(
+    make: Callable[[Any, random.Random], Any], servers: int, requests: int, rough: bool
+) -> dict[str, float]:
     """Microseconds a request and the spread of a round; the first list is taken in before."""
     day = Day(servers, 5, rough)
     gc.collect()
     gc.disable()
-    day.play(module.Balancer(terms(), random.Random(5)), requests)
+    day.play(make(terms(), random.Random(5)), requests)
     gc.enable()
     first, rounds = day.costs[0], sorted(day.costs[1:])
     return {
@@ -353,7 +412,7 @@
 
 def main() -> None:
     parse = argparse.ArgumentParser(description=__doc__.split("\n")[0])
-    parse.add_argument("--against", metavar="COMMIT", help="compare with this text of the module")
+    parse.add_argument("--against", metavar="COMMIT", help="compare with the package of this commit")
     parse.add_argument("--short", action="store_true", help="fewer requests, ends within 45 s")
     parse.add_argument("--json", action="store_true", help="one JSON object as the last line")
     parse.add_argument("--rough", action="store_true", help="cost on days with faults")
@@ -361,18 +420,19 @@
     requests = 12000 if told.short else 30000
     out: dict[str, Any] = {}
     for servers in (8, 64, 512):
-        one = cost(decide, servers, requests, told.rough)
+        one = cost(decide.Balancer, servers, requests, told.rough)
         print(f"{servers:>5} servers  {one}")
         out[str(servers)] = one
         if told.against and not told.short:
-            print(f"      {told.against}  {cost(module_at(told.against), servers, requests, told.rough)}")
+            earlier = partial(EarlierBalancer, module_at(told.against))
+            print(f"      {told.against}  {cost(earlier, servers, requests, told.rough)}")
     commit = told.against or BASE
     try:
         tally = compare(commit, 2500 if told.short else 8000, stories=True)
     except subprocess.CalledProcessError:
-        print(f"no text at {commit}: nothing compared")
+        print(f"no commit {commit}: nothing compared")
         tally = Counter()
-    for line in Twin.firsts:
+    for line in Twin.first_differences:
         print("differs", line)
     print(f"against {commit}: {dict(tally)}")
     if told.json:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -7,11 +7,12 @@
 import time
 from random import Random
 
+import orjson
 import pytest
 from fakehost import Host, only_slow
 
 from wheatroute import memory, snapshot
-from wheatroute.interface import State
+from wheatroute.interface import Outcome, State
 
 
 def test_each_way_in_which_a_snapshot_is_no_use_is_said():
@@ -102,3 +103,20 @@
     after.run(8.0, 40)
     assert not after.balancer.servers.barred[0]  # it is well, as its trial shows
     after.list([Host.entry(1, State.GONE)])
+
+
+LEARNED = (  # as the version before the renaming of the decision module wrote it
+    b'{"s0":{"latency":6.307638195705031,"weight":4.90992800745259,"age":0.024999999999977263,'
+    b'"errors":0,"barred_for":0.0,"penalty":0},'
+    b'"s1":{"latency":0.6300980515870442,"weight":4.999999999999998,"age":0.0,'
+    b'"errors":0.0,"barred_for":0.0,"penalty":0},'
+    b'"s2":{"latency":2.496651344670325,"weight":4.999574647041349,"age":0.07499999999993179,'
+    b'"errors":0.0,"barred_for":0.0,"penalty":0}}'
+)
+
+
+def test_what_was_learned_is_written_under_the_keys_of_earlier_versions():
+    names = {f"s{n}": n for n in range(3)}
+    answers = [None, (Outcome.SERVED, 0.1), (Outcome.SERVED, 0.4)]
+    host = Host(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
+    assert orjson.dumps(memory.learned(host.balancer, names, host.now)) == LEARNED
