--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -31,7 +31,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from wheatroute import decide  # noqa: E402
-from wheatroute.interface import Effect, Event, Group, Outcome, State  # noqa: E402
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
 STORIES = ("test_stories", "test_shapes", "test_agreed")  # test modules that are played to both
@@ -39,7 +39,13 @@
 SERVICE_TIME_S = 0.02
 
 # names of the package of BASE, by the present ones, where they differ
-EARLIER_COMMANDS: dict[str, str] = {}
+EARLIER_COMMANDS = {
+    "cancel": "withdraw",
+    "reject": "refuse",
+    "wake_at": "wake",
+    "probe": "sound",
+    "send_loads": "tell",
+}
 
 
 @contextmanager
@@ -90,11 +96,13 @@
     def __init__(self, module: ModuleType, settings: Any, rng: random.Random) -> None:
         self._balancer = module.Balancer(earlier_settings(settings), rng)
 
-    def round(self, now: float, events: Any, writer: Any) -> None:
+    def handle_events(self, now: float, events: Any, writer: Any) -> None:
         """One event batch; settings in it are handed over under their earlier names."""
-        if any(event[0] == Event.AGREED for event in events):
+        if any(event[0] == Event.SETTINGS_CHANGED for event in events):
             events = [
-                (event[0], earlier_settings(event[1]), event[2]) if event[0] == Event.AGREED else event
+                (event[0], earlier_settings(event[1]), event[2])
+                if event[0] == Event.SETTINGS_CHANGED
+                else event
                 for event in events
             ]
         self._balancer.round(now, events, EarlierCommands(writer))
@@ -106,7 +114,9 @@
 
 
 def terms(nodes: int = 1, **changes: Any) -> dict[str, Any]:
-    def kind(effect: Effect, worth: float, group: Group = Group.ALL) -> dict[str, Any]:
+    def kind(
+        effect: Idempotency, worth: float, group: DeduplicationGroup = DeduplicationGroup.ALL
+    ) -> dict[str, Any]:
         return {
             "target_latency": 1.0,
             "stretch": 0.0,
@@ -153,9 +163,9 @@
         "late_price": 0.0,
         "tenants": [{"portion": 0.5, "quota": 900.0}, {"portion": 0.5, "quota": 900.0}],
         "request_classes": [
-            kind(Effect.SAFE, 5.0),
-            kind(Effect.KEYED, 3.0, Group.CELL),
-            kind(Effect.UNSAFE, 3.0),
+            kind(Idempotency.IDEMPOTENT, 5.0),
+            kind(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            kind(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
     } | changes
 
@@ -191,25 +201,31 @@
         heappush(self.heap, (moment, self.order, *what))
 
     def entries(
-        self, numbers: range | list[int], state: State = State.LIVE, started: float = 0.0
+        self, numbers: range | list[int], state: ServerState = ServerState.LIVE, started: float = 0.0
     ) -> list[tuple[Any, ...]]:
         return [(s, s % self.zones, s % 3, s // 4, state, 1.0, started) for s in numbers]
 
     def play(self, balancer: Any, requests: int) -> "Day":
         """All requests and what becomes of them, one round for what falls on one moment."""
-        self.push(self.now, "event", (Event.LISTED, self.entries(range(self.servers)), True))
+        self.push(self.now, "event", (Event.SERVERS_LISTED, self.entries(range(self.servers)), True))
         for n in range(requests):
             self.push(self.now + 0.001 + n * self.apart, "ask", n)
         if self.rough:
             length = requests * self.apart
             drained = [s for s in range(self.servers) if s % 8 == 3]
             self.push(
-                self.now + 0.4 * length, "event", (Event.LISTED, self.entries(drained, State.DRAINING), False)
+                self.now + 0.4 * length,
+                "event",
+                (Event.SERVERS_LISTED, self.entries(drained, ServerState.DRAINING), False),
             )
             self.push(
                 self.now + 0.6 * length,
                 "event",
-                (Event.LISTED, self.entries(drained, State.LIVE, self.now + 0.6 * length), False),
+                (
+                    Event.SERVERS_LISTED,
+                    self.entries(drained, ServerState.LIVE, self.now + 0.6 * length),
+                    False,
+                ),
             )
         end = self.now + requests * self.apart + 4.0
         clock = time.perf_counter
@@ -221,7 +237,7 @@
                 events += getattr(self, "_" + what)(*rest)
             notes = Notes()
             began = clock()
-            balancer.round(moment, events, notes)
+            balancer.handle_events(moment, events, notes)
             self.costs.append(clock() - began)
             for name, *what in notes.made:
                 getattr(self, name)(*what)
@@ -245,7 +261,7 @@
             self.over.add(request)
             self.finals["served"] += 1
         report = {"held": float(self.crowd[server])} if self.chance.random() < 0.2 else None
-        return [(Event.RETURNED, request, n, server, outcome, took, finished, report)]
+        return [(Event.ATTEMPT_ENDED, request, n, server, outcome, took, finished, report)]
 
     # the writer
 
@@ -272,13 +288,13 @@
         self.out[request, n] = server, self.now
         self.push(self.now + took, "back", request, n, server, outcome, took)
 
-    def withdraw(self, request: int, n: int) -> None:
+    def cancel(self, request: int, n: int) -> None:
         if (request, n) not in self.out:
             return
         server, sent = self.out[request, n]
         self.push(self.now + 0.001, "back", request, n, server, Outcome.WITHDRAWN, self.now - sent)
 
-    def refuse(self, request: int, stay_away: float) -> None:
+    def reject(self, request: int, stay_away: float) -> None:
         self._end(request, "refused")
 
     def fail(self, request: int) -> None:
@@ -290,8 +306,8 @@
         self.over.add(request)
         self.finals[word] += 1
 
-    def wake(self, moment: float) -> None:
-        self.push(moment, "event", (Event.WOKEN,))
+    def wake_at(self, moment: float) -> None:
+        self.push(moment, "event", (Event.TIMER_DUE,))
 
     def watch(self, enable: bool) -> None:
         pass
@@ -299,7 +315,7 @@
     def fetch(self) -> None:
         pass
 
-    sound = close = log = lambda self, *_: None
+    probe = close = log = lambda self, *_: None
 
 
 class Notes:
@@ -331,10 +347,10 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self._present, name)
 
-    def round(self, now: float, events: Any, writer: Any) -> None:
+    def handle_events(self, now: float, events: Any, writer: Any) -> None:
         present, earlier = Notes(), Notes()
-        self._earlier.round(now, list(events), earlier)
-        self._present.round(now, events, present)
+        self._earlier.handle_events(now, list(events), earlier)
+        self._present.handle_events(now, events, present)
         for name, *arguments in present.made:
             getattr(writer, name)(*arguments)
         self.tally["rounds"] += 1
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -31,6 +31,7 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingResponse  # noqa: E402
 
 from wheatroute import snapshot  # noqa: E402
+from wheatroute.balancing.interface import Event, ServerState  # noqa: E402
 from wheatroute.decide import Balancer  # noqa: E402
 from wheatroute.etcd import messages as wire  # noqa: E402
 from wheatroute.etcd.client import Cluster  # noqa: E402
@@ -38,7 +39,6 @@
 from wheatroute.etcd.membership import Membership  # noqa: E402
 from wheatroute.etcd.registry import Registry  # noqa: E402
 from wheatroute.grpc.client import Channel, connected  # noqa: E402
-from wheatroute.interface import Event, State  # noqa: E402
 from wheatroute.standin.etcd import Member  # noqa: E402
 from wheatroute.standin.etcd_store import Store  # noqa: E402
 from wheatroute.standin.proxy import PATH, destination, request_headers  # noqa: E402
@@ -380,8 +380,8 @@
     entries = []
     for one in told["servers"]:
         numbers[one["id"]] = len(numbers)
-        entries.append((numbers[one["id"]], 0, 0, 0, State.LIVE, 1.0, 0.0))
-    balancer.round(1.0, [(Event.LISTED, entries, True)], Nothing())
+        entries.append((numbers[one["id"]], 0, 0, 0, ServerState.LIVE, 1.0, 0.0))
+    balancer.handle_events(1.0, [(Event.SERVERS_LISTED, entries, True)], Nothing())
     took, (held, _) = time.perf_counter() - began, tracemalloc.get_traced_memory()
     tracemalloc.stop()
     costs = []
@@ -389,8 +389,8 @@
         event = wire.Event(type=wire.PUT, kv=wire.KeyValue(key=kvs[n].key, value=value(n, "terminating")))
         began = time.perf_counter()
         told, _ = registry.changes([event], 0.0)
-        changed = [(numbers[one["id"]], 0, 0, 0, State.DRAINING, 1.0, 0.0) for one in told["servers"]]
-        balancer.round(1.0 + n * 1e-6, [(Event.LISTED, changed, False)], Nothing())
+        changed = [(numbers[one["id"]], 0, 0, 0, ServerState.DRAINING, 1.0, 0.0) for one in told["servers"]]
+        balancer.handle_events(1.0 + n * 1e-6, [(Event.SERVERS_LISTED, changed, False)], Nothing())
         costs.append(time.perf_counter() - began)
     return took, held / 2**20, sorted(costs)[len(costs) // 2]
 
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -13,6 +13,7 @@
 from wheatroute.agreement.member import Acts, Member
 from wheatroute.agreement.places import MOST, Directory, PlaceError
 from wheatroute.agreement.versions import FORCE, WITHDRAW, ContentError, History, HistoryError, canonical
+from wheatroute.balancing.interface import Idempotency
 from wheatroute.config import (
     File,
     Pool,
@@ -23,7 +24,6 @@
     Tenant,
     told_to_processor,
 )
-from wheatroute.interface import Effect
 from wheatroute.net import boot
 from wheatroute.rig.settings import SETTINGS, change
 
@@ -153,7 +153,7 @@
 
 def test_what_lies_within_two_versions_is_never_looser_than_either():
     loose = words.terms(SETTINGS, {}) | {"tick": 0.005}
-    for effects in itertools.permutations(Effect, 2):
+    for effects in itertools.permutations(Idempotency, 2):
         one, other = (
             {**loose, "request_classes": [loose["request_classes"][0] | {"effect": effect}]}
             for effect in effects
@@ -212,7 +212,9 @@
     assert adapter.adapt(Acts(1, 0, False)).request_classes == before
     less = adapter.adapt(Acts(2, 0, False))
     assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
-    assert less.terms["request_classes"][before["buy"]]["effect"] == Effect.UNSAFE  # of those still out
+    assert (
+        less.terms["request_classes"][before["buy"]]["effect"] == Idempotency.NON_IDEMPOTENT
+    )  # of those still out
     assert less.terms["request_classes"][before["buy"]]["worth"] == 0.0
     new = adapter.adapt(Acts(3, 0, False))
     assert new.tenants == {"new": 1} and [one["quota"] for one in new.terms["tenants"]] == [0.0, 5.0]
@@ -223,9 +225,9 @@
     told = adapter.adapt(Acts(1, 0, False))
     look = told.request_classes["look"]
     forms, twin = told.forms[look]
-    assert forms == {Effect.SAFE, Effect.KEYED}
-    assert told.terms["request_classes"][look]["effect"] == Effect.KEYED
-    assert told.terms["request_classes"][twin]["effect"] == Effect.UNSAFE
+    assert forms == {Idempotency.IDEMPOTENT, Idempotency.KEYED}
+    assert told.terms["request_classes"][look]["effect"] == Idempotency.KEYED
+    assert told.terms["request_classes"][twin]["effect"] == Idempotency.NON_IDEMPOTENT
 
 
 def test_what_only_a_restart_changes_is_refused_with_the_key():
@@ -244,7 +246,7 @@
 
 def test_a_careful_node_takes_requests_in_the_forms_that_it_took_before():
     told = adapted().adapt(Acts(0, 0, True))
-    for name, effect in (("look", Effect.SAFE), ("change", Effect.KEYED)):
+    for name, effect in (("look", Idempotency.IDEMPOTENT), ("change", Idempotency.KEYED)):
         forms, _ = told.forms[told.request_classes[name]]
         assert effect in forms
 
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -10,7 +10,7 @@
 from standins import RST, Client, ListService, Server, at, at_once, come, message, told
 
 import wheatroute.net.discovery as listing
-from wheatroute.interface import Event, State
+from wheatroute.balancing.interface import Event, ServerState
 from wheatroute.net.discovery import Discovery
 
 
@@ -90,7 +90,7 @@
     await come(lambda: side._version == 2)
     answered.set()
     await come(lambda: not side._fetches)
-    assert heard.states == {0: State.DRAINING} and side._version == 2
+    assert heard.states == {0: ServerState.DRAINING} and side._version == 2
 
 
 @crossing
@@ -114,7 +114,7 @@
     await come(lambda: side._version == 3)
     late.set()
     await come(lambda: any(b"after=3&" in request for request in service.got))
-    assert heard.states == {0: State.DRAINING}
+    assert heard.states == {0: ServerState.DRAINING}
 
 
 @crossing
@@ -138,7 +138,7 @@
 
         side, heard = await start(ListService(answer))
         await come(lambda side=side: side._version == 4)
-        assert heard.states == {0: State.DRAINING}
+        assert heard.states == {0: ServerState.DRAINING}
 
 
 @crossing
@@ -167,7 +167,7 @@
     side.move((host, int(port)))
     await come(lambda: side._version == 3)
     await come(lambda: any(b"after=3&" in request for request in new.got))
-    assert heard.states == {0: State.LIVE}
+    assert heard.states == {0: ServerState.LIVE}
 
 
 @crossing
@@ -188,7 +188,7 @@
 
     side, heard = await start(ListService(answer))
     await come(lambda: side._version == 2)
-    assert heard.states == {0: State.DRAINING} and time.monotonic() - reset_at[0] < 1.0
+    assert heard.states == {0: ServerState.DRAINING} and time.monotonic() - reset_at[0] < 1.0
 
 
 @crossing
@@ -214,7 +214,7 @@
     side, heard = await start(ListService(answer))
     await come(lambda: side._version == 2)
     took = time.monotonic() - silent_since[0]
-    assert heard.states == {0: State.DRAINING} and len(calls) >= 3
+    assert heard.states == {0: ServerState.DRAINING} and len(calls) >= 3
     # 6 s after it fell silent, and 2 s after the wait it asked for is over, what it misses counts as told
     assert took < min(6.0, listing.WAIT + 2.0), took
 
@@ -255,7 +255,7 @@
     side._connect = dropped
     await come(lambda: side._version == 2)
     assert len(tries) == 2 and time.monotonic() - state["silent"] < min(6.0, listing.WAIT + 2.0)
-    assert heard.states == {0: State.DRAINING}
+    assert heard.states == {0: ServerState.DRAINING}
     for sock in (*fill, full):
         sock.close()
 
@@ -278,7 +278,7 @@
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     side, heard = await start(ListService(lambda request: None if b"after" in request else answer))
     await come(lambda: side._version == 5)
-    assert heard.states == {0: State.DRAINING}
+    assert heard.states == {0: ServerState.DRAINING}
 
 
 @crossing
@@ -293,7 +293,7 @@
     ]
     side, heard = await start(ListService(lambda request: bad.pop(0) if bad else None))
     await come(lambda: side._version == 7)
-    assert heard.states == {0: State.DRAINING}
+    assert heard.states == {0: ServerState.DRAINING}
 
 
 @story
--- a/tests/crossings/test_writes.py
+++ b/tests/crossings/test_writes.py
@@ -169,7 +169,7 @@
         module._servers.credit[0] = 1.0  # room for one
         modules.append(module)
 
-    with Held() as held, at(Balancer, "_listed", after=credited):
+    with Held() as held, at(Balancer, "_servers_listed", after=credited):
         node = await start(
             server, entries=[entry(server, started_ms=int(time.time() * 1000))], changes=rules(fall=0.8)
         )
@@ -437,7 +437,7 @@
         client = Client(node.port).send(message(node, "place", body="b", time_out="700m")[0])
         await come(lambda: server.heads)
         rounds, exchange = exchanges[0]
-        rounds.withdraw(exchange.number, 0)
+        rounds.cancel(exchange.number, 0)
         status, _ = await client.answer()
     assert status == 502 and len(server.ids) == 1  # not refused, not repeated
 
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -12,15 +12,15 @@
 import trio
 
 from wheatroute.__main__ import serve_node
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
 from wheatroute.decide import Balancer
-from wheatroute.interface import Effect, Event, Group, Outcome, State
 from wheatroute.net import boot
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 
 def terms(**changes):
-    def kind(effect, worth, group=Group.ALL):
+    def kind(effect, worth, group=DeduplicationGroup.ALL):
         return {
             "target_latency": 1.0,
             "stretch": 0.0,
@@ -66,9 +66,9 @@
         "tenants": [],
         "reported": [],
         "request_classes": [
-            kind(Effect.SAFE, 5.0),
-            kind(Effect.KEYED, 3.0, Group.CELL),
-            kind(Effect.UNSAFE, 3.0),
+            kind(Idempotency.IDEMPOTENT, 5.0),
+            kind(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            kind(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
     }
     return out | changes
@@ -87,11 +87,11 @@
         self.list(entries or [self.entry(s) for s in range(servers)], True)
 
     @staticmethod
-    def entry(server, state=State.LIVE, zone=0, cell=None, started=0.0):
+    def entry(server, state=ServerState.LIVE, zone=0, cell=None, started=0.0):
         return (server, zone, 0, server // 2 if cell is None else cell, state, 1.0, started)
 
     def list(self, entries, whole=False):
-        self.events.append((Event.LISTED, entries, whole))
+        self.events.append((Event.SERVERS_LISTED, entries, whole))
 
     def ask(self, kind=SAFE, left=3.0, tenant=-1, repeated=False):
         number, self.arrivals = self.arrivals, self.arrivals + 1
@@ -107,7 +107,7 @@
                 self.pending.remove(item)
                 self._return(*item[1:])
             events, self.events = self.events, []
-            self.balancer.round(self.now, events, self)
+            self.balancer.handle_events(self.now, events, self)
             if self.now >= end - 1e-9:
                 return self
             self.now += self.terms["tick"]
@@ -126,7 +126,9 @@
         finished = number in self.final or outcome == Outcome.SERVED
         if outcome == Outcome.SERVED:
             self.final.setdefault(number, "served")
-        self.events.append((Event.RETURNED, number, n, server, outcome, took, finished, self.report(server)))
+        self.events.append(
+            (Event.ATTEMPT_ENDED, number, n, server, outcome, took, finished, self.report(server))
+        )
 
     def sent(self, server, since=0.0):
         return sum(
@@ -147,13 +149,13 @@
         outcome, took = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, time_out)
         self.pending.append((self.now + took, request, n, server, outcome, took))
 
-    def withdraw(self, request, n):
+    def cancel(self, request, n):
         self.did.append(("withdraw", self.now, request, n))
         self.pending.append(
             (self.now + self.terms["tick"], request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
         )
 
-    def refuse(self, request, stay_away):
+    def reject(self, request, stay_away):
         self._end(request, "refused", stay_away)
 
     def fail(self, request):
@@ -164,13 +166,13 @@
         self.final[request] = word
         self.did.append((word, self.now, request, stay_away))
 
-    def wake(self, moment):
+    def wake_at(self, moment):
         assert moment > self.now
 
-    def sound(self, server):
+    def probe(self, server):
         self.did.append(("sound", self.now, server))
 
-    def tell(self, figures):
+    def send_loads(self, figures):
         self.did.append(("tell", self.now, dict(figures)))
 
     def watch(self, enable):
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -141,8 +141,8 @@
 
     sin = ""
 
-    def round(self, now, events, writer):
-        super().round(now, events, writer)
+    def handle_events(self, now, events, writer):
+        super().handle_events(now, events, writer)
         for number, held in list(self._held.items()):
             if self.sin == "twice" and held.out == 1 and len(held.attempts) == 1 and held.kind == 2:
                 self._send(number, held, writer)
--- a/tests/processor/test_accounts.py
+++ b/tests/processor/test_accounts.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from wheatroute.interface import Effect, Group
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 from wheatroute.processor.accounts import Accounts, Refusal, RefusedError
 from wheatroute.processor.service import WorkerSupervisor
 
 KINDS = [
-    {"effect": effect, "group": Group.ALL, "repeat_window": 5.0, "deadline": 2.0}
-    for effect in (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
+    {"effect": effect, "group": DeduplicationGroup.ALL, "repeat_window": 5.0, "deadline": 2.0}
+    for effect in (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
 ]
 
 
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -3,7 +3,7 @@
 import structlog
 from fakehost import KEYED, SAFE, UNSAFE, Host, terms
 
-from wheatroute.interface import Effect, Event, Group, Outcome
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome
 from wheatroute.net.rounds import Rounds, now
 
 LOST = (Outcome.RESET, 0.2)
@@ -17,7 +17,7 @@
         kind | (kinds or {}).get(i, {}) for i, kind in enumerate(told["request_classes"])
     ]
     host.terms = told
-    host.events.append((Event.AGREED, told, binding))
+    host.events.append((Event.SETTINGS_CHANGED, told, binding))
     return host
 
 
@@ -25,7 +25,7 @@
     host = Host(answer=lambda server, attempt: LOST)
     number = host.ask(SAFE)
     host.step(0.1)
-    agree(host, True, {SAFE: {"effect": Effect.UNSAFE}}).step(1.0)
+    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT}}).step(1.0)
     assert host.final == {number: "failed"} and len(host.attempts[number]) == 1
     again = Host(answer=lambda server, attempt: LOST)
     number = again.ask(SAFE)
@@ -38,7 +38,7 @@
     host.answer = lambda server, attempt: None
     number = host.ask(SAFE)
     host.step(0.05)
-    agree(host, True, {SAFE: {"effect": Effect.UNSAFE}}, hedges=False).step(1.0)
+    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT}}, hedges=False).step(1.0)
     assert len(host.attempts[number]) == 1
 
 
@@ -46,7 +46,7 @@
     host = Host(answer=lambda server, attempt: LOST)
     old = host.ask(UNSAFE)
     host.step(0.1)
-    agree(host, False, {UNSAFE: {"effect": Effect.SAFE}})
+    agree(host, False, {UNSAFE: {"effect": Idempotency.IDEMPOTENT}})
     new = host.ask(UNSAFE)
     host.step(1.0)
     assert host.final[old] == "failed" and len(host.attempts[old]) == 1
@@ -56,10 +56,10 @@
 def test_a_group_that_narrows_keeps_a_repeat_where_the_first_attempt_went():
     for seed in range(8):
         host = Host(servers=8, seed=seed, answer=lambda server, attempt: LOST if attempt[1] == 0 else SERVED)
-        host.terms["request_classes"][KEYED]["group"] = Group.ALL
+        host.terms["request_classes"][KEYED]["group"] = DeduplicationGroup.ALL
         number = host.ask(KEYED)
         host.step(0.1)
-        agree(host, True, {KEYED: {"group": Group.CELL}}).step(1.0)
+        agree(host, True, {KEYED: {"group": DeduplicationGroup.CELL}}).step(1.0)
         first, *more = host.attempts[number]
         assert more and all(server // 2 == first // 2 for server in more)  # cells of two
 
@@ -70,7 +70,7 @@
     while len({server // 2 for server in host.attempts[number]}) < 2:
         host.step(0.005)
     sent = len(host.attempts[number])
-    agree(host, True, {SAFE: {"effect": Effect.KEYED, "group": Group.CELL}}).step(2.0)
+    agree(host, True, {SAFE: {"effect": Idempotency.KEYED, "group": DeduplicationGroup.CELL}}).step(2.0)
     assert len(host.attempts[number]) == sent and host.final[number] == "failed"
 
 
@@ -89,7 +89,7 @@
     learned = list(host.balancer.servers.latency)
     kind = terms()["request_classes"][SAFE]
     host.terms = host.terms | {"request_classes": [*host.terms["request_classes"], kind]}
-    host.events.append((Event.AGREED, host.terms, True))
+    host.events.append((Event.SETTINGS_CHANGED, host.terms, True))
     number = host.ask(3)
     host.step()
     assert host.balancer.servers.latency == learned
@@ -103,7 +103,7 @@
 def test_of_two_terms_agreed_in_one_pass_the_later_ones_stand_and_both_come_before_all_else():
     rounds = Rounds(terms(answer_slack=0.02), "1", structlog.get_logger())
     seen = []
-    rounds._balancer.round = lambda now, events, writer: seen.extend(events)
+    rounds._balancer.handle_events = lambda now, events, writer: seen.extend(events)
     rounds.happened(Event.LIST_FAILED)
     rounds.agree(terms(answer_slack=0.02, most_attempts=1), True)
     rounds.agree(terms(answer_slack=0.02, most_attempts=3), False)
@@ -114,7 +114,7 @@
 def test_a_careful_node_still_tries_a_barred_server_with_what_is_harmless():
     host = Host(answer=lambda server, attempt: None if server == 0 else SERVED).run(6.0, 30)
     assert host.balancer.servers.barred[0]
-    agree(host, True, {SAFE: {"effect": Effect.UNSAFE, "harmless": True}})
+    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT, "harmless": True}})
     host.answer = lambda server, attempt: SERVED
     host.run(8.0, 30)
     assert not host.balancer.servers.barred[0]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -14,7 +14,7 @@
 import trio
 from fakehost import ERROR, FULL, OK, RESET, SILENT, STRAY, Peer, entry, listed, read_message, story
 
-from wheatroute.interface import Event, Outcome, State
+from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.net import boot, clients, discovery
 from wheatroute.net.clients import Clients
 from wheatroute.net.connection import Connection
@@ -234,7 +234,7 @@
         told._take({"full": full, "servers": [entry(Peer(OK, name=name)) for name in names]})
         return [(one[0], one[4]) for one in rounds.happened.call_args.args[1]]
 
-    live, gone = State.LIVE, State.GONE
+    live, gone = ServerState.LIVE, ServerState.REMOVED
     with mock.patch.object(discovery, "REST", -1.0):
         assert take(True, "a", "b") == [(0, live), (1, live)]
         assert take(True, "b") == [(1, live)]
@@ -373,7 +373,9 @@
     """A `Rounds` without sockets, its module replaced by a list of the events it was given."""
     rounds, given = Rounds(node, "1", structlog.get_logger()), []
     rounds.servers = Sides()
-    rounds._balancer = type("Module", (), {"round": lambda self, now, events, writer: given.extend(events)})()
+    rounds._balancer = type(
+        "Module", (), {"handle_events": lambda self, now, events, writer: given.extend(events)}
+    )()
     return rounds, given
 
 
@@ -411,7 +413,7 @@
         rounds.attempt(0, 4, 1.0)
         rounds.round(rounds._stops[0][0] - 1.0)
         assert len(rounds.servers.started) == 1 and exchange.answer.body == b"first"
-        assert [one[4] for one in given if one[0] == Event.RETURNED] == [Outcome.MOOT]
+        assert [one[4] for one in given if one[0] == Event.ATTEMPT_ENDED] == [Outcome.MOOT]
         rounds.fail(0)
         assert exchange.answer.body == b"first"
 
@@ -424,14 +426,14 @@
 
         def again(self, now, events, writer):
             for event in events:
-                if event[0] == Event.RETURNED and event[4] == Outcome.ERROR:
+                if event[0] == Event.ATTEMPT_ENDED and event[4] == Outcome.ERROR:
                     writer.attempt(event[1], 4, 1.0)
 
         exchange = request()
         rounds.arrived(exchange)
         rounds.attempt(0, 3, 1.0)
         rounds.returned(exchange, exchange.attempts[0], Outcome.ERROR, None)
-        type(rounds._balancer).round = again
+        type(rounds._balancer).handle_events = again
         rounds.round(rounds._stops[0][0] + 1.0)  # held up until after the deadline
         assert exchange.answer.status == 502 and len(rounds.servers.started) == 1
         assert not rounds._wakes  # no mistake was met
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -3,7 +3,7 @@
 import pytest
 from fakehost import UNSAFE, Host
 
-from wheatroute.interface import Event, Outcome, State
+from wheatroute.balancing.interface import Event, Outcome, ServerState
 
 SERVED = (Outcome.SERVED, 0.1)
 TOLD = {"report_how": "probe", "reported": ["queued", "rate"], "probes": True, "peers": True}
@@ -19,7 +19,7 @@
     """Requests at an even rate, while servers tell that nothing waits there; their numbers."""
     first = host.arrivals
     for _ in range(int(seconds * 4)):
-        host.events.append((Event.TOLD, dict.fromkeys(range(40), 0.0)))
+        host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(40), 0.0)))
         host.run(0.25, rate, **how)
     return range(first, host.arrivals)
 
@@ -54,7 +54,7 @@
 
 def test_a_heavy_request_goes_where_it_can_be_in_time():
     # two models, one four times slower; a heavy request is in time on the quick one only
-    entries = [(s, 0, s % 2, s, State.LIVE, 1.0, 0.0) for s in range(8)]
+    entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
     sizes = {}
     host = Host(
         entries=entries, answer=lambda s, r: (Outcome.SERVED, 0.1 * sizes[r[0]] * (4.0 if s % 2 else 1.0))
@@ -75,7 +75,7 @@
     for server in probed[0][:2]:
         hosts[0].events.append(
             (
-                Event.SOUNDED,
+                Event.PROBE_ENDED,
                 server,
                 Outcome.SERVED,
                 0.002,
@@ -93,7 +93,7 @@
     host = Host(8, nodes=300, node=5, **TOLD).run(4.0, 20)
     since = host.now
     for _ in range(80):
-        host.events.append((Event.TOLD, {0: 2.0, 1: 0.0, 99: 0.0}))
+        host.events.append((Event.PEER_REPORTED, {0: 2.0, 1: 0.0, 99: 0.0}))
         host.ask()
         host.step(0.05)
     assert host.sent(0, since) <= 4  # an even share would be 10
@@ -104,7 +104,7 @@
         host = Host(40, nodes=300, node=5, answer=lambda s, r: (Outcome.SERVED, 0.6), **told).run(6.0, 1)
         first = host.arrivals
         for _ in range(12):
-            host.events.append((Event.TOLD, dict.fromkeys(range(40), 0.0)))
+            host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(40), 0.0)))
             for _ in range(4):
                 host.ask(UNSAFE)
             host.step(0.25)
@@ -116,11 +116,13 @@
 
 def test_a_server_that_just_turned_a_attempt_away_is_not_drawn_in_vain_though_it_told_of_room():
     host = Host(4, answer=lambda s, r: (Outcome.FULL, 0.002), nodes=300, node=5, **TOLD)
-    host.events.append((Event.TOLD, dict.fromkeys(range(4), 0.0)))
+    host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(4), 0.0)))
     host.ask()
     host.step(0.02)
     balancer = host.balancer
-    host.events.append((Event.TOLD, dict.fromkeys(range(4), 0.0)))  # word from before it was turned away
+    host.events.append(
+        (Event.PEER_REPORTED, dict.fromkeys(range(4), 0.0))
+    )  # word from before it was turned away
     balancer._servers.full[0] = host.now + 1.0
     host.step()
     assert not balancer._easy(0) and all(map(balancer._easy, range(1, 4)))
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -12,7 +12,7 @@
 from fakehost import Host, only_slow
 
 from wheatroute import memory, snapshot
-from wheatroute.interface import Outcome, State
+from wheatroute.balancing.interface import Outcome, ServerState
 
 
 def test_each_way_in_which_a_snapshot_is_no_use_is_said():
@@ -102,7 +102,7 @@
     assert after.balancer.servers.barred[0] and 0 not in after.balancer._ring.servers
     after.run(8.0, 40)
     assert not after.balancer.servers.barred[0]  # it is well, as its trial shows
-    after.list([Host.entry(1, State.GONE)])
+    after.list([Host.entry(1, ServerState.REMOVED)])
 
 
 LEARNED = (  # as the version before the renaming of the decision module wrote it
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,8 +5,8 @@
 
 from fakehost import KEYED, SAFE, UNSAFE, Host
 
+from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.benchlink.host import serve
-from wheatroute.interface import Event, Outcome, State
 from wheatroute.learned import Idleness, Ring
 
 SERVED, NEVER = (Outcome.SERVED, 0.1), None
@@ -28,7 +28,7 @@
 
 
 def test_a_request_without_any_server_is_refused_in_time():
-    host = Host(entries=[Host.entry(0, State.GONE)])
+    host = Host(entries=[Host.entry(0, ServerState.REMOVED)])
     number = host.ask(UNSAFE)
     host.step(3.0)
     assert host.final == {number: "refused"} and not host.attempts[number]
@@ -38,10 +38,10 @@
     host = Host(answer=only(0)).run(6.0, 30)
     servers = host.balancer._servers
     assert servers.barred[0] and servers.penalty[0]
-    host.list([Host.entry(0, State.GONE)])
+    host.list([Host.entry(0, ServerState.REMOVED)])
     host.step(4.0)
     host.answer = only()
-    host.list([Host.entry(0, State.GONE), Host.entry(0)])
+    host.list([Host.entry(0, ServerState.REMOVED), Host.entry(0)])
     before = host.now
     host.run(2.0, 30)
     assert not servers.barred[0] and host.sent(0, before) >= 8  # of 60 on four servers, at once
@@ -89,7 +89,7 @@
 
 def test_nothing_new_goes_to_a_server_told_to_drain_or_gone_from_the_list():
     host = Host().run(1.0, 20)
-    host.list([Host.entry(0, State.DRAINING)])
+    host.list([Host.entry(0, ServerState.DRAINING)])
     host.list([Host.entry(s) for s in (0, 2, 3)][1:], whole=True)
     told = host.now
     host.run(1.0, 40)
@@ -137,7 +137,7 @@
 
 
 def test_nodes_that_each_keep_to_a_part_cover_the_tier_evenly():
-    entries = [(s, 0, s % 3 > 0, s // 2, State.LIVE, 1.0, 0.0) for s in range(60)]
+    entries = [(s, 0, s % 3 > 0, s // 2, ServerState.LIVE, 1.0, 0.0) for s in range(60)]
     hosts = [Host(entries=entries, nodes=120, node=i).step() for i in range(120)]
     parts = [host.balancer._ring for host in hosts]
     assert all(8 <= len(part.servers) <= 10 for part in parts)
@@ -146,10 +146,10 @@
 
 
 def test_a_server_not_heard_is_expected_to_be_like_its_model():
-    entries = [(s, 0, s % 2, s, State.LIVE, 1.0, 0.0) for s in range(8)]
+    entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
     host = Host(entries=entries, answer=lambda s, r: (Outcome.SERVED, 0.3 if s % 2 else 0.1))
     host.run(0.5, 20).step(0.5)
-    host.list([(8 + s, 0, s % 2, 8 + s, State.LIVE, 1.0, 0.0) for s in range(2)])
+    host.list([(8 + s, 0, s % 2, 8 + s, ServerState.LIVE, 1.0, 0.0) for s in range(2)])
     host.step(0.005)
     share = host.balancer._ring.share
     assert share[8] > 1.4 * share[9]
@@ -335,7 +335,7 @@
         held = [number for number in numbers if not host.attempts[number] and number not in host.final]
         assert held
         for number in held:
-            host.events.append((Event.LEFT, number))
+            host.events.append((Event.CLIENT_LEFT, number))
             host.final[number] = "left"
         host.step(3.0)  # the host asserts that there is one final answer
 
@@ -400,10 +400,10 @@
     number = host.ask()
     host.step(0.5)
     host.events += [
-        (Event.LEFT, number),
-        (Event.RETURNED, number, 0, 0, Outcome.ERROR, 0.1, True, None),
-        (Event.LEFT, 999),
-        (Event.WOKEN,),
+        (Event.CLIENT_LEFT, number),
+        (Event.ATTEMPT_ENDED, number, 0, 0, Outcome.ERROR, 0.1, True, None),
+        (Event.CLIENT_LEFT, 999),
+        (Event.TIMER_DUE,),
     ]
     host.step(0.1)
     assert host.final == {number: "served"}
@@ -413,7 +413,7 @@
     host = Host(answer=lambda s, r: NEVER)
     number = host.ask(UNSAFE)
     host.step(0.1)
-    host.events.append((Event.LEFT, number))
+    host.events.append((Event.CLIENT_LEFT, number))
     host.step(3.0)
     assert host.count("withdraw") == 1 and number not in host.final
 
@@ -498,7 +498,7 @@
 def test_a_large_tier_is_solved_with_the_beat_and_heeds_a_drain_and_a_bar_at_once():
     host = Host(servers=100, answer=only(5)).run(3.0, 400)
     assert host.balancer._servers.barred[5]
-    host.list([Host.entry(3, State.DRAINING), Host.entry(4, State.GONE), Host.entry(200)])
+    host.list([Host.entry(3, ServerState.DRAINING), Host.entry(4, ServerState.REMOVED), Host.entry(200)])
     since = host.now
     host.run(1.0, 1000)
     assert not host.sent(3, since) and not host.sent(4, since) and host.sent(200, since + 0.3)
@@ -511,7 +511,7 @@
     told = hosts[0].now
     for i, host in enumerate(hosts):
         # the connected half has come to count itself alone, the others still count all and are careful
-        host.events.append((Event.PEERS, 15, i, 1.0) if i < 15 else (Event.PEERS, 30, i, 4.0))
+        host.events.append((Event.NODES_COUNTED, 15, i, 1.0) if i < 15 else (Event.NODES_COUNTED, 30, i, 4.0))
         host.list([Host.entry(0, started=told)])
         host.run(20.0, 4)
     sent = sorted(
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -14,10 +14,10 @@
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.member import Acts
 from wheatroute.agreement.versions import ContentError
-from wheatroute.interface import Effect
+from wheatroute.balancing.interface import Idempotency
 from wheatroute.net import boot as boot_data
 
-Forms = dict[int, tuple[frozenset[Effect], int]]
+Forms = dict[int, tuple[frozenset[Idempotency], int]]
 Settle = Callable[[dict[str, Any]], dict[str, Any]]  # raises `ContentError`
 
 
@@ -113,7 +113,7 @@
                 if there is not None
                 else base[name.removesuffix("\0strict")] | joint_terms.ABSENT_CLASS
             )
-            kinds.append(kind | {"effect": Effect.UNSAFE} if name.endswith("\0strict") else kind)
+            kinds.append(kind | {"effect": Idempotency.NON_IDEMPOTENT} if name.endswith("\0strict") else kind)
         for name in self._tenants:
             there = known["tenants"].get(name)
             tenants.append(
@@ -138,7 +138,7 @@
             others = effects - {now}
             if others:
                 # a class of its own only where the rules are looser than a form or rest on a key it lacks
-                strict = now == Effect.KEYED or Effect.UNSAFE in others
+                strict = now == Idempotency.KEYED or Idempotency.NON_IDEMPOTENT in others
                 forms[number] = frozenset(effects), self._classes[f"{name}\0strict"] if strict else number
         return forms
 
--- a/wheatroute/agreement/joint_terms.py
+++ b/wheatroute/agreement/joint_terms.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from wheatroute import words
-from wheatroute.interface import Effect
+from wheatroute.balancing.interface import Idempotency
 
 LEAST, MOST, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
 FREE = "may differ: the old one until the new one is in force"
@@ -199,7 +199,8 @@
         "hedges": False,
         "fall_multiple": terms["fall_multiple"] * COLD_WHEN_CAREFUL,
         "request_classes": [
-            kind | {"harmless": kind["effect"] == Effect.SAFE, "effect": Effect.UNSAFE}
+            kind
+            | {"harmless": kind["effect"] == Idempotency.IDEMPOTENT, "effect": Idempotency.NON_IDEMPOTENT}
             for kind in terms["request_classes"]
         ],
     }
--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from wheatroute import talk, words
+from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.decide import Balancer
-from wheatroute.interface import Event, Outcome, State
 
 OUTCOMES = {
     "done": Outcome.SERVED,
@@ -19,7 +19,7 @@
     "ecanceled": Outcome.WITHDRAWN,
     "skipped": Outcome.MOOT,
 }
-STATES = {"live": State.LIVE, "quiescing": State.DRAINING, "dead": State.GONE}
+STATES = {"live": ServerState.LIVE, "quiescing": ServerState.DRAINING, "dead": ServerState.REMOVED}
 HINTED, REPEATED = 1, 2
 
 
@@ -46,7 +46,7 @@
 
     def round(self, now: float) -> list[dict[str, Any]]:
         events, self.events, self.decisions = self.events, [], []
-        self._balancer.round(now, events, self)
+        self._balancer.handle_events(now, events, self)
         self._drop_spent()
         return self.decisions
 
@@ -76,7 +76,7 @@
         outcome = OUTCOMES.get(message["result"], Outcome.UNKNOWN)
         self.events.append(
             (
-                Event.RETURNED,
+                Event.ATTEMPT_ENDED,
                 number,
                 message.get("n", 0),
                 self._server(message["server"]),
@@ -91,14 +91,16 @@
     def established(self, message: dict[str, Any]) -> None:
         number = self._numbers.get(message["call"])
         if number is not None:
-            self.events.append((Event.STARTED, number, message.get("n", 0), self._server(message["server"])))
+            self.events.append(
+                (Event.ANSWER_STARTED, number, message.get("n", 0), self._server(message["server"]))
+            )
 
     def left(self, message: dict[str, Any]) -> None:
         number = self._numbers.get(message["call"])
         if number is not None:
             self._over.add(number)
             self._forget(number)
-            self.events.append((Event.LEFT, number))
+            self.events.append((Event.CLIENT_LEFT, number))
 
     def targets(self, form: str, hosts: list[dict[str, Any]]) -> None:
         if form == "broken":
@@ -110,19 +112,19 @@
                 self._zones[one.get("dc", "")],
                 self._models[one.get("model", "")],
                 one.get("stripe", 0),
-                STATES.get(one.get("status", "live"), State.DRAINING),
+                STATES.get(one.get("status", "live"), ServerState.DRAINING),
                 one.get("scale", 1.0),
                 one.get("started-at", 0.0),
             )
             for one in hosts
         ]
-        self.events.append((Event.LISTED, entries, form != "patch"))
+        self.events.append((Event.SERVERS_LISTED, entries, form != "patch"))
 
     def echo(self, message: dict[str, Any]) -> None:
         outcome = OUTCOMES.get(message["result"], Outcome.UNKNOWN)
         self.events.append(
             (
-                Event.SOUNDED,
+                Event.PROBE_ENDED,
                 self._server(message["server"]),
                 outcome,
                 message.get("took", 0.0),
@@ -131,12 +133,12 @@
         )
 
     def wakeup(self, _message: dict[str, Any]) -> None:
-        self.events.append((Event.WOKEN,))
+        self.events.append((Event.TIMER_DUE,))
 
     def whisper(self, message: dict[str, Any]) -> None:
         figures = talk.unpack(message.get("body", ""), self._known.names)
         if figures:
-            self.events.append((Event.TOLD, figures))
+            self.events.append((Event.PEER_REPORTED, figures))
 
     # what goes out
 
@@ -146,10 +148,10 @@
             {"m": "relay", "call": self._calls[request], "server": self._addresses[server], "cap": time_out}
         )
 
-    def withdraw(self, request: int, n: int) -> None:
+    def cancel(self, request: int, n: int) -> None:
         self.decisions.append({"m": "withdraw", "call": self._calls[request], "n": n})
 
-    def refuse(self, request: int, stay_away: float) -> None:
+    def reject(self, request: int, stay_away: float) -> None:
         self.decisions.append({"m": "shed", "call": self._calls[request], "stay-away": stay_away})
         self._end(request)
 
@@ -157,13 +159,13 @@
         self.decisions.append({"m": "finish-error", "call": self._calls[request]})
         self._end(request)
 
-    def wake(self, moment: float) -> None:
+    def wake_at(self, moment: float) -> None:
         self.decisions.append({"m": "wake-me", "moment": moment, "key-back": 0})
 
-    def sound(self, server: int) -> None:
+    def probe(self, server: int) -> None:
         self.decisions.append({"m": "sound-out", "server": self._addresses[server]})
 
-    def tell(self, figures: Mapping[int, float]) -> None:
+    def send_loads(self, figures: Mapping[int, float]) -> None:
         for body in talk.pack((self._addresses[server], held) for server, held in figures.items()):
             self.decisions.append({"m": "signal", "target": None, "body": body})
 
--- a/wheatroute/config.py
+++ b/wheatroute/config.py
@@ -14,7 +14,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
-from wheatroute.interface import Effect
+from wheatroute.balancing.interface import Idempotency
 from wheatroute.net.boot import address
 from wheatroute.words import GROUPS, Numbers
 
@@ -23,7 +23,11 @@
 Share = Annotated[float, Field(gt=0.0, le=1.0)]
 Count = Annotated[int, Field(ge=1, le=1_000_000)]
 Name = Annotated[str, Field(min_length=1, max_length=200)]
-WORDS = {"pure": Effect.SAFE, "receipted": Effect.KEYED, "effectful": Effect.UNSAFE}
+WORDS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "receipted": Idempotency.KEYED,
+    "effectful": Idempotency.NON_IDEMPOTENT,
+}
 DESTINATION = "x-gateway-destination-endpoint"  # of the Gateway API's endpoint picker, with its namespace
 NAMESPACE = "envoy.lb"
 
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -15,7 +15,18 @@
 from math import ceil, inf, sqrt
 from random import Random
 
-from wheatroute.interface import Effect, Entry, Event, Group, Outcome, Report, Round, State, Terms, Writer
+from wheatroute.balancing.interface import (
+    CommandWriter,
+    DeduplicationGroup,
+    Event,
+    EventBatch,
+    Idempotency,
+    ListEntry,
+    Outcome,
+    Report,
+    ServerState,
+    Terms,
+)
 from wheatroute.learned import FLOOR, MARGIN, RESOLVE, SAMPLES, WINDOW, Idleness, Pace, Request, Ring, Servers
 from wheatroute.orders import Alike, Waiting
 from wheatroute.split import clamped_shares
@@ -73,11 +84,11 @@
         self._served, self._rate = 0, 0.0  # requests served since the last beat, and a second
         self._short = -inf  # when room last ran short of what had to be in time
         self._ask_at, self._ask_wait = -inf if terms["list_on_request"] else inf, 0.0
-        self._sounding, self._sounded_out = deque[int](), 0  # servers to be probed in this round; probes out
+        self._sounding, self._probes_out = deque[int](), 0  # servers to be probed in this round; probes out
         self._heard: dict[int, float] = {}  # what probes have told since the last word to the others
         self._now = self._by = 0.0
         self._takes: dict[Event, Callable[..., None]] = {
-            event: getattr(self, f"_{event.name.lower()}") for event in Event if event != Event.WOKEN
+            event: getattr(self, f"_{event.name.lower()}") for event in Event if event != Event.TIMER_DUE
         }
         self._settle(terms)
 
@@ -107,10 +118,10 @@
         self._modest = BEYOND * sum(kind["worth"] for kind in self._kinds) / len(self._kinds)
         self._tells = self._waits or "held" in terms["reported"]  # reports say how laden servers are
         self._hedged_worth = max(
-            (kind["worth"] for kind in self._kinds if kind["effect"] == Effect.SAFE), default=inf
+            (kind["worth"] for kind in self._kinds if kind["effect"] == Idempotency.IDEMPOTENT), default=inf
         )
 
-    def _agreed(self, terms: Terms, binding: bool) -> None:
+    def _settings_changed(self, terms: Terms, binding: bool) -> None:
         """Other terms from now on; requests taken before keep to their own unless these bind them too."""
         for request in self._requests.values() if binding else ():
             request.rules = terms["request_classes"][request.kind]
@@ -127,7 +138,7 @@
         """What was learned of them, for keeping: see `memory.py`."""
         return self._servers
 
-    def round(self, now: float, events: Round, writer: Writer) -> None:
+    def handle_events(self, now: float, events: EventBatch, writer: CommandWriter) -> None:
         """Takes in all that came since the last round and writes what is to be done."""
         self._now, self._writer = now, writer
         self._by = now + self._tick / 2  # a host may round moments: what is due within half a tick is due
@@ -141,7 +152,7 @@
             writer.watch(True)
         if self._parts:
             # rather where nobody waits for the round
-            if not events or events[0][0] == Event.WOKEN or self._by >= self._next_beat - BEAT / 2:
+            if not events or events[0][0] == Event.TIMER_DUE or self._by >= self._next_beat - BEAT / 2:
                 self._parts.popleft()()
         elif self._by >= self._next_beat:
             self._beat()
@@ -151,7 +162,7 @@
 
     # the list of servers
 
-    def _listed(self, entries: list[Entry], whole: bool) -> None:
+    def _servers_listed(self, entries: list[ListEntry], whole: bool) -> None:
         servers = self._servers
         self._ask_wait = 0.0
         if whole:
@@ -163,10 +174,10 @@
                 self._alike.remove((servers.zone[server], servers.model[server]), server)
             servers.zone[server], servers.model[server], servers.cell[server] = zone, model, cell
             # rule three: nothing new from the moment this node is told, well inside the grace
-            servers.ready[server] = state == State.LIVE
+            servers.ready[server] = state == ServerState.LIVE
             if servers.ready[server]:
                 self._alike.add((zone, model), server)
-            if state == State.GONE:
+            if state == ServerState.REMOVED:
                 servers.forget(server, 0.0)
             elif started > servers.born[server]:
                 servers.forget(server, started)
@@ -182,10 +193,10 @@
             self._ask_wait = min(longest, max(longest / 8, 2 * self._ask_wait))
             self._ask_at = self._now + self._ask_wait * (0.5 + 0.5 * self._chance.random())
 
-    def _peers(self, nodes: int, node: int, caution: float) -> None:
+    def _nodes_counted(self, nodes: int, node: int, caution: float) -> None:
         """Another number of nodes: tenants' quotas, the part kept to and the pace of trials follow."""
         self._caution = caution
-        self._agreed({**self._terms, "nodes": nodes, "node": node}, False)
+        self._settings_changed({**self._terms, "nodes": nodes, "node": node}, False)
 
     # the split
 
@@ -341,26 +352,26 @@
 
     def _sound(self) -> None:
         """Probes the next part of all servers: each has its turn once in RESOLVE, at both reporters."""
-        self._sounded_out = 0
+        self._probes_out = 0
         everyone, half = self._alike.round(), len(self._alike.round()) // 2
         if not self._sounding:  # one of the two is half a round ahead
             self._sounding.extend(everyone if self._terms["node"] else everyone[half:] + everyone[:half])
         for _ in range(min(len(self._sounding), ceil(len(everyone) * BEAT))):
             server = self._sounding.popleft()
             if self._servers.ready[server]:
-                self._sounded_out += 1
-                self._writer.sound(server)
+                self._probes_out += 1
+                self._writer.probe(server)
 
-    def _sounded(self, server: int, outcome: Outcome, took: float, report: Report | None) -> None:
-        self._sounded_out -= 1
+    def _probe_ended(self, server: int, outcome: Outcome, took: float, report: Report | None) -> None:
+        self._probes_out -= 1
         if report and outcome == Outcome.SERVED:
             self._heed(server, report, took)
             self._heard[server] = self._servers.told[server]
-        if self._sounded_out <= 0 and self._heard:
-            self._writer.tell(self._heard)
+        if self._probes_out <= 0 and self._heard:
+            self._writer.send_loads(self._heard)
             self._heard = {}
 
-    def _told(self, figures: Report) -> None:
+    def _peer_reported(self, figures: Report) -> None:
         """What another node was told by servers: as good as heard here, where this node's list has them."""
         for server, held in figures.items():
             if server < len(self._servers.ready) and self._servers.ready[server]:
@@ -397,15 +408,15 @@
             return False
         if self._warmth(server) < 1.0 and self._servers.credit[server] < 1.0:
             return False
-        if request.rules["effect"] == Effect.KEYED and (request.may or request.out):
+        if request.rules["effect"] == Idempotency.KEYED and (request.may or request.out):
             return self._group(request.rules, server) == request.group
         return True
 
     def _group(self, rules: Terms, server: int) -> int:
         group = rules["group"]
-        if group == Group.ALL or server < 0:
+        if group == DeduplicationGroup.ALL or server < 0:
             return 0
-        return self._servers.zone[server] if group == Group.ZONE else self._servers.cell[server]
+        return self._servers.zone[server] if group == DeduplicationGroup.ZONE else self._servers.cell[server]
 
     def _may_repeat(self, request: Request) -> bool:
         """Rule two: whether any further attempt may go out at all."""
@@ -415,14 +426,16 @@
             return False
         if not request.may and not request.out:
             return True
-        if request.rules["effect"] == Effect.KEYED:
+        if request.rules["effect"] == Idempotency.KEYED:
             return self._now < request.since + request.rules["repeat_window"] - self._tick
-        return request.rules["effect"] == Effect.SAFE
+        return request.rules["effect"] == Idempotency.IDEMPOTENT
 
     def _may_refuse(self, request: Request) -> bool:
-        if request.rules["effect"] == Effect.SAFE or not (request.may or request.out):
+        if request.rules["effect"] == Idempotency.IDEMPOTENT or not (request.may or request.out):
             return True
-        return request.rules["effect"] == Effect.KEYED and request.rules["group"] == Group.ALL
+        return (
+            request.rules["effect"] == Idempotency.KEYED and request.rules["group"] == DeduplicationGroup.ALL
+        )
 
     # requests
 
@@ -563,7 +576,7 @@
         if (
             n == 0
             and kind["worth"] == self._hedged_worth
-            and kind["effect"] == Effect.SAFE
+            and kind["effect"] == Idempotency.IDEMPOTENT
             and self._terms["hedges"]
             and self._pace.timer < inf
         ):
@@ -582,7 +595,7 @@
             self._writer.close(server)
         return 0.0
 
-    def _returned(
+    def _attempt_ended(
         self,
         number: int,
         n: int,
@@ -634,7 +647,7 @@
         request.over = True
         for n in sorted(request.out - {kept}):
             if self._terms["withdrawals"]:
-                self._writer.withdraw(request.number, n)
+                self._writer.cancel(request.number, n)
         if not request.out:
             self._requests.pop(request.number, None)
 
@@ -644,17 +657,17 @@
             self._allowance[request.share] += 1.0  # its client may send it again
         if self._may_refuse(request):
             advice = self._terms["longest_advice"] if self._terms["refusal_advice"] else 0.0
-            self._writer.refuse(request.number, min(advice, self._kinds[request.kind]["target_latency"]))
+            self._writer.reject(request.number, min(advice, self._kinds[request.kind]["target_latency"]))
         else:
             self._writer.fail(request.number)
         self._close(request)
 
-    def _left(self, number: int) -> None:
+    def _client_left(self, number: int) -> None:
         request = self._requests.get(number)
         if request is not None and not request.over:
             self._close(request)
 
-    def _started(self, number: int, n: int, server: int) -> None:
+    def _answer_started(self, number: int, n: int, server: int) -> None:
         """A streamed answer belongs to the client from its first byte on: nothing is owed but its end."""
         request = self._requests.get(number)
         if request is not None and n in request.out:
@@ -765,7 +778,7 @@
         moment = min(due[0][0] if due else inf, self._now if self._parts else self._next_beat, self._ask_at)
         if moment < self._armed:
             self._armed = moment
-            self._writer.wake(max(moment, self._now + self._tick))
+            self._writer.wake_at(max(moment, self._now + self._tick))
 
     # health
 
@@ -879,7 +892,7 @@
     def _trial_for(self, request: Request) -> int:
         """A barred server whose time has come gets one safe request: the way back in."""
         servers = self._servers
-        harmless = request.rules.get("harmless", request.rules["effect"] == Effect.SAFE)
+        harmless = request.rules.get("harmless", request.rules["effect"] == Idempotency.IDEMPOTENT)
         if not harmless or request.servers or not self._trial_due():
             return -1
         for server in self._on_trial:
--- a/wheatroute/etcd/node.py
+++ b/wheatroute/etcd/node.py
@@ -10,9 +10,9 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event
 from wheatroute.config import Etcd
 from wheatroute.etcd.start import Etcd3
-from wheatroute.interface import Event
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.rounds import Rounds
 from wheatroute.net.servers import Servers
@@ -45,7 +45,7 @@
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
         self.counted = {"nodes": nodes, "node": node}
-        self._rounds.happened(Event.PEERS, nodes, node, caution)
+        self._rounds.happened(Event.NODES_COUNTED, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
         """The follower's stream is always open."""
--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -18,7 +18,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from wheatroute.interface import Effect, Event, Outcome, State
+from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
 
 if TYPE_CHECKING:
     from wheatroute.fleet.nodes import Node
@@ -49,7 +49,7 @@
         self.kinds = terms["request_classes"]
         self.ready: list[int] = []
         self.out: dict[int, int] = {}
-        self._states: dict[int, State] = {}
+        self._states: dict[int, ServerState] = {}
         self._avoid: dict[int, float] = {}
         self._held: dict[int, Held] = {}
         self.now = 0.0
@@ -66,13 +66,13 @@
     def sent(self, number: int, writer: Any) -> None:
         """After a request's first attempt."""
 
-    def woken(self, writer: Any) -> None:
+    def timer_due(self, writer: Any) -> None:
         """A moment asked for has come."""
 
-    def sounded(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
+    def probe_ended(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
         """A probe's answer."""
 
-    def round(self, now: float, events: Any, writer: Any) -> None:
+    def handle_events(self, now: float, events: Any, writer: Any) -> None:
         self.now = now
         for event, *fields in events:
             if event == Event.ARRIVED:
@@ -84,21 +84,21 @@
                         self.sent(number, writer)
                 else:
                     self._end(number, held, writer)
-            elif event == Event.RETURNED:
+            elif event == Event.ATTEMPT_ENDED:
                 self._returned(writer, *fields)
-            elif event == Event.LISTED:
+            elif event == Event.SERVERS_LISTED:
                 entries, whole = fields
                 if whole:
                     self._states.clear()
                 for entry in entries:
                     self._states[entry[0]] = entry[4]
-                self.ready = sorted(one for one, state in self._states.items() if state == State.LIVE)
-            elif event == Event.LEFT:
+                self.ready = sorted(one for one, state in self._states.items() if state == ServerState.LIVE)
+            elif event == Event.CLIENT_LEFT:
                 self._close(fields[0], writer)
-            elif event == Event.WOKEN:
-                self.woken(writer)
-            elif event == Event.SOUNDED:
-                self.sounded(*fields)
+            elif event == Event.TIMER_DUE:
+                self.timer_due(writer)
+            elif event == Event.PROBE_ENDED:
+                self.probe_ended(*fields)
 
     def fit(self, held: Held) -> list[int]:
         avoid = self._avoid
@@ -113,7 +113,7 @@
         return (0, place.zone, place.cell)[group]
 
     def _group(self, held: Held) -> int | None:
-        if (held.ran or held.out) and self.kinds[held.kind]["effect"] == Effect.KEYED:
+        if (held.ran or held.out) and self.kinds[held.kind]["effect"] == Idempotency.KEYED:
             return self._group_of(held.first, held.kind)
         return None
 
@@ -136,7 +136,11 @@
         held = self._held.get(number)
         if held is None or held.over or not held.out or len(held.attempts) >= self.terms["most_attempts"]:
             return
-        if self.kinds[held.kind]["effect"] == Effect.SAFE and self.terms["hedges"] and self.fit(held):
+        if (
+            self.kinds[held.kind]["effect"] == Idempotency.IDEMPOTENT
+            and self.terms["hedges"]
+            and self.fit(held)
+        ):
             self._send(number, held, writer)
 
     def _returned(
@@ -163,7 +167,7 @@
             self._close(number, writer)
         elif not held.over and not held.out:
             effect = self.kinds[held.kind]["effect"]
-            again = not held.ran or effect == Effect.SAFE
+            again = not held.ran or effect == Idempotency.IDEMPOTENT
             if again and outcome != Outcome.TIMED_OUT:
                 self._send(number, held, writer)
             else:
@@ -173,8 +177,8 @@
 
     def _end(self, number: int, held: Held, writer: Any) -> None:
         kind = self.kinds[held.kind]
-        if not (held.ran or held.out) or kind["effect"] == Effect.SAFE:
-            writer.refuse(number, 0.0)
+        if not (held.ran or held.out) or kind["effect"] == Idempotency.IDEMPOTENT:
+            writer.reject(number, 0.0)
         else:
             writer.fail(number)
         self._close(number, writer)
@@ -187,7 +191,7 @@
             held.over = True
             if held.out and self.terms["withdrawals"]:
                 for n in range(len(held.attempts)):
-                    writer.withdraw(number, n)
+                    writer.cancel(number, n)
         if not held.out:
             self._held.pop(number, None)
 
@@ -287,7 +291,7 @@
         self._pool: list[tuple[float, int, float, float]] = []  # when, server, in flight, latency
         self._seen: list[float] = []
 
-    def sounded(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
+    def probe_ended(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
         if outcome == Outcome.SERVED and report:
             self._pool.append((self.now, server, report["held"], report["latency"]))
             self._seen = (self._seen + [report["held"]])[-100:]
@@ -297,7 +301,7 @@
     def sent(self, number: int, writer: Any) -> None:
         for _ in range(int(self.RATE)):
             if self.ready:
-                writer.sound(self.ready[int(self.draw.random() * len(self.ready))])
+                writer.probe(self.ready[int(self.draw.random() * len(self.ready))])
 
     def choose(self, fit: list[int], kind: int) -> int:
         open_to = set(fit)
@@ -326,12 +330,12 @@
 
     def sent(self, number: int, writer: Any) -> None:
         kind = self.kinds[self._held[number].kind]
-        if kind["effect"] == Effect.SAFE:
+        if kind["effect"] == Idempotency.IDEMPOTENT:
             moment = self.now + self.AFTER * kind["target_latency"]
             self._due.append((moment, number))
-            writer.wake(moment)
+            writer.wake_at(moment)
 
-    def woken(self, writer: Any) -> None:
+    def timer_due(self, writer: Any) -> None:
         due = [number for moment, number in self._due if moment <= self.now + 1e-9]
         self._due = [one for one in self._due if one[0] > self.now + 1e-9]
         for number in due:
--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from math import factorial
 
+from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.chance import law, stream
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.plan import Model, Tier
 from wheatroute.fleet.servers import Job, Server
-from wheatroute.interface import Outcome
 
 
 def mm1(load: float, work: float) -> float:
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
+from wheatroute.balancing.interface import ServerState
 from wheatroute.fleet import chance
 from wheatroute.fleet.plan import Fault
-from wheatroute.interface import State
 
 if TYPE_CHECKING:
     from wheatroute.fleet.servers import Server
@@ -63,7 +63,7 @@
     def _lose(self, servers: list[Server], length: float, silent: bool) -> None:
         for server in servers:
             self.world.kill(server, silent)
-            self.world.tell(server, State.GONE)
+            self.world.tell(server, ServerState.REMOVED)
             self.engine.after(length, self.world.revive, server)
 
     def _hang(self, fault: Fault, name: str, draw: Random) -> None:
@@ -136,7 +136,7 @@
         elif server.alive:
             # it finishes what it has once nobody sends any more; what comes now was never begun
             self.world.kill(server)
-            self.world.tell(server, State.GONE)
+            self.world.tell(server, ServerState.REMOVED)
 
     def _zone_loss(self, fault: Fault, name: str, draw: Random) -> None:
         """A zone with its nodes goes at once and says nothing; it comes back cold."""
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -12,8 +12,8 @@
 from math import inf
 from typing import TYPE_CHECKING, Any, Protocol
 
+from wheatroute.balancing.interface import Event, Outcome, Report, ServerState
 from wheatroute.fleet.servers import Job, Server
-from wheatroute.interface import Event, Outcome, Report, State
 
 if TYPE_CHECKING:
     from wheatroute.fleet.world import World
@@ -24,7 +24,7 @@
 class Decisions(Protocol):
     """The module, or a baseline in its place."""
 
-    def round(self, now: float, events: Any, writer: Any) -> None: ...
+    def handle_events(self, now: float, events: Any, writer: Any) -> None: ...
 
 
 class Attempt:
@@ -121,7 +121,7 @@
         """Nobody waits for the request any more."""
         if self.alive and not request.answered:
             request.answered = "left"
-            self._happened(Event.LEFT, request.number)
+            self._happened(Event.CLIENT_LEFT, request.number)
             self._forget(request)
 
     def listed_anew(self, entries: list[tuple[Any, ...]], whole: bool) -> None:
@@ -131,12 +131,12 @@
         now = self.engine.now
         for entry in entries:
             server, state = entry[0], entry[4]
-            if state == State.LIVE:
+            if state == ServerState.LIVE:
                 self.listed.add(server)
                 self.drains.pop(server, None)
             else:
                 self.drains.setdefault(server, now)
-        self._happened(Event.LISTED, entries, whole)
+        self._happened(Event.SERVERS_LISTED, entries, whole)
 
     def list_failed(self) -> None:
         self._happened(Event.LIST_FAILED)
@@ -173,10 +173,10 @@
             return
         events, self._events = self._events, []
         self.rounds += 1
-        self.decisions.round(self.engine.now, events, self)
+        self.decisions.handle_events(self.engine.now, events, self)
 
     def _woken(self) -> None:
-        self._happened(Event.WOKEN)
+        self._happened(Event.TIMER_DUE)
 
     # the writer
 
@@ -198,21 +198,21 @@
         attempt.entry = self.engine.after(time_out, self._time_out, attempt)
         self._connect(attempt)
 
-    def withdraw(self, request: int, n: int) -> None:
+    def cancel(self, request: int, n: int) -> None:
         told = self.requests.get(request)
         if told is not None and n < len(told.attempts) and not told.attempts[n].over:
             self._give_up(told.attempts[n], Outcome.WITHDRAWN)
 
-    def refuse(self, request: int, stay_away: float) -> None:
+    def reject(self, request: int, stay_away: float) -> None:
         self._answer(self.requests[request], "refused", stay_away)
 
     def fail(self, request: int) -> None:
         self._answer(self.requests[request], "failed", 0.0)
 
-    def wake(self, moment: float) -> None:
+    def wake_at(self, moment: float) -> None:
         self.engine.at(moment, self._woken)
 
-    def sound(self, server: int) -> None:
+    def probe(self, server: int) -> None:
         """Probes are answered with the report as it stands, beside the queue."""
         place = self._servers[server]
         there = self.world.paths.message(self.zone, place.zone, self.place, place.place)
@@ -220,7 +220,7 @@
             self.engine.after(
                 self.world.plan.network.connect_within,
                 self._happened,
-                Event.SOUNDED,
+                Event.PROBE_ENDED,
                 server,
                 Outcome.TIMED_OUT,
                 self.world.plan.network.connect_within,
@@ -232,17 +232,17 @@
     def _sounded(self, server: int, took: float) -> None:
         place = self._servers[server]
         if "hang" in place.factors:
-            self._happened(Event.SOUNDED, server, Outcome.TIMED_OUT, took, None)
+            self._happened(Event.PROBE_ENDED, server, Outcome.TIMED_OUT, took, None)
         else:
             self._happened(
-                Event.SOUNDED,
+                Event.PROBE_ENDED,
                 server,
                 Outcome.SERVED,
                 took,
                 {"held": float(place.held), "latency": self.world.latency(place)},
             )
 
-    def tell(self, figures: Mapping[int, float]) -> None:
+    def send_loads(self, figures: Mapping[int, float]) -> None:
         """Nodes of these fleets have no peers."""
 
     def watch(self, enable: bool) -> None:
@@ -390,7 +390,7 @@
             request.answered = "served"
             self._tell(request, 0.0)
         self._happened(
-            Event.RETURNED,
+            Event.ATTEMPT_ENDED,
             request.number,
             attempt.n,
             attempt.server.number,
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -9,7 +9,7 @@
 from collections import deque
 from typing import TYPE_CHECKING, Any
 
-from wheatroute.interface import Outcome
+from wheatroute.balancing.interface import Outcome
 
 if TYPE_CHECKING:
     from wheatroute.fleet.nodes import Attempt, Node, Request
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -16,9 +16,9 @@
 from random import Random
 from typing import Any
 
+from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.plan import Model, Tier
-from wheatroute.interface import Outcome
 
 IN_STEP = 0.25  # seconds between looks at what changes by itself: warmth, collapse, rest
 
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -11,6 +11,7 @@
 from random import Random
 from typing import Any
 
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency, Outcome, ServerState
 from wheatroute.fleet import chance
 from wheatroute.fleet.clients import Crowd
 from wheatroute.fleet.engine import Engine
@@ -20,11 +21,14 @@
 from wheatroute.fleet.plan import Fleet, Model, Tier
 from wheatroute.fleet.rules import Watch
 from wheatroute.fleet.servers import IN_STEP, Job, Server
-from wheatroute.interface import Effect, Group, Outcome, State
 
 START = 1000.0  # the moment at which a run begins: 0 means long ago
-EFFECTS = {"pure": Effect.SAFE, "receipted": Effect.KEYED, "effectful": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "receipted": Idempotency.KEYED,
+    "effectful": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {"all": DeduplicationGroup.ALL, "zone": DeduplicationGroup.ZONE, "cell": DeduplicationGroup.CELL}
 CELL = 4  # servers
 
 Maker = Callable[["World", Node, dict[str, Any], Random], Decisions]
@@ -185,7 +189,7 @@
     # the list
 
     @staticmethod
-    def entry(server: Server, state: State = State.LIVE) -> tuple[Any, ...]:
+    def entry(server: Server, state: ServerState = ServerState.LIVE) -> tuple[Any, ...]:
         return (server.number, server.zone, server.model, server.cell, state, 1.0, server.born)
 
     def entries(self, depth: int) -> list[tuple[Any, ...]]:
@@ -194,7 +198,7 @@
     def list_for(self, node: Node) -> None:
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(node.depth), True)
 
-    def tell(self, server: Server, state: State, least: float = 0.0) -> None:
+    def tell(self, server: Server, state: ServerState, least: float = 0.0) -> None:
         """The list tells all nodes of the tier, each after a delay of its own; `least` is added to it."""
         network = self.plan.network
         entry = self.entry(server, state)
@@ -220,11 +224,11 @@
         depth = server.depth
         if depth + 1 < len(self.plan.tiers):
             self.beside[server.place] = self._node(depth + 1, server.number, server.zone, server)
-        self.tell(server, State.LIVE)
+        self.tell(server, ServerState.LIVE)
 
     def drain(self, server: Server) -> None:
         """It finishes what it has; the list tells at once that it wants nothing new."""
-        self.tell(server, State.DRAINING)
+        self.tell(server, ServerState.DRAINING)
 
     def replace(self, server: Server) -> Server:
         """A new server of the same model and zone, under a number of its own."""
--- a/wheatroute/learned.py
+++ b/wheatroute/learned.py
@@ -5,7 +5,7 @@
 from math import inf, log2, sqrt
 from random import Random
 
-from wheatroute.interface import Terms
+from wheatroute.balancing.interface import Terms
 from wheatroute.quantiles import Window
 
 WINDOW = 10.0  # seconds of own latencies behind the hedge timer
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -14,7 +14,7 @@
 import orjson
 import trio
 
-from wheatroute.interface import Entry, Event, State
+from wheatroute.balancing.interface import Event, ListEntry, ServerState
 from wheatroute.net.boot import address
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.log import Reason, ended
@@ -22,7 +22,11 @@
 from wheatroute.net.servers import Servers
 
 PATH = b"/discovery/hosts"
-STATES = {"in_service": State.LIVE, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": ServerState.LIVE,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.REMOVED,
+}
 # a watch that falls silent is found out WAIT and LATE after it was asked, then asked anew three times, each
 # on a connection that may not come up, before what it misses counts as told: 6 s after it fell silent
 WAIT = 3.0  # seconds that a watch waits for news
@@ -225,10 +229,10 @@
         if isinstance(told.get("version"), int):
             self._version = told["version"]
         for name in self._gone if whole else ():
-            self._servers.stands(self._numbers[name], State.GONE, 0.0)
+            self._servers.stands(self._numbers[name], ServerState.REMOVED, 0.0)
         self.known = self.known or whole
         if entries or whole:
-            self._rounds.happened(Event.LISTED, entries, whole)
+            self._rounds.happened(Event.SERVERS_LISTED, entries, whole)
 
     def _let_go(self) -> None:
         """Guards against growing with every server that ever was: numbers of those gone are used again."""
@@ -237,26 +241,26 @@
                 self._free.append(self._numbers.pop(name))
                 del self._gone[name]
 
-    def _entries(self, one: dict[str, Any]) -> list[Entry]:
+    def _entries(self, one: dict[str, Any]) -> list[ListEntry]:
         """An entry; before the first of a number that was another's, one that says that the other is gone."""
         if not isinstance(one["id"], str):
             raise ValueError("no id")
-        state = STATES.get(one.get("state", "in_service"), State.DRAINING)
+        state = STATES.get(one.get("state", "in_service"), ServerState.DRAINING)
         size, cell = float(one.get("weight", 1.0)), int(one.get("cell", 0))
         started = float(one.get("started_ms", 0)) / 1000.0
         if not (isfinite(size) and isfinite(started)):
             raise ValueError("a figure that is none")
         zone, model = str(one.get("zone", "")), str(one.get("kind", ""))
-        place = address(one["addr"]) if state != State.GONE or "addr" in one else None
+        place = address(one["addr"]) if state != ServerState.REMOVED or "addr" in one else None
         server, entries = self._numbers.get(one["id"], -1), []
         figures = self._zones[zone], self._models[model], cell
         if server < 0:
             server = len(self._numbers)  # where none is free, all that were given out are in use
             if self._free:
                 server = self._free.pop()
-                entries.append((server, *figures, State.GONE, size, 0.0))
+                entries.append((server, *figures, ServerState.REMOVED, size, 0.0))
             self._numbers[one["id"]] = server
-        if state == State.GONE:
+        if state == ServerState.REMOVED:
             self._gone[one["id"]] = now()
             self._servers.shut_idle(server)
         else:
--- a/wheatroute/net/intake.py
+++ b/wheatroute/net/intake.py
@@ -12,7 +12,7 @@
 import trio
 
 from wheatroute import words
-from wheatroute.interface import Effect
+from wheatroute.balancing.interface import Idempotency
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.exchange import Exchange, hinted
 
@@ -22,7 +22,7 @@
 _UNITS = {b"m": 1e3, b"u": 1e6}
 
 # by class, while its form changes: the forms in which it may come as well, and its strict twin
-Forms = dict[int, tuple[frozenset[Effect], int]]
+Forms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
 def time_left(text: bytes) -> float:
@@ -75,13 +75,13 @@
         effect = self._terms[kind]["effect"]
         if self._also:
             kind, effect = self._form(kind, effect, request.method, bool(key))
-        if request.method != (b"GET" if effect == Effect.SAFE else b"POST"):
+        if request.method != (b"GET" if effect == Idempotency.IDEMPOTENT else b"POST"):
             raise MalformedError(405, "not the method of this request class")
-        if body and effect == Effect.SAFE:
+        if body and effect == Idempotency.IDEMPOTENT:
             raise MalformedError(400, "a body that this request class has not")
         if not name:
             raise MalformedError(400, "no Request-Id")
-        if bool(key) != (effect == Effect.KEYED):
+        if bool(key) != (effect == Idempotency.KEYED):
             raise MalformedError(400, "Idempotency-Key does not suit this request class")
         exchange = Exchange(request.method, request.target, name, key, body)
         exchange.kind = kind
@@ -93,14 +93,22 @@
         self._remember(name)
         return exchange
 
-    def _form(self, kind: int, effect: Effect, method: bytes, key: bool) -> tuple[int, Effect]:
+    def _form(self, kind: int, effect: Idempotency, method: bytes, key: bool) -> tuple[int, Idempotency]:
         """Class and form of a request; guards against a repeat where its form lacks what makes it safe."""
-        came_as = Effect.SAFE if method == b"GET" else Effect.KEYED if key else Effect.UNSAFE
+        came_as = (
+            Idempotency.IDEMPOTENT
+            if method == b"GET"
+            else Idempotency.KEYED
+            if key
+            else Idempotency.NON_IDEMPOTENT
+        )
         forms, twin = self._also.get(kind, (frozenset(), kind))
         if came_as == effect or came_as not in forms:
             return kind, effect
         # the class's own rules do, unless they rest on a key that it has not, or are looser than its form
-        return (twin if effect == Effect.KEYED or came_as == Effect.UNSAFE else kind), came_as
+        return (
+            twin if effect == Idempotency.KEYED or came_as == Idempotency.NON_IDEMPOTENT else kind
+        ), came_as
 
     def _remember(self, name: bytes) -> None:
         """Guards against the name of another client's request: a server would take it for a repeat."""
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -11,7 +11,7 @@
 import trio
 
 from wheatroute import talk
-from wheatroute.interface import Event
+from wheatroute.balancing.interface import Event
 from wheatroute.net.rounds import Rounds
 
 
@@ -61,4 +61,4 @@
                 known.add(name, server)
             figures = talk.unpack(data.decode("latin-1"), known.names)
             if figures:
-                self._rounds.happened(Event.TOLD, figures)
+                self._rounds.happened(Event.PEER_REPORTED, figures)
--- a/wheatroute/net/rounds.py
+++ b/wheatroute/net/rounds.py
@@ -14,8 +14,8 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event, Outcome, Report
 from wheatroute.decide import Balancer
-from wheatroute.interface import Event, Outcome, Report
 from wheatroute.net.exchange import FAILED, REFUSED, Answer, Attempt, Exchange
 
 SHORTEST_WAIT = 0.0005  # seconds; a wait for sockets that took less found them ready
@@ -77,7 +77,7 @@
 class PeerSide(Protocol):
     """What a writer needs of the other nodes' side."""
 
-    def tell(self, figures: Mapping[int, float]) -> None: ...
+    def send_loads(self, figures: Mapping[int, float]) -> None: ...
 
 
 class Rounds:
@@ -129,13 +129,13 @@
     def left(self, exchange: Exchange) -> None:
         if exchange.abandon():
             self._forget(exchange)
-            self.happened(Event.LEFT, exchange.number)
+            self.happened(Event.CLIENT_LEFT, exchange.number)
 
     def returned(self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None) -> None:
         exchange.out -= 1
         self._forget(exchange)
         self.happened(
-            Event.RETURNED,
+            Event.ATTEMPT_ENDED,
             exchange.number,
             attempt.n,
             attempt.server,
@@ -152,8 +152,8 @@
                 attempt.withdrawn = True
         self._most_attempts, self._slack = terms["most_attempts"], terms["answer_slack"]
         # guards against two of them in one pass taken the wrong way round: the last one stands
-        earlier = sum(event[0] == Event.AGREED for event in self._events)
-        self._events.insert(earlier, (Event.AGREED, terms, binding))
+        earlier = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
+        self._events.insert(earlier, (Event.SETTINGS_CHANGED, terms, binding))
         self._stirred.set()
 
     def settle(self) -> None:
@@ -199,10 +199,10 @@
         events, self._events = self._events, []
         while self._wakes and self._wakes[0] <= moment:
             heappop(self._wakes)
-            events.append((Event.WOKEN,))
+            events.append((Event.TIMER_DUE,))
         if events:
             try:
-                self._balancer.round(moment, events, self)
+                self._balancer.handle_events(moment, events, self)
             except Exception:
                 # guards against a mistake in the module: it is logged, the node and what it holds go on
                 self._log.exception("fault")
@@ -221,7 +221,7 @@
             if exchange is not None and exchange.settle(Answer(FAILED)):
                 self._log.warning("overdue", request=exchange.number, attempts=len(exchange.attempts))
                 self._forget(exchange)
-                self.happened(Event.LEFT, exchange.number)
+                self.happened(Event.CLIENT_LEFT, exchange.number)
 
     def _forget(self, exchange: Exchange) -> None:
         """Lets go of a request that is over with no attempt out, after the round: a decision may name it."""
@@ -243,13 +243,13 @@
         else:
             self.servers.start(exchange, attempt)
 
-    def withdraw(self, request: int, n: int) -> None:
+    def cancel(self, request: int, n: int) -> None:
         exchange = self._held.get(request)
         if exchange is not None and n < len(exchange.attempts):
             exchange.attempts[n].withdrawn = True
             exchange.attempts[n].scope.cancel()
 
-    def refuse(self, request: int, stay_away: float) -> None:
+    def reject(self, request: int, stay_away: float) -> None:
         self._end(request, Answer(REFUSED, stay_away=stay_away))
 
     def fail(self, request: int) -> None:
@@ -260,13 +260,13 @@
         if exchange is not None and exchange.settle(answer):
             self._forget(exchange)
 
-    def wake(self, moment: float) -> None:
+    def wake_at(self, moment: float) -> None:
         heappush(self._wakes, moment)
 
-    def sound(self, server: int) -> None:
+    def probe(self, server: int) -> None:
         self.servers.probe(server)
 
-    def tell(self, figures: Mapping[int, float]) -> None:
+    def send_loads(self, figures: Mapping[int, float]) -> None:
         if self.peers is not None:
             self.peers.tell(figures)
 
--- a/wheatroute/net/servers.py
+++ b/wheatroute/net/servers.py
@@ -16,7 +16,7 @@
 import trio
 
 from wheatroute import words
-from wheatroute.interface import Effect, Event, Group, Outcome, State
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.exchange import Answer, Attempt, Exchange
 from wheatroute.net.log import Reason, ended
@@ -67,7 +67,9 @@
         self._places: dict[int, tuple[str, int]] = {}
         self._idle: dict[int, list[tuple[float, Connection]]] = {}  # by server, the last used at the end
         self._terms, self._kinds = terms, terms["request_classes"]
-        self._standings: dict[int, tuple[State, float]] = {}  # by server, as the list has it, and its start
+        self._standings: dict[
+            int, tuple[ServerState, float]
+        ] = {}  # by server, as the list has it, and its start
         self._changes: dict[int, int] = {}  # by server: how often that or its place has changed
         self._doubtful = -inf  # until then connections that were idle are doubted
         self._twice = -inf  # until then a second answer may come behind the first
@@ -101,7 +103,7 @@
             self._changes[server] = self._changes.get(server, 0) + 1
         self._places[server] = place
 
-    def stands(self, server: int, state: State, started: float) -> None:
+    def stands(self, server: int, state: ServerState, started: float) -> None:
         """What the list says of a server; where that has changed, what was chosen before goes elsewhere."""
         if self._standings.get(server, (state, started)) != (state, started):
             self._changes[server] = self._changes.get(server, 0) + 1
@@ -187,9 +189,9 @@
     @staticmethod
     def _only_once(rules: dict[str, Any]) -> bool:
         """Whether an attempt that may have run can leave its request with nothing more that may be done."""
-        if rules["effect"] == Effect.KEYED:
-            return rules["group"] != Group.ALL or rules["repeat_window"] < rules["deadline"]
-        return rules["effect"] == Effect.UNSAFE
+        if rules["effect"] == Idempotency.KEYED:
+            return rules["group"] != DeduplicationGroup.ALL or rules["repeat_window"] < rules["deadline"]
+        return rules["effect"] == Idempotency.NON_IDEMPOTENT
 
     def _may_go(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether an attempt may be written now: the last look before bytes go to its server.
@@ -212,7 +214,7 @@
 
     def _aged(self, attempt: Attempt) -> bool:
         """Whether a cold server would get what was decided long ago beside all that was decided since."""
-        started = self._standings.get(attempt.server, (State.LIVE, 0.0))[1]
+        started = self._standings.get(attempt.server, (ServerState.LIVE, 0.0))[1]
         if not started or now() >= started + self._terms["cold_time"]:
             return False
         return 0.0 < FRESH * self._terms["fall_span"] < now() - attempt.sent
@@ -220,11 +222,11 @@
     def _forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Rule two at the socket: whether another attempt that may have run forbids this one by now."""
         rules = self._kinds[exchange.kind]
-        if rules["effect"] == Effect.SAFE:
+        if rules["effect"] == Idempotency.IDEMPOTENT:
             return False
         others = (one.sent for one in exchange.attempts if one.may_have_run and one is not attempt)
         first = min(others, default=inf)
-        if rules["effect"] == Effect.UNSAFE:
+        if rules["effect"] == Idempotency.NON_IDEMPOTENT:
             return first < inf
         return now() >= first + rules["repeat_window"] - self._terms["tick"]
 
@@ -303,7 +305,7 @@
             self._log.exception("fault")
         self._drop(wire.line, wire.reason)
         self._busy[server] -= 1
-        self._rounds.happened(Event.SOUNDED, server, outcome, now() - sent, report)
+        self._rounds.happened(Event.PROBE_ENDED, server, outcome, now() - sent, report)
 
     # connections
 
--- a/wheatroute/processor/accounts.py
+++ b/wheatroute/processor/accounts.py
@@ -11,9 +11,9 @@
 from enum import IntEnum
 from typing import Any
 
-from wheatroute.interface import Effect, Group, Past
+from wheatroute.balancing.interface import DeduplicationGroup, EarlierAttempt, Idempotency
 
-Earlier = Past  # server (-1 unknown), when it was decided, whether it may have run
+Earlier = EarlierAttempt  # server (-1 unknown), when it was decided, whether it may have run
 
 
 class Fate(IntEnum):
@@ -55,14 +55,16 @@
     def __init__(self, kinds: Sequence[dict[str, Any]], remembered: float, most: int) -> None:
         self._kinds, self._remembered, self._most = kinds, remembered, most
         self._tries: dict[bytes, tuple[int, list[Try]]] = {}
-        self._strict: dict[bytes, Effect] = {}  # ids taken under stricter rules than their class has by now
+        self._strict: dict[
+            bytes, Idempotency
+        ] = {}  # ids taken under stricter rules than their class has by now
         self._last: dict[bytes, float] = {}  # when an id was last asked for
         self._asked: deque[tuple[float, bytes]] = deque()
 
     def agree(self, kinds: Sequence[dict[str, Any]], remembered: float) -> None:
         """Other rules: an id that was taken under stricter ones keeps to them."""
         for name, (kind, _) in self._tries.items():
-            old = max(self._kinds[kind]["effect"], self._strict.get(name, Effect.SAFE))
+            old = max(self._kinds[kind]["effect"], self._strict.get(name, Idempotency.IDEMPOTENT))
             if old > kinds[kind]["effect"]:
                 self._strict[name] = old
         self._kinds, self._remembered = kinds, max(self._remembered, remembered)
@@ -85,7 +87,7 @@
             if len(self._tries) >= self._most:
                 raise RefusedError(Refusal.NO_ROOM)
             known = self._tries[name] = (kind, first)
-        earlier = self._past(known, kind, self._strict.get(name, Effect.SAFE))
+        earlier = self._past(known, kind, self._strict.get(name, Idempotency.IDEMPOTENT))
         one = Try()
         known[1].append(one)
         if name not in self._last:
@@ -93,7 +95,7 @@
         self._last[name] = now
         return one, earlier
 
-    def _past(self, known: tuple[int, list[Try]], kind: int, strict: Effect) -> tuple[Earlier, ...]:
+    def _past(self, known: tuple[int, list[Try]], kind: int, strict: Idempotency) -> tuple[Earlier, ...]:
         if known[0] != kind or any(one.fate == Fate.UNDECIDED for one in known[1]):
             raise RefusedError(Refusal.CONFLICT)
         # a try that was refused before there was a decision went nowhere, and is none of the module's
@@ -103,7 +105,7 @@
             if one.server >= 0 or one.fate == Fate.MAY_HAVE_RUN
         )
         effect = self._kinds[kind]["effect"]
-        if (effect == Effect.UNSAFE or effect < strict) and any(may for *_, may in earlier):
+        if (effect == Idempotency.NON_IDEMPOTENT or effect < strict) and any(may for *_, may in earlier):
             raise RefusedError(Refusal.MAY_HAVE_RUN)
         return earlier
 
@@ -114,9 +116,9 @@
         lasts for as long as a request of this class can: the first try cannot be older than that.
         """
         terms = self._kinds[kind]
-        if terms["effect"] == Effect.SAFE:
+        if terms["effect"] == Idempotency.IDEMPOTENT:
             return []
-        everywhere = terms["effect"] == Effect.KEYED and terms["group"] == Group.ALL
+        everywhere = terms["effect"] == Idempotency.KEYED and terms["group"] == DeduplicationGroup.ALL
         if not everywhere or terms["repeat_window"] < terms["deadline"]:
             raise RefusedError(Refusal.MAY_HAVE_RUN)
         first = Try()  # remembered too, or the window would count from the second
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -12,10 +12,10 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event, Outcome, Report, ServerState
 from wheatroute.decide import Balancer
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.session import Session
-from wheatroute.interface import Event, Outcome, Report, State
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.exchange import Answer, Attempt, Exchange
 from wheatroute.net.rounds import Rounds, now
@@ -185,7 +185,7 @@
     def place(self, server: int, place: tuple[str, int]) -> None:
         self._places[server] = b"%s:%d" % (place[0].encode(), place[1])
 
-    def stands(self, server: int, state: State, started: float) -> None:
+    def stands(self, server: int, state: ServerState, started: float) -> None:
         """Nothing lies here between a decision and its answer to the proxy that could still be held back."""
 
     def release(self, server: int) -> bool:
@@ -240,7 +240,7 @@
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
         self.counted = {"nodes": nodes, "node": node}
-        self._rounds.happened(Event.PEERS, nodes, node, caution)
+        self._rounds.happened(Event.NODES_COUNTED, nodes, node, caution)
 
     def _take(self, told: Any) -> None:
         """Hands it on, and keeps each entry as it was told, for the snapshot."""
--- a/wheatroute/processor/mapping.py
+++ b/wheatroute/processor/mapping.py
@@ -14,7 +14,7 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from wheatroute.interface import Effect, Outcome
+from wheatroute.balancing.interface import Idempotency, Outcome
 from wheatroute.net.exchange import hinted
 from wheatroute.net.servers import LARGEST, report_of
 from wheatroute.words import in_header
@@ -102,7 +102,7 @@
         if not found.get("request_id"):
             raise UnfitError(400, "no request id")
         effect = self._kinds[kind]["effect"]
-        if effect == Effect.KEYED and not found.get("receipt"):
+        if effect == Idempotency.KEYED and not found.get("receipt"):
             if kind not in self._twins:
                 raise UnfitError(400, "no key, which this request class needs")
             kind = self._twins[kind]
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -14,9 +14,9 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
 from google.protobuf.message import DecodeError
 
+from wheatroute.balancing.interface import Outcome, Report
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.interface import Outcome, Report
 from wheatroute.net.exchange import REFUSED, Attempt, Exchange
 from wheatroute.processor.accounts import Earlier, Refusal, RefusedError, Try
 from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
--- a/wheatroute/words.py
+++ b/wheatroute/words.py
@@ -8,10 +8,14 @@
 from typing import Any
 from urllib.parse import quote
 
-from wheatroute.interface import Effect, Group
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 
-EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {"all": DeduplicationGroup.ALL, "zone": DeduplicationGroup.ZONE, "cell": DeduplicationGroup.CELL}
 # what load reports tell: the simulator's names and those on the sockets, and ours
 FIGURES = {
     "active": "held",
@@ -119,8 +123,8 @@
         "worth": info.get("utility", 1.0),
         "late_worth": info.get("overdue-utility", 0.0),
         # a word not known here is taken for the strictest
-        "effect": EFFECTS.get(info.get("effect", ""), Effect.UNSAFE),
-        "group": GROUPS.get(info.get("group", "all"), Group.CELL),
+        "effect": EFFECTS.get(info.get("effect", ""), Idempotency.NON_IDEMPOTENT),
+        "group": GROUPS.get(info.get("group", "all"), DeduplicationGroup.CELL),
         "repeat_window": info.get("repeat-window", 0.0),
         "streamed": info.get("streamed", False),
     }
