--- a/wheatroute/edge/primary_client.py
+++ b/wheatroute/edge/primary_client.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from math import inf
+
 import msgspec
 import trio
 
@@ -25,8 +27,8 @@
     def __init__(self, node: EdgeNode) -> None:
         self.primary = ""
         self.was_redirected = False  # the last response named `primary` as the primary
-        self.failed_at = -1e9  # when a host last gave no answer, or accepted no connection
-        self.updated_at = -1e9  # when the last update of a primary came
+        self.failed_at = -inf  # when a host last gave no answer, or accepted no connection
+        self.updated_at = -inf  # when the last update of a primary came
         self._rng = node.rng
         self._port = node.settings.internal_port
         self._seeds = node.settings.seed_hosts
