--- a/tests/cluster/test_reload.py
+++ b/tests/cluster/test_reload.py
@@ -49,7 +49,7 @@
     file = settings_file()
     assert not file.has_changed()
     path.write_text(LATER)
-    assert not file.has_changed() and file.has_changed()  # it may just be being written
+    assert not file.has_changed() and file.has_changed()  # the first check may find it half written
     assert file.reload() == parse_settings(LATER) and not file.has_changed()
     (line,) = caplog.records
     assert line.message == "settings-applied" and line.needs_restart == []
@@ -76,13 +76,13 @@
         path.write_text(text)
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(FILE)
     assert [line.message for line in caplog.records] == ["settings-rejected"]
-    path.write_text(LATER)  # whole, a moment later, and without another signal
+    path.write_text(LATER)  # complete, a moment later, and without another signal
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
 def test_a_file_is_applied_once_it_no_longer_changes_whatever_its_size_and_time(path):
     file = settings_file()
-    half = LATER[: LATER.index("tolerate")]  # a whole file by chance
+    half = LATER[: LATER.index("tolerate")]  # happens to be a valid file
     for text in (half, half + "tolerate:", LATER):
         path.write_text(text)
         assert not file.has_changed()
@@ -94,7 +94,7 @@
 
 
 def test_a_file_that_changed_before_the_first_check_is_applied(path):
-    settings = parse_settings(FILE)  # as the process read it
+    settings = parse_settings(FILE)  # as read at the start
     path.write_text(LATER)
     file = SettingsFile(settings, logging.getLogger("test-reload"))
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
@@ -109,7 +109,7 @@
 
 
 class _Core:
-    """What a control node's settings reach of replication."""
+    """Stand-in for the replication core: what a control node's settings change in it."""
 
     tolerate = 1
     hosts = ()
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -17,15 +17,13 @@
 async def test_routes_are_found_by_host_and_longest_prefix():
     inner, outer = ScriptedServer("i-1", service="other"), ScriptedServer("i-2")
     async with running_edge(inner, outer) as edge:
-        await edge.exchange(
-            request("/plain/inner/x").replace(b"Host: shop.example", b"Host: Shop.Example:8080")
-        )
+        with_port = request("/plain/inner/x").replace(b"Host: shop.example", b"Host: Shop.Example:8080")
+        await edge.exchange(with_port)
         await edge.exchange(request("/plain/innerx"))
         assert [len(inner.requests), len(outer.requests)] == [1, 1]
         assert status(await edge.exchange(request("/nowhere/"))) == 404
-        assert (
-            status(await edge.exchange(request("/plain/").replace(b"shop.example", b"else.example"))) == 404
-        )
+        elsewhere = request("/plain/").replace(b"shop.example", b"else.example")
+        assert status(await edge.exchange(elsewhere)) == 404
 
 
 @story
@@ -89,7 +87,7 @@
         assert status(await edge.exchange(request("/plain/1"))) == 404
         assert status(await edge.exchange(request("/safe/1"))) == 401
         assert status(await edge.exchange(request("/safe/1", key="k9"))) == 200
-        # what is older is not taken
+        # an older configuration is ignored
         edge.configure(CONFIGURATION, sequence=1)
         edge.register(server, number=3)
         assert status(await edge.exchange(request("/plain/1"))) == 404
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -29,7 +29,7 @@
 NO_ID = b"HTTP/1.1 200 OK\r\nServer-Signature: s1\r\nContent-Length: 2\r\n\r\nno"
 
 
-LONG = b"x" * 3_000_000  # more than the buffers of both sides take
+LONG = b"x" * 3_000_000  # more than the socket buffers of both sides hold
 
 
 def request_ids(*servers):
@@ -93,7 +93,7 @@
 
 @story
 async def test_a_connection_on_which_a_request_was_rejected_never_carries_it_again():
-    """Whatever path leads to a second send: there a late copy of the rejection would match by its id."""
+    """A late copy of the rejection would be taken for the response to the second attempt, by its id."""
     server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
     async with running_edge(server) as edge:
         await edge.exchange(request("/plain/0", identity="r0"))
@@ -221,7 +221,7 @@
 
 
 async def read_on(server, stream, due):
-    """It keeps the connection; the rest of the body has to come, and nothing else."""
+    """Keep the connection, and check that the rest of the body comes and nothing else."""
     while due > 0:
         data = await stream.receive_some(65536)
         assert data and data == b"x" * min(len(data), due)
@@ -255,24 +255,19 @@
 
 @story
 async def test_a_request_cancelled_inside_its_body_is_never_completed():
-    """Its client leaves while the server doesn't read: the request can't run, and goes nowhere else."""
-    held = trio.Event()
+    """Its client disconnects while the server doesn't read: it can't run, and isn't retried."""
+    is_waiting = trio.Event()
 
-    async def hold(server, stream, due):
-        held.set()
-        while await stream.receive_some(65536):
-            pass
-
-    async def nothing(server, stream, due):
-        held.set()
+    async def never_read(server, stream, due):
+        is_waiting.set()
         await trio.sleep_forever()
 
-    first, second = EarlyServer("i-1", b"", nothing), ScriptedServer("i-2")
+    first, second = EarlyServer("i-1", b"", never_read), ScriptedServer("i-2")
     async with running_edge(first, second) as edge:
         edge.node.selector.rank = by_id
         client = await trio.open_tcp_stream("127.0.0.1", edge.port)
         await client.send_all(request("/plain/1", body=LONG))
-        await held.wait()
+        await is_waiting.wait()
         await client.aclose()
         await until(lambda: not edge.clients.busy_count)
         assert edge.node.pool.connection_count(edge.node.instances.get("i-1")) == 0
@@ -281,7 +276,7 @@
 
 @story
 async def test_a_resumed_stream_uses_another_connection():
-    """Also at the same server: the surplus end of the first answer would belong to the second."""
+    """At the same server too: surplus bytes of the first response would be read as the second one's."""
     begun = STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n")
     rest = STREAM_HEAD + chunk(b"id: 2\ndata: b\n\n") + END
     server = ScriptedServer("i-1", respond_raw(begun), respond_raw(rest, keep=True))
@@ -292,7 +287,7 @@
 
 
 def test_only_outcomes_with_a_proof_count_as_never_ran():
-    """What may follow an outcome: nothing but a proof lets an unsafe request go on."""
+    """Only these let a non-idempotent request go to another server."""
     assert attempt.NEVER_RAN == {
         attempt.Outcome.NOT_SENT,
         attempt.Outcome.CANCELLED,
--- a/tests/edge/test_changes_while_waiting.py
+++ b/tests/edge/test_changes_while_waiting.py
@@ -17,19 +17,19 @@
 
 from wheatroute.cluster.messages import InstanceState
 
-PATIENT = deepcopy(CONFIGURATION)
-for one in PATIENT["routes"]:
+LONG_TARGETS = deepcopy(CONFIGURATION)
+for one in LONG_TARGETS["routes"]:
     one["target_ms"] = 20_000  # so that a request waits for a server for seconds
 
 
 @story
 async def test_a_waiting_request_keeps_a_route_that_is_removed():
-    """It is carried by the version that it came under, and the next one is refused by the new version."""
+    """Its version of the configuration stays in force for it; the next request gets the new one."""
     server = ScriptedServer("i-1")
-    without = deepcopy(PATIENT)
+    without = deepcopy(LONG_TARGETS)
     without["generation"] = 4
-    without["routes"] = [route for route in PATIENT["routes"] if route["name"] != "plain"]
-    async with running_edge(server, configuration=PATIENT) as edge:
+    without["routes"] = [route for route in LONG_TARGETS["routes"] if route["name"] != "plain"]
+    async with running_edge(server, configuration=LONG_TARGETS) as edge:
         edge.register(number=2)
         waiting = await trio.open_tcp_stream("127.0.0.1", edge.port)
         await waiting.send_all(request("/plain/1"))
@@ -63,7 +63,7 @@
 @story
 async def test_a_waiting_request_whose_client_disconnects_reaches_no_server():
     server = ScriptedServer("i-1")
-    async with running_edge(server, configuration=PATIENT) as edge:
+    async with running_edge(server, configuration=LONG_TARGETS) as edge:
         edge.register(number=2)
         gone = await trio.open_tcp_stream("127.0.0.1", edge.port)
         await gone.send_all(request("/plain/1"))
@@ -78,7 +78,7 @@
 @story
 async def test_a_waiting_request_is_answered_before_a_stopping_node_ends():
     server = ScriptedServer("i-1")
-    async with running_edge(server, configuration=PATIENT) as edge:
+    async with running_edge(server, configuration=LONG_TARGETS) as edge:
         edge.register(number=2)
         waiting = await trio.open_tcp_stream("127.0.0.1", edge.port)
         await waiting.send_all(request("/plain/1"))
@@ -93,8 +93,8 @@
 
 @story
 async def test_a_server_that_leaves_while_it_accepts_no_bytes_delays_no_request():
-    """Its socket is never writable again: the request goes to another server all the same."""
-    body = b"x" * (24 << 20)  # more than the sockets between take
+    """The socket never becomes writable again, and the request still goes to another server."""
+    body = b"x" * (24 << 20)  # more than the socket buffers hold
     large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
     begun, other = trio.Event(), ScriptedServer("i-2")
 
@@ -119,8 +119,8 @@
 
 @story
 async def test_a_server_that_leaves_before_the_last_byte_never_gets_a_complete_request():
-    """Without its rest the request never runs there, so an unsafe one may go to another server."""
-    body = b"x" * (24 << 20)  # more than the sockets between take
+    """An incomplete request never runs there, so a non-idempotent one may go to another server."""
+    body = b"x" * (24 << 20)  # more than the socket buffers hold
     large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
     begun, drained, other = trio.Event(), trio.Event(), ScriptedServer("i-2")
     halves = []
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -69,7 +69,7 @@
         await slow.send_all(request("/stream/1"))
         await until(lambda: sent)
         seen, still = 0, 0
-        while still < 30:  # rounds of other clients in which the slow one's stream no longer moves
+        while still < 30:  # requests of other clients during which the slow client's stream made no progress
             seen, still = (len(sent), 0) if len(sent) > seen else (seen, still + 1)
             assert status(await edge.exchange(request("/plain/1", identity=f"r{seen}-{still}"))) == 200
         assert len(sent) < offered / 2
--- a/tests/edge/test_control_client.py
+++ b/tests/edge/test_control_client.py
@@ -42,13 +42,13 @@
 
 
 def with_change(primary, body, poll):
-    """What the primary knows, with this as the way to a newer version."""
+    """The primary's update, with this body as the difference to a newer version."""
     return 200, msgspec.structs.replace(primary.update(poll), configuration=8, configuration_change=body)
 
 
 @story
 async def test_a_difference_that_cannot_be_applied_is_dropped_and_the_full_configuration_requested():
-    """One from a version that this node doesn't have, and one that can't be read."""
+    """One is based on a version that this node doesn't have, the other can't be decoded."""
     first = make_version(decode_configuration(json.dumps(CONFIGURATION)), 7)
     second = make_version(decode_configuration(json.dumps(CONFIGURATION | {"generation": 4})), 8)
     async with running(ScriptedServer("i-1")) as edge:
@@ -145,7 +145,7 @@
             if path != b"/usage":
                 return await plain(path, body)
             report = msgspec.msgpack.decode(body, type=UsageReport)
-            if any(need.wanted for need in report.tenants.values()):  # else it is a regular one
+            if any(need.wanted for need in report.tenants.values()):  # else it is a regular report
                 waited.append(report)
             await trio.sleep_forever()
 
@@ -155,12 +155,12 @@
         assert status(await edge.exchange(body)) == 200
         answered = [status(await edge.exchange(body)) for _ in range(10)]
         assert 200 in answered and 429 in answered
-        assert len(waited) <= 1  # none, if a regular report met the silence first
+        assert len(waited) <= 1  # none, if a regular report got no response before
 
 
 @story
 async def test_a_poll_whose_connection_breaks_delays_no_lease():
-    """A connection that was reset says nothing of the primary: tokens are requested at once."""
+    """A connection that was reset doesn't mean that the primary is down: tokens are requested at once."""
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
--- a/tests/edge/test_dispatch.py
+++ b/tests/edge/test_dispatch.py
@@ -145,9 +145,9 @@
 
 @asynccontextmanager
 async def both_attempts_end_at_once(before=None):
-    """A hedged stream whose two attempts have their first events before either is looked at.
+    """A hedged stream whose two attempts have their first events before either is handled.
 
-    `before` is called with the client once both have ended, and before they hear of anything else.
+    `before` is called with the client once both have succeeded, before either continues.
     """
     begun = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n"), keep=True)
     servers = [ScriptedServer(f"i-{n}", begun, begun) for n in range(2)]
--- a/tests/edge/test_edge_role.py
+++ b/tests/edge/test_edge_role.py
@@ -103,7 +103,7 @@
         begun = trio.current_time()
         os.kill(os.getpid(), signal.SIGTERM)
         await edge.ended.wait()
-        assert trio.current_time() - begun < 4.0  # its grace
+        assert trio.current_time() - begun < 4.0  # `grace_s`
         response += await read_all(stream)
     assert END not in response
 
@@ -161,7 +161,7 @@
 async def test_seeds_that_change_in_the_file_without_a_signal_are_used(tmp_path):
     path = tmp_path / "boot.yaml"
     async with running(ScriptedServer("i-1"), seeds=("127.0.0.9:1",), seeds_file=path) as edge:
-        # nobody is there: all that the node knows is wrong
+        # no control node is at the seeds that the node knows
         await trio.testing.wait_all_tasks_blocked()
         assert not edge.node.is_configured
         settings = {
--- a/tests/edge/test_instances.py
+++ b/tests/edge/test_instances.py
@@ -43,7 +43,7 @@
     instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
     good, gone = ScriptedServer("i-2"), ScriptedServer("i-1")
     try:
-        # what it has no room for is never acknowledged: nobody reads
+        # nobody reads: bytes beyond the receive buffer are never acknowledged
         with socket.socket() as deaf:
             deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             deaf.bind(("127.0.0.1", 0))
@@ -55,12 +55,9 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(edge.exchange, request("/plain/1", body=b"x" * 65536))
                     await until(lambda: server.has_unacknowledged_bytes(trio.current_time()))
-                    assert (
-                        server.unresponsive_for(trio.current_time()) < edge.node.selector.response_timeout_s
-                    )
-                    assert list(edge.node.instances.unresponsive_for(trio.current_time(), TIME_LIMIT_S)) == [
-                        "i-1"
-                    ]
+                    now = trio.current_time()
+                    assert server.unresponsive_for(now) < edge.node.selector.response_timeout_s
+                    assert list(edge.node.instances.unresponsive_for(now, TIME_LIMIT_S)) == ["i-1"]
                     edge.register(good, gone, number=3)
                     for n in range(20):
                         assert status(await edge.exchange(request("/plain/1", identity=f"s{n}"))) == 200
@@ -77,7 +74,7 @@
     box.append(dark)
     async with running_edge(dark, good) as edge:
         server = edge.node.instances.get("i-1")
-        # a request has been there for longer than any answer takes
+        # a request has been pending for longer than the response timeout
         server.last_response_at = trio.current_time() - 1.0
         server.pending[0] = PendingAttempt(server.last_response_at, lambda: False)
         for n in range(20):
