--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -11,12 +11,12 @@
 from dataclasses import dataclass
 from math import factorial
 
+from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.distributions import distribution
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.plan import Model, Tier
 from wheatroute.fleet.random_streams import stream
 from wheatroute.fleet.servers import Job, Server
-from wheatroute.interface import Outcome
 
 
 def mm1(load: float, work: float) -> float:
