--- a/wheatroute/edge/client_response.py
+++ b/wheatroute/edge/client_response.py
@@ -24,7 +24,7 @@
         self.is_closing = is_closing  # the connection ends with this response
         self.has_begun = False
         self.is_complete = False
-        self.is_client_gone = False
+        self.is_client_disconnected = False
         self._connection = connection
 
     def _head(self, status: int, headers: Headers, reason: bytes = b"") -> h11.Response:
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -223,5 +223,5 @@
                 return
         except OSError:
             pass
-        response.is_client_gone = True
+        response.is_client_disconnected = True
         scope.cancel()
--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -80,7 +80,7 @@
         return retry_after_s * (1.0 + RETRY_AFTER_JITTER * self._node.rng.random())
 
     async def _forward(self, request: ClientRequest, response: ClientResponse) -> None:
-        attempt = await self._dispatcher.dispatch(request, lambda: not response.is_client_gone)
+        attempt = await self._dispatcher.dispatch(request, lambda: not response.is_client_disconnected)
         try:
             if attempt.is_streaming:
                 await self._forward_stream(request, attempt, response)
@@ -135,7 +135,9 @@
         may_resume = request.route.resume and last_event_id is not None and has_retries_left
         if not may_resume or not self._dispatcher.may_retry(request):
             raise RequestError(ErrorKind.SERVER_FAILED, f"stream broke: {detail}")
-        resumed = await self._dispatcher.dispatch(request, lambda: not response.is_client_gone, last_event_id)
+        resumed = await self._dispatcher.dispatch(
+            request, lambda: not response.is_client_disconnected, last_event_id
+        )
         if not resumed.is_streaming or resumed.status != broken.status:
             self._dispatcher.release(resumed)
             raise RequestError(ErrorKind.SERVER_FAILED, "the stream could not be taken up")
