--- a/tests/control/test_changes.py
+++ b/tests/control/test_changes.py
@@ -152,13 +152,13 @@
 
 
 def test_an_order_that_may_have_been_taken_too_long_ago_is_not_refused(monkeypatch):
-    monkeypatch.setattr(changes, "REMEMBERED_CHANGES", 3)
+    monkeypatch.setattr(changes, "MAX_REMEMBERED_CHANGES", 3)
     state, orders = ConfigurationState(), []
     for generation in range(1, 7):
         body = msgspec.json.encode({"generation": generation, "routes": [], "services": []})
         orders.append(Change(False, str(generation - 1), body))
         state = apply_change(state, orders[-1])
-    assert state.bases == (3, 4, 5) and state.forgotten == 2
+    assert state.base_generations == (3, 4, 5) and state.newest_forgotten_base == 2
     assert [apply_change(state, one) for one in orders[3:]] == [None] * 3
     for one in orders[:3]:
         with pytest.raises(RequestError) as unclear:
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -360,10 +360,10 @@
 
 
 def test_the_replicated_document_of_a_change_is_the_same():
-    state = apply_change(ConfigurationState(), Change(partial=False, match='"0"', body=BODY))
+    state = apply_change(ConfigurationState(), Change(is_partial=False, if_match='"0"', body=BODY))
     assert encode_state(state).hex() == STATE
     assert decode_state(bytes.fromhex(STATE)) == state
-    patch = Change(partial=True, match="3", body=b'{"generation": 4, "delete": {"routes": ["chat"]}}')
+    patch = Change(is_partial=True, if_match="3", body=b'{"generation": 4, "delete": {"routes": ["chat"]}}')
     assert patch.digest.hex() == "9a1456da6c85e7e7a5f7ad656565bd51"
     assert encode_state(apply_change(state, patch)).hex() == PATCHED
 
--- a/tests/control/test_distribution.py
+++ b/tests/control/test_distribution.py
@@ -14,7 +14,7 @@
     make_version,
 )
 from wheatroute.cluster.errors import RequestError
-from wheatroute.control.versions import KEPT_VERSIONS, ConfigurationVersions
+from wheatroute.control.versions import MAX_VERSIONS, ConfigurationVersions
 from wheatroute.edge.routing import RoutingTable
 
 
@@ -126,21 +126,23 @@
 def test_a_node_too_far_behind_gets_the_whole_and_what_is_kept_is_bounded():
     versions = ConfigurationVersions()
     held = {}
-    for number in range(3 * KEPT_VERSIONS):
+    for number in range(3 * MAX_VERSIONS):
         versions.commit(configuration(number + 1, map(route, range(number, number + 5))), number)
-        held[number] = apply_difference(EMPTY_VERSION, decode_difference(versions.since(-1)))
-    assert len(versions._kept) == KEPT_VERSIONS
-    newest = 3 * KEPT_VERSIONS - 1
+        held[number] = apply_difference(EMPTY_VERSION, decode_difference(versions.difference_since(-1)))
+    assert len(versions._versions) == MAX_VERSIONS
+    newest = 3 * MAX_VERSIONS - 1
     for number, base in held.items():
-        told = decode_difference(versions.since(number))
-        near = number > newest - KEPT_VERSIONS
+        told = decode_difference(versions.difference_since(number))
+        near = number > newest - MAX_VERSIONS
         assert told.base == (number if near else -1)
         assert apply_difference(base if near else EMPTY_VERSION, told) == held[newest]
-    assert len(versions._encoded) <= KEPT_VERSIONS + 1
+    assert len(versions._encoded_differences) <= MAX_VERSIONS + 1
 
 
 def test_an_answer_is_encoded_once_for_all_that_ask_the_same():
     versions = ConfigurationVersions()
     versions.commit(configuration(1, map(route, range(9))), 4)
     versions.commit(configuration(2, map(route, range(10))), 5)
-    assert versions.since(4) is versions.since(4) and versions.since(-1) is versions.since(2)
+    assert versions.difference_since(4) is versions.difference_since(4) and versions.difference_since(
+        -1
+    ) is versions.difference_since(2)
--- a/tests/control/test_nodes.py
+++ b/tests/control/test_nodes.py
@@ -82,7 +82,7 @@
         """The one that serves, once there is one."""
         while True:
             for host, service in self.services.items():
-                if host != but and service.replicator.serving and service._sequence >= 0:
+                if host != but and service.replicator.serving and service.configuration.is_committed:
                     return host, service
             await asyncio.sleep(0.01)
 
@@ -198,7 +198,7 @@
     await service.heartbeat("i-2", ServerHeartbeat(backend="s", addr="10.0.0.9:80", state="draining", seq=2))
     await nodes.end(host)
     _, successor = await nodes.leader(but=host)
-    states = {one.id: one.state.value for one in successor._registry.present()}
+    states = {one.id: one.state.value for one in successor.state.registry.present()}
     assert states == {"i-1": "ready", "i-2": "draining"}
 
 
@@ -249,7 +249,7 @@
         if one != host:
             await nodes.start(one, bootstrap=False)
     _, successor = await nodes.leader()
-    assert [one.id for one in successor._registry.present()] == ["i-1"]
+    assert [one.id for one in successor.state.registry.present()] == ["i-1"]
 
 
 def test_damage_on_disk_is_found_and_mended_while_the_node_runs(tmp_path, monkeypatch, caplog):
@@ -297,8 +297,8 @@
     monkeypatch.setenv(SETTINGS_VARIABLE, str(path))
 
     class Watched(ControlService):
-        def take_settings(self, told):
-            super().take_settings(told)
+        def apply_settings(self, told):
+            super().apply_settings(told)
             taken.append((told, self.replicator.core.tolerate, self.replicator.core.hosts))
             read.set()
 
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -1,7 +1,8 @@
-"""The HTTP faces of a control node around a replicator that is told what to say."""
+"""The HTTP interfaces of a control node around a stand-in for the replicator."""
 
 import asyncio
 import logging
+from unittest.mock import patch
 
 import msgspec
 import pytest
@@ -25,7 +26,8 @@
 from wheatroute.control.changes import Change, ConfigurationState, encode_state
 from wheatroute.control.quotas import BucketLevels
 from wheatroute.control.registry import Registry, decode_heartbeat
-from wheatroute.control.service import ControlService, SoftState
+from wheatroute.control.service import ControlService
+from wheatroute.control.soft_state import SoftState
 from wheatroute.replication.view import Document, Stamp, View
 
 FIRST = {
@@ -34,11 +36,13 @@
     "services": [{"name": "s"}],
     "tenants": [{"name": "t", "api_keys": ["k"], "rate_per_s": 10, "burst": 5}],
 }
-BEAT = {"backend": "s", "addr": "10.0.0.9:80", "zone": "z", "slots": 4, "state": "ready", "seq": 1}
+CONTROL_PORT = 8080
+LOG = logging.getLogger("test-control")
+HEARTBEAT = {"backend": "s", "addr": "10.0.0.9:80", "zone": "z", "slots": 4, "state": "ready", "seq": 1}
 
 
 def version_of(update):
-    """What a node that has nothing makes of an update."""
+    """The configuration version that an edge node without any has after an update."""
     return apply_difference(EMPTY_VERSION, decode_difference(update.configuration_change))
 
 
@@ -50,17 +54,17 @@
 
     def __init__(self):
         self.document = self.committed = Document(Stamp(4, 1), encode_state(ConfigurationState()))
-        self.primary_heard = True
+        self.hears_primary = True
 
     def primary_host(self, now):
-        return "10.0.0.2" if self.primary_heard and not self.leading else ""
+        return "10.0.0.2" if self.hears_primary and not self.leading else ""
 
 
-class Replicator:
-    """Commits what is written at once, unless told otherwise."""
+class ReplicatorStandIn:
+    """Commits what is written at once, unless a test sets another outcome."""
 
-    def __init__(self, service):
-        self.service = service
+    def __init__(self, settings, on_commit, on_view_change, log):
+        self.on_commit, self.on_view_change = on_commit, on_view_change
         self.core = Core()
         self.serving = True
         self.hint = self.levels = b""
@@ -74,7 +78,7 @@
         self.core.document = self.core.committed = Document(
             Stamp(4, self.core.document.stamp.sequence + 1), payload
         )
-        self.service._committed(self.core.document)
+        self.on_commit(self.core.document)
         return True
 
     async def confirm(self, timeout):
@@ -91,215 +95,241 @@
         return self.takes_hints
 
 
-def played(tell):
-    """Runs a story with a service, its replicator and both of its apps."""
+def make_service():
+    """A control node that leads, with nothing but an empty document."""
+    settings = Settings(node="c", ip="10.0.0.1", zone="z", listen={}, port_range=(1, 2), seeds=())
+    with patch("wheatroute.control.service.Replicator", ReplicatorStandIn):
+        service = ControlService(settings, LOG)
+    service.state.registry = Registry(4, 1.2, asyncio.get_running_loop().time())
+    service.replicator.on_commit(service.replicator.core.document)
+    return service
 
-    def run():
-        async def story():
-            settings = Settings(node="c", ip="10.0.0.1", zone="z", listen={}, port_range=(1, 2), seeds=())
-            service = ControlService(settings, logging.getLogger("test-control"))
-            service.replicator = Replicator(service)
-            service._registry = Registry(4, 1.2, asyncio.get_running_loop().time())
-            service._committed(service.replicator.core.document)
-            handlers = Handlers(service, 8080, logging.getLogger("test-control"))
-            async with AsyncTestClient(control_app(handlers)) as outside:
-                async with AsyncTestClient(internal_app(handlers)) as inside:
-                    await tell(service, outside, Inside(inside))
 
-        asyncio.run(story())
+def with_service(scenario):
+    """Makes a test of a scenario with a service and clients of both of its apps."""
 
-    run.__name__ = tell.__name__
-    return run
+    async def run():
+        service = make_service()
+        handlers = Handlers(service, CONTROL_PORT, LOG)
+        async with AsyncTestClient(control_app(handlers)) as operator:
+            async with AsyncTestClient(internal_app(handlers)) as internal:
+                await scenario(service, operator, EdgeClient(internal))
 
+    def test():
+        asyncio.run(run())
+
+    test.__name__ = scenario.__name__
+    return test
+
+
+class EdgeClient:
+    """An edge node's requests."""
 
-class Inside:
     def __init__(self, client):
         self.client = client
 
     async def updates(self, configuration=-1, registry=None, wait_s=0.0):
-        asked = UpdateRequest("edge-1", "z", configuration, registry or RegistryVersion(), wait_s)
-        got = await self.client.post("/updates", content=msgspec.msgpack.encode(asked))
-        kind = Update if got.status_code == 200 else NotPrimary
-        return msgspec.msgpack.decode(got.content, type=kind)
+        request = UpdateRequest("edge-1", "z", configuration, registry or RegistryVersion(), wait_s)
+        response = await self.client.post("/updates", content=msgspec.msgpack.encode(request))
+        message_type = Update if response.status_code == 200 else NotPrimary
+        return msgspec.msgpack.decode(response.content, type=message_type)
+
+    async def report(self, report):
+        response = await self.client.post("/usage", content=msgspec.msgpack.encode(report))
+        assert response.status_code == 200
+        return msgspec.msgpack.decode(response.content, type=UsageResponse)
 
 
-@played
-async def test_a_configuration_is_taken_read_back_and_handed_out(service, outside, inside):
-    assert (await outside.get("/-/config")).status_code == 404
+@with_service
+async def test_a_configuration_is_applied_read_back_and_distributed(service, operator, edge):
+    assert (await operator.get("/-/config")).status_code == 404
     body = msgspec.json.encode(FIRST)
     for _ in range(2):
-        assert (await outside.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
-    assert (await outside.get("/-/config")).content == body
-    told = await inside.updates()
-    assert told.configuration == 2
-    assert version_of(told) == make_version(decode_configuration(body), 2)
-    assert (await inside.updates(configuration=2)).configuration_change is None
-    bad = await outside.put("/-/config", content=body[:-4], headers={"If-Match": "3"})
-    assert bad.status_code == 400 and bad.json()["error"] == "invalid-configuration"
-    assert (await outside.patch("/-/config", content=b"{}", headers={"If-Match": "1"})).status_code == 412
-
-
-@played
-async def test_what_too_few_disks_took_gets_no_clear_answer(service, outside, inside):
+        assert (await operator.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
+    assert (await operator.get("/-/config")).content == body
+    update = await edge.updates()
+    assert update.configuration == 2
+    assert version_of(update) == make_version(decode_configuration(body), 2)
+    assert (await edge.updates(configuration=2)).configuration_change is None
+    malformed = await operator.put("/-/config", content=body[:-4], headers={"If-Match": "3"})
+    assert malformed.status_code == 400 and malformed.json()["error"] == "invalid-configuration"
+    assert (await operator.patch("/-/config", content=b"{}", headers={"If-Match": "1"})).status_code == 412
+
+
+@with_service
+async def test_a_change_that_too_few_disks_hold_is_not_acknowledged(service, operator, edge):
     service.replicator.acknowledges = False
-    got = await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
-    assert got.status_code == 503 and (await inside.updates()).configuration_change is None
+    response = await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+    assert response.status_code == 503 and (await edge.updates()).configuration_change is None
 
 
-@played
-async def test_a_change_waits_for_the_write_before_it(service, outside, inside):
-    """At each change of view the document is written anew; an order that comes in that moment is taken."""
+@with_service
+async def test_a_change_waits_for_the_write_before_it(service, operator, edge):
+    """At each change of view the document is written anew; a change that comes in that moment is applied."""
     core = service.replicator.core
-    kept, core.committed = core.committed, None
-    order = asyncio.create_task(service.change(Change(False, "0", msgspec.json.encode(FIRST))))
+    committed, core.committed = core.committed, None
+    change = asyncio.create_task(service.change(Change(False, "0", msgspec.json.encode(FIRST))))
     await asyncio.sleep(0)
-    assert not order.done()
-    core.committed = kept
-    assert await order == 3
-    core.committed = None  # it never comes
+    assert not change.done()
+    core.committed = committed
+    assert await change == 3
+    core.committed = None  # the commit never comes
     body = msgspec.json.encode({"generation": 4, "upsert": {"services": [{"name": "s4"}]}})
     with pytest.raises(RequestError, match="not acknowledged yet"):
         await service.change(Change(True, "3", body))
 
 
-@played
-async def test_a_read_is_answered_only_by_a_leader_that_a_majority_confirms(service, outside, inside):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+@with_service
+async def test_a_read_is_answered_only_by_a_primary_that_a_majority_confirms(service, operator, edge):
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     service.replicator.confirms = False
-    assert (await outside.get("/-/config")).status_code == 503
-    # nor is an order acknowledged again without that
-    again = await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+    assert (await operator.get("/-/config")).status_code == 503
+    # nor is a change acknowledged again without that
+    again = await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     assert again.status_code == 503
 
 
-@played
-async def test_no_order_is_refused_by_a_leader_that_no_majority_confirms(service, outside, inside):
-    """It may have been deposed: what it would refuse may have been taken, or be due, elsewhere."""
+@with_service
+async def test_no_change_is_rejected_by_a_primary_that_no_majority_confirms(service, operator, edge):
+    """It may have been deposed: what it would reject may have been applied, or be due, elsewhere."""
     first = msgspec.json.encode(FIRST)
-    await outside.put("/-/config", content=first, headers={"If-Match": "0"})
+    await operator.put("/-/config", content=first, headers={"If-Match": "0"})
     stale = msgspec.json.encode(FIRST | {"generation": 4})
     invalid = msgspec.json.encode(FIRST | {"generation": 2})
-    orders = ((stale, "0", 412), (invalid, "3", 400), (b"{", "3", 400))
+    rejected = ((stale, "0", 412), (invalid, "3", 400), (b"{", "3", 400))
     for confirms in (True, False):
         service.replicator.confirms = confirms
-        for body, match, refusal in orders:
-            got = await outside.put("/-/config", content=body, headers={"If-Match": match})
-            assert got.status_code == (refusal if confirms else 503)
+        for body, if_match, status in rejected:
+            response = await operator.put("/-/config", content=body, headers={"If-Match": if_match})
+            assert response.status_code == (status if confirms else 503)
 
 
-@played
-async def test_a_first_configuration_is_handed_out_only_by_a_leader_that_a_majority_confirms(
-    service, outside, inside
+@with_service
+async def test_a_first_configuration_is_sent_only_by_a_primary_that_a_majority_confirms(
+    service, operator, edge
 ):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     service.replicator.confirms = False
-    assert isinstance(await inside.updates(), NotPrimary)
+    assert isinstance(await edge.updates(), NotPrimary)
     # a node that has one takes nothing older: the lease is enough for it, also for a newer one
-    assert (await inside.updates(configuration=1)).configuration == 2
-    assert isinstance(await inside.updates(configuration=2), Update)
+    assert (await edge.updates(configuration=1)).configuration == 2
+    assert isinstance(await edge.updates(configuration=2), Update)
     service.replicator.confirms = True
-    assert (await inside.updates()).configuration == 2
+    assert (await edge.updates()).configuration == 2
 
 
-@played
-async def test_a_leader_that_is_deposed_while_it_asks_hands_nothing_out(service, outside, inside):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+@with_service
+async def test_a_primary_that_is_deposed_during_its_confirmation_sends_no_configuration(
+    service, operator, edge
+):
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
 
     async def deposed(timeout):
         service.replicator.core.leading = service.replicator.serving = False
-        service._view_changed()
+        service.replicator.on_view_change()
         return True
 
     service.replicator.confirm = deposed
-    assert isinstance(await inside.updates(), NotPrimary)
+    assert isinstance(await edge.updates(), NotPrimary)
 
 
-@played
-async def test_a_drain_is_acknowledged_only_by_a_leader_that_a_majority_confirms(service, outside, inside):
+@with_service
+async def test_a_drain_is_acknowledged_only_by_a_primary_that_a_majority_confirms(service, operator, edge):
     service.replicator.confirms = False
-    draining = msgspec.json.encode(BEAT | {"state": "draining"})
-    assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 503
-    assert (await outside.delete("/-/instances/i-1")).status_code == 503
+    draining = msgspec.json.encode(HEARTBEAT | {"state": "draining"})
+    assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 503
+    assert (await operator.delete("/-/instances/i-1")).status_code == 503
     service.replicator.confirms = True
-    assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 200
-    assert (await outside.delete("/-/instances/i-1")).status_code == 200
+    assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 200
+    assert (await operator.delete("/-/instances/i-1")).status_code == 200
 
 
-@played
-async def test_a_follower_that_hears_no_primary_sends_nobody_to_it(service, outside, inside):
-    service.replicator.core.leading = service.replicator.core.primary_heard = False
+@with_service
+async def test_a_replica_without_heartbeats_redirects_nobody_to_the_primary(service, operator, edge):
+    service.replicator.core.leading = service.replicator.core.hears_primary = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
-        got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
-        assert got.status_code == 503 and 0 < float(got.headers["retry-after"]) < 1
-    assert await inside.updates() == NotPrimary("", Core.hosts)
+        response = await operator.request(
+            method, path, content=msgspec.json.encode(HEARTBEAT), follow_redirects=False
+        )
+        assert response.status_code == 503 and 0 < float(response.headers["retry-after"]) < 1
+    assert await edge.updates() == NotPrimary("", Core.hosts)
 
 
-@played
-async def test_a_primary_whose_disk_takes_no_writes_says_so_and_keeps_its_state(service, outside, inside):
+@with_service
+async def test_a_primary_whose_disk_takes_no_writes_answers_503_and_keeps_its_state(service, operator, edge):
     body = msgspec.json.encode(FIRST)
     service.replicator.core.healthy = False
-    told = await outside.put("/-/config", content=body, headers={"If-Match": "0"})
-    assert (told.status_code, told.json()["error"]) == (503, "storage") and "Retry-After" in told.headers
+    response = await operator.put("/-/config", content=body, headers={"If-Match": "0"})
+    assert (response.status_code, response.json()["error"]) == (503, "storage")
+    assert "Retry-After" in response.headers
     service.replicator.core.healthy = True
-    assert (await outside.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
+    assert (await operator.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
 
 
-@played
-async def test_callers_are_sent_to_the_primary(service, outside, inside):
+@with_service
+async def test_callers_are_redirected_to_the_primary(service, operator, edge):
     service.replicator.core.leading = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
-        got = await outside.request(method, path, content=msgspec.json.encode(BEAT), follow_redirects=False)
-        assert (got.status_code, got.headers["location"]) == (307, f"http://10.0.0.2:8080{path}")
-    assert await inside.updates() == NotPrimary("10.0.0.2", Core.hosts)
+        response = await operator.request(
+            method, path, content=msgspec.json.encode(HEARTBEAT), follow_redirects=False
+        )
+        assert (response.status_code, response.headers["location"]) == (
+            307,
+            f"http://10.0.0.2:{CONTROL_PORT}{path}",
+        )
+    assert await edge.updates() == NotPrimary("10.0.0.2", Core.hosts)
 
 
-@played
-async def test_a_leader_without_a_majority_acknowledges_nothing(service, outside, inside):
+@with_service
+async def test_a_primary_without_a_majority_acknowledges_nothing(service, operator, edge):
     service.replicator.serving = False
-    assert (await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))).status_code == 503
-    assert await inside.updates() == NotPrimary("", Core.hosts)
+    assert (await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))).status_code == 503
+    assert await edge.updates() == NotPrimary("", Core.hosts)
 
 
-@played
-async def test_a_drain_is_acknowledged_once_all_members_know_and_reaches_a_waiting_poll(
-    service, outside, inside
+@with_service
+async def test_a_drain_is_acknowledged_once_all_members_have_it_and_answers_a_long_poll(
+    service, operator, edge
 ):
-    assert (await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))).status_code == 200
-    known = (await inside.updates()).registry
-    draining = msgspec.json.encode(BEAT | {"state": "draining", "seq": 2})
+    assert (await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))).status_code == 200
+    known = (await edge.updates()).registry
+    draining = msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2})
     service.replicator.takes_hints = False
-    assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 503
+    assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 503
     service.replicator.takes_hints = True
-    assert (await outside.put("/-/instances/i-1", content=draining)).status_code == 200
-    told = await inside.updates(configuration=1, registry=known, wait_s=5.0)
-    assert [(one.id, one.state) for one in told.instances] == [("i-1", InstanceState.DRAINING)]
+    assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 200
+    update = await edge.updates(configuration=1, registry=known, wait_s=5.0)
+    assert [(instance.id, instance.state) for instance in update.instances] == [
+        ("i-1", InstanceState.DRAINING)
+    ]
     shared = msgspec.msgpack.decode(service.replicator.hints[-1], type=dict)["instances"]
-    assert [(one["id"], one["state"]) for one in shared] == [("i-1", "draining")]
-    assert (await outside.delete("/-/instances/i-1")).status_code == 200
+    assert [(instance["id"], instance["state"]) for instance in shared] == [("i-1", "draining")]
+    assert (await operator.delete("/-/instances/i-1")).status_code == 200
 
 
-@played
-async def test_many_servers_that_leave_together_are_told_to_the_members_once(service, outside, inside):
-    """The registry is sent whole: once for each of them grows with the square of the servers."""
+@with_service
+async def test_many_servers_that_leave_together_are_shared_with_the_members_once(service, operator, edge):
+    """The registry is sent in full: once for each of them grows with the square of the servers."""
     for n in range(50):
-        await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(BEAT)))
+        await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
     before = len(service.replicator.hints)
-    beat = decode_heartbeat(msgspec.json.encode(BEAT | {"state": "draining", "seq": 2}))
+    draining = decode_heartbeat(msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2}))
     async with asyncio.TaskGroup() as group:
         for n in range(50):
-            group.create_task(service.heartbeat(f"i-{n}", beat))
+            group.create_task(service.heartbeat(f"i-{n}", draining))
     hints = service.replicator.hints[before:]
     assert len(hints) <= 2
-    told = msgspec.msgpack.decode(hints[-1], type=SoftState)
-    assert {one.state for one in told.instances} == {InstanceState.DRAINING} and len(told.instances) == 50
+    instances = msgspec.msgpack.decode(hints[-1], type=SoftState).instances
+    assert {instance.state for instance in instances} == {InstanceState.DRAINING}
+    assert len(instances) == 50
 
 
-@played
-async def test_a_primary_that_is_deposed_before_it_shares_tells_nobody_anything(service, outside, inside):
+@with_service
+async def test_a_primary_that_is_deposed_before_it_shares_its_registry_sends_nothing(service, operator, edge):
     for n in range(2):
-        await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(BEAT)))
-    draining = decode_heartbeat(msgspec.json.encode(BEAT | {"state": "draining", "seq": 2}))
-    await service.heartbeat("i-0", draining)  # the next sharing waits a moment
+        await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
+    draining = decode_heartbeat(msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2}))
+    await service.heartbeat("i-0", draining)  # the next sharing waits for the minimum interval
     shared = len(service.replicator.hints)
     second = asyncio.create_task(service.heartbeat("i-1", draining))
     await asyncio.sleep(0)
@@ -309,73 +339,72 @@
     assert len(service.replicator.hints) == shared
 
 
-@played
-async def test_the_levels_of_buckets_are_told_without_the_registry(service, outside, inside):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
-    await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))
-    service._share_registry()
+@with_service
+async def test_the_levels_of_buckets_are_shared_without_the_registry(service, operator, edge):
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+    await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))
+    service._sharing.share_registry()
     shared = len(service.replicator.hints)
     report = UsageReport("edge-1", {"t": QuotaDemand(4.0)})
-    await inside.client.post("/usage", content=msgspec.msgpack.encode(report))
-    service._share_buckets(asyncio.get_running_loop().time() + 1.0)
+    await edge.report(report)
+    service._sharing.share_levels(asyncio.get_running_loop().time() + 1.0)
     assert len(service.replicator.hints) == shared
-    told = msgspec.msgpack.decode(service.replicator.levels, type=dict[str, BucketLevels])
-    assert told["t"].limit < 2.0
-    # a primary that starts from both goes by the newer word
+    shared_levels = msgspec.msgpack.decode(service.replicator.levels, type=dict[str, BucketLevels])
+    assert shared_levels["t"].limit < 2.0
+    # a primary that has both starts from the newer levels
     service.replicator.hint = service.replicator.hints[-1]
-    service._quotas = service._new_quotas(is_first=True)
-    service._quotas.configure(service._versions.tenants, asyncio.get_running_loop().time())
-    service._restore(asyncio.get_running_loop().time())
-    assert service._quotas.levels()["t"].limit < 2.0
+    now = asyncio.get_running_loop().time()
+    service.state.quotas = service.state._new_quotas(is_first=True)
+    service.state.quotas.configure(service.configuration.tenants, now)
+    service._sharing.restore(now)
+    assert service.state.quotas.levels()["t"].limit < 2.0
 
 
-@played
-async def test_a_poll_that_waits_is_woken_by_a_change(service, outside, inside):
-    known = (await inside.updates()).registry
+@with_service
+async def test_a_long_poll_that_waits_is_answered_after_a_change(service, operator, edge):
+    known = (await edge.updates()).registry
     async with asyncio.timeout(5.0):
-        waiting = asyncio.ensure_future(inside.updates(configuration=1, registry=known, wait_s=4.0))
-        await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))
-        assert [one.id for one in (await waiting).instances] == ["i-1"]
+        poll = asyncio.ensure_future(edge.updates(configuration=1, registry=known, wait_s=4.0))
+        await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))
+        assert [instance.id for instance in (await poll).instances] == ["i-1"]
 
 
-@played
-async def test_a_heartbeat_that_cannot_be_read_is_refused(service, outside, inside):
-    assert (await outside.put("/-/instances/i-1", content=b"{")).status_code == 400
+@with_service
+async def test_a_malformed_heartbeat_is_rejected(service, operator, edge):
+    assert (await operator.put("/-/instances/i-1", content=b"{")).status_code == 400
 
 
-@played
-async def test_a_server_that_two_nodes_get_no_answer_of_is_passed_over_by_all(service, outside, inside):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
-    await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT))
-    known = (await inside.updates(configuration=2)).registry
+@with_service
+async def test_a_server_that_two_edge_nodes_report_is_unresponsive_for_all(service, operator, edge):
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+    await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))
+    known = (await edge.updates(configuration=2)).registry
     await asyncio.sleep(0)
-    since_the_beat = 0.0
+    after_the_heartbeat = 0.0  # seconds ago that the unanswered request was sent
 
-    async def report(node, silent_for):
-        body = msgspec.msgpack.encode(UsageReport(node, {}, {}, silent_for))
-        assert (await inside.client.post("/usage", content=body)).status_code == 200
+    async def report(node, unresponsive_for):
+        await edge.report(UsageReport(node, {}, {}, unresponsive_for))
 
-    async def state():
-        told = await inside.updates(configuration=2, registry=known)
-        return [one.state for one in told.instances]
+    async def states():
+        update = await edge.updates(configuration=2, registry=known)
+        return [instance.state for instance in update.instances]
 
     await report("edge-2", {})
-    await report("edge-1", {"i-1": since_the_beat})
-    await report("edge-1", {"i-1": since_the_beat})
-    assert await state() == []  # one node's word, however often
+    await report("edge-1", {"i-1": after_the_heartbeat})
+    await report("edge-1", {"i-1": after_the_heartbeat})
+    assert await states() == []  # one node's report, however often
     await report("edge-2", {"i-1": 900.0})
-    assert await state() == []  # a heartbeat came since that request was sent
+    assert await states() == []  # a heartbeat came since that request was sent
     await report("edge-2", {})
-    await report("edge-3", {"i-1": since_the_beat})
-    assert await state() == [InstanceState.UNRESPONSIVE]
-    await outside.put("/-/instances/i-1", content=msgspec.json.encode(BEAT | {"seq": 2}))
-    assert await state() == [InstanceState.READY]
+    await report("edge-3", {"i-1": after_the_heartbeat})
+    assert await states() == [InstanceState.UNRESPONSIVE]
+    await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT | {"seq": 2}))
+    assert await states() == [InstanceState.READY]
 
 
-@played
-async def test_tokens_are_granted_by_the_configuration_in_force(service, outside, inside):
-    await outside.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
+@with_service
+async def test_tokens_are_granted_by_the_newest_configuration(service, operator, edge):
+    await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     report = UsageReport("edge-1", {"t": QuotaDemand(4.0), "none": QuotaDemand(1.0)})
-    got = await inside.client.post("/usage", content=msgspec.msgpack.encode(report))
-    told = msgspec.msgpack.decode(got.content, type=UsageResponse)
-    assert told.grants["t"].tokens == 4.0 and told.grants["none"].tokens == 1.0
+    response = await edge.report(report)
+    assert response.grants["t"].tokens == 4.0 and response.grants["none"].tokens == 1.0
--- a/tests/control/test_storms.py
+++ b/tests/control/test_storms.py
@@ -9,9 +9,9 @@
 
 from wheatroute.cluster.distribution import decode_difference
 from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
-from wheatroute.control.api import encode
+from wheatroute.control.api import encode_message
 from wheatroute.control.changes import Change
-from wheatroute.control.versions import KEPT_VERSIONS
+from wheatroute.control.versions import MAX_VERSIONS
 from wheatroute.edge.routing import EMPTY_TABLE
 
 EDGES = 94
@@ -69,7 +69,7 @@
             if isinstance(update, NotPrimary):
                 await asyncio.sleep(0.06)
                 continue
-            size = len(encode(update)) + HEAD_BYTES
+            size = len(encode_message(update)) + HEAD_BYTES
             await self.core_link.carry(size)
             await self.link.carry(size)
             registry = update.registry
@@ -136,7 +136,7 @@
         await asyncio.sleep(CONVERGE)
         storm.check()
         assert {len(edge.table.version.routes) for edge in storm.edges} == {ROUTES + CHANGES}
-        assert len(storm.service._versions._kept) <= KEPT_VERSIONS
+        assert len(storm.service.configuration._versions._versions) <= MAX_VERSIONS
         # a change of one route costs each node a few hundred bytes, not the list again
         assert storm.core_link.carried - before < EDGES * CHANGES * 1000
 
@@ -150,7 +150,7 @@
         await storm.patch([route(number) for number in range(1, ROUTES)])
         await asyncio.sleep(1.0)
         stale = storm.edges[0].table
-        for number in range(2 * KEPT_VERSIONS):
+        for number in range(2 * MAX_VERSIONS):
             await storm.patch([route(ROUTES + number)])
         await storm.join(1)
         storm.edges[-1].table = stale
--- a/tests/control/test_worst_days.py
+++ b/tests/control/test_worst_days.py
@@ -5,7 +5,6 @@
 
 import msgspec
 import pytest
-from control import virtual_cluster
 from control.operators import ContradictionError, World
 from control.virtual_cluster import play
 from replication.lease_mutants import with_names
@@ -13,9 +12,13 @@
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
 from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
+from wheatroute.control import service as service_module
 from wheatroute.control.changes import Change
+from wheatroute.control.configuration_store import ConfigurationStore
+from wheatroute.control.leadership import Leadership
 from wheatroute.control.registry import ServerHeartbeat
-from wheatroute.control.service import ControlService
+from wheatroute.control.soft_state_sharing import SoftStateSharing
+from wheatroute.control.updates import UpdatePolls
 from wheatroute.replication import core, lease
 from wheatroute.replication.core import ELECTION_TIMEOUT
 
@@ -144,7 +147,7 @@
         )
         assert isinstance(await old.call(lambda service: service.updates(starting)), NotPrimary)
         # it sends nobody on to a primary that it hasn't heard for long
-        assert old.service.not_serving().primary == ""
+        assert old.service.leadership.not_primary().primary == ""
         await asyncio.sleep(0.7)
     assert new.leads and len(new.service.replicator.core.view.members) == 2
     cluster.cuts -= pairs
@@ -192,48 +195,51 @@
         play_without_clocks(seed, a_deposed_leader_still_trusts_its_lease)
 
 
-class UnconfirmedRefusals(ControlService):
-    """It refuses, or acknowledges again, by its own state alone."""
+class UnconfirmedRejections(Leadership):
+    """Rejects, reads and acknowledges again by this node's own state alone."""
 
-    async def _confirm(self):
+    async def require_confirmation(self):
         pass
 
 
-class UnconfirmedConfigurations(ControlService):
-    """It hands configurations out without asking whether it still leads."""
+class UnconfirmedConfigurations(UpdatePolls):
+    """Sends first configurations without asking whether this node still leads."""
 
-    async def updates(self, request):
-        async def confirm(timeout):
+    async def poll(self, request):
+        async def is_confirmed():
             return True
 
-        kept, self.replicator.confirm = self.replicator.confirm, confirm
-        try:
-            return await super().updates(request)
-        finally:
-            self.replicator.confirm = kept
+        with patched(self._leadership, is_confirmed=is_confirmed):
+            return await super().poll(request)
 
 
-class ForgetfulOrders(ControlService):
-    """It doesn't know an order again that was taken behind others."""
+class ForgetfulStore(ConfigurationStore):
+    """Doesn't recognize a change that was applied before others."""
 
-    async def _judge(self, change):
-        kept, self._state = self._state, msgspec.structs.replace(self._state, taken=self._state.taken[-1:])
-        try:
-            return await super()._judge(change)
-        finally:
-            self._state = kept
+    async def _apply(self, change):
+        state = self._configuration.state
+        forgetful = msgspec.structs.replace(state, applied_digests=state.applied_digests[-1:])
+        with patched(self._configuration, state=forgetful):
+            return await super()._apply(change)
 
 
-class UnconfirmedDrains(ControlService):
-    """It acknowledges drains without asking whether it still leads."""
+class UnconfirmedDrains(SoftStateSharing):
+    """Acknowledges drains without asking whether this node still leads."""
 
-    async def _left(self):
+    async def replicate_departure(self):
         await self._share_soon()
 
 
-@pytest.mark.parametrize("fault", (UnconfirmedRefusals, UnconfirmedConfigurations, UnconfirmedDrains))
-def test_a_word_without_a_majority_is_found(fault, monkeypatch):
-    monkeypatch.setattr(virtual_cluster, "ControlService", fault)
+FAULTS = (
+    ("Leadership", UnconfirmedRejections),
+    ("UpdatePolls", UnconfirmedConfigurations),
+    ("SoftStateSharing", UnconfirmedDrains),
+)
+
+
+@pytest.mark.parametrize(("replaced", "fault"), FAULTS)
+def test_a_response_without_a_majority_is_found(replaced, fault, monkeypatch):
+    monkeypatch.setattr(service_module, replaced, fault)
     with pytest.raises(AssertionError):
         play_without_clocks(1, a_deposed_leader_still_trusts_its_lease)
 
@@ -244,7 +250,7 @@
 
 
 def test_a_node_that_forgets_orders_is_found(monkeypatch):
-    monkeypatch.setattr(virtual_cluster, "ControlService", ForgetfulOrders)
+    monkeypatch.setattr(service_module, "ConfigurationStore", ForgetfulStore)
     with pytest.raises(BaseExceptionGroup) as found:
         drawn(0)
     assert found.group_contains(ContradictionError, match="refused and taken")
@@ -257,12 +263,12 @@
     follower = cluster.nodes[host]
     while await kind_of(ask(follower, order(1, 2, "x"))) != ErrorKind.NOT_PRIMARY:
         await asyncio.sleep(0.05)
-    assert follower.service.not_serving().primary == leader.host
+    assert follower.service.leadership.not_primary().primary == leader.host
     pairs = cluster.cut([host], [one for one in cluster.nodes if one != host])
     await asyncio.sleep(ELECTION_TIMEOUT + 0.1)
     for _ in range(19):
-        assert follower.service.not_serving().primary == ""
-        assert follower.service.primary_host == ""
+        assert follower.service.leadership.not_primary().primary == ""
+        assert follower.service.leadership.primary_host == ""
         await asyncio.sleep(1.0)
     # it has deposed nobody, neither meanwhile nor by its return
     epoch = leader.service.replicator.core.view.epoch
@@ -270,7 +276,7 @@
     await asyncio.sleep(2.0)
     assert leader.leads and leader.service.replicator.core.view.primary == f"{leader.host}/0"
     assert leader.service.replicator.core.view.epoch == epoch + 1  # the follower is a member again
-    assert follower.service.not_serving().primary == leader.host
+    assert follower.service.leadership.not_primary().primary == leader.host
 
 
 def test_a_follower_that_is_cut_off_sends_nobody_to_a_primary_that_it_does_not_hear():
@@ -304,7 +310,7 @@
     outcomes = set()
     for step in range(24):
         leader = await cluster.wait_for_leader()
-        version = leader.service._state.generation
+        version = leader.service.configuration.state.generation
         change = order(version, version + 1, f"change {step}")
         first = asyncio.get_running_loop().create_task(kind_of(ask(leader, change)))
         await asyncio.sleep(0.0006 * step)
@@ -347,7 +353,7 @@
     for node in cluster.nodes.values():
         await node.start()
     new = await cluster.wait_for_leader()
-    assert new.service._state.generation == 600
+    assert new.service.configuration.state.generation == 600
     assert await ask(new, order(0, 1, "change 1")) == 600
 
 
--- a/tests/control/virtual_cluster.py
+++ b/tests/control/virtual_cluster.py
@@ -241,8 +241,8 @@
 
         def note(document):
             committed(document)
-            state = service._state
-            entry = (document.stamp.sequence, state.generation, state.taken)
+            state = service.configuration.state
+            entry = (document.stamp.sequence, state.generation, state.applied_digests)
             known = [one for one in self.history if one[1] == entry[0]]
             if known:
                 assert known[0][1:] == entry, f"two histories: {known[0]} and {entry} on {node.host}"
@@ -262,7 +262,7 @@
     async def wait_for_leader(self, but=()):
         while True:
             for node in self.nodes.values():
-                if node.leads and node.host not in but and node.service._sequence >= 0:
+                if node.leads and node.host not in but and node.service.configuration.is_committed:
                     return node
             await asyncio.sleep(0.01)
 
--- a/tests/edge/test_reload.py
+++ b/tests/edge/test_reload.py
@@ -103,9 +103,10 @@
 def test_a_control_node_takes_what_may_be_lost_and_the_bounds(tmp_path):
     service = ControlService(settings(HOSTS[0], 1, tmp_path), logging.getLogger("test-reload"))
     service.replicator.core = core = _Core()
-    service.take_settings(parse_settings(LATER))
+    service.apply_settings(parse_settings(LATER))
     assert core.tolerate == 2 and core.hosts == ("10.1.0.6", "10.9.0.9")
-    assert service._registry._heartbeat_s == 1.2 and service._settings.bounds.grace_s == 5
+    assert service.state.registry._heartbeat_s == 1.2
+    assert service.state._settings.bounds.grace_s == 5
 
 
 class _Core:
--- a/wheatroute/control/api.py
+++ b/wheatroute/control/api.py
@@ -1,4 +1,7 @@
-"""HTTP handlers of the control role: one app for servers and operators, one for edge nodes."""
+"""HTTP handlers of the control role: one app for servers and operators, one for edge nodes.
+
+Bodies are JSON outside, and msgpack between the router set's own nodes.
+"""
 
 from __future__ import annotations
 
@@ -19,51 +22,61 @@
 )
 from wheatroute.control.changes import Change
 from wheatroute.control.registry import decode_heartbeat
-from wheatroute.control.service import ControlService, encode
+from wheatroute.control.service import ControlService
 
 JSON = "application/json"
-BODY_LIMIT = 8 << 20
+MAX_BODY_BYTES = 8 << 20
+MAX_LOGGED_DETAIL = 300  # characters of the detail of an error
+
+
+def encode_message(message: msgspec.Struct) -> bytes:
+    """The body of a message for an edge node."""
+    return msgspec.msgpack.encode(message)
 
 
-def _json(status: int, content: Any, headers: dict[str, str] | None = None) -> Response[bytes]:
+def _json_response(status: int, content: Any, headers: dict[str, str] | None = None) -> Response[bytes]:
     return Response(msgspec.json.encode(content), status_code=status, media_type=JSON, headers=headers)
 
 
 class Handlers:
-    """The handlers of both apps, around one service."""
+    """The handlers of both apps, for one control node; `control_port` is that of every control node."""
 
     def __init__(self, service: ControlService, control_port: int, log: logging.Logger) -> None:
         self._service = service
-        self._port = control_port
+        self._control_port = control_port
         self._log = log
 
     def _error(self, request: Request[Any, Any, Any], error: RequestError) -> Response[bytes]:
-        """The answer to an error: where another node leads, its address."""
+        """The response to an error: a redirect to the primary, where its host is known."""
         if error.kind == ErrorKind.NOT_PRIMARY and error.detail and error.detail != error.kind.value:
-            place = f"http://{error.detail}:{self._port}{request.url.path}"
-            return _json(307, {"error": error.kind.value}, {"Location": place})
-        answer = error.response
-        headers = {"Retry-After": f"{answer.retry_after_s:g}"} if answer.retry_after_s else {}
-        return _json(answer.status, {"error": error.kind.value, "detail": error.detail}, headers)
-
-    async def change(self, request: Request[Any, Any, Any], partial: bool) -> Response[bytes]:
-        """PUT and PATCH of the configuration."""
+            location = f"http://{error.detail}:{self._control_port}{request.url.path}"
+            return _json_response(307, {"error": error.kind.value}, {"Location": location})
+        response = error.response
+        headers = {"Retry-After": f"{response.retry_after_s:g}"} if response.retry_after_s else {}
+        return _json_response(response.status, {"error": error.kind.value, "detail": error.detail}, headers)
+
+    async def change(self, request: Request[Any, Any, Any], is_partial: bool) -> Response[bytes]:
+        """Handles PUT and PATCH of the configuration."""
         body = await request.body()
-        change = Change(partial, request.headers.get("if-match", ""), body)
+        change = Change(is_partial, request.headers.get("if-match", ""), body)
         try:
-            version = await self._service.change(change)
+            generation = await self._service.change(change)
         except TimeoutError:
             return self._error(request, RequestError(ErrorKind.NO_QUORUM, "an earlier change takes long"))
         except RequestError as error:
             self._log.info(
                 "change-not-taken",
-                extra={"kind": error.kind.value, "detail": error.detail[:300], "match": change.match},
+                extra={
+                    "kind": error.kind.value,
+                    "detail": error.detail[:MAX_LOGGED_DETAIL],
+                    "if_match": change.if_match,
+                },
             )
             return self._error(request, error)
-        return _json(200, {"generation": version})
+        return _json_response(200, {"generation": generation})
 
     async def read(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """GET of the configuration."""
+        """Handles GET of the configuration."""
         try:
             body = await self._service.read()
         except RequestError as error:
@@ -71,52 +84,52 @@
         return Response(body, status_code=200, media_type=JSON)
 
     async def heartbeat(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """PUT of an instance."""
+        """Handles PUT of an instance: a server's heartbeat."""
         identity = request.path_params["identity"]
         try:
-            beat = decode_heartbeat(await request.body())
-            await self._service.heartbeat(identity, beat)
+            heartbeat = decode_heartbeat(await request.body())
+            await self._service.heartbeat(identity, heartbeat)
         except msgspec.DecodeError as error:
             return self._error(request, RequestError(ErrorKind.BAD_REQUEST, str(error)))
         except RequestError as error:
             return self._error(request, error)
         host = request.headers.get("host", "")
-        return _json(200, {"beat_url": f"http://{host}/-/instances/{identity}"} if host else {})
+        return _json_response(200, {"beat_url": f"http://{host}/-/instances/{identity}"} if host else {})
 
     async def leave(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """DELETE of an instance."""
+        """Handles DELETE of an instance: a server that ends."""
         try:
             await self._service.leave(request.path_params["identity"])
         except RequestError as error:
             return self._error(request, error)
-        return _json(200, {})
+        return _json_response(200, {})
 
     async def updates(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """An edge node's long poll."""
-        asked = msgspec.msgpack.decode(await request.body(), type=UpdateRequest)
-        return _message(await self._service.updates(asked))
+        """Handles an edge node's long poll."""
+        update_request = msgspec.msgpack.decode(await request.body(), type=UpdateRequest)
+        return _message_response(await self._service.updates(update_request))
 
     async def usage(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """An edge node's report."""
+        """Handles an edge node's usage report."""
         report = msgspec.msgpack.decode(await request.body(), type=UsageReport)
-        return _message(self._service.usage(report))
+        return _message_response(self._service.usage(report))
 
 
-def _message(message: msgspec.Struct) -> Response[bytes]:
+def _message_response(message: msgspec.Struct) -> Response[bytes]:
     status = 503 if isinstance(message, NotPrimary) else 200
-    return Response(encode(message), status_code=status, media_type=MEDIA_TYPE)
+    return Response(encode_message(message), status_code=status, media_type=MEDIA_TYPE)
 
 
 def control_app(handlers: Handlers) -> Litestar:
-    """For servers and operators."""
+    """The app for servers and operators."""
 
-    @put("/-/config", request_max_body_size=BODY_LIMIT)
+    @put("/-/config", request_max_body_size=MAX_BODY_BYTES)
     async def put_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-        return await handlers.change(request, partial=False)
+        return await handlers.change(request, is_partial=False)
 
-    @patch("/-/config", request_max_body_size=BODY_LIMIT)
+    @patch("/-/config", request_max_body_size=MAX_BODY_BYTES)
     async def patch_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
-        return await handlers.change(request, partial=True)
+        return await handlers.change(request, is_partial=True)
 
     @get("/-/config")
     async def get_configuration(request: Request[Any, Any, Any]) -> Response[bytes]:
@@ -137,7 +150,7 @@
 
 
 def internal_app(handlers: Handlers) -> Litestar:
-    """For edge nodes."""
+    """The app for edge nodes."""
 
     @post(UPDATES_PATH, status_code=200)
     async def updates(request: Request[Any, Any, Any]) -> Response[bytes]:
--- /dev/null
+++ b/wheatroute/control/committed_configuration.py
@@ -0,0 +1,70 @@
+"""The configuration that this control node has committed. A state machine without I/O."""
+
+from __future__ import annotations
+
+from wheatroute.cluster.configuration import Configuration, Tenant, decode_configuration
+from wheatroute.cluster.distribution import NO_SEQUENCE
+from wheatroute.cluster.messages import UpdateRequest
+from wheatroute.control.changes import ConfigurationState, decode_state
+from wheatroute.control.versions import ConfigurationVersions
+from wheatroute.replication.view import Document
+
+NOT_COMMITTED = -1
+
+
+class CommittedConfiguration:
+    """The newest committed state with its sequence, and the versions that edge nodes may have.
+
+    `sequence` is `NOT_COMMITTED` until the first commit, and again once this node has ceased to lead: the
+    next commit of the same document then counts as a new one.
+    """
+
+    def __init__(self) -> None:
+        self.state = ConfigurationState()
+        self.sequence = NOT_COMMITTED
+        self._versions = ConfigurationVersions()
+
+    @property
+    def is_committed(self) -> bool:
+        """Whether a document was committed, in its term if this node leads."""
+        return self.sequence >= 0
+
+    @property
+    def has_configuration(self) -> bool:
+        """Whether an operator has ever sent a configuration."""
+        return bool(self.state.body)
+
+    @property
+    def tenants(self) -> list[Tenant]:
+        """The tenants of the newest configuration."""
+        return self._versions.tenants
+
+    @property
+    def edge_sequence(self) -> int:
+        """The sequence of the configuration for edge nodes; -1 while there is none."""
+        return self.sequence if self.has_configuration else -1
+
+    def commit(self, document: Document) -> bool:
+        """Applies a committed document; false if it is the present one."""
+        sequence = document.stamp.sequence
+        if sequence == self.sequence:
+            return False
+        self.state = decode_state(document.payload)
+        self.sequence = sequence
+        configuration = decode_configuration(self.state.body) if self.state.body else Configuration()
+        self._versions.commit(configuration, sequence)
+        return True
+
+    def end_term(self) -> None:
+        """This node doesn't lead any more."""
+        self.sequence = NOT_COMMITTED
+
+    def is_newer_than(self, request: UpdateRequest) -> bool:
+        """Whether an edge node lacks the newest configuration."""
+        return self.has_configuration and (request.wants_full or request.configuration < self.sequence)
+
+    def difference_for(self, request: UpdateRequest) -> bytes | None:
+        """The difference from an edge node's version to the newest one; None if it lacks nothing."""
+        if not self.is_newer_than(request):
+            return None
+        return self._versions.difference_since(NO_SEQUENCE if request.wants_full else request.configuration)
--- /dev/null
+++ b/wheatroute/control/configuration_store.py
@@ -0,0 +1,91 @@
+"""Operators' reads and writes of the replicated configuration, on the primary.
+
+Invariant: of two changes on one generation at most one is ever acknowledged. Changes are applied one at a
+time to the committed state; a rejection, or the acknowledgement of a change that was applied before, is sent
+only once a majority has confirmed that this node leads.
+"""
+
+from __future__ import annotations
+
+import asyncio
+
+from wheatroute.cluster.errors import ErrorKind, RequestError
+from wheatroute.control.changes import Change, ConfigurationState, apply_change, encode_state
+from wheatroute.control.committed_configuration import CommittedConfiguration
+from wheatroute.control.leadership import Leadership
+from wheatroute.replication.replicator import Replicator
+
+WRITE_TIMEOUT_S = 0.8  # a caller moves to another node after one second without a response
+EARLIER_COMMIT_TIMEOUT_S = 0.2
+COMMIT_POLL_INTERVAL_S = 0.005
+
+
+class ConfigurationStore:
+    """Reads and writes of the replicated configuration."""
+
+    def __init__(
+        self, replicator: Replicator, leadership: Leadership, configuration: CommittedConfiguration
+    ) -> None:
+        self._replicator = replicator
+        self._leadership = leadership
+        self._configuration = configuration
+        self._write_lock = asyncio.Lock()
+
+    async def change(self, change: Change) -> int:
+        """Applies a change; returns the present generation once the change is acknowledged.
+
+        Raises `RequestError` if it can't be applied or acknowledged, and `TimeoutError` if earlier changes
+        take too long.
+        """
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
+            await self._write_lock.acquire()
+        try:
+            return await self._change_locked(change)
+        finally:
+            self._write_lock.release()
+
+    async def read(self) -> bytes:
+        """The newest configuration as JSON, never older than one that was acknowledged before the call."""
+        self._leadership.require_primary()
+        await self._leadership.require_confirmation()
+        if not self._configuration.has_configuration:
+            raise RequestError(ErrorKind.NO_ROUTE, "no configuration yet")
+        return self._configuration.state.body
+
+    async def _change_locked(self, change: Change) -> int:
+        await self._wait_for_earlier_commit()
+        if not self._replicator.core.healthy:
+            raise RequestError(ErrorKind.STORAGE, "the disk takes no writes")
+        state = await self._apply(change)
+        if state is None:
+            return self._configuration.state.generation
+        if not await self._replicator.write(encode_state(state), WRITE_TIMEOUT_S):
+            raise RequestError(ErrorKind.NO_QUORUM, "not acknowledged by enough disks in time")
+        return state.generation
+
+    async def _apply(self, change: Change) -> ConfigurationState | None:
+        """The state after a change, None if it was applied before; raises `RequestError` for an invalid one.
+
+        What no write follows is confirmed first: a primary that was deposed without knowing it would reject
+        what was acknowledged elsewhere.
+        """
+        try:
+            state = apply_change(self._configuration.state, change)
+        except RequestError:
+            await self._leadership.require_confirmation()
+            raise
+        if state is None:
+            await self._leadership.require_confirmation()
+        return state
+
+    async def _wait_for_earlier_commit(self) -> None:
+        """Waits for an earlier write, as at each change of view; raises `RequestError` if it takes long."""
+        loop, core = asyncio.get_running_loop(), self._replicator.core
+        end = loop.time() + EARLIER_COMMIT_TIMEOUT_S
+        while True:
+            self._leadership.require_primary()
+            if core.committed is not None and core.committed.stamp == core.document.stamp:
+                return
+            if loop.time() >= end or not core.healthy:
+                raise RequestError(ErrorKind.NO_QUORUM, "an earlier change is not acknowledged yet")
+            await asyncio.sleep(COMMIT_POLL_INTERVAL_S)
--- a/wheatroute/control/http_servers.py
+++ b/wheatroute/control/http_servers.py
@@ -1,4 +1,7 @@
-"""The HTTP servers of the control role. Loading this module loads `litestar`, `uvicorn` and `pydantic`."""
+"""The HTTP servers of the control role.
+
+Importing this module imports `litestar`, `uvicorn` and `pydantic`, which takes the longest part of a start.
+"""
 
 from __future__ import annotations
 
@@ -8,28 +11,29 @@
 import uvicorn
 from litestar import Litestar
 
-# loaded with the rest, so that the first change of the configuration doesn't wait for it
+# imported here, so that the first change of the configuration doesn't wait for it
 import wheatroute.control.schema  # noqa: F401
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.api import Handlers, control_app, internal_app
 from wheatroute.control.service import ControlService
 
-KEEP_ALIVE = 30  # seconds that an idle connection of a caller is kept
+KEEP_ALIVE_S = 30  # for which an idle connection of a caller is kept
+GRACEFUL_SHUTDOWN_S = 1
 
 
 class HttpServer(uvicorn.Server):
-    """A server that leaves signals to the role."""
+    """A uvicorn server that leaves signals to the role."""
 
     def install_signal_handlers(self) -> None:
-        """Signals are handled by the role."""
+        """Installs none: signals are handled by the role."""
 
     def capture_signals(self) -> AbstractContextManager[None]:  # type: ignore[override]
-        """Likewise, in later versions of uvicorn."""
+        """Captures none: what later versions of uvicorn call in place of `install_signal_handlers`."""
         return nullcontext()
 
 
 def http_servers(settings: Settings, service: ControlService, log: logging.Logger) -> list[HttpServer]:
-    """One for servers and operators, one for edge nodes."""
+    """The servers of one control node: one for servers and operators, one for edge nodes."""
     logging.getLogger("uvicorn.error").setLevel(logging.WARNING)
     host, port = settings.address("control")
     handlers = Handlers(service, port, log)
@@ -47,11 +51,11 @@
         log_config=None,
         access_log=False,
         lifespan="off",
-        timeout_keep_alive=KEEP_ALIVE,
+        timeout_keep_alive=KEEP_ALIVE_S,
         http="h11",
         loop="asyncio",
         ws="none",
-        timeout_graceful_shutdown=1,
+        timeout_graceful_shutdown=GRACEFUL_SHUTDOWN_S,
         server_header=False,
     )
     return HttpServer(config)
--- /dev/null
+++ b/wheatroute/control/primary_state.py
@@ -0,0 +1,118 @@
+"""What a primary keeps of servers, edge nodes and tenants in its term. A state machine without I/O.
+
+It is not replicated by writes: a new primary begins with nothing, or with the soft state that the primary
+before shared. Times are in seconds of the steady clock.
+"""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from wheatroute.cluster.configuration import Tenant
+from wheatroute.cluster.messages import UsageReport, UsageResponse
+from wheatroute.cluster.settings import Settings
+from wheatroute.control.edge_nodes import EdgeNodes
+from wheatroute.control.failure_detector import FailureDetector
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
+from wheatroute.control.registry import Registry
+from wheatroute.control.soft_state import SoftState
+
+NO_EPOCH = -1  # of the registry of a node that doesn't lead
+FIRST_EPOCH = 1  # of the first primary of the whole system
+
+
+class SuspectedServer(NamedTuple):
+    """A server that the failure detector suspects, and the age of its last heartbeat."""
+
+    server: str
+    last_heartbeat_age_s: float
+
+
+class PrimaryState:
+    """The registry of servers, the edge nodes, the tenants' token buckets and the failure detector."""
+
+    def __init__(self, settings: Settings) -> None:
+        self._settings = settings
+        self.registry = self._new_registry(NO_EPOCH, 0.0)
+        self.quotas = self._new_quotas(is_first=True)
+        self.edge_nodes = EdgeNodes()
+        self._failure_detector = FailureDetector(self._heartbeat_s)
+
+    @property
+    def _heartbeat_s(self) -> float:
+        return self._settings.heartbeat_ms / 1000.0
+
+    def _new_registry(self, epoch: int, now: float) -> Registry:
+        return Registry(epoch, self._heartbeat_s, now)
+
+    def _new_quotas(self, is_first: bool) -> QuotaBuckets:
+        bounds = self._settings.bounds
+        return QuotaBuckets(bounds.quota_slack, bounds.quota_excess, is_first)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Applies changed settings; servers, nodes and tokens are kept."""
+        self._settings = settings
+        self.registry.expect_heartbeats(self._heartbeat_s)
+        self._failure_detector.expect_heartbeats(self._heartbeat_s)
+        self.quotas.change_rule(settings.bounds.quota_slack, settings.bounds.quota_excess)
+
+    # the term
+
+    @property
+    def leadership_epoch(self) -> int:
+        """The epoch in which this node began to lead; `NO_EPOCH` if it doesn't lead."""
+        return self.registry.version.epoch
+
+    @property
+    def is_in_term(self) -> bool:
+        """Whether the term of this node as primary has begun and not ended."""
+        return self.leadership_epoch > NO_EPOCH
+
+    def begin_term(self, now: float, epoch: int, tenants: list[Tenant]) -> None:
+        """Begins anew, as the primary of an epoch, with the limits of these tenants."""
+        self.registry = self._new_registry(epoch, now)
+        self.quotas = self._new_quotas(is_first=epoch <= FIRST_EPOCH)
+        self.quotas.configure(tenants, now)
+        self.edge_nodes = EdgeNodes(now)
+        self._failure_detector = FailureDetector(self._heartbeat_s)
+        self.quotas.begin_term(now, 0, self._settings.bounds.quota_window_s)
+
+    def restore(self, now: float, soft_state: SoftState) -> None:
+        """Starts from the servers and the number of edge nodes that the primary before shared."""
+        self.registry.restore(now, soft_state.instances)
+        self.edge_nodes = EdgeNodes(now, soft_state.edge_node_count)
+        self.quotas.begin_term(now, soft_state.edge_node_count, self._settings.bounds.quota_window_s)
+
+    def restore_levels(self, levels: dict[str, BucketLevels], age_s: float) -> None:
+        """Starts from the levels of buckets that the primary before shared, `age_s` seconds ago."""
+        self.quotas.restore(levels, age_s)
+
+    def end_term(self, now: float) -> None:
+        """Forgets the servers: this node doesn't lead any more."""
+        self.registry = self._new_registry(NO_EPOCH, now)
+
+    # reports of edge nodes
+
+    def report_usage(self, now: float, report: UsageReport) -> UsageResponse:
+        """Applies an edge node's usage; returns its grants."""
+        return respond(self.quotas, self.edge_nodes, now, report, self.leadership_epoch)
+
+    def report_unresponsive(
+        self, now: float, node: str, unresponsive_for: dict[str, float]
+    ) -> list[SuspectedServer]:
+        """Applies an edge node's report of unresponsive servers; returns those that are suspected by it.
+
+        `unresponsive_for` gives the seconds without a response, by server. Suspected servers are marked in
+        the registry.
+        """
+        self._failure_detector.report(now, node, unresponsive_for)
+        suspected = []
+        for server in unresponsive_for:
+            last_heartbeat = self.registry.last_heartbeat(server)
+            if last_heartbeat is None or not self._failure_detector.is_suspected(
+                now, server, last_heartbeat, self.edge_nodes.count(now)
+            ):
+                continue
+            self.registry.mark_unresponsive(server)
+            suspected.append(SuspectedServer(server, now - last_heartbeat))
+        return suspected
--- a/wheatroute/control/schema.py
+++ b/wheatroute/control/schema.py
@@ -1,4 +1,7 @@
-"""What an operator's configuration must look like; fields that are not known are kept and not judged."""
+"""The schema of an operator's configuration. Without I/O.
+
+Field names are the keys of the configuration. Unknown fields are kept and not validated.
+"""
 
 from __future__ import annotations
 
@@ -15,14 +18,14 @@
 
 
 class WeightedServiceModel(_Model):
-    """One part of a route's split."""
+    """A service in the split of a route, and its weight there."""
 
     backend: Name
     weight: float = Field(ge=0)
 
 
 class RouteModel(_Model):
-    """One route."""
+    """A route: which requests it matches, where they are sent, and by which rules."""
 
     name: Name
     hostname: Name
@@ -40,9 +43,9 @@
     gap_aim_ms: float = Field(default=0, ge=0)
 
     @model_validator(mode="after")
-    def _leads_somewhere(self) -> RouteModel:
+    def _check_destination(self) -> RouteModel:
         if self.split:
-            if sum(part.weight for part in self.split) <= 0:
+            if sum(service.weight for service in self.split) <= 0:
                 raise ValueError("weights sum to 0")
         elif not self.backend:
             raise ValueError("neither backend nor split")
@@ -50,7 +53,7 @@
 
 
 class ServiceModel(_Model):
-    """One service."""
+    """A service, which servers register for."""
 
     name: Name
     health_path: str = "/"
@@ -58,7 +61,7 @@
 
 
 class LimitsModel(_Model):
-    """Limits on clients."""
+    """Limits on the requests and connections of clients."""
 
     max_header_bytes: int = Field(default=16384, gt=0)
     max_body_bytes: int = Field(default=4194304, ge=0)
@@ -67,7 +70,7 @@
 
 
 class TenantModel(_Model):
-    """One tenant."""
+    """A tenant: its API keys, its priority and its rate limit."""
 
     name: Name
     api_keys: list[Name] = []
@@ -77,7 +80,7 @@
 
 
 class ConfigurationModel(_Model):
-    """A whole configuration."""
+    """A configuration in full."""
 
     generation: int = Field(gt=0)
     routes: list[RouteModel]
@@ -86,34 +89,35 @@
     tenants: list[TenantModel] = []
 
     @model_validator(mode="after")
-    def _consistent(self) -> ConfigurationModel:
+    def _check_references_and_names(self) -> ConfigurationModel:
         services = {service.name for service in self.services}
         for route in self.routes:
-            named = [part.backend for part in route.split] if route.split else [route.backend]
-            for service in named:
-                if service not in services:
-                    raise ValueError(f"route {route.name}: unknown service {service}")
-        _no_duplicates("route", [route.name for route in self.routes])
-        _no_duplicates("place", [(route.hostname.lower(), route.path_prefix) for route in self.routes])
-        _no_duplicates("service", [service.name for service in self.services])
-        _no_duplicates("tenant", [tenant.name for tenant in self.tenants])
-        _no_duplicates("key", [key for tenant in self.tenants for key in set(tenant.api_keys)], secret=True)
+            destinations = [service.backend for service in route.split] if route.split else [route.backend]
+            for destination in destinations:
+                if destination not in services:
+                    raise ValueError(f"route {route.name}: unknown service {destination}")
+        _check_unique("route", [route.name for route in self.routes])
+        _check_unique("place", [(route.hostname.lower(), route.path_prefix) for route in self.routes])
+        _check_unique("service", [service.name for service in self.services])
+        _check_unique("tenant", [tenant.name for tenant in self.tenants])
+        _check_unique("key", [key for tenant in self.tenants for key in set(tenant.api_keys)], is_secret=True)
         return self
 
 
-def _no_duplicates(what: str, values: list[Any], secret: bool = False) -> None:
-    for value, times in Counter(values).items():
-        if times > 1:
-            raise ValueError(f"two of one {what}" + ("" if secret else f": {value}"))
+def _check_unique(kind: str, values: list[Any], is_secret: bool = False) -> None:
+    """Raises `ValueError` for a value that is there twice; the message leaves a secret value out."""
+    for value, count in Counter(values).items():
+        if count > 1:
+            raise ValueError(f"two of one {kind}" + ("" if is_secret else f": {value}"))
 
 
-def mistakes(configuration: dict[str, Any]) -> list[str]:
-    """A line for each mistake; none if it is valid."""
+def validation_errors(configuration: dict[str, Any]) -> list[str]:
+    """A line for each error of a configuration; none if it is valid."""
     try:
         ConfigurationModel.model_validate(configuration)
-    except ValidationError as error:
+    except ValidationError as errors:
         return [
-            f"{'.'.join(str(part) for part in one['loc']) or 'configuration'}: {one['msg']}"
-            for one in error.errors(include_url=False, include_input=False)
+            f"{'.'.join(str(key) for key in error['loc']) or 'configuration'}: {error['msg']}"
+            for error in errors.errors(include_url=False, include_input=False)
         ]
     return []
--- a/wheatroute/control/soft_state.py
+++ b/wheatroute/control/soft_state.py
@@ -1,4 +1,7 @@
-"""Soft state of the primary: sent to the other control nodes without a write, for whoever leads next."""
+"""Soft state of the primary: sent to the other control nodes without a write, for whoever leads next.
+
+Messages and their encoding, without I/O. `soft_state_sharing` sends them.
+"""
 
 from __future__ import annotations
 
@@ -31,3 +34,20 @@
     limits = {tenant: level.limit for tenant, level in levels.items()}
     excesses = {tenant: level.excess for tenant, level in levels.items()}
     return SoftState(instances, limits, excesses, edge_node_count)
+
+
+def decode_soft_state(payload: bytes) -> SoftState:
+    """The soft state of a payload; raises `msgspec.DecodeError`."""
+    return msgspec.msgpack.decode(payload, type=SoftState)
+
+
+def encode_levels(levels: dict[str, BucketLevels]) -> bytes:
+    """The levels of all buckets, by tenant, as they are sent between two sharings of the soft state."""
+    return msgspec.msgpack.encode(levels)
+
+
+def decode_levels(payload: bytes) -> dict[str, BucketLevels]:
+    """The levels of all buckets, by tenant; none for an empty payload. Raises `msgspec.DecodeError`."""
+    if not payload:
+        return {}
+    return msgspec.msgpack.decode(payload, type=dict[str, BucketLevels])
--- /dev/null
+++ b/wheatroute/control/soft_state_sharing.py
@@ -0,0 +1,125 @@
+"""Sends the primary's soft state to the other control nodes, and restores it on a new primary.
+
+The registry with the number of edge nodes is sent whenever it has changed. The levels of buckets, which
+change with each request, are sent by themselves every `LEVELS_INTERVAL_S`, so that the next primary grants
+nothing twice. Invariant: the departure of a server is acknowledged only once every member of the view has
+it, as any of them may lead next.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+
+import msgspec
+
+from wheatroute.cluster.errors import ErrorKind, RequestError
+from wheatroute.cluster.messages import RegistryVersion
+from wheatroute.control.leadership import Leadership
+from wheatroute.control.primary_state import PrimaryState
+from wheatroute.control.quotas import BucketLevels
+from wheatroute.control.soft_state import decode_levels, decode_soft_state, encode_levels, make_soft_state
+from wheatroute.replication.replicator import Replicator
+from wheatroute.replication.soft_state import Order
+
+SHARE_TIMEOUT_S = 0.5
+MIN_SHARE_INTERVAL_S = 0.02  # the registry is sent in full, also for one change
+LEVELS_INTERVAL_S = 0.5
+
+
+class SoftStateSharing:
+    """Shares the state of a primary, and remembers what was shared last."""
+
+    def __init__(
+        self, replicator: Replicator, leadership: Leadership, state: PrimaryState, log: logging.Logger
+    ) -> None:
+        self._replicator = replicator
+        self._leadership = leadership
+        self._state = state
+        self._log = log
+        self._shared_version: RegistryVersion | None = None
+        self._shared_edge_node_count = 0
+        self._shared_order: Order = (-1, 0)
+        self._shared_at = 0.0
+        self._pending_share: asyncio.Task[Order] | None = None
+        self._shared_levels: dict[str, BucketLevels] = {}
+        self._levels_shared_at = 0.0
+
+    # on the primary
+
+    def share_registry(self) -> None:
+        """Sends the soft state if the servers or the number of edge nodes have changed."""
+        now = asyncio.get_running_loop().time()
+        version, edge_node_count = self._state.registry.version, self._state.edge_nodes.count(now)
+        if version == self._shared_version and edge_node_count == self._shared_edge_node_count:
+            return
+        self._shared_version, self._shared_edge_node_count = version, edge_node_count
+        self._shared_at = now
+        self._shared_order = self._replicator.share(self._encoded_soft_state())
+
+    def share_levels(self, now: float) -> None:
+        """Sends the levels of buckets if they have changed, at most every `LEVELS_INTERVAL_S`."""
+        levels = self._state.quotas.levels()
+        if levels == self._shared_levels or now - self._levels_shared_at < LEVELS_INTERVAL_S:
+            return
+        self._shared_levels, self._levels_shared_at = levels, now
+        self._replicator.share_levels(encode_levels(levels))
+
+    def invalidate(self) -> None:
+        """Has the registry sent again: a node that has joined the view may have none, and may lead next."""
+        self._shared_version = None
+
+    async def replicate_departure(self) -> None:
+        """Shares the registry, and returns once every member of the view has it.
+
+        Raises `RequestError` if one doesn't in time, or if no majority confirms that this node leads: edge
+        nodes that follow another primary would not learn of the departure from this one.
+        """
+        order = await self._share_soon()
+        is_confirmed, is_shared = await asyncio.gather(
+            self._leadership.is_confirmed(), self._replicator.shared(order, SHARE_TIMEOUT_S)
+        )
+        if not is_shared:
+            raise RequestError(ErrorKind.NO_QUORUM, "not taken by all members in time")
+        if not is_confirmed:
+            raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
+
+    async def _share_soon(self) -> Order:
+        """Shares the registry after the minimum interval, once for all servers that depart until then."""
+        if self._pending_share is None or self._pending_share.done():
+            self._pending_share = asyncio.get_running_loop().create_task(self._share_after_interval())
+        return await asyncio.shield(self._pending_share)
+
+    async def _share_after_interval(self) -> Order:
+        await asyncio.sleep(self._shared_at + MIN_SHARE_INTERVAL_S - asyncio.get_running_loop().time())
+        self._leadership.require_primary()  # a node that was deposed meanwhile has an empty registry
+        self.share_registry()
+        return self._shared_order
+
+    def _encoded_soft_state(self) -> bytes:
+        soft_state = make_soft_state(
+            self._state.registry.present(), self._state.quotas.levels(), self._shared_edge_node_count
+        )
+        return msgspec.msgpack.encode(soft_state)
+
+    # on a new primary
+
+    def restore(self, now: float) -> None:
+        """Starts from what the primary before shared, if this node has received it."""
+        if not self._replicator.hint:
+            return
+        try:
+            soft_state = decode_soft_state(self._replicator.hint)
+        except msgspec.DecodeError as error:
+            # written by another version of the program; heartbeats rebuild the registry soon
+            self._log.warning("soft-state-skipped", extra={"error": str(error)})
+            return
+        self._state.restore(now, soft_state)
+        levels = decode_levels(self._replicator.levels) or soft_state.levels()
+        self._state.restore_levels(levels, now - self._replicator.levels_at)
+        self._log_levels(levels)
+
+    def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
+        """Logs the tokens that this primary takes the limits' buckets to hold, by tenant."""
+        tokens = {tenant: round(level.limit) for tenant, level in levels.items()}
+        self._log.info("quota-levels", extra={"epoch": self._leadership.epoch, "levels": tokens})
