--- a/tests/control/simulated_cluster.py
+++ b/tests/control/simulated_cluster.py
@@ -69,7 +69,7 @@
     """The record and the soft state, written one after the other; stands in for storage and its thread."""
 
     def __init__(self, rng):
-        self.record, self.hint = None, b""
+        self.record, self.soft_state = None, b""
         self.rng = rng
         self.write_s = DISK_WRITE_S
         self._busy_until = 0.0
@@ -105,11 +105,11 @@
     def scrub(self):
         return []
 
-    def read_hint(self):
-        return self.hint
+    def read_soft_state(self):
+        return self.soft_state
 
-    def write_hint(self, payload):
-        self.hint = payload
+    def write_soft_state(self, payload):
+        self.soft_state = payload
 
 
 class SimulatedLinks:
@@ -156,7 +156,7 @@
     @property
     def is_serving(self):
         """Whether the process is the primary and may acknowledge."""
-        return self.is_started and self.service.replicator.serving
+        return self.is_started and self.service.replicator.is_serving
 
     async def start(self):
         if self.service is not None:
@@ -185,7 +185,7 @@
     def wipe(self):
         """Ends the process at once, and empties the disk."""
         self.kill()
-        self.disk.record, self.disk.hint = None, b""
+        self.disk.record, self.disk.soft_state = None, b""
 
     async def request(self, call):
         """One request of a client, `call(service)`; raises ConnectionError if no process runs to its end."""
@@ -262,7 +262,7 @@
         def record(document):
             on_commit(document)
             state, now = service.configuration.state, asyncio.get_running_loop().time()
-            commit = Commit(now, document.stamp.sequence, state.generation, state.applied_digests)
+            commit = Commit(now, document.version.sequence, state.generation, state.applied_digests)
             earlier = [known for known in self.history if known.sequence == commit.sequence]
             if earlier:
                 assert earlier[0][1:] == commit[1:], f"two histories: {earlier[0]}, {commit} on {node.host}"
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -17,8 +17,8 @@
 from wheatroute.control.changes import Change, decode_state
 from wheatroute.control.registry import ServerHeartbeat
 from wheatroute.control.service import ControlService
+from wheatroute.replication.messages import SoftStateUpdate
 from wheatroute.replication.storage import FILE_NAME, MemoryStorage
-from wheatroute.replication.view import Hint
 
 SCENARIO_TIMEOUT_S = 20.0  # after which a scenario counts as hung
 HOSTS = ("127.0.0.21", "127.0.0.22", "127.0.0.23")
@@ -81,7 +81,7 @@
         """The host and the service of the primary, once there is one that serves."""
         while True:
             for host, service in self.services.items():
-                if host != excluding and service.replicator.serving and service.configuration.is_committed:
+                if host != excluding and service.replicator.is_serving and service.configuration.is_committed:
                     return host, service
             await asyncio.sleep(0.01)
 
@@ -162,7 +162,7 @@
     host, service = await nodes.primary()
     assert await service.change(first_change()) == 1
     await service.stop()
-    assert not service.replicator.core.leading
+    assert not service.replicator.core.is_leading
     with pytest.raises(RequestError) as rejected:
         await service.change(later_change(2))
     other, successor = await nodes.primary(excluding=host)
@@ -185,7 +185,7 @@
     assert again.identity != before
     while again.identity not in service.replicator.core.view.members:
         await asyncio.sleep(0.01)
-    assert before not in service.replicator.core.view.seats
+    assert before not in service.replicator.core.view.voters
     assert again.document.payload == service.replicator.core.document.payload
 
 
@@ -213,7 +213,7 @@
     send, lost = links.send, set()
 
     def lossy(host, message):
-        if isinstance(message, Hint) and host not in lost:
+        if isinstance(message, SoftStateUpdate) and host not in lost:
             lost.add(host)
             return
         send(host, message)
@@ -229,7 +229,7 @@
     host, service = await nodes.primary()
     await service.change(first_change())
     await service.heartbeat("i-1", ServerHeartbeat(backend="s", addr="10.0.0.9:80", zone="z", slots=4, seq=1))
-    while not all(b"i-1" in one.replicator._storage.read_hint() for one in nodes.services.values()):
+    while not all(b"i-1" in one.replicator._storage.read_soft_state() for one in nodes.services.values()):
         await asyncio.sleep(0.01)
     lost = next(one for one in HOSTS if one != host)
     await nodes.kill(lost)
@@ -239,10 +239,10 @@
     joined = nodes.services[lost].replicator
     while joined.core.identity not in service.replicator.core.view.members:
         await asyncio.sleep(0.01)
-    while b"i-1" not in joined._storage.read_hint():
+    while b"i-1" not in joined._storage.read_soft_state():
         await asyncio.sleep(0.01)
     for one in HOSTS:  # else the seats that could decide without the leader are those of the view before
-        while joined.core.identity not in (await nodes.read_record(one)).witness.view.members:
+        while joined.core.identity not in (await nodes.read_record(one)).acceptor.view.members:
             await asyncio.sleep(0.01)
     for one in HOSTS:
         await nodes.kill(one)
--- a/tests/control/test_distribution.py
+++ b/tests/control/test_distribution.py
@@ -107,10 +107,10 @@
         for host in (f"h{number % 7}", "moved"):
             assert route_name(table, host, number) == route_name(new, host, number)
     for key in ("k1", "k2", "k3"):
-        assert table._by_key.get(key) == new._by_key.get(key)
+        assert table._by_api_key.get(key) == new._by_api_key.get(key)
     for item in SECOND.routes.values():
         assert table.may_hedge(item) == new.may_hedge(item)
-        assert table.priority(item, None, 0.0) == new.priority(item, None, 0.0)
+        assert table.server_rank(item, None, 0.0) == new.server_rank(item, None, 0.0)
     assert route_name(old, "h4", 39) == "r39"  # for requests that began with the older version
 
 
--- a/tests/control/test_many_changes.py
+++ b/tests/control/test_many_changes.py
@@ -9,8 +9,10 @@
 from control.test_change_bursts import CONTROL_BANDWIDTH, ROUTES, Link, random_name, route
 
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, encode_state
+from wheatroute.replication.messages import Replicate
+from wheatroute.replication.records import AcceptorRecord, Document, DocumentVersion, NodeRecord
 from wheatroute.replication.storage import FILE_NAME, Storage, StorageError
-from wheatroute.replication.view import Document, NodeRecord, Replicate, Stamp, View, WitnessRecord
+from wheatroute.replication.views import View
 
 TENANTS = 19
 DISK_MB = 128
@@ -54,8 +56,8 @@
 
 def record(state, epoch=3):
     view = View(epoch, "a/0", ("a/0", "b/0"), ("a/0", "b/0", "c/0"))
-    document = Document(Stamp(epoch, state.generation), encode_state(state))
-    return NodeRecord("a/0", WitnessRecord(view), document)
+    document = Document(DocumentVersion(epoch, state.generation), encode_state(state))
+    return NodeRecord("a/0", AcceptorRecord(view), document)
 
 
 def max_file_bytes(folder, changes):
@@ -64,7 +66,7 @@
     for number in range(changes):
         state = next_state(state)
         disk.write(record(state, epoch=3 + number // 100))
-        disk.write_hint(random_name(str(number)).encode() * 2000)
+        disk.write_soft_state(random_name(str(number)).encode() * 2000)
         max_bytes = max(max_bytes, (folder / FILE_NAME).stat().st_size)
     disk.close()
     return max_bytes, record(state, epoch=3 + (changes - 1) // 100)
@@ -165,7 +167,7 @@
         change = Change(True, str(state.generation), msgspec.json.encode(patch))
         state = apply_change(state, change)
         await primary.service.change(change)
-    assert identity not in core.view.members and identity in core.view.seats
+    assert identity not in core.view.members and identity in core.view.voters
     full.disk.write = write
     while identity not in core.view.members:
         await asyncio.sleep(0.01)
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -8,7 +8,8 @@
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, ServerLoad, UsageReport
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
-from wheatroute.edge.quota_leases import QuotaLeases, cost
+from wheatroute.edge.prompt_headers import TokenCount
+from wheatroute.edge.quota_leases import QuotaLeases, request_cost
 from wheatroute.edge.retry_budget import RetryBudget
 
 TENANT = Tenant("t", ("k",), unit="token_usage", uncached_tokens=7.0, rate_per_s=1000.0, burst=500.0)
@@ -114,16 +115,16 @@
     buckets, leases, used = make_buckets(), [QuotaLeases(8.0) for _ in range(4)], 0.0
     for n, lease in enumerate(leases):
         for second in range(4):
-            lease.asked("t", 500.0 * (n + 1), float(second))
-        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
+            lease.record_demand("t", 500.0 * (n + 1), float(second))
+        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
         buckets.grant(3.0, f"n{n}", "t", need)
     for n, lease in enumerate(leases):
-        need = QuotaDemand(0.0, 0.0, lease.asked_rate("t", 3.0))
-        lease.granted("t", buckets.grant(3.0, f"n{n}", "t", need), 3.0)
+        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
+        lease.apply_grant("t", buckets.grant(3.0, f"n{n}", "t", need), 3.0)
     for step in range(1, 101):
         for lease in leases:
-            lease.refill_alone(TENANT, 3.0 + step / 10, 4, slack=400.0)
-            while lease.take("t", 10.0):
+            lease.refill_isolated(TENANT, 3.0 + step / 10, 4, slack=400.0)
+            while lease.try_use("t", 10.0):
                 used += 10.0
     assert 0.7 * 1000 * 10 < used <= 1000 * 10 + 400
 
@@ -135,13 +136,13 @@
 
 def use_isolated(lease, now):
     """Tokens that an isolated node uses at once, where clients ask for more than it has."""
-    lease.refill_alone(TENANT, now, 4, slack=400.0)
-    return sum(lease.take("t", 1.0) for _ in range(10_000))
+    lease.refill_isolated(TENANT, now, 4, slack=400.0)
+    return sum(lease.try_use("t", 1.0) for _ in range(10_000))
 
 
 def lease_granted_at(granted_at, local_rate=100.0, local_burst=100.0):
     lease = QuotaLeases(8.0)
-    lease.granted("t", QuotaGrant(0.0, 0.0, local_rate, local_burst), granted_at)
+    lease.apply_grant("t", QuotaGrant(0.0, 0.0, local_rate, local_burst), granted_at)
     return lease
 
 
@@ -158,10 +159,10 @@
     lease = lease_granted_at(10.0)
     used = use_isolated(lease, 10.0)
     for step in range(1, 70):
-        lease.granted("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 10.0 + step / 10)
+        lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 10.0 + step / 10)
         used += use_isolated(lease, 10.1 + step / 10)
     assert 0 <= 100 + EXCESS_SHARE + 6.9 * 100 - used < 2  # only integral numbers of tokens are taken
-    lease.granted("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 18.0)
+    lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 18.0)
     assert use_isolated(lease, 18.0) >= 100 + EXCESS_SHARE
 
 
@@ -172,8 +173,8 @@
 
 def test_a_lease_returns_its_surplus():
     lease = QuotaLeases(8.0)
-    lease.give_back("t", 1000.0)
-    assert lease.surplus("t", 0.0) == 1000.0 and not lease.take("t", 1.0)
+    lease.refund("t", 1000.0)
+    assert lease.take_surplus("t", 0.0) == 1000.0 and not lease.try_use("t", 1.0)
 
 
 class SimulatedTenant:
@@ -198,19 +199,19 @@
 
     def report(self, node, now, wanted=0.0):
         lease = self.leases[node]
-        need = QuotaDemand(wanted, lease.surplus("t", now), lease.asked_rate("t", now))
-        lease.granted("t", self.primary.grant(now, str(node), "t", need), now)
+        need = QuotaDemand(wanted, lease.take_surplus("t", now), lease.demand_rate("t", now))
+        lease.apply_grant("t", self.primary.grant(now, str(node), "t", need), now)
 
     def send_request(self, node, now):
         """Sends one client's request to a node."""
         lease, tokens = self.leases[node], self.rng.choice((1_630.0, 9_240.0, 17_140.0))
-        lease.asked("t", tokens, now)
-        if not lease.take("t", tokens):
+        lease.record_demand("t", tokens, now)
+        if not lease.try_use("t", tokens):
             if self.primary is not None:
                 self.report(node, now, tokens)
             else:
-                lease.refill_alone(self.tenant, now, self.NODES, self.SLACK)
-            if not lease.take("t", tokens):
+                lease.refill_isolated(self.tenant, now, self.NODES, self.SLACK)
+            if not lease.try_use("t", tokens):
                 return
         self.used.append((now, tokens))
 
@@ -251,7 +252,11 @@
 
 
 def test_requests_are_charged_by_tokens_or_one_by_one():
-    assert [cost(TENANT, (100, 20)), cost(TENANT, None), cost(Tenant("r"), (100, 20))] == [120.0, 7.0, 1.0]
+    assert [
+        request_cost(TENANT, TokenCount(100, 20)),
+        request_cost(TENANT, None),
+        request_cost(Tenant("r"), TokenCount(100, 20)),
+    ] == [120.0, 7.0, 1.0]
 
 
 def test_a_node_gets_the_load_that_all_others_have_at_servers():
@@ -270,12 +275,12 @@
     for second in range(100):
         for budget in budgets:
             for _ in range(4):
-                budget.requested(second / 10)
-                sent += budget.repeat(second / 10, 5)
+                budget.record_request(second / 10)
+                sent += budget.try_retry(second / 10, 5)
     assert 100 < sent <= 0.2 * 100 * 5 * 4 + 50
 
 
 def test_the_slack_for_retries_is_refilled_once_a_window():
     budget = RetryBudget(0.0, 10.0, 10.0)
-    assert [budget.repeat(0.0, 1) for _ in range(8)] == [True] * 7 + [False]
-    assert budget.repeat(10.5, 1)
+    assert [budget.try_retry(0.0, 1) for _ in range(8)] == [True] * 7 + [False]
+    assert budget.try_retry(10.5, 1)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -28,7 +28,8 @@
 from wheatroute.control.registry import Registry, decode_heartbeat
 from wheatroute.control.service import ControlService
 from wheatroute.control.soft_state import SoftState
-from wheatroute.replication.view import Document, Stamp, View
+from wheatroute.replication.records import Document, DocumentVersion
+from wheatroute.replication.views import View
 
 FIRST = {
     "generation": 3,
@@ -47,17 +48,17 @@
 
 
 class Core:
-    leading = healthy = True
+    is_leading = is_healthy = True
     view = View(4, "10.0.0.2/0", ("10.0.0.1/0", "10.0.0.2/0"), ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"))
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
     identity = "10.0.0.1/0"
 
     def __init__(self):
-        self.document = self.committed = Document(Stamp(4, 1), encode_state(ConfigurationState()))
+        self.document = self.committed = Document(DocumentVersion(4, 1), encode_state(ConfigurationState()))
         self.hears_primary = True
 
     def primary_host(self, now):
-        return "10.0.0.2" if self.hears_primary and not self.leading else ""
+        return "10.0.0.2" if self.hears_primary and not self.is_leading else ""
 
 
 class ReplicatorStandIn:
@@ -66,33 +67,33 @@
     def __init__(self, settings, on_commit, on_view_change, log):
         self.on_commit, self.on_view_change = on_commit, on_view_change
         self.core = Core()
-        self.serving = True
-        self.hint = self.levels = b""
-        self.levels_at = 0.0
-        self.acknowledges = self.confirms = self.takes_hints = True
-        self.hints = []
+        self.is_serving = True
+        self.soft_state = self.bucket_levels = b""
+        self.bucket_levels_at = 0.0
+        self.acknowledges = self.confirms = self.acknowledges_soft_state = True
+        self.soft_states = []
 
     async def write(self, payload, timeout):
         if not self.acknowledges:
             return False
         self.core.document = self.core.committed = Document(
-            Stamp(4, self.core.document.stamp.sequence + 1), payload
+            DocumentVersion(4, self.core.document.version.sequence + 1), payload
         )
         self.on_commit(self.core.document)
         return True
 
-    async def confirm(self, timeout):
+    async def confirm_leadership(self, timeout):
         return self.confirms
 
-    def share(self, payload):
-        self.hints.append(payload)
-        return 4, len(self.hints)
+    def replicate_soft_state(self, payload):
+        self.soft_states.append(payload)
+        return 4, len(self.soft_states)
 
-    def share_levels(self, payload):
-        self.levels = payload
+    def replicate_bucket_levels(self, payload):
+        self.bucket_levels = payload
 
-    async def shared(self, order, timeout):
-        return self.takes_hints
+    async def wait_for_soft_state_acks(self, version, timeout):
+        return self.acknowledges_soft_state
 
 
 def make_service():
@@ -225,11 +226,11 @@
     await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
 
     async def deposed(timeout):
-        service.replicator.core.leading = service.replicator.serving = False
+        service.replicator.core.is_leading = service.replicator.is_serving = False
         service.replicator.on_view_change()
         return True
 
-    service.replicator.confirm = deposed
+    service.replicator.confirm_leadership = deposed
     assert isinstance(await edge.updates(), NotPrimary)
 
 
@@ -246,7 +247,7 @@
 
 @with_service
 async def test_a_replica_without_heartbeats_redirects_nobody_to_the_primary(service, operator, edge):
-    service.replicator.core.leading = service.replicator.core.hears_primary = False
+    service.replicator.core.is_leading = service.replicator.core.hears_primary = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         response = await operator.request(
             method, path, content=msgspec.json.encode(HEARTBEAT), follow_redirects=False
@@ -258,17 +259,17 @@
 @with_service
 async def test_a_primary_whose_disk_takes_no_writes_answers_503_and_keeps_its_state(service, operator, edge):
     body = msgspec.json.encode(FIRST)
-    service.replicator.core.healthy = False
+    service.replicator.core.is_healthy = False
     response = await operator.put("/-/config", content=body, headers={"If-Match": "0"})
     assert (response.status_code, response.json()["error"]) == (503, "storage")
     assert "Retry-After" in response.headers
-    service.replicator.core.healthy = True
+    service.replicator.core.is_healthy = True
     assert (await operator.put("/-/config", content=body, headers={"If-Match": "0"})).status_code == 200
 
 
 @with_service
 async def test_callers_are_redirected_to_the_primary(service, operator, edge):
-    service.replicator.core.leading = False
+    service.replicator.core.is_leading = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         response = await operator.request(
             method, path, content=msgspec.json.encode(HEARTBEAT), follow_redirects=False
@@ -282,7 +283,7 @@
 
 @with_service
 async def test_a_primary_without_a_majority_acknowledges_nothing(service, operator, edge):
-    service.replicator.serving = False
+    service.replicator.is_serving = False
     assert (await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))).status_code == 503
     assert await edge.updates() == NotPrimary("", Core.hosts)
 
@@ -294,15 +295,15 @@
     assert (await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))).status_code == 200
     known = (await edge.updates()).registry
     draining = msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2})
-    service.replicator.takes_hints = False
+    service.replicator.acknowledges_soft_state = False
     assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 503
-    service.replicator.takes_hints = True
+    service.replicator.acknowledges_soft_state = True
     assert (await operator.put("/-/instances/i-1", content=draining)).status_code == 200
     update = await edge.updates(configuration=1, registry=known, wait_s=5.0)
     assert [(instance.id, instance.state) for instance in update.instances] == [
         ("i-1", InstanceState.DRAINING)
     ]
-    shared = msgspec.msgpack.decode(service.replicator.hints[-1], type=dict)["instances"]
+    shared = msgspec.msgpack.decode(service.replicator.soft_states[-1], type=dict)["instances"]
     assert [(instance["id"], instance["state"]) for instance in shared] == [("i-1", "draining")]
     assert (await operator.delete("/-/instances/i-1")).status_code == 200
 
@@ -312,14 +313,14 @@
     """The registry is sent in full: once for each of them grows with the square of the servers."""
     for n in range(50):
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
-    before = len(service.replicator.hints)
+    before = len(service.replicator.soft_states)
     draining = decode_heartbeat(msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2}))
     async with asyncio.TaskGroup() as group:
         for n in range(50):
             group.create_task(service.heartbeat(f"i-{n}", draining))
-    hints = service.replicator.hints[before:]
-    assert len(hints) <= 2
-    instances = msgspec.msgpack.decode(hints[-1], type=SoftState).instances
+    soft_states = service.replicator.soft_states[before:]
+    assert len(soft_states) <= 2
+    instances = msgspec.msgpack.decode(soft_states[-1], type=SoftState).instances
     assert {instance.state for instance in instances} == {InstanceState.DRAINING}
     assert len(instances) == 50
 
@@ -330,13 +331,13 @@
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
     draining = decode_heartbeat(msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2}))
     await service.heartbeat("i-0", draining)  # the next sharing waits for the minimum interval
-    shared = len(service.replicator.hints)
+    shared = len(service.replicator.soft_states)
     second = asyncio.create_task(service.heartbeat("i-1", draining))
     await asyncio.sleep(0)
-    service.replicator.core.leading = False
+    service.replicator.core.is_leading = False
     with pytest.raises(RequestError):
         await second
-    assert len(service.replicator.hints) == shared
+    assert len(service.replicator.soft_states) == shared
 
 
 @with_service
@@ -344,15 +345,15 @@
     await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))
     service._sharing.share_registry()
-    shared = len(service.replicator.hints)
+    shared = len(service.replicator.soft_states)
     report = UsageReport("edge-1", {"t": QuotaDemand(4.0)})
     await edge.report(report)
     service._sharing.share_levels(asyncio.get_running_loop().time() + 1.0)
-    assert len(service.replicator.hints) == shared
-    shared_levels = msgspec.msgpack.decode(service.replicator.levels, type=dict[str, BucketLevels])
+    assert len(service.replicator.soft_states) == shared
+    shared_levels = msgspec.msgpack.decode(service.replicator.bucket_levels, type=dict[str, BucketLevels])
     assert shared_levels["t"].limit < 2.0
     # a primary that has both starts from the newer levels
-    service.replicator.hint = service.replicator.hints[-1]
+    service.replicator.soft_state = service.replicator.soft_states[-1]
     now = asyncio.get_running_loop().time()
     service.state.quotas = service.state._new_quotas(is_first=True)
     service.state.quotas.configure(service.configuration.tenants, now)
--- a/wheatroute/control/committed_configuration.py
+++ b/wheatroute/control/committed_configuration.py
@@ -7,7 +7,7 @@
 from wheatroute.cluster.messages import UpdateRequest
 from wheatroute.control.changes import ConfigurationState, decode_state
 from wheatroute.control.versions import ConfigurationVersions
-from wheatroute.replication.view import Document
+from wheatroute.replication.records import Document
 
 NOT_COMMITTED = -1
 
@@ -46,7 +46,7 @@
 
     def commit(self, document: Document) -> bool:
         """Applies a committed document; false if it is the present one."""
-        sequence = document.stamp.sequence
+        sequence = document.version.sequence
         if sequence == self.sequence:
             return False
         self.state = decode_state(document.payload)
--- a/wheatroute/control/configuration_store.py
+++ b/wheatroute/control/configuration_store.py
@@ -54,7 +54,7 @@
 
     async def _change_locked(self, change: Change) -> int:
         await self._wait_for_earlier_commit()
-        if not self._replicator.core.healthy:
+        if not self._replicator.core.is_healthy:
             raise RequestError(ErrorKind.STORAGE, "the disk takes no writes")
         state = await self._apply(change)
         if state is None:
@@ -84,8 +84,8 @@
         end = loop.time() + EARLIER_COMMIT_TIMEOUT_S
         while True:
             self._leadership.require_primary()
-            if core.committed is not None and core.committed.stamp == core.document.stamp:
+            if core.committed is not None and core.committed.version == core.document.version:
                 return
-            if loop.time() >= end or not core.healthy:
+            if loop.time() >= end or not core.is_healthy:
                 raise RequestError(ErrorKind.NO_QUORUM, "an earlier change is not acknowledged yet")
             await asyncio.sleep(COMMIT_POLL_INTERVAL_S)
--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -28,7 +28,7 @@
     @property
     def is_leading(self) -> bool:
         """Whether this node is the primary of its newest view; it may not be able to acknowledge."""
-        return self._replicator.core.leading
+        return self._replicator.core.is_leading
 
     @property
     def epoch(self) -> int:
@@ -48,7 +48,7 @@
     @property
     def can_acknowledge(self) -> bool:
         """Whether this node has a lease as primary, and a committed document."""
-        return self._replicator.serving and self._configuration.is_committed
+        return self._replicator.is_serving and self._configuration.is_committed
 
     def require_primary(self) -> None:
         """Raises `RequestError` unless this node leads and can acknowledge."""
@@ -59,7 +59,7 @@
 
     async def is_confirmed(self) -> bool:
         """Whether a majority that is asked from now on confirms that this node leads."""
-        return await self._replicator.confirm(CONFIRMATION_TIMEOUT_S)
+        return await self._replicator.confirm_leadership(CONFIRMATION_TIMEOUT_S)
 
     async def require_confirmation(self) -> None:
         """Raises `RequestError` unless a majority that is asked from now on confirms that this node leads."""
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -20,8 +20,8 @@
 from wheatroute.control.registry import ServerHeartbeat
 from wheatroute.control.soft_state_sharing import SoftStateSharing
 from wheatroute.control.updates import UpdatePolls
+from wheatroute.replication.records import Document
 from wheatroute.replication.replicator import Replicator
-from wheatroute.replication.view import Document
 
 TICK_S = 0.2
 READY = "ready"  # the state in the heartbeat of a server that doesn't drain
@@ -43,7 +43,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Applies a changed settings file; servers, nodes and tokens are kept."""
         self.state.apply_settings(settings)
-        self.replicator.take_settings(settings)
+        self.replicator.apply_settings(settings)
 
     async def start(self) -> None:
         """Begins to take part in replication."""
@@ -65,8 +65,8 @@
             "configuration",
             extra={
                 "version": self.configuration.state.generation,
-                "sequence": document.stamp.sequence,
-                "epoch": document.stamp.epoch,
+                "sequence": document.version.sequence,
+                "epoch": document.version.epoch,
             },
         )
         self._polls.notify_all()
--- a/wheatroute/control/soft_state_sharing.py
+++ b/wheatroute/control/soft_state_sharing.py
@@ -20,7 +20,7 @@
 from wheatroute.control.quotas import BucketLevels
 from wheatroute.control.soft_state import decode_levels, decode_soft_state, encode_levels, make_soft_state
 from wheatroute.replication.replicator import Replicator
-from wheatroute.replication.soft_state import Order
+from wheatroute.replication.soft_state import SoftStateVersion
 
 SHARE_TIMEOUT_S = 0.5
 MIN_SHARE_INTERVAL_S = 0.02  # the registry is sent in full, also for one change
@@ -39,9 +39,9 @@
         self._log = log
         self._shared_version: RegistryVersion | None = None
         self._shared_edge_node_count = 0
-        self._shared_order: Order = (-1, 0)
+        self._shared_order: SoftStateVersion = (-1, 0)
         self._shared_at = 0.0
-        self._pending_share: asyncio.Task[Order] | None = None
+        self._pending_share: asyncio.Task[SoftStateVersion] | None = None
         self._shared_levels: dict[str, BucketLevels] = {}
         self._levels_shared_at = 0.0
 
@@ -55,7 +55,7 @@
             return
         self._shared_version, self._shared_edge_node_count = version, edge_node_count
         self._shared_at = now
-        self._shared_order = self._replicator.share(self._encoded_soft_state())
+        self._shared_order = self._replicator.replicate_soft_state(self._encoded_soft_state())
 
     def share_levels(self, now: float) -> None:
         """Sends the levels of buckets if they have changed, at most every `LEVELS_INTERVAL_S`."""
@@ -63,7 +63,7 @@
         if levels == self._shared_levels or now - self._levels_shared_at < LEVELS_INTERVAL_S:
             return
         self._shared_levels, self._levels_shared_at = levels, now
-        self._replicator.share_levels(encode_levels(levels))
+        self._replicator.replicate_bucket_levels(encode_levels(levels))
 
     def invalidate(self) -> None:
         """Has the registry sent again: a node that has joined the view may have none, and may lead next."""
@@ -77,20 +77,20 @@
         """
         order = await self._share_soon()
         is_confirmed, is_shared = await asyncio.gather(
-            self._leadership.is_confirmed(), self._replicator.shared(order, SHARE_TIMEOUT_S)
+            self._leadership.is_confirmed(), self._replicator.wait_for_soft_state_acks(order, SHARE_TIMEOUT_S)
         )
         if not is_shared:
             raise RequestError(ErrorKind.NO_QUORUM, "not taken by all members in time")
         if not is_confirmed:
             raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
 
-    async def _share_soon(self) -> Order:
+    async def _share_soon(self) -> SoftStateVersion:
         """Shares the registry after the minimum interval, once for all servers that depart until then."""
         if self._pending_share is None or self._pending_share.done():
             self._pending_share = asyncio.get_running_loop().create_task(self._share_after_interval())
         return await asyncio.shield(self._pending_share)
 
-    async def _share_after_interval(self) -> Order:
+    async def _share_after_interval(self) -> SoftStateVersion:
         await asyncio.sleep(self._shared_at + MIN_SHARE_INTERVAL_S - asyncio.get_running_loop().time())
         self._leadership.require_primary()  # a node that was deposed meanwhile has an empty registry
         self.share_registry()
@@ -106,17 +106,17 @@
 
     def restore(self, now: float) -> None:
         """Starts from what the primary before shared, if this node has received it."""
-        if not self._replicator.hint:
+        if not self._replicator.soft_state:
             return
         try:
-            soft_state = decode_soft_state(self._replicator.hint)
+            soft_state = decode_soft_state(self._replicator.soft_state)
         except msgspec.DecodeError as error:
             # written by another version of the program; heartbeats rebuild the registry soon
             self._log.warning("soft-state-skipped", extra={"error": str(error)})
             return
         self._state.restore(now, soft_state)
-        levels = decode_levels(self._replicator.levels) or soft_state.levels()
-        self._state.restore_levels(levels, now - self._replicator.levels_at)
+        levels = decode_levels(self._replicator.bucket_levels) or soft_state.levels()
+        self._state.restore_levels(levels, now - self._replicator.bucket_levels_at)
         self._log_levels(levels)
 
     def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
