--- a/tests/cluster/test_reload.py
+++ b/tests/cluster/test_reload.py
@@ -4,7 +4,7 @@
 import os
 
 import pytest
-from control.test_nodes import HOSTS, settings
+from control.test_control_nodes import HOSTS, settings
 
 from wheatroute.cluster.reload import SettingsFile
 from wheatroute.cluster.settings import parse_settings
@@ -103,9 +103,10 @@
 def test_a_control_node_applies_tolerate_seeds_and_bounds(tmp_path):
     service = ControlService(settings(HOSTS[0], 1, tmp_path), logging.getLogger("test-reload"))
     service.replicator.core = core = _Core()
-    service.take_settings(parse_settings(LATER))
+    service.apply_settings(parse_settings(LATER))
     assert core.tolerate == 2 and core.hosts == ("10.1.0.6", "10.9.0.9")
-    assert service._registry._heartbeat_s == 1.2 and service._settings.bounds.grace_s == 5
+    assert service.state.registry._heartbeat_s == 1.2
+    assert service.state._settings.bounds.grace_s == 5
 
 
 class _Core:
