--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -24,7 +24,7 @@
     told_to_processor,
 )
 from wheatroute.interface import Effect
-from wheatroute.net import boot
+from wheatroute.net import node_settings
 from wheatroute.rig.settings import SETTINGS, change
 
 CONTENT = {"settings": change(SETTINGS, {"dcs": ["a"]}, 2)}
@@ -115,8 +115,8 @@
 def test_every_key_of_the_files_has_an_entry_too():
     for table in (File, RequestClass, Tenant, Rules):
         assert set(table.model_fields) == set(joint_terms.FILE[table.__name__])
-    text = inspect.getsource(boot)
-    assert set(re.findall(r'told\.get\("([a-z_]+)"\)', text.split("def settled")[0])) <= set(joint_terms.BOOT)
+    text = inspect.getsource(node_settings)
+    assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(joint_terms.BOOT)
     assert set(joint_terms.FILE_KEYS) - {"rules"} <= {
         key for key, rule in joint_terms.FILE["File"].items() if rule != joint_terms.OWN
     }
@@ -194,8 +194,9 @@
 
 
 def adapted(*changes):
-    told = {"settings": SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}} | boot.settled(SETTINGS)
-    adapter = VersionAdapter(told, platform(told))
+    own_settings = SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
+    derived = node_settings.derive_settings(SETTINGS)
+    adapter = VersionAdapter(derived, platform(own_settings, derived))
     for i, one in enumerate(changes, 1):
         assert adapter.check(i, {"settings": change(SETTINGS, {"dcs": ["a"]} | one, 2)}) == ""
     return adapter
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -14,7 +14,7 @@
 from wheatroute.__main__ import serve_node
 from wheatroute.decide import Balancer
 from wheatroute.interface import Effect, Event, Group, Outcome, State
-from wheatroute.net import boot
+from wheatroute.net import node_settings
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
@@ -339,10 +339,13 @@
         }
         self.told, self.path = told, folder / "config.json"
         self.path.write_text(json.dumps(told))
-        self.boot, self.done = boot.read({"PROXY_CONFIG": str(self.path)}), trio.Event()
+        self.settings, self.done = (
+            node_settings.read_node_settings({"PROXY_CONFIG": str(self.path)}),
+            trio.Event(),
+        )
 
     async def _serve(self):
-        await serve_node(self.boot, structlog.get_logger())
+        await serve_node(self.settings, structlog.get_logger())
         self.done.set()
 
     async def connect(self):
--- a/tests/crossings/standins.py
+++ b/tests/net/race_harness.py
@@ -16,7 +16,7 @@
 import trio
 from fakehost import OK, listed
 
-from wheatroute.net.servers import Servers
+from wheatroute.net.connection_pool import ConnectionPool
 
 RST = struct.pack("ii", 1, 0)
 
@@ -185,7 +185,7 @@
         self.held, self.go = [], trio.Event()
 
     def __enter__(self):
-        connect = Servers._connect
+        connect = ConnectionPool._connect
         held = self
 
         async def late(servers, server):
@@ -200,7 +200,7 @@
                     await held.go.wait()
             return line
 
-        self.patch = mock.patch.object(Servers, "_connect", late)
+        self.patch = mock.patch.object(ConnectionPool, "_connect", late)
         self.patch.start()
         return self
 
--- a/tests/crossings/test_lists.py
+++ b/tests/net/test_discovery.py
@@ -7,11 +7,11 @@
 import structlog
 import trio
 from fakehost import OK, entry, story
-from standins import RST, Client, ListService, Server, at, at_once, come, message, told
+from race_harness import RST, Client, ListService, Server, at, at_once, come, message, told
 
-import wheatroute.net.discovery as listing
 from wheatroute.interface import Event, State
-from wheatroute.net.discovery import Discovery
+from wheatroute.net.discovery import WATCH_WAIT_S, Discovery
+from wheatroute.net.node_settings import DiscoverySettings
 
 
 class Told:
@@ -20,7 +20,7 @@
     def __init__(self):
         self.states, self.whole, self.failed = {}, 0, 0
 
-    def happened(self, event, entries=(), whole=False):
+    def add_event(self, event, entries=(), whole=False):
         self.failed += event == Event.LIST_FAILED
         self.whole += whole
         if whole:
@@ -44,14 +44,8 @@
                     async def start(service, *others, on_request=False):
                         heard = Told()
                         host, port = service.place.split(":")
-                        boot = {
-                            "discovery": (host, int(port)),
-                            "zones": {"": 0},
-                            "models": {"": 0},
-                            "terms": {"list_on_request": on_request},
-                            "known": {},
-                        }
-                        side = Discovery(boot, heard, mock.Mock(), structlog.get_logger())
+                        settings = DiscoverySettings((host, int(port)), {"": 0}, {"": 0}, on_request, {})
+                        side = Discovery(settings, heard, mock.Mock(), structlog.get_logger())
                         for each in (service, *others):
                             nursery.start_soon(each.run)
                         nursery.start_soon(side.run)
@@ -164,7 +158,7 @@
     await come(lambda: side._version == 40 and any(b"after=40" in request for request in old.got))
     at_once(streams[-1], told(41, one("terminated")))  # it lies in the node's socket as the node moves
     host, port = new.place.split(":")
-    side.move((host, int(port)))
+    side.switch_service((host, int(port)))
     await come(lambda: side._version == 3)
     await come(lambda: any(b"after=3&" in request for request in new.got))
     assert heard.states == {0: State.LIVE}
@@ -216,7 +210,7 @@
     took = time.monotonic() - silent_since[0]
     assert heard.states == {0: State.DRAINING} and len(calls) >= 3
     # 6 s after it fell silent, and 2 s after the wait it asked for is over, what it misses counts as told
-    assert took < min(6.0, listing.WAIT + 2.0), took
+    assert took < min(6.0, WATCH_WAIT_S + 2.0), took
 
 
 @crossing
@@ -241,20 +235,20 @@
     await come(lambda: state["silent"] is not None)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     fill = [socket.create_connection(full.getsockname())]
-    place, tries = side._place, []
+    place, tries = side._address, []
     connect = side._connect
 
     async def dropped():
         tries.append(time.monotonic())
-        side._place = full.getsockname() if len(tries) == 1 else place
+        side._address = full.getsockname() if len(tries) == 1 else place
         try:
             return await connect()
         finally:
-            side._place = place
+            side._address = place
 
     side._connect = dropped
     await come(lambda: side._version == 2)
-    assert len(tries) == 2 and time.monotonic() - state["silent"] < min(6.0, listing.WAIT + 2.0)
+    assert len(tries) == 2 and time.monotonic() - state["silent"] < min(6.0, WATCH_WAIT_S + 2.0)
     assert heard.states == {0: State.DRAINING}
     for sock in (*fill, full):
         sock.close()
--- a/tests/crossings/test_clients.py
+++ b/tests/net/test_downstream.py
@@ -8,11 +8,13 @@
 import structlog
 import trio
 from fakehost import OK, Node, entry, settings, story
-from standins import Client, Held, Server, at, come, message
+from race_harness import Client, Held, Server, at, come, message
 
 from wheatroute.__main__ import serve_node
-from wheatroute.net import boot, clients
-from wheatroute.net.clients import Clients
+from wheatroute.net import node_settings
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.downstream import Downstream
+from wheatroute.net.request_handler import RequestHandler
 from wheatroute.words import in_header, in_path
 
 
@@ -66,19 +68,22 @@
     server = Server()
     node = await start(server)
     ended = trio.Event()
-    go_on, serve = Clients._go_on, Clients._serve
+    handle_pipelined, serve = RequestHandler._handle_pipelined, Downstream._serve
 
     async def after_the_end(self, client):
         client.scope.cancel()
-        client.shut = True
+        client.is_close_requested = True
         await ended.wait()
-        await go_on(self, client)
+        await handle_pipelined(self, client)
 
     async def noting(self, client):
         await serve(self, client)
         ended.set()
 
-    with mock.patch.object(Clients, "_go_on", after_the_end), mock.patch.object(Clients, "_serve", noting):
+    with (
+        mock.patch.object(RequestHandler, "_handle_pipelined", after_the_end),
+        mock.patch.object(Downstream, "_serve", noting),
+    ):
         first, second = message(node, "view"), message(node, "place", body="b")
         client = Client(node.port).send(first[0] + second[0])
         assert (await client.answer())[0] == 200
@@ -93,7 +98,11 @@
     server = Server()
     node = await start(server)
     found = []
-    with at(Clients, "_wait_for_rest", after=lambda self, client: (found.append(client), self._shut(client))):
+    with at(
+        RequestHandler,
+        "_wait_for_rest",
+        after=lambda self, client: (found.append(client), client.request_close()),
+    ):
         text, one = message(node, "place", body="bb")
         client = Client(node.port).send(text[:-1])
         await come(lambda: found)
@@ -120,7 +129,7 @@
 async def test_clients_that_send_much_and_go_leave_nothing_and_cost_usual_clients_nothing(start):
     server = Server()
     sides = []
-    with at(Clients, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
+    with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
         node = await start(server, descriptors=128)
         usual = Client(node.port)
         for burst in range(4):
@@ -140,27 +149,28 @@
             for sock in flood:
                 sock.close()
         side = sides[0]
-        await come(lambda: side._open == 1 and side._out == 0)
-        assert len(side._idle) == 1
+        await come(lambda: side._clients.open == 1 and side._handler._in_flight == 0)
+        assert len(side._clients.idle) == 1
 
 
 @story
 async def test_clients_that_come_again_at_once_after_a_refusal_are_refused_at_once_each_time(start):
     """The busy ones are taken up to the limit before the first of these comes."""
     sides = []
-    with at(Clients, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
+    with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
         node = await start(Server(None), descriptors=40, deadline=15.0)
         busy = [Client(node.port) for _ in range(14)]
         for one in busy:
             one.send(message(node, "place", body="b", time_out="15000m")[0])
         side = sides[0]
-        await come(lambda: side._out == side._most_out)
+        await come(lambda: side._handler._in_flight == side._handler._max_in_flight)
         for _ in range(60):
             client = Client(node.port)
             status, answer = await client.send(message(node, "view", time_out="15000m")[0]).answer()
             assert status == 503 and b"retry-after" in answer.lower()
             client.leave()
-        assert side._out == side._most_out <= 14 and len(side._intake._names) <= 14 + 60
+        assert side._handler._in_flight == side._handler._max_in_flight <= 14
+        assert len(side._parser._request_ids) <= 14 + 60
 
 
 # names
@@ -192,7 +202,11 @@
     names = ("café", "cafe", "order view", "order", "50%", "a%20b", "日本")
     tenants = [{"name": name, "quota-rps": 100.0} for name in ("Zoë", "Zo", "日本", "a b")]
     server, seen = Server(), []
-    with at(clients.Rounds, "arrived", after=lambda _, one: seen.append((one.kind, one.tenant))):
+    with at(
+        BalancerDriver,
+        "add_request",
+        after=lambda _, one: seen.append((one.request_class, one.tenant)),
+    ):
         kinds = types(*((name, "retryable") for name in names))
         node = await start(server, changes=kinds | {"tenants": tenants})
         cases = [
@@ -235,7 +249,11 @@
         changes=types(("pay", "retryable"), ("order", "fragile"))
         | {"tenants": [{"name": "b", "quota-rps": 9.0}, {"name": "a", "quota-rps": 9.0}]},
     )
-    with at(clients.Rounds, "arrived", after=lambda _, one: seen.append((one.kind, one.tenant))):
+    with at(
+        BalancerDriver,
+        "add_request",
+        after=lambda _, one: seen.append((one.request_class, one.tenant)),
+    ):
         for n in range(3):
             safe = asking("/order", f"o{n}", Tenant="a")
             unsafe = asking("/order", f"p{n}", "POST", Tenant="a")
@@ -263,7 +281,7 @@
             server = Server()
             node = Node(tmp_path, server, changes=changes, entries=[entry(server)])
             nursery.start_soon(server.run)
-            nursery.start_soon(serve_node, node.boot, structlog.get_logger())
+            nursery.start_soon(serve_node, node.settings, structlog.get_logger())
             await node.connect()
             for name in ("o1", "o2"):
                 path = "/" + changes["traffic-types"][0]["name"]
@@ -289,8 +307,8 @@
 def test_bad_files_are_one_line_each(tmp_path, bad):
     path = tmp_path / "config.json"
     path.write_text(bad)
-    with pytest.raises(boot.BootError) as trouble:
-        boot.read({"PROXY_CONFIG": str(path)})
+    with pytest.raises(node_settings.NodeSettingsError) as trouble:
+        node_settings.read_node_settings({"PROXY_CONFIG": str(path)})
     assert "\n" not in str(trouble.value)
 
 
--- a/tests/test_node.py
+++ b/tests/net/test_node.py
@@ -15,13 +15,17 @@
 from fakehost import ERROR, FULL, OK, RESET, SILENT, STRAY, Peer, entry, listed, read_message, story
 
 from wheatroute.interface import Event, Outcome, State
-from wheatroute.net import boot, clients, discovery
-from wheatroute.net.clients import Clients
+from wheatroute.net import client_connection, node_settings, server_numbers
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection
-from wheatroute.net.exchange import Answer, Exchange
-from wheatroute.net.log import Reason
-from wheatroute.net.rounds import Passes, Rounds
-from wheatroute.net.servers import Servers, UnreachedError, _Wire
+from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
+from wheatroute.net.discovery import Discovery
+from wheatroute.net.downstream import Downstream
+from wheatroute.net.event_loop_lag import EventLoopLag
+from wheatroute.net.exchange import Exchange, Response
+from wheatroute.net.log import CloseReason
+from wheatroute.net.node_settings import DiscoverySettings
+from wheatroute.net.server_table import ServerTable
 
 CUT_OFF = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart"
 UNMARKED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
@@ -97,7 +101,7 @@
     lines = peer.lines
     assert (await node.ask("view"))[0] == 200 and peer.lines == lines
     assert (await node.ask("place", body="b"))[0] == 200 and peer.lines == lines + 1
-    with mock.patch.object(Servers, "_connect", side_effect=UnreachedError(Reason.REFUSED)):
+    with mock.patch.object(ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.REFUSED)):
         assert (await node.ask("place", body="b"))[0] == 200  # one that was idle is better than none
 
 
@@ -169,7 +173,7 @@
 @story
 async def test_half_a_request_and_silence_ends_in_bounded_time(start):
     node = await start(Peer(OK), deadline=30.0)
-    with mock.patch.object(clients, "PATIENCE", 0.3):
+    with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 0.3):
         silent, stream = await node.connect(), await node.connect()
         await stream.send_all(node.message("place", body="body")[:-2])
         with trio.fail_after(5):
@@ -200,7 +204,7 @@
 async def test_silent_clients_make_room_for_those_who_ask(start):
     node = await start(Peer(OK), descriptors=40, deadline=30.0)
     silent = [await node.connect() for _ in range(30)]
-    with mock.patch.object(clients, "PATIENCE", 30.0), trio.fail_after(5):
+    with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 30.0), trio.fail_after(5):
         for _ in range(3):
             assert (await node.ask(stream=await node.connect()))[0] == 200
     assert await read_message(silent[0]) is None
@@ -219,27 +223,21 @@
 
 
 def test_the_number_of_a_server_that_is_gone_is_used_again_once_nothing_is_out_to_it():
-    out, rounds, servers = {0}, mock.Mock(), mock.Mock()
-    servers.release.side_effect = lambda server: server not in out
-    boot = {
-        "discovery": ("127.0.0.1", 1),
-        "zones": {"z": 0},
-        "models": {"k": 0},
-        "terms": {"list_on_request": False},
-        "known": {},
-    }
-    told = discovery.Discovery(boot, rounds, servers, structlog.get_logger())
+    in_flight, driver, upstream = {0}, mock.Mock(), mock.Mock()
+    upstream.release.side_effect = lambda server: server not in in_flight
+    settings = DiscoverySettings(("127.0.0.1", 1), {"z": 0}, {"k": 0}, False, {})
+    side = Discovery(settings, driver, upstream, structlog.get_logger())
 
     def take(full, *names):
-        told._take({"full": full, "servers": [entry(Peer(OK, name=name)) for name in names]})
-        return [(one[0], one[4]) for one in rounds.happened.call_args.args[1]]
+        side._apply({"full": full, "servers": [entry(Peer(OK, name=name)) for name in names]})
+        return [(one[0], one[4]) for one in driver.add_event.call_args.args[1]]
 
     live, gone = State.LIVE, State.GONE
-    with mock.patch.object(discovery, "REST", -1.0):
+    with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
         assert take(True, "a", "b") == [(0, live), (1, live)]
         assert take(True, "b") == [(1, live)]
         assert take(False, "c") == [(2, live)]  # an attempt is out to the first
-        out.clear()
+        in_flight.clear()
         assert take(False, "d") == [(0, gone), (0, live)]
         assert take(False, "e") == [(3, live)]
     assert take(True, "d") == [(0, live)] and take(True, "b") == [(1, live)]  # back in time
@@ -359,27 +357,27 @@
     assert (await node.ask())[0] == 200
 
 
-class Sides:
-    """What a writer needs, noting what is started."""
+class Sender:
+    """An `AttemptSender` that notes what is started."""
 
     def __init__(self):
         self.started = []
 
-    def start(self, exchange, attempt):
+    def start_attempt(self, exchange, attempt):
         self.started.append((exchange, attempt))
 
 
-def collected(node):
-    """A `Rounds` without sockets, its module replaced by a list of the events it was given."""
-    rounds, given = Rounds(node, "1", structlog.get_logger()), []
-    rounds.servers = Sides()
-    rounds._balancer = type("Module", (), {"round": lambda self, now, events, writer: given.extend(events)})()
-    return rounds, given
+def make_driver(terms):
+    """A `BalancerDriver` without sockets, its balancer replaced by a list of the events it was given."""
+    driver, given = BalancerDriver(terms, "1", structlog.get_logger()), []
+    driver.upstream = Sender()
+    driver._balancer = type("Module", (), {"round": lambda self, now, events, writer: given.extend(events)})()
+    return driver, given
 
 
-def request(left=5.0):
+def request(time_left_s=5.0):
     exchange = Exchange(b"GET", b"/view", b"1", b"", b"")
-    exchange.left = left
+    exchange.time_left_s = time_left_s
     return exchange
 
 
@@ -403,24 +401,24 @@
 
 def test_nothing_goes_out_for_a_request_that_has_its_answer():
     async def tell():
-        rounds, given = collected(TERMS)
+        driver, given = make_driver(TERMS)
         exchange = request()
-        rounds.arrived(exchange)
-        rounds.attempt(0, 3, 1.0)
-        assert exchange.settle(Answer(200, b"first")) and not exchange.settle(Answer(200, b"second"))
-        rounds.attempt(0, 4, 1.0)
-        rounds.round(rounds._stops[0][0] - 1.0)
-        assert len(rounds.servers.started) == 1 and exchange.answer.body == b"first"
+        driver.add_request(exchange)
+        driver.attempt(0, 3, 1.0)
+        assert exchange.complete(Response(200, b"first")) and not exchange.complete(Response(200, b"second"))
+        driver.attempt(0, 4, 1.0)
+        driver.handle_events(driver._overdue_times[0][0] - 1.0)
+        assert len(driver.upstream.started) == 1 and exchange.response.body == b"first"
         assert [one[4] for one in given if one[0] == Event.RETURNED] == [Outcome.MOOT]
-        rounds.fail(0)
-        assert exchange.answer.body == b"first"
+        driver.fail(0)
+        assert exchange.response.body == b"first"
 
     trio.run(tell)
 
 
 def test_a_request_ended_as_overdue_may_still_be_named_by_the_module_in_that_round():
     async def tell():
-        rounds, _ = collected(TERMS)
+        driver, _ = make_driver(TERMS)
 
         def again(self, now, events, writer):
             for event in events:
@@ -428,27 +426,27 @@
                     writer.attempt(event[1], 4, 1.0)
 
         exchange = request()
-        rounds.arrived(exchange)
-        rounds.attempt(0, 3, 1.0)
-        rounds.returned(exchange, exchange.attempts[0], Outcome.ERROR, None)
-        type(rounds._balancer).round = again
-        rounds.round(rounds._stops[0][0] + 1.0)  # held up until after the deadline
-        assert exchange.answer.status == 502 and len(rounds.servers.started) == 1
-        assert not rounds._wakes  # no mistake was met
+        driver.add_request(exchange)
+        driver.attempt(0, 3, 1.0)
+        driver.finish_attempt(exchange, exchange.attempts[0], Outcome.ERROR, None)
+        type(driver._balancer).round = again
+        driver.handle_events(driver._overdue_times[0][0] + 1.0)  # held up until after the deadline
+        assert exchange.response.status == 502 and len(driver.upstream.started) == 1
+        assert not driver._wakeups  # no mistake was met
 
     trio.run(tell)
 
 
-def test_time_that_a_request_lay_unread_counts_from_the_pass_before():
-    passes = Passes()
-    passes.after_io_wait(0.0)
-    passes._began -= 0.5  # the pass took half a second, and the next wait finds the socket ready
-    passes.before_io_wait(0.0)
-    passes.after_io_wait(0.0)
-    assert 0.5 <= passes.lag < 1.0
-    passes._before -= 0.1  # after a real wait what is seen has only just come
-    passes.after_io_wait(0.1)
-    assert passes.lag < 0.1
+def test_time_that_a_request_lay_unread_counts_from_the_iteration_before():
+    lag = EventLoopLag()
+    lag.after_io_wait(0.0)
+    lag._iteration_began -= 0.5  # the iteration took half a second, and the next wait finds the socket ready
+    lag.before_io_wait(0.0)
+    lag.after_io_wait(0.0)
+    assert 0.5 <= lag.lag_s < 1.0
+    lag._wait_began -= 0.1  # after a real wait what is seen has only just come
+    lag.after_io_wait(0.1)
+    assert lag.lag_s < 0.1
 
 
 def test_a_node_that_is_told_too_little_says_so_in_one_line_and_exits_with_2(tmp_path):
@@ -461,8 +459,8 @@
         '{"settings":{},"listen":"127.0.0.1:1","discovery":"here"}',
     ):
         path.write_text(text)
-        with pytest.raises(boot.BootError):
-            boot.read({"PROXY_CONFIG": str(path)})
+        with pytest.raises(node_settings.NodeSettingsError):
+            node_settings.read_node_settings({"PROXY_CONFIG": str(path)})
     ran = subprocess.run(
         [sys.executable, "-m", "wheatroute"],
         capture_output=True,
@@ -506,29 +504,30 @@
 @story
 async def test_a_client_that_the_system_cannot_hand_over_is_tried_again(start):
     node = await start(Peer(OK))
-    right, Clients._accept_one = Clients._accept_one, refuse
+    right, Downstream._accept_one = Downstream._accept_one, refuse
     stream = await node.connect()
     await trio.sleep(0.05)
-    Clients._accept_one = right
+    Downstream._accept_one = right
     assert (await node.ask(stream=stream))[0] == 200
 
 
-def refuse(_clients):
+def refuse(_downstream):
     raise OSError(24, "Too many open files")
 
 
 def test_a_connection_in_use_while_its_server_moves_is_not_kept():
+    servers = ServerTable()
     terms = TERMS | {"connect_within": 0.1, "idle_closed": 30.0, "report_how": "none"}
-    servers = Servers(terms, 9, 65536, None, None)
-    wire = _Wire()
-    wire.line = Connection(socket.socket(), h11.CLIENT, "127.0.0.1:1")
-    servers.place(0, ("127.0.0.1", 1))
-    servers.place(0, ("127.0.0.1", 2))
-    servers._keep(0, wire)
-    assert wire.line is not None and not servers._idle
-    servers.place(0, ("127.0.0.1", 1))
-    servers._keep(0, wire)
-    assert wire.line is None and len(servers._idle[0]) == 1
+    pool = ConnectionPool(terms, 9, 65536, servers, None)
+    holder = ConnectionHolder()
+    holder.connection = Connection(socket.socket(), h11.CLIENT, "127.0.0.1:1")
+    servers.set_address(0, ("127.0.0.1", 1))
+    servers.set_address(0, ("127.0.0.1", 2))
+    pool.release(0, holder)
+    assert holder.connection is not None and not pool._idle
+    servers.set_address(0, ("127.0.0.1", 1))
+    pool.release(0, holder)
+    assert holder.connection is None and len(pool._idle[0]) == 1
 
 
 @story
--- a/tests/crossings/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -15,15 +15,14 @@
 
 import trio
 from fakehost import OK, Node
-from standins import Client, ListService, Server, come, message, told
+from race_harness import Client, ListService, Server, come, message, told
 
 PLAIN = "import sys; from wheatroute.__main__ import main; sys.exit(main())"
 # what the process's own client does at a step; `ask` sends a request into the listener's queue
 BEFORE = """
 import json, os, signal, socket, sys, time
 import wheatroute.__main__ as program
-from wheatroute.net import clients as clients
-from wheatroute.net.clients import Clients
+from wheatroute.net.downstream import Downstream
 from wheatroute.net.connection import Connection
 kept, told = [], json.load(open(os.environ["PROXY_CONFIG"])) if "PLACE" not in os.environ else {}
 place = tuple(told["listen"].split(":")) if told else os.environ["PLACE"].split(":")
@@ -133,7 +132,7 @@
 def bound(*_):
     ask()
     os.kill(os.getpid(), signal.SIGTERM)
-step(Clients, "__init__", after=bound)
+step(Downstream, "__init__", after=bound)
 finish()
 """
     )
@@ -179,13 +178,13 @@
     code = (
         BEFORE
         + """
-from wheatroute.net.servers import Servers
+from wheatroute.net.upstream import Upstream
 def last(*_):
     for _ in range(3):
         os.kill(os.getpid(), signal.SIGTERM)
     os.kill(os.getpid(), signal.SIGHUP)
     os.kill(os.getpid(), signal.SIGINT)
-step(Servers, "shut_all", after=last)
+step(Upstream, "close_all_idle", after=last)
 finish()
 """
     )
@@ -234,7 +233,7 @@
     kept.append(silent)
     ask(name=b"c2")
     print("LAST", time.monotonic(), flush=True)
-step(Clients, "_close_listener", before=last)
+step(Downstream, "_close_listener", before=last)
 step(program, "main", after=lambda *_: print("OVER", time.monotonic(), flush=True))
 finish()
 """
@@ -259,16 +258,16 @@
         os.environ["SENT"] = "1"
         kept[0].sendall(b"GET /view/1 HTTP/1.1\\r\\nHost: b\\r\\nRequest-Id: c9\\r\\n"
                         b"Request-Timeout: 900m\\r\\n\\r\\n")
-step(Connection, "quiet", after=asked)
+step(Connection, "is_reusable", after=asked)
 def listening(*_):
     ask(name=b"c1")
-step(Clients, "__init__", after=listening)
-first = Clients._stop
+step(Downstream, "__init__", after=listening)
+first = Downstream._close_answered_clients
 def stop(self):
-    if not self.stopping:
+    if not self.is_stopping:
         print("FIRST", kept[0].recv(65536)[:12], flush=True)
     first(self)
-Clients._stop = stop
+Downstream._close_answered_clients = stop
 finish()
 """
     )
--- a/tests/crossings/test_writes.py
+++ b/tests/net/test_upstream.py
@@ -9,14 +9,27 @@
 
 import trio
 from fakehost import ERROR, FULL, OK, RESET, entry, settings, story
-from standins import Client, Held, ListService, Server, Stall, at, at_once, come, field, message, reset, told
+from race_harness import (
+    Client,
+    Held,
+    ListService,
+    Server,
+    Stall,
+    at,
+    at_once,
+    come,
+    field,
+    message,
+    reset,
+    told,
+)
 
 from wheatroute.decide import Balancer
-from wheatroute.net import clients
-from wheatroute.net import servers as servers_side
+from wheatroute.net import connection_pool
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection
-from wheatroute.net.rounds import Rounds
-from wheatroute.net.servers import Servers
+from wheatroute.net.request_handler import RequestHandler
+from wheatroute.net.upstream import Upstream
 
 DEAD = 0.3  # seconds
 
@@ -256,7 +269,14 @@
     """A request whose client leaves while the attempt's connection is held; what the servers got."""
     server = Server()
     ended = []
-    with Held() as held, at(Rounds, "left", after=lambda rounds, exchange: ended.append(exchange.name)):
+    with (
+        Held() as held,
+        at(
+            BalancerDriver,
+            "abandon_request",
+            after=lambda driver, exchange: ended.append(exchange.request_id),
+        ),
+    ):
         node = await start(server)
         text, one = message(node, "place", body="b", time_out="5000m")
         client = Client(node.port)
@@ -287,13 +307,13 @@
     for leave in (Client.leave, Client.reset):
         seen = []
 
-        def came(_, client, seen=seen):
+        def handled(_, client, seen=seen):
             seen.append(client)
 
         async def unread(seen=seen):
-            await come(lambda: any(one.paused for one in seen))
+            await come(lambda: any(one.is_paused for one in seen))
 
-        with at(clients.Clients, "_came", after=came):
+        with at(RequestHandler, "handle", after=handled):
             await left(start, leave, b"GET /view/1 HTTP/1.1\r\nFiller: " + b"x" * 90000, unread)
 
 
@@ -304,7 +324,11 @@
     assert (await node.ask("view"))[0] == 200  # a connection is open: nothing has to come up
     await come(lambda: server.lines == 1)
     ended = []
-    with at(Rounds, "left", after=lambda rounds, exchange: ended.append(exchange.name)):
+    with at(
+        BalancerDriver,
+        "abandon_request",
+        after=lambda driver, exchange: ended.append(exchange.request_id),
+    ):
         for leave in (Client.leave, Client.reset):
             text, one = message(node, "place", body="b")
             client = Client(node.port)
@@ -324,13 +348,17 @@
     ended, clients = [], {}
 
     def decided(servers, exchange, attempt):
-        if exchange.name in clients:
-            clients[exchange.name].leave()
+        if exchange.request_id in clients:
+            clients[exchange.request_id].leave()
             time.sleep(0.35)  # the event loop is late
 
     with (
-        at(Servers, "start", before=decided),
-        at(Rounds, "left", after=lambda rounds, exchange: ended.append(exchange.name)),
+        at(Upstream, "start_attempt", before=decided),
+        at(
+            BalancerDriver,
+            "abandon_request",
+            after=lambda driver, exchange: ended.append(exchange.request_id),
+        ),
     ):
         text, one = message(node, "place", body="b", time_out="5000m")
         clients[one] = Client(node.port).send(text)
@@ -345,7 +373,11 @@
     ended = []
     with (
         Held(most=40) as held,
-        at(Rounds, "left", after=lambda rounds, exchange: ended.append(exchange.name)),
+        at(
+            BalancerDriver,
+            "abandon_request",
+            after=lambda driver, exchange: ended.append(exchange.request_id),
+        ),
     ):
         node = await start(server)
         clients = [Client(node.port) for _ in range(30)]
@@ -399,13 +431,17 @@
     slow.on = quick.on = {"read": lambda _: go.wait()}
     node = await start(slow, quick)
     exchanges = []
-    with at(Rounds, "arrived", after=lambda rounds, exchange: exchanges.append((rounds, exchange))):
+    with at(
+        BalancerDriver,
+        "add_request",
+        after=lambda driver, exchange: exchanges.append((driver, exchange)),
+    ):
         client, (text, _) = Client(node.port), message(node, "view", time_out="5000m")
         client.send(text)
         await come(lambda: len(slow.got + quick.got) == 1)
-        rounds, exchange = exchanges[0]
+        driver, exchange = exchanges[0]
         other = 1 - exchange.attempts[0].server
-        rounds.attempt(exchange.number, other, 5.0)  # a second attempt, as the hedge is
+        driver.attempt(exchange.number, other, 5.0)  # a second attempt, as the hedge is
         await come(lambda: len(slow.got + quick.got) == 2)
     go.set()  # both answers are in the node's sockets in one pass
     status, answer = await client.answer()
@@ -419,11 +455,15 @@
     servers = [Server(None), Server(None, name="t")]
     node = await start(*servers)
     exchanges = []
-    with at(Rounds, "arrived", after=lambda rounds, exchange: exchanges.append((rounds, exchange))):
+    with at(
+        BalancerDriver,
+        "add_request",
+        after=lambda driver, exchange: exchanges.append((driver, exchange)),
+    ):
         client = Client(node.port).send(message(node, "place", body="b", time_out="500m")[0])
         await come(lambda: written(*servers))
-        rounds, exchange = exchanges[0]
-        rounds.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)  # as a mistake would
+        driver, exchange = exchanges[0]
+        driver.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)  # as a mistake would
         status, _ = await client.answer()
     assert status == 502 and len(written(*servers)) == 1
 
@@ -433,11 +473,15 @@
     server = Server(None)
     node = await start(server)
     exchanges = []
-    with at(Rounds, "arrived", after=lambda rounds, exchange: exchanges.append((rounds, exchange))):
+    with at(
+        BalancerDriver,
+        "add_request",
+        after=lambda driver, exchange: exchanges.append((driver, exchange)),
+    ):
         client = Client(node.port).send(message(node, "place", body="b", time_out="700m")[0])
         await come(lambda: server.heads)
-        rounds, exchange = exchanges[0]
-        rounds.withdraw(exchange.number, 0)
+        driver, exchange = exchanges[0]
+        driver.withdraw(exchange.number, 0)
         status, _ = await client.answer()
     assert status == 502 and len(server.ids) == 1  # not refused, not repeated
 
@@ -458,7 +502,7 @@
     server = Server(on={"last": twice})
     node = await start(server)
     assert (await node.ask("view"))[0] == 200
-    with mock.patch.object(servers_side, "RESTED", 30.0):
+    with mock.patch.object(connection_pool, "REUSE_DELAY_S", 30.0):
         for _ in range(6):
             text, one = message(node, "place", body="b")
             status, answer = await Client(node.port).send(text).answer()
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -19,7 +19,7 @@
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.grpc.server import listen
 from wheatroute.grpc.session import Session
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher
 from wheatroute.processor.mapping import Reader
 from wheatroute.processor.service import Service
@@ -148,7 +148,7 @@
             assert one.talk.ended is None
         await until(lambda: not module(service)._requests)
         assert service.dispatcher.decisions == 0 and sum(module(service)._servers.held) == 0
-        service.list._take(
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -162,7 +162,7 @@
 @story
 async def test_a_stream_that_ends_between_its_decision_and_the_answer_counts_as_never_sent(tmp_path):
     async with processor(tmp_path) as (service, channel):
-        start, ended = Dispatcher.start, []
+        start, ended = Dispatcher.start_attempt, []
 
         def late(dispatcher, exchange, attempt):
             if not ended:
@@ -170,7 +170,7 @@
                 exchange.stream.over(CallError(Status.CANCELLED, "the proxy went"))
             start(dispatcher, exchange, attempt)
 
-        with mock.patch.object(Dispatcher, "start", late):
+        with mock.patch.object(Dispatcher, "start_attempt", late):
             async with asking(channel, "r1", PLACE):
                 await until(lambda: ended)
         await until(lambda: not module(service)._requests)
@@ -322,7 +322,7 @@
     async with processor(tmp_path, listed=servers(1)) as (service, channel):
         async with asking(channel, "r1") as one:
             assert await one.decision() == "127.0.0.1:7000"
-            service.list._take(
+            service.list._apply(
                 {
                     "version": 2,
                     "full": False,
@@ -331,7 +331,7 @@
             )
             await one.respond(200)
         assert await ask(channel, "r2", time_out=0.2) == 503  # all servers are gone: told, and in time
-        service.list._take(
+        service.list._apply(
             {
                 "version": 3,
                 "full": True,
@@ -356,7 +356,7 @@
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         for n in range(6):  # more than its tries
             assert await ask(channel, "order", PLACE, n + 1, time_out=0.05) == 503
-        service.list._take(
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -415,7 +415,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(service.stop)
                 await until(lambda: not channel.up)
-                service.list._take(
+                service.list._apply(
                     {
                         "version": 2,
                         "full": True,
--- a/tests/rollout/bad.py
+++ b/tests/rollout/bad.py
@@ -8,47 +8,47 @@
 import trio
 
 from wheatroute import __main__ as node
-from wheatroute.net.clients import Clients
-from wheatroute.net.exchange import Answer
-from wheatroute.net.rounds import Rounds
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.exchange import Response
+from wheatroute.net.request_handler import RequestHandler
 
 CHANCE = random.Random(1)
 
 
 def refuses(share):
     """Some requests are refused that need not be."""
-    arrived = Rounds.arrived
+    add_request = BalancerDriver.add_request
 
     def instead(self, exchange):
         if CHANCE.random() < share:
-            exchange.settle(Answer(503, stay_away=0.1))
+            exchange.complete(Response(503, retry_after_s=0.1))
         else:
-            arrived(self, exchange)
+            add_request(self, exchange)
 
-    Rounds.arrived = instead
+    BalancerDriver.add_request = instead
 
 
 def loses(share):
     """Some requests are never answered, and the node does not know."""
-    settled = Clients._settled
+    respond = RequestHandler._respond
 
     def instead(self, client):
         if CHANCE.random() >= share:
-            settled(self, client)
+            respond(self, client)
 
-    Clients._settled = instead
+    RequestHandler._respond = instead
 
 
 def late(seconds):
     """All answers take longer."""
-    settled = Clients._settled
+    respond = RequestHandler._respond
 
     async def after(self, client):
         await trio.sleep(seconds)
         if client.exchange is not None:
-            settled(self, client)
+            respond(self, client)
 
-    Clients._settled = lambda self, client: self._nursery.start_soon(after, self, client)
+    RequestHandler._respond = lambda self, client: self.writer.nursery.start_soon(after, self, client)
 
 
 def unready():
--- a/tests/rollout/test_judging.py
+++ b/tests/rollout/test_judging.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wheatroute.agreement.versions import HistoryError
-from wheatroute.net.exchange import Answer, Exchange
+from wheatroute.net.exchange import Exchange, Response
 from wheatroute.rollout import account, plan
 from wheatroute.rollout.account import Account
 from wheatroute.rollout.controller import Watch
@@ -159,7 +159,7 @@
 
     def take(number, kind=0):
         exchange = Exchange(b"GET", b"/", b"n", b"", b"")
-        exchange.number, exchange.kind, exchange.tenant, exchange.left = number, kind, 0, 1.0
+        exchange.number, exchange.request_class, exchange.tenant, exchange.time_left_s = number, kind, 0, 1.0
         exchange.deadline = 101.0
         one.took(exchange)
         return exchange
@@ -169,7 +169,7 @@
         ((200, 100.1, 0), (200, 100.9, 0), (503, 100.1, 1), (502, 100.1, 1))
     ):
         exchange = take(number, kind)
-        exchange.answer = Answer(status)
+        exchange.response = Response(status)
         one.settled(exchange, at)
     one.left(take(7), 100.5)
     forgotten = take(8)
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -4,7 +4,8 @@
 from fakehost import KEYED, SAFE, UNSAFE, Host, terms
 
 from wheatroute.interface import Effect, Event, Group, Outcome
-from wheatroute.net.rounds import Rounds, now
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.clock import now
 
 LOST = (Outcome.RESET, 0.2)
 SERVED = (Outcome.SERVED, 0.1)
@@ -101,13 +102,13 @@
 
 
 def test_of_two_terms_agreed_in_one_pass_the_later_ones_stand_and_both_come_before_all_else():
-    rounds = Rounds(terms(answer_slack=0.02), "1", structlog.get_logger())
+    driver = BalancerDriver(terms(answer_slack=0.02), "1", structlog.get_logger())
     seen = []
-    rounds._balancer.round = lambda now, events, writer: seen.extend(events)
-    rounds.happened(Event.LIST_FAILED)
-    rounds.agree(terms(answer_slack=0.02, most_attempts=1), True)
-    rounds.agree(terms(answer_slack=0.02, most_attempts=3), False)
-    rounds.round(now())
+    driver._balancer.round = lambda now, events, writer: seen.extend(events)
+    driver.add_event(Event.LIST_FAILED)
+    driver.update_settings(terms(answer_slack=0.02, most_attempts=1), True)
+    driver.update_settings(terms(answer_slack=0.02, most_attempts=3), False)
+    driver.handle_events(now())
     assert [event[1]["most_attempts"] for event in seen[:2]] == [1, 3] and seen[2] == (Event.LIST_FAILED,)
 
 
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -14,7 +14,7 @@
 
 from wheatroute import talk
 from wheatroute.__main__ import serve_node
-from wheatroute.net import boot
+from wheatroute.net import node_settings
 
 CORES, WORK, GRACE = 2, 0.02, 0.25
 
@@ -71,7 +71,7 @@
         }
         told["peers"] = peers
     node.path.write_text(json.dumps(told))
-    node.boot = boot.read({"PROXY_CONFIG": str(node.path)})
+    node.settings = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
     return node
 
 
@@ -105,7 +105,7 @@
             for one in (*stations, *lists):
                 nursery.start_soon(one.run)
             for node in nodes:
-                nursery.start_soon(serve_node, node.boot, structlog.get_logger())
+                nursery.start_soon(serve_node, node.settings, structlog.get_logger())
                 (await node.connect()).socket.close()
             while not all(one.got for one in lists):
                 await trio.sleep(0.01)
@@ -147,8 +147,8 @@
     node.told["settings"]["allowed"]["peers"] = allowed
     node.told["peers"] = peers
     node.path.write_text(json.dumps(node.told))
-    with pytest.raises(boot.BootError, match=line) as found:
-        boot.read({"PROXY_CONFIG": str(node.path)})
+    with pytest.raises(node_settings.NodeSettingsError, match=line) as found:
+        node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
     assert "\n" not in str(found.value)
 
 
@@ -156,9 +156,9 @@
     node = Node(tmp_path, Peer(b""))
     node.told["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
     node.path.write_text(json.dumps(node.told))
-    told = boot.read({"PROXY_CONFIG": str(node.path)})
-    assert told["peers"] is None and told["work_header"] == b"" and told["terms"]["calls_per_connection"] == 1
-    assert not told["terms"]["peers"]  # allowed, but nobody is named: it probes for none
+    told = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
+    assert told.peers is None and told.work_header == b"" and told.terms["calls_per_connection"] == 1
+    assert not told.terms["peers"]  # allowed, but nobody is named: it probes for none
 
 
 def test_strangers_and_nonsense_are_nothing_told():
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -1,9 +1,10 @@
-"""`python -m wheatroute`: one real node. Owns its start, its signals and its exit status, nothing else.
+"""`python -m wheatroute`: one node. Its start, its signals and its exit status.
 
-SIGTERM and SIGINT stop it once all that was taken is answered; SIGHUP has it read the file again, also while
-it stops. A signal to stop that comes before anything listens, or once more, is heeded as the first one is.
+SIGTERM and SIGINT stop it once everything that was accepted is answered; SIGHUP reloads its settings, also
+while it stops. A stop signal that comes before anything listens, or a second one, has the same effect as
+the first.
 
-Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if what it was told at start is no use.
+Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if its settings cannot be used.
 """
 
 import gc
@@ -15,105 +16,141 @@
 
 import trio
 
-from wheatroute.net import boot as boot_data
-from wheatroute.net.clients import Clients
+from wheatroute.net.addresses import format_address
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
+from wheatroute.net.downstream import Downstream
 from wheatroute.net.log import open_log
+from wheatroute.net.node_settings import (
+    NodeSettings,
+    NodeSettingsError,
+    read_node_settings,
+    reload_node_settings,
+)
 from wheatroute.net.peers import Peers
-from wheatroute.net.rounds import Rounds
-from wheatroute.net.servers import Servers
-from wheatroute.net.signals import heed, heeded, note_early
+from wheatroute.net.signals import handle_signals, open_signal_receiver, record_early_signals
+from wheatroute.net.upstream import Upstream
 
-CLIENTS_SHARE = 0.55  # of the connections: a request has its client's, and while it is sent a server's
+CLIENT_CONNECTIONS_RATIO = 0.55  # a request has its client's connection, and while it is sent a server's
+GC_THRESHOLDS = (10000, 20, 50)  # little that is allocated for a request is in a reference cycle
 
 
-async def serve_node(boot: dict[str, Any], log: Any, early: Sequence[int] = ()) -> None:
-    """Runs until SIGTERM or SIGINT and all that was taken is answered; `early` are those that came before."""
+async def serve_node(settings: NodeSettings, log: Any, early_signals: Sequence[int] = ()) -> None:
+    """Runs a node until SIGTERM or SIGINT, and until everything that was accepted is answered.
+
+    `early_signals` are stop signals that came before.
+    """
     # open before anything listens: a signal in between would end the process with clients in its queue
-    with heeded() as signals:
-        if early:
-            log.info("stopped", signal=signal.Signals(early[0]).name)
+    with open_signal_receiver() as signals:
+        if early_signals:
+            log.info("stopped", signal=signal.Signals(early_signals[0]).name)
             return
-        await _serve(boot, log, signals)
-
-
-async def _serve(boot: dict[str, Any], log: Any, signals: Any) -> None:
-    most = boot["descriptors"]
-    rounds = Rounds(boot["terms"], boot["seed"], log)
-    servers = Servers(boot["terms"], most - int(most * CLIENTS_SHARE), boot["longest_answer"], rounds, log)
-    rounds.servers = servers
-    if boot["followed"]:
-        from wheatroute.etcd.node import FollowedList  # off unless the file names etcd in the list's place
-
-        discovery: Discovery = FollowedList(boot, rounds, servers, log)
-    elif boot["agreement"]:
-        from wheatroute.agreement.steady import SteadyList
-
-        discovery = SteadyList(boot, rounds, servers, log)
-    else:
-        discovery = Discovery(boot, rounds, servers, log)
-    rounds.discovery = discovery
-    peers = rounds.peers = Peers(boot["peers"], rounds, discovery, log) if boot["peers"] else None
-    clients = Clients(boot, int(most * CLIENTS_SHARE), rounds, discovery, log)
-    following = None
-    if boot["agreement"]:
-        from wheatroute.agreement import node as agreement  # off unless the file names a place for versions
-
-        following = agreement.follow(boot, rounds, servers, clients, discovery, log)
-    telling = None
-    if boot["rollout"]:
-        from wheatroute.rollout.telling import Telling  # off unless the file names a place for rollouts
-
-        telling = Telling(boot, clients, servers, discovery, following, log)
-    trio.lowlevel.add_instrument(rounds.passes)
-    async with trio.open_nursery() as nursery:
-        for task in (
-            servers.run,
-            discovery.run,
-            rounds.run,
-            *([peers.run] if peers else []),
-            *([following.run] if following else []),
-            *([telling.run] if telling else []),
-        ):
-            nursery.start_soon(task)
-        nursery.start_soon(heed, signals, clients.stop, lambda: _read_anew(boot, discovery, log), log)
-        log.info("listening", descriptors=most)
-        await clients.run()
-        servers.shut_all()
-        if boot["followed"]:
-            await discovery.leave()
-        if following:
-            await following.leave()
-        log.info("stopped")
-        nursery.cancel_scope.cancel()
-
-
-def _read_anew(boot: dict[str, Any], discovery: Discovery, log: Any) -> None:
-    """Takes from the file what a running node can change; a file of no use changes nothing."""
-    try:
-        told = boot_data.read_anew(os.environ)
-    except boot_data.BootError as trouble:
-        log.warning("not-reloaded", trouble=str(trouble))
-        return
-    kept = ",".join(name for name in boot_data.FIXED if told[name] != boot[name])
-    log.info("reloaded", list="{}:{}".format(*told["discovery"]), **{"until_restart": kept} if kept else {})
-    discovery.move(told["discovery"])
+        await Node(settings, log).run(signals)
+
+
+class Node:
+    """The parts of a node, and the order in which they start and stop."""
+
+    def __init__(self, settings: NodeSettings, log: Any) -> None:
+        self._settings, self._log = settings, log
+        max_clients = int(settings.max_connections * CLIENT_CONNECTIONS_RATIO)
+        self._driver = driver = BalancerDriver(settings.terms, settings.seed, log)
+        self._upstream = driver.upstream = Upstream(
+            settings.terms,
+            settings.max_connections - max_clients,
+            settings.max_response_bytes,
+            driver,
+            log,
+        )
+        self._discovery = driver.discovery = self._make_discovery()
+        self._peers: Peers | None = None
+        if settings.peers is not None:
+            self._peers = driver.peers = Peers(settings.peers, driver, self._discovery, log)
+        self._downstream = Downstream(settings, max_clients, driver, self._discovery, log)
+        self._follower = self._make_follower()
+        self._status = self._make_status()
+
+    # the modules of these three are imported only where the settings need them
+
+    def _make_discovery(self) -> Discovery:
+        settings = self._settings
+        if settings.etcd_servers:
+            from wheatroute.etcd.node import FollowedList
+
+            return FollowedList(settings, self._driver, self._upstream, self._log)
+        if settings.agreement:
+            from wheatroute.agreement.steady import SteadyList
+
+            return SteadyList(settings.discovery_settings, self._driver, self._upstream, self._log)
+        return Discovery(settings.discovery_settings, self._driver, self._upstream, self._log)
+
+    def _make_follower(self) -> Any:
+        if not self._settings.agreement:
+            return None
+        from wheatroute.agreement.node import follow
+
+        return follow(
+            self._settings, self._driver, self._upstream, self._downstream, self._discovery, self._log
+        )
+
+    def _make_status(self) -> Any:
+        if not self._settings.rollout:
+            return None
+        from wheatroute.rollout.telling import Telling
+
+        return Telling(
+            self._settings, self._downstream, self._upstream, self._discovery, self._follower, self._log
+        )
+
+    async def run(self, signals: Any) -> None:
+        """Serves until a stop signal, and until everything that was accepted is answered."""
+        trio.lowlevel.add_instrument(self._driver.event_loop_lag)
+        parts = (self._upstream, self._discovery, self._driver, self._peers, self._follower, self._status)
+        async with trio.open_nursery() as nursery:
+            for part in parts:
+                if part is not None:
+                    nursery.start_soon(part.run)
+            nursery.start_soon(handle_signals, signals, self._downstream.stop, self._reload, self._log)
+            self._log.info("listening", descriptors=self._settings.max_connections)
+            await self._downstream.run()
+            self._upstream.close_all_idle()
+            await self._discovery.leave()
+            if self._follower is not None:
+                await self._follower.leave()
+            self._log.info("stopped")
+            nursery.cancel_scope.cancel()
+
+    def _reload(self) -> None:
+        """Takes from the file what a running node can change; a file that cannot be used changes nothing."""
+        try:
+            settings = reload_node_settings(os.environ)
+        except NodeSettingsError as error:
+            self._log.warning("not-reloaded", error=str(error))
+            return
+        unchanged = ",".join(self._settings.restart_required(settings))
+        self._log.info(
+            "reloaded",
+            list=format_address(settings.discovery),
+            **{"until_restart": unchanged} if unchanged else {},
+        )
+        self._discovery.switch_service(settings.discovery)
 
 
 def main() -> int:
-    early = note_early()
+    """Reads the settings, runs the node, and returns the exit status."""
+    early_signals = record_early_signals()
     try:
-        boot = boot_data.read(os.environ)
-    except boot_data.BootError as trouble:
-        print(f"wheatroute: {trouble}", file=sys.stderr)
+        settings = read_node_settings(os.environ)
+    except NodeSettingsError as error:
+        print(f"wheatroute: {error}", file=sys.stderr)
         return 2
-    log = open_log(boot["name"])
-    gc.freeze()  # what is loaded by now stays for good
-    gc.set_threshold(10000, 20, 50)  # little that is made for a request refers back to itself
+    log = open_log(settings.name)
+    gc.freeze()  # what is loaded by now is never collected
+    gc.set_threshold(*GC_THRESHOLDS)
     try:
-        trio.run(serve_node, boot, log, early)
-    except OSError as trouble:
-        print(f"wheatroute: {trouble}", file=sys.stderr)
+        trio.run(serve_node, settings, log, early_signals)
+    except OSError as error:
+        print(f"wheatroute: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -15,7 +15,7 @@
 from wheatroute.agreement.member import Acts
 from wheatroute.agreement.versions import ContentError
 from wheatroute.interface import Effect
-from wheatroute.net import boot as boot_data
+from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
 Forms = dict[int, tuple[frozenset[Effect], int]]
 Settle = Callable[[dict[str, Any]], dict[str, Any]]  # raises `ContentError`
@@ -143,12 +143,12 @@
         return forms
 
 
-def platform(boot: dict[str, Any]) -> Settle:
-    """Makes of a version what the platform's node acts on, whose boot data these are."""
+def platform(own_settings: dict[str, Any], own_derived: dict[str, Any]) -> Settle:
+    """Makes of a version what the platform's node acts on; `own_derived` are its file's `derive_settings`."""
 
     def settle(content: dict[str, Any]) -> dict[str, Any]:
         if "settings" not in content:
-            return boot
+            return own_derived
         told = content["settings"]
         found = joint_terms.troubles(told)
         if found:
@@ -159,10 +159,10 @@
             rule,
         ) in joint_terms.PATHS.items():  # what is this node's own, or changes with a restart only
             if rule in (joint_terms.OWN, joint_terms.FIXED):
-                _carry(boot["settings"], whole, path.split("."), rule == joint_terms.OWN)
+                _carry(own_settings, whole, path.split("."), rule == joint_terms.OWN)
         try:
-            return boot_data.settled(whole)
-        except boot_data.BootError as trouble:
+            return derive_settings(whole)
+        except NodeSettingsError as trouble:
             raise ContentError(str(trouble)) from trouble
 
     return settle
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -11,10 +11,11 @@
 from wheatroute.agreement.leaving import Leaving
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.places import Directory, Place
-from wheatroute.net.clients import Clients
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
-from wheatroute.net.rounds import Rounds
-from wheatroute.net.servers import Servers
+from wheatroute.net.downstream import Downstream
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.upstream import Upstream
 
 ENDPOINTS = 3.0  # that may be asked, one after the other, in the time for one question
 
@@ -33,30 +34,37 @@
 
 
 def follow(
-    boot: dict[str, Any], rounds: Rounds, servers: Servers, clients: Clients, discovery: Discovery, log: Any
+    settings: NodeSettings,
+    driver: BalancerDriver,
+    upstream: Upstream,
+    downstream: Downstream,
+    discovery: Discovery,
+    log: Any,
 ) -> Following:
     """Has a node act on what all agree on; it is careful until it was confirmed for the first time."""
 
     def apply(adapted: AdaptedVersion, binding: bool) -> None:
-        terms = adapted.terms | discovery.counted  # nodes that are counted go before a number that was put
-        rounds.agree(terms, binding)
-        servers.agree(terms)
-        agreed = {"request_classes": adapted.request_classes, "tenants": adapted.tenants, "terms": terms}
-        clients.agree(agreed, adapted.forms)
-
-    told, start = boot["agreement"], secrets.token_hex(6)
-    leaving = discovery.leaving = Leaving(told["within"])
-    leaving.listed(boot["known"])
-    member = Member(boot["name"], start, told["within"])
+        terms = (
+            adapted.terms | discovery.node_counts
+        )  # nodes that are counted go before a number that was put
+        driver.update_settings(terms, binding)
+        upstream.update_settings(terms)
+        downstream.update_settings(adapted.request_classes, adapted.tenants, terms, adapted.forms)
+
+    told, start = settings.agreement, secrets.token_hex(6)
+    assert told is not None
+    leaving = discovery.list_filter = Leaving(told["within"])
+    leaving.listed(settings.initial_list)
+    member = Member(settings.name, start, told["within"])
     where = place(told, random.Random(start), PATIENCE * member.lasts / ENDPOINTS)
     return Following(
         where,
         member,
-        VersionAdapter(boot, platform(boot)),
+        VersionAdapter(settings.derived, platform(settings.settings, settings.derived)),
         apply,
-        rounds.settle,
-        lambda: discovery.acted_on,
+        driver.handle_events_now,
+        lambda: discovery.list_version,
         log,
         leaving,
-        discovery.heed,
+        discovery.apply_reported_states,
     )
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -21,7 +21,8 @@
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.places import Directory, Place, PlaceError, opened
 from wheatroute.agreement.versions import ContentError, History, HistoryError, Version, canonical
-from wheatroute.net import boot
+from wheatroute.net.addresses import parse_address
+from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
 Found = TypeVar("Found")
 PATIENCE = 5.0  # seconds for the place to answer
@@ -44,7 +45,7 @@
         return Directory(text)
     ends, _, prefix = text.removeprefix("etcd://").partition("/")
     try:
-        places = [boot.address(one) for one in ends.split(",")]
+        places = [parse_address(one) for one in ends.split(",")]
     except ValueError as trouble:
         raise OperatorError(f"{text}: {trouble}", 2) from trouble
     from wheatroute.agreement.etcd import EtcdPlace
@@ -114,9 +115,9 @@
     found = joint_terms.troubles(settings)
     if not found:
         try:
-            boot.settled(settings)
+            derive_settings(settings)
             canonical(settings)
-        except (boot.BootError, ContentError) as trouble:
+        except (NodeSettingsError, ContentError) as trouble:
             found = [str(trouble)]
     if found:
         raise OperatorError("\n".join(f"{path}: {one}" for one in found), 2)
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -53,11 +53,11 @@
 
     def apply(adapted: AdaptedVersion, binding: bool) -> None:
         twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms | listed.counted
+        terms = adapted.terms | listed.node_counts
         dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, binding)
 
     start = secrets.token_hex(6)
-    leaving = listed.leaving = Leaving(told["agreement"]["within"])
+    leaving = listed.list_filter = Leaving(told["agreement"]["within"])
     leaving.listed({"full": True, "servers": list(listed.entries.values())})
     member = Member(told["name"], start, told["agreement"]["within"])
     where = place(told["agreement"], random.Random(start), PATIENCE * member.lasts / ENDPOINTS)
@@ -67,9 +67,9 @@
         member,
         adapter,
         apply,
-        dispatcher.rounds.settle,
-        lambda: listed.acted_on,
+        dispatcher.rounds.handle_events_now,
+        lambda: listed.list_version,
         log,
         leaving,
-        listed.heed,
+        listed.apply_reported_states,
     )
--- a/wheatroute/agreement/steady.py
+++ b/wheatroute/agreement/steady.py
@@ -16,10 +16,10 @@
 
     _behind = False
 
-    def _answered(self, told: Any, turn: int) -> None:
-        self._take(told)  # which compares versions in its own way
+    def _handle_response(self, told: Any, responses_taken: int) -> None:
+        self._apply(told)  # which compares versions in its own way
 
-    def _take(self, told: Any) -> None:
+    def _apply(self, told: Any) -> None:
         version = told.get("version") if isinstance(told, dict) else None
         if isinstance(version, int) and version < self._version:
             if not self._behind:
@@ -31,4 +31,4 @@
             self._log.info("list-came-up", version=version)
             if not told.get("full"):
                 self.fetch()  # what changed between may have been told while it lay behind
-        super()._take(told)
+        super()._apply(told)
--- a/wheatroute/config.py
+++ b/wheatroute/config.py
@@ -2,7 +2,7 @@
 
 Owns its shape, its checks and what stands in where it is silent. It must never let a part of a file count:
 whatever is wrong is told in one line each, with file, key and reason, and nothing of it is taken. What the
-platform tells its node at start is `net/boot.py`'s, and has nothing to do with this.
+platform tells its node at start is `net/node_settings.py`'s, and has nothing to do with this.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
 from wheatroute.interface import Effect
-from wheatroute.net.boot import address
+from wheatroute.net.addresses import parse_address
 from wheatroute.words import GROUPS, Numbers
 
 Seconds = Annotated[float, Field(ge=0.0, allow_inf_nan=False)]
@@ -43,7 +43,7 @@
 
 
 def _address(text: str) -> str:
-    address(text)
+    parse_address(text)
     return text
 
 
@@ -307,7 +307,7 @@
         "zones": zones,
         "models": models,
         "tenants": {one.name: i for i, one in enumerate(file.customers)},
-        "discovery": address(pool.list_service) if pool.list_service else None,
+        "discovery": parse_address(pool.list_service) if pool.list_service else None,
         "etcd": pool.etcd,
         "snapshot": _snapshot(file, front, worker),
         "agreement": _agreement(file.agreement) if file.agreement else None,
@@ -353,7 +353,11 @@
 
 def _agreement(told: Agreement) -> dict[str, Any]:
     if told.etcd:
-        return {"etcd": [address(one) for one in told.etcd], "prefix": told.prefix, "within": told.within}
+        return {
+            "etcd": [parse_address(one) for one in told.etcd],
+            "prefix": told.prefix,
+            "within": told.within,
+        }
     place = {"relay": told.relay} if told.relay else {"directory": told.directory}
     return place | {"within": told.within}
 
--- a/wheatroute/edge/answers.py
+++ b/wheatroute/edge/answers.py
@@ -34,7 +34,7 @@
         self.begun = True
         try:
             if not self._line.send(self._head(status, headers, reason), body):
-                await self._line.rest()
+                await self._line.flush()
         except OSError as error:
             raise ClientGoneError(str(error)) from error
         self.whole = True
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -146,7 +146,7 @@
         """
         identity = told.get(b"request-id", b"")
         if not identity:
-            if line.messages > 1:
+            if line.message_count > 1:
                 raise MalformedError(0, "an answer without an id on a kept connection")
             return True
         return identity == self.request.id
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -91,7 +91,7 @@
         client = _Client(line)
         self._clients.add(client)
         try:
-            while await self._one(client) and line.next_message():
+            while await self._one(client) and line.start_next_message():
                 client.busy = False
                 client.scope = trio.CancelScope()
         except (OSError, ClientGoneError):
@@ -106,7 +106,7 @@
         """One request and its answer; false if the connection is to end."""
         line = client.line
         limits = self._node.table.limits
-        line.longest = limits.max_body_bytes
+        line.max_body_bytes = limits.max_body_bytes
         try:
             request = await self._read(client, limits.idle_timeout_ms / 1000, limits.header_timeout_ms / 1000)
         except MalformedError as error:
@@ -131,22 +131,22 @@
             await ClientAnswer(line, closing=True).refuse(b"", error)
             with suppress(OSError):
                 line.sock.shutdown(socket.SHUT_WR)
-            line.deaf = True
-            while await line.more():
+            line.discards_input = True
+            while await line.receive():
                 pass
 
     async def _read(self, client: _Client, idle: float, head_time: float) -> ClientRequest | None:
         """The next whole request; None if the client is silent for too long, or gone."""
         line = client.line
         with client.scope, trio.move_on_after(idle):
-            while not line.begun:
+            while not line.has_partial_message:
                 if line.parse():
                     break
-                if not await line.more():
+                if not await line.receive():
                     return None
             else:
                 client.busy = True
-        if not line.begun and line.http.their_state is h11.IDLE:
+        if not line.has_partial_message and line.http.their_state is h11.IDLE:
             return None
         client.busy = True
         received = trio.current_time()
@@ -160,7 +160,7 @@
                     raise trio.TooSlowError
                 limit = received + head_time if line.http.their_state is h11.IDLE else float("inf")
                 with trio.move_on_at(limit) as scope:
-                    if not await line.more():
+                    if not await line.receive():
                         return None
                 if scope.cancelled_caught:
                     raise trio.TooSlowError
@@ -185,7 +185,7 @@
         line = client.line
         try:
             while len(line.http.trailing_data[0]) < AHEAD:
-                if not await line.more():
+                if not await line.receive():
                     break
             else:
                 return
--- a/wheatroute/edge/connection.py
+++ b/wheatroute/edge/connection.py
@@ -11,7 +11,7 @@
 import h11
 import trio
 
-from wheatroute.net.connection import LONGEST_HEAD, Connection, MalformedError
+from wheatroute.net.connection import MAX_HEAD_BYTES, Connection, MalformedError
 
 USER_TIMEOUT_MS = 2000  # of bytes that the other end's machine has not acknowledged
 SIOCOUTQ = 0x5411  # Linux, asm-generic/ioctls.h
@@ -57,7 +57,7 @@
 
     async def send_head(self, head: h11.Response, first: bytes) -> None:
         """Writes a head and the first part of its body together."""
-        self.whole = False
+        self.is_written = False
         self._queue(head)
         await self.send_part(first)
 
@@ -66,18 +66,18 @@
         if data:
             self._queue(h11.Data(data=data))
         if self._unsent:
-            await self.rest()
+            await self.flush()
 
     async def send_end(self) -> None:
         """Writes the end of a message, which tells the other side that it is whole."""
         self._queue(h11.EndOfMessage())
         if self._unsent:
-            await self.rest()
+            await self.flush()
 
     async def send_interim(self) -> None:
         """Tells a client that waits for it to go on with the body."""
         self._queue(h11.InformationalResponse(status_code=100, headers=[]))
-        await self.rest()
+        await self.flush()
 
     async def next_event(self) -> Any:
         """The next event of the message that is read; raises MalformedError where it is cut off or spoilt."""
@@ -90,7 +90,7 @@
                 raise MalformedError(400, "closed")
             if event is not h11.NEED_DATA:
                 return event
-            if not await self.more():
+            if not await self.receive():
                 # h11 tells apart a message that may end here from one that is cut off
                 try:
                     event = self.http.next_event()
@@ -103,7 +103,7 @@
     def restart(self, request: h11.Request) -> None:
         """Begins to read another answer to a request that was already written, behind a surplus one."""
         rest = self.http.trailing_data[0]
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LONGEST_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         # how an answer is read depends on the method alone; a length would ask for the body once more
         headers = [(b"Host", b"-")]
         self.http.send(h11.Request(method=request.method, target=request.target, headers=headers))
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -74,7 +74,7 @@
         service = self._services[identity]
         most = self._idle_time.get(service, LONGEST_IDLE)
         age = trio.current_time() - since
-        if line.quiet():
+        if line.is_reusable():
             return age < KEEP * most
         if SHORTEST_IDLE < age < most:
             self._idle_time[service] = age
@@ -105,7 +105,7 @@
 
     def keep(self, server: Server, line: StreamConnection) -> None:
         """Takes a connection back if it can carry another request."""
-        if server.left or line.http.trailing_data[0] or not line.next_message():
+        if server.left or line.http.trailing_data[0] or not line.start_next_message():
             self.drop(server, line)
             return
         if len(line.answered) > MOST_ANSWERED:
--- a/wheatroute/etcd/follow.py
+++ b/wheatroute/etcd/follow.py
@@ -18,7 +18,7 @@
 from wheatroute.etcd.registry import Registry
 from wheatroute.etcd.watching import BehindError, LostError, Watching
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 
 ASKED = 0.3  # seconds of silence after which a stream is asked how far it is, and as many for its answer
 CHECKED = 0.5  # seconds between two looks at how far the cluster is
--- a/wheatroute/etcd/node.py
+++ b/wheatroute/etcd/node.py
@@ -13,27 +13,28 @@
 from wheatroute.config import Etcd
 from wheatroute.etcd.start import Etcd3
 from wheatroute.interface import Event
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
-from wheatroute.net.rounds import Rounds
-from wheatroute.net.servers import Servers
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.upstream import Upstream
 
 
 class FollowedList(Discovery):
     """The list of servers as etcd has it."""
 
-    def __init__(self, boot: dict[str, Any], rounds: Rounds, servers: Servers, log: Any) -> None:
-        super().__init__(boot, rounds, servers, log)
+    def __init__(self, settings: NodeSettings, driver: BalancerDriver, servers: Upstream, log: Any) -> None:
+        super().__init__(settings.discovery_settings, driver, servers, log)
         self._etcd = Etcd3(
-            Etcd.model_validate(boot["followed"]),
-            boot["name"],
-            self._take,
+            Etcd.model_validate(settings.etcd_servers),
+            settings.name,
+            self._apply,
             self._tell,
             log,
-            steady=boot["agreement"] is not None,
+            steady=settings.agreement is not None,
         )
 
     @property
-    def acted_on(self) -> tuple[str, int]:
+    def list_version(self) -> tuple[str, int]:
         return self._etcd.follower.source, self._etcd.follower.revision
 
     async def run(self) -> None:
@@ -44,8 +45,8 @@
             await self._etcd.leave()
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
-        self.counted = {"nodes": nodes, "node": node}
-        self._rounds.happened(Event.PEERS, nodes, node, caution)
+        self.node_counts = {"nodes": nodes, "node": node}
+        self._driver.add_event(Event.PEERS, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
         """The follower's stream is always open."""
@@ -53,5 +54,5 @@
     def fetch(self) -> None:
         """As above: what there is has been told."""
 
-    def move(self, place: tuple[str, int]) -> None:
+    def switch_service(self, address: tuple[str, int]) -> None:
         """A list service that the file names as well is not asked."""
--- a/wheatroute/etcd/register.py
+++ b/wheatroute/etcd/register.py
@@ -19,7 +19,7 @@
 from wheatroute.etcd.follow import Follower
 from wheatroute.etcd.membership import HOLD, Membership
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 
 LASTS = 6  # seconds that a lease lasts; renewed at a third of it
 AGAIN = 0.5  # seconds until a registration that failed is tried again
--- a/wheatroute/etcd/registry.py
+++ b/wheatroute/etcd/registry.py
@@ -16,7 +16,7 @@
 import orjson
 
 from wheatroute.etcd import messages as wire
-from wheatroute.net.boot import address
+from wheatroute.net.addresses import parse_address
 
 STATES = ("in_service", "terminating")
 
@@ -83,7 +83,7 @@
         raise ValueError("no JSON") from trouble
     if not isinstance(told, dict):
         raise ValueError("no object")
-    address(told.get("addr"))
+    parse_address(told.get("addr"))
     state = told.get("state", "in_service")
     if state not in STATES:
         raise ValueError(f"state is {state!r}")
--- a/wheatroute/etcd/start.py
+++ b/wheatroute/etcd/start.py
@@ -14,8 +14,8 @@
 from wheatroute.etcd.follow import Follower
 from wheatroute.etcd.membership import Membership
 from wheatroute.etcd.register import Registrar
-from wheatroute.net.boot import address
-from wheatroute.net.rounds import now
+from wheatroute.net.addresses import parse_address
+from wheatroute.net.clock import now
 from wheatroute.tls import client_context
 
 
@@ -36,7 +36,7 @@
         password = Path(told.password_file).read_text().strip() if told.password_file else ""
         # nodes differ in their names: so do the endpoints that they begin with, and their waits
         chance = random.Random(name)
-        places = [address(one) for one in told.endpoints]
+        places = [parse_address(one) for one in told.endpoints]
         self.cluster = Cluster(places, chance, told.user, password, context)
         self.follower = Follower(self.cluster, told.prefix.encode(), take, chance, log)
         self.follower.steady = steady
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -1,76 +1,96 @@
-"""The list of servers: what the node was told at start, then fetches and watches.
+"""The client of the list service: the list of servers from the settings, then by fetches and a watch.
 
-Owns the connection to the list service, and the numbers of servers. It must never drop a good entry for a
-bad one beside it, nor judge a server: what the list says goes to the module as it came.
+Does I/O on one connection for each watch and fetch. Invariants: a malformed entry costs no other entry, and
+what an older response says undoes nothing that a newer one said.
 """
 
 import errno
 import socket
 from collections.abc import Awaitable, Callable, Mapping
-from math import isfinite
-from typing import Any
+from typing import Any, Protocol
 
 import h11
 import orjson
 import trio
 
-from wheatroute.interface import Entry, Event, State
-from wheatroute.net.boot import address
+from wheatroute.interface import Entry, Event
+from wheatroute.net.addresses import format_address
 from wheatroute.net.connection import Connection, MalformedError
-from wheatroute.net.log import Reason, ended
-from wheatroute.net.rounds import Rounds, now
-from wheatroute.net.servers import Servers
+from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.node_settings import DiscoverySettings
+from wheatroute.net.server_entries import ServerEntryReader, ServerStates
 
 PATH = b"/discovery/hosts"
-STATES = {"in_service": State.LIVE, "terminating": State.DRAINING, "terminated": State.GONE}
-# a watch that falls silent is found out WAIT and LATE after it was asked, then asked anew three times, each
-# on a connection that may not come up, before what it misses counts as told: 6 s after it fell silent
-WAIT = 3.0  # seconds that a watch waits for news
-LATE = 0.5  # seconds after its wait in which a watch must answer, and for a connection to come up
-AT_ONCE = 1  # ms that the first call of a connection waits, so that one which is silent is found out soon
-PATIENCE = 2.0  # seconds for a fetch: after 6 the protocol counts it as told
-AGAIN = 0.1  # pause before another try, inside the 200 ms in which a watch goes on
-LONGEST_LIST = 1 << 24
-REST = 30.0  # seconds after which the number of a server that is gone may be another's
+# a watch that falls silent is noticed WATCH_WAIT_S and RESPONSE_MARGIN_S after it was sent, then sent again
+# three times,
+# each on a connection that may not be established, before what it misses counts as told: 6 s after it fell
+# silent
+WATCH_WAIT_S = 3.0  # for which the list service may wait for changes
+RESPONSE_MARGIN_S = 0.5  # after that wait in which it must answer, and for a connection to be established
+FIRST_WATCH_WAIT_MS = 1  # of the first watch on a connection, so that a silent connection is noticed soon
+FETCH_TIMEOUT_S = 2.0  # after 6 s the protocol counts a list as told
+RETRY_INTERVAL_S = 0.1  # within the 200 ms in which a watch has to go on
+MAX_LIST_BYTES = 1 << 24
+MAX_LOGGED_CHARACTERS = 120
+UNKNOWN_VERSION = -1
+
+
+class ListFilter(Protocol):
+    """Corrects lists by what other processes say of servers."""
+
+    def listed(self, told: Any) -> Any:
+        """Returns a list, or changes to it, with corrections."""
+
+
+class EventSink(Protocol):
+    """Takes events for the decision module."""
+
+    def add_event(self, *event: Any) -> None:
+        """Adds an event."""
 
 
 class Discovery:
-    """One node's view of the list service."""
-
-    def __init__(self, boot: dict[str, Any], rounds: Rounds, servers: Servers, log: Any) -> None:
-        self._place, self._rounds, self._servers, self._log = boot["discovery"], rounds, servers, log
-        self._zones, self._models = boot["zones"], boot["models"]
-        self._numbers: dict[str, int] = {}
-        self._gone: dict[str, float] = {}  # servers off the list, and since when
-        self._free: list[int] = []  # numbers that were theirs
-        self._version = -1
-        self._turn = 0  # how many answers of the list service were taken
-        self.known = False
-        self.counted: dict[str, int] = {}  # how many nodes there are and which this is, if that is heard
-        self._on_request = boot["terms"]["list_on_request"]
-        self.leaving: Any = None  # what other processes say of servers, where processes agree
+    """The list of servers as the list service has it."""
+
+    def __init__(
+        self, settings: DiscoverySettings, driver: EventSink, servers: ServerStates, log: Any
+    ) -> None:
+        self._address = settings.address
+        self._driver, self._log = driver, log
+        self._entries = ServerEntryReader(settings.zones, settings.models, servers)
+        self._version = UNKNOWN_VERSION
+        self._responses_taken = 0
+        self.has_full_list = False
+        self.node_counts: dict[str, int] = {}  # "nodes" and "node": how many there are, and which one this is
+        self._is_on_request = settings.is_on_request
+        self.list_filter: ListFilter | None = None  # set where processes agree
         self._watch_scope: trio.CancelScope | None = None
         self._fetches: set[trio.CancelScope] = set()
         self._nursery: trio.Nursery
-        self._take(boot["known"])
+        self._apply(settings.initial_list)
 
     @property
     def numbers(self) -> Mapping[str, int]:
         """The numbers of servers by the ids that are the same at every node."""
-        return self._numbers
+        return self._entries.numbers.by_id
 
     @property
-    def acted_on(self) -> tuple[str, int]:
-        """Whose list this node acts on, and up to which version of it."""
-        return "{}:{}".format(*self._place), max(0, self._version)
+    def list_version(self) -> tuple[str, int]:
+        """The source of the list that this node uses, and its version."""
+        return format_address(self._address), max(0, self._version)
 
     async def run(self) -> None:
+        """Holds the tasks of watches and fetches."""
         async with trio.open_nursery() as self._nursery:
-            if not self._on_request:
+            if not self._is_on_request:
                 self.watch(True)
             await trio.sleep_forever()
 
+    async def leave(self) -> None:
+        """Ends what others know of this node as it stops; nothing with a list service."""
+
     def watch(self, enable: bool) -> None:
+        """Ends the watch, and starts another one if `enable` is set."""
         if self._watch_scope is not None:
             self._watch_scope.cancel()
             self._watch_scope = None
@@ -79,189 +99,180 @@
             self._nursery.start_soon(self._watch, self._watch_scope)
 
     def fetch(self) -> None:
+        """Asks for the full list once."""
         self._nursery.start_soon(self._fetch)
 
-    def move(self, place: tuple[str, int]) -> None:
-        """Another list service from now on, with versions of its own; what it lists is asked for at once."""
-        if place == self._place:
+    def switch_service(self, address: tuple[str, int]) -> None:
+        """Uses another list service, which has versions of its own, and asks for its list at once."""
+        if address == self._address:
             return
-        self._place, self._version, self._turn = place, -1, self._turn + 1
+        self._address, self._version = address, UNKNOWN_VERSION
+        self._responses_taken += 1
         for scope in list(self._fetches):
             scope.cancel()
             self.fetch()
         if self._watch_scope is not None:
             self.watch(True)
 
+    # watch and fetch
+
     async def _watch(self, scope: trio.CancelScope) -> None:
-        """Watches for as long as that works; where changes come unasked it also goes on after a failure."""
+        """Watches until it fails; where lists are not only given on request it goes on after a failure."""
         with scope:
             while True:
-                await self._talk(self._follow)
-                self._rounds.happened(Event.LIST_FAILED)
-                if self._on_request:
+                await self._with_connection(self._watch_on)
+                self._driver.add_event(Event.LIST_FAILED)
+                if self._is_on_request:
                     return
-                await trio.sleep(AGAIN)
+                await trio.sleep(RETRY_INTERVAL_S)
 
-    async def _follow(self, line: Connection) -> Reason:
-        """One watch after the other, until one is not answered."""
-        wait = AT_ONCE
+    async def _watch_on(self, connection: Connection) -> CloseReason:
+        """Sends one watch after the other, until one is not answered in time."""
+        wait_ms = FIRST_WATCH_WAIT_MS
         while True:
-            since = b"?after=%d&wait_ms=%d" % (self._version, wait) if self._version >= 0 else b""
-            with trio.move_on_after(wait / 1000.0 + LATE if since else LATE) as limit:
-                await self._ask(line, PATH + since)
+            query = b""
+            timeout_s = RESPONSE_MARGIN_S
+            if self._version >= 0:
+                query = b"?after=%d&wait_ms=%d" % (self._version, wait_ms)
+                timeout_s += wait_ms / 1000.0
+            with trio.move_on_after(timeout_s) as limit:
+                await self._request_list(connection, PATH + query)
             if limit.cancelled_caught:
-                return Reason.TIMED_OUT
-            wait = int(WAIT * 1000)
+                return CloseReason.TIMED_OUT
+            wait_ms = int(WATCH_WAIT_S * 1000)
 
     async def _fetch(self) -> None:
         with trio.CancelScope() as scope:
             self._fetches.add(scope)
-            if await self._talk(self._whole_list) != Reason.ASKED:
-                self._rounds.happened(Event.LIST_FAILED)
+            if await self._with_connection(self._fetch_on) != CloseReason.CLOSE_REQUESTED:
+                self._driver.add_event(Event.LIST_FAILED)
         self._fetches.discard(scope)
 
-    async def _whole_list(self, line: Connection) -> Reason:
-        with trio.move_on_after(PATIENCE):
-            await self._ask(line, PATH)
-            return Reason.ASKED
-        return Reason.TIMED_OUT
+    async def _fetch_on(self, connection: Connection) -> CloseReason:
+        with trio.move_on_after(FETCH_TIMEOUT_S):
+            await self._request_list(connection, PATH)
+            return CloseReason.CLOSE_REQUESTED
+        return CloseReason.TIMED_OUT
+
+    # connections
 
-    async def _talk(self, use: Callable[[Connection], Awaitable[Reason]]) -> Reason:
-        """Gives `use` a connection to the list service; returns why that ended."""
-        line, reason, place = None, Reason.STOPPING, self._place
+    async def _with_connection(self, use: Callable[[Connection], Awaitable[CloseReason]]) -> CloseReason:
+        """Calls `use` with a connection to the list service; returns why that was closed."""
+        connection, reason, address = None, CloseReason.STOPPING, self._address
         try:
-            line = await self._connect()
-            reason = await use(line)
+            connection = await self._connect()
+            reason = await use(connection)
         except (OSError, MalformedError):
-            reason = Reason.BROKEN
+            reason = CloseReason.RESET
         except Exception:
-            reason = Reason.FAULT
+            reason = CloseReason.FAULT
             self._log.exception("fault")
         finally:
-            if line is not None:
-                line.close()
-                reason = reason if place == self._place else Reason.SHUT
-                ended(self._log, "list", line.peer, reason, line.since, line.messages)
+            if connection is not None:
+                connection.close()
+                reason = reason if address == self._address else CloseReason.CLOSED
+                log_closed_connection(
+                    self._log,
+                    "list",
+                    connection.peer,
+                    reason,
+                    connection.opened_at,
+                    connection.message_count,
+                )
         return reason
 
     async def _connect(self) -> Connection:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         try:
-            if sock.connect_ex(self._place) == errno.EINPROGRESS:
-                with trio.move_on_after(LATE):
+            if sock.connect_ex(self._address) == errno.EINPROGRESS:
+                with trio.move_on_after(RESPONSE_MARGIN_S):
                     await trio.lowlevel.wait_writable(sock)
             sock.getpeername()  # an error unless it is connected
-            line = Connection(sock, h11.CLIENT, f"{self._place[0]}:{self._place[1]}")
-            line.longest = LONGEST_LIST
-            return line
+            connection = Connection(sock, h11.CLIENT, format_address(self._address))
+            connection.max_body_bytes = MAX_LIST_BYTES
+            return connection
         except BaseException:
             sock.close()
             raise
 
-    async def _ask(self, line: Connection, target: bytes) -> None:
-        turn = self._turn
-        self._answered(await self._call(line, target), turn)
+    async def _request_list(self, connection: Connection, target: bytes) -> None:
+        responses_taken = self._responses_taken
+        self._handle_response(await self._get(connection, target), responses_taken)
 
-    def _answered(self, told: Any, turn: int) -> None:
-        """Takes an answer to a question asked when `turn` answers were taken, unless it is the older one.
-
-        Guards against a whole list that lands behind a newer change, and calls a draining server live again.
-        Where nothing came between and the version still goes back, the service has started anew: what it
-        lists is taken as it is, and what is asked from here on counts from its own versions.
-        """
-        version = told.get("version") if isinstance(told, dict) else None
-        back = isinstance(version, int) and version < self._version
-        if back and turn != self._turn:
-            return
-        if back:
-            self._log.warning("list-starts-anew", version=version, acted_on=self._version)
-        self._turn += 1
-        if not back or told.get("full"):
-            self._take(told)
-        else:
-            self._version = -1  # changes to a list that this node does not know: it asks for all of it
-        if back and self._watch_scope is not None:
-            self.watch(True)
-
-    async def _call(self, line: Connection, target: bytes) -> Any:
-        host = b"%s:%d" % (self._place[0].encode(), self._place[1])
-        line.send(h11.Request(method=b"GET", target=target, headers=[(b"Host", host)]))
-        await line.message()
-        if line.peer != "{}:{}".format(*self._place):
-            # guards against the old service's last answer taken for the new one's
+    async def _get(self, connection: Connection, target: bytes) -> Any:
+        """Returns the JSON of a response; raises MalformedError for any other."""
+        headers = [(b"Host", format_address(self._address).encode())]
+        connection.send(h11.Request(method=b"GET", target=target, headers=headers))
+        await connection.read_message()
+        if connection.peer != format_address(self._address):
+            # the list service was switched: this is the last response of the one before
             raise MalformedError(0, "moved")
-        body = line.body
-        if line.head.status_code != 200:
+        body = connection.body
+        if connection.head.status_code != 200:
             raise MalformedError(0, "no list")
-        if not line.next_message():
+        if not connection.start_next_message():
             raise MalformedError(0, "closed")
         try:
             return orjson.loads(body)
-        except orjson.JSONDecodeError as trouble:
-            raise MalformedError(0, "list is not JSON") from trouble
+        except orjson.JSONDecodeError as error:
+            raise MalformedError(0, "list is not JSON") from error
+
+    # lists
+
+    def _handle_response(self, told: Any, responses_taken: int) -> None:
+        """Applies a response, unless it is older than one that was taken since its request was sent.
 
-    # entries
+        `responses_taken` is how many had been taken by then.
+
+        A full list may arrive behind a newer change, and would make a draining server live again. Where no
+        response came between and the version still is lower, the list service has restarted: its list is
+        applied as it is, and further requests count from its own versions.
+        """
+        version = told.get("version") if isinstance(told, dict) else None
+        is_older = isinstance(version, int) and version < self._version
+        if is_older and responses_taken != self._responses_taken:
+            return
+        if is_older:
+            self._log.warning("list-service-restarted", version=version, previous_version=self._version)
+        self._responses_taken += 1
+        if not is_older or told.get("full"):
+            self._apply(told)
+        else:
+            self._version = UNKNOWN_VERSION  # changes to a list that this node lacks: it asks for all
+        if is_older and self._watch_scope is not None:
+            self.watch(True)
 
-    def heed(self, servers: list[dict[str, Any]]) -> None:
-        """Servers of the own list as they are by what other processes say."""
-        self._take({"heard": True, "full": False, "servers": servers})
+    def apply_reported_states(self, servers: list[dict[str, Any]]) -> None:
+        """Applies the states that other processes say servers of this list have."""
+        self._apply({"heard": True, "full": False, "servers": servers})
 
-    def _take(self, told: Any) -> None:
-        """Hands a list or its changes to the module; what is malformed is left out."""
-        if self.leaving is not None:
-            told = self.leaving.listed(told)
+    def _apply(self, told: Any) -> None:
+        """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
+        if self.list_filter is not None:
+            told = self.list_filter.listed(told)
         if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
             return
-        self._let_go()
-        entries, whole = [], bool(told.get("full", False))
-        if whole:
-            self._gone = {name: self._gone.get(name, now()) for name in self._numbers}
-        for one in told["servers"]:
-            try:
-                entries += self._entries(one)
-            except (TypeError, ValueError, KeyError, AttributeError) as trouble:
-                self._log.warning("entry-skipped", entry=repr(one)[:120], trouble=str(trouble)[:120])
+        is_full = bool(told.get("full", False))
+        self._entries.begin_list(is_full)
+        entries = self._read_entries(told["servers"])
         if isinstance(told.get("version"), int):
             self._version = told["version"]
-        for name in self._gone if whole else ():
-            self._servers.stands(self._numbers[name], State.GONE, 0.0)
-        self.known = self.known or whole
-        if entries or whole:
-            self._rounds.happened(Event.LISTED, entries, whole)
-
-    def _let_go(self) -> None:
-        """Guards against growing with every server that ever was: numbers of those gone are used again."""
-        for name, since in list(self._gone.items()):
-            if now() - since > REST and self._servers.release(self._numbers[name]):
-                self._free.append(self._numbers.pop(name))
-                del self._gone[name]
-
-    def _entries(self, one: dict[str, Any]) -> list[Entry]:
-        """An entry; before the first of a number that was another's, one that says that the other is gone."""
-        if not isinstance(one["id"], str):
-            raise ValueError("no id")
-        state = STATES.get(one.get("state", "in_service"), State.DRAINING)
-        size, cell = float(one.get("weight", 1.0)), int(one.get("cell", 0))
-        started = float(one.get("started_ms", 0)) / 1000.0
-        if not (isfinite(size) and isfinite(started)):
-            raise ValueError("a figure that is none")
-        zone, model = str(one.get("zone", "")), str(one.get("kind", ""))
-        place = address(one["addr"]) if state != State.GONE or "addr" in one else None
-        server, entries = self._numbers.get(one["id"], -1), []
-        figures = self._zones[zone], self._models[model], cell
-        if server < 0:
-            server = len(self._numbers)  # where none is free, all that were given out are in use
-            if self._free:
-                server = self._free.pop()
-                entries.append((server, *figures, State.GONE, size, 0.0))
-            self._numbers[one["id"]] = server
-        if state == State.GONE:
-            self._gone[one["id"]] = now()
-            self._servers.shut_idle(server)
-        else:
-            self._gone.pop(one["id"], None)
-        if place is not None:
-            self._servers.place(server, place)
-        self._servers.stands(server, state, started)
-        return [*entries, (server, *figures, state, size, started)]
+        if is_full:
+            self._entries.finish_full_list()
+        self.has_full_list = self.has_full_list or is_full
+        if entries or is_full:
+            self._driver.add_event(Event.LISTED, entries, is_full)
+
+    def _read_entries(self, servers: list[Any]) -> list[Entry]:
+        entries = []
+        for one in servers:
+            try:
+                entries += self._entries.read(one)
+            except (TypeError, ValueError, KeyError, AttributeError) as error:
+                self._log.warning(
+                    "entry-skipped",
+                    entry=repr(one)[:MAX_LOGGED_CHARACTERS],
+                    error=str(error)[:MAX_LOGGED_CHARACTERS],
+                )
+        return entries
--- /dev/null
+++ b/wheatroute/net/downstream.py
@@ -0,0 +1,212 @@
+"""The side of the node that talks to clients: accepts connections, reads them, shuts down.
+
+Does I/O. Each connection has a task that reads; responses are written by whoever completes an exchange.
+"""
+
+from typing import Any
+
+import h11
+import trio
+
+from wheatroute.net.addresses import format_address
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.client_connection import ClientConnection
+from wheatroute.net.client_registry import ClientRegistry
+from wheatroute.net.connection import MAX_BODY_BYTES, Connection, MalformedError
+from wheatroute.net.listener import Listener
+from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.request_handler import Readiness, RequestAccount, RequestHandler
+from wheatroute.net.request_parser import Forms, RequestParser
+from wheatroute.net.shutdown import SERVING_RATIO, ShutdownState
+
+ACCEPT_RETRY_S = 0.1  # until a client that could not be accepted is tried again
+MAX_DISCARDED_READS = 16  # of what a client goes on sending after its last response
+
+
+class Downstream:
+    """All clients of the node."""
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        max_connections: int,
+        driver: BalancerDriver,
+        readiness: Readiness,
+        log: Any,
+    ) -> None:
+        terms = settings.terms
+        self._driver, self._log = driver, log
+        self._parser = RequestParser(
+            settings.request_classes, settings.tenants, terms["request_classes"], settings.work_header
+        )
+        self._shutdown = ShutdownState()
+        self._clients = ClientRegistry(max_connections, self._shutdown)
+        self._handler = RequestHandler(
+            terms, self._parser, self._clients, self._shutdown, driver, readiness, log
+        )
+        self._is_only_node = terms["nodes"] == 1
+        self._has_successor = settings.has_successor
+        self._listener = Listener(settings.listen, self._has_successor)
+        self._accepting = trio.CancelScope()
+        self._nursery: trio.Nursery
+
+    @property
+    def is_stopping(self) -> bool:
+        """Whether idle connections are closed, as the node stops."""
+        return self._shutdown.is_stopping
+
+    def set_account(self, account: RequestAccount) -> None:
+        """Has requests counted by an account from here on."""
+        self._handler.account = account
+
+    def update_settings(
+        self,
+        request_classes: dict[str, int],
+        tenants: dict[str, int],
+        terms: dict[str, Any],
+        other_forms: Forms,
+    ) -> None:
+        """Puts other settings in force; see `RequestParser.update_settings`."""
+        class_terms = terms["request_classes"]
+        self._parser.update_settings(request_classes, tenants, class_terms, other_forms)
+        self._handler.update_settings(terms)
+        self._is_only_node = terms["nodes"] == 1
+        if self._handler.account is not None:
+            self._handler.account.agree(request_classes, tenants, class_terms)
+
+    async def run(self) -> None:
+        """Accepts clients until the node stops and every client has its response."""
+        async with trio.open_nursery() as self._nursery:
+            self._handler.writer.nursery = self._nursery
+            with self._accepting:
+                await self._accept()
+            self._close_listener()
+            for client in self._clients.idle:
+                client.request_close()
+
+    # shutdown
+
+    async def stop(self) -> None:
+        """Shuts down gracefully, see `shutdown`."""
+        remaining_s = self._shutdown.begin(self._parser.max_deadline_s)
+        if self._has_successor:  # clients find it at the same address
+            self._close_answered_clients()
+            self._accepting.cancel()
+            return
+        await trio.sleep(remaining_s * SERVING_RATIO)
+        if self._is_only_node:
+            self._shutdown.is_rejecting = True
+        else:
+            self._close_answered_clients()
+        await trio.sleep(remaining_s * (1.0 - SERVING_RATIO))
+        self._close_answered_clients()
+        self._accepting.cancel()
+
+    def _close_answered_clients(self) -> None:
+        """Closes idle connections that have had a response; others announce the end with their next one."""
+        self._shutdown.is_stopping = True
+        for client in self._clients.idle:
+            if client.connection.message_count:
+                client.request_close()
+
+    def _close_listener(self) -> None:
+        self._listener.close(self._accept_one)
+
+    # connections
+
+    async def _accept(self) -> None:
+        clients = self._clients
+        while True:
+            if clients.open >= clients.max_clients:
+                clients.make_room()
+            if clients.open >= clients.max_open:
+                await clients.wait_for_close(ACCEPT_RETRY_S)  # by then a new client may be seen to be silent
+                continue
+            try:
+                if not self._accept_one():
+                    await self._listener.wait()
+            except OSError as error:
+                # without a descriptor the loop must neither end nor spin
+                self._log.warning("not-accepted", trouble=str(error), open=clients.open)
+                await clients.wait_for_close(ACCEPT_RETRY_S)
+
+    def _accept_one(self) -> bool:
+        accepted = self._listener.accept()
+        if accepted is None:
+            return False
+        sock, address = accepted
+        connection = Connection(sock, h11.SERVER, format_address(address))
+        lag_s = self._driver.event_loop_lag.lag_s
+        connection.opened_at -= lag_s
+        connection.accepted_iteration = self._driver.event_loop_lag.iterations
+        client = ClientConnection(connection, lag_s)
+        # at once, so that it is closed with the others also before its task has begun
+        self._clients.add(client)
+        self._nursery.start_soon(self._serve, client)
+        return True
+
+    async def _serve(self, client: ClientConnection) -> None:
+        connection, reason = client.connection, CloseReason.FAULT
+        try:
+            reason = await self._read(client)
+        except OSError:
+            reason = client.close_reason or self._reason_of_end(client, CloseReason.RESET)
+        except Exception:
+            self._log.exception("fault")
+        finally:
+            client.close_reason = reason  # so that a pipelined request is not taken after this
+            self._clients.mark_busy(client)
+            self._handler.abandon(client)
+            connection.close()
+            self._clients.remove(client)
+            log_closed_connection(
+                self._log,
+                "client",
+                connection.peer,
+                reason,
+                connection.opened_at,
+                connection.message_count,
+            )
+
+    @staticmethod
+    def _reason_of_end(client: ClientConnection, reason: CloseReason) -> CloseReason:
+        return reason if client.exchange is None else CloseReason.CLIENT_LEFT
+
+    async def _read(self, client: ClientConnection) -> CloseReason:
+        """Reads as long as anything may be received, so that a client's close is noticed at once."""
+        connection = client.connection
+        while True:
+            with client.scope:
+                while await connection.receive() and client.discarded_reads < MAX_DISCARDED_READS:
+                    self._handler.handle(client)
+                    if client.exchange is not None and self._pipelines_too_much(connection):
+                        client.is_paused = True
+                        await trio.sleep_forever()
+                return client.close_reason or self._reason_of_end(client, CloseReason.PEER_CLOSED)
+            client.scope = trio.CancelScope()
+            reason = self._reason_to_close(client)
+            if reason is not None:
+                return reason
+            client.is_close_requested = client.is_paused = False
+
+    @staticmethod
+    def _pipelines_too_much(connection: Connection) -> bool:
+        return len(connection.http.trailing_data[0]) > MAX_BODY_BYTES
+
+    def _reason_to_close(self, client: ClientConnection) -> CloseReason | None:
+        """Looks at a client whose scope was cancelled; None if it is to be read on."""
+        if client.close_reason is not None:
+            return client.close_reason
+        if client.has_partial_request:
+            if trio.current_time() >= client.request_deadline:
+                self._handler.writer.write_error(client, MalformedError(408, "half a request"))
+            else:  # part of it was received as the connection was to be closed: it is read to its end
+                client.scope.deadline = client.request_deadline
+        # a request that was received as the connection was to be closed is read all the same
+        elif client.exchange is None and client.connection.is_reusable():
+            if client.is_close_requested:
+                return self._clients.close_reason()
+            if not client.connection.message_count and trio.current_time() >= client.request_deadline:
+                return CloseReason.NO_REQUEST
+        return None
--- a/wheatroute/net/exchange.py
+++ b/wheatroute/net/exchange.py
@@ -1,8 +1,8 @@
-"""One request between its two sides, their only meeting place.
+"""One request of a client, its attempts and its one final response: what both sides of the node share.
 
-Owns what both sides know of a request: its message, its one final answer and its attempts. The client's side
-makes it and writes its answer, the server's side settles it, neither holds a reference to the other. It must
-never hold two answers, and never sends, retries or waits itself.
+The downstream side creates an exchange and writes its response; the upstream side completes it. Neither
+holds a reference to the other. Invariant: an exchange takes one final response, and none after its client
+has gone. No I/O: nothing here sends, retries or waits.
 """
 
 from collections.abc import Callable
@@ -10,21 +10,29 @@
 
 import trio
 
+REJECTED_STATUS = 503  # Service Unavailable: the request did not run, sending it again is harmless
+FAILED_STATUS = 502  # Bad Gateway: the request may have run
 
-class Answer:
-    """The final answer: served with a server's body, refused or failed."""
 
-    __slots__ = ("status", "body", "kind", "stay_away")
+class Response:
+    """The final response: served with a server's body, rejected or failed.
 
-    def __init__(self, status: int, body: bytes = b"", kind: bytes = b"", stay_away: float = 0.0) -> None:
-        self.status, self.body, self.kind, self.stay_away = status, body, kind, stay_away
+    `retry_after_s` is for the Retry-After header; 0 sends none.
+    """
 
+    __slots__ = ("status", "body", "content_type", "retry_after_s")
 
-REFUSED, FAILED = 503, 502
+    def __init__(
+        self, status: int, body: bytes = b"", content_type: bytes = b"", retry_after_s: float = 0.0
+    ) -> None:
+        self.status = status
+        self.body = body
+        self.content_type = content_type
+        self.retry_after_s = retry_after_s
 
 
-def hinted(text: bytes | str) -> float:
-    """A hint of a request's work; one that is no positive number is none."""
+def parse_work_hint(text: bytes | str) -> float:
+    """Returns the hinted cost of a request, or 0.0 where the hint is no positive finite number."""
     try:
         work = float(text)
     except ValueError:
@@ -33,65 +41,88 @@
 
 
 class Attempt:
-    """One attempt of a request: the scope it runs in, and whether it was called off."""
+    """One sending of a request to a server.
 
-    __slots__ = ("server", "n", "scope", "withdrawn", "sent", "standing", "may_have_run")
+    `sent_at` is on the clock of `clock.now`; the scope is cancelled after `timeout_s` or when it is
+    withdrawn.
+    """
 
-    def __init__(self, server: int, n: int, sent: float, time_out: float) -> None:
-        self.server, self.n, self.sent = server, n, sent
-        self.scope = trio.CancelScope(deadline=trio.current_time() + time_out)
-        self.withdrawn = False
-        self.standing = 0  # how often the server's standing had changed when it was chosen
-        self.may_have_run = False  # written whole, and no answer proves that it never ran
+    __slots__ = (
+        "server",
+        "number",
+        "scope",
+        "is_withdrawn",
+        "sent_at",
+        "server_generation",
+        "may_have_run",
+    )
+
+    def __init__(self, server: int, number: int, sent_at: float, timeout_s: float) -> None:
+        self.server = server
+        self.number = number
+        self.sent_at = sent_at
+        self.scope = trio.CancelScope(deadline=trio.current_time() + timeout_s)
+        self.is_withdrawn = False
+        self.server_generation = 0  # of the server when it was selected, see `ServerTable`
+        self.may_have_run = False  # completely written, and no response proves that it never ran
 
 
 class Exchange:
-    """One request."""
+    """One request, its attempts and its final response."""
 
     __slots__ = (
         "number",
-        "kind",
-        "left",
+        "request_class",
+        "time_left_s",
         "tenant",
-        "repeated",
-        "work",
+        "is_client_retry",
+        "work_hint",
         "method",
         "target",
-        "name",
-        "key",
+        "request_id",
+        "idempotency_key",
         "body",
         "deadline",
-        "over",
-        "answer",
+        "is_complete",
+        "response",
         "attempts",
-        "out",
-        "when_settled",
-        "has_left",
+        "attempts_in_flight",
+        "on_response",
+        "is_client_gone",
     )
 
-    def __init__(self, method: bytes, target: bytes, name: bytes, key: bytes, body: bytes) -> None:
-        self.method, self.target, self.name, self.key, self.body = method, target, name, key, body
-        self.number = -1
-        self.kind, self.left, self.tenant, self.repeated = 0, 0.0, -1, False
-        self.work = 0.0  # hinted; 0 without a hint
-        self.deadline = 0.0  # on the rounds' clock
-        self.over = False
-        self.answer: Answer | None = None
+    def __init__(
+        self, method: bytes, target: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
+    ) -> None:
+        self.method = method
+        self.target = target
+        self.request_id = request_id
+        self.idempotency_key = idempotency_key
+        self.body = body
+        self.number = -1  # given by `BalancerDriver.add_request`
+        self.request_class = 0
+        self.time_left_s = 0.0  # when it was received
+        self.tenant = -1
+        self.is_client_retry = False
+        self.work_hint = 0.0  # 0 without a hint
+        self.deadline = 0.0  # on the clock of `clock.now`
+        self.is_complete = False  # it has its response, or its client has gone
+        self.response: Response | None = None
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts without an outcome
-        self.when_settled: Callable[[], None] | None = None  # the client's side writes the answer
-        self.has_left: Callable[[], bool] | None = None  # and knows whether the client is still there
+        self.attempts_in_flight = 0  # without an outcome
+        self.on_response: Callable[[], None] | None = None  # set by the side that writes the response
+        self.is_client_gone: Callable[[], bool] | None = None  # set by the side that knows the client
 
-    def settle(self, answer: Answer) -> bool:
-        """Takes the final answer unless the request is over; tells whether it was taken."""
-        if self.over:
+    def complete(self, response: Response) -> bool:
+        """Takes the final response unless the exchange is complete; returns whether it was taken."""
+        if self.is_complete:
             return False
-        self.over, self.answer = True, answer
-        if self.when_settled is not None:
-            self.when_settled()
+        self.is_complete, self.response = True, response
+        if self.on_response is not None:
+            self.on_response()
         return True
 
     def abandon(self) -> bool:
-        """The client is gone: nothing more is owed; tells whether anything was."""
-        owed, self.over = not self.over, True
-        return owed
+        """Completes the exchange without a response, as its client has gone; returns whether it was open."""
+        was_open, self.is_complete = not self.is_complete, True
+        return was_open
--- /dev/null
+++ b/wheatroute/net/load_reports.py
@@ -0,0 +1,25 @@
+"""Load reports of servers: the text after "TEXT " in a response header or body. No I/O."""
+
+from wheatroute import words
+
+MAX_LOAD_FIGURE = 1e9  # a larger figure cannot be meant
+
+
+def parse_load_report(text: str) -> tuple[dict[str, float] | None, str]:
+    """Returns the figures under our names (None if there are none), and the last malformed part.
+
+    Malformed parts are left out of the figures.
+    """
+    report: dict[str, float] = {}
+    malformed = ""
+    for part in text.removeprefix("TEXT ").split(","):
+        name, _, figure = part.strip().partition("=")
+        try:
+            value = float(figure)
+        except ValueError:
+            value = -1.0
+        if 0.0 <= value < MAX_LOAD_FIGURE:
+            report[words.FIGURES.get(name, name)] = value
+        else:
+            malformed = part.strip()
+    return report or None, malformed
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -1,7 +1,7 @@
-"""The node's log: one line for each connection that ends, a code for its reason, and few other lines.
+"""The node's log: logfmt lines on standard output, one for each connection that ends and few others.
 
-Owns the shape of the lines (logfmt on standard output) and the list of codes. It must never hold up the
-node: no line for a request, none on the ordinary path. `docs/oncall.md` explains each code and line.
+No line is written for a single request, and none on the ordinary path, as a line costs as much as a request.
+Writing never blocks the node. `docs/oncall.md` explains each event and reason. I/O: standard output.
 """
 
 import os
@@ -18,44 +18,45 @@
     import structlog
 
 
-class Reason(StrEnum):
-    """Why a connection ended."""
+class CloseReason(StrEnum):
+    """Why a connection ended, as the log has it."""
 
-    CLOSED = "closed"  # the other side closed it between requests
-    ASKED = "asked"  # the other side asked for it with its last message
-    LEFT = "left"  # a client hung up with its request out
-    MALFORMED = "malformed"  # what came is no HTTP or not what the protocol says
-    SILENT = "silent"  # a client that came and asked nothing
-    SLOW = "slow"  # part of a message and then silence
-    BROKEN = "broken"  # a reset or another error of the socket
+    PEER_CLOSED = "closed"  # the peer closed it between requests
+    CLOSE_REQUESTED = "asked"  # the peer sent "Connection: close" with its last message
+    CLIENT_LEFT = "left"  # a client closed it with its request open
+    MALFORMED = "malformed"  # what was received is not HTTP or breaks the protocol
+    NO_REQUEST = "silent"  # a client that connected and sent nothing
+    SLOW = "slow"  # part of a message, then nothing
+    RESET = "broken"  # a reset or another error of the socket
     REFUSED = "refused"  # a server refused the connection
-    UNREACHED = "unreached"  # a connection to a server never came up
-    WITHDRAWN = "withdrawn"  # the attempt on it was called off
+    UNREACHABLE = "unreached"  # a connection to a server was not established in time
+    WITHDRAWN = "withdrawn"  # the attempt on it was withdrawn
     TIMED_OUT = "timed-out"  # the attempt on it ran out of time
-    IDLE = "idle"  # idle for nearly as long as its server keeps it
-    ROOM = "room"  # shut to stay inside the descriptors
-    SHUT = "shut"  # the decisions, or a server's new address, asked for it
+    IDLE_TIMEOUT = "idle"  # idle for nearly as long as its server keeps it
+    NO_CAPACITY = "room"  # closed to stay within the limit of descriptors
+    CLOSED = "shut"  # on a command of the balancer, or as a server's address changed
     STOPPING = "stopping"  # the node stops
-    FAULT = "fault"  # a mistake of the node's own
+    FAULT = "fault"  # a fault of the node
 
 
-class Lines:
-    """Writes lines; where a pipe is full they are dropped and counted.
+class LogWriter:
+    """Writes lines to standard output; where a pipe is full they are dropped and counted.
 
-    Guards against a reader of the log that stands still, which would hold up the whole node.
+    A reader of the log that stands still would otherwise hold up the whole node.
     """
 
     def __init__(self) -> None:
-        self._out = sys.stdout.fileno()
+        self._descriptor = sys.stdout.fileno()
         self._dropped = 0
-        if stat.S_ISFIFO(os.fstat(self._out).st_mode):
-            os.set_blocking(self._out, False)
+        if stat.S_ISFIFO(os.fstat(self._descriptor).st_mode):
+            os.set_blocking(self._descriptor, False)
 
     def msg(self, line: str) -> None:
+        """Writes a line, with the number of those dropped before it; called by structlog."""
         if self._dropped:
             line = f"{line} dropped_before={self._dropped}"
         try:
-            os.write(self._out, line.encode() + b"\n")
+            os.write(self._descriptor, line.encode() + b"\n")
             self._dropped = 0
         except OSError:
             self._dropped += 1
@@ -64,7 +65,7 @@
 
 
 def open_log(name: str) -> Any:
-    """The node's logger; every line bears the node's name."""
+    """Configures structlog and returns the logger; every line has the node's name."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -72,19 +73,21 @@
             structlog.processors.format_exc_info,
             structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"]),
         ],
-        logger_factory=Lines,
+        logger_factory=LogWriter,
         cache_logger_on_first_use=True,
     )
     return structlog.get_logger().bind(node=name)
 
 
-def ended(log: Any, side: str, peer: str, reason: Reason, since: float, messages: int) -> None:
-    """The one line of a connection: which side, with whom, why it ended, how long it was and carried what."""
+def log_closed_connection(
+    log: Any, side: str, peer: str, reason: CloseReason, opened_at: float, messages: int
+) -> None:
+    """Logs the end of a connection; `opened_at` is on the monotonic clock."""
     log.info(
         "connection",
         side=side,
         peer=peer,
         reason=reason.value,
-        seconds=round(time.monotonic() - since, 3),
+        seconds=round(time.monotonic() - opened_at, 3),
         messages=messages,
     )
--- /dev/null
+++ b/wheatroute/net/node_settings.py
@@ -0,0 +1,339 @@
+"""The settings of a node: read from the environment and the JSON file that it names, checked and translated.
+
+Invariant: a `NodeSettings` is complete and valid; whatever is missing or malformed raises a
+`NodeSettingsError` of one plain line. I/O: reads the file, opens no socket.
+"""
+
+import os
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from math import inf
+from typing import Any
+
+import orjson
+
+from wheatroute import words
+from wheatroute.net.addresses import NO_ADDRESS, parse_address
+from wheatroute.net.connection import MAX_BODY_BYTES
+
+RESERVED_DESCRIPTORS = 32  # for files, the listener, the list service and the event loop
+RESERVED_DESCRIPTORS_RATIO = 0.125  # the same where very few descriptors are allowed
+MIN_RESERVED_DESCRIPTORS = 6
+MIN_SOCKETS = 16
+RESPONSES_IN_MEMORY = 32  # a single response may take up this fraction of the node's memory
+DEFAULT_AGREEMENT_TIME_S = 10.0  # within which processes agree
+DEFAULT_MEMORY_MB = 64.0
+RESERVED_HEADERS = (
+    "request-id",
+    "request-timeout",
+    "idempotency-key",
+    "tenant",
+    "client-retry",
+    "content-length",
+    "host",
+)  # headers that mean something else than a hint of work
+_HEADER_NAME = re.compile(r"[A-Za-z0-9-]{1,100}\Z")
+Address = tuple[str, int]
+
+
+class NodeSettingsError(Exception):
+    """The settings cannot be used; the message is one line."""
+
+
+@dataclass(frozen=True, slots=True)
+class PeerAddresses:
+    """Where a node receives from other nodes, and where these are."""
+
+    listen: Address
+    others: tuple[Address, ...]
+
+
+@dataclass(frozen=True, slots=True)
+class DiscoverySettings:
+    """Of the client of the list service; `zones` and `models` are numbers by name."""
+
+    address: Address
+    zones: Mapping[str, int]
+    models: Mapping[str, int]
+    is_on_request: bool  # lists are only given on request
+    initial_list: dict[str, Any]  # in the format of the list service
+
+
+@dataclass(frozen=True, slots=True)
+class NodeSettings:
+    """All settings of one node. `derived` is what `derive_settings` makes of `settings`."""
+
+    name: str
+    listen: Address
+    discovery: Address  # of the list service; `NO_ADDRESS` where servers are followed in etcd
+    etcd_servers: dict[str, Any] | None  # "endpoints", "prefix" and "nodes_prefix", as `config.Etcd` has them
+    seed: str
+    work_header: bytes  # in lower case, empty for none
+    initial_list: dict[str, Any]  # of servers, in the format of the list service
+    max_connections: int  # to clients and servers
+    max_response_bytes: int
+    settings: dict[str, Any]  # as the file has them
+    derived: dict[str, Any]
+    agreement: dict[str, Any] | None  # the store of versions, and "within" seconds
+    rollout: dict[str, Any] | None  # the same for rollouts
+    has_successor: bool  # another process of this node listens on the same address while this one stops
+    peers: PeerAddresses | None
+
+    @property
+    def terms(self) -> dict[str, Any]:
+        """Settings of the decision module."""
+        terms: dict[str, Any] = self.derived["terms"]
+        return terms
+
+    @property
+    def request_classes(self) -> dict[str, int]:
+        """The numbers of request classes by name."""
+        numbers: dict[str, int] = self.derived["request_classes"]
+        return numbers
+
+    @property
+    def tenants(self) -> dict[str, int]:
+        """The numbers of tenants by name."""
+        numbers: dict[str, int] = self.derived["tenants"]
+        return numbers
+
+    @property
+    def discovery_settings(self) -> DiscoverySettings:
+        """Settings of the client of the list service."""
+        return DiscoverySettings(
+            self.discovery,
+            self.derived["zones"],
+            self.derived["models"],
+            self.terms["list_on_request"],
+            self.initial_list,
+        )
+
+    def restart_required(self, other: "NodeSettings") -> list[str]:
+        """Returns the names of settings that differ in `other` and that a running node does not take over."""
+        pairs = {
+            "listen": (self.listen, other.listen),
+            "descriptors": (self.max_connections, other.max_connections),
+            "settings": (self.settings, other.settings),
+            "peers": (self.peers, other.peers),
+            "work_header": (self.work_header, other.work_header),
+            "agreement": (self.agreement, other.agreement),
+            "followed": (self.etcd_servers, other.etcd_servers),
+            "rollout": (self.rollout, other.rollout),
+            "beside": (self.has_successor, other.has_successor),
+        }
+        return [name for name, (mine, others) in pairs.items() if mine != others]
+
+
+def read_node_settings(environment: Mapping[str, str]) -> NodeSettings:
+    """Reads the settings at start; the environment takes precedence over the file."""
+    document = _read_document(environment.get("PROXY_CONFIG", ""))
+    settings = document.get("settings")
+    if not isinstance(settings, dict):
+        raise NodeSettingsError('no object "settings" in the file that PROXY_CONFIG names')
+    try:
+        listen = parse_address(environment.get("PROXY_LISTEN") or document.get("listen"))
+        etcd_servers = _parse_etcd_servers(document.get("servers"))
+        list_service = environment.get("PROXY_DISCOVERY") or document.get("discovery")
+        discovery = NO_ADDRESS if etcd_servers else parse_address(list_service)
+    except ValueError as error:
+        raise NodeSettingsError(f"where to listen or where the list is: {error}") from error
+    work_header = _parse_work_header(document.get("work_header"))
+    max_connections = _max_connections(document.get("limits"))
+    max_response_bytes = _max_response_bytes(document.get("limits"))
+    derived = derive_settings(settings)
+    agreement = _parse_version_store(document.get("agreement"), "agreement")
+    rollout = _parse_version_store(document.get("rollout"), "rollout")
+    has_successor = document.get("beside", False)
+    if not isinstance(has_successor, bool):
+        raise NodeSettingsError(f'"beside" is neither true nor false: {has_successor!r}')
+    peers = _parse_peers(document.get("peers"), derived["terms"]["peers"])
+    derived["terms"]["peers"] = peers is not None  # without peers no server is probed on their behalf
+    initial_list = document.get("known")
+    return NodeSettings(
+        name=environment.get("PROXY_NAME") or document.get("name") or "node",
+        listen=listen,
+        discovery=discovery,
+        etcd_servers=etcd_servers,
+        seed=str(document.get("seed", "")),
+        work_header=work_header,
+        initial_list=initial_list if isinstance(initial_list, dict) else {},
+        max_connections=max_connections,
+        max_response_bytes=max_response_bytes,
+        settings=settings,
+        derived=derived,
+        agreement=agreement,
+        rollout=rollout,
+        has_successor=has_successor,
+        peers=peers,
+    )
+
+
+def reload_node_settings(environment: Mapping[str, str]) -> NodeSettings:
+    """Reads the settings of a running node; its environment is old, so the file names the list service."""
+    return read_node_settings(
+        {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"}
+    )
+
+
+def derive_settings(settings: dict[str, Any]) -> dict[str, Any]:
+    """Translates and checks "settings"; raises NodeSettingsError.
+
+    Returns numbers by name in "zones", "models", "tenants" and "request_classes", and the settings of the
+    decision module in "terms".
+    """
+    zones = _numbered_names(settings, "dcs")
+    models = _numbered_names(settings, "skus")
+    tenants = {one["name"]: number for number, one in enumerate(_named_objects(settings, "tenants"))}
+    request_classes = _named_objects(settings, "traffic-types")
+    if not request_classes:
+        raise NodeSettingsError("the settings hold no request classes")
+    try:
+        terms = words.terms(settings, zones)
+    except (TypeError, ValueError, AttributeError) as error:
+        raise NodeSettingsError(f"the settings are malformed: {error}") from error
+    # an HTTP/1.1 connection carries one request at a time, whatever the settings say
+    terms = terms | {"calls_per_connection": 1}
+    for name in ("connection_price", "crossing_price"):
+        if not isinstance(terms[name], int | float) or not 0.0 <= terms[name] < inf:
+            raise NodeSettingsError(
+                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {terms[name]!r}"
+            )
+    return {
+        "zones": zones,
+        "models": models,
+        "tenants": tenants,
+        "request_classes": {one["name"]: number for number, one in enumerate(request_classes)},
+        "terms": terms,
+    }
+
+
+def _read_document(path: str) -> dict[str, Any]:
+    if not path:
+        raise NodeSettingsError("PROXY_CONFIG is not set")
+    try:
+        with open(path, "rb") as source:
+            document = orjson.loads(source.read())
+    except OSError as error:
+        raise NodeSettingsError(f"cannot read {path}: {os.strerror(error.errno or 0)}") from error
+    except orjson.JSONDecodeError as error:
+        raise NodeSettingsError(f"{path} is not JSON: {error}") from error
+    if not isinstance(document, dict):
+        raise NodeSettingsError(f"{path} does not hold an object")
+    return document
+
+
+def _parse_peers(table: Any, is_allowed: bool) -> PeerAddresses | None:
+    """Returns the addresses of "peers", None where the file has none."""
+    if table is None:
+        return None
+    if (
+        not isinstance(table, dict)
+        or not isinstance(table.get("others"), list)
+        or table.keys() - {"listen", "others"}
+    ):
+        raise NodeSettingsError('"peers" is no object of "listen" and a list "others"')
+    if not is_allowed:
+        raise NodeSettingsError('"peers" are named, but the settings do not allow them')
+    try:
+        listen = parse_address(table.get("listen"))
+        others = tuple(parse_address(one) for one in table["others"])
+    except ValueError as error:
+        raise NodeSettingsError(f'"peers": {error}') from error
+    if listen in others:
+        raise NodeSettingsError('"peers": its own place is among the others')
+    if len(set(others)) < len(others):
+        raise NodeSettingsError('"peers": one of the others is named twice')
+    return PeerAddresses(listen, others)
+
+
+def _parse_etcd_servers(table: Any) -> dict[str, Any] | None:
+    """Returns where servers are followed in etcd, None for a list service; raises ValueError too."""
+    if table is None:
+        return None
+    if (
+        not isinstance(table, dict)
+        or table.keys() - {"etcd", "prefix", "nodes_prefix"}
+        or not isinstance(table.get("etcd"), list)
+        or not table.get("prefix")
+        or not isinstance(table["prefix"], str)
+        or not isinstance(table.get("nodes_prefix", ""), str)
+    ):
+        raise NodeSettingsError('"servers" is no object of "etcd" endpoints, "prefix" and "nodes_prefix"')
+    for endpoint in table["etcd"]:
+        parse_address(endpoint)
+    if not table["etcd"]:
+        raise NodeSettingsError('"servers" names no endpoint of etcd')
+    return {
+        "endpoints": table["etcd"],
+        "prefix": table["prefix"],
+        "nodes_prefix": table.get("nodes_prefix", ""),
+    }
+
+
+def _parse_version_store(table: Any, name: str) -> dict[str, Any] | None:
+    """Returns the store of versions that a table names, and the time to agree; None without the table."""
+    if table is None:
+        return None
+    if not isinstance(table, dict) or table.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
+        raise NodeSettingsError(f'"{name}" is no object of "directory", "relay", or "etcd" and "prefix"')
+    within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIME_S), table.get("etcd")
+    if not isinstance(within_s, int | float) or not 0.0 < within_s < inf:
+        raise NodeSettingsError(f'"{name}": "within" is no number of seconds: {within_s!r}')
+    paths = [key for key in ("directory", "relay") if isinstance(table.get(key), str) and table[key]]
+    if len(paths) == 1 and endpoints is None:
+        return {paths[0]: table[paths[0]], "within": float(within_s)}
+    if not isinstance(endpoints, list) or not endpoints or not isinstance(table.get("prefix"), str):
+        raise NodeSettingsError(f'"{name}" names no "directory", nor "etcd" endpoints with a "prefix"')
+    try:
+        addresses = [parse_address(one) for one in endpoints]
+    except ValueError as error:
+        raise NodeSettingsError(f'"{name}": {error}') from error
+    return {"etcd": addresses, "prefix": table["prefix"], "within": float(within_s)}
+
+
+def _parse_work_header(name: Any) -> bytes:
+    """Returns the name of the header that hints at a request's work, in lower case; empty for none."""
+    if name is None:
+        return b""
+    if not isinstance(name, str) or not _HEADER_NAME.match(name) or name.lower() in RESERVED_HEADERS:
+        raise NodeSettingsError(f'"work_header" is no header of its own: {name!r}')
+    return name.lower().encode()
+
+
+def _named_objects(settings: dict[str, Any], key: str) -> list[dict[str, Any]]:
+    objects = settings.get(key) or []
+    if not isinstance(objects, list) or not all(
+        isinstance(one, dict) and isinstance(one.get("name"), str) for one in objects
+    ):
+        raise NodeSettingsError(f'the settings\' "{key}" is not a list of objects with names')
+    return objects
+
+
+def _numbered_names(settings: dict[str, Any], key: str) -> words.Numbers:
+    names = settings.get(key) or []
+    if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
+        raise NodeSettingsError(f'the settings\' "{key}" is not a list of names')
+    return words.Numbers({name: number for number, name in enumerate(names)})
+
+
+def _max_connections(limits: Any) -> int:
+    """Returns how many connections the node may hold: its descriptors less a reserve."""
+    sockets = limits.get("sockets") if isinstance(limits, dict) else None
+    if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
+        raise NodeSettingsError('no usable "limits.sockets"')
+    reserved = int(sockets * RESERVED_DESCRIPTORS_RATIO) + MIN_RESERVED_DESCRIPTORS
+    return sockets - min(RESERVED_DESCRIPTORS, reserved)
+
+
+def _max_response_bytes(limits: Any) -> int:
+    """Returns how long a server's response may be, in bytes.
+
+    Servers send longer bodies than the 64 KiB that the protocol allows to clients, so that bound would turn
+    good responses into errors; without any bound one response could take all memory.
+    """
+    memory_mb = limits.get("memory_mb") if isinstance(limits, dict) else None
+    if not isinstance(memory_mb, int | float) or not 0 < memory_mb < inf:
+        memory_mb = DEFAULT_MEMORY_MB
+    memory_bytes = memory_mb * 2**20
+    return max(MAX_BODY_BYTES, int(memory_bytes / RESPONSES_IN_MEMORY))
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -1,7 +1,7 @@
-"""Messages among nodes: what servers hold, as datagrams to the nodes that the configuration names.
+"""Datagrams (UDP) among nodes: the loads of servers, sent to the nodes that the settings name.
 
-Owns one socket, and none where the configuration names no peers. A message that is lost, late, too long or of
-another sender is nothing told; sending never waits. It decides nothing and must never pass on what it hears.
+Does I/O on one socket. A message that is lost, late, too long or of an unknown sender is ignored; sending
+never waits. What is received is not passed on to further nodes, and not judged here.
 """
 
 import socket
@@ -12,53 +12,59 @@
 
 from wheatroute import talk
 from wheatroute.interface import Event
-from wheatroute.net.rounds import Rounds
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.node_settings import PeerAddresses
 
 
-class Numbered(Protocol):
-    """What is needed of the list's side: the numbers of servers by the ids that all nodes know."""
+class NumberedServers(Protocol):
+    """The numbers of servers by the ids that all nodes know."""
 
     @property
-    def numbers(self) -> Mapping[str, int]: ...
+    def numbers(self) -> Mapping[str, int]:
+        """The numbers by id."""
 
 
 class Peers:
-    """The other nodes."""
+    """The socket to the other nodes."""
 
-    def __init__(self, told: dict[str, Any], rounds: Rounds, listed: Numbered, log: Any) -> None:
-        self._place, self._others = told["listen"], tuple(told["others"])
-        self._rounds, self._listed, self._log = rounds, listed, log
+    def __init__(
+        self, addresses: PeerAddresses, driver: BalancerDriver, servers: NumberedServers, log: Any
+    ) -> None:
+        self._others = addresses.others
+        self._driver, self._servers, self._log = driver, servers, log
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.setblocking(False)
-        self._socket.bind(self._place)
+        self._socket.bind(addresses.listen)
 
-    def tell(self, figures: Mapping[int, float]) -> None:
-        names = {server: name for name, server in self._listed.numbers.items()}
-        for text in talk.pack((names[one], held) for one, held in figures.items() if one in names):
-            for place in self._others:
+    def send_loads(self, loads: Mapping[int, float]) -> None:
+        """Sends the loads of servers, by number, to all other nodes."""
+        ids = {server: identity for identity, server in self._servers.numbers.items()}
+        for text in talk.pack((ids[one], load) for one, load in loads.items() if one in ids):
+            for address in self._others:
                 try:
-                    self._socket.sendto(text.encode(), place)
+                    self._socket.sendto(text.encode(), address)
                 except OSError:
-                    # guards against a full buffer or a peer that is away holding up the node
+                    # a full buffer or a peer that is away must not hold up the node
                     continue
 
     async def run(self) -> None:
+        """Receives datagrams until it is cancelled; closes the socket."""
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._socket)
-                self._take()
+                self._receive()
         finally:
             self._socket.close()
 
-    def _take(self) -> None:
+    def _receive(self) -> None:
         try:
             data, sender = self._socket.recvfrom(talk.LONGEST + 1)
         except OSError:
             return  # an ICMP error about what was sent before
         if sender in self._others:
             known = talk.Known()
-            for name, server in self._listed.numbers.items():
-                known.add(name, server)
-            figures = talk.unpack(data.decode("latin-1"), known.names)
-            if figures:
-                self._rounds.happened(Event.TOLD, figures)
+            for identity, server in self._servers.numbers.items():
+                known.add(identity, server)
+            loads = talk.unpack(data.decode("latin-1"), known.names)
+            if loads:
+                self._driver.add_event(Event.TOLD, loads)
--- /dev/null
+++ b/wheatroute/net/probes.py
@@ -0,0 +1,69 @@
+"""Probes: health checks of servers by their load reports, or by their liveness where these are not read.
+
+Does I/O.
+"""
+
+from typing import Any
+
+import h11
+import trio
+
+from wheatroute.interface import Event, Outcome, Report
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.clock import now
+from wheatroute.net.connection import MalformedError
+from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
+from wheatroute.net.log import CloseReason
+from wheatroute.net.response_reader import LoadReportReader, read_response
+from wheatroute.net.server_table import ServerTable
+
+PROBE_CONNECT_TIMEOUTS = 2  # the protocol names no timeout for a probe: it has that of a connection twice
+LOAD_PATH = b"/metrics/load"
+LIVENESS_PATH = b"/alive"
+
+
+class Prober:
+    """Runs probes, each in a task of its own."""
+
+    def __init__(
+        self,
+        terms: dict[str, Any],
+        servers: ServerTable,
+        pool: ConnectionPool,
+        reports: LoadReportReader,
+        driver: BalancerDriver,
+        log: Any,
+    ) -> None:
+        self._path = LIVENESS_PATH if terms["report_how"] == "none" else LOAD_PATH
+        self._servers = servers
+        self._pool = pool
+        self._reports = reports
+        self._driver = driver
+        self._log = log
+
+    async def run(self, server: int) -> None:
+        """Probes a server; outcome, time and load report are added as an event."""
+        sent_at, outcome, report, holder = now(), Outcome.TIMED_OUT, None, ConnectionHolder()
+        try:
+            with trio.move_on_after(PROBE_CONNECT_TIMEOUTS * self._pool.connect_timeout_s):
+                outcome, report = await self._probe(server, holder)
+        except ConnectFailedError:
+            outcome = Outcome.UNCONNECTED
+        except (OSError, MalformedError):
+            outcome, holder.close_reason = Outcome.RESET, CloseReason.RESET
+        except Exception:
+            self._log.exception("fault")
+        self._pool.discard(holder.connection, holder.close_reason)
+        self._servers.end(server)
+        self._driver.add_event(Event.SOUNDED, server, outcome, now() - sent_at, report)
+
+    async def _probe(self, server: int, holder: ConnectionHolder) -> tuple[Outcome, Report | None]:
+        holder.connection = connection = await self._pool.acquire(server)
+        host, port = self._servers.address(server)
+        headers = [(b"Host", b"%s:%d" % (host.encode(), port))]
+        connection.send(h11.Request(method=b"GET", target=self._path, headers=headers))
+        response = await read_response(connection, self._pool.connect_timeout_s)
+        load = response.headers.get(b"server-load", response.body if self._path == LOAD_PATH else None)
+        report = self._reports.read(server, load)
+        self._pool.release(server, holder)
+        return Outcome.SERVED if response.status == 200 else Outcome.ERROR, report
--- /dev/null
+++ b/wheatroute/net/request_handler.py
@@ -0,0 +1,210 @@
+"""Takes requests off clients' connections, admits them and has their responses written.
+
+Does I/O on clients' connections. Invariant: a request that was admitted gets exactly one complete response,
+that of its exchange, unless its client goes first.
+"""
+
+import time
+from math import inf
+from typing import Any, Protocol
+
+import h11
+import trio
+
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.client_connection import ClientConnection
+from wheatroute.net.client_registry import ClientRegistry
+from wheatroute.net.clock import now
+from wheatroute.net.connection import Connection, MalformedError
+from wheatroute.net.exchange import REJECTED_STATUS, Exchange, Response
+from wheatroute.net.log import CloseReason
+from wheatroute.net.request_parser import SINGLE_HEADERS, RequestParser
+from wheatroute.net.response_writer import ResponseWriter
+from wheatroute.net.shutdown import ShutdownState
+
+READINESS_PATH = b"/up"
+MAX_ITERATIONS_TO_FIRST_READ = 3  # of the event loop, from accepting a connection to reading what lay on it
+REJECTION_LOG_INTERVAL_S = 1.0
+
+
+class RequestAccount(Protocol):
+    """Counts what becomes of requests, for rollouts."""
+
+    def took(self, exchange: Exchange) -> None:
+        """A request was admitted."""
+
+    def settled(self, exchange: Exchange, now: float) -> None:
+        """A request has its response."""
+
+    def refused(self, exchange: Exchange) -> None:
+        """A request was rejected before it was admitted."""
+
+    def left(self, exchange: Exchange, now: float) -> None:
+        """The client of a request has gone."""
+
+    def agree(self, names: dict[str, int], tenants: dict[str, int], kinds: list[dict[str, Any]]) -> None:
+        """Other settings are in force."""
+
+
+class Readiness(Protocol):
+    """Whether the node knows the list of servers."""
+
+    has_full_list: bool
+
+
+class RequestHandler:
+    """Handles the requests of all clients."""
+
+    def __init__(
+        self,
+        terms: dict[str, Any],
+        parser: RequestParser,
+        clients: ClientRegistry,
+        shutdown: ShutdownState,
+        driver: BalancerDriver,
+        readiness: Readiness,
+        log: Any,
+    ) -> None:
+        self._parser = parser
+        self._clients = clients
+        self._shutdown = shutdown
+        self._driver = driver
+        self._readiness = readiness
+        self._log = log
+        self.account: RequestAccount | None = None  # set where rollouts are judged by it
+        self.writer = ResponseWriter(clients, shutdown, lambda: parser.max_deadline_s, self._on_ready)
+        self._in_flight = 0
+        self._rejected = 0  # since that was logged
+        self._rejections_logged_at = -inf
+        self.update_settings(terms)
+
+    def update_settings(self, terms: dict[str, Any]) -> None:
+        """Puts other settings in force."""
+        self._max_in_flight = min(self._clients.max_clients, terms["most_open"] or self._clients.max_clients)
+        self._retry_after_s = terms["longest_advice"] if terms["refusal_advice"] else 0.0
+
+    # requests
+
+    def handle(self, client: ClientConnection) -> None:
+        """Takes the next request if it is complete and none is open; else its bytes stay in the buffer."""
+        client.discarded_reads += client.connection.discards_input
+        if client.close_reason is not None or client.exchange is not None:
+            return
+        try:
+            if client.connection.parse():
+                self._take(client)
+            else:
+                self._wait_for_rest(client)
+        except MalformedError as error:
+            self.writer.write_error(client, error)
+
+    def _on_ready(self, client: ClientConnection) -> None:
+        self._clients.mark_idle(client)
+        if client.connection.has_unparsed_input:
+            self.writer.nursery.start_soon(self._handle_pipelined, client)
+
+    async def _handle_pipelined(self, client: ClientConnection) -> None:
+        """Handles a request that was received before the response to the one before (RFC 9112, 9.3.2)."""
+        self.handle(client)
+        if client.is_paused:
+            client.scope.cancel()
+
+    def _wait_for_rest(self, client: ClientConnection) -> None:
+        """Part of a request was received: the rest of it has to come in time."""
+        http = client.connection.http
+        if not client.has_partial_request:
+            self._clients.mark_busy(client)
+            client.begin_partial_request()
+        if http.they_are_waiting_for_100_continue:
+            interim = h11.InformationalResponse(status_code=100, headers=[])
+            client.connection.sock.send(http.send(interim) or b"")
+
+    def _take(self, client: ClientConnection) -> None:
+        connection = client.connection
+        client.finish_request()
+        self._clients.mark_busy(client)
+        path = connection.head.target.split(b"?", 1)[0]
+        if path == READINESS_PATH and self._is_readiness_check(connection.head):
+            self.writer.write(client, Response(200 if self._readiness.has_full_list else 503))
+            return
+        exchange = self._parser.parse(
+            connection.head, path, connection.body, self._lag_s(connection), self._shutdown.answer_by
+        )
+        if self._shutdown.is_rejecting or self._in_flight >= self._max_in_flight:
+            self._reject(client, exchange)
+        else:
+            self._admit(client, exchange)
+
+    @staticmethod
+    def _is_readiness_check(head: h11.Request) -> bool:
+        """Whether a request for the path asks whether the node is ready.
+
+        A request class may have the same path; its requests have one of their headers.
+        """
+        return head.method == b"GET" and not any(name in SINGLE_HEADERS for name, _ in head.headers)
+
+    def _admit(self, client: ClientConnection, exchange: Exchange) -> None:
+        self._in_flight += 1
+        client.exchange = exchange
+        exchange.on_response = lambda: self._respond(client)
+        exchange.is_client_gone = lambda: self._is_client_gone(client)
+        self._driver.add_request(exchange)
+        if self.account is not None:
+            self.account.took(exchange)
+
+    def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
+        """Rejects a request before it reaches the balancer.
+
+        The simulator does so at the limit of the settings; here descriptors may be the tighter limit, and
+        without a descriptor left requests would be lost unread in the listener's queue.
+        """
+        if self.account is not None:
+            self.account.refused(exchange)
+        if not self._shutdown.is_rejecting:
+            self._count_rejected()
+        self.writer.write(client, Response(REJECTED_STATUS, retry_after_s=self._retry_after_s))
+
+    def _count_rejected(self) -> None:
+        self._rejected += 1
+        if trio.current_time() - self._rejections_logged_at > REJECTION_LOG_INTERVAL_S:
+            self._log.warning("full", out=self._in_flight, refused=self._rejected)
+            self._rejections_logged_at, self._rejected = trio.current_time(), 0
+
+    def _lag_s(self, connection: Connection) -> float:
+        """Returns how long a message may have lain unread; a first one since before the accept."""
+        event_loop_lag = self._driver.event_loop_lag
+        iterations = event_loop_lag.iterations - connection.accepted_iteration
+        if not connection.message_count and iterations <= MAX_ITERATIONS_TO_FIRST_READ:
+            return time.monotonic() - connection.opened_at
+        return event_loop_lag.lag_s
+
+    # ends of requests
+
+    def _respond(self, client: ClientConnection) -> None:
+        """The exchange of a client has its response."""
+        exchange, client.exchange = client.exchange, None
+        assert exchange is not None and exchange.response is not None
+        self._in_flight -= 1
+        if self.account is not None:
+            self.account.settled(exchange, now())
+        try:
+            self.writer.write(client, exchange.response)
+        except Exception:  # it must not reach the one who completed the exchange
+            self._log.exception("fault")
+            client.end(CloseReason.FAULT)
+
+    def _is_client_gone(self, client: ClientConnection) -> bool:
+        """Whether a client has closed its connection, also where its task has not seen that yet."""
+        if not client.connection.is_closed_by_peer():
+            return False
+        client.end(CloseReason.CLIENT_LEFT)
+        return True
+
+    def abandon(self, client: ClientConnection) -> None:
+        """The connection of a client is closed: its open request, if any, gets no response."""
+        if client.exchange is None:
+            return
+        self._in_flight -= 1
+        self._driver.abandon_request(client.exchange)
+        if self.account is not None:
+            self.account.left(client.exchange, now())
--- /dev/null
+++ b/wheatroute/net/request_parser.py
@@ -0,0 +1,149 @@
+"""Makes an exchange of a client's message, by the settings in force. No I/O.
+
+Holds the request ids of late. Invariants: no request id is accepted twice within its time, and no request
+whose form lacks what would make a retry of it safe (a method without effects, or an idempotency key).
+"""
+
+import re
+from collections import deque
+from collections.abc import Mapping
+from typing import Any
+
+import h11
+import trio
+
+from wheatroute import words
+from wheatroute.interface import Effect
+from wheatroute.net.connection import MalformedError
+from wheatroute.net.exchange import Exchange, parse_work_hint
+
+REQUEST_ID_MEMORY_DEADLINES = 2.0  # a request id is remembered for this multiple of the longest deadline
+SINGLE_HEADERS = (b"request-id", b"idempotency-key", b"request-timeout", b"tenant")
+_TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])\Z")
+_UNITS_PER_SECOND = {b"m": 1e3, b"u": 1e6}
+
+# of a request class, while its form changes: the other forms that are accepted, and the class with strict
+# rules
+Forms = dict[int, tuple[frozenset[Effect], int]]
+
+
+def parse_timeout(text: bytes) -> float:
+    """Parses a Request-Timeout ("480m", "1500u") into seconds; raises MalformedError."""
+    found = _TIMEOUT.match(text)
+    if found is None:
+        raise MalformedError(400, "no usable Request-Timeout")
+    return float(found[1]) / _UNITS_PER_SECOND[found[2]]
+
+
+class RequestParser:
+    """Request classes, tenants, and the request ids that were accepted.
+
+    `request_classes` and `tenants` are numbers by name, `class_terms` the rules of each class by number.
+    """
+
+    def __init__(
+        self,
+        request_classes: Mapping[str, int],
+        tenants: Mapping[str, int],
+        class_terms: list[dict[str, Any]],
+        work_header: bytes,
+    ) -> None:
+        self._request_classes = words.in_path(request_classes)
+        self._tenants = words.in_header(tenants)
+        self._work_header = work_header
+        self._class_terms = class_terms
+        self.max_deadline_s = max(rules["deadline"] for rules in class_terms) or 1.0
+        self._other_forms: Forms = {}
+        self._request_ids: set[bytes] = set()
+        self._request_id_expiries: deque[tuple[float, bytes]] = deque()
+
+    def update_settings(
+        self,
+        request_classes: Mapping[str, int],
+        tenants: Mapping[str, int],
+        class_terms: list[dict[str, Any]],
+        other_forms: Forms,
+    ) -> None:
+        """Puts other settings in force.
+
+        A class's form follows from its effect. Clients learn of a change earlier or later than this node,
+        so a class that changes is accepted in `other_forms` too.
+        """
+        self._request_classes = words.in_path(request_classes)
+        self._tenants = words.in_header(tenants)
+        self._other_forms = other_forms
+        self._class_terms = class_terms
+        # never shorter: request ids are remembered for as long as was in force when they were accepted
+        self.max_deadline_s = max(self.max_deadline_s, *(rules["deadline"] for rules in class_terms))
+
+    def parse(self, request: h11.Request, path: bytes, body: bytes, lag_s: float, until: float) -> Exchange:
+        """Returns the exchange that a client asks for; raises MalformedError with the status to answer.
+
+        `lag_s` is how long the message may have lain unread, `until` the time on trio's clock by which the
+        node has to answer.
+        """
+        request_class = self._request_classes.get(path.lstrip(b"/").split(b"/", 1)[0])
+        if request_class is None:
+            raise MalformedError(404, "no such request class")
+        headers = dict(request.headers)
+        if any(sum(name == one for name, _ in request.headers) > 1 for one in SINGLE_HEADERS):
+            raise MalformedError(400, "a header twice that means one thing")
+        request_id = headers.get(b"request-id", b"")
+        idempotency_key = headers.get(b"idempotency-key", b"")
+        effect = self._class_terms[request_class]["effect"]
+        if self._other_forms:
+            request_class, effect = self._match_form(
+                request_class, effect, request.method, bool(idempotency_key)
+            )
+        self._check_form(effect, request.method, request_id, idempotency_key, body)
+        exchange = Exchange(request.method, request.target, request_id, idempotency_key, body)
+        exchange.request_class = request_class
+        time_left_s = parse_timeout(headers.get(b"request-timeout", b"")) - lag_s
+        exchange.time_left_s = max(0.0, min(time_left_s, until - trio.current_time()))
+        exchange.tenant = self._tenants.get(headers.get(b"tenant", b""), -1)
+        exchange.is_client_retry = headers.get(b"client-retry", b"").strip() == b"1"
+        if self._work_header:
+            exchange.work_hint = parse_work_hint(headers.get(self._work_header, b""))
+        self._remember(request_id)
+        return exchange
+
+    @staticmethod
+    def _check_form(
+        effect: Effect, method: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
+    ) -> None:
+        """Raises MalformedError where a request has not the form of its class."""
+        if method != (b"GET" if effect == Effect.SAFE else b"POST"):
+            raise MalformedError(405, "not the method of this request class")
+        if body and effect == Effect.SAFE:
+            raise MalformedError(400, "a body that this request class has not")
+        if not request_id:
+            raise MalformedError(400, "no Request-Id")
+        if bool(idempotency_key) != (effect == Effect.KEYED):
+            raise MalformedError(400, "Idempotency-Key does not suit this request class")
+
+    def _match_form(
+        self, request_class: int, effect: Effect, method: bytes, has_key: bool
+    ) -> tuple[int, Effect]:
+        """Returns class and effect by which a request is handled, so that no retry of it is unsafe."""
+        if method == b"GET":
+            form = Effect.SAFE
+        else:
+            form = Effect.KEYED if has_key else Effect.UNSAFE
+        forms, strict_class = self._other_forms.get(request_class, (frozenset(), request_class))
+        if form == effect or form not in forms:
+            return request_class, effect
+        # the rules of the class apply unless they rest on a key that the request lacks, or are looser than
+        # its form
+        needs_strict = effect == Effect.KEYED or form == Effect.UNSAFE
+        return (strict_class if needs_strict else request_class), form
+
+    def _remember(self, request_id: bytes) -> None:
+        """Raises MalformedError for an id that is in use: a server would take the request for a retry."""
+        moment = trio.current_time()
+        while self._request_id_expiries and self._request_id_expiries[0][0] <= moment:
+            self._request_ids.discard(self._request_id_expiries.popleft()[1])
+        if request_id in self._request_ids:
+            raise MalformedError(409, "this Request-Id was used before")
+        self._request_ids.add(request_id)
+        expires_at = moment + REQUEST_ID_MEMORY_DEADLINES * self.max_deadline_s
+        self._request_id_expiries.append((expires_at, request_id))
--- /dev/null
+++ b/wheatroute/net/response_reader.py
@@ -0,0 +1,77 @@
+"""Reads responses of servers and tells what they mean. Does I/O on the connections that it is given."""
+
+from dataclasses import dataclass
+from math import inf
+from typing import Any
+
+import trio
+
+from wheatroute.interface import Outcome
+from wheatroute.net.connection import Connection, MalformedError
+from wheatroute.net.load_reports import parse_load_report
+from wheatroute.net.server_table import ServerTable
+
+MAX_STALL_CONNECT_TIMEOUTS = 2.0  # for which a response that has begun may make no progress
+MAX_LOGGED_CHARACTERS = 80
+
+
+@dataclass(slots=True)
+class ServerResponse:
+    """A complete response of a server; names of headers are in lower case."""
+
+    status: int
+    headers: dict[bytes, bytes]
+    body: bytes
+
+    @property
+    def outcome(self) -> Outcome:
+        """What the response says of its attempt; only one that is marked so proves that it never ran."""
+        if self.status == 200:
+            return Outcome.SERVED
+        if self.status in (503, 504) and self.headers.get(b"not-started", b"").strip() == b"1":
+            return Outcome.FULL
+        return Outcome.ERROR if self.status >= 500 else Outcome.UNKNOWN
+
+
+async def read_response(connection: Connection, connect_timeout_s: float) -> ServerResponse:
+    """Reads a complete response; raises MalformedError for one that is cut off, malformed or stalled."""
+    while not connection.parse():
+        # a response that has begun and never ends would keep the attempt, as its connection may stay open
+        stall_timeout_s = inf
+        if connection.has_partial_message:
+            stall_timeout_s = MAX_STALL_CONNECT_TIMEOUTS * connect_timeout_s
+        with trio.move_on_after(stall_timeout_s) as limit:
+            await connection.receive()
+        if limit.cancelled_caught:
+            raise MalformedError(0, "a response that makes no progress")
+    headers = dict(connection.head.headers)
+    if b"content-length" not in headers and b"transfer-encoding" not in headers:
+        # its end is the end of the connection (RFC 9112, 6.3), so one that is cut off would look complete
+        raise MalformedError(0, "a response without a length")
+    return ServerResponse(connection.head.status_code, headers, connection.body)
+
+
+class LoadReportReader:
+    """Parses load reports, and logs the first malformed one of each server.
+
+    A line for each malformed report would cost more than the responses.
+    """
+
+    def __init__(self, servers: ServerTable, log: Any) -> None:
+        self._servers, self._log = servers, log
+        self._malformed: set[int] = set()  # servers whose malformed reports were logged
+
+    def read(self, server: int, load: bytes | None) -> dict[str, float] | None:
+        """Returns the figures of a report, None where there is none or part of it is malformed."""
+        if not load:
+            return None
+        report, malformed = parse_load_report(load.decode("latin-1"))
+        if malformed and server not in self._malformed:
+            self._malformed.add(server)
+            peer = "{}:{}".format(*self._servers.address(server))
+            self._log.warning("report-skipped", peer=peer, part=malformed[:MAX_LOGGED_CHARACTERS])
+        return None if malformed else report
+
+    def forget(self, server: int) -> None:
+        """Forgets a server, so that another can have its number."""
+        self._malformed.discard(server)
--- /dev/null
+++ b/wheatroute/net/server_entries.py
@@ -0,0 +1,80 @@
+"""Translates entries of the list of servers into those of the decision module, and updates the upstream side.
+
+No I/O. It judges no server: what the list says is passed on as it is.
+"""
+
+from collections.abc import Mapping
+from math import isfinite
+from typing import Any, Protocol
+
+from wheatroute.interface import Entry, State
+from wheatroute.net.addresses import parse_address
+from wheatroute.net.server_numbers import ServerNumbers
+
+STATES = {"in_service": State.LIVE, "terminating": State.DRAINING, "terminated": State.GONE}
+
+
+class ServerStates(Protocol):
+    """What has to know addresses and states of servers, by number."""
+
+    def set_address(self, server: int, address: tuple[str, int]) -> None:
+        """Sets a server's address."""
+
+    def set_state(self, server: int, state: State, started_at: float) -> None:
+        """Sets a server's state, and its start, Unix time in seconds."""
+
+    def close_idle(self, server: int) -> None:
+        """Closes idle connections to a server."""
+
+    def release(self, server: int) -> bool:
+        """Forgets a server; returns False while it is in use."""
+
+
+class ServerEntryReader:
+    """Reads entries; `zones` and `models` are numbers by name, and number names that they don't know."""
+
+    def __init__(self, zones: Mapping[str, int], models: Mapping[str, int], servers: ServerStates) -> None:
+        self._zones, self._models, self._servers = zones, models, servers
+        self.numbers = ServerNumbers()
+
+    def begin_list(self, is_full: bool) -> None:
+        """A list begins, or changes to it."""
+        self.numbers.free_unused(self._servers.release)
+        if is_full:
+            self.numbers.mark_all_removed()
+
+    def finish_full_list(self) -> None:
+        """Sets the state of servers that a full list did not have."""
+        for server in self.numbers.removed:
+            self._servers.set_state(server, State.GONE, 0.0)
+
+    def read(self, fields: Any) -> list[Entry]:
+        """Returns an entry, after one that removes the server which had the number before, if there was one.
+
+        Raises TypeError, ValueError, KeyError or AttributeError for a malformed one.
+        """
+        identity = fields["id"]
+        if not isinstance(identity, str):
+            raise ValueError("no id")
+        state = STATES.get(fields.get("state", "in_service"), State.DRAINING)
+        weight, cell = float(fields.get("weight", 1.0)), int(fields.get("cell", 0))
+        started_at = float(fields.get("started_ms", 0)) / 1000.0
+        if not (isfinite(weight) and isfinite(started_at)):
+            raise ValueError("a figure that is none")
+        zone, model = str(fields.get("zone", "")), str(fields.get("kind", ""))
+        has_address = state != State.GONE or "addr" in fields
+        address = parse_address(fields["addr"]) if has_address else None
+        location = self._zones[zone], self._models[model], cell
+        server, is_reused = self.numbers.assign(identity)
+        if state == State.GONE:
+            self.numbers.mark_removed(identity)
+            self._servers.close_idle(server)
+        else:
+            self.numbers.mark_present(identity)
+        if address is not None:
+            self._servers.set_address(server, address)
+        self._servers.set_state(server, state, started_at)
+        entry = (server, *location, state, weight, started_at)
+        if is_reused:
+            return [(server, *location, State.GONE, weight, 0.0), entry]
+        return [entry]
--- a/wheatroute/net/signals.py
+++ b/wheatroute/net/signals.py
@@ -1,43 +1,45 @@
-"""Signals to stop, and to read the file again. Owns from when to when they are heeded, for every process.
+"""Signals of every process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 
-That is from before anything listens until after all is over: one that comes too early, twice or in the last
-moment ends nothing at once, and spoils no exit status. It must never decide how something stops.
+Signals are handled from before anything listens until after everything has ended, so that one that comes too
+early, twice or in the last moment neither ends the process at once nor changes its exit status. How a process
+stops is up to the callbacks. I/O: installs signal handlers.
 """
 
 import signal
 from collections.abc import Awaitable, Callable
+from contextlib import AbstractContextManager
 from typing import Any
 
 import trio
 
-STOPS = signal.SIGTERM, signal.SIGINT
+STOP_SIGNALS = signal.SIGTERM, signal.SIGINT
 
 
-def note_early() -> list[int]:
-    """Signals to stop that come before they are heeded, or once they are no more; SIGHUP means nothing."""
+def record_early_signals() -> list[int]:
+    """Records stop signals while no receiver is open, in the list that is returned; ignores SIGHUP."""
     early: list[int] = []
-    for number in STOPS:
+    for number in STOP_SIGNALS:
         signal.signal(number, lambda number, _: early.append(number))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     return early
 
 
-def heeded() -> Any:
-    """The signals, as a context to be opened before anything listens."""
-    return trio.open_signal_receiver(*STOPS, signal.SIGHUP)
+def open_signal_receiver() -> AbstractContextManager[Any]:
+    """Returns a context manager for the signals, to be entered before anything listens."""
+    return trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP)
 
 
-async def heed(
-    signals: Any, stop: Callable[[], Awaitable[None]], read_anew: Callable[[], None], log: Any
+async def handle_signals(
+    signals: Any, stop: Callable[[], Awaitable[None]], reload: Callable[[], None], log: Any
 ) -> None:
-    """SIGHUP also while it stops, as a list may move just then; a second signal to stop changes nothing."""
+    """Runs `stop` at the first stop signal, and `reload` at each SIGHUP, also while the process stops."""
     async with trio.open_nursery() as nursery:
-        stopping = False
+        is_stopping = False
         async for number in signals:
             if number == signal.SIGHUP:
-                read_anew()
+                reload()
                 continue
-            log.info("stopping", signal=signal.Signals(number).name, **{"again": True} if stopping else {})
-            if not stopping:
+            log.info("stopping", signal=signal.Signals(number).name, **{"again": True} if is_stopping else {})
+            if not is_stopping:
                 nursery.start_soon(stop)
-            stopping = True
+            is_stopping = True
--- /dev/null
+++ b/wheatroute/net/upstream.py
@@ -0,0 +1,97 @@
+"""The side of the node that talks to servers: attempts, probes and the connections for both.
+
+Brings the parts together and holds their tasks; the I/O is theirs.
+"""
+
+from typing import Any
+
+import trio
+
+from wheatroute.interface import State
+from wheatroute.net.attempts import AttemptRunner
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.connection_pool import ConnectionPool
+from wheatroute.net.exchange import Attempt, Exchange
+from wheatroute.net.probes import Prober
+from wheatroute.net.response_reader import LoadReportReader
+from wheatroute.net.send_rules import SendRules
+from wheatroute.net.server_table import ServerTable
+
+
+class Upstream:
+    """The servers of the node; an `AttemptSender` for the driver."""
+
+    def __init__(
+        self,
+        terms: dict[str, Any],
+        max_connections: int,
+        max_response_bytes: int,
+        driver: BalancerDriver,
+        log: Any,
+    ) -> None:
+        self._servers = ServerTable()
+        self._pool = ConnectionPool(terms, max_connections, max_response_bytes, self._servers, log)
+        self._rules = SendRules(terms, self._servers, lambda exchange: driver.abandon_request(exchange))
+        self._reports = LoadReportReader(self._servers, log)
+        self._attempts = AttemptRunner(self._servers, self._pool, self._rules, self._reports, driver, log)
+        self._prober = Prober(terms, self._servers, self._pool, self._reports, driver, log)
+        self._nursery: trio.Nursery
+
+    @property
+    def open_connections(self) -> int:
+        """The number of connections to servers."""
+        return self._pool.open
+
+    async def run(self) -> None:
+        """Holds the tasks of attempts and probes, and closes connections that are idle for too long."""
+        interval_s = self._pool.sweep_interval_s
+        async with trio.open_nursery() as self._nursery:
+            while True:
+                await trio.sleep(interval_s)
+                self._pool.close_expired()
+
+    def update_settings(self, terms: dict[str, Any]) -> None:
+        """Puts other settings in force."""
+        self._pool.update_settings(terms)
+        self._rules.update_settings(terms)
+
+    # what the list says
+
+    def set_address(self, server: int, address: tuple[str, int]) -> None:
+        """Sets a server's address; idle connections to another one are closed."""
+        if self._servers.set_address(server, address):
+            self._pool.close_idle(server)
+
+    def set_state(self, server: int, state: State, started_at: float) -> None:
+        """Sets what the list says of a server; attempts decided before a change are not sent any more."""
+        self._servers.set_state(server, state, started_at)
+
+    def release(self, server: int) -> bool:
+        """Forgets a removed server, so that another can have its number; returns False while it is in use."""
+        if self._servers.is_in_use(server):
+            return False
+        self._pool.close_idle(server)
+        self._servers.forget(server)
+        self._reports.forget(server)
+        return True
+
+    # commands of the driver
+
+    def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
+        """See `AttemptSender.start_attempt`."""
+        self._servers.begin(attempt.server)
+        attempt.server_generation = self._servers.generation(attempt.server)
+        self._nursery.start_soon(self._attempts.run, exchange, attempt)
+
+    def probe(self, server: int) -> None:
+        """See `AttemptSender.probe`."""
+        self._servers.begin(server)
+        self._nursery.start_soon(self._prober.run, server)
+
+    def close_idle(self, server: int) -> None:
+        """See `AttemptSender.close_idle`."""
+        self._pool.close_idle(server)
+
+    def close_all_idle(self) -> None:
+        """Closes all idle connections as the node stops."""
+        self._pool.close_all_idle()
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -16,9 +16,12 @@
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.session import Session
 from wheatroute.interface import Event, Outcome, Report, State
+from wheatroute.net.addresses import NO_ADDRESS
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
-from wheatroute.net.exchange import Answer, Attempt, Exchange
-from wheatroute.net.rounds import Rounds, now
+from wheatroute.net.exchange import Attempt, Exchange, Response
+from wheatroute.net.node_settings import DiscoverySettings
 from wheatroute.processor.accounts import Accounts
 from wheatroute.processor.mapping import Reader
 from wheatroute.processor.streams import ROUTED, Asked, Place, Stream, Words
@@ -27,7 +30,7 @@
 GRACE = 0.05  # seconds after its time in which a proxy may still say what became of an attempt
 
 
-class Turns(Rounds):
+class Turns(BalancerDriver):
     """Rounds that are played at the end of a burst, without waking a task for each."""
 
     def __init__(self, terms: dict[str, Any], seed: str, log: Any) -> None:
@@ -39,40 +42,40 @@
     def balancer(self) -> Balancer:
         return self._balancer
 
-    def happened(self, *event: Any) -> None:
+    def add_event(self, *event: Any) -> None:
         self._events.append(event)
         if not self.quiet:
-            self._stirred.set()
+            self._has_events.set()
 
-    def arrived(self, exchange: Exchange) -> None:
+    def add_request(self, exchange: Exchange) -> None:
         """With what came before, whose attempts are counted: the module numbers on from there."""
         earlier = exchange.earlier if isinstance(exchange, Asked) else ()
-        exchange.number, self._taken = self._taken, self._taken + 1
-        exchange.deadline = now() + exchange.left
+        exchange.number, self._next_number = self._next_number, self._next_number + 1
+        exchange.deadline = now() + exchange.time_left_s
         exchange.attempts = [Attempt(server, n, when, 0.0) for n, (server, when, _) in enumerate(earlier)]
-        self._held[exchange.number] = exchange
-        heappush(self._stops, (exchange.deadline + self._slack, exchange.number))
-        self.happened(
+        self._exchanges[exchange.number] = exchange
+        heappush(self._overdue_times, (exchange.deadline + self._answer_slack_s, exchange.number))
+        self.add_event(
             Event.ARRIVED,
             exchange.number,
-            exchange.kind,
-            exchange.left,
+            exchange.request_class,
+            exchange.time_left_s,
             exchange.tenant,
-            exchange.repeated,
+            exchange.is_client_retry,
             earlier,
-            exchange.work,
+            exchange.work_hint,
         )
 
     def turn(self) -> None:
         """All that came in this burst, and what came of it."""
         self.quiet = True
         while self._events:
-            self.round(now())
+            self.handle_events(now())
         self.quiet = False
-        self._set_alarm()
+        self._set_timer()
 
-    def round(self, moment: float) -> None:
-        super().round(moment)
+    def handle_events(self, moment: float) -> None:
+        super().handle_events(moment)
         for session in self.dirty:
             session.flush()
         self.dirty.clear()
@@ -84,7 +87,7 @@
     def __init__(self, told: dict[str, Any], log: Any) -> None:
         self._log = log
         self.rounds = Turns(told["terms"], told["seed"], log)
-        self.rounds.servers = self
+        self.rounds.upstream = self
         self.words = Words(told["destination_header"], told["metadata_namespace"], told["time_header"])
         self._headers = told["headers"]
         self._reader = Reader(told["headers"], told["terms"]["request_classes"], told["tenants"])
@@ -104,7 +107,7 @@
     ) -> None:
         """Other terms; what is matched first follows from the order of `names`."""
         kinds = terms["request_classes"]
-        self.rounds.agree(terms, binding)
+        self.rounds.update_settings(terms, binding)
         self._reader = Reader(self._headers, kinds, tenants, list(names.values()), twins)
         longest = max(kind["deadline"] for kind in kinds)
         self._accounts.agree(kinds, 2.0 * longest + max(kind["repeat_window"] for kind in kinds))
@@ -136,15 +139,15 @@
         ask = self._reader.ask((one.key, one.raw_value or one.value.encode()) for one in headers)
         account, earlier = self._accounts.take(ask.name, ask.kind, now(), ask.left, ask.attempt)
         exchange = Asked(stream, ask, earlier, account)
-        exchange.when_settled = stream.settled
-        self.rounds.arrived(exchange)
+        exchange.on_response = stream.settled
+        self.rounds.add_request(exchange)
         return exchange
 
     def left(self, exchange: Asked) -> None:
         """The proxy went before there was a decision: nothing ran."""
         self.rounds.quiet = True
         self._accounts.never_ran(exchange.account)
-        self.rounds.left(exchange)
+        self.rounds.abandon_request(exchange)
 
     def refused(self, exchange: Asked) -> None:
         """The module gave it up before there was a decision: the same id may be asked for again."""
@@ -158,14 +161,14 @@
         if outcome in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT):
             self._accounts.never_ran(exchange.account)
         self._busy[attempt.server] -= 1
-        self.rounds.returned(exchange, attempt, outcome, report)
+        self.rounds.finish_attempt(exchange, attempt, outcome, report)
 
     def answered(self, call: Call) -> None:
         self.rounds.dirty.add(call.session)
 
     # the servers' side of the rounds
 
-    def start(self, exchange: Exchange, attempt: Attempt) -> None:
+    def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
         assert isinstance(exchange, Asked)
         place = self._places.get(attempt.server)
         moment = now()
@@ -176,16 +179,16 @@
         if place is None or not exchange.stream.decided(attempt, place, left):
             self._accounts.never_ran(exchange.account)
             self._busy[attempt.server] -= 1
-            self.rounds.returned(exchange, attempt, Outcome.MOOT, None)
+            self.rounds.finish_attempt(exchange, attempt, Outcome.MOOT, None)
             return
         self.decisions += 1
         heappush(self._out, (exchange.deadline + GRACE, exchange.number, exchange.stream))
-        exchange.settle(Answer(ROUTED))
+        exchange.complete(Response(ROUTED))
 
-    def place(self, server: int, place: tuple[str, int]) -> None:
-        self._places[server] = b"%s:%d" % (place[0].encode(), place[1])
+    def set_address(self, server: int, address: tuple[str, int]) -> None:
+        self._places[server] = b"%s:%d" % (address[0].encode(), address[1])
 
-    def stands(self, server: int, state: State, started: float) -> None:
+    def set_state(self, server: int, state: State, started_at: float) -> None:
         """Nothing lies here between a decision and its answer to the proxy that could still be held back."""
 
     def release(self, server: int) -> bool:
@@ -198,22 +201,31 @@
     def probe(self, server: int) -> None:
         """Proxies carry attempts out; there is nothing here to probe with."""
 
-    def shut_idle(self, server: int) -> None:
+    def close_idle(self, server: int) -> None:
         """Connections to servers are the proxy's."""
 
 
 class Listed(Discovery):
     """The list of servers: from a list service or from etcd, where the file names one, else from the file."""
 
-    def __init__(self, told: dict[str, Any], rounds: Rounds, dispatcher: Dispatcher, log: Any) -> None:
+    def __init__(
+        self, told: dict[str, Any], driver: BalancerDriver, dispatcher: Dispatcher, log: Any
+    ) -> None:
         self._served, self._etcd = told["discovery"] is not None, told["etcd"]
         self._name, self.entries = told["name"], dict[str, dict[str, Any]]()
         self.etcd: Any = None
         self._steady = told.get("agreement") is not None
         self._floor: tuple[int, int] | None = None  # of a snapshot's list, which an older one does not undo
         self._peers_kept: list[str] = []
-        super().__init__(told | {"discovery": told["discovery"] or ("", 0)}, rounds, dispatcher, log)  # type: ignore
-        self.known = True
+        settings = DiscoverySettings(
+            told["discovery"] or NO_ADDRESS,
+            told["zones"],
+            told["models"],
+            told["terms"]["list_on_request"],
+            told["known"],
+        )
+        super().__init__(settings, driver, dispatcher, log)
+        self.has_full_list = True
 
     async def run(self) -> None:
         if self._served:
@@ -222,7 +234,7 @@
             # imported here: who does not follow etcd does not pay for it
             from wheatroute.etcd.start import Etcd3
 
-            self.etcd = Etcd3(self._etcd, self._name, self._take, self._tell, self._log, self._steady)
+            self.etcd = Etcd3(self._etcd, self._name, self._apply, self._tell, self._log, self._steady)
             if self._floor is not None and self._steady:
                 self.etcd.follower.begin_at(*self._floor)
             if self.etcd.membership is not None and self._peers_kept:
@@ -232,19 +244,19 @@
             await trio.sleep_forever()
 
     @property
-    def acted_on(self) -> tuple[str, int]:
+    def list_version(self) -> tuple[str, int]:
         """Whose list this worker acts on, and up to which revision of it."""
         if self.etcd is not None:
             return self.etcd.follower.source, self.etcd.follower.revision
-        return super().acted_on if self._served else ("the file", 0)
+        return super().list_version if self._served else ("the file", 0)
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
-        self.counted = {"nodes": nodes, "node": node}
-        self._rounds.happened(Event.PEERS, nodes, node, caution)
+        self.node_counts = {"nodes": nodes, "node": node}
+        self._driver.add_event(Event.PEERS, nodes, node, caution)
 
-    def _take(self, told: Any) -> None:
+    def _apply(self, told: Any) -> None:
         """Hands it on, and keeps each entry as it was told, for the snapshot."""
-        super()._take(told)
+        super()._apply(told)
         if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
             return
         if told.get("full"):
@@ -255,10 +267,6 @@
                 if one.get("state") == "terminated":
                     del self.entries[one["id"]]
 
-    @property
-    def numbers(self) -> dict[str, int]:
-        return self._numbers
-
     def peers(self) -> list[str]:
         """The nodes that were heard of, for the snapshot."""
         membership = self.etcd.membership if self.etcd is not None else None
@@ -274,7 +282,7 @@
         if isinstance(floor, list) and len(floor) == 2 and all(isinstance(one, int) for one in floor):
             self._floor = floor[0], floor[1]
         if isinstance(servers, list):
-            self._take({"full": True, "servers": servers})
+            self._apply({"full": True, "servers": servers})
         if isinstance(peers, list):
             self._peers_kept = [name for name in peers if isinstance(name, str)]
 
@@ -289,6 +297,6 @@
     def retake(self, told: dict[str, Any]) -> None:
         """Takes a new file's servers, or its list service."""
         if self._served and told["discovery"]:
-            self.move(told["discovery"])
+            self.switch_service(told["discovery"])
         elif told["known"] and not self._served and self._etcd is None:
-            self._take(told["known"])
+            self._apply(told["known"])
--- a/wheatroute/processor/keeping.py
+++ b/wheatroute/processor/keeping.py
@@ -11,7 +11,7 @@
 import trio
 
 from wheatroute import memory, snapshot
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
 
--- a/wheatroute/processor/mapping.py
+++ b/wheatroute/processor/mapping.py
@@ -15,8 +15,8 @@
 from typing import Any, NamedTuple
 
 from wheatroute.interface import Effect, Outcome
-from wheatroute.net.exchange import hinted
-from wheatroute.net.servers import LARGEST, report_of
+from wheatroute.net.exchange import parse_work_hint
+from wheatroute.net.load_reports import MAX_LOAD_FIGURE, parse_load_report
 from wheatroute.words import in_header
 
 LOAD = "endpoint-load-metrics"  # ORCA's header, with its binary and JSON forms
@@ -117,7 +117,7 @@
             self._tenants.get(found.get("customer", "").encode("latin-1"), -1),
             found.get("repeated") == "1",
             int(attempt) if attempt.isdigit() and len(attempt) < 7 else 1,
-            hinted(found.get("work", "")),
+            parse_work_hint(found.get("work", "")),
         )
 
     def _kind(self, path: str, method: str) -> int:
@@ -147,7 +147,7 @@
 def load(headers: Mapping[str, bytes]) -> dict[str, float] | None:
     """The load report of an answer under our names, whichever form it has; what is malformed is left out."""
     if OWN_LOAD in headers:
-        report, malformed = report_of(headers[OWN_LOAD].decode("latin-1"))
+        report, malformed = parse_load_report(headers[OWN_LOAD].decode("latin-1"))
         return None if malformed else report
     figures: dict[str, Any] = {}
     if LOAD in headers:
@@ -159,7 +159,7 @@
     found: dict[str, float] = {}
     for name, value in figures.items():
         ours = _ORCA.get(name)
-        if ours and isinstance(value, int | float) and 0.0 <= value < LARGEST:
+        if ours and isinstance(value, int | float) and 0.0 <= value < MAX_LOAD_FIGURE:
             found[ours] = float(value)
     return found or None
 
--- a/wheatroute/processor/service.py
+++ b/wheatroute/processor/service.py
@@ -22,7 +22,7 @@
 from wheatroute.grpc.call import Bounds
 from wheatroute.grpc.server import Server, listen
 from wheatroute.net.log import open_log
-from wheatroute.net.signals import heed, heeded, note_early
+from wheatroute.net.signals import handle_signals, open_signal_receiver, record_early_signals
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 from wheatroute.processor.keeping import Keeping
 from wheatroute.processor.streams import PATH
@@ -81,7 +81,7 @@
 
     async def run(self, listener: socket.socket, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
         """Serves until SIGTERM or `stop`, and until what is open is answered."""
-        trio.lowlevel.add_instrument(self.dispatcher.rounds.passes)
+        trio.lowlevel.add_instrument(self.dispatcher.rounds.event_loop_lag)
         async with trio.open_nursery() as nursery:
             if self._keeping is not None:
                 self._keeping.start()
@@ -125,7 +125,7 @@
         self._log.info("reloaded", **{"until_restart": ",".join(kept)} if kept else {})
 
     async def heed(self, signals: Any) -> None:
-        await heed(signals, self.stop, self.reload, self._log)
+        await handle_signals(signals, self.stop, self.reload, self._log)
 
 
 def until_restart(old: config.File, new: config.File) -> list[str]:
@@ -150,7 +150,9 @@
     follow: Follow | None = None,
 ) -> int:
     """One worker in the foreground; the exit status. `early` are signals to stop that came already."""
-    early = note_early() if early is None else early  # noted once: a second list would forget the first
+    early = (
+        record_early_signals() if early is None else early
+    )  # noted once: a second list would forget the first
     try:
         file = config.read(path)
         told = config.told_to_processor(file, worker)
@@ -172,7 +174,7 @@
 
 
 async def _serve(service: Service, listener: socket.socket, early: Sequence[int]) -> None:
-    with heeded() as signals:
+    with open_signal_receiver() as signals:
         if early:
             listener.close()
             return
@@ -184,12 +186,12 @@
 
 def _place(file: config.File) -> tuple[str, int]:
     assert file.processor is not None
-    return config.address(file.processor.listen)
+    return config.parse_address(file.processor.listen)
 
 
 def run(path: str, follow: Follow | None = None) -> int:
     """The processor as the file has it: one worker in this process, or a supervisor of several."""
-    early = note_early()
+    early = record_early_signals()
     try:
         file = config.read(path)
         config.told_to_processor(file)
@@ -242,7 +244,7 @@
 
     async def run(self, early: Sequence[int] = ()) -> None:
         # heeded before the first child: a signal in between would leave one behind without its supervisor
-        with heeded() as signals:
+        with open_signal_receiver() as signals:
             if not early:
                 await self._run(signals)
 
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -17,7 +17,7 @@
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.interface import Outcome, Report
-from wheatroute.net.exchange import REFUSED, Attempt, Exchange
+from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
 from wheatroute.processor.accounts import Earlier, Refusal, RefusedError, Try
 from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
 
@@ -38,8 +38,8 @@
 
     def __init__(self, stream: Stream, ask: Ask, earlier: tuple[Earlier, ...], account: Try) -> None:
         super().__init__(b"", b"", ask.name, b"", b"")
-        self.kind, self.left, self.tenant = ask.kind, ask.left, ask.tenant
-        self.repeated, self.work = ask.repeated or ask.attempt > 1, ask.work
+        self.request_class, self.time_left_s, self.tenant = ask.kind, ask.left, ask.tenant
+        self.is_client_retry, self.work_hint = ask.repeated or ask.attempt > 1, ask.work
         self.stream, self.earlier, self.account = stream, earlier, account
 
 
@@ -174,13 +174,13 @@
 
     def settled(self) -> None:
         """The exchange has its answer; a decision is written already."""
-        if self.exchange is None or self.exchange.answer is None:
+        if self.exchange is None or self.exchange.response is None:
             return
-        answer = self.exchange.answer
+        answer = self.exchange.response
         if answer.status != ROUTED and self.place == Place.ASKED:
             self.dispatcher.refused(self.exchange)
-            reason = "refused" if answer.status == REFUSED else "failed"
-            self._immediate(answer.status, reason, answer.stay_away)
+            reason = "refused" if answer.status == REJECTED_STATUS else "failed"
+            self._immediate(answer.status, reason, answer.retry_after_s)
             self.exchange = None
 
     def _immediate(self, status: int, reason: str, stay_away: float) -> None:
--- a/wheatroute/rollout/account.py
+++ b/wheatroute/rollout/account.py
@@ -11,7 +11,7 @@
 from math import floor, log
 from typing import Any
 
-from wheatroute.net.exchange import REFUSED, Exchange
+from wheatroute.net.exchange import REJECTED_STATUS, Exchange
 from wheatroute.rollout.judge import Tally
 
 FORMAT = 1  # of the row
@@ -48,26 +48,26 @@
 
     def took(self, exchange: Exchange) -> None:
         """A request that is to have an answer."""
-        if not exchange.over:
+        if not exchange.is_complete:
             self._open[exchange.number] = exchange.deadline
 
     def settled(self, exchange: Exchange, now: float) -> None:
         """A request has its answer."""
         self._open.pop(exchange.number, None)
-        cell = self._cells[exchange.kind, exchange.tenant]
+        cell = self._cells[exchange.request_class, exchange.tenant]
         cell[ENDED] += 1
         cell[MORE] += len(exchange.attempts) > 1
-        status = exchange.answer.status if exchange.answer is not None else 0
+        status = exchange.response.status if exchange.response is not None else 0
         if status == 200:
-            took = now - exchange.deadline + exchange.left
-            cell[IN_TIME] += took <= self._kinds[exchange.kind]["target_latency"]
-            self._times[exchange.kind][bound(took)] += 1
+            took = now - exchange.deadline + exchange.time_left_s
+            cell[IN_TIME] += took <= self._kinds[exchange.request_class]["target_latency"]
+            self._times[exchange.request_class][bound(took)] += 1
         else:
-            cell[REFUSALS if status == REFUSED else FAILED] += 1
+            cell[REFUSALS if status == REJECTED_STATUS else FAILED] += 1
 
     def refused(self, exchange: Exchange) -> None:
         """A request that the entry had no room for."""
-        cell = self._cells[exchange.kind, exchange.tenant]
+        cell = self._cells[exchange.request_class, exchange.tenant]
         cell[ENDED] += 1
         cell[REFUSALS] += 1
 
@@ -75,7 +75,7 @@
         """Its client is gone: nobody is there to be answered; one that waited too long had lost it."""
         self._lost += now > exchange.deadline + OVERDUE
         self._open.pop(exchange.number, None)
-        cell = self._cells[exchange.kind, exchange.tenant]
+        cell = self._cells[exchange.request_class, exchange.tenant]
         cell[ENDED] += 1
         cell[LEFT] += 1
 
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -25,7 +25,7 @@
 from wheatroute.agreement.node import place
 from wheatroute.agreement.places import PlaceError, opened
 from wheatroute.agreement.versions import HistoryError
-from wheatroute.net.boot import address
+from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.progress import RolloutProgress
 
 LOOKS = 0.2  # seconds between two looks
@@ -65,7 +65,7 @@
         if bool(self.directory) == bool(self.etcd):
             raise ValueError("one place: directory or etcd")
         for one in self.etcd:
-            address(one)
+            parse_address(one)
         return self
 
 
@@ -143,7 +143,7 @@
         self._place = place(
             {"directory": told.directory}
             if told.directory
-            else {"etcd": [address(one) for one in told.etcd], "prefix": told.prefix},
+            else {"etcd": [parse_address(one) for one in told.etcd], "prefix": told.prefix},
             random.Random(),
             ANSWERS / 3,
         )
