--- a/wheatroute/rollout/telling.py
+++ b/wheatroute/rollout/telling.py
@@ -18,10 +18,11 @@
 
 from wheatroute.agreement.node import place
 from wheatroute.agreement.places import PlaceError, opened
-from wheatroute.net.clients import Clients
+from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
-from wheatroute.net.rounds import now
-from wheatroute.net.servers import Servers
+from wheatroute.net.downstream import Downstream
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.upstream import Upstream
 from wheatroute.rollout.account import Account
 
 EVERY = 0.5  # seconds between two rows: half of a second is the finest that is judged by
@@ -34,21 +35,21 @@
 
     def __init__(
         self,
-        boot: dict[str, Any],
-        clients: Clients,
-        servers: Servers,
+        settings: NodeSettings,
+        downstream: Downstream,
+        upstream: Upstream,
         discovery: Discovery,
         following: Any,
         log: Any,
     ) -> None:
-        self._name, self._clients, self._servers, self._log = boot["name"], clients, servers, log
+        self._name, self._downstream, self._upstream, self._log = settings.name, downstream, upstream, log
         self._discovery, self._following = discovery, following
+        assert settings.rollout is not None
         self._program = os.environ.get("WHEATROUTE_PROGRAM", "")
         self._start = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
-        self._place = place(boot["rollout"], random.Random(self._start), PATIENCE / 2.0)
-        self.account = clients.account = Account(
-            boot["request_classes"], boot["tenants"], boot["terms"]["request_classes"]
-        )
+        self._place = place(settings.rollout, random.Random(self._start), PATIENCE / 2.0)
+        self.account = Account(settings.request_classes, settings.tenants, settings.terms["request_classes"])
+        downstream.set_account(self.account)
         self._beat = 0
 
     @property
@@ -58,7 +59,9 @@
     def row(self) -> dict[str, Any]:
         """What it tells now."""
         self._beat += 1
-        ready = self._discovery.known and (self._following is None or not self._following.member.acts.careful)
+        ready = self._discovery.has_full_list and (
+            self._following is None or not self._following.member.acts.careful
+        )
         used = resource.getrusage(resource.RUSAGE_SELF)
         return self.account.row(now()) | {
             "row": "figures",
@@ -67,10 +70,10 @@
             "program": self._program,
             "beat": self._beat,
             "ready": ready,
-            "stopping": self._clients.stopping,
+            "stopping": self._downstream.is_stopping,
             "cpu": used.ru_utime + used.ru_stime,
             "memory": _memory(),
-            "connections": self._servers.open,
+            "connections": self._upstream.open_connections,
             "at": time.time(),
         }
 
