--- a/tests/rollout/test_rollout_format.py
+++ b/tests/rollout/test_rollout_format.py
@@ -83,13 +83,13 @@
     counts = account.Account({"look": 0}, {"acme": 0}, [{"worth": 2.0, "target_latency": 1.0}])
     exchange = SimpleNamespace(
         number=1,
-        over=False,
+        is_complete=False,
         deadline=13.0,
-        left=3.0,
-        kind=0,
+        time_left_s=3.0,
+        request_class=0,
         tenant=0,
         attempts=[0, 1],
-        answer=SimpleNamespace(status=200),
+        response=SimpleNamespace(status=200),
     )
     counts.took(exchange)
     counts.settled(exchange, 10.5)
