--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -14,7 +14,7 @@
 import trio
 from fakehost import ERROR, FULL, OK, RESET, SILENT, STRAY, Peer, entry, listed, read_message, story
 
-from wheatroute.interface import Event, Outcome, State
+from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.net import client_connection, node_settings, server_numbers
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection
@@ -232,7 +232,7 @@
         side._apply({"full": full, "servers": [entry(Peer(OK, name=name)) for name in names]})
         return [(one[0], one[4]) for one in driver.add_event.call_args.args[1]]
 
-    live, gone = State.LIVE, State.GONE
+    live, gone = ServerState.LIVE, ServerState.REMOVED
     with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
         assert take(True, "a", "b") == [(0, live), (1, live)]
         assert take(True, "b") == [(1, live)]
@@ -371,7 +371,9 @@
     """A `BalancerDriver` without sockets, its balancer replaced by a list of the events it was given."""
     driver, given = BalancerDriver(terms, "1", structlog.get_logger()), []
     driver.upstream = Sender()
-    driver._balancer = type("Module", (), {"round": lambda self, now, events, writer: given.extend(events)})()
+    driver._balancer = type(
+        "Module", (), {"handle_events": lambda self, now, events, writer: given.extend(events)}
+    )()
     return driver, given
 
 
@@ -409,7 +411,7 @@
         driver.attempt(0, 4, 1.0)
         driver.handle_events(driver._overdue_times[0][0] - 1.0)
         assert len(driver.upstream.started) == 1 and exchange.response.body == b"first"
-        assert [one[4] for one in given if one[0] == Event.RETURNED] == [Outcome.MOOT]
+        assert [one[4] for one in given if one[0] == Event.ATTEMPT_ENDED] == [Outcome.MOOT]
         driver.fail(0)
         assert exchange.response.body == b"first"
 
@@ -422,14 +424,14 @@
 
         def again(self, now, events, writer):
             for event in events:
-                if event[0] == Event.RETURNED and event[4] == Outcome.ERROR:
+                if event[0] == Event.ATTEMPT_ENDED and event[4] == Outcome.ERROR:
                     writer.attempt(event[1], 4, 1.0)
 
         exchange = request()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
         driver.finish_attempt(exchange, exchange.attempts[0], Outcome.ERROR, None)
-        type(driver._balancer).round = again
+        type(driver._balancer).handle_events = again
         driver.handle_events(driver._overdue_times[0][0] + 1.0)  # held up until after the deadline
         assert exchange.response.status == 502 and len(driver.upstream.started) == 1
         assert not driver._wakeups  # no mistake was met
--- a/wheatroute/etcd/node.py
+++ b/wheatroute/etcd/node.py
@@ -10,9 +10,9 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event
 from wheatroute.config import Etcd
 from wheatroute.etcd.start import Etcd3
-from wheatroute.interface import Event
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.node_settings import NodeSettings
@@ -46,7 +46,7 @@
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
         self.node_counts = {"nodes": nodes, "node": node}
-        self._driver.add_event(Event.PEERS, nodes, node, caution)
+        self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
         """The follower's stream is always open."""
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -11,9 +11,9 @@
 from random import Random
 from typing import TYPE_CHECKING
 
-from wheatroute.fleet import chance
+from wheatroute.balancing.interface import ServerState
+from wheatroute.fleet import random_streams
 from wheatroute.fleet.plan import Fault
-from wheatroute.interface import State
 
 if TYPE_CHECKING:
     from wheatroute.fleet.servers import Server
@@ -28,7 +28,7 @@
     def __init__(self, world: World) -> None:
         self.world, self.engine = world, world.engine
         for number, fault in enumerate(world.plan.faults):
-            draw = chance.stream(world.seed, "fault", number)
+            draw = random_streams.stream(world.seed, "fault", number)
             begin: Callable[[Fault, str, Random], None] = getattr(self, f"_{fault.kind}")
             self.engine.after(fault.at, begin, fault, f"{fault.kind}/{number}", draw)
 
@@ -63,7 +63,7 @@
     def _lose(self, servers: list[Server], length: float, silent: bool) -> None:
         for server in servers:
             self.world.kill(server, silent)
-            self.world.tell(server, State.GONE)
+            self.world.tell(server, ServerState.REMOVED)
             self.engine.after(length, self.world.revive, server)
 
     def _hang(self, fault: Fault, name: str, draw: Random) -> None:
@@ -136,7 +136,7 @@
         elif server.alive:
             # it finishes what it has once nobody sends any more; what comes now was never begun
             self.world.kill(server)
-            self.world.tell(server, State.GONE)
+            self.world.tell(server, ServerState.REMOVED)
 
     def _zone_loss(self, fault: Fault, name: str, draw: Random) -> None:
         """A zone with its nodes goes at once and says nothing; it comes back cold."""
@@ -166,14 +166,14 @@
         places = frozenset() if zones else frozenset(one.place for one in self._struck(fault, draw))
 
         def begin() -> None:
-            self.world.paths.cut(name, zones)
-            self.world.paths.mute(name, places)
+            self.world.network.partition(name, zones)
+            self.world.network.isolate(name, places)
 
-        self._for_a_while(fault, begin, lambda: self.world.paths.mend(name))
+        self._for_a_while(fault, begin, lambda: self.world.network.repair(name))
 
     def _lossy(self, fault: Fault, name: str, draw: Random) -> None:
         self._for_a_while(
             fault,
-            lambda: self.world.paths.lose(name, min(1.0, fault.size)),
-            lambda: self.world.paths.mend(name),
+            lambda: self.world.network.lose_responses(name, min(1.0, fault.size)),
+            lambda: self.world.network.repair(name),
         )
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -10,7 +10,7 @@
 import h11
 import trio
 
-from wheatroute.interface import Outcome, Report
+from wheatroute.balancing.interface import Outcome, Report
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection, MalformedError, PeerClosedError
 from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -1,4 +1,4 @@
-"""Drives the decision module: collects events, calls `Balancer.round` with them, executes its commands.
+"""Drives the decision module: collects events, calls the balancer with them, executes its commands.
 
 Holds the balancer, the open exchanges and the timers. Invariants: only the driver calls the balancer, and
 never from within a call; every event is handled once, in the order in which it was added. It decides
@@ -15,8 +15,8 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event, Outcome, Report
 from wheatroute.decide import Balancer
-from wheatroute.interface import Event, Outcome, Report
 from wheatroute.net.clock import now
 from wheatroute.net.event_loop_lag import EventLoopLag
 from wheatroute.net.exchange import FAILED_STATUS, REJECTED_STATUS, Attempt, Exchange, Response
@@ -57,7 +57,7 @@
 
 
 class BalancerDriver:
-    """The balancer's only caller, and the `Writer` of its commands."""
+    """The balancer's only caller, and the `CommandWriter` of its commands."""
 
     def __init__(self, terms: dict[str, Any], seed: str, log: Any) -> None:
         self.event_loop_lag = EventLoopLag()
@@ -105,7 +105,7 @@
         """The client of an exchange has gone."""
         if exchange.abandon():
             self._forget_if_finished(exchange)
-            self.add_event(Event.LEFT, exchange.number)
+            self.add_event(Event.CLIENT_LEFT, exchange.number)
 
     def finish_attempt(
         self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
@@ -114,7 +114,7 @@
         exchange.attempts_in_flight -= 1
         self._forget_if_finished(exchange)
         self.add_event(
-            Event.RETURNED,
+            Event.ATTEMPT_ENDED,
             exchange.number,
             attempt.number,
             attempt.server,
@@ -135,8 +135,8 @@
         self._max_attempts = terms["most_attempts"]
         self._answer_slack_s = terms["answer_slack"]
         # of several updates in one batch the balancer must end with the last one
-        earlier_updates = sum(event[0] == Event.AGREED for event in self._events)
-        self._events.insert(earlier_updates, (Event.AGREED, terms, is_binding))
+        earlier_updates = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
+        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, terms, is_binding))
         self._has_events.set()
 
     # event batches
@@ -186,10 +186,10 @@
         events, self._events = self._events, []
         while self._wakeups and self._wakeups[0] <= moment:
             heappop(self._wakeups)
-            events.append((Event.WOKEN,))
+            events.append((Event.TIMER_DUE,))
         if events:
             try:
-                self._balancer.round(moment, events, self)
+                self._balancer.handle_events(moment, events, self)
             except Exception:
                 # a fault of the balancer must not end the node or the exchanges that it holds
                 self._log.exception("fault")
@@ -209,7 +209,7 @@
             if exchange is not None and exchange.complete(Response(FAILED_STATUS)):
                 self._log.warning("overdue", request=exchange.number, attempts=len(exchange.attempts))
                 self._forget_if_finished(exchange)
-                self.add_event(Event.LEFT, exchange.number)
+                self.add_event(Event.CLIENT_LEFT, exchange.number)
 
     def _forget_if_finished(self, exchange: Exchange) -> None:
         """Marks a complete exchange without attempts in flight; the current batch may still name it."""
@@ -219,7 +219,7 @@
     # commands of the balancer
 
     def attempt(self, request: int, server: int, time_out: float) -> None:
-        """See `Writer.attempt`; one that could not count any more is returned as moot."""
+        """See `CommandWriter.attempt`; one that could not count any more is returned as moot."""
         exchange = self._exchanges[request]
         moment = now()
         max_timeout_s = exchange.deadline - moment
@@ -232,19 +232,19 @@
         else:
             self.upstream.start_attempt(exchange, attempt)
 
-    def withdraw(self, request: int, n: int) -> None:
-        """See `Writer.withdraw`."""
+    def cancel(self, request: int, n: int) -> None:
+        """See `CommandWriter.cancel`."""
         exchange = self._exchanges.get(request)
         if exchange is not None and n < len(exchange.attempts):
             exchange.attempts[n].is_withdrawn = True
             exchange.attempts[n].scope.cancel()
 
-    def refuse(self, request: int, stay_away: float) -> None:
-        """See `Writer.refuse`."""
+    def reject(self, request: int, stay_away: float) -> None:
+        """See `CommandWriter.reject`."""
         self._complete(request, Response(REJECTED_STATUS, retry_after_s=stay_away))
 
     def fail(self, request: int) -> None:
-        """See `Writer.fail`."""
+        """See `CommandWriter.fail`."""
         self._complete(request, Response(FAILED_STATUS))
 
     def _complete(self, request: int, response: Response) -> None:
@@ -252,31 +252,31 @@
         if exchange is not None and exchange.complete(response):
             self._forget_if_finished(exchange)
 
-    def wake(self, moment: float) -> None:
-        """See `Writer.wake`."""
+    def wake_at(self, moment: float) -> None:
+        """See `CommandWriter.wake_at`."""
         heappush(self._wakeups, moment)
 
-    def sound(self, server: int) -> None:
-        """See `Writer.sound`."""
+    def probe(self, server: int) -> None:
+        """See `CommandWriter.probe`."""
         self.upstream.probe(server)
 
-    def tell(self, figures: Mapping[int, float]) -> None:
-        """See `Writer.tell`."""
+    def send_loads(self, loads: Mapping[int, float]) -> None:
+        """See `CommandWriter.send_loads`."""
         if self.peers is not None:
-            self.peers.send_loads(figures)
+            self.peers.send_loads(loads)
 
     def watch(self, enable: bool) -> None:
-        """See `Writer.watch`."""
+        """See `CommandWriter.watch`."""
         self.discovery.watch(enable)
 
     def fetch(self) -> None:
-        """See `Writer.fetch`."""
+        """See `CommandWriter.fetch`."""
         self.discovery.fetch()
 
     def close(self, server: int) -> None:
-        """See `Writer.close`."""
+        """See `CommandWriter.close`."""
         self.upstream.close_idle(server)
 
     def log(self, text: str) -> None:
-        """See `Writer.log`."""
+        """See `CommandWriter.log`."""
         self._log.info("decisions", text=text)
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -13,7 +13,7 @@
 import orjson
 import trio
 
-from wheatroute.interface import Entry, Event
+from wheatroute.balancing.interface import Event, ListEntry
 from wheatroute.net.addresses import format_address
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.log import CloseReason, log_closed_connection
@@ -262,9 +262,9 @@
             self._entries.finish_full_list()
         self.has_full_list = self.has_full_list or is_full
         if entries or is_full:
-            self._driver.add_event(Event.LISTED, entries, is_full)
+            self._driver.add_event(Event.SERVERS_LISTED, entries, is_full)
 
-    def _read_entries(self, servers: list[Any]) -> list[Entry]:
+    def _read_entries(self, servers: list[Any]) -> list[ListEntry]:
         entries = []
         for one in servers:
             try:
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -11,7 +11,7 @@
 import trio
 
 from wheatroute import talk
-from wheatroute.interface import Event
+from wheatroute.balancing.interface import Event
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.node_settings import PeerAddresses
 
@@ -67,4 +67,4 @@
                 known.add(identity, server)
             loads = talk.unpack(data.decode("latin-1"), known.names)
             if loads:
-                self._driver.add_event(Event.TOLD, loads)
+                self._driver.add_event(Event.PEER_REPORTED, loads)
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -8,7 +8,7 @@
 import h11
 import trio
 
-from wheatroute.interface import Event, Outcome, Report
+from wheatroute.balancing.interface import Event, Outcome, Report
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.clock import now
 from wheatroute.net.connection import MalformedError
@@ -55,7 +55,7 @@
             self._log.exception("fault")
         self._pool.discard(holder.connection, holder.close_reason)
         self._servers.end(server)
-        self._driver.add_event(Event.SOUNDED, server, outcome, now() - sent_at, report)
+        self._driver.add_event(Event.PROBE_ENDED, server, outcome, now() - sent_at, report)
 
     async def _probe(self, server: int, holder: ConnectionHolder) -> tuple[Outcome, Report | None]:
         holder.connection = connection = await self._pool.acquire(server)
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -13,7 +13,7 @@
 import trio
 
 from wheatroute import words
-from wheatroute.interface import Effect
+from wheatroute.balancing.interface import Idempotency
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.exchange import Exchange, parse_work_hint
 
@@ -24,7 +24,7 @@
 
 # of a request class, while its form changes: the other forms that are accepted, and the class with strict
 # rules
-Forms = dict[int, tuple[frozenset[Effect], int]]
+Forms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
 def parse_timeout(text: bytes) -> float:
@@ -109,32 +109,32 @@
 
     @staticmethod
     def _check_form(
-        effect: Effect, method: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
+        effect: Idempotency, method: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
     ) -> None:
         """Raises MalformedError where a request has not the form of its class."""
-        if method != (b"GET" if effect == Effect.SAFE else b"POST"):
+        if method != (b"GET" if effect == Idempotency.IDEMPOTENT else b"POST"):
             raise MalformedError(405, "not the method of this request class")
-        if body and effect == Effect.SAFE:
+        if body and effect == Idempotency.IDEMPOTENT:
             raise MalformedError(400, "a body that this request class has not")
         if not request_id:
             raise MalformedError(400, "no Request-Id")
-        if bool(idempotency_key) != (effect == Effect.KEYED):
+        if bool(idempotency_key) != (effect == Idempotency.KEYED):
             raise MalformedError(400, "Idempotency-Key does not suit this request class")
 
     def _match_form(
-        self, request_class: int, effect: Effect, method: bytes, has_key: bool
-    ) -> tuple[int, Effect]:
+        self, request_class: int, effect: Idempotency, method: bytes, has_key: bool
+    ) -> tuple[int, Idempotency]:
         """Returns class and effect by which a request is handled, so that no retry of it is unsafe."""
         if method == b"GET":
-            form = Effect.SAFE
+            form = Idempotency.IDEMPOTENT
         else:
-            form = Effect.KEYED if has_key else Effect.UNSAFE
+            form = Idempotency.KEYED if has_key else Idempotency.NON_IDEMPOTENT
         forms, strict_class = self._other_forms.get(request_class, (frozenset(), request_class))
         if form == effect or form not in forms:
             return request_class, effect
         # the rules of the class apply unless they rest on a key that the request lacks, or are looser than
         # its form
-        needs_strict = effect == Effect.KEYED or form == Effect.UNSAFE
+        needs_strict = effect == Idempotency.KEYED or form == Idempotency.NON_IDEMPOTENT
         return (strict_class if needs_strict else request_class), form
 
     def _remember(self, request_id: bytes) -> None:
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from wheatroute.interface import Outcome
+from wheatroute.balancing.interface import Outcome
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.load_reports import parse_load_report
 from wheatroute.net.server_table import ServerTable
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -10,7 +10,7 @@
 from math import inf
 from typing import Any
 
-from wheatroute.interface import Effect, Group
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 from wheatroute.net.clock import now
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
@@ -66,17 +66,17 @@
     def _is_forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether another attempt that may have run forbids this one."""
         rules = self._class_terms[exchange.request_class]
-        if rules["effect"] == Effect.SAFE:
+        if rules["effect"] == Idempotency.IDEMPOTENT:
             return False
         others = (one.sent_at for one in exchange.attempts if one.may_have_run and one is not attempt)
         first_sent_at = min(others, default=inf)
-        if rules["effect"] == Effect.UNSAFE:
+        if rules["effect"] == Idempotency.NON_IDEMPOTENT:
             return first_sent_at < inf
         return now() >= first_sent_at + rules["repeat_window"] - self._terms["tick"]
 
     def can_strand(self, exchange: Exchange) -> bool:
         """Whether an attempt that may have run can leave the exchange without any attempt that is allowed."""
         rules = self._class_terms[exchange.request_class]
-        if rules["effect"] == Effect.KEYED:
-            return rules["group"] != Group.ALL or rules["repeat_window"] < rules["deadline"]
-        return rules["effect"] == Effect.UNSAFE
+        if rules["effect"] == Idempotency.KEYED:
+            return rules["group"] != DeduplicationGroup.ALL or rules["repeat_window"] < rules["deadline"]
+        return rules["effect"] == Idempotency.NON_IDEMPOTENT
--- a/wheatroute/net/server_entries.py
+++ b/wheatroute/net/server_entries.py
@@ -7,11 +7,15 @@
 from math import isfinite
 from typing import Any, Protocol
 
-from wheatroute.interface import Entry, State
+from wheatroute.balancing.interface import ListEntry, ServerState
 from wheatroute.net.addresses import parse_address
 from wheatroute.net.server_numbers import ServerNumbers
 
-STATES = {"in_service": State.LIVE, "terminating": State.DRAINING, "terminated": State.GONE}
+STATES = {
+    "in_service": ServerState.LIVE,
+    "terminating": ServerState.DRAINING,
+    "terminated": ServerState.REMOVED,
+}
 
 
 class ServerStates(Protocol):
@@ -20,7 +24,7 @@
     def set_address(self, server: int, address: tuple[str, int]) -> None:
         """Sets a server's address."""
 
-    def set_state(self, server: int, state: State, started_at: float) -> None:
+    def set_state(self, server: int, state: ServerState, started_at: float) -> None:
         """Sets a server's state, and its start, Unix time in seconds."""
 
     def close_idle(self, server: int) -> None:
@@ -46,9 +50,9 @@
     def finish_full_list(self) -> None:
         """Sets the state of servers that a full list did not have."""
         for server in self.numbers.removed:
-            self._servers.set_state(server, State.GONE, 0.0)
+            self._servers.set_state(server, ServerState.REMOVED, 0.0)
 
-    def read(self, fields: Any) -> list[Entry]:
+    def read(self, fields: Any) -> list[ListEntry]:
         """Returns an entry, after one that removes the server which had the number before, if there was one.
 
         Raises TypeError, ValueError, KeyError or AttributeError for a malformed one.
@@ -56,17 +60,17 @@
         identity = fields["id"]
         if not isinstance(identity, str):
             raise ValueError("no id")
-        state = STATES.get(fields.get("state", "in_service"), State.DRAINING)
+        state = STATES.get(fields.get("state", "in_service"), ServerState.DRAINING)
         weight, cell = float(fields.get("weight", 1.0)), int(fields.get("cell", 0))
         started_at = float(fields.get("started_ms", 0)) / 1000.0
         if not (isfinite(weight) and isfinite(started_at)):
             raise ValueError("a figure that is none")
         zone, model = str(fields.get("zone", "")), str(fields.get("kind", ""))
-        has_address = state != State.GONE or "addr" in fields
+        has_address = state != ServerState.REMOVED or "addr" in fields
         address = parse_address(fields["addr"]) if has_address else None
         location = self._zones[zone], self._models[model], cell
         server, is_reused = self.numbers.assign(identity)
-        if state == State.GONE:
+        if state == ServerState.REMOVED:
             self.numbers.mark_removed(identity)
             self._servers.close_idle(server)
         else:
@@ -76,5 +80,5 @@
         self._servers.set_state(server, state, started_at)
         entry = (server, *location, state, weight, started_at)
         if is_reused:
-            return [(server, *location, State.GONE, weight, 0.0), entry]
+            return [(server, *location, ServerState.REMOVED, weight, 0.0), entry]
         return [entry]
--- a/wheatroute/net/server_table.py
+++ b/wheatroute/net/server_table.py
@@ -6,17 +6,17 @@
 
 from typing import NamedTuple
 
-from wheatroute.interface import State
+from wheatroute.balancing.interface import ServerState
 
 
-class ServerState(NamedTuple):
+class ListedState(NamedTuple):
     """What the list says of a server; `started_at` is Unix time in seconds, 0 where unknown."""
 
-    state: State
+    state: ServerState
     started_at: float
 
 
-UNKNOWN_STATE = ServerState(State.LIVE, 0.0)
+UNKNOWN_STATE = ListedState(ServerState.LIVE, 0.0)
 
 
 class ServerTable:
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self._addresses: dict[int, tuple[str, int]] = {}
-        self._states: dict[int, ServerState] = {}
+        self._states: dict[int, ListedState] = {}
         self._generations: dict[int, int] = {}
         self._in_flight: dict[int, int] = {}  # attempts and probes
 
@@ -48,9 +48,9 @@
         self._addresses[server] = address
         return has_changed
 
-    def set_state(self, server: int, state: State, started_at: float) -> None:
+    def set_state(self, server: int, state: ServerState, started_at: float) -> None:
         """Sets what the list says of a server."""
-        new = ServerState(state, started_at)
+        new = ListedState(state, started_at)
         if self._states.get(server, new) != new:
             self._generations[server] = self.generation(server) + 1
         self._states[server] = new
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -7,7 +7,7 @@
 
 import trio
 
-from wheatroute.interface import State
+from wheatroute.balancing.interface import ServerState
 from wheatroute.net.attempts import AttemptRunner
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection_pool import ConnectionPool
@@ -62,7 +62,7 @@
         if self._servers.set_address(server, address):
             self._pool.close_idle(server)
 
-    def set_state(self, server: int, state: State, started_at: float) -> None:
+    def set_state(self, server: int, state: ServerState, started_at: float) -> None:
         """Sets what the list says of a server; attempts decided before a change are not sent any more."""
         self._servers.set_state(server, state, started_at)
 
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -12,10 +12,10 @@
 
 import trio
 
+from wheatroute.balancing.interface import Event, Outcome, Report, ServerState
 from wheatroute.decide import Balancer
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.session import Session
-from wheatroute.interface import Event, Outcome, Report, State
 from wheatroute.net.addresses import NO_ADDRESS
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.clock import now
@@ -188,7 +188,7 @@
     def set_address(self, server: int, address: tuple[str, int]) -> None:
         self._places[server] = b"%s:%d" % (address[0].encode(), address[1])
 
-    def set_state(self, server: int, state: State, started_at: float) -> None:
+    def set_state(self, server: int, state: ServerState, started_at: float) -> None:
         """Nothing lies here between a decision and its answer to the proxy that could still be held back."""
 
     def release(self, server: int) -> bool:
@@ -252,7 +252,7 @@
 
     def _tell(self, nodes: int, node: int, caution: float) -> None:
         self.node_counts = {"nodes": nodes, "node": node}
-        self._driver.add_event(Event.PEERS, nodes, node, caution)
+        self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
     def _apply(self, told: Any) -> None:
         """Hands it on, and keeps each entry as it was told, for the snapshot."""
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -14,9 +14,9 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
 from google.protobuf.message import DecodeError
 
+from wheatroute.balancing.interface import Outcome, Report
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.interface import Outcome, Report
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
 from wheatroute.processor.accounts import Earlier, Refusal, RefusedError, Try
 from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
@@ -165,7 +165,7 @@
 
     def decided(self, attempt: Attempt, place: bytes, left: float) -> bool:
         """Names the server; False if nobody waits for it any more."""
-        if self.call.dead or self.place != Place.ASKED:
+        if self.call.is_over or self.place != Place.ASKED:
             return False
         self.attempt, self.place = attempt, Place.DECIDED
         self.call.send(self.words.decision(place, left))
