--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -157,7 +157,7 @@
         """
         response_id = fields.get(b"request-id", b"")
         if not response_id:
-            if connection.messages > 1:
+            if connection.message_count > 1:
                 raise MalformedError(0, "an answer without an id on a kept connection")
             return True
         return response_id == self.request.id
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -95,7 +95,7 @@
         client = _Client(connection)
         self._clients.add(client)
         try:
-            while await self._serve_request(client) and connection.next_message():
+            while await self._serve_request(client) and connection.start_next_message():
                 client.is_busy = False
                 client.idle_scope = trio.CancelScope()
         except (OSError, ClientDisconnectedError):
@@ -111,7 +111,7 @@
     async def _serve_request(self, client: _Client) -> bool:
         """Read and answer one request; return False if the connection is to end."""
         limits = self._node.table.limits
-        client.connection.longest = limits.max_body_bytes
+        client.connection.max_body_bytes = limits.max_body_bytes
         idle_timeout_s, head_timeout_s = limits.idle_timeout_ms / 1000, limits.header_timeout_ms / 1000
         try:
             request = await self._read_request(client, idle_timeout_s, head_timeout_s)
@@ -141,8 +141,8 @@
             await ClientResponse(connection, is_closing=True).send_error(b"", error)
             with suppress(OSError):
                 connection.sock.shutdown(socket.SHUT_WR)
-            connection.deaf = True
-            while await connection.more():
+            connection.discards_input = True
+            while await connection.receive():
                 pass
 
     async def _read_request(
@@ -169,14 +169,14 @@
         """Wait until part of a request is here; return False at the idle timeout or the connection's end."""
         connection = client.connection
         with client.idle_scope, trio.move_on_after(idle_timeout_s):
-            while not connection.begun:
+            while not connection.has_partial_message:
                 if connection.parse():
                     break
-                if not await connection.more():
+                if not await connection.receive():
                     return False
             else:
                 client.is_busy = True
-        return connection.begun or connection.http.their_state is not h11.IDLE
+        return connection.has_partial_message or connection.http.their_state is not h11.IDLE
 
     @staticmethod
     async def _read_message(connection: StreamConnection, head_deadline: float) -> bool:
@@ -194,7 +194,7 @@
                 raise trio.TooSlowError
             deadline = head_deadline if connection.http.their_state is h11.IDLE else inf
             with trio.move_on_at(deadline) as scope:
-                if not await connection.more():
+                if not await connection.receive():
                     return False
             if scope.cancelled_caught:
                 raise trio.TooSlowError
@@ -217,7 +217,7 @@
         connection = client.connection
         try:
             while len(connection.http.trailing_data[0]) < MAX_PIPELINED_BYTES:
-                if not await connection.more():
+                if not await connection.receive():
                     break
             else:
                 return
--- a/wheatroute/edge/connection.py
+++ b/wheatroute/edge/connection.py
@@ -16,7 +16,7 @@
 import h11
 import trio
 
-from wheatroute.net.connection import LONGEST_HEAD, Connection, MalformedError
+from wheatroute.net.connection import MAX_HEAD_BYTES, Connection, MalformedError
 
 USER_TIMEOUT_MS = 2000  # after which bytes that the peer's host has not acknowledged end a connection
 SIOCOUTQ = 0x5411  # Linux, asm-generic/ioctls.h
@@ -65,7 +65,7 @@
 
     async def send_head(self, head: h11.Response, first: bytes) -> None:
         """Write a head and the first bytes of its body together."""
-        self.whole = False
+        self.is_written = False
         self._queue(head)
         await self.send_body(first)
 
@@ -74,18 +74,18 @@
         if data:
             self._queue(h11.Data(data=data))
         if self._unsent:
-            await self.rest()
+            await self.flush()
 
     async def send_end(self) -> None:
         """Write the end of a message, by which the peer knows that it is complete."""
         self._queue(h11.EndOfMessage())
         if self._unsent:
-            await self.rest()
+            await self.flush()
 
     async def send_interim(self) -> None:
         """Write 100 (Continue) to a client that waits for it before its body (RFC 9110, 10.1.1)."""
         self._queue(h11.InformationalResponse(status_code=100, headers=[]))
-        await self.rest()
+        await self.flush()
 
     async def next_event(self) -> Any:
         """Return the next event of the message that is read.
@@ -101,7 +101,7 @@
                 raise MalformedError(400, "closed")
             if event is not h11.NEED_DATA:
                 return event
-            if not await self.more():
+            if not await self.receive():
                 # only h11 knows whether the message may end with its connection (RFC 9112, 6.3)
                 try:
                     event = self.http.next_event()
@@ -114,7 +114,7 @@
     def restart(self, request: h11.Request) -> None:
         """Read another response to a request that is already written, after a surplus response."""
         unread = self.http.trailing_data[0]
-        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=LONGEST_HEAD)
+        self.http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         # framing of a response depends on the request's method alone; h11 would want the body of a length
         headers = [(b"Host", b"-")]
         self.http.send(h11.Request(method=request.method, target=request.target, headers=headers))
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -92,7 +92,7 @@
         service = self._services[server_id]
         idle_timeout_s = self._idle_timeout_s.get(service, DEFAULT_IDLE_TIMEOUT_S)
         age_s = trio.current_time() - entry.since
-        if entry.connection.quiet():
+        if entry.connection.is_reusable():
             return age_s < IDLE_TIMEOUT_FRACTION * idle_timeout_s
         if MIN_IDLE_TIMEOUT_S < age_s < idle_timeout_s:
             self._idle_timeout_s[service] = age_s
@@ -122,7 +122,7 @@
     def release(self, server: Server, connection: StreamConnection) -> None:
         """Take a connection back: it becomes idle if it can carry another request, else it is closed."""
         has_surplus_bytes = bool(connection.http.trailing_data[0])
-        if server.has_left or has_surplus_bytes or not connection.next_message():
+        if server.has_left or has_surplus_bytes or not connection.start_next_message():
             self.discard(server, connection)
             return
         if len(connection.answered_ids) > MAX_ANSWERED_IDS:
