--- a/tests/control/test_consistency.py
+++ b/tests/control/test_consistency.py
@@ -22,8 +22,8 @@
 from wheatroute.control.registry import ServerHeartbeat
 from wheatroute.control.soft_state_sharing import SoftStateSharing
 from wheatroute.control.updates import UpdatePolls
-from wheatroute.replication import core, lease
-from wheatroute.replication.core import ELECTION_TIMEOUT
+from wheatroute.replication import lease, timing
+from wheatroute.replication.timing import ELECTION_TIMEOUT_S
 
 RUN_S = 24.0  # of a run with random faults
 FAULT_FREE_S = 6.0  # at its end
@@ -238,7 +238,7 @@
 
 def run_without_leases(seed, scenario):
     """No voter is bound by a lease: others may lead while the old primary still has one."""
-    with patched(lease, GRANT=0.0), patched(core, ELECTION_TIMEOUT=0.18, ELECTION_STEP=0.02):
+    with patched(lease, GRANT_S=0.0), patched(timing, ELECTION_TIMEOUT_S=0.18, ELECTION_STEP_S=0.02):
         return run_scenario(seed, scenario)
 
 
@@ -316,7 +316,7 @@
         await asyncio.sleep(0.05)
     assert replica.service.leadership.not_primary().primary == primary.host
     pairs = isolate(cluster, replica)
-    await asyncio.sleep(ELECTION_TIMEOUT + 0.1)
+    await asyncio.sleep(ELECTION_TIMEOUT_S + 0.1)
     for _ in range(19):
         assert replica.service.leadership.not_primary().primary == ""
         assert replica.service.leadership.primary_host == ""
