--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -101,7 +101,9 @@
     lines = peer.lines
     assert (await node.ask("view"))[0] == 200 and peer.lines == lines
     assert (await node.ask("place", body="b"))[0] == 200 and peer.lines == lines + 1
-    with mock.patch.object(ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.REFUSED)):
+    with mock.patch.object(
+        ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.CONNECTION_REFUSED)
+    ):
         assert (await node.ask("place", body="b"))[0] == 200  # one that was idle is better than none
 
 
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -8,14 +8,14 @@
 """
 
 import random
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from heapq import heappop, heappush
 from math import inf
 from typing import Any, Protocol
 
 import trio
 
-from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.interface import EarlierAttempt, Event, Outcome, Report
 from wheatroute.decide import Balancer
 from wheatroute.net.clock import now
 from wheatroute.net.event_loop_lag import EventLoopLag
@@ -84,10 +84,17 @@
         self._events.append(event)
         self._has_events.set()
 
-    def add_request(self, exchange: Exchange) -> None:
-        """Numbers a new exchange, sets its deadline and adds it as an event."""
+    def add_request(self, exchange: Exchange, earlier: Sequence[EarlierAttempt] = ()) -> None:
+        """Numbers a new exchange, sets its deadline and adds it as an event.
+
+        `earlier` are attempts that the client made by itself: they count as the first of the exchange.
+        """
         exchange.number, self._next_number = self._next_number, self._next_number + 1
         exchange.deadline = now() + exchange.time_left_s
+        if earlier:
+            exchange.attempts = [
+                Attempt(server, number, sent_at, 0.0) for number, (server, sent_at, _) in enumerate(earlier)
+            ]
         self._exchanges[exchange.number] = exchange
         heappush(self._overdue_times, (exchange.deadline + self._answer_slack_s, exchange.number))
         self.add_event(
@@ -97,7 +104,7 @@
             exchange.time_left_s,
             exchange.tenant,
             exchange.is_client_retry,
-            (),
+            earlier,
             exchange.work_hint,
         )
 
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -138,7 +138,7 @@
         except ConnectFailedError:
             return await self.acquire(server)
         if idle := self._idle.get(server):
-            self.discard(idle.pop(0)[1], CloseReason.CLOSED)
+            self.discard(idle.pop(0)[1], CloseReason.CLOSED_BY_NODE)
         return connection
 
     def release(self, server: int, holder: ConnectionHolder) -> None:
@@ -152,7 +152,7 @@
             self.note_surplus_input()
         elif connection.peer != format_address(self._servers.address(server)):
             # the server got another address while the connection was in use
-            holder.close_reason = CloseReason.CLOSED
+            holder.close_reason = CloseReason.CLOSED_BY_NODE
         elif not connection.message_count or connection.start_next_message():
             self._idle.setdefault(server, []).append((now(), connection))
             holder.connection = None
@@ -193,7 +193,9 @@
                 connection.max_body_bytes = self._max_response_bytes
                 failure = None
                 return connection
-            failure = CloseReason.REFUSED if code == errno.ECONNREFUSED else CloseReason.UNREACHABLE
+            failure = (
+                CloseReason.CONNECTION_REFUSED if code == errno.ECONNREFUSED else CloseReason.UNREACHABLE
+            )
             raise ConnectFailedError(failure)
         except OSError as error:
             raise ConnectFailedError(CloseReason.UNREACHABLE) from error
@@ -218,7 +220,7 @@
     def close_idle(self, server: int) -> None:
         """Closes the idle connections to a server."""
         for _, connection in self._idle.pop(server, []):
-            self.discard(connection, CloseReason.CLOSED)
+            self.discard(connection, CloseReason.CLOSED_BY_NODE)
 
     def close_all_idle(self) -> None:
         """Closes all idle connections as the node stops."""
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -170,7 +170,7 @@
         finally:
             if connection is not None:
                 connection.close()
-                reason = reason if address == self._address else CloseReason.CLOSED
+                reason = reason if address == self._address else CloseReason.CLOSED_BY_NODE
                 log_closed_connection(
                     self._log,
                     "list",
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -128,7 +128,7 @@
                     await self._listener.wait()
             except OSError as error:
                 # without a descriptor the loop must neither end nor spin
-                self._log.warning("not-accepted", trouble=str(error), open=clients.open)
+                self._log.warning("accept-failed", error=str(error), open=clients.open)
                 await clients.wait_for_close(ACCEPT_RETRY_S)
 
     def _accept_one(self) -> bool:
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -21,20 +21,20 @@
 class CloseReason(StrEnum):
     """Why a connection ended, as the log has it."""
 
-    PEER_CLOSED = "closed"  # the peer closed it between requests
-    CLOSE_REQUESTED = "asked"  # the peer sent "Connection: close" with its last message
-    CLIENT_LEFT = "left"  # a client closed it with its request open
+    PEER_CLOSED = "peer-closed"  # the peer closed it between requests
+    CLOSE_REQUESTED = "close-requested"  # the peer sent "Connection: close" with its last message
+    CLIENT_LEFT = "client-left"  # a client closed it with its request open
     MALFORMED = "malformed"  # what was received is not HTTP or breaks the protocol
-    NO_REQUEST = "silent"  # a client that connected and sent nothing
+    NO_REQUEST = "no-request"  # a client that connected and sent nothing
     SLOW = "slow"  # part of a message, then nothing
-    RESET = "broken"  # a reset or another error of the socket
-    REFUSED = "refused"  # a server refused the connection
-    UNREACHABLE = "unreached"  # a connection to a server was not established in time
+    RESET = "reset"  # a reset or another error of the socket
+    CONNECTION_REFUSED = "connection-refused"  # a server refused the connection
+    UNREACHABLE = "unreachable"  # a connection to a server was not established in time
     WITHDRAWN = "withdrawn"  # the attempt on it was withdrawn
     TIMED_OUT = "timed-out"  # the attempt on it ran out of time
-    IDLE_TIMEOUT = "idle"  # idle for nearly as long as its server keeps it
-    NO_CAPACITY = "room"  # closed to stay within the limit of descriptors
-    CLOSED = "shut"  # on a command of the balancer, or as a server's address changed
+    IDLE_TIMEOUT = "idle-timeout"  # idle for nearly as long as its server keeps it
+    NO_CAPACITY = "no-capacity"  # closed to stay within the limit of descriptors
+    CLOSED_BY_NODE = "closed-by-node"  # on a command of the balancer, or as a server's address changed
     STOPPING = "stopping"  # the node stops
     FAULT = "fault"  # a fault of the node
 
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -167,7 +167,7 @@
     def _count_rejected(self) -> None:
         self._rejected += 1
         if trio.current_time() - self._rejections_logged_at > REJECTION_LOG_INTERVAL_S:
-            self._log.warning("full", out=self._in_flight, refused=self._rejected)
+            self._log.warning("at-capacity", in_flight=self._in_flight, rejected=self._rejected)
             self._rejections_logged_at, self._rejected = trio.current_time(), 0
 
     def _lag_s(self, connection: Connection) -> float:
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -47,25 +47,6 @@
         if not self.quiet:
             self._has_events.set()
 
-    def add_request(self, exchange: Exchange) -> None:
-        """With what came before, whose attempts are counted: the module numbers on from there."""
-        earlier = exchange.earlier if isinstance(exchange, Asked) else ()
-        exchange.number, self._next_number = self._next_number, self._next_number + 1
-        exchange.deadline = now() + exchange.time_left_s
-        exchange.attempts = [Attempt(server, n, when, 0.0) for n, (server, when, _) in enumerate(earlier)]
-        self._exchanges[exchange.number] = exchange
-        heappush(self._overdue_times, (exchange.deadline + self._answer_slack_s, exchange.number))
-        self.add_event(
-            Event.ARRIVED,
-            exchange.number,
-            exchange.request_class,
-            exchange.time_left_s,
-            exchange.tenant,
-            exchange.is_client_retry,
-            earlier,
-            exchange.work_hint,
-        )
-
     def turn(self) -> None:
         """All that came in this burst, and what came of it."""
         self.quiet = True
@@ -138,9 +119,9 @@
         self.asked += 1
         ask = self._reader.ask((one.key, one.raw_value or one.value.encode()) for one in headers)
         account, earlier = self._accounts.take(ask.name, ask.kind, now(), ask.left, ask.attempt)
-        exchange = Asked(stream, ask, earlier, account)
+        exchange = Asked(stream, ask, account)
         exchange.on_response = stream.settled
-        self.rounds.add_request(exchange)
+        self.rounds.add_request(exchange, earlier)
         return exchange
 
     def left(self, exchange: Asked) -> None:
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -18,7 +18,7 @@
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
-from wheatroute.processor.accounts import Earlier, Refusal, RefusedError, Try
+from wheatroute.processor.accounts import Refusal, RefusedError, Try
 from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
@@ -34,13 +34,13 @@
 class Asked(Exchange):
     """A request of a proxy: its final answer is the decision, or that there is none."""
 
-    __slots__ = ("stream", "earlier", "account")
+    __slots__ = ("stream", "account")
 
-    def __init__(self, stream: Stream, ask: Ask, earlier: tuple[Earlier, ...], account: Try) -> None:
+    def __init__(self, stream: Stream, ask: Ask, account: Try) -> None:
         super().__init__(b"", b"", ask.name, b"", b"")
         self.request_class, self.time_left_s, self.tenant = ask.kind, ask.left, ask.tenant
         self.is_client_retry, self.work_hint = ask.repeated or ask.attempt > 1, ask.work
-        self.stream, self.earlier, self.account = stream, earlier, account
+        self.stream, self.account = stream, account
 
 
 class Dispatcher(Protocol):
