--- a/tests/net/race_harness.py
+++ b/tests/net/race_harness.py
@@ -1,9 +1,9 @@
-"""Stand-ins for what stands around a node. They act at a named step; tests force crossings by these alone.
+"""Servers, list services and clients around a node. They act at named steps, by which tests force races.
 
 Steps of a server: `accepted`, `head` (a request's head is read), `read` (all of it), `half` (half of the
 answer is written), `last` (all of it), `closing`. Of a node in this process: a connection to a server is up
-and nothing written (`Held`), and any method that `at` is given. What waits here waits for the step itself; a
-limit only turns a hang into a failure.
+and nothing written (`HeldConnections`), and any method that `at` is given. What waits here waits for the
+step itself; a limit only turns a hang into a failure.
 """
 
 import os
@@ -38,7 +38,7 @@
     @property
     def ids(self):
         """The ids of all requests that it has read whole."""
-        return [field(one, b"request-id") for one in self.got]
+        return [header_value(one, b"request-id") for one in self.got]
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
@@ -52,10 +52,10 @@
         self.lines += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self._step("accepted", stream)
-            while (head := await until(stream, b"\r\n\r\n")) is not None:
+            while (head := await read_until(stream, b"\r\n\r\n")) is not None:
                 self.heads.append(head)
                 await self._step("head", stream)
-                length = int(field(head, b"content-length") or 0)
+                length = int(header_value(head, b"content-length") or 0)
                 head, _, body = head.partition(b"\r\n\r\n")
                 while len(body) < length:
                     part = await stream.receive_some()
@@ -91,7 +91,7 @@
     async def _talk(self, stream):
         self.lines += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-            while (head := await until(stream, b"\r\n\r\n")) is not None:
+            while (head := await read_until(stream, b"\r\n\r\n")) is not None:
                 self.got.append(head.split(b"\r\n", 1)[0])
                 answer = self.answer(self.got[-1])
                 if hasattr(answer, "__await__"):
@@ -129,7 +129,7 @@
         data = b""
         while True:
             head, found, body = data.partition(b"\r\n\r\n")
-            if found and len(body) >= int(field(head, b"content-length") or 0):
+            if found and len(body) >= int(header_value(head, b"content-length") or 0):
                 return int(head.split()[1]), data
             await trio.lowlevel.wait_readable(self.sock)
             try:
@@ -141,7 +141,7 @@
             data += part
 
 
-def at_once(stream, data):
+def send_now(stream, data):
     """Writes to a stream without giving anyone else a turn: it is in the other side's socket on return."""
     with socket.socket(fileno=os.dup(stream.socket.fileno())) as sock:
         sock.send(data)
@@ -152,7 +152,7 @@
     sock.close()
 
 
-def field(message, name):
+def header_value(message, name):
     for line in message.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]:
         found, _, value = line.partition(b":")
         if found.strip().lower() == name:
@@ -160,7 +160,7 @@
     return None
 
 
-async def until(stream, mark):
+async def read_until(stream, mark):
     data = b""
     while mark not in data:
         part = await stream.receive_some()
@@ -170,41 +170,44 @@
     return data
 
 
-async def come(what):
-    """Waits until `what()` holds."""
+async def wait_until(condition):
+    """Waits until `condition()` holds, ten seconds at most."""
     with trio.fail_after(10):
-        while not what():
+        while not condition():
             await trio.sleep(0.001)
 
 
-class Held:
-    """Connections to servers stop at the step `connected` until `go` is set; the first `most` of them."""
+class HeldConnections:
+    """The first `max_held` connections to servers wait, once established, until `released` is set.
 
-    def __init__(self, most=1, buffer=0, blocked=None):
-        self.most, self.buffer, self.blocked = most, buffer, blocked
-        self.held, self.go = [], trio.Event()
+    With `blocked` the whole node stands still in that call instead; `buffer` is the size of their send
+    buffers.
+    """
+
+    def __init__(self, max_held=1, buffer=0, blocked=None):
+        self.max_held, self.buffer, self.blocked = max_held, buffer, blocked
+        self.peers, self.released = [], trio.Event()
 
     def __enter__(self):
         connect = ConnectionPool._connect
-        held = self
-
-        async def late(servers, server):
-            line = await connect(servers, server)
-            if held.buffer:
-                line.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, held.buffer)
-            if len(held.held) < held.most:
-                held.held.append(line.peer)
-                if held.blocked is not None:
-                    held.blocked()  # the whole node stands still here
+
+        async def connect_and_wait(pool, server):
+            connection = await connect(pool, server)
+            if self.buffer:
+                connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, self.buffer)
+            if len(self.peers) < self.max_held:
+                self.peers.append(connection.peer)
+                if self.blocked is not None:
+                    self.blocked()
                 else:
-                    await held.go.wait()
-            return line
+                    await self.released.wait()
+            return connection
 
-        self.patch = mock.patch.object(ConnectionPool, "_connect", late)
+        self.patch = mock.patch.object(ConnectionPool, "_connect", connect_and_wait)
         self.patch.start()
         return self
 
-    def __exit__(self, *how):
+    def __exit__(self, *error):
         self.patch.stop()
 
 
@@ -238,11 +241,11 @@
                 time.sleep(0.001)
 
 
-def told(version, *entries, full=False):
+def list_response(version, *entries, full=False):
     return listed(version, full, list(entries))
 
 
 def message(node, *what, **how):
-    """A request with its id."""
+    """Returns a request and its id."""
     text = node.message(*what, **how)
-    return text, field(text, b"request-id")
+    return text, header_value(text, b"request-id")
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -8,7 +8,7 @@
 import structlog
 import trio
 from fakehost import OK, Node, entry, settings, story
-from race_harness import Client, Held, Server, at, come, message
+from race_harness import Client, HeldConnections, Server, at, message, wait_until
 
 from wheatroute.__main__ import serve_node
 from wheatroute.net import node_settings
@@ -24,10 +24,10 @@
     return {"traffic-types": [kind | {"name": name, "effect": effect} | changes for name, effect in names]}
 
 
-def asking(path, name, method="GET", **headers):
-    told = "".join(f"{key.replace('_', '-')}: {value}\r\n" for key, value in headers.items())
+def request_text(path, name, method="GET", **headers):
+    fields = "".join(f"{key.replace('_', '-')}: {value}\r\n" for key, value in headers.items())
     return (
-        f"{method} {path} HTTP/1.1\r\nHost: b\r\nRequest-Id: {name}\r\nRequest-Timeout: 900m\r\n{told}\r\n"
+        f"{method} {path} HTTP/1.1\r\nHost: b\r\nRequest-Id: {name}\r\nRequest-Timeout: 900m\r\n{fields}\r\n"
     ).encode()
 
 
@@ -105,7 +105,7 @@
     ):
         text, one = message(node, "place", body="bb")
         client = Client(node.port).send(text[:-1])
-        await come(lambda: found)
+        await wait_until(lambda: found)
     client.send(text[-1:])
     assert (await client.answer())[0] == 200 and server.ids == [one]
 
@@ -149,7 +149,7 @@
             for sock in flood:
                 sock.close()
         side = sides[0]
-        await come(lambda: side._clients.open == 1 and side._handler._in_flight == 0)
+        await wait_until(lambda: side._clients.open == 1 and side._handler._in_flight == 0)
         assert len(side._clients.idle) == 1
 
 
@@ -163,7 +163,7 @@
         for one in busy:
             one.send(message(node, "place", body="b", time_out="15000m")[0])
         side = sides[0]
-        await come(lambda: side._handler._in_flight == side._handler._max_in_flight)
+        await wait_until(lambda: side._handler._in_flight == side._handler._max_in_flight)
         for _ in range(60):
             client = Client(node.port)
             status, answer = await client.send(message(node, "view", time_out="15000m")[0]).answer()
@@ -189,11 +189,11 @@
         before = len(server.got)
         for path, status in (("/up", 200), ("/up/7", 200), ("/upper", 200), ("/u", 404), ("/uppe", 404)):
             name = f"{effect}{path.replace('/', '-')}"
-            got, answer = await Client(node.port).send(asking(path, name, method, **headers)).answer()
+            got, answer = await Client(node.port).send(request_text(path, name, method, **headers)).answer()
             assert got == status and (got != 200 or answer.endswith(b"ok")), (effect, path)
         assert len(server.got) == before + 3
         # what lacks an id is a bad request for the class, not a question
-        bad = asking("/up", "x", method, **headers).replace(b"Request-Id: x\r\n", b"")
+        bad = request_text("/up", "x", method, **headers).replace(b"Request-Id: x\r\n", b"")
         assert (await Client(node.port).send(bad).answer())[0] == 400
 
 
@@ -220,11 +220,11 @@
             ("/%E6%97%A5%E6%9C%AC", b"Zoe", (6, -1)),
         ]
         for n, (path, tenant, means) in enumerate(cases):
-            text = asking(path, f"n{n}").replace(b"Host: b", b"Host: b\r\nTenant: " + tenant)
+            text = request_text(path, f"n{n}").replace(b"Host: b", b"Host: b\r\nTenant: " + tenant)
             status, _ = await Client(node.port).send(text).answer()
             assert status == 200 and seen[-1] == means, path
         for n, path in enumerate(("/caf", "/caf%C3", "/order%20", "/order%20vie", "/%63afe")):
-            assert (await Client(node.port).send(asking(path, f"b{n}")).answer())[0] in (400, 404), path
+            assert (await Client(node.port).send(request_text(path, f"b{n}")).answer())[0] in (400, 404), path
     assert [one.split(b" ")[1] for one in server.got] == [path.encode() for path, *_ in cases]  # unchanged
 
 
@@ -255,8 +255,8 @@
         after=lambda _, one: seen.append((one.request_class, one.tenant)),
     ):
         for n in range(3):
-            safe = asking("/order", f"o{n}", Tenant="a")
-            unsafe = asking("/order", f"p{n}", "POST", Tenant="a")
+            safe = request_text("/order", f"o{n}", Tenant="a")
+            unsafe = request_text("/order", f"p{n}", "POST", Tenant="a")
             assert (await Client(one.port).send(safe).answer())[0] == 200
             assert (await Client(two.port).send(safe).answer())[0] == 405
             assert (await Client(two.port).send(unsafe).answer())[0] == 200
@@ -285,7 +285,7 @@
             await node.connect()
             for name in ("o1", "o2"):
                 path = "/" + changes["traffic-types"][0]["name"]
-                assert (await Client(node.port).send(asking(path, name, Tenant="a")).answer())[0] == 200
+                assert (await Client(node.port).send(request_text(path, name, Tenant="a")).answer())[0] == 200
             nursery.cancel_scope.cancel()
 
     trio.run(play, types(("order", "retryable")))
@@ -333,12 +333,12 @@
 @story
 async def test_a_connection_that_comes_up_in_the_end_is_kept_for_another_and_nothing_goes_out_twice(start):
     server = Server(OK)
-    with Held() as held:
+    with HeldConnections() as held:
         node = await start(server)
         client = Client(node.port).send(message(node, "place", body="b", time_out="300m")[0])
         assert (await client.answer())[0] in (502, 503)  # its time is over while the connection is held
-        assert held.held and not server.heads
-        held.go.set()
+        assert held.peers and not server.heads
+        held.released.set()
         text, one = message(node, "place", body="b")
         assert (await Client(node.port).send(text).answer())[0] == 200
     assert server.ids == [one]
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -15,7 +15,7 @@
 
 import trio
 from fakehost import OK, Node
-from race_harness import Client, ListService, Server, come, message, told
+from race_harness import Client, ListService, Server, list_response, message, wait_until
 
 PLAIN = "import sys; from wheatroute.__main__ import main; sys.exit(main())"
 # what the process's own client does at a step; `ask` sends a request into the listener's queue
@@ -59,7 +59,9 @@
 
 
 @asynccontextmanager
-async def process(folder, *servers, code=PLAIN, discovery=None, fifo=False, wait=True, known=True, **how):
+async def node_process(
+    folder, *servers, code=PLAIN, discovery=None, fifo=False, wait=True, known=True, **how
+):
     """A node as a process of its own; its end is looked for, its output is kept."""
     node = Node(folder, *servers, discovery=discovery or ListService(lambda request: None), **how)
     told_it = node.told if known else {key: value for key, value in node.told.items() if key != "known"}
@@ -77,7 +79,7 @@
             node.process = subprocess.Popen([sys.executable, "-c", code], env=env, stdout=out, stderr=out)
         try:
             if wait:
-                await come(lambda: b"listening" in node.log.read_bytes())
+                await wait_until(lambda: b"listening" in node.log.read_bytes())
             yield node
         finally:
             node.process.kill()
@@ -108,10 +110,10 @@
 
 @run
 async def test_sigterm_while_the_file_is_read_ends_it_before_it_listens(tmp_path):
-    async with process(tmp_path, Server(), fifo=True, wait=False) as node:
+    async with node_process(tmp_path, Server(), fifo=True, wait=False) as node:
         writer = await trio.to_thread.run_sync(lambda: open(node.path, "wb"))  # it is being read from here on
         node.process.send_signal(signal.SIGTERM)
-        await come(lambda: _pending_taken(node.process.pid))
+        await wait_until(lambda: _pending_taken(node.process.pid))
         with writer:
             writer.write(json.dumps(node.told).encode())
         status, _ = await ended(node)
@@ -136,14 +138,14 @@
 finish()
 """
     )
-    async with process(tmp_path, Server(), code=code, wait=False) as node:
+    async with node_process(tmp_path, Server(), code=code, wait=False) as node:
         status, _ = await ended(node)
         assert status == 0 and b"ANSWER b'HTTP/1.1 200" in node.log.read_bytes(), node.log.read_text()
 
 
 @run
 async def test_sigterm_before_the_first_list_ends_it_in_time(tmp_path):
-    async with process(tmp_path, known=False) as node:
+    async with node_process(tmp_path, known=False) as node:
         client = Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
         assert (await client.answer())[0] == 503
         waiting = Client(node.port).send(message(node, "view", time_out="800m")[0])
@@ -157,16 +159,16 @@
 async def test_a_second_sigterm_and_a_sighup_while_it_stops_end_nothing_early(tmp_path):
     server, go = Server(), trio.Event()
     server.on = {"read": lambda _: go.wait()}
-    async with process(tmp_path, server, nodes=2) as node:
+    async with node_process(tmp_path, server, nodes=2) as node:
         client = Client(node.port).send(message(node, "place", body="b", time_out="900m")[0])
-        await come(lambda: server.got)
+        await wait_until(lambda: server.got)
         node.process.send_signal(signal.SIGTERM)
-        await come(lambda: b"event=stopping" in node.log.read_bytes())
+        await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
         node.process.send_signal(signal.SIGHUP)
-        await come(lambda: b"event=reloaded" in node.log.read_bytes())
+        await wait_until(lambda: b"event=reloaded" in node.log.read_bytes())
         node.process.send_signal(signal.SIGTERM)
         node.process.send_signal(signal.SIGINT)
-        await come(lambda: node.log.read_bytes().count(b"event=stopping") == 3)
+        await wait_until(lambda: node.log.read_bytes().count(b"event=stopping") == 3)
         go.set()
         assert (await client.answer())[0] == 200
         status, _ = await ended(node)
@@ -188,7 +190,7 @@
 finish()
 """
     )
-    async with process(tmp_path, Server(), code=code) as node:
+    async with node_process(tmp_path, Server(), code=code) as node:
         node.process.send_signal(signal.SIGTERM)
         status, _ = await ended(node)
         assert status == 0 and b"Traceback" not in node.log.read_bytes(), node.log.read_text()
@@ -214,7 +216,7 @@
 finish()
 """
     )
-    async with process(tmp_path, Server(), code=code, deadline=0.5) as node:
+    async with node_process(tmp_path, Server(), code=code, deadline=0.5) as node:
         node.process.send_signal(signal.SIGTERM)
         status, _ = await ended(node)
         log = node.log.read_text()
@@ -238,7 +240,7 @@
 finish()
 """
     )
-    async with process(tmp_path, Server(), code=code, deadline=0.5) as node:
+    async with node_process(tmp_path, Server(), code=code, deadline=0.5) as node:
         node.process.send_signal(signal.SIGTERM)
         status, _ = await ended(node)
         log = node.log.read_text()
@@ -272,8 +274,8 @@
 """
     )
     server = Server()
-    async with process(tmp_path, server, code=code, nodes=2) as node:
-        await come(lambda: server.ids == [b"c1"])
+    async with node_process(tmp_path, server, code=code, nodes=2) as node:
+        await wait_until(lambda: server.ids == [b"c1"])
         node.process.send_signal(signal.SIGTERM)
         status, _ = await ended(node)
         log = node.log.read_text()
@@ -284,13 +286,13 @@
 @run
 async def test_resting_clients_are_ended_by_a_stop_and_half_requests_are_read_to_their_end(tmp_path):
     server = Server()
-    async with process(tmp_path, server, nodes=2) as node:
+    async with node_process(tmp_path, server, nodes=2) as node:
         resting, half = Client(node.port), Client(node.port)
         assert (await resting.send(message(node, "view")[0]).answer())[0] == 200
         text, one = message(node, "place", body="bb")
         half.send(text[:-1])
         node.process.send_signal(signal.SIGTERM)
-        await come(lambda: b"event=stopping" in node.log.read_bytes())
+        await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
         assert await resting.answer() is None
         half.send(text[-1:])
         status, answer = await half.answer()
@@ -313,14 +315,14 @@
 finish()
 """
     )
-    async with process(tmp_path, server, code=code, nodes=2, deadline=2.0) as node:
+    async with node_process(tmp_path, server, code=code, nodes=2, deadline=2.0) as node:
         client = Client(node.port)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         client.send(message(node, "place", body="b", time_out="2000m")[0])
-        await come(lambda: server.got)
+        await wait_until(lambda: server.got)
         await trio.sleep(0.2)  # its answer fills what the client does not read
         node.process.send_signal(signal.SIGTERM)
-        await come(lambda: b"event=stopping" in node.log.read_bytes())
+        await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
         await trio.sleep(1.6)  # idle ones were shut by now
         status, answer = await client.answer()
         assert status == 200 and answer.endswith(b"\r\n\r\n" + body)
@@ -335,17 +337,19 @@
     old = ListService(lambda request: None)
     new = ListService(
         lambda request: (
-            None if b"after" in request else told(3, {"id": "t", "addr": servers[1].place}, full=True)
+            None
+            if b"after" in request
+            else list_response(3, {"id": "t", "addr": servers[1].place}, full=True)
         )
     )
-    async with process(tmp_path, *servers, discovery=old) as node, trio.open_nursery() as nursery:
+    async with node_process(tmp_path, *servers, discovery=old) as node, trio.open_nursery() as nursery:
         nursery.start_soon(new.run)
         node.path.write_text("{")
         node.process.send_signal(signal.SIGHUP)
-        await come(lambda: b"event=not-reloaded" in node.log.read_bytes())
+        await wait_until(lambda: b"event=not-reloaded" in node.log.read_bytes())
         node.path.write_text(json.dumps(node.told | {"discovery": new.place}))
         node.process.send_signal(signal.SIGHUP)
-        await come(lambda: any(b"after=3&" in one for one in new.got))
+        await wait_until(lambda: any(b"after=3&" in one for one in new.got))
         before = len(servers[0].got)
         for _ in range(10):
             assert (await Client(node.port).send(message(node, "view")[0]).answer())[0] == 200
@@ -357,7 +361,7 @@
     """Nine in ten have to be ready within 10 s: here from the start of the process to the first answer."""
 
     async def tell():
-        async with process(tmp_path, Server(OK)) as node:
+        async with node_process(tmp_path, Server(OK)) as node:
             client = Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
             assert (await client.answer())[0] == 200
 
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -11,17 +11,17 @@
 from fakehost import ERROR, FULL, OK, RESET, entry, settings, story
 from race_harness import (
     Client,
-    Held,
+    HeldConnections,
     ListService,
     Server,
     Stall,
     at,
-    at_once,
-    come,
-    field,
+    header_value,
+    list_response,
     message,
     reset,
-    told,
+    send_now,
+    wait_until,
 )
 
 from wheatroute.decide import Balancer
@@ -45,38 +45,38 @@
     return {"traffic-types": kinds}
 
 
-class News:
-    """A list service that has nothing new until it is told, and then that."""
+class ListUpdates:
+    """A list service that has no changes until some are published."""
 
     def __init__(self):
         self.version, self.entries, self.full = 1, [], False
-        self.new = trio.Event()
+        self.published = trio.Event()
         self.service = ListService(self.answer)
 
     async def answer(self, request):
         if b"after=1&" in request and b"wait_ms=1 " not in request:
-            await self.new.wait()
-        if not self.new.is_set() or b"after=2&" in request:
+            await self.published.wait()
+        if not self.published.is_set() or b"after=2&" in request:
             if b"wait_ms=1 " not in request:
                 await trio.sleep_forever()
-            return told(1 + self.new.is_set())
-        return told(2, *self.entries, full=self.full)
+            return list_response(1 + self.published.is_set())
+        return list_response(2, *self.entries, full=self.full)
 
-    def tell(self, *entries, full=False):
+    def publish(self, *entries, full=False):
         self.entries, self.full = entries, full
-        self.new.set()
+        self.published.set()
 
 
 def written(*servers):
     return [one for server in servers for one in server.ids]
 
 
-async def heard(held, discoveries):
-    """Waits until the node has taken what the list service told."""
-    await come(lambda: any(one._version == 2 for one in discoveries))
+async def updates_applied(discoveries):
+    """Waits until a node has applied the changes that were published."""
+    await wait_until(lambda: any(one._version == 2 for one in discoveries))
 
 
-def node_parts():
+def watch_discoveries():
     """The list's sides of nodes started from here on."""
     found = []
     from wheatroute.net.discovery import Discovery
@@ -94,7 +94,7 @@
         while time.monotonic() < before + DEAD + 0.1:
             time.sleep(0.01)
 
-    with Held(blocked=late):
+    with HeldConnections(blocked=late):
         client, (text, _) = Client(node.port), message(node, "place", body="b", time_out="300m")
         before = time.monotonic()
         client.send(text)
@@ -105,16 +105,16 @@
 async def changed(start, change, others=(), count=2, **how):
     """One request whose connection is held while the list changes; who got it, and its status."""
     servers = [Server(name=name) for name in "st"[:count]]
-    news, (found, watching) = News(), node_parts()
-    with Held() as held, watching:
-        node = await start(*servers, discovery=news.service, others=others, **how)
+    updates, (found, watching) = ListUpdates(), watch_discoveries()
+    with HeldConnections() as held, watching:
+        node = await start(*servers, discovery=updates.service, others=others, **how)
         client = Client(node.port)
         client.send(message(node, "place", body="b")[0])
-        await come(lambda: held.held)
-        first = next(one for one in servers if one.place == held.held[0])
-        news.tell(*change(first), full=bool(how.get("full")))
-        await heard(held, found)
-        held.go.set()
+        await wait_until(lambda: held.peers)
+        first = next(one for one in servers if one.place == held.peers[0])
+        updates.publish(*change(first), full=bool(how.get("full")))
+        await updates_applied(found)
+        held.released.set()
         status, _ = await client.answer()
     return servers, first, status
 
@@ -158,16 +158,16 @@
     turn = [ERROR, OK]
     first, second = Server(), Server(name="t")
     first.answers = second.answers = turn
-    with Held(most=2) as held:
+    with HeldConnections(max_held=2) as held:
         node = await start(first, second, changes=types(**{"repeat-window": 0.4}))
         client = Client(node.port).send(message(node, "amend", body="b")[0])
-        await come(lambda: held.held)
+        await wait_until(lambda: held.peers)
         began = time.monotonic()
-        held.go.set()
-        held.go = trio.Event()
-        await come(lambda: len(held.held) == 2)  # the repeat's connection is up
+        held.released.set()
+        held.released = trio.Event()
+        await wait_until(lambda: len(held.peers) == 2)  # the repeat's connection is up
         await trio.sleep_until(trio.current_time() + began + 0.45 - time.monotonic())
-        held.go.set()
+        held.released.set()
         status, _ = await client.answer()
     assert status == 503 and len(written(first, second)) == 1
 
@@ -182,15 +182,15 @@
         module._servers.credit[0] = 1.0  # room for one
         modules.append(module)
 
-    with Held() as held, at(Balancer, "_servers_listed", after=credited):
+    with HeldConnections() as held, at(Balancer, "_servers_listed", after=credited):
         node = await start(
             server, entries=[entry(server, started_ms=int(time.time() * 1000))], changes=rules(fall=0.8)
         )
         text, one = message(node, "place", body="b", time_out="500m")
         client = Client(node.port).send(text)
-        await come(lambda: held.held)
+        await wait_until(lambda: held.peers)
         await trio.sleep_until(trio.current_time() + 0.25)  # over a quarter of the time in which it falls
-        held.go.set()
+        held.released.set()
         status, _ = await client.answer()
         assert status == 503 and not server.heads
         credited(modules[0])
@@ -206,23 +206,23 @@
 
 
 async def half_written(start, then, **how):
-    """A request of which a part is written: `then(first, news, client)` happens, then its server reads on."""
+    """Runs `then(first, updates, client, discoveries)` while a request is half written, then reads on."""
     reads = trio.Event()
     servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: reads.wait()}) for name in "st"]
-    news, (found, watching) = News(), node_parts()
+    updates, (found, watching) = ListUpdates(), watch_discoveries()
     lines = []
     with (
-        Held(most=0, buffer=2048),
+        HeldConnections(max_held=0, buffer=2048),
         watching,
         at(Connection, "send", after=lambda line, *_: lines.append(line)),
     ):
-        node = await start(*servers, discovery=news.service, **how)
+        node = await start(*servers, discovery=updates.service, **how)
         client = Client(node.port)
         client.send(message(node, "place", body=BODY, time_out="600m")[0])
-        await come(lambda: [line for line in lines if line._unsent])
+        await wait_until(lambda: [line for line in lines if line._unsent])
         place = next(line for line in lines if line._unsent).peer
         first = next(one for one in servers if one.place == place)
-        await then(first, news, client, found)
+        await then(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
         reads.set()
@@ -232,9 +232,9 @@
 
 @story
 async def test_the_rest_of_a_request_is_not_written_to_a_server_told_draining(start):
-    async def drain(first, news, client, found):
-        news.tell({"id": first.name, "addr": first.place, "state": "terminating"})
-        await heard(None, found)
+    async def drain(first, updates, client, found):
+        updates.publish({"id": first.name, "addr": first.place, "state": "terminating"})
+        await updates_applied(found)
 
     other, first, answer = await half_written(start, drain)
     assert answer[0] == 200 and len(other.got) == 1 and not first.got
@@ -242,7 +242,7 @@
 
 @story
 async def test_the_rest_of_a_request_is_not_written_after_its_time(start):
-    async def wait(first, news, client, found):
+    async def wait(first, updates, client, found):
         end = time.monotonic() + 0.65
         while time.monotonic() < end:  # the node's loop stands still, its server reads nothing
             time.sleep(0.01)
@@ -253,7 +253,7 @@
 
 @story
 async def test_the_rest_of_a_request_is_not_written_for_a_client_that_has_left(start):
-    async def leave(first, news, client, found):
+    async def leave(first, updates, client, found):
         client.reset()
 
     other, first, _ = await half_written(start, leave)
@@ -270,7 +270,7 @@
     server = Server()
     ended = []
     with (
-        Held() as held,
+        HeldConnections() as held,
         at(
             BalancerDriver,
             "abandon_request",
@@ -281,12 +281,12 @@
         text, one = message(node, "place", body="b", time_out="5000m")
         client = Client(node.port)
         client.send(text + pipelined)
-        await come(lambda: held.held)
+        await wait_until(lambda: held.peers)
         if before is not None:
             await before()
         leave(client)
-        held.go.set()  # the connection is seen to be up in the same pass as the leaving, or before it
-        await come(lambda: one in ended)
+        held.released.set()  # the connection is seen to be up in the same pass as the leaving, or before it
+        await wait_until(lambda: one in ended)
         assert (await node.ask("view"))[0] == 200  # the node goes on, and by now all of it would be there
     assert one not in server.ids
     return server
@@ -311,7 +311,7 @@
             seen.append(client)
 
         async def unread(seen=seen):
-            await come(lambda: any(one.is_paused for one in seen))
+            await wait_until(lambda: any(one.is_paused for one in seen))
 
         with at(RequestHandler, "handle", after=handled):
             await left(start, leave, b"GET /view/1 HTTP/1.1\r\nFiller: " + b"x" * 90000, unread)
@@ -322,7 +322,7 @@
     server = Server()
     node = await start(server)
     assert (await node.ask("view"))[0] == 200  # a connection is open: nothing has to come up
-    await come(lambda: server.lines == 1)
+    await wait_until(lambda: server.lines == 1)
     ended = []
     with at(
         BalancerDriver,
@@ -335,7 +335,7 @@
             client.send(text)
             leave(client)  # request and end lie in the node's socket together
             if leave is Client.leave:  # after a reset the system drops what was not read
-                await come(lambda one=one: one in ended)
+                await wait_until(lambda one=one: one in ended)
             assert (await node.ask("view"))[0] == 200
             assert one not in server.ids
 
@@ -362,7 +362,7 @@
     ):
         text, one = message(node, "place", body="b", time_out="5000m")
         clients[one] = Client(node.port).send(text)
-        await come(lambda: one in ended)
+        await wait_until(lambda: one in ended)
         assert (await node.ask("view"))[0] == 200
     assert one not in server.ids
 
@@ -372,7 +372,7 @@
     server = Server()
     ended = []
     with (
-        Held(most=40) as held,
+        HeldConnections(max_held=40) as held,
         at(
             BalancerDriver,
             "abandon_request",
@@ -383,12 +383,12 @@
         clients = [Client(node.port) for _ in range(30)]
         for client in clients:
             client.send(message(node, "place", body="b", time_out="5000m")[0])
-        await come(lambda: len(held.held) >= 3)  # the others wait for room
+        await wait_until(lambda: len(held.peers) >= 3)  # the others wait for room
         for n, client in enumerate(clients):
             (Client.leave, Client.reset)[n % 2](client)
-        held.go.set()
-        await come(lambda: len(ended) >= 30)
-        held.most = 0
+        held.released.set()
+        await wait_until(lambda: len(ended) >= 30)
+        held.max_held = 0
         text, one = message(node, "place", body="b")
         assert (await Client(node.port).send(text).answer())[0] == 200
     assert server.ids == [one]
@@ -403,7 +403,7 @@
         done = []
 
         async def answer(stream, done=done):
-            at_once(stream, OK)
+            send_now(stream, OK)
             done.append(1)
 
         server = Server(None, on={"read": answer})
@@ -438,11 +438,11 @@
     ):
         client, (text, _) = Client(node.port), message(node, "view", time_out="5000m")
         client.send(text)
-        await come(lambda: len(slow.got + quick.got) == 1)
+        await wait_until(lambda: len(slow.got + quick.got) == 1)
         driver, exchange = exchanges[0]
         other = 1 - exchange.attempts[0].server
         driver.attempt(exchange.number, other, 5.0)  # a second attempt, as the hedge is
-        await come(lambda: len(slow.got + quick.got) == 2)
+        await wait_until(lambda: len(slow.got + quick.got) == 2)
     go.set()  # both answers are in the node's sockets in one pass
     status, answer = await client.answer()
     assert status == 200 and answer.count(b"HTTP/1.1 ") == 1
@@ -461,7 +461,7 @@
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
         client = Client(node.port).send(message(node, "place", body="b", time_out="500m")[0])
-        await come(lambda: written(*servers))
+        await wait_until(lambda: written(*servers))
         driver, exchange = exchanges[0]
         driver.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)  # as a mistake would
         status, _ = await client.answer()
@@ -479,7 +479,7 @@
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
         client = Client(node.port).send(message(node, "place", body="b", time_out="700m")[0])
-        await come(lambda: server.heads)
+        await wait_until(lambda: server.heads)
         driver, exchange = exchanges[0]
         driver.cancel(exchange.number, 0)
         status, _ = await client.answer()
@@ -497,7 +497,7 @@
     async def twice(stream):
         if not sent:
             sent.append(1)
-            at_once(stream, stray)
+            send_now(stream, stray)
 
     server = Server(on={"last": twice})
     node = await start(server)
@@ -564,4 +564,4 @@
 
 
 def test_the_stand_ins_read_fields():
-    assert field(b"GET / HTTP/1.1\r\nRequest-Id: 5\r\n\r\n", b"request-id") == b"5"
+    assert header_value(b"GET / HTTP/1.1\r\nRequest-Id: 5\r\n\r\n", b"request-id") == b"5"
