--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -18,7 +18,7 @@
 
     def __init__(self, max_connections: int, shutdown: ShutdownState) -> None:
         self.max_open = max_connections
-        # the others are for clients that can only be told that there is no capacity
+        # the others are for clients that can only be rejected
         self.max_clients = max_connections - max(MIN_RESERVED, int(max_connections * RESERVED_RATIO))
         self.open = 0
         self._idle: dict[ClientConnection, None] = {}  # between two requests, idle for longest first
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -21,14 +21,13 @@
 from wheatroute.net.server_entries import ServerEntryReader, ServerStates
 
 PATH = b"/discovery/hosts"
-# a watch that falls silent is noticed WATCH_WAIT_S and RESPONSE_MARGIN_S after it was sent, then sent again
-# three times,
-# each on a connection that may not be established, before what it misses counts as told: 6 s after it fell
-# silent
+# A watch that falls silent is noticed WATCH_WAIT_S and RESPONSE_MARGIN_S after it was sent. It is then sent
+# three more times, each on a connection that may not be established, before 6 s are over since it fell
+# silent: from then on the protocol counts what it missed as known.
 WATCH_WAIT_S = 3.0  # for which the list service may wait for changes
 RESPONSE_MARGIN_S = 0.5  # after that wait in which it must answer, and for a connection to be established
 FIRST_WATCH_WAIT_MS = 1  # of the first watch on a connection, so that a silent connection is noticed soon
-FETCH_TIMEOUT_S = 2.0  # after 6 s the protocol counts a list as told
+FETCH_TIMEOUT_S = 2.0  # after 6 s the protocol counts a list as known
 RETRY_INTERVAL_S = 0.1  # within the 200 ms in which a watch has to go on
 MAX_LIST_BYTES = 1 << 24
 MAX_LOGGED_CHARACTERS = 120
@@ -38,7 +37,7 @@
 class ListFilter(Protocol):
     """Corrects lists by what other processes say of servers."""
 
-    def listed(self, told: Any) -> Any:
+    def listed(self, document: Any) -> Any:
         """Returns a list, or changes to it, with corrections."""
 
 
@@ -220,7 +219,7 @@
 
     # lists
 
-    def _handle_response(self, told: Any, responses_taken: int) -> None:
+    def _handle_response(self, document: Any, responses_taken: int) -> None:
         """Applies a response, unless it is older than one that was taken since its request was sent.
 
         `responses_taken` is how many had been taken by then.
@@ -229,15 +228,15 @@
         response came between and the version still is lower, the list service has restarted: its list is
         applied as it is, and further requests count from its own versions.
         """
-        version = told.get("version") if isinstance(told, dict) else None
+        version = document.get("version") if isinstance(document, dict) else None
         is_older = isinstance(version, int) and version < self._version
         if is_older and responses_taken != self._responses_taken:
             return
         if is_older:
             self._log.warning("list-service-restarted", version=version, previous_version=self._version)
         self._responses_taken += 1
-        if not is_older or told.get("full"):
-            self._apply(told)
+        if not is_older or document.get("full"):
+            self._apply(document)
         else:
             self._version = UNKNOWN_VERSION  # changes to a list that this node lacks: it asks for all
         if is_older and self._watch_scope is not None:
@@ -247,17 +246,17 @@
         """Applies the states that other processes say servers of this list have."""
         self._apply({"heard": True, "full": False, "servers": servers})
 
-    def _apply(self, told: Any) -> None:
+    def _apply(self, document: Any) -> None:
         """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
         if self.list_filter is not None:
-            told = self.list_filter.listed(told)
-        if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
+            document = self.list_filter.listed(document)
+        if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
             return
-        is_full = bool(told.get("full", False))
+        is_full = bool(document.get("full", False))
         self._entries.begin_list(is_full)
-        entries = self._read_entries(told["servers"])
-        if isinstance(told.get("version"), int):
-            self._version = told["version"]
+        entries = self._read_entries(document["servers"])
+        if isinstance(document.get("version"), int):
+            self._version = document["version"]
         if is_full:
             self._entries.finish_full_list()
         self.has_full_list = self.has_full_list or is_full
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -144,9 +144,7 @@
     derived = derive_settings(settings)
     agreement = _parse_version_store(document.get("agreement"), "agreement")
     rollout = _parse_version_store(document.get("rollout"), "rollout")
-    has_successor = document.get("beside", False)
-    if not isinstance(has_successor, bool):
-        raise NodeSettingsError(f'"beside" is neither true nor false: {has_successor!r}')
+    has_successor = _parse_has_successor(document.get("beside", False))
     peers = _parse_peers(document.get("peers"), derived["terms"]["peers"])
     derived["terms"]["peers"] = peers is not None  # without peers no server is probed on their behalf
     initial_list = document.get("known")
@@ -223,6 +221,12 @@
     return document
 
 
+def _parse_has_successor(value: Any) -> bool:
+    if not isinstance(value, bool):
+        raise NodeSettingsError(f'"beside" is neither true nor false: {value!r}')
+    return value
+
+
 def _parse_peers(table: Any, is_allowed: bool) -> PeerAddresses | None:
     """Returns the addresses of "peers", None where the file has none."""
     if table is None:
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads responses of servers and tells what they mean. Does I/O on the connections that it is given."""
+"""Reads responses of servers and finds their outcomes. Does I/O on the connections that it is given."""
 
 from dataclasses import dataclass
 from math import inf
