--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from wheatroute.agreement.places import Directory  # noqa: E402
+from wheatroute.agreement.directory_store import DirectoryStore  # noqa: E402
 from wheatroute.rig import records  # noqa: E402
 from wheatroute.rig.rig import rig  # noqa: E402
 from wheatroute.rollout import operator, plan  # noqa: E402
@@ -57,7 +57,7 @@
     """One rollout of a version, good if `how` is empty; `kill` ends each controller after its first step."""
     programs = {"old": GOOD, "new": bad(how) if how else GOOD}
     async with rig(nodes=3, within=WITHIN, seed=seed, programs=programs, longest=200.0) as it:
-        place = Directory(str(it.folder / "rollouts"))
+        place = DirectoryStore(str(it.folder / "rollouts"))
         first = await it.put("as it was")
         await it.agreed(first)
         it.call(RATE, MIX)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -28,8 +28,12 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path.insert(0, str(ROOT))
 
-from wheatroute.agreement.following import ASKS, LONGEST, looks_after  # noqa: E402
 from wheatroute.agreement.member import Member  # noqa: E402
+from wheatroute.agreement.version_follower import (  # noqa: E402
+    EXCHANGES_PER_TTL,
+    MAX_EXCHANGE_INTERVAL_S,
+    status_read_interval_s,
+)
 from wheatroute.rig import records  # noqa: E402
 from wheatroute.rig.rig import Rig, rig  # noqa: E402
 
@@ -289,7 +293,7 @@
     """Many members before one store in virtual time (simulated): no sockets, 2 to 20 ms to the store."""
     chance = random.Random(seed)
     members = [Member(f"n{i}", "1", within) for i in range(count)]
-    pause = min(LONGEST, members[0].lasts / ASKS)
+    pause = min(MAX_EXCHANGE_INTERVAL_S, members[0].confirmation_ttl_s / EXCHANGES_PER_TTL)
     log: list[dict[str, Any]] = []
     rows: dict[str, dict[str, Any]] = {}
     agenda = [(chance.random() * pause, i, "ask", 0.0) for i in range(count)]
@@ -301,8 +305,8 @@
         member, history = members[i], members[i].history
         if put < 0.0 and now > 5.0:
             put = now
-            log.append(history.put({"settings": {}}, "p", "", 0.0, ""))
-        if forced >= 0.0 and all(one.acts.in_force == 1 for one in members[silent:]):
+            log.append(history.put_record({"settings": {}}, "p", "", 0.0, ""))
+        if forced >= 0.0 and all(one.effective.active == 1 for one in members[silent:]):
             return {
                 "forced_s": forced - put,
                 "all_s": now - put,
@@ -314,29 +318,29 @@
             continue
         took = chance.uniform(0.002, 0.02)
         if what == "ask":
-            rows[member.key] = member.row(0.0)
+            rows[member.key] = member.next_status(0.0)
             heapq.heappush(agenda, (now + took, i, "answer", now))
         elif what == "answer":
             questions += 1
             began = time.perf_counter()
             before = history.head
-            member.answered(sent, log[before:])
-            for version in member.unchecked():
-                member.checked(version)
-            member.acting(member.may(now))
+            member.confirm(sent, log[before:])
+            for version in member.unchecked_versions():
+                member.record_check(version)
+            member.set_effective(member.permitted(now))
             spent += time.perf_counter() - began
             if history.pending and now >= look_at[i]:
                 reads += 1
-                look_at[i] = now + looks_after(member.rank(list(rows.values())), pause)
-                record = member.judge(now, now + took, list(rows.values()))
+                look_at[i] = now + status_read_interval_s(member.rank(list(rows.values())), pause)
+                record = member.next_decision(now, now + took, list(rows.values()))
                 if record is not None:
-                    wait = min(1.0, member.rank(list(rows.values())) * pause / ASKS)
+                    wait = min(1.0, member.rank(list(rows.values())) * pause / EXCHANGES_PER_TTL)
                     heapq.heappush(agenda, (now + took + wait, i, "add", 0.0))
                     continue
             heapq.heappush(agenda, (now + (0.0 if history.head > before else pause), i, "ask", 0.0))
         else:
             if len(log) == 1:
-                log.append(history.next("force", version=1, by=member.name))
+                log.append(history.next_record("force", version=1, by=member.name))
                 forced = now
             heapq.heappush(agenda, (now, i, "ask", 0.0))
     raise AssertionError("nobody took it into force")
--- a/tests/agreement/test_agreement_format.py
+++ b/tests/agreement/test_agreement_format.py
@@ -1,4 +1,4 @@
-"""Versions, rows and drain words in a store, and what goes between nodes: as landing 12 wrote them."""
+"""Versions, process statuses and drain notices in a store, and peer messages: as landing 12 wrote them."""
 
 import hashlib
 import json
@@ -6,8 +6,8 @@
 import orjson
 
 from wheatroute import snapshot, talk
-from wheatroute.agreement.leaving import Leaving
-from wheatroute.agreement.member import Acts, Member
+from wheatroute.agreement.drain_notices import DrainNotices
+from wheatroute.agreement.member import EffectiveVersions, Member
 from wheatroute.agreement.versions import History, digest
 
 PUT = {
@@ -48,7 +48,7 @@
     "by": "n0",
     "reason": "n1: no such class",
 }
-ROW = {
+STATUS = {
     "name": "n0",
     "start": "5f3a",
     "beat": 1,
@@ -71,37 +71,37 @@
 
 def put(history, name):
     """The record that puts the version of these tests."""
-    return history.put(PUT["content"], name, "on call", 1780000000.5, "shorter deadlines")
+    return history.put_record(PUT["content"], name, "on call", 1780000000.5, "shorter deadlines")
 
 
 def test_records_are_written_as_before_and_follow_each_other():
     history = History()
     assert put(history, "op-1") == PUT
-    history.take(PUT)
-    assert history.next("force", version=1, by="n0") == FORCE
-    history.take(FORCE)
+    history.apply(PUT)
+    assert history.next_record("force", version=1, by="n0") == FORCE
+    history.apply(FORCE)
     assert put(history, "op-2") == SECOND
-    history.take(SECOND)
-    assert history.next("withdraw", version=2, by="n0", reason="n1: no such class") == WITHDRAW
-    history.take(WITHDRAW)
-    assert (history.head, history.in_force, history.pending) == (4, 1, 0)
+    history.apply(SECOND)
+    assert history.next_record("withdraw", version=2, by="n0", reason="n1: no such class") == WITHDRAW
+    history.apply(WITHDRAW)
+    assert (history.head, history.active, history.pending) == (4, 1, 0)
     assert digest(WITHDRAW) == "df2a987415e9de00c2974003ad386f3109bca6688c6829c076b3092911f28bb6"
 
 
-def test_a_process_s_row_has_the_same_keys_in_the_same_order():
+def test_a_process_status_has_the_same_keys_in_the_same_order():
     member = Member("n0", "5f3a", 1.5)
-    member.answered(10.0, [PUT, FORCE])
-    member.checked(1)
-    member.acting(Acts(1, 0, False))
-    assert orjson.dumps(member.row(1780000001.0)) == orjson.dumps(ROW)
+    member.confirm(10.0, [PUT, FORCE])
+    member.record_check(1)
+    member.set_effective(EffectiveVersions(1, 0, False))
+    assert orjson.dumps(member.next_status(1780000001.0)) == orjson.dumps(STATUS)
 
 
-def test_another_process_s_row_is_understood():
+def test_another_process_s_status_is_understood():
     member = Member("n1", "77", 1.5)
-    member.answered(10.0, [PUT])
-    member.checked(1)
-    refusing = ROW | {"seq": 1, "refuses": 1, "reason": "no such class"}
-    record = member.judge(10.1, 10.2, [refusing])
+    member.confirm(10.0, [PUT])
+    member.record_check(1)
+    refusing = STATUS | {"seq": 1, "refuses": 1, "reason": "no such class"}
+    record = member.next_decision(10.1, 10.2, [refusing])
     assert record == FORCE | {
         "kind": "withdraw",
         "by": "n1",
@@ -109,15 +109,15 @@
     }
 
 
-def test_a_drain_is_told_and_understood_as_before():
-    one, other = Leaving(1.5), Leaving(1.5)
-    for leaving in (one, other):
-        leaving.listed({"full": True, "servers": [ENTRY]})
-    one.listed({"full": False, "servers": [ENTRY | {"state": "terminating"}]})
-    word = {"id": "s1", "started": 1000, "leaves": True, "turn": 1}
-    words, old = one.news(1.0)
-    assert (orjson.dumps(words), old) == (orjson.dumps([word]), [])
-    assert other.heard([word], 1.0) == [ENTRY | {"state": "terminating"}]
+def test_drain_notices_are_written_and_read_as_before():
+    one, other = DrainNotices(1.5), DrainNotices(1.5)
+    for notices in (one, other):
+        notices.filter_message({"full": True, "servers": [ENTRY]})
+    one.filter_message({"full": False, "servers": [ENTRY | {"state": "terminating"}]})
+    notice = {"id": "s1", "started": 1000, "leaves": True, "turn": 1}
+    notices, expired_ids = one.outgoing(1.0)
+    assert (orjson.dumps(notices), expired_ids) == (orjson.dumps([notice]), [])
+    assert other.receive([notice], 1.0) == [ENTRY | {"state": "terminating"}]
 
 
 def test_a_snapshot_is_sealed_and_opened_as_before():
--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -1,6 +1,6 @@
 """What single functions give, one after the other; no sockets, no clock."""
 
-from wheatroute.agreement import joint_terms, operator, versions
+from wheatroute.agreement import joint_terms, operator_output, versions
 
 
 def test_joined_terms():
@@ -29,7 +29,7 @@
 
 
 def test_operator_table():
-    assert operator.table([["name", "phase"], ["n1", "joint"]]) == ["name  phase", "n1    joint"]
+    assert operator_output.table([["name", "phase"], ["n1", "joint"]]) == ["name  phase", "n1    joint"]
 
 
 def test_versions_canonical():
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -9,10 +9,11 @@
 from wheatroute import words
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.adapter import VersionAdapter, platform
-from wheatroute.agreement.explore import Bounds, Explorer
-from wheatroute.agreement.member import Acts, Member
-from wheatroute.agreement.places import MOST, Directory, PlaceError
-from wheatroute.agreement.versions import FORCE, WITHDRAW, ContentError, History, HistoryError, canonical
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.member import EffectiveVersions, Member
+from wheatroute.agreement.model_checker import Bounds, ModelChecker
+from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStoreError
+from wheatroute.agreement.versions import ACTIVATE, WITHDRAW, ContentError, History, HistoryError, canonical
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.config import (
     File,
@@ -35,11 +36,11 @@
     out = History()
     for kind in kinds:
         record = (
-            out.put(CONTENT, f"p{out.head}", "me", 1.0, "why")
+            out.put_record(CONTENT, f"p{out.head}", "me", 1.0, "why")
             if kind == "put"
-            else out.next(kind, version=out.pending, by="n0", reason="r")
+            else out.next_record(kind, version=out.pending, by="n0", reason="r")
         )
-        out.take(record)
+        out.apply(record)
     return out
 
 
@@ -47,26 +48,26 @@
 
 
 def test_a_history_takes_its_next_record_and_nothing_else():
-    told = history("put", FORCE, "put", "put", WITHDRAW)
-    assert (told.in_force, told.pending) == (1, 0)
+    told = history("put", ACTIVATE, "put", "put", WITHDRAW)
+    assert (told.active, told.pending) == (1, 0)
     assert [one.state for one in told.versions.values()] == ["in force", "replaced by 3", "withdrawn: r"]
-    other = history("put", FORCE, "put", FORCE)
+    other = history("put", ACTIVATE, "put", ACTIVATE)
     for wrong in (
         told.records[0],
-        other.next(FORCE, version=0),
-        told.next(FORCE, version=2),
-        told.next("put", version=9, content={}),
-        told.next("joint", version=4),
+        other.next_record(ACTIVATE, version=0),
+        told.next_record(ACTIVATE, version=2),
+        told.next_record("put", version=9, content={}),
+        told.next_record("joint", version=4),
     ):
         with pytest.raises(HistoryError):
-            told.take(wrong)
+            told.apply(wrong)
     assert told.head == 5
 
 
 def test_a_record_of_a_newer_form_is_not_guessed_at():
     told = history("put")
     with pytest.raises(HistoryError, match="form 2, this program knows 1"):
-        told.take(told.next(FORCE, version=1) | {"format": 2})
+        told.apply(told.next_record(ACTIVATE, version=1) | {"format": 2})
 
 
 def test_what_has_no_canonical_form_is_no_content():
@@ -75,18 +76,18 @@
 
 
 def test_one_of_two_records_of_one_number_is_there_and_whole(tmp_path):
-    place = Directory(str(tmp_path))
-    place.make()
+    store = DirectoryStore(str(tmp_path))
+    store.create()
     told = history()
-    first, second = (told.put(CONTENT, name, "me", 1.0, "w") for name in ("one", "two"))
-    assert place.add_now(first) and not place.add_now(second)
-    assert place.ask_now("", None, 0, "") == [first]
-    told.take(first)
-    with pytest.raises(PlaceError, match="another"):
-        place.ask_now("", None, 1, "0" * 64)
+    first, second = (told.put_record(CONTENT, name, "me", 1.0, "w") for name in ("one", "two"))
+    assert store.append_blocking(first) and not store.append_blocking(second)
+    assert store.exchange_blocking("", None, 0, "") == [first]
+    told.apply(first)
+    with pytest.raises(VersionStoreError, match="another"):
+        store.exchange_blocking("", None, 1, "0" * 64)
     (tmp_path / "log" / "000000000001.json").unlink()
-    with pytest.raises(PlaceError, match="gone"):
-        place.ask_now("", None, 1, told.mark)
+    with pytest.raises(VersionStoreError, match="gone"):
+        store.exchange_blocking("", None, 1, told.head_digest)
 
 
 # the table
@@ -209,21 +210,21 @@
         {"traffic-types": kinds[1:]},
         {"tenants": [{"name": "new", "portion": 1.0, "quota-rps": 5.0}]},
     )
-    before = adapter.adapt(Acts(0, 0, False)).request_classes
-    assert adapter.adapt(Acts(1, 0, False)).request_classes == before
-    less = adapter.adapt(Acts(2, 0, False))
+    before = adapter.adapt(EffectiveVersions(0, 0, False)).request_classes
+    assert adapter.adapt(EffectiveVersions(1, 0, False)).request_classes == before
+    less = adapter.adapt(EffectiveVersions(2, 0, False))
     assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
     assert (
         less.terms["request_classes"][before["buy"]]["effect"] == Idempotency.NON_IDEMPOTENT
     )  # of those still out
     assert less.terms["request_classes"][before["buy"]]["worth"] == 0.0
-    new = adapter.adapt(Acts(3, 0, False))
+    new = adapter.adapt(EffectiveVersions(3, 0, False))
     assert new.tenants == {"new": 1} and [one["quota"] for one in new.terms["tenants"]] == [0.0, 5.0]
 
 
 def test_a_request_that_has_no_key_is_not_repeated_for_its_class_having_them():
     adapter = adapted({"look__effect": "dedup"})
-    told = adapter.adapt(Acts(1, 0, False))
+    told = adapter.adapt(EffectiveVersions(1, 0, False))
     look = told.request_classes["look"]
     forms, twin = told.forms[look]
     assert forms == {Idempotency.IDEMPOTENT, Idempotency.KEYED}
@@ -246,7 +247,7 @@
 
 
 def test_a_careful_node_takes_requests_in_the_forms_that_it_took_before():
-    told = adapted().adapt(Acts(0, 0, True))
+    told = adapted().adapt(EffectiveVersions(0, 0, True))
     for name, effect in (("look", Idempotency.IDEMPOTENT), ("change", Idempotency.KEYED)):
         forms, _ = told.forms[told.request_classes[name]]
         assert effect in forms
@@ -256,120 +257,122 @@
 
 
 def answered(member, moment, *told):
-    member.row(0.0)
-    member.answered(moment, list(told))
-    for version in member.unchecked():
-        member.checked(version)
-    member.acting(member.may(moment))
+    member.next_status(0.0)
+    member.confirm(moment, list(told))
+    for version in member.unchecked_versions():
+        member.record_check(version)
+    member.set_effective(member.permitted(moment))
     return member
 
 
 def test_a_confirmation_counts_from_when_the_question_was_sent():
     member = answered(Member("a", "1", 10.0), 100.0)
-    assert not member.may(100.0 + 0.98 * member.lasts).careful
-    assert member.may(100.0 + 0.995 * member.lasts).careful  # the drift
-    member.answered(90.0, [])  # an old answer that came late shortens nothing and adds nothing
-    assert member.until == 100.0 + member.lasts * 0.99
+    assert not member.permitted(100.0 + 0.98 * member.confirmation_ttl_s).is_conservative
+    assert member.permitted(100.0 + 0.995 * member.confirmation_ttl_s).is_conservative  # the drift
+    member.confirm(90.0, [])  # an old answer that came late shortens nothing and adds nothing
+    assert member.confirmed_until == 100.0 + member.confirmation_ttl_s * 0.99
 
 
 def test_an_answer_that_may_not_be_all_confirms_nothing():
     told, records = History(), []
-    for i in range(MOST):
-        records.append(told.put(CONTENT, str(i), "", 0.0, ""))
-        told.take(records[-1])
+    for i in range(MAX_RECORDS_PER_READ):
+        records.append(told.put_record(CONTENT, str(i), "", 0.0, ""))
+        told.apply(records[-1])
     member = Member("a", "1", 10.0)
-    member.answered(5.0, records, False)
-    assert member.may(5.0).careful and member.history.head == MOST
+    member.confirm(5.0, records, False)
+    assert member.permitted(5.0).is_conservative and member.history.head == MAX_RECORDS_PER_READ
 
 
 def test_a_silent_process_holds_a_version_up_for_no_longer_than_its_confirmation():
     member = answered(Member("a", "1", 10.0), 0.0)
-    put = member.history.put(CONTENT, "p", "", 0.0, "")
-    silent = Member("b", "1", 10.0).row(0.0)
+    put = member.history.put_record(CONTENT, "p", "", 0.0, "")
+    silent = Member("b", "1", 10.0).next_status(0.0)
     answered(member, 1.0, put)
     for moment in (1.0, 5.0, 9.0):
         answered(member, moment)
-        assert member.judge(moment, moment, [member.row(0.0), silent]) is None
+        assert member.next_decision(moment, moment, [member.next_status(0.0), silent]) is None
     answered(member, 9.9)
-    assert member.judge(9.9, 9.9, [member.row(0.0), silent])["kind"] == FORCE
+    assert member.next_decision(9.9, 9.9, [member.next_status(0.0), silent])["kind"] == ACTIVATE
 
 
 def test_whoever_cannot_use_a_version_says_so_and_is_careful_until_it_is_withdrawn():
     member = answered(Member("a", "1", 10.0), 0.0)
-    member.answered(1.0, [member.history.put(CONTENT, "p", "", 0.0, "")])
-    member.checked(1, "tick: changes with a restart only")
-    assert member.may(1.0).careful
-    member.acting(member.may(1.0))
-    record = member.judge(1.0, 1.0, [member.row(0.0)])
+    member.confirm(1.0, [member.history.put_record(CONTENT, "p", "", 0.0, "")])
+    member.record_check(1, "tick: changes with a restart only")
+    assert member.permitted(1.0).is_conservative
+    member.set_effective(member.permitted(1.0))
+    record = member.next_decision(1.0, 1.0, [member.next_status(0.0)])
     assert record["kind"] == WITHDRAW and record["reason"] == "a: tick: changes with a restart only"
     answered(member, 2.0, record)
-    assert member.acts == Acts(0, 0, False)
+    assert member.effective == EffectiveVersions(0, 0, False)
 
 
 # every order of events
 
 
 def test_no_order_of_events_lets_two_processes_act_on_what_no_version_allows():
-    for bounds, whole in (
+    for bounds, is_complete in (
         (Bounds(2, 2, 0, 3), True),
-        (Bounds(3, 1, 0, 2, judges=1), True),
+        (Bounds(3, 1, 0, 2, deciders=1), True),
         (Bounds(2, 1, 1, 2), True),
-        (Bounds(2, 1, 0, 2, refuses=((1, 1),)), True),
+        (Bounds(2, 1, 0, 2, rejections=((1, 1),)), True),
     ):
-        found = Explorer(bounds).run()
-        assert not found.story, "\n".join(found.story)
-        assert found.whole == whole and found.states >= 2000
+        result = ModelChecker(bounds).run()
+        assert not result.counterexample, "\n".join(result.counterexample)
+        assert result.is_complete == is_complete and result.states >= 2000
 
 
 class FromTheAnswer(Member):
     """A confirmation counts from when it came."""
 
-    def answered(self, sent, records, whole=True):
-        super().answered(sent + 1.0, records, whole)
+    def confirm(self, sent_at, records, is_complete=True):
+        super().confirm(sent_at + 1.0, records, is_complete)
 
 
 class NeverLapses(Member):
     """It does not look at the clock."""
 
-    def may(self, now):
-        return super().may(min(now, self.until - 0.5))
+    def permitted(self, now):
+        return super().permitted(min(now, self.confirmed_until - 0.5))
 
 
 class WithoutJoint(Member):
     """It stays on the old version alone until the new one is in force."""
 
-    def may(self, now):
-        acts = super().may(now)
-        return Acts(acts.in_force, 0, acts.careful)
+    def permitted(self, now):
+        effective = super().permitted(now)
+        return EffectiveVersions(effective.active, 0, effective.is_conservative)
 
 
 class Impatient(Member):
     """It does not wait for those that say nothing."""
 
-    def judge(self, began, ended, rows):
-        return super().judge(began + 9.0, ended, rows)
+    def next_decision(self, read_began, read_ended, statuses):
+        return super().next_decision(read_began + 9.0, read_ended, statuses)
 
 
 class OnlyItself(Member):
     """It looks at its own row only."""
 
-    def judge(self, began, ended, rows):
-        return super().judge(began, ended, [row for row in rows if row["name"] == self.name])
+    def next_decision(self, read_began, read_ended, statuses):
+        return super().next_decision(
+            read_began, read_ended, [status for status in statuses if status["name"] == self.name]
+        )
 
 
 class TooEarly(Member):
     """It takes a version into force when it hears of it."""
 
-    def may(self, now):
-        acts = super().may(now)
-        return Acts(acts.joint or acts.in_force, 0, acts.careful)
+    def permitted(self, now):
+        effective = super().permitted(now)
+        return EffectiveVersions(effective.joint or effective.active, 0, effective.is_conservative)
 
 
 class SaysMoreThanItDoes(Member):
     """Its row tells of having read what was put, as soon as anyone may have."""
 
-    def row(self, moment):
-        return super().row(moment) | {"seq": 99, "careful": True}
+    def next_status(self, unix_time):
+        return super().next_status(unix_time) | {"seq": 99, "careful": True}
 
 
 class StartsSure(Member):
@@ -377,40 +380,40 @@
 
     def __init__(self, *told):
         super().__init__(*told)
-        self.confirmed = 99.0
-        self.acts = Acts(0, 0, False)
+        self.confirmed_at = 99.0
+        self.effective = EffectiveVersions(0, 0, False)
 
 
 class RefusesAndGoesOn(Member):
     """It cannot use what was put, and stays on the old one alone."""
 
-    def may(self, now):
-        acts = super().may(now)
-        return Acts(acts.in_force, acts.joint, now >= self.until)
+    def permitted(self, now):
+        effective = super().permitted(now)
+        return EffectiveVersions(effective.active, effective.joint, now >= self.confirmed_until)
 
 
 class SeesThePutTooEarly(Member):
     """A version put over another counts from when that one was put."""
 
-    def judge(self, began, ended, rows):
-        if self._put_seen[0] and self.history.pending:
-            self._put_seen = (self.history.pending, self._put_seen[1])
-        return super().judge(began, ended, rows)
+    def next_decision(self, read_began, read_ended, statuses):
+        if self._pending_since[0] and self.history.pending:
+            self._pending_since = (self.history.pending, self._pending_since[1])
+        return super().next_decision(read_began, read_ended, statuses)
 
 
 class GoesBack(Member):
     """A version that was withdrawn is undone by taking the one before."""
 
-    def may(self, now):
-        acts = super().may(now)
-        return Acts(
-            max(0, acts.in_force - (self.history.head > 1 and not self.history.pending)),
-            acts.joint,
-            acts.careful,
+    def permitted(self, now):
+        effective = super().permitted(now)
+        return EffectiveVersions(
+            max(0, effective.active - (self.history.head > 1 and not self.history.pending)),
+            effective.joint,
+            effective.is_conservative,
         )
 
 
-USUAL = Bounds(2, 2, 1, 3, states=60_000)
+USUAL = Bounds(2, 2, 1, 3, max_states=60_000)
 
 
 @pytest.mark.parametrize(
@@ -428,17 +431,17 @@
     ],
 )
 def test_faults_put_in_on_purpose_are_found(fault):
-    found = Explorer(USUAL, fault).run()
-    assert found.story, f"{found.states} states"
+    result = ModelChecker(USUAL, fault).run()
+    assert result.counterexample, f"{result.states} states"
 
 
 def test_a_process_that_reads_before_it_writes_its_row_is_found():
-    assert Explorer(USUAL, reads_first=True).run().story
+    assert ModelChecker(USUAL, reads_first=True).run().counterexample
 
 
 def test_a_version_put_over_another_that_counts_from_when_that_one_was_is_found():
-    assert Explorer(Bounds(2, 2, 0, 3), SeesThePutTooEarly).run().story
+    assert ModelChecker(Bounds(2, 2, 0, 3), SeesThePutTooEarly).run().counterexample
 
 
 def test_a_process_that_refuses_and_goes_on_is_found():
-    assert Explorer(Bounds(2, 1, 0, 3, refuses=((1, 1),)), RefusesAndGoesOn).run().story
+    assert ModelChecker(Bounds(2, 1, 0, 3, rejections=((1, 1),)), RefusesAndGoesOn).run().counterexample
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -270,7 +270,7 @@
         it.go_on("n1")
         await it.agreed(3)
         history = await it.note()
-        assert history.versions[2].state == "replaced by 3" and history.in_force == 3
+        assert history.versions[2].state == "replaced by 3" and history.active == 3
 
 
 @story
@@ -308,7 +308,7 @@
             history = await it.note()
             if history.pending:
                 assert await it.ended(history.pending) == "in force"
-            await it.agreed((await it.note()).in_force)
+            await it.agreed((await it.note()).active)
 
 
 @story
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -9,8 +9,8 @@
 import trio
 from test_processor import FILE, PLACE, VIEW, asking, servers
 
-from wheatroute.agreement import operator
-from wheatroute.agreement.places import Directory
+from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.grpc.client import Channel, connected
 from wheatroute.rig.links import reserved
 
@@ -28,7 +28,7 @@
                     'listen = "127.0.0.1:1"', f'listen = "127.0.0.1:{place[1]}"\nworkers = 2'
                 )
                 path.write_text(text + f'[agreement]\ndirectory = "{store}"\nwithin = {WITHIN}\n')
-                Directory(str(store)).make()
+                DirectoryStore(str(store)).create()
                 told = [sys.executable, "-m", "wheatroute.cli", "processor", str(path)]
                 with open(tmp_path / "log", "wb") as log:
                     supervisor = subprocess.Popen(told, stdout=log, stderr=log)
@@ -50,7 +50,7 @@
         self.path, self.store, self.place = path, store, place
 
     async def rows(self):
-        return (await operator.status(Directory(str(self.store))))["processes"]
+        return (await operator.agreement_status(DirectoryStore(str(self.store))))["processes"]
 
     async def put(self, **effects):
         """Puts the file with other effects, as an operator does; waits until both workers act on it."""
@@ -108,9 +108,11 @@
     try:
         changed = workers.path.with_name("unsafe.toml")
         changed.write_text(workers.path.read_text().replace('effect = "pure"', 'effect = "effectful"'))
-        place = Directory(str(workers.store))
-        version = await operator.put(place, operator.content_of(str(changed))[0], "while one stands still")
-        assert (await operator.ended(place, version.number, 10.0)).state == "in force"
+        place = DirectoryStore(str(workers.store))
+        version = await operator.put_version(
+            place, version_content.read_content(str(changed))[0], "while one stands still"
+        )
+        assert (await operator.wait_for_outcome(place, version.number, 10.0)).state == "in force"
         while time.monotonic() < stopped + 3 * WITHIN:
             await trio.sleep(0.05)
     finally:
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 
-from wheatroute.agreement.places import Directory
+from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.rig import records
 from wheatroute.rig.rig import rig
 from wheatroute.rollout import operator, plan
@@ -77,7 +77,7 @@
     """A rig with supervisors, and the place of its rollouts."""
 
     def __init__(self, it):
-        self.it, self.place = it, Directory(str(it.folder / "rollouts"))
+        self.it, self.place = it, DirectoryStore(str(it.folder / "rollouts"))
 
     async def ready(self, rate=80):
         number = await self.it.put("the first")
@@ -110,7 +110,7 @@
             [
                 f"{progress.phase}, {progress.reason or 'no reason'}",
                 *map(str, progress.records),
-                *map(str, await self.place.rows()),
+                *map(str, await self.place.statuses()),
             ]
         )
 
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -79,9 +79,9 @@
 
             return FollowedList(settings, self._driver, self._upstream, self._log)
         if settings.agreement:
-            from wheatroute.agreement.steady import SteadyList
+            from wheatroute.agreement.monotonic_discovery import MonotonicDiscovery
 
-            return SteadyList(settings.discovery_settings, self._driver, self._upstream, self._log)
+            return MonotonicDiscovery(settings.discovery_settings, self._driver, self._upstream, self._log)
         return Discovery(settings.discovery_settings, self._driver, self._upstream, self._log)
 
     def _make_follower(self) -> Any:
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -12,7 +12,7 @@
 
 from wheatroute import words
 from wheatroute.agreement import joint_terms
-from wheatroute.agreement.member import Acts
+from wheatroute.agreement.member import EffectiveVersions
 from wheatroute.agreement.versions import ContentError
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.net.node_settings import NodeSettingsError, derive_settings
@@ -65,17 +65,17 @@
         self._known[number] = known
         return ""
 
-    def adapt(self, acts: Acts) -> AdaptedVersion:
+    def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
         """What to act on. Classes and tenants keep their numbers, also when they are not there any more."""
-        self._past.add(acts.in_force)
-        versions = [acts.in_force, *([acts.joint] if acts.joint else [])]
+        self._past.add(effective.active)
+        versions = [effective.active, *([effective.joint] if effective.joint else [])]
         for number in versions:
             self._number(number)
-        terms = self._within(versions, acts.careful)
+        terms = self._within(versions, effective.is_conservative)
         forms = self._forms(versions, terms)
         if len(terms["request_classes"]) < len(self._classes):
-            terms = self._within(versions, acts.careful)  # with the twins that forms wanted
-        names = self._known[acts.in_force]
+            terms = self._within(versions, effective.is_conservative)  # with the twins that forms wanted
+        names = self._known[effective.active]
         return AdaptedVersion(
             {name: self._classes[name] for name in names["request_classes"]},
             {name: self._tenants[name] for name in names["tenants"]},
--- /dev/null
+++ b/wheatroute/agreement/etcd_store.py
@@ -0,0 +1,178 @@
+"""A version store in etcd, through the client that also follows servers there.
+
+Keys: PREFIX/log/NUMBER holds a record, PREFIX/nodes/NAME.START a process status, PREFIX/words/ID a drain
+notice. A record is appended by a transaction that requires its key to be absent. Answers of another cluster,
+and of one that has gone back to an older revision, are rejected; an append whose answer is lost is an error,
+as it may have been made. Does network I/O.
+"""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any
+
+import orjson
+
+from wheatroute.agreement.version_store import (
+    MAX_RECORDS_PER_READ,
+    VersionStoreError,
+    parse_entry,
+    unpack_statuses,
+)
+from wheatroute.agreement.versions import canonical, digest
+from wheatroute.etcd import messages as wire
+from wheatroute.etcd.client import PATIENCE, Cluster
+from wheatroute.grpc.messages import CallError
+
+
+class EtcdStore:
+    """A version store under a key prefix; implements `VersionStore`.
+
+    `run` keeps the connections; a request made before it runs waits for one. `timeout_s` is for one call at
+    one endpoint.
+    """
+
+    def __init__(
+        self,
+        endpoints: list[tuple[str, int]],
+        prefix: str,
+        rng: random.Random,
+        timeout_s: float = PATIENCE,
+    ) -> None:
+        self._cluster, self._timeout_s = Cluster(endpoints, rng), timeout_s
+        self._log_prefix = f"{prefix}/log/".encode()
+        self._status_prefix = f"{prefix}/nodes/".encode()
+        self._notice_prefix = f"{prefix}/words/".encode()
+        self.received_notices: list[dict[str, Any]] = []
+        self.unreadable_keys: set[str] = set()  # of statuses and drain notices that could not be read
+        self._notices_revision = 0  # up to which drain notices were read
+        self._cluster_id = 0  # of the cluster that answered first
+        self._revision = 0
+
+    async def run(self) -> None:
+        """Keep the connections to the cluster until cancelled."""
+        await self._cluster.run()
+
+    async def exchange(
+        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
+    ) -> list[dict[str, Any]]:
+        """See `VersionStore.exchange`."""
+        with _store_errors():
+            if status is not None:
+                # a status may be written twice: it must only be there before the records are read
+                self._check_header((await self._put_status(key, status)).header)
+            records = await self._read(max(1, after), has_notices=status is not None)
+            if after:
+                if not records or records[0].get("seq") != after or digest(records[0]) != expected_digest:
+                    raise VersionStoreError(
+                        f"record {after} is not in the store: an older one, or another one"
+                    )
+                records = records[1:]
+            return records
+
+    async def write_status(self, key: str, status: dict[str, Any]) -> None:
+        """See `VersionStore.write_status`."""
+        with _store_errors():
+            await self._put_status(key, status)
+
+    async def statuses(self) -> list[dict[str, Any]]:
+        """See `VersionStore.statuses`."""
+        with _store_errors():
+            header, pairs = await self._cluster.all(self._status_prefix)
+            self._check_header(header)
+            entries = [self._parse_entry(pair) for pair in pairs]
+            return [status for entry in entries if entry is not None for status in unpack_statuses(entry)]
+
+    async def append(self, record: dict[str, Any]) -> bool:
+        """See `VersionStore.append`."""
+        key = self._record_key(record["seq"])
+        with _store_errors():
+            compare = wire.Compare(key=key, target=wire.VERSION, result=wire.EQUAL, version=0)
+            put = wire.RequestOp(request_put=wire.PutRequest(key=key, value=canonical(record)))
+            return bool((await self._cluster.txn([compare], [put])).succeeded)
+
+    async def remove_statuses(self, keys: list[str]) -> None:
+        """See `VersionStore.remove_statuses`."""
+        with _store_errors():
+            for key in keys:
+                await self._cluster.delete(self._status_prefix + key.encode())
+
+    async def write_drain_notices(self, notices: list[dict[str, Any]], expired_ids: list[str]) -> None:
+        """See `VersionStore.write_drain_notices`."""
+        with _store_errors():
+            for notice in notices:
+                await self._cluster.put(self._notice_prefix + notice["id"].encode(), orjson.dumps(notice))
+            for server_id in expired_ids:
+                await self._cluster.delete(self._notice_prefix + server_id.encode())
+
+    async def _put_status(self, key: str, status: dict[str, Any]) -> Any:
+        request = wire.PutRequest(key=self._status_prefix + key.encode(), value=orjson.dumps(status))
+        return await self._call("Put", request, wire.PutResponse)
+
+    async def _read(self, first: int, has_notices: bool) -> list[dict[str, Any]]:
+        """Read the records from number `first` on and, with `has_notices`, collect new drain notices.
+
+        One read-only transaction, so that both are as of one revision.
+        """
+        log_end = wire.end_of(self._log_prefix)
+        ranges = [
+            wire.RangeRequest(key=self._record_key(first), range_end=log_end, limit=MAX_RECORDS_PER_READ + 1)
+        ]
+        if has_notices:
+            ranges.append(
+                wire.RangeRequest(
+                    key=self._notice_prefix,
+                    range_end=wire.end_of(self._notice_prefix),
+                    min_mod_revision=self._notices_revision + 1,
+                )
+            )
+        request = wire.TxnRequest(success=[wire.RequestOp(request_range=one) for one in ranges])
+        answer = await self._call("Txn", request, wire.TxnResponse)
+        self._check_header(answer.header)
+        log, *notices = [response.response_range.kvs for response in answer.responses]
+        records = [self._parse_record(pair) for pair in log]
+        if notices:
+            entries = [self._parse_entry(pair) for pair in notices[0]]
+            self.received_notices += [entry for entry in entries if entry is not None]
+            self._notices_revision = answer.header.revision
+        return records
+
+    async def _call(self, method: str, message: Any, response_type: Any) -> Any:
+        """Make one call with a timeout short enough that a silent endpoint leaves time for another one."""
+        path = f"{wire.KV}{method}"
+        return await self._cluster.call(path, message, response_type, time_out=self._timeout_s)
+
+    def _record_key(self, number: int) -> bytes:
+        return self._log_prefix + b"%012d" % number
+
+    def _check_header(self, header: Any) -> None:
+        """Reject another cluster at the same address, and one restored to an older revision."""
+        self._cluster_id = self._cluster_id or header.cluster_id
+        if header.cluster_id != self._cluster_id:
+            raise VersionStoreError(
+                f"cluster {header.cluster_id:x} answers in the place of {self._cluster_id:x}"
+            )
+        if header.revision < self._revision:
+            raise VersionStoreError(f"the store is at revision {header.revision}, it was at {self._revision}")
+        self._revision = header.revision
+
+    def _parse_entry(self, pair: Any) -> dict[str, Any] | None:
+        return parse_entry(pair.key.decode(errors="replace"), pair.value, self.unreadable_keys)
+
+    @staticmethod
+    def _parse_record(pair: Any) -> dict[str, Any]:
+        record = orjson.loads(pair.value)
+        if not isinstance(record, dict):
+            raise VersionStoreError(f"{pair.key.decode(errors='replace')} is no record")
+        return record
+
+
+@contextmanager
+def _store_errors() -> Iterator[None]:
+    """Turn errors of the client into `VersionStoreError`."""
+    try:
+        yield
+    except (CallError, orjson.JSONDecodeError) as error:
+        raise VersionStoreError(str(error)) from error
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -1,16 +1,16 @@
-"""One process among those that agree: what it may act on, for how long, and when a version is in force.
-
-Owns the process's history, the moment up to which it was confirmed, and the judgement of the others' rows.
-Free of I/O: it is handed questions' moments and answers, in seconds on a monotonic clock. It must never act
-on a version beyond its confirmation, take a version into force while a process that counts is not at joint,
-or go back behind a record that it has taken.
-
-How it holds, in short. A process writes its row, then reads the records, and acts on them until `lasts` after
-it *sent* the row (less the drift). Records are only added, one at a time. Once it has read that a version was
-put, it is at joint or careful, never on the old one alone: that ends `lasts` after the put at the latest, for
-a process that is stopped, cut off one way or starting anew as well. `force` is added when every row tells of
-a process that has read of the put, or `lasts` (and the drift) after the judge has. A process whose row a
-judge does not see wrote it later, and reads the records after that, with the put among them.
+"""One process of an agreement: which versions it may act on, until when, and when to activate one. No I/O.
+
+A state machine: it is given the times and the results of store exchanges, in seconds on a monotonic clock. It
+never acts on a version beyond its confirmation, never activates a version while a process that counts is
+neither joint nor conservative, and never goes back behind a record that it has applied.
+
+Why this is safe. A process writes its status, then reads the records, and acts on them until
+`confirmation_ttl_s` after it *sent* the status, less the clock drift. Records are only appended, one at a
+time. Once a process has read that a version was put, it is joint or conservative, and never acts on the old
+version alone. That state ends at the latest one time to live after the put, also for a process that is
+stopped, partitioned in one direction, or restarting. A version is activated when the statuses show that every
+process has read the put, or one time to live (and the drift) after the deciding process has. A process whose
+status the decider does not see writes it later, and so reads the put among the records after that.
 """
 
 from __future__ import annotations
@@ -19,157 +19,177 @@
 from math import inf
 from typing import Any
 
-from wheatroute.agreement.versions import FORCE, WITHDRAW, History
+from wheatroute.agreement.versions import ACTIVATE, WITHDRAW, History
 
-DRIFT = 0.01  # by which the rates of two processes' monotonic clocks may differ, taken together
-IDLE = 3.0  # times `lasts` after which the row of a process that says nothing is dropped
-SHARE = 0.85  # of the stated time a confirmation lasts; the rest is for what is already on its way
+MAX_CLOCK_DRIFT = 0.01  # relative difference between the rates of two processes' monotonic clocks
+STATUS_EXPIRY_TTLS = 3.0  # a status without a new heartbeat for so many times to live is removed
+CONFIRMATION_FRACTION = 0.85  # of the agreement time, for a confirmation; the rest is for what is in flight
 
 
 @dataclass(frozen=True)
-class Acts:
-    """What a process acts on: the version in force, and one to keep within as well; 0 for none."""
+class EffectiveVersions:
+    """What a process acts on: the active version, and a joint one whose limits it also keeps; 0 for none."""
 
-    in_force: int = 0
+    active: int = 0
     joint: int = 0
-    careful: bool = True
+    is_conservative: bool = True
+
+
+def status_key(status: dict[str, Any]) -> str:
+    """Return the store key of a status; two processes of one name have two."""
+    return f"{status['name']}.{status['start']}"
 
 
 class Member:
-    """A process. `within` is the stated time, seconds."""
+    """The process itself. `agreement_time_s` bounds how long a change may take to reach all processes."""
 
-    def __init__(self, name: str, start: str, within: float, drift: float = DRIFT) -> None:
+    def __init__(
+        self, name: str, incarnation: str, agreement_time_s: float, max_clock_drift: float = MAX_CLOCK_DRIFT
+    ) -> None:
         self.history = History()
-        self.name, self.start = name, start
-        self.lasts, self.drift = SHARE * within, drift
+        self.name, self.incarnation = name, incarnation
+        self.confirmation_ttl_s = CONFIRMATION_FRACTION * agreement_time_s
+        self.max_clock_drift = max_clock_drift
         self.unusable: dict[int, str] = {}  # versions that this process cannot use, and why
         self.usable: set[int] = {0}
-        self.acts = Acts()
-        self.confirmed = -inf  # when the last question was sent that was answered
-        self.trouble = "not confirmed yet"  # why it is careful
-        self.went_back = 0
-        self.listed = ("", 0)  # whose list of servers it acts on, and up to which revision
-        self._beat = 0
-        self._seen: dict[str, tuple[int, float]] = {}  # by row: its beat, and when it was first seen
-        self._put_seen = (0, inf)  # the pending version and when it was first seen
+        self.effective = EffectiveVersions()
+        self.confirmed_at = -inf  # when the last answered exchange was sent
+        self.conservative_reason = "not confirmed yet"
+        self.server_list = ("", 0)  # source and revision of the server list that it acts on
+        self._heartbeat = 0
+        self._heartbeats: dict[str, tuple[int, float]] = {}  # by status key: heartbeat, and when first seen
+        self._pending_since = (0, inf)  # the pending version, and when it was first seen
 
     @property
     def key(self) -> str:
-        """Of the row: two processes of one name have two."""
-        return f"{self.name}.{self.start}"
+        """The key of its status."""
+        return f"{self.name}.{self.incarnation}"
 
     @property
-    def until(self) -> float:
-        """Up to when it may act on what it was confirmed in."""
-        return self.confirmed + self.lasts * (1.0 - self.drift)
+    def confirmed_until(self) -> float:
+        """When the present confirmation ends."""
+        return self.confirmed_at + self.confirmation_ttl_s * (1.0 - self.max_clock_drift)
 
-    def row(self, moment: float) -> dict[str, Any]:
-        """What it tells the others; `moment` is Unix time, for people only."""
-        self._beat += 1
+    def next_status(self, unix_time: float) -> dict[str, Any]:
+        """Return its status with the next heartbeat; `unix_time` is for display only."""
+        self._heartbeat += 1
         pending = self.history.pending
         return {
             "name": self.name,
-            "start": self.start,
-            "beat": self._beat,
+            "start": self.incarnation,
+            "beat": self._heartbeat,
             "seq": self.history.head,
-            "acts": [self.acts.in_force, self.acts.joint],
-            "careful": self.acts.careful,
+            "acts": [self.effective.active, self.effective.joint],
+            "careful": self.effective.is_conservative,
             "refuses": pending if pending in self.unusable else 0,
             "reason": self.unusable.get(pending)
-            or self.unusable.get(self.history.in_force, "")
-            or (self.trouble if self.acts.careful else ""),
-            "lasts": self.lasts,
-            "list": list(self.listed),
-            "at": moment,
+            or self.unusable.get(self.history.active, "")
+            or (self.conservative_reason if self.effective.is_conservative else ""),
+            "lasts": self.confirmation_ttl_s,
+            "list": list(self.server_list),
+            "at": unix_time,
         }
 
-    def answered(self, sent: float, records: list[dict[str, Any]], whole: bool = True) -> None:
-        """A question sent at that moment was answered, with the records after this history's head.
+    def confirm(self, sent_at: float, records: list[dict[str, Any]], is_complete: bool = True) -> None:
+        """Apply the answer to an exchange that was sent at `sent_at`: the records after this history's head.
 
-        What is not `whole`, as there may be more of them, confirms nothing. Raises `HistoryError` for another
-        history: that confirms nothing either.
+        An incomplete answer, after which there may be more records, confirms nothing. Raises `HistoryError`
+        for records of another history, which confirm nothing either.
         """
         for record in records:
-            self.history.take(record)
-        if whole:
-            self.confirmed, self.trouble = max(self.confirmed, sent), ""
-
-    def failed(self, trouble: str) -> None:
-        """A question was not answered, or by another history."""
-        self.trouble = trouble
-
-    def unchecked(self) -> list[int]:
-        """Versions that this process has to check before it can say what it may act on."""
-        wanted = [self.history.in_force, self.history.pending]
-        return [one for one in wanted if one not in self.usable and one not in self.unusable]
-
-    def checked(self, version: int, trouble: str = "") -> None:
-        """Whether this process can use a version; a line that says why not."""
-        if trouble:
-            self.unusable[version] = trouble
+            self.history.apply(record)
+        if is_complete:
+            self.confirmed_at, self.conservative_reason = max(self.confirmed_at, sent_at), ""
+
+    def record_failure(self, reason: str) -> None:
+        """Note that an exchange failed, or was answered by another history."""
+        self.conservative_reason = reason
+
+    def unchecked_versions(self) -> list[int]:
+        """Return the versions to be checked before the process can know what it may act on."""
+        needed = [self.history.active, self.history.pending]
+        return [number for number in needed if number not in self.usable and number not in self.unusable]
+
+    def record_check(self, version: int, error: str = "") -> None:
+        """Note whether this process can use a version; `error` says why not."""
+        if error:
+            self.unusable[version] = error
         else:
             self.usable.add(version)
 
-    def may(self, now: float) -> Acts:
-        """What it may act on now. Whoever asks acts on it before the next row is written."""
+    def permitted(self, now: float) -> EffectiveVersions:
+        """Return what it may act on now. The caller acts on it before the next status is written."""
         history = self.history
-        known = history.in_force if history.in_force in self.usable else self.acts.in_force
+        active = history.active if history.active in self.usable else self.effective.active
         joint = history.pending if history.pending in self.usable else 0
-        # one that cannot use what was put is careful until that is withdrawn: it cannot know when it is not
-        wanted = (history.in_force, history.pending)
-        lapsed = now >= self.until or any(one not in self.usable for one in wanted)
-        if lapsed and not self.trouble:
-            reasons = [self.unusable[one] for one in wanted if one in self.unusable]
-            self.trouble = reasons[0] if reasons else "not confirmed in time"
-        return Acts(known, joint, lapsed)
-
-    def acting(self, acts: Acts) -> None:
-        """It acts on this from now on."""
-        self.acts = acts
-
-    def judge(self, began: float, ended: float, rows: list[dict[str, Any]]) -> dict[str, Any] | None:
-        """The record to add next, from all rows as read between two moments; None while there is none.
-
-        Only right after an answer that was read before: the pending version must be the store's.
+        # without use of the pending version it stays conservative until that is withdrawn: it cannot know
+        # when the version becomes active for the others
+        needed = (history.active, history.pending)
+        is_conservative = now >= self.confirmed_until or any(number not in self.usable for number in needed)
+        if is_conservative and not self.conservative_reason:
+            reasons = [self.unusable[number] for number in needed if number in self.unusable]
+            self.conservative_reason = reasons[0] if reasons else "not confirmed in time"
+        return EffectiveVersions(active, joint, is_conservative)
+
+    def set_effective(self, effective: EffectiveVersions) -> None:
+        """Note that the process acts on these versions from now on."""
+        self.effective = effective
+
+    def next_decision(
+        self, read_began: float, read_ended: float, statuses: list[dict[str, Any]]
+    ) -> dict[str, Any] | None:
+        """Return the record to append next, or None, from all statuses as read between two moments.
+
+        To be called right after an answer that was read before the statuses: the pending version must be the
+        store's.
         """
         history = self.history
         pending = history.pending
-        self._watch(ended, rows)
-        if not pending or ended >= self.until:
+        self._track_heartbeats(read_ended, statuses)
+        if not pending or read_ended >= self.confirmed_until:
             return None
-        if self._put_seen[0] != pending:
-            self._put_seen = (pending, ended)
-        for row in rows:
-            if row["refuses"] == pending:
-                return history.next(
-                    WITHDRAW, version=pending, by=self.name, reason=f"{row['name']}: {row['reason']}"
-                )
-        mine = any(row["name"] == self.name and row["start"] == self.start for row in rows)
-        heard = all(
-            row["seq"] >= history.put_at and (row["careful"] or row["acts"][1] == pending) for row in rows
+        if self._pending_since[0] != pending:
+            self._pending_since = (pending, read_ended)
+        for status in statuses:
+            if status["refuses"] == pending:
+                reason = f"{status['name']}: {status['reason']}"
+                return history.next_record(WITHDRAW, version=pending, by=self.name, reason=reason)
+        is_listed = any(
+            status["name"] == self.name and status["start"] == self.incarnation for status in statuses
         )
-        longest = max([self.lasts, *(row["lasts"] for row in rows)])
-        if heard and mine or began - self._put_seen[1] >= longest * (1.0 + self.drift):
-            return history.next(FORCE, version=pending, by=self.name)
+        max_ttl_s = max([self.confirmation_ttl_s, *(status["lasts"] for status in statuses)])
+        has_expired = read_began - self._pending_since[1] >= max_ttl_s * (1.0 + self.max_clock_drift)
+        if is_listed and self._all_have_read_pending(statuses) or has_expired:
+            return history.next_record(ACTIVATE, version=pending, by=self.name)
         return None
 
-    def rank(self, rows: list[dict[str, Any]]) -> int:
-        """Its place among the processes that count: they judge one after the other, not all at once."""
-        keys = sorted(f"{row['name']}.{row['start']}" for row in rows)
+    def _all_have_read_pending(self, statuses: list[dict[str, Any]]) -> bool:
+        return all(
+            status["seq"] >= self.history.pending_record
+            and (status["careful"] or status["acts"][1] == self.history.pending)
+            for status in statuses
+        )
+
+    def rank(self, statuses: list[dict[str, Any]]) -> int:
+        """Return its position among the processes, which decide one after the other and not all at once."""
+        keys = sorted(status_key(status) for status in statuses)
         return keys.index(self.key) if self.key in keys else len(keys)
 
-    def gone(self, began: float, rows: list[dict[str, Any]]) -> list[str]:
-        """Keys of rows that stood still for so long that nobody needs them."""
+    def expired_status_keys(self, read_began: float, statuses: list[dict[str, Any]]) -> list[str]:
+        """Return the keys of statuses that can be removed, as their heartbeat has stood still for long."""
         return [
-            f"{row['name']}.{row['start']}"
-            for row in rows
-            if began - self._seen.get(f"{row['name']}.{row['start']}", (0, inf))[1] > IDLE * row["lasts"]
+            status_key(status)
+            for status in statuses
+            if read_began - self._heartbeats.get(status_key(status), (0, inf))[1]
+            > STATUS_EXPIRY_TTLS * status["lasts"]
         ]
 
-    def _watch(self, ended: float, rows: list[dict[str, Any]]) -> None:
-        seen = {}
-        for row in rows:
-            key = f"{row['name']}.{row['start']}"
-            beat, since = self._seen.get(key, (-1, ended))
-            seen[key] = (beat, since) if beat == row["beat"] else (row["beat"], ended)
-        self._seen = seen
+    def _track_heartbeats(self, read_ended: float, statuses: list[dict[str, Any]]) -> None:
+        heartbeats = {}
+        for status in statuses:
+            key = status_key(status)
+            heartbeat, since = self._heartbeats.get(key, (-1, read_ended))
+            if heartbeat != status["beat"]:
+                heartbeat, since = status["beat"], read_ended
+            heartbeats[key] = (heartbeat, since)
+        self._heartbeats = heartbeats
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -1,4 +1,4 @@
-"""Joins the platform's node to the agreement. Owns which parts of the node hear of what it acts on."""
+"""Lets the platform's node take part in an agreement: applies versions to the parts of the node."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 from typing import Any
 
 from wheatroute.agreement.adapter import AdaptedVersion, VersionAdapter, platform
-from wheatroute.agreement.following import PATIENCE, Following
-from wheatroute.agreement.leaving import Leaving
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
-from wheatroute.agreement.places import Directory, Place
+from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
+from wheatroute.agreement.version_store import VersionStore
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.downstream import Downstream
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.upstream import Upstream
 
-ENDPOINTS = 3.0  # that may be asked, one after the other, in the time for one question
+MAX_ENDPOINTS_PER_EXCHANGE = 3.0  # tried one after the other within the time of one exchange
 
 
-def place(told: dict[str, Any], chance: random.Random, time_out: float) -> Place:
-    """The place that a file names; `time_out` is for one endpoint, seconds."""
+def open_store(told: dict[str, Any], rng: random.Random, timeout_s: float) -> VersionStore:
+    """Return the store that a node's file names; `timeout_s` is for one call at one endpoint."""
     if "relay" in told:
-        from wheatroute.agreement.relay import Relayed
+        from wheatroute.agreement.relay import RelayedDirectoryStore
 
-        return Relayed(told["relay"])
+        return RelayedDirectoryStore(told["relay"])
     if "directory" in told:
-        return Directory(told["directory"])
-    from wheatroute.agreement.etcd import EtcdPlace
+        return DirectoryStore(told["directory"])
+    from wheatroute.agreement.etcd_store import EtcdStore
 
-    return EtcdPlace(told["etcd"], told["prefix"], chance, time_out)
+    return EtcdStore(told["etcd"], told["prefix"], rng, timeout_s)
 
 
 def follow(
@@ -40,31 +41,35 @@
     downstream: Downstream,
     discovery: Discovery,
     log: Any,
-) -> Following:
-    """Has a node act on what all agree on; it is careful until it was confirmed for the first time."""
+) -> VersionFollower:
+    """Return a follower that applies versions to a node; conservative until its first confirmation."""
 
-    def apply(adapted: AdaptedVersion, binding: bool) -> None:
+    def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
         terms = (
             adapted.terms | discovery.node_counts
         )  # nodes that are counted go before a number that was put
-        driver.update_settings(terms, binding)
+        driver.update_settings(terms, is_binding)
         upstream.update_settings(terms)
         downstream.update_settings(adapted.request_classes, adapted.tenants, terms, adapted.forms)
 
-    told, start = settings.agreement, secrets.token_hex(6)
+    told, incarnation = settings.agreement, secrets.token_hex(6)
     assert told is not None
-    leaving = discovery.list_filter = Leaving(told["within"])
-    leaving.listed(settings.initial_list)
-    member = Member(settings.name, start, told["within"])
-    where = place(told, random.Random(start), PATIENCE * member.lasts / ENDPOINTS)
-    return Following(
-        where,
+    drain_notices = discovery.list_filter = DrainNotices(told["within"])
+    drain_notices.filter_message(settings.initial_list)
+    member = Member(settings.name, incarnation, told["within"])
+    store = open_store(
+        told,
+        random.Random(incarnation),
+        EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
+    )
+    return VersionFollower(
+        store,
         member,
         VersionAdapter(settings.derived, platform(settings.settings, settings.derived)),
         apply,
         driver.handle_events_now,
         lambda: discovery.list_version,
         log,
-        leaving,
+        drain_notices,
         discovery.apply_reported_states,
     )
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -1,299 +1,174 @@
-"""What an operator does with versions: put, look, compare, go back. Behind `wheatroute settings`.
+"""What an operator does with versions: put one, wait for its outcome, read the history and the statuses.
 
-Owns the lines that an operator reads and the exit status that a script does. It must never put a version over
-one that the operator has not seen, nor say that one was put when that is not known.
+Behind `wheatroute settings`. A version is never put over one that the operator has not seen, and a put whose
+result is unknown is reported as that. Does I/O through a version store.
 """
 
 from __future__ import annotations
 
 import getpass
-import json
 import random
 import secrets
 import time
-import tomllib
 from collections.abc import Awaitable, Callable
-from pathlib import Path
 from typing import Any, TypeVar
 
 import trio
 
-from wheatroute.agreement import joint_terms
-from wheatroute.agreement.places import Directory, Place, PlaceError, opened
-from wheatroute.agreement.versions import ContentError, History, HistoryError, Version, canonical
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.operator_errors import OperatorError, first_error
+from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
+from wheatroute.agreement.versions import History, HistoryError, Version
 from wheatroute.net.addresses import parse_address
-from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
-Found = TypeVar("Found")
-PATIENCE = 5.0  # seconds for the place to answer
-LOOKS = 0.05  # seconds between two looks while waiting
-TRIES = 5  # at a place that does not say whether a record was added
-STALE = 10.0  # seconds without a word after which a row's process may be gone
+Result = TypeVar("Result")
+STORE_TIMEOUT_S = 5.0
+POLL_INTERVAL_S = 0.05
+MAX_APPEND_ATTEMPTS = 5  # at a store that does not say whether a record was appended
+STALE_STATUS_S = 10.0  # the process of an older status may have ended
 
 
-class OperatorError(Exception):
-    """One clear line and the exit status: 2 for bad input, 3 if it is to be decided anew, 4 for the place."""
+def store_from_url(url: str, timeout_s: float = 1.0) -> VersionStore:
+    """Return the store at `/a/directory`, or at `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
 
-    def __init__(self, line: str, status: int) -> None:
-        super().__init__(line)
-        self.status = status
-
-
-def place_of(text: str, time_out: float = 1.0) -> Place:
-    """`/a/directory`, or `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`."""
-    if not text.startswith("etcd://"):
-        return Directory(text)
-    ends, _, prefix = text.removeprefix("etcd://").partition("/")
+    `timeout_s` is for one call at one endpoint. Raises `OperatorError`.
+    """
+    if not url.startswith("etcd://"):
+        return DirectoryStore(url)
+    addresses, _, prefix = url.removeprefix("etcd://").partition("/")
     try:
-        places = [parse_address(one) for one in ends.split(",")]
-    except ValueError as trouble:
-        raise OperatorError(f"{text}: {trouble}", 2) from trouble
-    from wheatroute.agreement.etcd import EtcdPlace
+        endpoints = [parse_address(address) for address in addresses.split(",")]
+    except ValueError as error:
+        raise OperatorError(f"{url}: {error}", 2) from error
+    from wheatroute.agreement.etcd_store import EtcdStore
 
-    return EtcdPlace(places, f"/{prefix}" if prefix else "/wheatroute", random.Random(), time_out)
+    return EtcdStore(endpoints, f"/{prefix}" if prefix else "/wheatroute", random.Random(), timeout_s)
 
 
-def run(text: str, what: Callable[[Place], Awaitable[Found]]) -> Found:
-    """Does something at a place; raises `OperatorError`."""
-    place = place_of(text)
+def run_with_store(url: str, action: Callable[[VersionStore], Awaitable[Result]]) -> Result:
+    """Run an action with the store at `url`; raises `OperatorError`."""
+    store = store_from_url(url)
 
-    async def main() -> Found:
-        async with opened(place):
-            return await what(place)
+    async def main() -> Result:
+        async with running_store(store):
+            return await action(store)
 
     try:
         return trio.run(main)
     except BaseExceptionGroup as group:
-        raise _told(first(group)) from group
-    except (PlaceError, HistoryError, trio.TooSlowError) as trouble:
-        raise _told(trouble) from trouble
-
+        raise _as_operator_error(first_error(group)) from group
+    except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
+        raise _as_operator_error(error) from error
 
-def first(trouble: BaseException) -> BaseException:
-    """What went wrong first, out of the groups that tasks side by side make of it."""
-    while isinstance(trouble, BaseExceptionGroup):
-        trouble = trouble.exceptions[0]
-    return trouble
 
+def _as_operator_error(error: BaseException) -> BaseException:
+    if isinstance(error, VersionStoreError | HistoryError | trio.TooSlowError):
+        return OperatorError(str(error) or "the place does not answer", 4)
+    return error
 
-def _told(trouble: BaseException) -> BaseException:
-    if isinstance(trouble, PlaceError | HistoryError | trio.TooSlowError):
-        return OperatorError(str(trouble) or "the place does not answer", 4)
-    return trouble
 
-
-async def history_of(place: Place) -> History:
-    """All records; a place without any is an empty history."""
+async def read_history(store: VersionStore) -> History:
+    """Read all records; a store without any has an empty history."""
     history = History()
-    with trio.fail_after(PATIENCE):
+    with trio.fail_after(STORE_TIMEOUT_S):
         while True:
-            records = await place.ask("", None, history.head, history.mark)
+            records = await store.exchange("", None, history.head, history.head_digest)
             for record in records:
-                history.take(record)
+                history.apply(record)
             if not records:
                 return history
 
 
-# contents
-
-
-def content_of(path: str) -> tuple[dict[str, Any], list[str]]:
-    """A version's content from a file, JSON or TOML, and the keys left out as each process has its own."""
-    try:
-        data = Path(path).read_bytes()
-        told = tomllib.loads(data.decode()) if path.endswith(".toml") else json.loads(data)
-    except OSError as trouble:
-        raise OperatorError(f"{path}: cannot be read: {trouble.strerror}", 2) from trouble
-    except (tomllib.TOMLDecodeError, json.JSONDecodeError, UnicodeDecodeError) as trouble:
-        raise OperatorError(f"{path}: cannot be understood: {trouble}", 2) from trouble
-    if isinstance(told, dict) and "traffic_types" in told:
-        return {"file": _file(path)}, []
-    settings = told.get("settings") if isinstance(told, dict) else None
-    if not isinstance(settings, dict):
-        raise OperatorError(f'{path}: holds no table "settings", nor the request classes of a TOML file', 2)
-    settings, left = joint_terms.without_own(settings)
-    found = joint_terms.troubles(settings)
-    if not found:
-        try:
-            derive_settings(settings)
-            canonical(settings)
-        except (NodeSettingsError, ContentError) as trouble:
-            found = [str(trouble)]
-    if found:
-        raise OperatorError("\n".join(f"{path}: {one}" for one in found), 2)
-    return {"settings": settings}, left
-
-
-def _file(path: str) -> dict[str, Any]:
-    """The part of a front's TOML file that all processes share."""
-    from wheatroute import config
-
-    try:
-        told = config.read(path)
-    except config.ConfigError as trouble:
-        raise OperatorError(str(trouble), 2) from trouble
-    rules = [pool.rules for pool in told.pools if told.processor is None or pool.name == told.processor.pool][
-        0
-    ]
-    return {
-        "nodes": told.nodes,
-        "rules": rules.model_dump(),
-        "traffic_types": [one.model_dump(exclude_none=True) for one in told.traffic_types],
-        "customers": [one.model_dump() for one in told.customers],
-    }
-
-
-# acts
+async def put_version(store: VersionStore, content: dict[str, Any], reason: str, over: int = 0) -> Version:
+    """Put a version; top-level keys that `content` lacks keep the active version's values.
 
-
-async def put(place: Place, content: dict[str, Any], why: str, over: int = 0) -> Version:
-    """Puts a version, `over` one under way that may be replaced; parts that it has not stay as they are."""
-    if isinstance(place, Directory):
-        place.make()
-    name, who = secrets.token_hex(8), getpass.getuser()
+    `over` is a pending version that may be replaced. Raises `OperatorError`.
+    """
+    if isinstance(store, DirectoryStore):
+        store.create()
+    put_id, author = secrets.token_hex(8), getpass.getuser()
     doubt = ""
-    for _ in range(TRIES):
+    for _ in range(MAX_APPEND_ATTEMPTS):
         try:
-            history = await history_of(place)
-        except PlaceError as trouble:
-            doubt = doubt or str(trouble)
-            await trio.sleep(LOOKS)
+            history = await read_history(store)
+        except VersionStoreError as error:
+            doubt = doubt or str(error)
+            await trio.sleep(POLL_INTERVAL_S)
             continue
-        mine = [one for one in history.versions.values() if one.name == name]
-        if mine:
-            return mine[0]
-        if history.pending not in (0, over):
-            other = history.versions[history.pending]
-            raise OperatorError(
-                f"version {other.number} by {other.who} is under way ({other.why}): wait for "
-                f"it, or put over it with --over {other.number}",
-                3,
-            )
-        current = history.versions.get(history.in_force)
-        whole = (current.content if current is not None else {}) | content
-        if current is not None and not history.pending and current.content == whole:
-            raise OperatorError(f"version {current.number} is in force and says the same", 3)
-        record = history.put(whole, name, who, time.time(), why)
+        own = [version for version in history.versions.values() if version.put_id == put_id]
+        if own:
+            return own[0]
+        full_content = _full_content(history, content, over)
+        record = history.put_record(full_content, put_id, author, time.time(), reason)
         try:
-            with trio.fail_after(PATIENCE):
-                await place.add(record)  # whether it is there is seen with the next look
-        except (PlaceError, trio.TooSlowError) as trouble:
-            doubt = str(trouble) or "the place does not answer"
+            with trio.fail_after(STORE_TIMEOUT_S):
+                await store.append(record)  # the next read shows whether it was appended
+        except (VersionStoreError, trio.TooSlowError) as error:
+            doubt = str(error) or "the place does not answer"
     doubt = doubt or "others came first, each time"
     raise OperatorError(f"not known whether it was put ({doubt}): see log", 4)
 
 
-async def ended(place: Place, number: int, patience: float) -> Version:
-    """Waits until a version is in force, replaced or withdrawn."""
-    with trio.move_on_after(patience):
+def _full_content(history: History, content: dict[str, Any], over: int) -> dict[str, Any]:
+    """Return the active version's content with changes; raises `OperatorError` if it must not be put."""
+    if history.pending not in (0, over):
+        other = history.versions[history.pending]
+        raise OperatorError(
+            f"version {other.number} by {other.author} is under way ({other.reason}): wait for "
+            f"it, or put over it with --over {other.number}",
+            3,
+        )
+    active = history.versions.get(history.active)
+    full_content = (active.content if active is not None else {}) | content
+    if active is not None and not history.pending and active.content == full_content:
+        raise OperatorError(f"version {active.number} is in force and says the same", 3)
+    return full_content
+
+
+async def wait_for_outcome(store: VersionStore, number: int, timeout_s: float) -> Version:
+    """Wait until a version is active, replaced or withdrawn; after the timeout, return it as it is."""
+    with trio.move_on_after(timeout_s):
         while True:
-            version = (await history_of(place)).versions[number]
-            if version.life:
+            version = (await read_history(store)).versions[number]
+            if version.outcomes:
                 return version
-            await trio.sleep(LOOKS)
-    version = (await history_of(place)).versions[number]
-    return version
+            await trio.sleep(POLL_INTERVAL_S)
+    return (await read_history(store)).versions[number]
 
 
-async def status(place: Place) -> dict[str, Any]:
-    """The version in force, the one under way, and a row a process."""
-    history = await history_of(place)
-    rows, moment = await place.rows(), time.time()
-    names = [row["name"] for row in rows]
-    out = [
+async def agreement_status(store: VersionStore) -> dict[str, Any]:
+    """Return the active and the pending version, and the status of each process, as printed with `--json`."""
+    history = await read_history(store)
+    statuses, unix_time = await store.statuses(), time.time()
+    names = [status["name"] for status in statuses]
+    processes = [
         {
-            "name": row["name"],
-            "start": row["start"],
-            "version": row["acts"][0],
-            "joint": row["acts"][1],
-            "phase": "careful" if row["careful"] else "joint" if row["acts"][1] else "in force",
-            "record": row["seq"],
-            "confirmed_ago_s": round(max(0.0, moment - row["at"]), 3),
-            "list_source": row["list"][0],
-            "list_revision": row["list"][1],
-            "refuses": row["refuses"],
-            "reason": row["reason"],
-            "doubled": names.count(row["name"]) > 1,
+            "name": status["name"],
+            "start": status["start"],
+            "version": status["acts"][0],
+            "joint": status["acts"][1],
+            "phase": "careful" if status["careful"] else "joint" if status["acts"][1] else "in force",
+            "record": status["seq"],
+            "confirmed_ago_s": round(max(0.0, unix_time - status["at"]), 3),
+            "list_source": status["list"][0],
+            "list_revision": status["list"][1],
+            "refuses": status["refuses"],
+            "reason": status["reason"],
+            "doubled": names.count(status["name"]) > 1,
         }
-        for row in rows
+        for status in statuses
     ]
     return {
-        "in_force": history.in_force,
+        "in_force": history.active,
         "under_way": history.pending,
         "record": history.head,
-        "processes": sorted(out, key=lambda row: (row["name"], row["start"])),
+        "processes": sorted(processes, key=lambda process: (process["name"], process["start"])),
     }
 
 
-def same(told: dict[str, Any]) -> bool:
-    """Whether nothing is under way and every process that speaks acts on the version in force."""
-    live = [row for row in told["processes"] if row["confirmed_ago_s"] < STALE]
-    return not told["under_way"] and all(
-        row["phase"] == "in force" and row["version"] == told["in_force"] for row in live
+def is_settled(status: dict[str, Any]) -> bool:
+    """Whether no version is pending and every live process acts on the active one."""
+    live = [process for process in status["processes"] if process["confirmed_ago_s"] < STALE_STATUS_S]
+    return not status["under_way"] and all(
+        process["phase"] == "in force" and process["version"] == status["in_force"] for process in live
     )
-
-
-def table(rows: list[list[str]]) -> list[str]:
-    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
-    return [
-        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
-    ]
-
-
-def status_lines(told: dict[str, Any]) -> list[str]:
-    head = f"version {told['in_force']} in force" if told["in_force"] else "no version in force"
-    lines = [head + (f", {told['under_way']} under way" if told["under_way"] else "")]
-    rows = [["process", "phase", "version", "joint", "confirmed", "list", "reason"]]
-    for row in told["processes"]:
-        reason = row["reason"] + (" (two of this name)" if row["doubled"] else "")
-        listed = f"{row['list_source']}@{row['list_revision']}" if row["list_source"] else "-"
-        rows.append(
-            [
-                row["name"],
-                row["phase"],
-                str(row["version"]),
-                str(row["joint"] or "-"),
-                f"{row['confirmed_ago_s']:.1f} s ago",
-                listed,
-                reason.strip(),
-            ]
-        )
-    return lines + (table(rows) if len(rows) > 1 else ["no process has told of itself"])
-
-
-def log_lines(history: History) -> list[str]:
-    if not history.versions:
-        return ["no version was put yet"]
-    rows = [["version", "from", "put", "by", "digest", "state", "why"]]
-    for one in history.versions.values():
-        when = time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(one.when))
-        rows.append(
-            [
-                str(one.number),
-                str(one.parent),
-                when,
-                one.who,
-                one.digest[:12],
-                ", ".join(one.life) or "under way",
-                one.why,
-            ]
-        )
-    return table(rows)
-
-
-def diff_lines(history: History, first: int, second: int) -> list[str]:
-    """What differs, marked where two processes may not hold unlike values."""
-    for number in (first, second):
-        if number not in history.versions:
-            raise OperatorError(f"there is no version {number}", 2)
-    old, new = (history.versions[one].content for one in (first, second))
-    rows = [["", "key", str(first), str(second), "meanwhile"]]
-    for path, before, after, rule in joint_terms.contradictions(old, new):
-        mark = "" if rule in (joint_terms.FREE, joint_terms.ROUTE) else "!"
-        rows.append([mark, path, _short(before), _short(after), rule])
-    return table(rows) if len(rows) > 1 else ["no difference"]
-
-
-def _short(value: Any) -> str:
-    text = "-" if value is None else json.dumps(value)
-    return text if len(text) <= 30 else text[:27] + "..."
--- /dev/null
+++ b/wheatroute/agreement/operator_output.py
@@ -0,0 +1,86 @@
+"""Formats versions and process statuses as lines of text for the operator. No I/O."""
+
+from __future__ import annotations
+
+import json
+import time
+from typing import Any
+
+from wheatroute.agreement import joint_terms
+from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.versions import History
+
+MAX_VALUE_WIDTH = 30  # characters of a value in a difference
+
+
+def table(rows: list[list[str]]) -> list[str]:
+    """Return lines with the cells aligned in columns."""
+    widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
+    return [
+        "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
+    ]
+
+
+def status_lines(status: dict[str, Any]) -> list[str]:
+    """Format the result of `operator.agreement_status`."""
+    head = f"version {status['in_force']} in force" if status["in_force"] else "no version in force"
+    lines = [head + (f", {status['under_way']} under way" if status["under_way"] else "")]
+    rows = [["process", "phase", "version", "joint", "confirmed", "list", "reason"]]
+    for process in status["processes"]:
+        reason = process["reason"] + (" (two of this name)" if process["doubled"] else "")
+        server_list = (
+            f"{process['list_source']}@{process['list_revision']}" if process["list_source"] else "-"
+        )
+        rows.append(
+            [
+                process["name"],
+                process["phase"],
+                str(process["version"]),
+                str(process["joint"] or "-"),
+                f"{process['confirmed_ago_s']:.1f} s ago",
+                server_list,
+                reason.strip(),
+            ]
+        )
+    return lines + (table(rows) if len(rows) > 1 else ["no process has told of itself"])
+
+
+def log_lines(history: History) -> list[str]:
+    """Format all versions with their outcomes."""
+    if not history.versions:
+        return ["no version was put yet"]
+    rows = [["version", "from", "put", "by", "digest", "state", "why"]]
+    for version in history.versions.values():
+        rows.append(
+            [
+                str(version.number),
+                str(version.parent),
+                time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(version.put_time)),
+                version.author,
+                version.digest[:12],
+                ", ".join(version.outcomes) or "under way",
+                version.reason,
+            ]
+        )
+    return table(rows)
+
+
+def diff_lines(history: History, first: int, second: int) -> list[str]:
+    """Format the differences of two versions, marked "!" where two processes must not differ at once.
+
+    Raises `OperatorError` if there is no such version.
+    """
+    for number in (first, second):
+        if number not in history.versions:
+            raise OperatorError(f"there is no version {number}", 2)
+    old, new = (history.versions[number].content for number in (first, second))
+    rows = [["", "key", str(first), str(second), "meanwhile"]]
+    for path, before, after, rule in joint_terms.contradictions(old, new):
+        mark = "" if rule in (joint_terms.FREE, joint_terms.ROUTE) else "!"
+        rows.append([mark, path, _shortened(before), _shortened(after), rule])
+    return table(rows) if len(rows) > 1 else ["no difference"]
+
+
+def _shortened(value: Any) -> str:
+    text = "-" if value is None else json.dumps(value)
+    return text if len(text) <= MAX_VALUE_WIDTH else text[: MAX_VALUE_WIDTH - 3] + "..."
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -1,4 +1,4 @@
-"""Joins a worker of the processor to the agreement. Owns what of a version its dispatcher hears of."""
+"""Lets a worker of the processor take part in an agreement: applies versions to its dispatcher."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from wheatroute import config
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.adapter import AdaptedVersion, Settle, VersionAdapter
-from wheatroute.agreement.following import PATIENCE, Following
-from wheatroute.agreement.leaving import Leaving
+from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
-from wheatroute.agreement.node import ENDPOINTS, place
+from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
+from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
 from wheatroute.agreement.versions import ContentError
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
@@ -47,29 +47,33 @@
 
 
 def follow(
-    file: config.File, worker: int, told: dict[str, Any], dispatcher: Dispatcher, listed: Listed, log: Any
-) -> Following:
-    """Has a worker act on what all agree on; it is careful until it was confirmed for the first time."""
+    file: config.File, worker: int, told: dict[str, Any], dispatcher: Dispatcher, discovery: Listed, log: Any
+) -> VersionFollower:
+    """Return a follower that applies versions to a worker; conservative until its first confirmation."""
 
-    def apply(adapted: AdaptedVersion, binding: bool) -> None:
+    def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
         twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms | listed.node_counts
-        dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, binding)
+        terms = adapted.terms | discovery.node_counts
+        dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, is_binding)
 
-    start = secrets.token_hex(6)
-    leaving = listed.list_filter = Leaving(told["agreement"]["within"])
-    leaving.listed({"full": True, "servers": list(listed.entries.values())})
-    member = Member(told["name"], start, told["agreement"]["within"])
-    where = place(told["agreement"], random.Random(start), PATIENCE * member.lasts / ENDPOINTS)
+    incarnation = secrets.token_hex(6)
+    drain_notices = discovery.list_filter = DrainNotices(told["agreement"]["within"])
+    drain_notices.filter_message({"full": True, "servers": list(discovery.entries.values())})
+    member = Member(told["name"], incarnation, told["agreement"]["within"])
+    store = open_store(
+        told["agreement"],
+        random.Random(incarnation),
+        EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
+    )
     adapter = VersionAdapter(told, shared(file, worker))
-    return Following(
-        where,
+    return VersionFollower(
+        store,
         member,
         adapter,
         apply,
         dispatcher.rounds.handle_events_now,
-        lambda: listed.list_version,
+        lambda: discovery.list_version,
         log,
-        leaving,
-        listed.apply_reported_states,
+        drain_notices,
+        discovery.apply_reported_states,
     )
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -1,9 +1,10 @@
-"""One reader of a store for all processes of a machine: a directory that is kept like the store.
+"""A relay: one reader of a version store for all processes of a machine, which reads into a directory store.
 
-Owns the directory's records, and the word of how fresh they are: when the question was sent, whose rows
-it carried, and what is said of servers. The processes ask the directory, and count their confirmation from
-that moment, on the machine's one clock. It must never call fresh what it has not asked for, nor carry a row
-after it has read the records.
+The relay keeps the directory's records and a file that says how fresh they are: when its exchange was sent,
+whose statuses it carried, and the drain notices. The processes read the directory and count their
+confirmation from that moment, on the machine's one clock. A directory is never marked fresher than the
+exchange it came from, and a status that was written after the records were read is not marked as carried.
+Does I/O.
 """
 
 from __future__ import annotations
@@ -18,167 +19,208 @@
 import trio
 
 from wheatroute.agreement.adapter import AdaptedVersion
-from wheatroute.agreement.following import Following, clock
-from wheatroute.agreement.leaving import KEPT, order, readable
-from wheatroute.agreement.member import Acts, Member
-from wheatroute.agreement.places import Directory, Place, PlaceError, opened, taken
-
-FRESH = "fresh"  # the file, beside the records
-IDLE = 3.0  # times that a confirmation lasts after which a row that nobody writes is not carried any more
-
-
-class Relayed(Directory):
-    """The directory as a process sees it; `asked_at` is when what it read was asked for."""
-
-    asked_at = 0.0
-
-    def ask_now(self, key: str, row: dict[str, Any] | None, after: int, mark: str) -> list[dict[str, Any]]:
-        told = self._fresh() if row is not None else None  # before the records, which are at least as new
-        found = super().ask_now(key, row, after, mark)
-        if row is not None:
-            if told is None or key not in told["rows"] or told["sent"] > clock():
-                raise PlaceError(f"{self.path}: the relay has not told of this process yet")
-            self.asked_at = float(told["sent"])
-            self.words[:] = [word for word in told.get("words", []) if readable(word)]
-        return found
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES, Notice, is_notice, notice_order
+from wheatroute.agreement.member import STATUS_EXPIRY_TTLS, EffectiveVersions, Member, status_key
+from wheatroute.agreement.version_follower import VersionFollower, clock
+from wheatroute.agreement.version_store import (
+    VersionStore,
+    VersionStoreError,
+    running_store,
+    take_received_notices,
+)
+
+FRESHNESS_FILE = "fresh"  # beside the records
+
+
+class RelayedDirectoryStore(DirectoryStore):
+    """The directory as a process sees it; `exchanged_at` is when the relay sent the exchange it read."""
+
+    exchanged_at = 0.0
+
+    def exchange_blocking(
+        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
+    ) -> list[dict[str, Any]]:
+        """See `VersionStore.exchange`; an error until the relay has carried this process's status."""
+        # read before the records, which are then at least as new
+        freshness = self._read_freshness() if status is not None else None
+        records = super().exchange_blocking(key, status, after, expected_digest)
+        if status is not None:
+            if freshness is None or key not in freshness["rows"] or freshness["sent"] > clock():
+                raise VersionStoreError(f"{self.path}: the relay has not told of this process yet")
+            self.exchanged_at = float(freshness["sent"])
+            self.received_notices[:] = [notice for notice in freshness.get("words", []) if is_notice(notice)]
+        return records
 
-    def add_now(self, record: dict[str, Any]) -> bool:
-        """Records are the relay's to add: it sees all rows of all machines."""
+    def append_blocking(self, record: dict[str, Any]) -> bool:
+        """Append nothing: the relay appends, as it reads the statuses of all machines."""
         return False
 
-    def _fresh(self) -> dict[str, Any] | None:
+    def _read_freshness(self) -> dict[str, Any] | None:
         try:
-            told = orjson.loads((Path(self.path) / FRESH).read_bytes())
+            freshness = orjson.loads((Path(self.path) / FRESHNESS_FILE).read_bytes())
         except (OSError, orjson.JSONDecodeError):
             return None
-        return told if isinstance(told, dict) and {"sent", "rows"} <= told.keys() else None
-
-
-class Through:
-    """The store, asked for a whole machine: its rows go along, what comes back goes into the directory."""
-
-    def __init__(self, store: Place, directory: str, lasts: float, within: float) -> None:
-        self._store, self._kept, self._lasts = store, Directory(directory), lasts
-        self._kept_for = KEPT * within
-        self._seen: dict[str, tuple[int, float]] = {}
-        self._words: dict[str, dict[str, Any]] = {}  # what the store says of servers
-        self._untold: dict[str, dict[str, Any]] = {}  # what processes of the machine say and it does not yet
-        self._since: dict[str, tuple[tuple[float, int], float]] = {}  # by id: a word's order, first seen when
-        self.words: list[dict[str, Any]] = []  # nobody here acts on them
+        is_usable = isinstance(freshness, dict) and {"sent", "rows"} <= freshness.keys()
+        return freshness if is_usable else None
+
+
+class RelayStore:
+    """The store as the relay sees it: exchanges carry the machine's statuses and update the directory."""
+
+    def __init__(
+        self, store: VersionStore, directory: str, confirmation_ttl_s: float, agreement_time_s: float
+    ) -> None:
+        self._store, self._directory = store, DirectoryStore(directory)
+        self._confirmation_ttl_s = confirmation_ttl_s
+        self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
+        self._heartbeats: dict[str, tuple[int, float]] = {}  # by status key: heartbeat, and when first seen
+        self._stored: dict[str, Notice] = {}  # by server id: notices that the store has
+        self._unsent: dict[str, Notice] = {}  # by server id: the machine's notices that it does not have yet
+        # by server id: the order of a stored notice, and when it was first seen
+        self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
+        self.received_notices: list[Notice] = []  # the relay itself acts on none
         self.path = directory
 
     @property
-    def skipped(self) -> set[str]:
-        return self._kept.skipped | getattr(self._store, "skipped", set())
+    def unreadable_keys(self) -> set[str]:
+        """Keys of statuses and drain notices that could not be read, in the directory and in the store."""
+        return self._directory.unreadable_keys | getattr(self._store, "unreadable_keys", set())
 
     async def run(self) -> None:
-        async with opened(self._store):
+        """Run the store until cancelled."""
+        async with running_store(self._store):
             await trio.sleep_forever()
 
-    async def ask(self, key: str, row: dict[str, Any] | None, after: int, mark: str) -> list[dict[str, Any]]:
-        rows = await trio.to_thread.run_sync(self._rows)
-        sent = clock()
-        told = {"name": row["name"], "rows": [row, *rows]} if row is not None else None
-        records = await self._store.ask(key, told, after, mark)
-        self._words |= {word["id"]: word for word in taken(self._store) if readable(word)}
-        await self._carry(await trio.to_thread.run_sync(self._kept.words_now))
-        await trio.to_thread.run_sync(self._keep, records, sent, rows)
+    async def exchange(
+        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
+    ) -> list[dict[str, Any]]:
+        """Exchange with the store for the whole machine, and update the directory."""
+        statuses = await trio.to_thread.run_sync(self._live_statuses)
+        sent_at = clock()
+        entry = {"name": status["name"], "rows": [status, *statuses]} if status is not None else None
+        records = await self._store.exchange(key, entry, after, expected_digest)
+        received = take_received_notices(self._store)
+        self._stored |= {notice["id"]: notice for notice in received if is_notice(notice)}
+        own = await trio.to_thread.run_sync(self._directory.changed_drain_notices_blocking)
+        await self._forward_notices(own)
+        await trio.to_thread.run_sync(self._update_directory, records, sent_at, statuses)
         return records
 
-    async def _carry(self, words: list[dict[str, Any]]) -> None:
-        """What the machine's processes say of servers goes into the store, unless that knows better."""
-        self._untold |= {word["id"]: word for word in filter(readable, words)}
-        fresh = [
-            word
-            for name, word in self._untold.items()
-            if name not in self._words or order(word) > order(self._words[name])
+    async def _forward_notices(self, notices: list[Notice]) -> None:
+        """Write the machine's drain notices into the store, unless it has later ones."""
+        self._unsent |= {notice["id"]: notice for notice in filter(is_notice, notices)}
+        later = [
+            notice
+            for name, notice in self._unsent.items()
+            if name not in self._stored or notice_order(notice) > notice_order(self._stored[name])
         ]
-        old = self._old(clock())
-        if fresh or old:
-            await self._store.tell(fresh, old)
-        self._words |= {word["id"]: word for word in fresh}
-        self._untold.clear()
-        for name in old:
-            del self._words[name], self._since[name]
-
-    def _old(self, now: float) -> list[str]:
-        """Words that nobody needs any more.
-
-        Guards against a store and a directory that grow with every server that ever left, where all machines
-        have a relay: what their processes leave out goes from the directory only.
+        expired_ids = self._expired_ids(clock())
+        if later or expired_ids:
+            await self._store.write_drain_notices(later, expired_ids)
+        self._stored |= {notice["id"]: notice for notice in later}
+        self._unsent.clear()
+        for name in expired_ids:
+            del self._stored[name], self._stored_since[name]
+
+    def _expired_ids(self, now: float) -> list[str]:
+        """Return the ids of servers whose notices have expired.
+
+        The relay removes them as processes only remove notices from their directory: where all machines
+        have a relay, the store would otherwise grow with every server that ever left.
         """
-        for name, word in self._words.items():
-            if self._since.get(name, (None, 0.0))[0] != order(word):
-                self._since[name] = order(word), now
+        for name, notice in self._stored.items():
+            if self._stored_since.get(name, (None, 0.0))[0] != notice_order(notice):
+                self._stored_since[name] = notice_order(notice), now
         return [
             name
-            for name, (_, since) in self._since.items()
-            if now - since > self._kept_for and name not in self._untold
+            for name, (_, since) in self._stored_since.items()
+            if now - since > self._retention_s and name not in self._unsent
         ]
 
-    def _rows(self) -> list[dict[str, Any]]:
-        """Of the machine's processes, but for those that have not written theirs for long."""
-        now, rows, seen = clock(), [], {}
-        for one in self._kept.rows_now():
-            name = f"{one['name']}.{one['start']}"
-            beat, since = self._seen.get(name, (-1, now))
-            seen[name] = (beat, since) if beat == one["beat"] else (one["beat"], now)
-            if now - seen[name][1] < IDLE * self._lasts:
-                rows.append(one)
-        self._seen = seen
-        return rows
-
-    def _keep(self, records: list[dict[str, Any]], sent: float, rows: list[dict[str, Any]]) -> None:
+    def _live_statuses(self) -> list[dict[str, Any]]:
+        """Return the statuses of the machine's processes, without those whose heartbeat has stood still."""
+        now, live, heartbeats = clock(), [], {}
+        for status in self._directory.statuses_blocking():
+            key = status_key(status)
+            heartbeat, since = self._heartbeats.get(key, (-1, now))
+            if heartbeat != status["beat"]:
+                heartbeat, since = status["beat"], now
+            heartbeats[key] = (heartbeat, since)
+            if now - since < STATUS_EXPIRY_TTLS * self._confirmation_ttl_s:
+                live.append(status)
+        self._heartbeats = heartbeats
+        return live
+
+    def _update_directory(
+        self, records: list[dict[str, Any]], sent_at: float, statuses: list[dict[str, Any]]
+    ) -> None:
         for record in records:
-            self._kept.add_now(record)
-        beside = Path(self.path) / f".{secrets.token_hex(6)}"
-        told = {
-            "sent": sent,
-            "words": list(self._words.values()),
-            "rows": {f"{one['name']}.{one['start']}": one["beat"] for one in rows},
+            self._directory.append_blocking(record)
+        temporary = Path(self.path) / f".{secrets.token_hex(6)}"
+        freshness = {
+            "sent": sent_at,
+            "words": list(self._stored.values()),
+            "rows": {status_key(status): status["beat"] for status in statuses},
         }
         try:
-            beside.write_bytes(orjson.dumps(told))
-            os.rename(beside, Path(self.path) / FRESH)
-        except OSError as trouble:
-            raise PlaceError(f"{self.path}: {trouble.strerror}") from trouble
+            temporary.write_bytes(orjson.dumps(freshness))
+            os.rename(temporary, Path(self.path) / FRESHNESS_FILE)
+        except OSError as error:
+            raise VersionStoreError(f"{self.path}: {error.strerror}") from error
 
-    async def say(self, key: str, row: dict[str, Any]) -> None:
-        await self._store.say(key, row)
+    async def write_status(self, key: str, status: dict[str, Any]) -> None:
+        """See `VersionStore.write_status`."""
+        await self._store.write_status(key, status)
 
-    async def rows(self) -> list[dict[str, Any]]:
-        return await self._store.rows()
+    async def statuses(self) -> list[dict[str, Any]]:
+        """See `VersionStore.statuses`."""
+        return await self._store.statuses()
 
-    async def add(self, record: dict[str, Any]) -> bool:
-        return await self._store.add(record)
+    async def append(self, record: dict[str, Any]) -> bool:
+        """See `VersionStore.append`."""
+        return await self._store.append(record)
 
-    async def drop(self, keys: list[str]) -> None:
-        await self._store.drop(keys)
+    async def remove_statuses(self, keys: list[str]) -> None:
+        """See `VersionStore.remove_statuses`."""
+        await self._store.remove_statuses(keys)
 
-    async def tell(self, words: list[dict[str, Any]], old: list[str]) -> None:
-        await self._store.tell(words, old)
+    async def write_drain_notices(self, notices: list[Notice], expired_ids: list[str]) -> None:
+        """See `VersionStore.write_drain_notices`."""
+        await self._store.write_drain_notices(notices, expired_ids)
 
 
-class _Anything:
-    """The relay acts on nothing, so it can use every version."""
+class _NullAdapter:
+    """The relay acts on no version, so it can use every one."""
 
     def check(self, number: int, content: Any) -> str:
         return ""
 
-    def adapt(self, acts: Acts) -> AdaptedVersion:
+    def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
         return AdaptedVersion({}, {}, {}, {})
 
 
-async def relay(store: Callable[[float], Place], directory: str, name: str, within: float, log: Any) -> None:
-    """Keeps a directory like a store until it is cancelled; raises `PlaceError` if there can be none."""
-    Directory(directory).make()
-    member = Member(name, secrets.token_hex(6), within)
-    through = Through(store(member.lasts), directory, member.lasts, within)
-    following = Following(
-        through, member, _Anything(), lambda adapted, binding: None, lambda: None, lambda: ("", 0), log
+async def run_relay(
+    make_store: Callable[[float], VersionStore],
+    directory: str,
+    name: str,
+    agreement_time_s: float,
+    log: Any,
+) -> None:
+    """Keep a directory up to date with a store until cancelled.
+
+    `make_store` is given the time to live of a confirmation, in seconds. Raises `VersionStoreError` if the
+    directory cannot be created.
+    """
+    DirectoryStore(directory).create()
+    member = Member(name, secrets.token_hex(6), agreement_time_s)
+    ttl_s = member.confirmation_ttl_s
+    relay_store = RelayStore(make_store(ttl_s), directory, ttl_s, agreement_time_s)
+    follower = VersionFollower(
+        relay_store, member, _NullAdapter(), lambda adapted, binding: None, lambda: None, lambda: ("", 0), log
     )
     try:
-        await following.run()
+        await follower.run()
     finally:
         with trio.CancelScope(shield=True):
-            await following.leave()
+            await follower.leave()
--- /dev/null
+++ b/wheatroute/agreement/version_follower.py
@@ -0,0 +1,241 @@
+"""Runs a process's part of an agreement: exchanges with the store, applies versions, appends decisions.
+
+The process's status never says that it acts on a version before it does, and an expired confirmation is
+noticed within one pass of the event loop: the follower is a trio instrument that checks the clock after each
+wait, before anything is decided. Does I/O through its version store.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import trio
+
+from wheatroute.agreement.adapter import AdaptedVersion
+from wheatroute.agreement.drain_notices import DrainNotices
+from wheatroute.agreement.member import EffectiveVersions, Member
+from wheatroute.agreement.version_store import (
+    MAX_RECORDS_PER_READ,
+    VersionStore,
+    VersionStoreError,
+    running_store,
+    take_received_notices,
+)
+from wheatroute.agreement.versions import HistoryError
+
+EXCHANGES_PER_TTL = 10.0  # exchanges with the store in the time to live of a confirmation
+MAX_EXCHANGE_INTERVAL_S = 1.0
+EXCHANGE_TIMEOUT_FRACTION = 0.4  # of the time to live of a confirmation, for one exchange
+
+_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+
+
+def clock() -> float:
+    """Return monotonic seconds that include suspension of the machine, where the system has such a clock."""
+    return time.clock_gettime(_CLOCK)
+
+
+class Adapter(Protocol):
+    """Checks versions and turns them into what a process acts on."""
+
+    def check(self, number: int, content: Any) -> str:
+        """Return why the process cannot use a version; empty if it can."""
+
+    def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
+        """Return what to act on."""
+
+
+def status_read_interval_s(rank: int, exchange_interval_s: float) -> float:
+    """Return the seconds until a process reads all statuses again.
+
+    The process of the lowest rank reads often, the others in case that one is gone; otherwise the number of
+    such reads would grow with the square of the number of processes.
+    """
+    return exchange_interval_s * min(rank, EXCHANGES_PER_TTL / 2)
+
+
+class VersionFollower(trio.abc.Instrument):
+    """Follows the versions for one process.
+
+    `apply(adapted, is_binding)` makes the process act on a version, at once; `settle()` runs after a change,
+    `server_list()` returns the source and revision of the server list in use, and `apply_drains` takes the
+    list entries that changed by others' drain notices.
+    """
+
+    def __init__(
+        self,
+        store: VersionStore,
+        member: Member,
+        adapter: Adapter,
+        apply: Callable[[AdaptedVersion, bool], None],
+        settle: Callable[[], None],
+        server_list: Callable[[], tuple[str, int]],
+        log: Any,
+        drain_notices: DrainNotices | None = None,
+        apply_drains: Callable[[list[dict[str, Any]]], None] = lambda servers: None,
+    ) -> None:
+        self._server_list, self._drain_notices, self._apply_drains = server_list, drain_notices, apply_drains
+        self._next_status_read = 0.0
+        self._store, self._member, self._adapter, self._log = store, member, adapter, log
+        self._apply, self._settle = apply, settle
+        self._confirmed_until = -1.0  # before that the clock needs no check
+        self._exchange_interval_s = min(
+            MAX_EXCHANGE_INTERVAL_S, member.confirmation_ttl_s / EXCHANGES_PER_TTL
+        )
+        self._exchange_timeout_s = EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s
+        self._logged_phase = ""
+        self._logged_unreadable: set[str] = set()
+        self._exchange_lock = trio.Lock()  # held while an exchange, with the own status, is in flight
+        self.has_left = False
+        self._update_effective()
+
+    @property
+    def member(self) -> Member:
+        """The state machine that this follower runs."""
+        return self._member
+
+    def after_io_wait(self, timeout: float) -> None:
+        """Check the confirmation before the tasks run, as the process may have been stopped meanwhile."""
+        if clock() >= self._confirmed_until and not self._member.effective.is_conservative:
+            self._update_effective()
+
+    def _update_effective(self) -> bool:
+        """Act on what the member may act on now; returns whether that changed."""
+        before, effective = self._member.effective, self._member.permitted(clock())
+        self._confirmed_until = self._member.confirmed_until
+        if effective == before and self._logged_phase:
+            return False
+        # a change that only loosens leaves requests the rules under which they were accepted
+        is_looser = (
+            not effective.is_conservative
+            and effective.joint in (before.joint, 0)
+            and effective.active in (before.active, before.joint)
+        )
+        self._apply(self._adapter.adapt(effective), not is_looser)
+        self._member.set_effective(effective)
+        self._log_effective(effective)
+        return True
+
+    def _log_effective(self, effective: EffectiveVersions) -> None:
+        phase = "careful" if effective.is_conservative else "joint" if effective.joint else "in force"
+        self._logged_phase = phase
+        self._log.info(
+            "settings",
+            phase=phase,
+            version=effective.active,
+            joint=effective.joint,
+            record=self._member.history.head,
+            trouble=self._member.conservative_reason,
+        )
+
+    async def run(self) -> None:
+        """Follow the versions until cancelled, or until `leave` was called."""
+        trio.lowlevel.add_instrument(self)
+        async with running_store(self._store):
+            await self._follow()
+
+    async def _follow(self) -> None:
+        while True:
+            has_changed = False
+            try:
+                async with self._exchange_lock:
+                    if self.has_left:
+                        return
+                    with trio.fail_after(self._exchange_timeout_s):
+                        has_changed = await self._exchange(clock())
+            except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
+                self._fail(str(error) or "the place does not answer")
+            except Exception:
+                # a defect here must not end the node: it goes on, conservatively
+                self._log.exception("fault")
+                self._fail("a mistake in the program, see the log")
+            if not has_changed:
+                await trio.sleep(self._exchange_interval_s)
+
+    async def _exchange(self, sent_at: float) -> bool:
+        """Exchange with the store once; returns whether to do so again at once."""
+        member, history = self._member, self._member.history
+        member.server_list = self._server_list()
+        records = await self._store.exchange(
+            member.key, member.next_status(time.time()), history.head, history.head_digest
+        )
+        # through a relay, the confirmation counts from the relay's own exchange if that is earlier
+        sent_at = min(sent_at, getattr(self._store, "exchanged_at", sent_at))
+        member.confirm(sent_at, records, len(records) < MAX_RECORDS_PER_READ)
+        self._log_unreadable()
+        self._check_versions()
+        has_changed = self._update_effective()
+        if has_changed:
+            self._settle()
+        if self._drain_notices is not None:
+            await self._exchange_drain_notices(self._drain_notices)
+        return await self._decide() or has_changed or bool(records)
+
+    def _log_unreadable(self) -> None:
+        unreadable_keys: set[str] = getattr(self._store, "unreadable_keys", set())
+        for key in sorted(unreadable_keys - self._logged_unreadable):
+            self._logged_unreadable.add(key)
+            self._log.warning("settings-skipped", name=key)
+
+    def _check_versions(self) -> None:
+        for number in self._member.unchecked_versions():
+            version = self._member.history.versions[number]
+            error = self._adapter.check(number, version.content)
+            self._member.record_check(number, error)
+            if error:
+                self._log.warning("settings-refused", version=number, trouble=error)
+
+    async def _exchange_drain_notices(self, drain_notices: DrainNotices) -> None:
+        """Act on others' notices, and write those that follow from the own server list."""
+        changed = drain_notices.receive(take_received_notices(self._store), clock())
+        if changed:
+            self._apply_drains(changed)
+            states = ",".join(f"{entry['id']}:{entry['state']}" for entry in changed)
+            self._log.info("servers-heard", servers=states)
+        notices, expired_ids = drain_notices.outgoing(clock())
+        if notices or expired_ids:
+            await self._store.write_drain_notices(notices, expired_ids)
+
+    def _fail(self, reason: str) -> None:
+        if reason != self._member.conservative_reason:
+            self._log.warning("settings-unconfirmed", trouble=reason, record=self._member.history.head)
+        self._member.record_failure(reason)
+
+    async def _decide(self) -> bool:
+        """Append a decision if one is due; returns whether to exchange again at once."""
+        member = self._member
+        if not member.history.pending or clock() < self._next_status_read:
+            return False
+        began = clock()
+        statuses = await self._store.statuses()
+        rank = member.rank(statuses)
+        self._next_status_read = began + status_read_interval_s(rank, self._exchange_interval_s)
+        record = member.next_decision(began, clock(), statuses)
+        if record is None:
+            return False
+        # one process after the other: the first one appends it, the others then read it
+        await trio.sleep(min(1.0, rank * self._exchange_interval_s / EXCHANGES_PER_TTL))
+        if await self._store.append(record):
+            self._log.info(
+                "settings-judged",
+                kind=record["kind"],
+                version=record["version"],
+                reason=record.get("reason", ""),
+            )
+            await self._store.remove_statuses(member.expired_status_keys(began, statuses))
+        return True
+
+    async def leave(self) -> None:
+        """Remove the process's status, as it stops and acts on nothing more.
+
+        Waits for an exchange in flight, which would otherwise write the status again after its removal.
+        """
+        self.has_left = True
+        with trio.move_on_after(self._exchange_timeout_s):
+            try:
+                async with self._exchange_lock:
+                    await self._store.remove_statuses([self._member.key])
+            except VersionStoreError as error:
+                self._log.warning("settings-unconfirmed", trouble=str(error))
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -1,8 +1,8 @@
-"""Versions and their history: what was put, what is in force, what became of the rest. Free of I/O.
+"""Versions of the settings and their history: what was put, what is active, what was withdrawn. No I/O.
 
-Owns the form of a record and the order of records. A history is one chain: each record names the digest of
-the one before it, so that two stores, or one store and its older backup, cannot be taken for one another. It
-must never go back, pass over a record, or read one of a form that it does not know.
+A history is a hash chain: each record names the digest of the one before it, so that two stores, or a store
+and its older backup, cannot be mistaken for one another. A history never goes back, skips a record, or
+accepts one of an unknown format.
 """
 
 from __future__ import annotations
@@ -15,124 +15,137 @@
 import rfc8785
 
 FORMAT = 1
-PUT, FORCE, WITHDRAW = "put", "force", "withdraw"
+PUT, ACTIVATE, WITHDRAW = "put", "force", "withdraw"  # kinds of records, as stored
 
 
 class HistoryError(Exception):
-    """The records do not go on from where this history is: another store, an older one, or a newer form."""
+    """The records do not continue this history: another store, an older one, or a newer format."""
 
 
 class ContentError(Exception):
-    """What cannot be a version's content."""
+    """The content is not valid for a version."""
 
 
 def canonical(content: Any) -> bytes:
-    """One text for equal contents, by RFC 8785; raises `ContentError`."""
+    """Return the canonical JSON of RFC 8785; raises `ContentError` if there is none."""
     try:
         return rfc8785.dumps(content)
-    except (rfc8785.CanonicalizationError, RecursionError) as trouble:
-        raise ContentError(f"has no canonical form: {trouble}") from trouble
+    except (rfc8785.CanonicalizationError, RecursionError) as error:
+        raise ContentError(f"has no canonical form: {error}") from error
 
 
 def digest(content: Any) -> str:
-    """SHA-256 of the canonical form, in hexadecimal."""
+    """Return the SHA-256 of the canonical form, in hexadecimal."""
     return hashlib.sha256(canonical(content)).hexdigest()
 
 
 @dataclass
 class Version:
-    """One version and what became of it; `when` is Unix time, for people only."""
+    """One version and its outcomes so far."""
 
     number: int
-    parent: int
+    parent: int  # the version that was active when it was put
     content: dict[str, Any]
     digest: str
-    name: str  # of the act of putting it, given by who put it
-    who: str = ""
-    when: float = 0.0
-    why: str = ""
-    life: list[str] = field(default_factory=list)
+    put_id: str  # random, by which its author recognizes it
+    author: str = ""
+    put_time: float = 0.0  # Unix time in seconds; for display only
+    reason: str = ""
+    outcomes: list[str] = field(default_factory=list)
 
     @property
     def state(self) -> str:
-        return self.life[-1] if self.life else "put"
+        """The newest outcome; "put" while there is none."""
+        return self.outcomes[-1] if self.outcomes else "put"
 
 
 class History:
-    """The records taken so far. Version 0 is what each process's own file says."""
+    """The records applied so far. Version 0 is what each process's own file says."""
 
     def __init__(self) -> None:
-        self.head, self.mark = 0, ""  # number and digest of the last record
-        self.in_force = self.pending = 0
-        self.put_at = 0  # the record by which what is pending was put
+        self.head, self.head_digest = 0, ""  # number and digest of the last record
+        self.active = self.pending = 0  # version numbers; 0 for none
+        self.pending_record = 0  # number of the record that put the pending version
         self.versions: dict[int, Version] = {}
         self.records: list[dict[str, Any]] = []
 
     def copy(self) -> History:
-        """Another one that goes on from here by itself."""
+        """Return an independent copy."""
         other = copy(self)
-        other.versions = {number: replace(one, life=list(one.life)) for number, one in self.versions.items()}
+        other.versions = {
+            number: replace(version, outcomes=list(version.outcomes))
+            for number, version in self.versions.items()
+        }
         other.records = list(self.records)
         return other
 
-    def next(self, kind: str, **more: Any) -> dict[str, Any]:
-        """A record that would go on from here."""
-        return {"format": FORMAT, "seq": self.head + 1, "before": self.mark, "kind": kind} | more
+    def next_record(self, kind: str, **fields: Any) -> dict[str, Any]:
+        """Return a record that would continue this history; it is not applied."""
+        return {"format": FORMAT, "seq": self.head + 1, "before": self.head_digest, "kind": kind} | fields
 
-    def put(self, content: dict[str, Any], name: str, who: str, when: float, why: str) -> dict[str, Any]:
-        return self.next(
+    def put_record(
+        self, content: dict[str, Any], put_id: str, author: str, put_time: float, reason: str
+    ) -> dict[str, Any]:
+        """Return a record that would put a new version; raises `ContentError`."""
+        return self.next_record(
             PUT,
             version=len(self.versions) + 1,
-            parent=self.in_force,
+            parent=self.active,
             content=content,
             digest=digest(content),
-            name=name,
-            who=who,
-            when=when,
-            why=why,
+            name=put_id,
+            who=author,
+            when=put_time,
+            why=reason,
         )
 
-    def take(self, record: dict[str, Any]) -> None:
-        """The next record; raises `HistoryError` and stays as it was if it is not that."""
-        if record.get("format") != FORMAT:
-            raise HistoryError(
-                f"record {self.head + 1} has form {record.get('format')!r}, this program knows {FORMAT}"
-            )
-        if record.get("seq") != self.head + 1 or record.get("before") != self.mark:
-            raise HistoryError(
-                f"record {record.get('seq')!r} does not follow record {self.head} "
-                f"({self.mark[:12] or 'the start'})"
-            )
+    def apply(self, record: dict[str, Any]) -> None:
+        """Apply the next record; raises `HistoryError`, and changes nothing, if it is not the next one."""
+        self._check_chain(record)
         kind, number = record.get("kind"), record.get("version")
-        mark = digest(record)
+        record_digest = digest(record)
         if kind == PUT:
-            content = record["content"]
-            if number != len(self.versions) + 1:
-                raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
-            if self.pending:
-                self.versions[self.pending].life.append(f"replaced by {number}")
-            self.versions[number] = Version(
-                number,
-                record["parent"],
-                content,
-                record["digest"],
-                record["name"],
-                record["who"],
-                record["when"],
-                record["why"],
-            )
-            self.pending, self.put_at = number, record["seq"]
-        elif number != self.pending or kind not in (FORCE, WITHDRAW):
+            self._apply_put(record)
+        elif number != self.pending or kind not in (ACTIVATE, WITHDRAW):
             raise HistoryError(
                 f"record {self.head + 1}: {kind!r} of version {number!r}, {self.pending} is put"
             )
-        elif kind == FORCE:
-            if self.in_force:
-                self.versions[self.in_force].life.append(f"was in force until {number}")
-            self.versions[number].life.append("in force")
-            self.in_force, self.pending = number, 0
+        elif kind == ACTIVATE:
+            if self.active:
+                self.versions[self.active].outcomes.append(f"was in force until {number}")
+            self.versions[number].outcomes.append("in force")
+            self.active, self.pending = number, 0
         else:
-            self.versions[number].life.append(f"withdrawn: {record['reason']}")
+            self.versions[number].outcomes.append(f"withdrawn: {record['reason']}")
             self.pending = 0
-        self.head, self.mark = record["seq"], mark
+        self.head, self.head_digest = record["seq"], record_digest
         self.records.append(record)
+
+    def _check_chain(self, record: dict[str, Any]) -> None:
+        if record.get("format") != FORMAT:
+            raise HistoryError(
+                f"record {self.head + 1} has form {record.get('format')!r}, this program knows {FORMAT}"
+            )
+        if record.get("seq") != self.head + 1 or record.get("before") != self.head_digest:
+            raise HistoryError(
+                f"record {record.get('seq')!r} does not follow record {self.head} "
+                f"({self.head_digest[:12] or 'the start'})"
+            )
+
+    def _apply_put(self, record: dict[str, Any]) -> None:
+        content, number = record["content"], record.get("version")
+        if number != len(self.versions) + 1:
+            raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
+        if self.pending:
+            self.versions[self.pending].outcomes.append(f"replaced by {number}")
+        self.versions[number] = Version(
+            number=number,
+            parent=record["parent"],
+            content=content,
+            digest=record["digest"],
+            put_id=record["name"],
+            author=record["who"],
+            put_time=record["when"],
+            reason=record["why"],
+        )
+        self.pending, self.pending_record = number, record["seq"]
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -75,8 +75,8 @@
     """Runs the node that FILE describes, in the version that the rollout says; ends without the node."""
     import trio
 
-    from wheatroute.agreement.operator import first
-    from wheatroute.agreement.places import PlaceError
+    from wheatroute.agreement.operator_errors import first_error
+    from wheatroute.agreement.version_store import VersionStoreError
     from wheatroute.net.log import open_log
     from wheatroute.rollout import supervisor
 
@@ -84,8 +84,8 @@
         told = supervisor.read(file)
         trio.run(supervisor.keep, told, open_log(f"supervisor-{told.name}"))
     except (supervisor.SupervisorError, BaseExceptionGroup) as trouble:
-        found = first(trouble)
-        if not isinstance(found, supervisor.SupervisorError | PlaceError):
+        found = first_error(trouble)
+        if not isinstance(found, supervisor.SupervisorError | VersionStoreError):
             raise
         click.echo(str(found), err=True)
         sys.exit(2)
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -23,7 +23,7 @@
 
     import trio
 
-    from wheatroute.agreement import operator
+    from wheatroute.agreement.operator_errors import first_error
     from wheatroute.rig import script
     from wheatroute.rig.processes import RigError
 
@@ -39,7 +39,7 @@
 
             summary = trio.run(script.play, told, into, tell)
     except (script.ScriptError, RigError, BaseExceptionGroup) as trouble:
-        found = operator.first(trouble)
+        found = first_error(trouble)
         if not isinstance(found, script.ScriptError | RigError):
             raise
         click.echo(str(found), err=True)
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -109,7 +109,9 @@
     import trio
 
     from wheatroute.agreement import operator
-    from wheatroute.agreement.places import Directory, opened
+    from wheatroute.agreement.directory_store import DirectoryStore
+    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.version_store import VersionStoreError, running_store
     from wheatroute.net.log import open_log
     from wheatroute.rollout.controller import Controller
 
@@ -118,16 +120,16 @@
         sys.exit(2)
 
     async def control() -> None:
-        place = operator.place_of(at)
-        if isinstance(place, Directory):
-            place.make()
-        async with opened(place):
+        place = operator.store_from_url(at)
+        if isinstance(place, DirectoryStore):
+            place.create()
+        async with running_store(place):
             await Controller(place, open_log(f"controller-{name or socket.gethostname()}")).run()
 
     try:
         trio.run(control)
     except KeyboardInterrupt:
         sys.exit(0)
-    except (operator.OperatorError, operator.PlaceError) as trouble:
+    except (OperatorError, VersionStoreError) as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -30,8 +30,8 @@
     version = at_place(at, what)
     click.echo(f"version {version.number} put, from {version.parent}, {version.digest[:12]}")
     if wait > 0.0:
-        version = at_place(at, lambda place: operator.ended(place, version.number, wait))
-        click.echo(f"version {version.number}: {', '.join(version.life) or 'still under way'}")
+        version = at_place(at, lambda place: operator.wait_for_outcome(place, version.number, wait))
+        click.echo(f"version {version.number}: {', '.join(version.outcomes) or 'still under way'}")
         sys.exit(0 if version.state == "in force" else 3)
 
 
@@ -52,15 +52,16 @@
     content, left = _checked(file)
     if left:
         click.echo(f"left out, as each process has its own: {', '.join(left)}", err=True)
-    _put(at, lambda place: operator.put(place, content, why, over), wait)
+    _put(at, lambda place: operator.put_version(place, content, why, over), wait)
 
 
 def _checked(file: str) -> tuple[dict[str, Any], list[str]]:
-    from wheatroute.agreement import operator
+    from wheatroute.agreement import version_content
+    from wheatroute.agreement.operator_errors import OperatorError
 
     try:
-        return operator.content_of(file)
-    except operator.OperatorError as trouble:
+        return version_content.read_content(file)
+    except OperatorError as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(trouble.status)
 
@@ -83,12 +84,13 @@
 def settings_back(at: str, number: int, why: str, over: int, wait: float) -> None:
     """Puts a new version with the content of version NUMBER."""
     from wheatroute.agreement import operator
+    from wheatroute.agreement.operator_errors import OperatorError
 
     async def back(place: Any) -> Any:
-        history = await operator.history_of(place)
+        history = await operator.read_history(place)
         if number not in history.versions:
-            raise operator.OperatorError(f"there is no version {number}", 2)
-        return await operator.put(place, history.versions[number].content, why, over)
+            raise OperatorError(f"there is no version {number}", 2)
+        return await operator.put_version(place, history.versions[number].content, why, over)
 
     _put(at, back, wait)
 
@@ -104,28 +106,28 @@
 
     import trio
 
-    from wheatroute.agreement import operator
+    from wheatroute.agreement import operator, operator_output
 
     async def look(place: Any) -> Any:
         until = time.monotonic() + wait
         while True:
-            told = await operator.status(place)
-            if operator.same(told) or time.monotonic() >= until:
+            told = await operator.agreement_status(place)
+            if operator.is_settled(told) or time.monotonic() >= until:
                 return told
-            await trio.sleep(operator.LOOKS)
+            await trio.sleep(operator.POLL_INTERVAL_S)
 
     told = at_place(at, look)
-    click.echo(json.dumps(told) if as_json else "\n".join(operator.status_lines(told)))
-    sys.exit(0 if operator.same(told) or not wait else 3)
+    click.echo(json.dumps(told) if as_json else "\n".join(operator_output.status_lines(told)))
+    sys.exit(0 if operator.is_settled(told) or not wait else 3)
 
 
 @settings.command("log")
 @click.pass_obj
 def settings_log(at: str) -> None:
     """All versions: who put them, why, and what became of them."""
-    from wheatroute.agreement import operator
+    from wheatroute.agreement import operator, operator_output
 
-    click.echo("\n".join(operator.log_lines(at_place(at, operator.history_of))))
+    click.echo("\n".join(operator_output.log_lines(at_place(at, operator.read_history))))
 
 
 @settings.command("diff")
@@ -134,10 +136,10 @@
 @click.pass_obj
 def settings_diff(at: str, first: int, second: int) -> None:
     """What differs between two versions; ! marks what two processes may not hold unlike at once."""
-    from wheatroute.agreement import operator
+    from wheatroute.agreement import operator, operator_output
 
     async def look(place: Any) -> Any:
-        return operator.diff_lines(await operator.history_of(place), first, second)
+        return operator_output.diff_lines(await operator.read_history(place), first, second)
 
     click.echo("\n".join(at_place(at, look)))
 
@@ -154,8 +156,10 @@
     import trio
 
     from wheatroute.agreement import operator
-    from wheatroute.agreement.following import PATIENCE
-    from wheatroute.agreement.relay import relay
+    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.relay import run_relay
+    from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION
+    from wheatroute.agreement.version_store import VersionStoreError
     from wheatroute.net.log import open_log
 
     if not at:
@@ -164,8 +168,8 @@
     called = name or socket.gethostname()
     try:
         trio.run(
-            relay,
-            lambda lasts: operator.place_of(at, PATIENCE * lasts / 3.0),
+            run_relay,
+            lambda lasts: operator.store_from_url(at, EXCHANGE_TIMEOUT_FRACTION * lasts / 3.0),
             directory,
             f"relay-{called}",
             within,
@@ -173,6 +177,6 @@
         )
     except KeyboardInterrupt:
         sys.exit(0)
-    except (operator.OperatorError, operator.PlaceError) as trouble:
+    except (OperatorError, VersionStoreError) as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -38,7 +38,7 @@
 class ListFilter(Protocol):
     """Corrects lists by what other processes say of servers."""
 
-    def listed(self, told: Any) -> Any:
+    def filter_message(self, told: Any) -> Any:
         """Returns a list, or changes to it, with corrections."""
 
 
@@ -250,7 +250,7 @@
     def _apply(self, told: Any) -> None:
         """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
         if self.list_filter is not None:
-            told = self.list_filter.listed(told)
+            told = self.list_filter.filter_message(told)
         if not isinstance(told, dict) or not isinstance(told.get("servers"), list):
             return
         is_full = bool(told.get("full", False))
--- a/wheatroute/rig/making.py
+++ b/wheatroute/rig/making.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from wheatroute.agreement.places import Directory
+from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.rig.endpoints import Clients, ListService, Server, listen
 from wheatroute.rig.links import Datagrams
 from wheatroute.rig.parts import RigParts
@@ -35,7 +35,7 @@
             self.cluster.start()
         if self.kind == "directory":
             (self.folder / "store").mkdir()
-            Directory(str(self.folder / "store")).make()
+            DirectoryStore(str(self.folder / "store")).create()
         if self.kind == "relay":
             await self._start_relay()
         for name in self.names if self._tell else ():
@@ -181,7 +181,7 @@
     def _keep(self, name: str) -> None:
         """A supervisor for a node, in a process of its own."""
         assert self.programs is not None
-        Directory(str(self.folder / "rollouts")).make()
+        DirectoryStore(str(self.folder / "rollouts")).create()
         file, path = self.folder / f"{name}.json", self.folder / f"supervisor-{name}.toml"
         told = {
             "name": name,
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -19,8 +19,9 @@
 import trio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from wheatroute.agreement.operator import OperatorError, table
-from wheatroute.agreement.places import PlaceError
+from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.operator_output import table
+from wheatroute.agreement.version_store import VersionStoreError
 from wheatroute.rig import records
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.rig import Rig, rig
@@ -161,7 +162,7 @@
         until = await it.quiet()
         try:
             await it.note()
-        except (PlaceError, trio.TooSlowError):
+        except (VersionStoreError, trio.TooSlowError):
             pass  # the store was left away: what was noted by then stands
         tell(1.0)
         return _keep(it, script, folder, began, wall, until)
@@ -180,7 +181,7 @@
 async def _put(it: Rig, step: Step) -> None:
     try:
         await it.ended(await it.put(step.why, step.over, **step.change), 60.0)
-    except (OperatorError, PlaceError) as trouble:
+    except (OperatorError, VersionStoreError) as trouble:
         it.fault(f"not put: {trouble}")
 
 
--- a/wheatroute/rig/versioning.py
+++ b/wheatroute/rig/versioning.py
@@ -10,8 +10,9 @@
 
 import trio
 
-from wheatroute.agreement import operator
-from wheatroute.agreement.places import Directory, Place, PlaceError, opened
+from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
 from wheatroute.rig.parts import PATIENCE, RigParts
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.records import Known
@@ -24,7 +25,7 @@
     async def note(self) -> Any:
         """What the store says of the versions; also those that others put."""
         async with self._place() as place:
-            history = await operator.history_of(place)
+            history = await operator.read_history(place)
         for number, version in history.versions.items():
             if number not in [one.number for one in self.records.versions]:
                 kinds = {one["name"]: one for one in version.content["settings"]["traffic-types"]}
@@ -39,13 +40,13 @@
         return str(path)
 
     @asynccontextmanager
-    async def _place(self) -> AsyncIterator[Place]:
+    async def _place(self) -> AsyncIterator[VersionStore]:
         """The operator's own way to the store, with no link between."""
         if self.kind == "directory" or self.cluster is None:
-            yield Directory(str(self.folder / "store"))
+            yield DirectoryStore(str(self.folder / "store"))
             return
         ends = ",".join("{}:{}".format(*place) for place in self.cluster.places)
-        async with opened(operator.place_of(f"etcd://{ends}/rig")) as place:
+        async with running_store(operator.store_from_url(f"etcd://{ends}/rig")) as place:
             yield place
 
     async def put(self, why: str = "a change", over: int = 0, **changes: Any) -> int:
@@ -57,8 +58,8 @@
             if self.processors:
                 path = self.folder / "put.toml"
                 path.write_text(file_text(settings, len(self.names), {}))
-                content |= operator.content_of(str(path))[0]
-            version = await operator.put(place, content, why, over)
+                content |= version_content.read_content(str(path))[0]
+            version = await operator.put_version(place, content, why, over)
         self.records.versions.append(
             Known(version.number, {one["name"]: one for one in settings["traffic-types"]}, moment)
         )
@@ -69,29 +70,29 @@
         with trio.fail_after(patience):
             async with self._place() as place:
                 while True:
-                    with suppress(PlaceError, trio.TooSlowError):
-                        history = await operator.history_of(place)
+                    with suppress(VersionStoreError, trio.TooSlowError):
+                        history = await operator.read_history(place)
                         self._note(history)
-                        if history.versions[number].life:
+                        if history.versions[number].outcomes:
                             return history.versions[number].state
                     await trio.sleep(0.02)
 
     def _note(self, history: Any) -> None:
         for known in self.records.versions:
-            life = history.versions[known.number].life if known.number in history.versions else []
+            life = history.versions[known.number].outcomes if known.number in history.versions else []
             if life and life[-1] != known.state:
                 known.state, known.ended = life[-1], known.ended or time.monotonic()
 
     async def status(self) -> dict[str, Any]:
         async with self._place() as place:
-            return await operator.status(place)
+            return await operator.agreement_status(place)
 
     async def agreed(self, number: int, names: list[str] | None = None, patience: float = PATIENCE) -> None:
         """Waits until the nodes (all that run) act on a version alone."""
         with trio.move_on_after(patience):
             while True:
                 rows = {}
-                with suppress(PlaceError, trio.TooSlowError):
+                with suppress(VersionStoreError, trio.TooSlowError):
                     told = await self.status()
                     for row in sorted(told["processes"], key=lambda row: -row["confirmed_ago_s"]):
                         rows[row["name"]] = row
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from wheatroute.agreement.places import MOST, Place, PlaceError
+from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore, VersionStoreError
 from wheatroute.agreement.versions import HistoryError
 from wheatroute.rollout import account
 from wheatroute.rollout.judge import Judge, Sequence, Tally, Verdict
@@ -108,7 +108,7 @@
 class Controller:
     """One of them. `look` is one turn."""
 
-    def __init__(self, place: Place, log: Any) -> None:
+    def __init__(self, place: VersionStore, log: Any) -> None:
         self._place, self._log = place, log
         self.progress = RolloutProgress()
         self.name = secrets.token_hex(6)
@@ -126,7 +126,7 @@
             try:
                 with trio.fail_after(ANSWERS):
                     await self.look(time.monotonic())
-            except (PlaceError, HistoryError, trio.TooSlowError) as trouble:
+            except (VersionStoreError, HistoryError, trio.TooSlowError) as trouble:
                 self._log.warning("place", trouble=str(trouble) or "does not answer")
             await trio.sleep(LOOKS)
 
@@ -141,15 +141,15 @@
             "findings": self.findings[:20],
             "head": self.progress.head,
         }
-        records = await self._place.ask(
+        records = await self._place.exchange(
             f"controller.{self.name}", row, self.progress.head, self.progress.mark
         )
         for record in records:
             self.progress.take(record)
             self._began(record, now)
-        if len(records) >= MOST:
+        if len(records) >= MAX_RECORDS_PER_READ:
             return
-        rows = await self._place.rows()
+        rows = await self._place.statuses()
         supervisors = {one["name"]: one for one in rows if one.get("row") == "keeper"}
         figures = self._watch.fresh([one for one in rows if one.get("row") == "figures"], now)
         if self.progress.plan is None or self.progress.phase in (Phase.NONE, Phase.ENDED):
@@ -168,12 +168,12 @@
             self._seen_before(),
         )
         if self._silent:
-            await self._place.drop(self._silent)
+            await self._place.remove_statuses(self._silent)
         if step is None or not first:
             return
         if step["kind"] == Kind.STAGE and self._judge is not None:
             step |= {"seen": self._judge.kept(), "slow": self._slow()}
-        if await self._place.add(step):
+        if await self._place.append(step):
             self._log.info(
                 "step",
                 **{key: value for key, value in step.items() if key in ("kind", "stage", "reason", "how")},
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -12,8 +12,11 @@
 
 import trio
 
-from wheatroute.agreement.operator import PATIENCE, TRIES, OperatorError, table
-from wheatroute.agreement.places import Directory, Place, PlaceError
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.operator import MAX_APPEND_ATTEMPTS, STORE_TIMEOUT_S
+from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.operator_output import table
+from wheatroute.agreement.version_store import VersionStore, VersionStoreError
 from wheatroute.agreement.versions import HistoryError
 from wheatroute.rollout.plan import Plan
 from wheatroute.rollout.progress import Kind, RolloutProgress
@@ -21,26 +24,26 @@
 AGAIN = 0.1  # seconds between two tries at a place that did not say
 
 
-async def progress_of(place: Place) -> RolloutProgress:
+async def progress_of(place: VersionStore) -> RolloutProgress:
     """All records."""
     progress = RolloutProgress()
-    with trio.fail_after(PATIENCE):
+    with trio.fail_after(STORE_TIMEOUT_S):
         while True:
-            records = await place.ask("", None, progress.head, progress.mark)
+            records = await place.exchange("", None, progress.head, progress.mark)
             for record in records:
                 progress.take(record)
             if not records:
                 return progress
 
 
-async def supervisors(place: Place) -> dict[str, dict[str, Any]]:
-    return {one["name"]: one for one in await place.rows() if one.get("row") == "keeper"}
+async def supervisors(place: VersionStore) -> dict[str, dict[str, Any]]:
+    return {one["name"]: one for one in await place.statuses() if one.get("row") == "keeper"}
 
 
-async def start(place: Place, plan: Plan, why: str) -> int:
+async def start(place: VersionStore, plan: Plan, why: str) -> int:
     """Begins a rollout; returns its number. Each node of the plan needs a supervisor with both programs."""
-    if isinstance(place, Directory):
-        place.make()
+    if isinstance(place, DirectoryStore):
+        place.create()
     rows = await supervisors(place)
     wrong = []
     for name in [name for stage in plan.stages for name in stage.nodes]:
@@ -59,23 +62,23 @@
     )
 
 
-async def hold(place: Place, reason: str) -> int:
+async def hold(place: VersionStore, reason: str) -> int:
     return await _add(place, Kind.HOLD, reason=reason, by=getpass.getuser(), when=time.time())
 
 
-async def go(place: Place) -> int:
+async def go(place: VersionStore) -> int:
     """Goes on from where it is held."""
     return await _add(place, Kind.GO, by=getpass.getuser(), when=time.time())
 
 
-async def back(place: Place, reason: str) -> int:
+async def back(place: VersionStore, reason: str) -> int:
     return await _add(place, Kind.BACK, reason=reason, by=getpass.getuser(), when=time.time())
 
 
-async def _add(place: Place, kind: Kind, **more: Any) -> int:
+async def _add(place: VersionStore, kind: Kind, **more: Any) -> int:
     """Adds a record once, also where the answer is lost; raises `OperatorError` if it is not its time."""
     doubt = ""
-    for _ in range(TRIES):
+    for _ in range(MAX_APPEND_ATTEMPTS):
         try:
             progress = await progress_of(place)
             if doubt and any(one.get("when") == more.get("when") for one in progress.records):
@@ -85,17 +88,17 @@
                 progress.take(record)
             except HistoryError as trouble:
                 raise OperatorError(str(trouble).split(": ", 1)[-1], 3) from trouble
-            if await place.add(record):
+            if await place.append(record):
                 return int(record["seq"])
-        except PlaceError as trouble:
+        except VersionStoreError as trouble:
             doubt = str(trouble)
             await trio.sleep(AGAIN)
     raise OperatorError(f"not known whether it was added: {doubt}" if doubt else "others were ahead", 4)
 
 
-async def status(place: Place) -> dict[str, Any]:
+async def status(place: VersionStore) -> dict[str, Any]:
     """The last rollout, a row a node, and what the judge sees."""
-    progress, rows = await progress_of(place), await place.rows()
+    progress, rows = await progress_of(place), await place.statuses()
     told = {one["name"]: one for one in rows if one.get("row") == "keeper"}
     seen = [
         one
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -22,8 +22,8 @@
 import trio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from wheatroute.agreement.node import place
-from wheatroute.agreement.places import PlaceError, opened
+from wheatroute.agreement.node import open_store
+from wheatroute.agreement.version_store import VersionStoreError, running_store
 from wheatroute.agreement.versions import HistoryError
 from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.progress import RolloutProgress
@@ -140,7 +140,7 @@
 
     def __init__(self, told: Node, log: Any) -> None:
         self._told, self._log = told, log
-        self._place = place(
+        self._place = open_store(
             {"directory": told.directory}
             if told.directory
             else {"etcd": [parse_address(one) for one in told.etcd], "prefix": told.prefix},
@@ -224,7 +224,7 @@
     async def run(self) -> None:
         """Until SIGTERM, which leaves the node serving."""
         self._find()
-        async with opened(self._place):
+        async with running_store(self._place):
             while True:
                 rows = await self._look()
                 self._mind(rows)
@@ -251,17 +251,17 @@
         }
         try:
             with trio.fail_after(ANSWERS):
-                records = await self._place.ask(
+                records = await self._place.exchange(
                     f"keeper.{self._told.name}", row, self._progress.head, self._progress.mark
                 )
                 for record in records:
                     self._progress.take(record)
-                rows = await self._place.rows()
-                await self._place.drop(self._gone)
+                rows = await self._place.statuses()
+                await self._place.remove_statuses(self._gone)
                 self._gone.clear()
                 self._rows = {one["name"]: one for one in rows if one.get("row") == "keeper"}
                 return rows
-        except (PlaceError, HistoryError, trio.TooSlowError) as trouble:
+        except (VersionStoreError, HistoryError, trio.TooSlowError) as trouble:
             if self._trouble != str(trouble):
                 self._log.warning("place", trouble=str(trouble) or "does not answer")
             return None
@@ -348,7 +348,7 @@
 
 
 async def keep(told: Node, log: Any) -> None:
-    """Runs a supervisor until SIGTERM or SIGINT; raises `PlaceError` where no place can be made."""
+    """Runs a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` where no store can be opened."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Supervisor(told, log).run)
--- a/wheatroute/rollout/telling.py
+++ b/wheatroute/rollout/telling.py
@@ -16,8 +16,8 @@
 
 import trio
 
-from wheatroute.agreement.node import place
-from wheatroute.agreement.places import PlaceError, opened
+from wheatroute.agreement.node import open_store
+from wheatroute.agreement.version_store import VersionStoreError, running_store
 from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.downstream import Downstream
@@ -47,7 +47,7 @@
         assert settings.rollout is not None
         self._program = os.environ.get("WHEATROUTE_PROGRAM", "")
         self._start = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
-        self._place = place(settings.rollout, random.Random(self._start), PATIENCE / 2.0)
+        self._place = open_store(settings.rollout, random.Random(self._start), PATIENCE / 2.0)
         self.account = Account(settings.request_classes, settings.tenants, settings.terms["request_classes"])
         downstream.set_account(self.account)
         self._beat = 0
@@ -60,7 +60,7 @@
         """What it tells now."""
         self._beat += 1
         ready = self._discovery.has_full_list and (
-            self._following is None or not self._following.member.acts.careful
+            self._following is None or not self._following.member.effective.is_conservative
         )
         used = resource.getrusage(resource.RUSAGE_SELF)
         return self.account.row(now()) | {
@@ -78,14 +78,14 @@
         }
 
     async def run(self) -> None:
-        async with opened(self._place):
+        async with running_store(self._place):
             said = ""
             while True:
                 try:
                     with trio.fail_after(PATIENCE):
-                        await self._place.say(self.key, self.row())
+                        await self._place.write_status(self.key, self.row())
                     said = ""
-                except (PlaceError, trio.TooSlowError) as trouble:
+                except (VersionStoreError, trio.TooSlowError) as trouble:
                     if not said:
                         said = str(trouble) or "the place does not answer"
                         self._log.warning("figures-untold", trouble=said)
