--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -34,10 +34,10 @@
 from wheatroute.balancing.interface import Event, ServerState  # noqa: E402
 from wheatroute.decide import Balancer  # noqa: E402
 from wheatroute.etcd import messages as wire  # noqa: E402
-from wheatroute.etcd.client import Cluster  # noqa: E402
-from wheatroute.etcd.follow import Follower  # noqa: E402
+from wheatroute.etcd.client import EtcdClient  # noqa: E402
+from wheatroute.etcd.follower import Follower  # noqa: E402
 from wheatroute.etcd.membership import Membership  # noqa: E402
-from wheatroute.etcd.registry import Registry  # noqa: E402
+from wheatroute.etcd.server_keys import ServerKeys  # noqa: E402
 from wheatroute.grpc.client import Channel, connected  # noqa: E402
 from wheatroute.standin.etcd import Member  # noqa: E402
 from wheatroute.standin.etcd_store import Store  # noqa: E402
@@ -266,7 +266,7 @@
             chance = random.Random(node)
             followers.append(
                 Follower(
-                    Cluster([member.place], chance),
+                    EtcdClient([member.place], chance),
                     PREFIX,
                     partial(take, node),
                     chance,
@@ -303,7 +303,7 @@
         "herd_last_ms": round(after[-1] * 1e3),
         "herd_spread_ms": round((after[int(nodes * 0.9)] - after[nodes // 10]) * 1e3),
         "herd_streams_a_node": round(streams / nodes, 2),
-        "herd_lists": sum(one.lists for one in followers) - nodes,
+        "herd_lists": sum(one.list_count for one in followers) - nodes,
     }
 
 
@@ -371,12 +371,12 @@
     """Seconds for a list of so many, MB for it, and seconds for one change: registry and module together."""
     from decisions import terms
 
-    registry, numbers = Registry(PREFIX), {}  # type: ignore[var-annotated]
+    keys, numbers = ServerKeys(PREFIX), {}  # type: ignore[var-annotated]
     kvs = [wire.KeyValue(key=PREFIX + b"s%05d" % n, value=value(n)) for n in range(servers)]
     balancer = Balancer(terms(nodes=200), random.Random(1))
     tracemalloc.start()
     began = time.perf_counter()
-    told, _ = registry.whole(kvs, 0.0)
+    told, _ = keys.load(kvs, 0.0)
     entries = []
     for one in told["servers"]:
         numbers[one["id"]] = len(numbers)
@@ -388,7 +388,7 @@
     for n in range(60):
         event = wire.Event(type=wire.PUT, kv=wire.KeyValue(key=kvs[n].key, value=value(n, "terminating")))
         began = time.perf_counter()
-        told, _ = registry.changes([event], 0.0)
+        told, _ = keys.apply([event], 0.0)
         changed = [(numbers[one["id"]], 0, 0, 0, ServerState.DRAINING, 1.0, 0.0) for one in told["servers"]]
         balancer.handle_events(1.0 + n * 1e-6, [(Event.SERVERS_LISTED, changed, False)], Nothing())
         costs.append(time.perf_counter() - began)
@@ -430,8 +430,8 @@
             name = chance.choice(names)
             there = there - {name} if name in there and len(there) > 2 else there | {name}
         for name in there:
-            peers[name].told(sorted(there), moment)
-        sums.append(sum(1.0 / peers[name].assumed(moment)[0] for name in there))
+            peers[name].update(sorted(there), moment)
+        sums.append(sum(1.0 / peers[name].estimate(moment)[0] for name in there))
     return min(sums), max(sums)
 
 
--- a/tests/etcd/test_etcd_functions.py
+++ b/tests/etcd/test_etcd_functions.py
@@ -1,27 +1,31 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""Single functions of the package, without I/O."""
 
 import pytest
 
-from wheatroute.etcd import membership, messages, registry
+from wheatroute.etcd import membership, messages, server_keys
 
 
 def test_membership_membership():
     peers = membership.Membership(b"nodes/", "b", 5)
-    peers.told(["a", "b", "c"], 0.0)
-    assert peers.assumed(0.0) == (3, 1)
-    peers.told(["b"], 1.0)
-    assert (peers.assumed(2.0), peers.assumed(17.0), peers.assumed(19.0)) == ((3, 1), (2, 0), (1, 0))
+    peers.update(["a", "b", "c"], 0.0)
+    assert peers.estimate(0.0) == (3, 1)
+    peers.update(["b"], 1.0)
+    assert (peers.estimate(2.0), peers.estimate(17.0), peers.estimate(19.0)) == ((3, 1), (2, 0), (1, 0))
 
 
-def test_messages_end_of():
-    assert (messages.end_of(b"a/"), messages.end_of(b"a\xff"), messages.end_of(b"")) == (b"a0", b"b", b"\x00")
+def test_messages_prefix_end():
+    assert (messages.prefix_end(b"a/"), messages.prefix_end(b"a\xff"), messages.prefix_end(b"")) == (
+        b"a0",
+        b"b",
+        b"\x00",
+    )
 
 
-def test_registry_read():
+def test_server_keys_decode():
     assert (
-        registry._read(b'{"addr": "10.1.0.18:8443", "cell": 3}')["cell"],
-        registry._read(b'{"addr": "10.1.0.18:8443"}')["state"],
+        server_keys._decode(b'{"addr": "10.1.0.18:8443", "cell": 3}')["cell"],
+        server_keys._decode(b'{"addr": "10.1.0.18:8443"}')["state"],
     ) == (3, "in_service")
-    with pytest.raises(ValueError) as trouble:
-        registry._read(b'{"addr": "10.1.0.18:8443", "state": "gone"}')
-    assert str(trouble.value) == "state is 'gone'"
+    with pytest.raises(ValueError) as error:
+        server_keys._decode(b'{"addr": "10.1.0.18:8443", "state": "gone"}')
+    assert str(error.value) == "state is 'gone'"
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -512,7 +512,7 @@
         member.stop()
         async with processor(tmp_path, listed=table, **keep) as (service, channel):
             assert len({await ask(channel, f"b{n}") for n in range(60)}) == 4
-            assert any(module(service).servers.weight) and not service.list.etcd.follower.lists
+            assert any(module(service).servers.weight) and not service.list.etcd.follower.list_count
             await until(lambda: module(service)._terms["nodes"] == 2)
 
 
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -43,9 +43,11 @@
     servers = Servers(boot["terms"], most - int(most * CLIENTS_SHARE), boot["longest_answer"], rounds, log)
     rounds.servers = servers
     if boot["followed"]:
-        from wheatroute.etcd.node import FollowedList  # off unless the file names etcd in the list's place
+        from wheatroute.etcd.discovery import (
+            EtcdDiscovery,  # off unless the file names etcd in the list's place
+        )
 
-        discovery: Discovery = FollowedList(boot, rounds, servers, log)
+        discovery: Discovery = EtcdDiscovery(boot, rounds, servers, log)
     elif boot["agreement"]:
         from wheatroute.agreement.steady import SteadyList
 
--- a/wheatroute/agreement/etcd.py
+++ b/wheatroute/agreement/etcd.py
@@ -16,7 +16,7 @@
 from wheatroute.agreement.places import MOST, PlaceError, flat, legible
 from wheatroute.agreement.versions import canonical, digest
 from wheatroute.etcd import messages as wire
-from wheatroute.etcd.client import PATIENCE, Cluster
+from wheatroute.etcd.client import CALL_TIMEOUT_S, EtcdClient
 from wheatroute.grpc.messages import CallError
 
 
@@ -24,9 +24,13 @@
     """A place under a prefix. `run` keeps the connections; asking before it runs waits for one."""
 
     def __init__(
-        self, endpoints: list[tuple[str, int]], prefix: str, chance: random.Random, time_out: float = PATIENCE
+        self,
+        endpoints: list[tuple[str, int]],
+        prefix: str,
+        chance: random.Random,
+        time_out: float = CALL_TIMEOUT_S,
     ) -> None:
-        self._cluster, self._time_out = Cluster(endpoints, chance), time_out
+        self._cluster, self._time_out = EtcdClient(endpoints, chance), time_out
         self._log, self._nodes = f"{prefix}/log/".encode(), f"{prefix}/nodes/".encode()
         self._about = f"{prefix}/words/".encode()
         self.words: list[dict[str, Any]] = []
@@ -44,12 +48,14 @@
                 told = wire.PutRequest(key=self._nodes + key.encode(), value=orjson.dumps(row))
                 # a row may be written twice: what counts is that it is there before the records are read
                 self._heed((await self._call("Put", told, wire.PutResponse)).header)
-            first, end = self._key(max(1, after)), wire.end_of(self._log)
+            first, end = self._key(max(1, after)), wire.prefix_end(self._log)
             asked = [wire.RangeRequest(key=first, range_end=end, limit=MOST + 1)]
             if row is not None:
                 asked.append(
                     wire.RangeRequest(
-                        key=self._about, range_end=wire.end_of(self._about), min_mod_revision=self._heard + 1
+                        key=self._about,
+                        range_end=wire.prefix_end(self._about),
+                        min_mod_revision=self._heard + 1,
                     )
                 )
             # one transaction, which nothing is written by: both as of one revision, and one question
@@ -75,7 +81,7 @@
 
     async def rows(self) -> list[dict[str, Any]]:
         with _said():
-            header, kvs = await self._cluster.all(self._nodes)
+            header, kvs = await self._cluster.range_all(self._nodes)
             self._heed(header)
             told = [self._legible(kv) for kv in kvs]
             return [row for one in told if one is not None for row in flat(one)]
@@ -101,7 +107,7 @@
 
     async def _call(self, name: str, message: Any, kind: Any) -> Any:
         """Guards against a silent endpoint that takes all the time there is for a question."""
-        return await self._cluster.call(f"{wire.KV}{name}", message, kind, time_out=self._time_out)
+        return await self._cluster.call(f"{wire.KV}{name}", message, kind, timeout_s=self._time_out)
 
     def _key(self, number: int) -> bytes:
         return self._log + b"%012d" % number
--- a/wheatroute/etcd/__init__.py
+++ b/wheatroute/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""etcd's v3 API: a client, what keys mean to us, membership of nodes. Off unless the file names it."""
+"""Servers and nodes by their keys in etcd (v3 API). Not imported unless the settings file names etcd."""
--- a/wheatroute/etcd/client.py
+++ b/wheatroute/etcd/client.py
@@ -1,8 +1,7 @@
-"""A client of an etcd cluster: unary calls, leases and watches over several endpoints.
+"""A client of an etcd cluster: unary calls, leases and streams over several endpoints. Does I/O on trio.
 
-Owns the connections, which endpoint is asked, the token, and the waits between tries. A call that may have
-changed anything is never repeated unless it provably never ran; one that only reads goes to the next
-endpoint. It must never take the answer of another cluster for one of its own, and knows nothing of servers.
+Invariant: a call that may have changed anything is never repeated unless it provably never ran; one that only
+reads is repeated at the next endpoint. Errors are `CallError`s of gRPC.
 """
 
 from __future__ import annotations
@@ -22,202 +21,227 @@
 from wheatroute.grpc.limits import ConnectionLimits
 from wheatroute.grpc.messages import CallError, Headers, Status
 
-PATIENCE = 1.0  # seconds for a unary call at one endpoint
-CONNECTED = 0.5  # seconds for the connection of a stream
-SUSPECT = 5.0  # seconds for which an endpoint that failed is passed by
-LONGEST_WAIT = 0.4  # seconds until a connection that was lost is tried again
-PAGE = 1000  # keys a page
-MOVES = {Status.UNAVAILABLE, Status.DEADLINE_EXCEEDED, Status.CANCELLED, Status.UNKNOWN, Status.INTERNAL}
+CALL_TIMEOUT_S = 1.0  # of a unary call at one endpoint
+STREAM_CONNECT_TIMEOUT_S = 0.5
+SUSPECTED_S = 5.0  # for which an endpoint that failed is avoided
+MAX_BACKOFF_S = 0.4  # until a lost connection is attempted again
+MAX_PAGE_KEYS = 1000  # read at a time
+FAILOVER_STATUSES = {  # after which another endpoint is asked
+    Status.UNAVAILABLE,
+    Status.DEADLINE_EXCEEDED,
+    Status.CANCELLED,
+    Status.UNKNOWN,
+    Status.INTERNAL,
+}
 
 
-class Cluster:
-    """The endpoints of one cluster; `run` keeps connections to all of them."""
+class EtcdClient:
+    """A client of one cluster; `run` keeps connections to all endpoints."""
 
     def __init__(
         self,
-        places: list[tuple[str, int]],
-        chance: random.Random,
+        addresses: list[tuple[str, int]],
+        rng: random.Random,
         user: str = "",
         password: str = "",
         context: ssl.SSLContext | None = None,
     ) -> None:
-        bounds = ConnectionLimits(max_message_bytes=64 << 20, ping_interval_s=2.0, ping_timeout_s=1.0)
+        limits = ConnectionLimits(max_message_bytes=64 << 20, ping_interval_s=2.0, ping_timeout_s=1.0)
         self._channels = [
-            Channel(place, bounds, context, rng=chance, max_backoff_s=LONGEST_WAIT) for place in places
+            Channel(address, limits, context, rng=rng, max_backoff_s=MAX_BACKOFF_S) for address in addresses
         ]
-        self._suspect = [0.0] * len(places)  # until when each is asked only if all are
-        self._at = chance.randrange(len(places))  # so that nodes do not all ask the same endpoint
+        self._suspected_until = [0.0] * len(addresses)  # by endpoint
+        self._current = rng.randrange(len(addresses))  # so that nodes don't all use the same endpoint
         self._user, self._password = user, password
         self._token: bytes = b""
 
     async def run(self) -> None:
+        """Keeps connections to all endpoints until cancelled."""
         async with trio.open_nursery() as nursery:
             for channel in self._channels:
                 nursery.start_soon(channel.run)
 
     @property
     def endpoint(self) -> tuple[str, int]:
-        return self._channels[self._at].address
+        """The address of the endpoint in use."""
+        return self._channels[self._current].address
 
-    def failed(self, at: int) -> None:
-        """Passes an endpoint by for a while: the next one that is up and not suspect, or least so, is asked.
+    def mark_suspected(self, index: int) -> None:
+        """Avoids an endpoint for a while, for all users of the client.
 
-        Whoever uses the cluster tells what it saw: what one of them found out the others need not.
+        The next endpoint that is connected and not suspected is used, or that whose suspicion ends first.
         """
-        count, moment = len(self._channels), trio.current_time()
-        self._suspect[at] = moment + SUSPECT
-        if at == self._at:
-            others = [(at + step) % count for step in range(1, count + 1)]
-            self._at = min(
+        count, now = len(self._channels), trio.current_time()
+        self._suspected_until[index] = now + SUSPECTED_S
+        if index == self._current:
+            others = [(index + step) % count for step in range(1, count + 1)]
+            self._current = min(
                 others,
-                key=lambda one: (
-                    self._suspect[one] > moment,
-                    not self._channels[one].is_connected,
-                    self._suspect[one],
+                key=lambda other: (
+                    self._suspected_until[other] > now,
+                    not self._channels[other].is_connected,
+                    self._suspected_until[other],
                 ),
             )
 
     async def call(
-        self, path: str, message: Any, kind: Any, changes: bool = False, time_out: float = PATIENCE
+        self,
+        path: str,
+        message: Any,
+        response_type: Any,
+        is_write: bool = False,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> Any:
-        """A unary call; raises `CallError` once all endpoints were asked, or where it must not repeat."""
-        trouble = CallError(Status.UNAVAILABLE, "no endpoint")
-        renewed = False
+        """Makes a unary call; raises `CallError` once all endpoints failed, or if it must not be repeated."""
+        error = CallError(Status.UNAVAILABLE, "no endpoint")
+        has_renewed_token = False
         for _ in range(2 * len(self._channels)):
-            talk, at = AsyncCall(), self._at
+            call, index = AsyncCall(), self._current
             try:
-                return kind.FromString(await self._ask(talk, path, message.SerializeToString(), time_out))
-            except CallError as found:
-                trouble = found
-            if trouble.status == Status.UNAUTHENTICATED and self._user and not renewed:
-                renewed, self._token = True, b""
-            elif trouble.status not in MOVES or changes and not self._never_ran(talk):
-                raise trouble
+                response = await self._attempt(call, path, message.SerializeToString(), timeout_s)
+                return response_type.FromString(response)
+            except CallError as failure:
+                error = failure
+            if error.status == Status.UNAUTHENTICATED and self._user and not has_renewed_token:
+                has_renewed_token, self._token = True, b""
+            elif error.status not in FAILOVER_STATUSES or is_write and not _never_ran(call):
+                raise error
             else:
-                self.failed(at)
-        raise trouble
-
-    @staticmethod
-    def _never_ran(talk: AsyncCall) -> bool:
-        call = getattr(talk, "call", None)
-        return call is None or call.never_ran
+                self.mark_suspected(index)
+        raise error
 
-    async def _ask(self, talk: AsyncCall, path: str, message: bytes, time_out: float) -> bytes:
-        channel = self._channels[self._at]
-        with trio.move_on_after(time_out):
+    async def _attempt(self, call: AsyncCall, path: str, message: bytes, timeout_s: float) -> bytes:
+        channel = self._channels[self._current]
+        with trio.move_on_after(timeout_s):
             await channel.session()
             metadata = await self._metadata()
-            channel.start(path.encode(), talk, time_out, metadata)
+            channel.start(path.encode(), call, timeout_s, metadata)
             try:
-                await talk.send(message)
-                talk.half_close()
-                answer = await talk.receive()
-                while await talk.receive() is not None:
+                await call.send(message)
+                call.half_close()
+                response = await call.receive()
+                while await call.receive() is not None:
                     pass
             finally:
-                talk.cancel()
-            if answer is None:
+                call.cancel()
+            if response is None:
                 raise CallError(Status.INTERNAL, "an answer without a message")
-            return answer
+            return response
         raise CallError(Status.DEADLINE_EXCEEDED, "the call's time is over")
 
     async def _metadata(self) -> Headers:
-        """The token, asked for where there is none."""
+        """The headers of a call: the token, requested where there is none yet."""
         if not self._user:
             return []
         if not self._token:
-            asked = wire.AuthenticateRequest(name=self._user, password=self._password)
-            message = asked.SerializeToString()
-            answer = await self._channels[self._at].unary_call(wire.AUTH.encode(), message, PATIENCE)
-            self._token = wire.AuthenticateResponse.FromString(answer).token.encode()
+            request = wire.AuthenticateRequest(name=self._user, password=self._password)
+            channel = self._channels[self._current]
+            response = await channel.unary_call(
+                wire.AUTH.encode(), request.SerializeToString(), CALL_TIMEOUT_S
+            )
+            self._token = wire.AuthenticateResponse.FromString(response).token.encode()
         return [(b"token", self._token)]
 
     @asynccontextmanager
     async def stream(self, path: str) -> AsyncIterator[AsyncCall]:
-        """A two-way stream at the present endpoint, which is passed by if the stream fails."""
-        at, talk = self._at, AsyncCall()
-        channel = self._channels[at]
+        """A bidirectional stream at the endpoint in use, which is suspected if the stream fails."""
+        index, call = self._current, AsyncCall()
+        channel = self._channels[index]
         try:
-            with trio.move_on_after(CONNECTED) as limit:
+            with trio.move_on_after(STREAM_CONNECT_TIMEOUT_S) as timeout:
                 await channel.session()
                 metadata = await self._metadata()
-                channel.start(path.encode(), talk, inf, metadata)
-            if limit.cancelled_caught:
+                channel.start(path.encode(), call, inf, metadata)
+            if timeout.cancelled_caught:
                 raise CallError(Status.DEADLINE_EXCEEDED, "no connection in time")
-            yield talk
-        except CallError as trouble:
-            if trouble.status == Status.UNAUTHENTICATED:
+            yield call
+        except CallError as error:
+            if error.status == Status.UNAUTHENTICATED:
                 self._token = b""
-            elif trouble.status in MOVES:
-                self.failed(at)
+            elif error.status in FAILOVER_STATUSES:
+                self.mark_suspected(index)
             raise
         finally:
-            if hasattr(talk, "call"):
-                talk.cancel()
+            if hasattr(call, "call"):
+                call.cancel()
 
     # calls
 
-    async def range(self, key: bytes, end: bytes = b"", **more: Any) -> Any:
+    async def range(self, key: bytes, end: bytes = b"", **options: Any) -> Any:
+        """Reads a key, or all keys from it to `end`."""
         return await self.call(
-            f"{wire.KV}Range", wire.RangeRequest(key=key, range_end=end, **more), wire.RangeResponse
+            f"{wire.KV}Range", wire.RangeRequest(key=key, range_end=end, **options), wire.RangeResponse
         )
 
-    async def all(self, prefix: bytes, page: int = PAGE) -> tuple[Any, list[Any]]:
-        """Every key with a prefix as of one revision, read in pages; the first page's header with them."""
-        end = wire.end_of(prefix)
-        answer = await self.range(prefix, end, limit=page)
-        header, kvs = answer.header, list(answer.kvs)
-        while answer.more:
-            answer = await self.range(kvs[-1].key + b"\0", end, limit=page, revision=header.revision)
-            if answer.header.cluster_id != header.cluster_id:
+    async def range_all(self, prefix: bytes, page_keys: int = MAX_PAGE_KEYS) -> tuple[Any, list[Any]]:
+        """Reads all keys with a prefix at one revision, in pages; returns the first header and the keys."""
+        end = wire.prefix_end(prefix)
+        response = await self.range(prefix, end, limit=page_keys)
+        header, kvs = response.header, list(response.kvs)
+        while response.more:
+            response = await self.range(kvs[-1].key + b"\0", end, limit=page_keys, revision=header.revision)
+            if response.header.cluster_id != header.cluster_id:
                 raise CallError(Status.ABORTED, "another cluster answered between two pages")
-            kvs += answer.kvs
+            kvs += response.kvs
         return header, kvs
 
     async def put(self, key: bytes, value: bytes, lease: int = 0) -> Any:
+        """Writes a key; `lease` is the id of its lease, 0 for none."""
         return await self.call(
             f"{wire.KV}Put",
             wire.PutRequest(key=key, value=value, lease=lease),
             wire.PutResponse,
-            changes=True,
+            is_write=True,
         )
 
     async def delete(self, key: bytes, end: bytes = b"") -> Any:
+        """Deletes a key, or all keys from it to `end`."""
         return await self.call(
             f"{wire.KV}DeleteRange",
             wire.DeleteRangeRequest(key=key, range_end=end),
             wire.DeleteRangeResponse,
-            changes=True,
+            is_write=True,
         )
 
     async def txn(self, compare: list[Any], success: list[Any], failure: list[Any] | None = None) -> Any:
-        asked = wire.TxnRequest(compare=compare, success=success, failure=failure or [])
-        return await self.call(f"{wire.KV}Txn", asked, wire.TxnResponse, changes=True)
+        """Runs `success` if all of `compare` hold, else `failure`, as one transaction."""
+        request = wire.TxnRequest(compare=compare, success=success, failure=failure or [])
+        return await self.call(f"{wire.KV}Txn", request, wire.TxnResponse, is_write=True)
 
     async def compact(self, revision: int) -> Any:
+        """Drops the history before a revision."""
         return await self.call(
             f"{wire.KV}Compact",
             wire.CompactionRequest(revision=revision),
             wire.CompactionResponse,
-            changes=True,
+            is_write=True,
         )
 
-    async def grant(self, seconds: int) -> int:
-        answer = await self.call(
+    async def grant(self, ttl_s: int) -> int:
+        """Makes a lease; returns its id."""
+        response = await self.call(
             f"{wire.LEASES}LeaseGrant",
-            wire.LeaseGrantRequest(TTL=seconds),
+            wire.LeaseGrantRequest(TTL=ttl_s),
             wire.LeaseGrantResponse,
-            changes=True,
+            is_write=True,
         )
-        return int(answer.ID)
+        return int(response.ID)
 
     async def revoke(self, lease: int) -> None:
+        """Revokes a lease, which deletes its keys."""
         await self.call(
             f"{wire.LEASES}LeaseRevoke",
             wire.LeaseRevokeRequest(ID=lease),
             wire.LeaseRevokeResponse,
-            changes=True,
+            is_write=True,
         )
 
     async def status(self) -> Any:
+        """The status of the member at the endpoint in use."""
         return await self.call(wire.MAINTENANCE, wire.StatusRequest(), wire.StatusResponse)
+
+
+def _never_ran(call: AsyncCall) -> bool:
+    """Whether a call that failed provably didn't run; one that has no session never started."""
+    started = getattr(call, "call", None)
+    return started is None or started.never_ran
--- a/wheatroute/etcd/node.py
+++ b/wheatroute/etcd/discovery.py
@@ -1,7 +1,6 @@
-"""The platform's node behind etcd: servers, and how many nodes there are, by its watch in the list's place.
+"""Discovery by etcd in place of a list service: connects the follower with a node's numbering of servers.
 
-Owns the joint between the follower's tasks and the node's numbering of servers. It must never ask a list
-service as well, nor drop a server because etcd is away.
+While etcd can't be reached the last servers stand. I/O is done by the follower.
 """
 
 from __future__ import annotations
@@ -12,46 +11,51 @@
 
 from wheatroute.balancing.interface import Event
 from wheatroute.config import Etcd
-from wheatroute.etcd.start import Etcd3
+from wheatroute.etcd.services import EtcdServices
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.rounds import Rounds
 from wheatroute.net.servers import Servers
 
+LEAVE_TIMEOUT_S = 1.0
 
-class FollowedList(Discovery):
-    """The list of servers as etcd has it."""
+
+class EtcdDiscovery(Discovery):
+    """The servers of a node, by their keys in etcd."""
 
     def __init__(self, boot: dict[str, Any], rounds: Rounds, servers: Servers, log: Any) -> None:
         super().__init__(boot, rounds, servers, log)
-        self._etcd = Etcd3(
+        self._etcd = EtcdServices(
             Etcd.model_validate(boot["followed"]),
             boot["name"],
             self._take,
-            self._tell,
+            self._count_nodes,
             log,
-            steady=boot["agreement"] is not None,
+            is_pinned=boot["agreement"] is not None,
         )
 
     @property
     def acted_on(self) -> tuple[str, int]:
+        """The cluster that is followed, and the revision up to which changes are applied."""
         return self._etcd.follower.source, self._etcd.follower.revision
 
     async def run(self) -> None:
+        """Follows etcd until cancelled."""
         await self._etcd.run()
 
     async def leave(self) -> None:
-        with trio.move_on_after(1.0):
+        """Removes this node's key, if etcd answers in time."""
+        with trio.move_on_after(LEAVE_TIMEOUT_S):
             await self._etcd.leave()
 
-    def _tell(self, nodes: int, node: int, caution: float) -> None:
+    def _count_nodes(self, nodes: int, node: int, caution: float) -> None:
         self.counted = {"nodes": nodes, "node": node}
         self._rounds.happened(Event.NODES_COUNTED, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
-        """The follower's stream is always open."""
+        """Does nothing: the follower's stream is always open."""
 
     def fetch(self) -> None:
-        """As above: what there is has been told."""
+        """Does nothing: all changes have been applied."""
 
     def move(self, place: tuple[str, int]) -> None:
-        """A list service that the file names as well is not asked."""
+        """Does nothing: a list service that the file names as well isn't used."""
--- a/wheatroute/etcd/membership.py
+++ b/wheatroute/etcd/membership.py
@@ -1,98 +1,115 @@
-"""How many nodes send to the same servers, and which of them this is. Free of I/O.
+"""The number of nodes that send to the same servers, and the index of this one. A state machine without I/O.
 
-Owns the nodes seen and when. It must never assume fewer than there are for longer than a change takes to be
-told: a node that comes counts at once, one that goes counts on for a while, and while nothing can be heard
-all that were heard of last count on.
+Invariant: the estimate is never below the true number for longer than a change takes to arrive. A node that
+appears counts at once, one that disappears counts on for `REMOVAL_DELAY_S`; without contact with etcd the
+last nodes count on. Times are in seconds of the steady clock.
 """
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, NamedTuple
 
 import orjson
 
 from wheatroute.etcd import messages as wire
 
-HOLD = 15.0  # seconds for which a node that went away counts on: a flapping one is not gone
-STEP = 2.0  # seconds between two steps down: what a node may send grows by one node's part at a time
+REMOVAL_DELAY_S = 15.0  # for which a node that disappeared counts on, as it may be flapping
+DECREASE_INTERVAL_S = 2.0  # between two decreases of the estimate, each by one node
+NO_EPOCH = -1  # of a node whose value is malformed
+
+
+class MembershipEstimate(NamedTuple):
+    """The number of nodes, and the index of this one among their sorted names, from 0."""
+
+    node_count: int
+    node_index: int
+
+
+def decode_epoch(value: bytes) -> int | None:
+    """The epoch in a node's value; None if the value is malformed."""
+    try:
+        return int(orjson.loads(value)["epoch"])
+    except (orjson.JSONDecodeError, TypeError, KeyError, ValueError):
+        return None
 
 
 class Membership:
-    """The peers under a prefix: one key a node, its name the rest of the key, the value its epoch."""
+    """The nodes under a prefix: one key a node, the rest of it the name, with the epoch as value."""
 
     def __init__(self, prefix: bytes, name: str, epoch: int) -> None:
         self.prefix, self.name, self.epoch = prefix, name, epoch
-        self.epochs: dict[str, int] = {}  # of the nodes that are there, as their keys say
-        self._gone: dict[str, float] = {}  # nodes that went away, and when
-        self._here = {name}
-        self._count, self._stepped = 1, 0.0
+        self.epochs: dict[str, int] = {}  # of the nodes that have a key
+        self._disappeared_at: dict[str, float] = {}
+        self._present = {name}
+        self._estimate, self._estimated_at = 1, 0.0  # the estimate, and when it changed last
 
     @property
     def key(self) -> bytes:
+        """The key of this node."""
         return self.prefix + self.name.encode()
 
     @property
-    def doubled(self) -> bool:
-        """Whether another process has this node's name: both count, and this one is not the one listed."""
+    def has_duplicate(self) -> bool:
+        """Whether another process has the key of this node's name; both count."""
         return self.epochs.get(self.name, self.epoch) != self.epoch
 
-    # as a registry of the keys' follower
+    # as `WatchedKeys`
 
-    def whole(self, kvs: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        troubles: list[str] = []
+    def load(self, kvs: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
+        """Applies all keys of one revision; returns no servers, and a line for each malformed value."""
+        errors: list[str] = []
         self.epochs = {}
         for kv in kvs:
-            self._enter(kv, troubles)
-        self.told(list(self.epochs), now)
-        return {"full": True, "servers": []}, troubles
+            self._add(kv, errors)
+        self.update(list(self.epochs), now)
+        return {"full": True, "servers": []}, errors
 
-    def changes(self, events: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        troubles: list[str] = []
+    def apply(self, events: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
+        """Applies the events of one revision; returns no servers, and a line for each malformed value."""
+        errors: list[str] = []
         for event in events:
             if event.type == wire.DELETE:
                 self.epochs.pop(self._name(event.kv.key), None)
             else:
-                self._enter(event.kv, troubles)
-        self.told(list(self.epochs), now)
-        return {"full": True, "servers": []}, troubles
+                self._add(event.kv, errors)
+        self.update(list(self.epochs), now)
+        return {"full": True, "servers": []}, errors
 
     def _name(self, key: bytes) -> str:
         return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
 
-    def _enter(self, kv: Any, troubles: list[str]) -> None:
-        """A value that cannot be read is a node all the same: rather too many than too few."""
+    def _add(self, kv: Any, errors: list[str]) -> None:
+        """Adds a node, also one with a malformed value: the estimate must not be too low."""
         name = self._name(kv.key)
-        try:
-            told = orjson.loads(kv.value)
-            self.epochs[name] = int(told["epoch"])
-        except (orjson.JSONDecodeError, TypeError, KeyError, ValueError):
-            self.epochs[name] = -1
-            troubles.append(f"node {name}: no epoch")
-
-    # what is assumed
-
-    def told(self, names: list[str], now: float) -> None:
-        """The nodes that are there by now; this one is, whether its key is or not."""
-        there = {*names, self.name}
-        for name in self._here - there:
-            self._gone[name] = now
-        self._here = there
-        for name in there:
-            self._gone.pop(name, None)
-
-    def assumed(self, now: float) -> tuple[int, int]:
-        """How many nodes there are taken to be, and the place of this one among them, from 0.
-
-        More count at once; fewer after a hold, and then one less at a time: the nodes that are left take the
-        room of those that went little by little, so that a cold or crowded server sees no jump.
+        epoch = decode_epoch(kv.value)
+        self.epochs[name] = NO_EPOCH if epoch is None else epoch
+        if epoch is None:
+            errors.append(f"node {name}: no epoch")
+
+    # the estimate
+
+    def update(self, names: list[str], now: float) -> None:
+        """Sets the nodes that are present; this one always is, whether it has its key or not."""
+        present = {*names, self.name}
+        for name in self._present - present:
+            self._disappeared_at[name] = now
+        self._present = present
+        for name in present:
+            self._disappeared_at.pop(name, None)
+
+    def estimate(self, now: float) -> MembershipEstimate:
+        """The number of nodes that is assumed, and the index of this one.
+
+        It rises at once; it falls after a delay, and by one node at a time, so that the remaining nodes take
+        over the capacity of the others gradually and a cold or congested server sees no jump.
         """
-        held = {name for name, since in self._gone.items() if now - since < HOLD}
-        for name in set(self._gone) - held:
-            del self._gone[name]
-        names = sorted(self._here | held | {self.name})
-        count = len(names) + self.doubled
-        if count >= self._count:
-            self._count, self._stepped = count, now
-        elif now - self._stepped >= STEP:
-            self._count, self._stepped = self._count - 1, now
-        return self._count, min(names.index(self.name), self._count - 1)
+        recent = {name for name, since in self._disappeared_at.items() if now - since < REMOVAL_DELAY_S}
+        for name in set(self._disappeared_at) - recent:
+            del self._disappeared_at[name]
+        names = sorted(self._present | recent | {self.name})
+        count = len(names) + self.has_duplicate
+        if count >= self._estimate:
+            self._estimate, self._estimated_at = count, now
+        elif now - self._estimated_at >= DECREASE_INTERVAL_S:
+            self._estimate, self._estimated_at = self._estimate - 1, now
+        return MembershipEstimate(self._estimate, min(names.index(self.name), self._estimate - 1))
--- a/wheatroute/etcd/messages.py
+++ b/wheatroute/etcd/messages.py
@@ -1,7 +1,7 @@
-"""The messages of etcd's v3 API that are used here, with the published names and numbers. Free of I/O.
+"""The messages of etcd's v3 API that are used here, with the published names and numbers. Without I/O.
 
-Owns the table below, from etcd's rpc.proto, kv.proto and auth.proto (API version 3). It must never hold a
-field under a number of its own: fields not in the table are kept by protobuf as unknown and lost to nobody.
+The table is taken from etcd's rpc.proto, kv.proto and auth.proto (API version 3); protobuf keeps fields that
+aren't in it as unknown. Each message is an attribute of this module, by its name.
 """
 
 from __future__ import annotations
@@ -85,8 +85,8 @@
     pool = descriptor_pool.DescriptorPool()
     pool.Add(file)
     return {
-        one.name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{PACKAGE}.{one.name}"))
-        for one in file.message_type
+        message.name: message_factory.GetMessageClass(pool.FindMessageTypeByName(f"{PACKAGE}.{message.name}"))
+        for message in file.message_type
     }
 
 
@@ -116,7 +116,7 @@
         raise AttributeError(name) from None
 
 
-def end_of(prefix: bytes) -> bytes:
+def prefix_end(prefix: bytes) -> bytes:
     """The end of the range of all keys with a prefix, by etcd's convention."""
-    bare = prefix.rstrip(b"\xff")
-    return bare[:-1] + bytes((bare[-1] + 1,)) if bare else b"\0"
+    stripped = prefix.rstrip(b"\xff")
+    return stripped[:-1] + bytes((stripped[-1] + 1,)) if stripped else b"\0"
--- /dev/null
+++ b/wheatroute/etcd/server_keys.py
@@ -0,0 +1,99 @@
+"""The servers of a pool by their keys in etcd. A state machine without I/O.
+
+Under the pool's prefix there is a key for each server; its id is the rest of the key, its value JSON:
+
+    {"addr": "10.1.0.18:8443", "zone": "a", "kind": "m2", "cell": 3, "state": "in_service", "started_ms": 0}
+
+Only `addr` is required; `state` is in_service or terminating. Results have the form of the list service's
+body, so that both are handled alike. Invariant: a malformed value changes nothing.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+import orjson
+
+from wheatroute.etcd import messages as wire
+from wheatroute.net.boot import address
+
+STATES = ("in_service", "terminating")
+
+
+class ServerKeys:
+    """The servers of a pool, as of the last revision that was applied."""
+
+    def __init__(self, prefix: bytes) -> None:
+        self.prefix = prefix
+        self.entries: dict[str, dict[str, Any]] = {}
+
+    def load(self, kvs: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
+        """Applies all keys of one revision; returns the full list, and a line for each malformed value."""
+        errors: list[str] = []
+        entries: dict[str, dict[str, Any]] = {}
+        for kv in kvs:
+            entry = self._entry(kv, now, errors)
+            if entry is not None:
+                entries[entry["id"]] = entry
+        self.entries = entries
+        return {"full": True, "servers": list(entries.values())}, errors
+
+    def apply(self, events: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
+        """Applies the events of one revision; returns changed and removed servers, and malformed values."""
+        errors: list[str] = []
+        changed: dict[str, dict[str, Any]] = {}
+        for event in events:
+            name = self._name(event.kv.key)
+            if event.type == wire.DELETE:
+                removed = self.entries.pop(name, None)
+                if removed is not None:
+                    changed[name] = removed | {"state": "terminated"}
+                continue
+            entry = self._entry(event.kv, now, errors)
+            if entry is not None and entry != self.entries.get(name):
+                self.entries[name] = changed[name] = entry
+        return {"full": False, "servers": list(changed.values())}, errors
+
+    def _name(self, key: bytes) -> str:
+        return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
+
+    def _entry(self, kv: Any, now: float, errors: list[str]) -> dict[str, Any] | None:
+        """The entry of a key; for a malformed value the last valid one, if there is one."""
+        name = self._name(kv.key)
+        previous = self.entries.get(name)
+        try:
+            entry = _decode(kv.value)
+        except ValueError as error:
+            errors.append(f"{name}: {error}")
+            return previous
+        if previous is not None and previous["addr"] == entry["addr"]:
+            entry["started_ms"] = max(entry["started_ms"], previous["started_ms"])
+        elif previous is not None and entry["started_ms"] <= previous["started_ms"]:
+            # a new process under an old key must not get the load of a warm one
+            entry["started_ms"] = int(now * 1000)
+        return {"id": name} | entry
+
+
+def _decode(value: bytes) -> dict[str, Any]:
+    """The validated fields of a value; raises `ValueError` with the reason."""
+    try:
+        fields = orjson.loads(value)
+    except orjson.JSONDecodeError as error:
+        raise ValueError("no JSON") from error
+    if not isinstance(fields, dict):
+        raise ValueError("no object")
+    address(fields.get("addr"))
+    state = fields.get("state", "in_service")
+    if state not in STATES:
+        raise ValueError(f"state is {state!r}")
+    for key, kind in (("zone", str), ("kind", str), ("cell", int), ("started_ms", int)):
+        if not isinstance(fields.get(key, kind()), kind) or isinstance(fields.get(key), bool):
+            raise ValueError(f"{key} is {fields[key]!r}")
+    return {
+        "addr": fields["addr"],
+        "zone": fields.get("zone", ""),
+        "kind": fields.get("kind", ""),
+        "cell": fields.get("cell", 0),
+        "state": state,
+        "started_ms": fields.get("started_ms", 0),
+    }
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -220,13 +220,13 @@
             await super().run()
         elif self._etcd is not None:
             # imported here: who does not follow etcd does not pay for it
-            from wheatroute.etcd.start import Etcd3
+            from wheatroute.etcd.services import EtcdServices
 
-            self.etcd = Etcd3(self._etcd, self._name, self._take, self._tell, self._log, self._steady)
+            self.etcd = EtcdServices(self._etcd, self._name, self._take, self._tell, self._log, self._steady)
             if self._floor is not None and self._steady:
-                self.etcd.follower.begin_at(*self._floor)
+                self.etcd.follower.resume_from(*self._floor)
             if self.etcd.membership is not None and self._peers_kept:
-                self.etcd.membership.told(self._peers_kept, now())
+                self.etcd.membership.update(self._peers_kept, now())
             await self.etcd.run()
         else:
             await trio.sleep_forever()
@@ -267,7 +267,7 @@
     @property
     def floor(self) -> tuple[int, int] | None:
         """The cluster and revision of the list, for the snapshot."""
-        return self.etcd.follower.floor if self.etcd is not None else self._floor
+        return tuple(self.etcd.follower.min_position) if self.etcd is not None else self._floor
 
     def take_again(self, servers: Any, peers: Any, floor: Any = None) -> None:
         """What a snapshot holds: the list until another is heard, and the nodes that count until then."""
