--- a/tests/control/test_many_changes.py
+++ b/tests/control/test_many_changes.py
@@ -11,7 +11,7 @@
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, encode_state
 from wheatroute.replication.messages import Replicate
 from wheatroute.replication.records import AcceptorRecord, Document, DocumentVersion, NodeRecord
-from wheatroute.replication.storage import FILE_NAME, Storage, StorageError
+from wheatroute.replication.storage import FILE_NAME, LmdbStorage, StorageError
 from wheatroute.replication.views import View
 
 TENANTS = 19
@@ -62,7 +62,7 @@
 
 def max_file_bytes(folder, changes):
     """The largest size of the store over so many changes, each written in full; and its last record."""
-    disk, state, max_bytes = Storage(str(folder), DISK_MB), first_state(), 0
+    disk, state, max_bytes = LmdbStorage(str(folder), DISK_MB), first_state(), 0
     for number in range(changes):
         state = next_state(state)
         disk.write(record(state, epoch=3 + number // 100))
@@ -75,11 +75,11 @@
 def test_the_store_stays_small_over_hundreds_of_changes_of_a_large_configuration(tmp_path):
     max_bytes, last_record = max_file_bytes(tmp_path, 200)
     assert max_bytes < MAX_FILE_BYTES
-    assert Storage(str(tmp_path), DISK_MB).read() == last_record
+    assert LmdbStorage(str(tmp_path), DISK_MB).read() == last_record
 
 
 def test_a_store_that_was_full_can_be_written_again(tmp_path):
-    disk, state = Storage(str(tmp_path), 16), first_state()
+    disk, state = LmdbStorage(str(tmp_path), 16), first_state()
     disk.write(record(state))
     huge = ConfigurationState(2, b"".join(random_name(str(number)).encode() for number in range(2_000_000)))
     for _ in range(3):
@@ -90,7 +90,7 @@
         state = next_state(state)
         disk.write(record(state))
     disk.close()
-    assert Storage(str(tmp_path), 16).read() == record(state)
+    assert LmdbStorage(str(tmp_path), 16).read() == record(state)
 
 
 class LimitedBandwidthCluster(SimulatedCluster):
--- a/wheatroute/edge/client_response.py
+++ b/wheatroute/edge/client_response.py
@@ -38,7 +38,7 @@
         self.has_begun = True
         try:
             if not self._connection.send(self._head(status, headers, reason), body):
-                await self._connection.rest()
+                await self._connection.flush()
         except OSError as error:
             raise ClientDisconnectedError(str(error)) from error
         self.is_complete = True
--- a/wheatroute/etcd/discovery.py
+++ b/wheatroute/etcd/discovery.py
@@ -12,9 +12,10 @@
 from wheatroute.balancing.interface import Event
 from wheatroute.config import Etcd
 from wheatroute.etcd.services import EtcdServices
+from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
-from wheatroute.net.rounds import Rounds
-from wheatroute.net.servers import Servers
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.upstream import Upstream
 
 LEAVE_TIMEOUT_S = 1.0
 
@@ -22,19 +23,19 @@
 class EtcdDiscovery(Discovery):
     """The servers of a node, by their keys in etcd."""
 
-    def __init__(self, boot: dict[str, Any], rounds: Rounds, servers: Servers, log: Any) -> None:
-        super().__init__(boot, rounds, servers, log)
+    def __init__(self, settings: NodeSettings, driver: BalancerDriver, servers: Upstream, log: Any) -> None:
+        super().__init__(settings.discovery_settings, driver, servers, log)
         self._etcd = EtcdServices(
-            Etcd.model_validate(boot["followed"]),
-            boot["name"],
-            self._take,
+            Etcd.model_validate(settings.etcd_servers),
+            settings.name,
+            self._apply,
             self._count_nodes,
             log,
-            is_pinned=boot["agreement"] is not None,
+            is_pinned=settings.agreement is not None,
         )
 
     @property
-    def acted_on(self) -> tuple[str, int]:
+    def list_version(self) -> tuple[str, int]:
         """The cluster that is followed, and the revision up to which changes are applied."""
         return self._etcd.follower.source, self._etcd.follower.revision
 
@@ -48,8 +49,8 @@
             await self._etcd.leave()
 
     def _count_nodes(self, nodes: int, node: int, caution: float) -> None:
-        self.counted = {"nodes": nodes, "node": node}
-        self._rounds.happened(Event.NODES_COUNTED, nodes, node, caution)
+        self.node_counts = {"nodes": nodes, "node": node}
+        self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
         """Does nothing: the follower's stream is always open."""
@@ -57,5 +58,5 @@
     def fetch(self) -> None:
         """Does nothing: all changes have been applied."""
 
-    def move(self, place: tuple[str, int]) -> None:
+    def switch_service(self, address: tuple[str, int]) -> None:
         """Does nothing: a list service that the file names as well isn't used."""
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -19,7 +19,7 @@
 from wheatroute.etcd.watch import MemberBehindError, Watch, WatchLostError
 from wheatroute.grpc.async_call import AsyncCall
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 
 PROGRESS_TIMEOUT_S = 0.3  # without a response until a stream is asked for its progress, and for its answer
 CHECK_INTERVAL_S = 0.5  # between two reads of the cluster's revision
--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -18,7 +18,7 @@
 from wheatroute.etcd.follower import Follower
 from wheatroute.etcd.membership import REMOVAL_DELAY_S, Membership, decode_epoch
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 
 LEASE_TTL_S = 6
 RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
--- a/wheatroute/etcd/server_keys.py
+++ b/wheatroute/etcd/server_keys.py
@@ -15,7 +15,7 @@
 import orjson
 
 from wheatroute.etcd import messages as wire
-from wheatroute.net.boot import address
+from wheatroute.net.addresses import parse_address
 
 STATES = ("in_service", "terminating")
 
@@ -82,7 +82,7 @@
         raise ValueError("no JSON") from error
     if not isinstance(fields, dict):
         raise ValueError("no object")
-    address(fields.get("addr"))
+    parse_address(fields.get("addr"))
     state = fields.get("state", "in_service")
     if state not in STATES:
         raise ValueError(f"state is {state!r}")
--- a/wheatroute/etcd/services.py
+++ b/wheatroute/etcd/services.py
@@ -14,8 +14,8 @@
 from wheatroute.etcd.follower import Follower
 from wheatroute.etcd.membership import Membership
 from wheatroute.etcd.registrar import Registrar
-from wheatroute.net.boot import address
-from wheatroute.net.rounds import now
+from wheatroute.net.addresses import parse_address
+from wheatroute.net.clock import now
 from wheatroute.tls import client_context
 
 
@@ -37,7 +37,7 @@
         password = Path(settings.password_file).read_text().strip() if settings.password_file else ""
         # seeded by the node's name, so that nodes differ in their first endpoints and in their backoff
         rng = random.Random(name)
-        addresses = [address(endpoint) for endpoint in settings.endpoints]
+        addresses = [parse_address(endpoint) for endpoint in settings.endpoints]
         self.client = EtcdClient(addresses, rng, settings.user, password, context)
         self.follower = Follower(self.client, settings.prefix.encode(), on_servers, rng, log)
         self.follower.is_pinned = is_pinned
