--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -23,7 +23,7 @@
 )
 from wheatroute.agreement.versions import canonical, digest
 from wheatroute.etcd import messages as wire
-from wheatroute.etcd.client import PATIENCE, Cluster
+from wheatroute.etcd.client import CALL_TIMEOUT_S, EtcdClient
 from wheatroute.grpc.messages import CallError
 
 
@@ -39,9 +39,9 @@
         endpoints: list[tuple[str, int]],
         prefix: str,
         rng: random.Random,
-        timeout_s: float = PATIENCE,
+        timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        self._cluster, self._timeout_s = Cluster(endpoints, rng), timeout_s
+        self._cluster, self._timeout_s = EtcdClient(endpoints, rng), timeout_s
         self._log_prefix = f"{prefix}/log/".encode()
         self._status_prefix = f"{prefix}/nodes/".encode()
         self._notice_prefix = f"{prefix}/words/".encode()
@@ -80,7 +80,7 @@
     async def statuses(self) -> list[dict[str, Any]]:
         """See `VersionStore.statuses`."""
         with _store_errors():
-            header, pairs = await self._cluster.all(self._status_prefix)
+            header, pairs = await self._cluster.range_all(self._status_prefix)
             self._check_header(header)
             entries = [self._parse_entry(pair) for pair in pairs]
             return [status for entry in entries if entry is not None for status in unpack_statuses(entry)]
@@ -116,7 +116,7 @@
 
         One read-only transaction, so that both are as of one revision.
         """
-        log_end = wire.end_of(self._log_prefix)
+        log_end = wire.prefix_end(self._log_prefix)
         ranges = [
             wire.RangeRequest(key=self._record_key(first), range_end=log_end, limit=MAX_RECORDS_PER_READ + 1)
         ]
@@ -124,7 +124,7 @@
             ranges.append(
                 wire.RangeRequest(
                     key=self._notice_prefix,
-                    range_end=wire.end_of(self._notice_prefix),
+                    range_end=wire.prefix_end(self._notice_prefix),
                     min_mod_revision=self._notices_revision + 1,
                 )
             )
@@ -142,7 +142,7 @@
     async def _call(self, method: str, message: Any, response_type: Any) -> Any:
         """Make one call with a timeout short enough that a silent endpoint leaves time for another one."""
         path = f"{wire.KV}{method}"
-        return await self._cluster.call(path, message, response_type, time_out=self._timeout_s)
+        return await self._cluster.call(path, message, response_type, timeout_s=self._timeout_s)
 
     def _record_key(self, number: int) -> bytes:
         return self._log_prefix + b"%012d" % number
