--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -37,7 +37,7 @@
 class ListFilter(Protocol):
     """Corrects lists by what other processes say of servers."""
 
-    def listed(self, document: Any) -> Any:
+    def filter_message(self, document: Any) -> Any:
         """Returns a list, or changes to it, with corrections."""
 
 
@@ -249,7 +249,7 @@
     def _apply(self, document: Any) -> None:
         """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
         if self.list_filter is not None:
-            document = self.list_filter.listed(document)
+            document = self.list_filter.filter_message(document)
         if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
             return
         is_full = bool(document.get("full", False))
