--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -41,7 +41,7 @@
         rng: random.Random,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> None:
-        self._cluster, self._timeout_s = EtcdClient(endpoints, rng), timeout_s
+        self._client, self._timeout_s = EtcdClient(endpoints, rng), timeout_s
         self._log_prefix = f"{prefix}/log/".encode()
         self._status_prefix = f"{prefix}/nodes/".encode()
         self._notice_prefix = f"{prefix}/words/".encode()
@@ -53,7 +53,7 @@
 
     async def run(self) -> None:
         """Keep the connections to the cluster until cancelled."""
-        await self._cluster.run()
+        await self._client.run()
 
     async def exchange(
         self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
@@ -80,7 +80,7 @@
     async def statuses(self) -> list[dict[str, Any]]:
         """See `VersionStore.statuses`."""
         with _store_errors():
-            header, pairs = await self._cluster.range_all(self._status_prefix)
+            header, pairs = await self._client.range_all(self._status_prefix)
             self._check_header(header)
             entries = [self._parse_entry(pair) for pair in pairs]
             return [status for entry in entries if entry is not None for status in unpack_statuses(entry)]
@@ -91,21 +91,21 @@
         with _store_errors():
             compare = wire.Compare(key=key, target=wire.VERSION, result=wire.EQUAL, version=0)
             put = wire.RequestOp(request_put=wire.PutRequest(key=key, value=canonical(record)))
-            return bool((await self._cluster.txn([compare], [put])).succeeded)
+            return bool((await self._client.txn([compare], [put])).succeeded)
 
     async def remove_statuses(self, keys: list[str]) -> None:
         """See `VersionStore.remove_statuses`."""
         with _store_errors():
             for key in keys:
-                await self._cluster.delete(self._status_prefix + key.encode())
+                await self._client.delete(self._status_prefix + key.encode())
 
     async def write_drain_notices(self, notices: list[dict[str, Any]], expired_ids: list[str]) -> None:
         """See `VersionStore.write_drain_notices`."""
         with _store_errors():
             for notice in notices:
-                await self._cluster.put(self._notice_prefix + notice["id"].encode(), orjson.dumps(notice))
+                await self._client.put(self._notice_prefix + notice["id"].encode(), orjson.dumps(notice))
             for server_id in expired_ids:
-                await self._cluster.delete(self._notice_prefix + server_id.encode())
+                await self._client.delete(self._notice_prefix + server_id.encode())
 
     async def _put_status(self, key: str, status: dict[str, Any]) -> Any:
         request = wire.PutRequest(key=self._status_prefix + key.encode(), value=orjson.dumps(status))
@@ -142,7 +142,7 @@
     async def _call(self, method: str, message: Any, response_type: Any) -> Any:
         """Make one call with a timeout short enough that a silent endpoint leaves time for another one."""
         path = f"{wire.KV}{method}"
-        return await self._cluster.call(path, message, response_type, timeout_s=self._timeout_s)
+        return await self._client.call(path, message, response_type, timeout_s=self._timeout_s)
 
     def _record_key(self, number: int) -> bytes:
         return self._log_prefix + b"%012d" % number
