--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -11,8 +11,8 @@
 import os
 import signal
 import sys
-from collections.abc import Sequence
-from typing import Any
+from collections.abc import AsyncIterator, Sequence
+from typing import TYPE_CHECKING
 
 import trio
 
@@ -20,7 +20,7 @@
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.downstream import Downstream
-from wheatroute.net.log import open_log
+from wheatroute.net.log import Logger, open_log
 from wheatroute.net.node_settings import (
     NodeSettings,
     NodeSettingsError,
@@ -31,11 +31,15 @@
 from wheatroute.net.signals import handle_signals, open_signal_receiver, record_early_signals
 from wheatroute.net.upstream import Upstream
 
+if TYPE_CHECKING:
+    from wheatroute.agreement.following import Following
+    from wheatroute.rollout.telling import Telling
+
 CLIENT_CONNECTIONS_RATIO = 0.55  # a request has its client's connection, and while it is sent a server's
 GC_THRESHOLDS = (10000, 20, 50)  # little that is allocated for a request is in a reference cycle
 
 
-async def serve_node(settings: NodeSettings, log: Any, early_signals: Sequence[int] = ()) -> None:
+async def serve_node(settings: NodeSettings, log: Logger, early_signals: Sequence[int] = ()) -> None:
     """Runs a node until SIGTERM or SIGINT, and until everything that was accepted is answered.
 
     `early_signals` are stop signals that came before.
@@ -51,7 +55,7 @@
 class Node:
     """The parts of a node, and the order in which they start and stop."""
 
-    def __init__(self, settings: NodeSettings, log: Any) -> None:
+    def __init__(self, settings: NodeSettings, log: Logger) -> None:
         self._settings, self._log = settings, log
         max_clients = int(settings.max_connections * CLIENT_CONNECTIONS_RATIO)
         self._driver = driver = BalancerDriver(settings.terms, settings.seed, log)
@@ -84,7 +88,7 @@
             return SteadyList(settings.discovery_settings, self._driver, self._upstream, self._log)
         return Discovery(settings.discovery_settings, self._driver, self._upstream, self._log)
 
-    def _make_follower(self) -> Any:
+    def _make_follower(self) -> "Following | None":
         if not self._settings.agreement:
             return None
         from wheatroute.agreement.node import follow
@@ -93,7 +97,7 @@
             self._settings, self._driver, self._upstream, self._downstream, self._discovery, self._log
         )
 
-    def _make_status(self) -> Any:
+    def _make_status(self) -> "Telling | None":
         if not self._settings.rollout:
             return None
         from wheatroute.rollout.telling import Telling
@@ -102,7 +106,7 @@
             self._settings, self._downstream, self._upstream, self._discovery, self._follower, self._log
         )
 
-    async def run(self, signals: Any) -> None:
+    async def run(self, signals: AsyncIterator[int]) -> None:
         """Serves until a stop signal, and until everything that was accepted is answered."""
         trio.lowlevel.add_instrument(self._driver.event_loop_lag)
         parts = (self._upstream, self._discovery, self._driver, self._peers, self._follower, self._status)
--- a/wheatroute/net/addresses.py
+++ b/wheatroute/net/addresses.py
@@ -1,13 +1,12 @@
 """IPv4 addresses with ports, as settings and the list of servers write them. No I/O."""
 
 import re
-from typing import Any
 
 NO_ADDRESS = ("", 0)  # where there is no list service
 _ADDRESS = re.compile(r"((?:[0-9]{1,3}\.){3}[0-9]{1,3}):([0-9]{1,5})\Z")
 
 
-def parse_address(text: Any) -> tuple[str, int]:
+def parse_address(text: object) -> tuple[str, int]:
     """Parses "a.b.c.d:port"; raises ValueError otherwise.
 
     Host names are not accepted: looking one up would block the whole node.
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -5,8 +5,6 @@
 was written, always after. Nothing is sent again here.
 """
 
-from typing import Any
-
 import h11
 import trio
 
@@ -15,7 +13,7 @@
 from wheatroute.net.connection import Connection, MalformedError, PeerClosedError
 from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
 from wheatroute.net.exchange import Attempt, Exchange, Response
-from wheatroute.net.log import CloseReason
+from wheatroute.net.log import CloseReason, Logger
 from wheatroute.net.response_reader import LoadReportReader, read_response
 from wheatroute.net.send_rules import SendRules
 from wheatroute.net.server_table import ServerTable
@@ -33,7 +31,7 @@
         rules: SendRules,
         reports: LoadReportReader,
         driver: BalancerDriver,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._servers = servers
         self._pool = pool
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -20,6 +20,7 @@
 from wheatroute.net.clock import now
 from wheatroute.net.event_loop_lag import EventLoopLag
 from wheatroute.net.exchange import FAILED_STATUS, REJECTED_STATUS, Attempt, Exchange, Response
+from wheatroute.net.log import Logger
 
 RETRY_AFTER_FAULT_S = (
     0.25  # until the next batch after an exception, in which the balancer may lose its timer
@@ -59,7 +60,7 @@
 class BalancerDriver:
     """The balancer's only caller, and the `CommandWriter` of its commands."""
 
-    def __init__(self, terms: dict[str, Any], seed: str, log: Any) -> None:
+    def __init__(self, terms: dict[str, Any], seed: str, log: Logger) -> None:
         self.event_loop_lag = EventLoopLag()
         self._balancer = Balancer(terms, random.Random(seed))
         self._max_attempts = terms["most_attempts"]
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -16,7 +16,7 @@
 from wheatroute.net.addresses import format_address
 from wheatroute.net.clock import now
 from wheatroute.net.connection import Connection
-from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.server_table import ServerTable
 
 MAX_IDLE_RATIO = (
@@ -63,7 +63,7 @@
         max_connections: int,
         max_response_bytes: int,
         servers: ServerTable,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._max_connections = max_connections
         self._max_response_bytes = max_response_bytes
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -16,7 +16,7 @@
 from wheatroute.balancing.interface import Event, ListEntry
 from wheatroute.net.addresses import format_address
 from wheatroute.net.connection import Connection, MalformedError
-from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.node_settings import DiscoverySettings
 from wheatroute.net.server_entries import ServerEntryReader, ServerStates
 
@@ -37,14 +37,14 @@
 class ListFilter(Protocol):
     """Corrects lists by what other processes say of servers."""
 
-    def listed(self, document: Any) -> Any:
+    def listed(self, document: object) -> object:
         """Returns a list, or changes to it, with corrections."""
 
 
 class EventSink(Protocol):
     """Takes events for the decision module."""
 
-    def add_event(self, *event: Any) -> None:
+    def add_event(self, *event: object) -> None:
         """Adds an event."""
 
 
@@ -52,7 +52,7 @@
     """The list of servers as the list service has it."""
 
     def __init__(
-        self, settings: DiscoverySettings, driver: EventSink, servers: ServerStates, log: Any
+        self, settings: DiscoverySettings, driver: EventSink, servers: ServerStates, log: Logger
     ) -> None:
         self._address = settings.address
         self._driver, self._log = driver, log
@@ -199,7 +199,7 @@
         responses_taken = self._responses_taken
         self._handle_response(await self._get(connection, target), responses_taken)
 
-    async def _get(self, connection: Connection, target: bytes) -> Any:
+    async def _get(self, connection: Connection, target: bytes) -> object:
         """Returns the JSON of a response; raises MalformedError for any other."""
         headers = [(b"Host", format_address(self._address).encode())]
         connection.send(h11.Request(method=b"GET", target=target, headers=headers))
@@ -219,7 +219,7 @@
 
     # lists
 
-    def _handle_response(self, document: Any, responses_taken: int) -> None:
+    def _handle_response(self, document: object, responses_taken: int) -> None:
         """Applies a response, unless it is older than one that was taken since its request was sent.
 
         `responses_taken` is how many had been taken by then.
@@ -228,14 +228,15 @@
         response came between and the version still is lower, the list service has restarted: its list is
         applied as it is, and further requests count from its own versions.
         """
-        version = document.get("version") if isinstance(document, dict) else None
+        fields = document if isinstance(document, dict) else {}
+        version = fields.get("version")
         is_older = isinstance(version, int) and version < self._version
         if is_older and responses_taken != self._responses_taken:
             return
         if is_older:
             self._log.warning("list-service-restarted", version=version, previous_version=self._version)
         self._responses_taken += 1
-        if not is_older or document.get("full"):
+        if not is_older or fields.get("full"):
             self._apply(document)
         else:
             self._version = UNKNOWN_VERSION  # changes to a list that this node lacks: it asks for all
@@ -246,7 +247,7 @@
         """Applies the states that other processes say servers of this list have."""
         self._apply({"heard": True, "full": False, "servers": servers})
 
-    def _apply(self, document: Any) -> None:
+    def _apply(self, document: object) -> None:
         """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
         if self.list_filter is not None:
             document = self.list_filter.listed(document)
@@ -263,7 +264,7 @@
         if entries or is_full:
             self._driver.add_event(Event.SERVERS_LISTED, entries, is_full)
 
-    def _read_entries(self, servers: list[Any]) -> list[ListEntry]:
+    def _read_entries(self, servers: list[object]) -> list[ListEntry]:
         entries = []
         for one in servers:
             try:
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -14,7 +14,7 @@
 from wheatroute.net.client_registry import ClientRegistry
 from wheatroute.net.connection import MAX_BODY_BYTES, Connection, MalformedError
 from wheatroute.net.listener import Listener
-from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.request_handler import Readiness, RequestAccount, RequestHandler
 from wheatroute.net.request_parser import Forms, RequestParser
@@ -33,7 +33,7 @@
         max_connections: int,
         driver: BalancerDriver,
         readiness: Readiness,
-        log: Any,
+        log: Logger,
     ) -> None:
         terms = settings.terms
         self._driver, self._log = driver, log
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -9,7 +9,7 @@
 import sys
 import time
 from enum import StrEnum
-from typing import Any
+from typing import Protocol
 
 from wheatroute.imports import without
 
@@ -39,6 +39,19 @@
     FAULT = "fault"  # a fault of the node
 
 
+class Logger(Protocol):
+    """What the node needs of a logger; fields are written as `name=value`."""
+
+    def info(self, event: str, **fields: object) -> None:
+        """Logs an event."""
+
+    def warning(self, event: str, **fields: object) -> None:
+        """Logs an event that should be looked at."""
+
+    def exception(self, event: str, **fields: object) -> None:
+        """Logs the exception that is being handled."""
+
+
 class LogWriter:
     """Writes lines to standard output; where a pipe is full they are dropped and counted.
 
@@ -64,7 +77,7 @@
     info = warning = error = exception = msg
 
 
-def open_log(name: str) -> Any:
+def open_log(name: str) -> Logger:
     """Configures structlog and returns the logger; every line has the node's name."""
     structlog.configure(
         processors=[
@@ -76,11 +89,12 @@
         logger_factory=LogWriter,
         cache_logger_on_first_use=True,
     )
-    return structlog.get_logger().bind(node=name)
+    logger: Logger = structlog.get_logger().bind(node=name)
+    return logger
 
 
 def log_closed_connection(
-    log: Any, side: str, peer: str, reason: CloseReason, opened_at: float, messages: int
+    log: Logger, side: str, peer: str, reason: CloseReason, opened_at: float, messages: int
 ) -> None:
     """Logs the end of a connection; `opened_at` is on the monotonic clock."""
     log.info(
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -221,13 +221,13 @@
     return document
 
 
-def _parse_has_successor(value: Any) -> bool:
+def _parse_has_successor(value: object) -> bool:
     if not isinstance(value, bool):
         raise NodeSettingsError(f'"beside" is neither true nor false: {value!r}')
     return value
 
 
-def _parse_peers(table: Any, is_allowed: bool) -> PeerAddresses | None:
+def _parse_peers(table: object, is_allowed: bool) -> PeerAddresses | None:
     """Returns the addresses of "peers", None where the file has none."""
     if table is None:
         return None
@@ -251,7 +251,7 @@
     return PeerAddresses(listen, others)
 
 
-def _parse_etcd_servers(table: Any) -> dict[str, Any] | None:
+def _parse_etcd_servers(table: object) -> dict[str, Any] | None:
     """Returns where servers are followed in etcd, None for a list service; raises ValueError too."""
     if table is None:
         return None
@@ -275,7 +275,7 @@
     }
 
 
-def _parse_version_store(table: Any, name: str) -> dict[str, Any] | None:
+def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
     """Returns the store of versions that a table names, and the time to agree; None without the table."""
     if table is None:
         return None
@@ -296,7 +296,7 @@
     return {"etcd": addresses, "prefix": table["prefix"], "within": float(within_s)}
 
 
-def _parse_work_header(name: Any) -> bytes:
+def _parse_work_header(name: object) -> bytes:
     """Returns the name of the header that hints at a request's work, in lower case; empty for none."""
     if name is None:
         return b""
@@ -321,7 +321,7 @@
     return words.Numbers({name: number for number, name in enumerate(names)})
 
 
-def _max_connections(limits: Any) -> int:
+def _max_connections(limits: object) -> int:
     """Returns how many connections the node may hold: its descriptors less a reserve."""
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
@@ -330,7 +330,7 @@
     return sockets - min(RESERVED_DESCRIPTORS, reserved)
 
 
-def _max_response_bytes(limits: Any) -> int:
+def _max_response_bytes(limits: object) -> int:
     """Returns how long a server's response may be, in bytes.
 
     Servers send longer bodies than the 64 KiB that the protocol allows to clients, so that bound would turn
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -6,13 +6,14 @@
 
 import socket
 from collections.abc import Mapping
-from typing import Any, Protocol
+from typing import Protocol
 
 import trio
 
 from wheatroute import talk
 from wheatroute.balancing.interface import Event
 from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.log import Logger
 from wheatroute.net.node_settings import PeerAddresses
 
 
@@ -28,7 +29,7 @@
     """The socket to the other nodes."""
 
     def __init__(
-        self, addresses: PeerAddresses, driver: BalancerDriver, servers: NumberedServers, log: Any
+        self, addresses: PeerAddresses, driver: BalancerDriver, servers: NumberedServers, log: Logger
     ) -> None:
         self._others = addresses.others
         self._driver, self._servers, self._log = driver, servers, log
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -13,7 +13,7 @@
 from wheatroute.net.clock import now
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
-from wheatroute.net.log import CloseReason
+from wheatroute.net.log import CloseReason, Logger
 from wheatroute.net.response_reader import LoadReportReader, read_response
 from wheatroute.net.server_table import ServerTable
 
@@ -32,7 +32,7 @@
         pool: ConnectionPool,
         reports: LoadReportReader,
         driver: BalancerDriver,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._path = LIVENESS_PATH if terms["report_how"] == "none" else LOAD_PATH
         self._servers = servers
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -17,7 +17,7 @@
 from wheatroute.net.clock import now
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.exchange import REJECTED_STATUS, Exchange, Response
-from wheatroute.net.log import CloseReason
+from wheatroute.net.log import CloseReason, Logger
 from wheatroute.net.request_parser import SINGLE_HEADERS, RequestParser
 from wheatroute.net.response_writer import ResponseWriter
 from wheatroute.net.shutdown import ShutdownState
@@ -63,7 +63,7 @@
         shutdown: ShutdownState,
         driver: BalancerDriver,
         readiness: Readiness,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._parser = parser
         self._clients = clients
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -2,13 +2,13 @@
 
 from dataclasses import dataclass
 from math import inf
-from typing import Any
 
 import trio
 
 from wheatroute.balancing.interface import Outcome
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.load_reports import parse_load_report
+from wheatroute.net.log import Logger
 from wheatroute.net.server_table import ServerTable
 
 MAX_STALL_CONNECT_TIMEOUTS = 2.0  # for which a response that has begun may make no progress
@@ -57,7 +57,7 @@
     A line for each malformed report would cost more than the responses.
     """
 
-    def __init__(self, servers: ServerTable, log: Any) -> None:
+    def __init__(self, servers: ServerTable, log: Logger) -> None:
         self._servers, self._log = servers, log
         self._malformed: set[int] = set()  # servers whose malformed reports were logged
 
--- a/wheatroute/net/signals.py
+++ b/wheatroute/net/signals.py
@@ -6,12 +6,13 @@
 """
 
 import signal
-from collections.abc import Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AbstractContextManager
-from typing import Any
 
 import trio
 
+from wheatroute.net.log import Logger
+
 STOP_SIGNALS = signal.SIGTERM, signal.SIGINT
 
 
@@ -24,13 +25,13 @@
     return early
 
 
-def open_signal_receiver() -> AbstractContextManager[Any]:
+def open_signal_receiver() -> AbstractContextManager[AsyncIterator[int]]:
     """Returns a context manager for the signals, to be entered before anything listens."""
     return trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP)
 
 
 async def handle_signals(
-    signals: Any, stop: Callable[[], Awaitable[None]], reload: Callable[[], None], log: Any
+    signals: AsyncIterator[int], stop: Callable[[], Awaitable[None]], reload: Callable[[], None], log: Logger
 ) -> None:
     """Runs `stop` at the first stop signal, and `reload` at each SIGHUP, also while the process stops."""
     async with trio.open_nursery() as nursery:
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -12,6 +12,7 @@
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection_pool import ConnectionPool
 from wheatroute.net.exchange import Attempt, Exchange
+from wheatroute.net.log import Logger
 from wheatroute.net.probes import Prober
 from wheatroute.net.response_reader import LoadReportReader
 from wheatroute.net.send_rules import SendRules
@@ -27,7 +28,7 @@
         max_connections: int,
         max_response_bytes: int,
         driver: BalancerDriver,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._servers = ServerTable()
         self._pool = ConnectionPool(terms, max_connections, max_response_bytes, self._servers, log)
