--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -32,7 +32,7 @@
 from wheatroute.net.upstream import Upstream
 
 if TYPE_CHECKING:
-    from wheatroute.agreement.following import Following
+    from wheatroute.agreement.version_follower import VersionFollower
     from wheatroute.rollout.telling import Telling
 
 CLIENT_CONNECTIONS_RATIO = 0.55  # a request has its client's connection, and while it is sent a server's
@@ -83,12 +83,12 @@
 
             return FollowedList(settings, self._driver, self._upstream, self._log)
         if settings.agreement:
-            from wheatroute.agreement.steady import SteadyList
+            from wheatroute.agreement.monotonic_discovery import MonotonicDiscovery
 
-            return SteadyList(settings.discovery_settings, self._driver, self._upstream, self._log)
+            return MonotonicDiscovery(settings.discovery_settings, self._driver, self._upstream, self._log)
         return Discovery(settings.discovery_settings, self._driver, self._upstream, self._log)
 
-    def _make_follower(self) -> "Following | None":
+    def _make_follower(self) -> "VersionFollower | None":
         if not self._settings.agreement:
             return None
         from wheatroute.agreement.node import follow
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -37,7 +37,7 @@
 class ListFilter(Protocol):
     """Corrects lists by what other processes say of servers."""
 
-    def listed(self, document: object) -> object:
+    def filter_message(self, document: object) -> object:
         """Returns a list, or changes to it, with corrections."""
 
 
@@ -250,7 +250,7 @@
     def _apply(self, document: object) -> None:
         """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
         if self.list_filter is not None:
-            document = self.list_filter.listed(document)
+            document = self.list_filter.filter_message(document)
         if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
             return
         is_full = bool(document.get("full", False))
