--- a/wheatroute/control/soft_state_sharing.py
+++ b/wheatroute/control/soft_state_sharing.py
@@ -39,7 +39,7 @@
         self._log = log
         self._shared_version: RegistryVersion | None = None
         self._shared_edge_node_count = 0
-        self._shared_order: SoftStateVersion = (-1, 0)
+        self._shared_order = SoftStateVersion(-1, 0)
         self._shared_at = 0.0
         self._pending_share: asyncio.Task[SoftStateVersion] | None = None
         self._shared_levels: dict[str, BucketLevels] = {}
