--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -27,7 +27,7 @@
 from wheatroute.rig import records  # noqa: E402
 from wheatroute.rig.rig import rig  # noqa: E402
 from wheatroute.rollout import operator, plan  # noqa: E402
-from wheatroute.rollout.judge import Judge, Tally, Verdict  # noqa: E402
+from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict  # noqa: E402
 
 WITHIN = 2.0  # seconds
 RATE = 80.0  # requests a second at each node
@@ -62,14 +62,14 @@
         await it.agreed(first)
         it.call(RATE, MIX)
         with trio.fail_after(60):
-            while len(await operator.supervisors(place)) < 3:
+            while len(await operator.supervisor_statuses(place)) < 3:
                 await trio.sleep(0.05)
         await trio.sleep(1.0)
         began = time.monotonic()
-        await operator.start(place, plan.checked(PLAN), "a measurement")
+        await operator.start(place, plan.parse_plan(PLAN), "a measurement")
         killed, head, name, stopped = 0, 1, it.control(), 0.0
         with trio.fail_after(150):
-            while (progress := await operator.progress_of(place)).phase != "ended":
+            while (progress := await operator.read_progress(place)).phase != "ended":
                 if progress.phase == "going back":
                     stopped = stopped or time.monotonic()
                 if kill and progress.head > head:
@@ -77,7 +77,7 @@
                     killed, head, name = killed + 1, progress.head, it.control()
                 await trio.sleep(0.05)
         ended = time.monotonic()
-        rows = await operator.supervisors(place)
+        rows = await operator.supervisor_statuses(place)
         until = await it.quiet()
         await it.note()
         out.append(
@@ -128,7 +128,7 @@
 ) -> int | None:
     """Simulated: the judge alone before counts by chance, with bursts; the second in which it stops."""
     chance = random.Random(seed)
-    judge = Judge({"refused": 0.01, "worth": 0.02}, 0.005)
+    analysis = CanaryAnalysis({"refused": 0.01, "worth": 0.02}, 0.005)
     lean, burst = chance.uniform(-0.003, 0.003), 0
     for second in range(before + seconds):
         burst = chance.randrange(2, 9) if chance.random() < 0.04 else max(0, burst - 1)
@@ -139,8 +139,8 @@
         for count, part in ((int(load * share), mine), (int(load * (1 - share)), usual)):
             refused = sum(chance.random() < part for _ in range(count))
             sides.append({"refused": Tally(refused, count), "worth": Tally(refused + 0.02 * count, count)})
-        judge.look(sides[0], sides[1], second >= before)
-        if second >= before and judge.verdict(frozenset(judge.margins))[0] == Verdict.WORSE:
+        analysis.add_interval(sides[0], sides[1], second >= before)
+        if second >= before and analysis.verdict(frozenset(analysis.margins))[0] == Verdict.WORSE:
             return second - before
     return None
 
--- a/tests/rollout/bad.py
+++ b/tests/rollout/bad.py
@@ -53,10 +53,10 @@
 
 def unready():
     """It serves and never confirms anything."""
-    from wheatroute.rollout.telling import Telling
+    from wheatroute.rollout.figures_reporter import FiguresReporter
 
-    row = Telling.row
-    Telling.row = lambda self: row(self) | {"ready": False}
+    next_status = FiguresReporter.next_status
+    FiguresReporter.next_status = lambda self: next_status(self) | {"ready": False}
 
 
 HOW = {
--- a/tests/rollout/test_rollout_format.py
+++ b/tests/rollout/test_rollout_format.py
@@ -1,12 +1,13 @@
-"""Records of rollouts and the rows of a node's figures: as landing 12 wrote them."""
+"""Records of rollouts and a node's figures: as landing 12 wrote them."""
 
 from types import SimpleNamespace
 
 import orjson
 
 from wheatroute.agreement.versions import digest
-from wheatroute.rollout import account, plan
-from wheatroute.rollout.progress import Kind, RolloutProgress
+from wheatroute.rollout import plan
+from wheatroute.rollout.progress import RolloutProgress, StepKind
+from wheatroute.rollout.request_accounting import RequestAccounting
 
 PLAN = {
     "name": "a change",
@@ -44,7 +45,7 @@
     "d6586fb1deaa9e6f7027926c98598c7eb357e32d9a2dd7cd1a17817ca7c12c7a",
     "9bf17ebccad0a4cb0b7c46fad7d6e6af5a0c83966a75126cac7674e2821acf4d",
 ]
-ROW = {
+FIGURES = {
     "format": 1,
     "lost": 0,
     "cells": [["look", "acme", 2, 1, 1, 0, 1, 0]],
@@ -54,7 +55,7 @@
 
 
 def test_a_plan_is_stored_as_before():
-    assert orjson.dumps(plan.checked(PLAN).model_dump()) == orjson.dumps(PLAN)
+    assert orjson.dumps(plan.parse_plan(PLAN).model_dump()) == orjson.dumps(PLAN)
 
 
 def test_the_records_of_a_rollout_follow_each_other_as_before():
@@ -62,10 +63,10 @@
     phases = []
     for step, expected in zip(STEPS, DIGESTS, strict=True):
         more = {name: value for name, value in step.items() if name != "kind"}
-        record = progress.next(Kind(step["kind"]), **more)
+        record = progress.next_record(StepKind(step["kind"]), **more)
         assert list(record) == ["format", "seq", "before", "kind", *more]
         assert digest(record) == expected
-        progress.take(record)
+        progress.apply(record)
         phases.append(str(progress.phase))
     assert phases == [
         "before a stage",
@@ -79,8 +80,8 @@
     ]
 
 
-def test_a_node_s_figures_are_told_as_before():
-    counts = account.Account({"look": 0}, {"acme": 0}, [{"worth": 2.0, "target_latency": 1.0}])
+def test_a_nodes_figures_are_written_as_before():
+    accounting = RequestAccounting({"look": 0}, {"acme": 0}, [{"worth": 2.0, "target_latency": 1.0}])
     exchange = SimpleNamespace(
         number=1,
         is_complete=False,
@@ -91,7 +92,7 @@
         attempts=[0, 1],
         response=SimpleNamespace(status=200),
     )
-    counts.took(exchange)
-    counts.settled(exchange, 10.5)
-    counts.refused(exchange)
-    assert orjson.dumps(counts.row(11.0)) == orjson.dumps(ROW)
+    accounting.request_accepted(exchange)
+    accounting.request_answered(exchange, 10.5)
+    accounting.request_rejected(exchange)
+    assert orjson.dumps(accounting.figures(11.0)) == orjson.dumps(FIGURES)
--- a/tests/rollout/test_rollout_functions.py
+++ b/tests/rollout/test_rollout_functions.py
@@ -1,10 +1,15 @@
 """What single functions give, one after the other; no sockets, no clock."""
 
-from wheatroute.rollout import account
+from wheatroute.rollout import figures
 
 
-def test_account_bound():
-    assert (account.bound(1.0), account.bound(1.04), account.bound(1.06), account.bound(0.0)) == (
+def test_duration_bucket():
+    assert (
+        figures.duration_bucket(1.0),
+        figures.duration_bucket(1.04),
+        figures.duration_bucket(1.06),
+        figures.duration_bucket(0.0),
+    ) == (
         0,
         0,
         1,
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -51,7 +51,7 @@
         {"name": "one", "nodes": ["n0"], "least": 2.0, "most": 20.0},
         {"name": "rest", "nodes": ["n1", "n2"], "least": 2.0, "most": 20.0},
     ]
-    return plan.checked(
+    return plan.parse_plan(
         {
             "name": "a change",
             "old": "old",
@@ -74,10 +74,10 @@
 
 
 class Story:
-    """A rig with supervisors, and the place of its rollouts."""
+    """A rig with supervisors, and the store of its rollouts."""
 
     def __init__(self, it):
-        self.it, self.place = it, DirectoryStore(str(it.folder / "rollouts"))
+        self.it, self.store = it, DirectoryStore(str(it.folder / "rollouts"))
 
     async def ready(self, rate=80):
         number = await self.it.put("the first")
@@ -91,13 +91,13 @@
     async def until(self, what, patience=30.0):
         """By the supervisors' rows, for what cannot be seen from outside: which program runs."""
         with trio.fail_after(patience):
-            while not what(await operator.supervisors(self.place)):
+            while not what(await operator.supervisor_statuses(self.store)):
                 await trio.sleep(0.05)
 
     async def ended(self, patience=60.0):
         with trio.move_on_after(patience):
             while True:
-                progress = await operator.progress_of(self.place)
+                progress = await operator.read_progress(self.store)
                 if progress.phase == "ended":
                     return progress
                 await trio.sleep(0.1)
@@ -105,12 +105,12 @@
 
     async def standing(self):
         """Where the rollout stands by the progress, the supervisors and the controllers."""
-        progress = await operator.progress_of(self.place)
+        progress = await operator.read_progress(self.store)
         return "\n".join(
             [
                 f"{progress.phase}, {progress.reason or 'no reason'}",
                 *map(str, progress.records),
-                *map(str, await self.place.statuses()),
+                *map(str, await self.store.statuses()),
             ]
         )
 
@@ -143,11 +143,11 @@
         one = Story(it)
         await one.ready()
         it.control()
-        number = await operator.start(one.place, told(), "a story")
+        number = await operator.start(one.store, told(), "a story")
         progress = await one.ended()
         assert number == 1
         assert kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
-        assert {row["runs"] for row in (await operator.supervisors(one.place)).values()} == {"new"}
+        assert {row["runs"] for row in (await operator.supervisor_statuses(one.store)).values()} == {"new"}
         assert sum(one.status != 200 for one in it.records.asked.values() if one.status) == 0
         await one.kept()
 
@@ -159,10 +159,10 @@
             one = Story(it)
             await one.ready()
             it.control()
-            await operator.start(one.place, told(), "a story")
+            await operator.start(one.store, told(), "a story")
             progress = await one.ended()
             assert kinds(progress) == ["start", "stage", "back", "end"] and reason in progress.reason
-            rows = await operator.supervisors(one.place)
+            rows = await operator.supervisor_statuses(one.store)
             assert {row["runs"] for row in rows.values()} == {"old"} and progress.records[-1]["mixed"] == []
             await one.kept()
 
@@ -179,12 +179,14 @@
             await one.ready()
             it.control()
             await operator.start(
-                one.place, told(**(TIMES_WATCHED if word == "slow" else LONG_STAGES)), "a story"
+                one.store, told(**(TIMES_WATCHED if word == "slow" else LONG_STAGES)), "a story"
             )
             progress = await one.ended(200.0)
             assert kinds(progress) == ["start", "stage", "back", "end"], progress.records
             assert word in progress.reason
-            assert {row["runs"] for row in (await operator.supervisors(one.place)).values()} == {"old"}
+            assert {row["runs"] for row in (await operator.supervisor_statuses(one.store)).values()} == {
+                "old"
+            }
             # what the bad one did is its own; the other nodes' clients felt none of it
             felt = not_served(it.records, ("n1", "n2"))
             assert not felt, "\n".join([f"stages: {progress.records}", *felt])
@@ -197,12 +199,12 @@
     async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": GOOD}) as it:
         one = Story(it)
         await one.ready()
-        await operator.start(one.place, told(), "a story")
+        await operator.start(one.store, told(), "a story")
         seen = 0
         with trio.fail_after(90):
             while True:
                 name, other = it.control(), it.control()
-                while (progress := await operator.progress_of(one.place)).head == max(
+                while (progress := await operator.read_progress(one.store)).head == max(
                     seen, 1
                 ) and progress.phase != "ended":
                     await trio.sleep(0.05)
@@ -237,7 +239,7 @@
         await it.until(lambda: "event=found" in it.processes["supervisor-n0"].log, "it is found")
         assert it.processes["n0"].pids == pids and len(pids) == 1
         it.control()
-        await operator.start(one.place, told(), "a story")
+        await operator.start(one.store, told(), "a story")
         assert kinds(await one.ended())[-1] == "end"
         assert len(it.processes["n0"].pids) == 1 and it.processes["n0"].pids != pids
         await one.kept()
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -96,9 +96,9 @@
     def _make_status(self) -> Any:
         if not self._settings.rollout:
             return None
-        from wheatroute.rollout.telling import Telling
+        from wheatroute.rollout.figures_reporter import FiguresReporter
 
-        return Telling(
+        return FiguresReporter(
             self._settings, self._downstream, self._upstream, self._discovery, self._follower, self._log
         )
 
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -78,14 +78,15 @@
     from wheatroute.agreement.operator_errors import first_error
     from wheatroute.agreement.version_store import VersionStoreError
     from wheatroute.net.log import open_log
-    from wheatroute.rollout import supervisor
+    from wheatroute.rollout.supervisor import run_supervisor
+    from wheatroute.rollout.supervisor_settings import SupervisorSettingsError, read_supervisor_settings
 
     try:
-        told = supervisor.read(file)
-        trio.run(supervisor.keep, told, open_log(f"supervisor-{told.name}"))
-    except (supervisor.SupervisorError, BaseExceptionGroup) as trouble:
+        told = read_supervisor_settings(file)
+        trio.run(run_supervisor, told, open_log(f"supervisor-{told.name}"))
+    except (SupervisorSettingsError, BaseExceptionGroup) as trouble:
         found = first_error(trouble)
-        if not isinstance(found, supervisor.SupervisorError | VersionStoreError):
+        if not isinstance(found, SupervisorSettingsError | VersionStoreError):
             raise
         click.echo(str(found), err=True)
         sys.exit(2)
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -30,7 +30,7 @@
     from wheatroute.rollout import operator, plan
 
     try:
-        told = plan.read(file)
+        told = plan.read_plan(file)
     except plan.PlanError as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
@@ -46,18 +46,18 @@
     import json
     import time
 
-    from wheatroute.rollout import operator
+    from wheatroute.rollout import operator, operator_output
 
     until = time.monotonic() + wait
     while True:
-        told = at_place(at, operator.status)
+        told = at_place(at, operator.rollout_status)
         if told["phase"] in ("ended", "none", "held") or time.monotonic() >= until:
             break
         if not as_json and sys.stdout.isatty():
             click.clear()
-            click.echo("\n".join(operator.status_lines(told)))
+            click.echo("\n".join(operator_output.status_lines(told)))
         time.sleep(1.0)
-    click.echo(json.dumps(told) if as_json else "\n".join(operator.status_lines(told)))
+    click.echo(json.dumps(told) if as_json else "\n".join(operator_output.status_lines(told)))
     sys.exit(3 if wait and (told["phase"] != "ended" or told["reason"]) else 0)
 
 
@@ -65,9 +65,9 @@
 @click.pass_obj
 def rollout_log(at: str) -> None:
     """Every step of all rollouts, with the evidence of each verdict."""
-    from wheatroute.rollout import operator
+    from wheatroute.rollout import operator, operator_output
 
-    click.echo("\n".join(operator.log_lines(at_place(at, operator.progress_of))))
+    click.echo("\n".join(operator_output.log_lines(at_place(at, operator.read_progress))))
 
 
 @rollout.command("hold")
@@ -86,7 +86,7 @@
     """Goes on from where it is held; what was held in a stage counts as passed."""
     from wheatroute.rollout import operator
 
-    click.echo(f"goes on by record {at_place(at, operator.go)}")
+    click.echo(f"goes on by record {at_place(at, operator.resume)}")
 
 
 @rollout.command("back")
@@ -96,7 +96,7 @@
     """All nodes go back to the old program."""
     from wheatroute.rollout import operator
 
-    click.echo(f"goes back by record {at_place(at, lambda place: operator.back(place, why))}")
+    click.echo(f"goes back by record {at_place(at, lambda place: operator.roll_back(place, why))}")
 
 
 @rollout.command("control")
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -73,7 +73,7 @@
         self._handler.update_settings(terms)
         self._is_only_node = terms["nodes"] == 1
         if self._handler.account is not None:
-            self._handler.account.agree(request_classes, tenants, class_terms)
+            self._handler.account.update_settings(request_classes, tenants, class_terms)
 
     async def run(self) -> None:
         """Accepts clients until the node stops and every client has its response."""
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -30,19 +30,21 @@
 class RequestAccount(Protocol):
     """Counts what becomes of requests, for rollouts."""
 
-    def took(self, exchange: Exchange) -> None:
+    def request_accepted(self, exchange: Exchange) -> None:
         """A request was admitted."""
 
-    def settled(self, exchange: Exchange, now: float) -> None:
+    def request_answered(self, exchange: Exchange, now: float) -> None:
         """A request has its response."""
 
-    def refused(self, exchange: Exchange) -> None:
+    def request_rejected(self, exchange: Exchange) -> None:
         """A request was rejected before it was admitted."""
 
-    def left(self, exchange: Exchange, now: float) -> None:
+    def client_left(self, exchange: Exchange, now: float) -> None:
         """The client of a request has gone."""
 
-    def agree(self, names: dict[str, int], tenants: dict[str, int], kinds: list[dict[str, Any]]) -> None:
+    def update_settings(
+        self, names: dict[str, int], tenants: dict[str, int], kinds: list[dict[str, Any]]
+    ) -> None:
         """Other settings are in force."""
 
 
@@ -150,7 +152,7 @@
         exchange.is_client_gone = lambda: self._is_client_gone(client)
         self._driver.add_request(exchange)
         if self.account is not None:
-            self.account.took(exchange)
+            self.account.request_accepted(exchange)
 
     def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
         """Rejects a request before it reaches the balancer.
@@ -159,7 +161,7 @@
         without a descriptor left requests would be lost unread in the listener's queue.
         """
         if self.account is not None:
-            self.account.refused(exchange)
+            self.account.request_rejected(exchange)
         if not self._shutdown.is_rejecting:
             self._count_rejected()
         self.writer.write(client, Response(REJECTED_STATUS, retry_after_s=self._retry_after_s))
@@ -186,7 +188,7 @@
         assert exchange is not None and exchange.response is not None
         self._in_flight -= 1
         if self.account is not None:
-            self.account.settled(exchange, now())
+            self.account.request_answered(exchange, now())
         try:
             self.writer.write(client, exchange.response)
         except Exception:  # it must not reach the one who completed the exchange
@@ -207,4 +209,4 @@
         self._in_flight -= 1
         self._driver.abandon_request(client.exchange)
         if self.account is not None:
-            self.account.left(client.exchange, now())
+            self.account.client_left(client.exchange, now())
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -1,295 +1,237 @@
-"""The controller of rollouts: looks at all rows, asks the judge, adds the step that the progress says.
+"""The controller of rollouts: reads all statuses, analyses the figures, appends the next step.
 
-Owns the pace of looks and what was seen in this stage by this controller. Any number may run: a step is a
-record that the place adds once, and one that dies leaves nothing that another needs but the store. It must
-never judge by rows that stand still, nor add a step to a progress that it has not read to the end.
+Any number of controllers may run: a step is a record that the store appends once, and a controller that dies
+leaves nothing that another needs but the store. Stale figures don't count, and no step is appended to a
+progress that was not read to its end. Does I/O through the rollout store.
 """
 
 from __future__ import annotations
 
 import secrets
 import time
-from collections import Counter, defaultdict, deque
-from collections.abc import Iterable, Mapping
+from collections import defaultdict
+from collections.abc import Mapping
 from typing import Any
 
 import trio
 
 from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore, VersionStoreError
 from wheatroute.agreement.versions import HistoryError
-from wheatroute.rollout import account
-from wheatroute.rollout.judge import Judge, Sequence, Tally, Verdict
-from wheatroute.rollout.progress import Kind, Phase, RolloutProgress
+from wheatroute.rollout.canary_analysis import CanaryAnalysis, DifferenceSequence, Tally, Verdict
+from wheatroute.rollout.figures import RELATIVE_METRICS
+from wheatroute.rollout.figures_watch import FiguresWatch
+from wheatroute.rollout.next_step import Observations, next_step
+from wheatroute.rollout.progress import Phase, RolloutProgress, StepKind
 
-LOOKS = 0.25  # seconds between two looks
-STALE = 5.0  # seconds after which a row that stands still is nobody's
-ANSWERS = 2.0  # seconds for the place
-GONE = 40  # looks after which its row is dropped
-SETTLING = 0.25  # of the time before a stage, in which it is found what is slow
-RECENT = 24  # looks over which what is slow is taken from the nodes that serve unchanged
-ENOUGH_TIMES = 40  # of a type in those looks, below which what was found before the stage stands
-TAKE_OVER = 4  # looks without a word from the controllers before it, after which the next one acts
+TURN_INTERVAL_S = 0.25
+STORE_TIMEOUT_S = 2.0
+EXPIRED_TURNS = 40  # without a heartbeat of a controller, after which its status is removed
+TAKEOVER_TURNS = 4  # without a heartbeat of the controllers before it, after which the next one acts
+THRESHOLD_RATIO = 0.25  # part of the time before a stage in which the slow thresholds are measured
+MAX_FINDINGS = 20  # written into a status or a record
 
-
-class Watch:
-    """Rows of figures over time: what each node did between two looks.
-
-    What is slow is what is slower than half of the answers of the nodes that serve unchanged, in the same
-    seconds. By times of before the stage alone nearly all answers of both sides would count as slow once the
-    machines are busier, and the two could not be told apart.
-    """
-
-    def __init__(self) -> None:
-        self._recent: deque[account.Times] = deque(maxlen=RECENT)  # of the nodes that serve unchanged
-        self._before: dict[tuple[str, str], dict[str, Any]] = {}
-        self._beats: dict[tuple[str, str], tuple[int, float]] = {}
-        self.slow: dict[str, tuple[int, int]] = {}
-        self._settled: account.Times | None = None  # what had been served when the thresholds' time began
-
-    def settle(self, rows: Iterable[Mapping[str, Any]], over: bool) -> None:
-        """Takes what is slow from what is served until `over`: times of a start are nobody's measure."""
-        served = account.times(rows)
-        if self._settled is None:
-            self._settled = served
-        if over and not self.slow:
-            self.slow = account.thresholds(served, self._settled)
-
-    def begin(self) -> None:
-        """Another stage comes: what is slow is found anew."""
-        self.slow, self._settled = {}, None
-        self._recent.clear()
-
-    def fresh(self, rows: list[dict[str, Any]], now: float) -> dict[str, dict[str, Any]]:
-        """By node, the row of the process that serves; one that stands still is left out."""
-        found: dict[str, dict[str, Any]] = {}
-        for row in rows:
-            key = row["name"], row["start"]
-            beat, since = self._beats.get(key, (-1, now))
-            if beat != row["beat"]:
-                beat, since = row["beat"], now
-            self._beats[key] = beat, since
-            if now - since < STALE and row["format"] == account.FORMAT and not row["stopping"]:
-                found[row["name"]] = row if row["name"] not in found or row["ready"] else found[row["name"]]
-        return found
-
-    def did(
-        self, rows: Mapping[str, dict[str, Any]], sites: Mapping[str, str], unchanged: set[str]
-    ) -> dict[str, dict[str, Tally]]:
-        """By node, since the look before; `unchanged` are the nodes that serve as before."""
-        out = {}
-        slow = self._slow_now(rows, unchanged)
-        for name, row in rows.items():
-            key = name, row["start"]
-            if key in self._before:
-                out[name] = account.tallies(self._before[key], row, sites.get(name, ""), slow)
-        self._before = {(name, row["start"]): row for name, row in rows.items()}
-        return out
-
-    def _slow_now(self, rows: Mapping[str, dict[str, Any]], unchanged: set[str]) -> account.Thresholds:
-        """Half of the times by the unchanged nodes' recent answers, where there are enough of them."""
-        now: account.Times = defaultdict(Counter)
-        for name in unchanged & rows.keys():
-            row = rows[name]
-            if before := self._before.get((name, row["start"])):
-                for what, counts in account.times_between(before, row).items():
-                    now[what].update(counts)
-        self._recent.append(now)
-        recent: account.Times = defaultdict(Counter)
-        for times in self._recent:
-            for what, counts in times.items():
-                recent[what].update(counts)
-        halves = account.thresholds(recent, {})
-        return {
-            what: (halves[what][0] if recent[what].total() >= ENOUGH_TIMES else half, hundredth)
-            for what, (half, hundredth) in self.slow.items()
-        }
+Statuses = Mapping[str, dict[str, Any]]  # by node
 
 
 class Controller:
-    """One of them. `look` is one turn."""
+    """One of the controllers of an installation."""
 
-    def __init__(self, place: VersionStore, log: Any) -> None:
-        self._place, self._log = place, log
+    def __init__(self, store: VersionStore, log: Any) -> None:
+        self._store, self._log = store, log
         self.progress = RolloutProgress()
-        self.name = secrets.token_hex(6)
-        self._watch = Watch()
-        self._judge: Judge | None = None
-        self._since = 0.0  # when this stage's watching began here
-        self._record_at = 0.0  # when the last record was read here
-        self._beat = 0
-        self._others: dict[str, tuple[int, int]] = {}  # controllers: beat, and looks without another
-        self._silent: list[str] = []  # rows of controllers that are gone
+        self.incarnation = secrets.token_hex(6)
+        self._watch = FiguresWatch()
+        self._analysis: CanaryAnalysis | None = None
+        self._watched_since = 0.0  # when it began to watch this phase; 0 before
+        self._record_read_at = 0.0
+        self._heartbeat = 0
+        self._others: dict[str, tuple[int, int]] = {}  # by incarnation: heartbeat, and turns without another
+        self._expired_keys: list[str] = []  # statuses of controllers that have ended
         self.findings: list[str] = []
 
     async def run(self) -> None:
+        """Take turns until cancelled."""
         while True:
             try:
-                with trio.fail_after(ANSWERS):
-                    await self.look(time.monotonic())
-            except (VersionStoreError, HistoryError, trio.TooSlowError) as trouble:
-                self._log.warning("place", trouble=str(trouble) or "does not answer")
-            await trio.sleep(LOOKS)
-
-    async def look(self, now: float) -> None:
-        """Reads all there is; adds the next step if there is one and it is this controller's turn."""
-        self._beat += 1
-        row = {
+                with trio.fail_after(STORE_TIMEOUT_S):
+                    await self.take_turn(time.monotonic())
+            except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
+                self._log.warning("place", trouble=str(error) or "does not answer")
+            await trio.sleep(TURN_INTERVAL_S)
+
+    async def take_turn(self, now: float) -> None:
+        """Read everything; append the next step if there is one and this controller is the first."""
+        if not await self._read_progress(now):
+            return
+        statuses = await self._store.statuses()
+        supervisors = {one["name"]: one for one in statuses if one.get("row") == "keeper"}
+        reported = [one for one in statuses if one.get("row") == "figures"]
+        figures = self._watch.live_figures(reported, now)
+        if self.progress.plan is None or not self.progress.is_running:
+            return
+        self._add_interval(supervisors, figures, now)
+        verdict, evidence = self._verdict()
+        is_first = self._is_first([one for one in statuses if one.get("row") == "controller"])
+        observations = Observations(
+            supervisors=supervisors,
+            watched_s=now - self._watched_since if self._watched_since else 0.0,
+            since_record_s=now - self._record_read_at,
+            verdict=verdict,
+            evidence=evidence,
+            failure=self._failure(supervisors, figures),
+            has_baseline=self._has_baseline(),
+        )
+        step = next_step(self.progress, observations)
+        if self._expired_keys:
+            await self._store.remove_statuses(self._expired_keys)
+        if step is not None and is_first:
+            await self._append(step)
+
+    async def _read_progress(self, now: float) -> bool:
+        """Write the own status and read new records; returns whether these were all."""
+        self._heartbeat += 1
+        status = {
             "row": "controller",
             "name": "controller",
-            "start": self.name,
-            "beat": self._beat,
-            "findings": self.findings[:20],
+            "start": self.incarnation,
+            "beat": self._heartbeat,
+            "findings": self.findings[:MAX_FINDINGS],
             "head": self.progress.head,
         }
-        records = await self._place.exchange(
-            f"controller.{self.name}", row, self.progress.head, self.progress.mark
+        records = await self._store.exchange(
+            f"controller.{self.incarnation}", status, self.progress.head, self.progress.head_digest
         )
         for record in records:
-            self.progress.take(record)
-            self._began(record, now)
-        if len(records) >= MAX_RECORDS_PER_READ:
-            return
-        rows = await self._place.statuses()
-        supervisors = {one["name"]: one for one in rows if one.get("row") == "keeper"}
-        figures = self._watch.fresh([one for one in rows if one.get("row") == "figures"], now)
-        if self.progress.plan is None or self.progress.phase in (Phase.NONE, Phase.ENDED):
-            return
-        self._see(supervisors, figures, now)
-        verdict, evidence = self._verdict()
-        first = self._first([one for one in rows if one.get("row") == "controller"])
-        watched = now - self._since if self._since else 0.0
-        step = self.progress.step(
-            supervisors,
-            watched,
-            now - self._record_at,
-            verdict,
-            evidence,
-            self._broken(supervisors, figures),
-            self._seen_before(),
-        )
-        if self._silent:
-            await self._place.remove_statuses(self._silent)
-        if step is None or not first:
-            return
-        if step["kind"] == Kind.STAGE and self._judge is not None:
-            step |= {"seen": self._judge.kept(), "slow": self._slow()}
-        if await self._place.append(step):
-            self._log.info(
-                "step",
-                **{key: value for key, value in step.items() if key in ("kind", "stage", "reason", "how")},
-            )
-
-    def _slow(self) -> dict[str, list[int]]:
-        return {name: list(bounds) for name, bounds in self._watch.slow.items()}
-
-    def _first(self, rows: list[dict[str, Any]]) -> bool:
-        """Whether no controller that still speaks goes before this one: only so that not all try the same."""
+            self.progress.apply(record)
+            self._begin_phase(record, now)
+        return len(records) < MAX_RECORDS_PER_READ
+
+    async def _append(self, step: dict[str, Any]) -> None:
+        if step["kind"] == StepKind.STAGE and self._analysis is not None:
+            thresholds = {name: list(buckets) for name, buckets in self._watch.thresholds.items()}
+            step |= {"seen": self._analysis.baseline_to_stored(), "slow": thresholds}
+        if await self._store.append(step):
+            logged = {key: value for key, value in step.items() if key in ("kind", "stage", "reason", "how")}
+            self._log.info("step", **logged)
+
+    def _is_first(self, statuses: list[dict[str, Any]]) -> bool:
+        """Whether this controller is the first of the live ones.
+
+        Only so that not all of them append: the store appends a step once in any case.
+        """
         others = {}
-        for one in rows:
-            beat, looks = self._others.get(one["start"], (-1, 0))
-            others[one["start"]] = (beat, looks + 1) if beat == one["beat"] else (one["beat"], 0)
+        for status in statuses:
+            heartbeat, turns = self._others.get(status["start"], (-1, 0))
+            is_same = heartbeat == status["beat"]
+            others[status["start"]] = (heartbeat, turns + 1) if is_same else (status["beat"], 0)
         self._others = others
-        self._silent = [f"controller.{start}" for start, (_, looks) in others.items() if looks >= GONE]
-        return self.name <= min(
-            [start for start, (_, looks) in others.items() if looks < TAKE_OVER], default=self.name
-        )
-
-    def _began(self, record: dict[str, Any], now: float) -> None:
-        """A record was read: what is watched begins anew."""
-        self._record_at, plan = now, self.progress.plan
+        self._expired_keys = [
+            f"controller.{start}" for start, (_, turns) in others.items() if turns >= EXPIRED_TURNS
+        ]
+        live = [start for start, (_, turns) in others.items() if turns < TAKEOVER_TURNS]
+        return self.incarnation <= min(live, default=self.incarnation)
+
+    def _begin_phase(self, record: dict[str, Any], now: float) -> None:
+        """Start to watch anew, as a record says."""
+        self._record_read_at, plan = now, self.progress.plan
         kind = record["kind"]
-        if plan is None or kind == Kind.HOLD:
+        if plan is None or kind == StepKind.HOLD:
             return
-        if kind in (Kind.START, Kind.PASS, Kind.GO):
-            self._judge, self._since, self.findings = self._new_judge(), 0.0, []
-            self._watch.begin()
-        elif kind == Kind.STAGE:
-            judge = self._new_judge()
-            judge.before = {what: Sequence.from_kept(told) for what, told in record.get("seen", {}).items()}
+        if kind in (StepKind.START, StepKind.PASS, StepKind.RESUME):
+            self._analysis, self._watched_since, self.findings = self._new_analysis(), 0.0, []
+            self._watch.begin_stage()
+        elif kind == StepKind.STAGE:
+            analysis = self._new_analysis()
+            analysis.before = {
+                metric: DifferenceSequence.from_stored(values)
+                for metric, values in record.get("seen", {}).items()
+            }
             if record.get("slow"):
-                self._watch.slow = {
-                    name: (int(one), int(other)) for name, (one, other) in record["slow"].items()
+                self._watch.thresholds = {
+                    name: (int(median), int(percentile_99))
+                    for name, (median, percentile_99) in record["slow"].items()
                 }
-            self._judge, self._since = judge, 0.0
+            self._analysis, self._watched_since = analysis, 0.0
 
-    def _new_judge(self) -> Judge:
+    def _new_analysis(self) -> CanaryAnalysis:
         plan = self.progress.plan
         assert plan is not None
-        # one that takes over begins to see anew: half of the risk is left for that
-        return Judge(plan.margins, plan.risk / (2.0 * len(plan.stages)), account.RATIOS)
+        # a controller that takes over begins a new analysis: half of the risk is left for that
+        return CanaryAnalysis(plan.margins, plan.risk / (2.0 * len(plan.stages)), RELATIVE_METRICS)
 
     def _sides(self) -> tuple[set[str], set[str]]:
-        """Nodes of the stage that is watched, or comes next, and those that serve unchanged beside them."""
+        """Return the nodes of the present or next stage, and those without the change beside them."""
         progress, plan = self.progress, self.progress.plan
         assert plan is not None
-        at = progress.stage + (progress.phase == Phase.BEFORE)
-        if at >= len(plan.stages):
+        stage = progress.stage + (progress.phase == Phase.BEFORE_STAGE)
+        if stage >= len(plan.stages):
             return set(), set()
-        return set(plan.stages[at].nodes), {name for stage in plan.stages[at + 1 :] for name in stage.nodes}
+        unchanged = {name for later in plan.stages[stage + 1 :] for name in later.nodes}
+        return set(plan.stages[stage].nodes), unchanged
 
-    def _see(
-        self, supervisors: Mapping[str, dict[str, Any]], figures: Mapping[str, dict[str, Any]], now: float
-    ) -> None:
-        """Feeds the judge with what both sides did since the look before."""
+    def _add_interval(self, supervisors: Statuses, figures: Statuses, now: float) -> None:
+        """Add what both sides did since the last turn to the analysis."""
         progress, plan = self.progress, self.progress.plan
-        if progress.phase == Phase.BEFORE and plan is not None:
-            settled = self._since and now - self._since >= SETTLING * plan.before
-            self._watch.settle(figures.values(), bool(settled))
-        mine, others = self._sides()
-        did = self._watch.did(figures, {name: one["site"] for name, one in supervisors.items()}, others)
-        if self._judge is None or progress.phase not in (Phase.BEFORE, Phase.STAGE):
+        if progress.phase == Phase.BEFORE_STAGE and plan is not None:
+            is_over = self._watched_since and now - self._watched_since >= THRESHOLD_RATIO * plan.before
+            self._watch.measure_thresholds(figures.values(), bool(is_over))
+        new_nodes, old_nodes = self._sides()
+        sites = {name: status["site"] for name, status in supervisors.items()}
+        tallies = self._watch.tallies_since_last(figures, sites, old_nodes)
+        if self._analysis is None or progress.phase not in (Phase.BEFORE_STAGE, Phase.IN_STAGE):
             return
-        in_stage = progress.phase == Phase.STAGE
-        if in_stage and not progress.changed(supervisors):
+        is_in_stage = progress.phase == Phase.IN_STAGE
+        if is_in_stage and not progress.is_changed(supervisors):
             return
-        if not all(name in figures for name in mine):
+        if not all(name in figures for name in new_nodes):
             return
-        self._since = self._since or now
-        steady = self._steady() if in_stage and not others else None
-        new, old = _sum(did, mine), _sum(did, others)
-        if steady is not None:
-            old = {what: Tally(one.of * steady[what], one.of) for what, one in new.items() if what in steady}
-        elif not others:
-            old = new  # nobody serves unchanged beside the last stage: before it, it is its own measure
+        self._watched_since = self._watched_since or now
+        new, old = _sum_tallies(tallies, new_nodes), _sum_tallies(tallies, old_nodes)
+        if not old_nodes:
+            # the last stage has no unchanged nodes: it is compared with what its nodes did before
+            old = self._baseline_tallies(new) if is_in_stage else new
         if new and old:
-            self._judge.look(new, old, in_stage)
+            self._analysis.add_interval(new, old, is_in_stage)
 
-    def _steady(self) -> dict[str, float]:
-        """What the nodes of the last stage did before it: there is nobody else to compare them with."""
-        assert self._judge is not None
-        return {what: one.new.mean for what, one in self._judge.before.items()}
+    def _baseline_tallies(self, new: dict[str, Tally]) -> dict[str, Tally]:
+        """Return what the nodes of the last stage would have done by their means from before it."""
+        assert self._analysis is not None
+        means = {metric: sequence.new.mean for metric, sequence in self._analysis.before.items()}
+        return {
+            metric: Tally(tally.total * means[metric], tally.total)
+            for metric, tally in new.items()
+            if metric in means
+        }
 
     def _verdict(self) -> tuple[Verdict, list[str]]:
         plan = self.progress.plan
-        if self._judge is None or plan is None or self.progress.phase != Phase.STAGE:
+        if self._analysis is None or plan is None or self.progress.phase != Phase.IN_STAGE:
             return Verdict.UNSURE, []
-        verdict, findings = self._judge.verdict(frozenset(plan.watched))
-        self.findings = [one.line for one in findings]
-        return verdict, self.findings[:20]
+        verdict, findings = self._analysis.verdict(frozenset(plan.watched))
+        self.findings = [finding.line for finding in findings]
+        return verdict, self.findings[:MAX_FINDINGS]
 
-    def _seen_before(self) -> bool:
-        plan, judge = self.progress.plan, self._judge
-        return judge is not None and plan is not None and judge.seen_before(frozenset(plan.watched))
+    def _has_baseline(self) -> bool:
+        plan, analysis = self.progress.plan, self._analysis
+        return analysis is not None and plan is not None and analysis.has_baseline(frozenset(plan.watched))
 
-    def _broken(
-        self, supervisors: Mapping[str, dict[str, Any]], figures: Mapping[str, dict[str, Any]]
-    ) -> str:
-        """What stops a rollout without statistics, at a node that runs the new program or was to."""
+    def _failure(self, supervisors: Statuses, figures: Statuses) -> str:
+        """Return what stops a rollout without statistics: a failure of the new program at a node."""
         plan, progress = self.progress.plan, self.progress
-        if plan is None or progress.phase == Phase.BACK:
+        if plan is None or progress.phase == Phase.ROLLING_BACK:
             return ""
-        for name, one in supervisors.items():
-            if [progress.number, plan.new] in one["failed"]:
-                return f"{name}: {one['trouble'] or plan.new + ' failed'}"
-        for name, row in figures.items():
-            if row["program"] == plan.new and progress.target(name) == plan.new and row["lost"]:
-                return f"{name}: {row['lost']} requests lost by {plan.new}"
+        for name, status in supervisors.items():
+            if [progress.number, plan.new] in status["failed"]:
+                return f"{name}: {status['trouble'] or plan.new + ' failed'}"
+        for name, status in figures.items():
+            if status["program"] == plan.new and progress.target(name) == plan.new and status["lost"]:
+                return f"{name}: {status['lost']} requests lost by {plan.new}"
         return ""
 
 
-def _sum(did: Mapping[str, Mapping[str, Tally]], names: set[str]) -> dict[str, Tally]:
-    out: dict[str, Tally] = defaultdict(Tally)
-    for name in names & did.keys():
-        for what, tally in did[name].items():
-            out[what] += tally
-    return dict(out)
+def _sum_tallies(tallies: Mapping[str, Mapping[str, Tally]], nodes: set[str]) -> dict[str, Tally]:
+    sums: dict[str, Tally] = defaultdict(Tally)
+    for name in nodes & tallies.keys():
+        for metric, tally in tallies[name].items():
+            sums[metric] += tally
+    return dict(sums)
--- /dev/null
+++ b/wheatroute/rollout/figures_reporter.py
@@ -0,0 +1,104 @@
+"""Reports a node's figures for canary analysis: its request accounting, its resources, whether it is ready.
+
+A store that cannot be reached never delays the node. A node is ready once it has its full server list and,
+where it takes part in an agreement, a confirmation of its settings. Does I/O through the rollout store.
+"""
+
+from __future__ import annotations
+
+import os
+import random
+import resource
+import secrets
+import time
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from wheatroute.agreement.node import open_store
+from wheatroute.agreement.version_store import VersionStoreError, running_store
+from wheatroute.net.clock import now
+from wheatroute.net.discovery import Discovery
+from wheatroute.net.downstream import Downstream
+from wheatroute.net.node_settings import NodeSettings
+from wheatroute.net.upstream import Upstream
+from wheatroute.rollout.request_accounting import RequestAccounting
+
+REPORT_INTERVAL_S = 0.5  # the finest resolution of the analysis
+STORE_TIMEOUT_S = 1.0
+PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
+
+
+class FiguresReporter:
+    """Reports the figures of one node.
+
+    The environment names the program that the node runs, and the incarnation by which its supervisor knows
+    it.
+    """
+
+    def __init__(
+        self,
+        settings: NodeSettings,
+        downstream: Downstream,
+        upstream: Upstream,
+        discovery: Discovery,
+        follower: Any,
+        log: Any,
+    ) -> None:
+        self._name, self._downstream, self._upstream, self._log = settings.name, downstream, upstream, log
+        self._discovery, self._follower = discovery, follower
+        assert settings.rollout is not None
+        self._program = os.environ.get("WHEATROUTE_PROGRAM", "")
+        self._incarnation = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
+        self._store = open_store(settings.rollout, random.Random(self._incarnation), STORE_TIMEOUT_S / 2.0)
+        self.accounting = RequestAccounting(
+            settings.request_classes, settings.tenants, settings.terms["request_classes"]
+        )
+        downstream.set_account(self.accounting)
+        self._heartbeat = 0
+
+    @property
+    def key(self) -> str:
+        """The key of its status in the store."""
+        return f"figures.{self._name}.{self._incarnation}"
+
+    def next_status(self) -> dict[str, Any]:
+        """Return the status with the figures of this moment and the next heartbeat."""
+        self._heartbeat += 1
+        is_ready = self._discovery.has_full_list and (
+            self._follower is None or not self._follower.member.effective.is_conservative
+        )
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        return self.accounting.figures(now()) | {
+            "row": "figures",
+            "name": self._name,
+            "start": self._incarnation,
+            "program": self._program,
+            "beat": self._heartbeat,
+            "ready": is_ready,
+            "stopping": self._downstream.is_stopping,
+            "cpu": usage.ru_utime + usage.ru_stime,
+            "memory": _resident_bytes(),
+            "connections": self._upstream.open_connections,
+            "at": time.time(),
+        }
+
+    async def run(self) -> None:
+        """Write the status at intervals until cancelled; a failure is logged when it begins."""
+        async with running_store(self._store):
+            is_failing = False
+            while True:
+                try:
+                    with trio.fail_after(STORE_TIMEOUT_S):
+                        await self._store.write_status(self.key, self.next_status())
+                    is_failing = False
+                except (VersionStoreError, trio.TooSlowError) as error:
+                    if not is_failing:
+                        is_failing = True
+                        self._log.warning("figures-untold", trouble=str(error) or "the place does not answer")
+                await trio.sleep(REPORT_INTERVAL_S)
+
+
+def _resident_bytes() -> int:
+    return int(Path("/proc/self/statm").read_bytes().split()[1]) * PAGE_SIZE_BYTES
--- /dev/null
+++ b/wheatroute/rollout/figures_watch.py
@@ -0,0 +1,100 @@
+"""Follows the nodes' figures over time: what each node did between two reads. No I/O.
+
+A request is slow if it took longer than half of the requests at the nodes without the change, in the same
+seconds. By thresholds from before the stage alone nearly all requests of both sides would count as slow once
+the machines are busier, and the two sides could not be told apart.
+"""
+
+from __future__ import annotations
+
+from collections import Counter, defaultdict, deque
+from collections.abc import Iterable, Mapping
+from typing import Any
+
+from wheatroute.rollout import figures
+from wheatroute.rollout.canary_analysis import Tally
+
+STALE_FIGURES_S = 5.0  # without a new heartbeat, after which a process's figures do not count
+THRESHOLD_READS = 24  # reads over which the median of the unchanged nodes is taken
+MIN_THRESHOLD_REQUESTS = 40  # of a class in those reads; with fewer the median from before the stage counts
+
+
+class FiguresWatch:
+    """The figures that one controller has read in this stage."""
+
+    def __init__(self) -> None:
+        self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)  # of the unchanged nodes
+        self._before: dict[tuple[str, str], dict[str, Any]] = {}
+        self._heartbeats: dict[tuple[str, str], tuple[int, float]] = {}
+        self.thresholds: dict[str, tuple[int, int]] = {}
+        self._totals_at_begin: figures.Durations | None = None
+
+    def measure_thresholds(self, statuses: Iterable[Mapping[str, Any]], is_over: bool) -> None:
+        """Set the thresholds, once `is_over`, from what was served since the first call.
+
+        What was served before, as processes started, doesn't count.
+        """
+        totals = figures.total_durations(statuses)
+        if self._totals_at_begin is None:
+            self._totals_at_begin = totals
+        if is_over and not self.thresholds:
+            self.thresholds = figures.slow_thresholds(totals, self._totals_at_begin)
+
+    def begin_stage(self) -> None:
+        """Forget the thresholds, to measure them again before the next stage."""
+        self.thresholds, self._totals_at_begin = {}, None
+        self._recent.clear()
+
+    def live_figures(self, statuses: list[dict[str, Any]], now: float) -> dict[str, dict[str, Any]]:
+        """Return by node the figures of the process that serves, without those that are stale."""
+        live: dict[str, dict[str, Any]] = {}
+        for status in statuses:
+            key = status["name"], status["start"]
+            heartbeat, since = self._heartbeats.get(key, (-1, now))
+            if heartbeat != status["beat"]:
+                heartbeat, since = status["beat"], now
+            self._heartbeats[key] = heartbeat, since
+            is_known_format = status["format"] == figures.FIGURES_FORMAT
+            if now - since < STALE_FIGURES_S and is_known_format and not status["stopping"]:
+                if status["name"] not in live or status["ready"]:
+                    live[status["name"]] = status
+        return live
+
+    def tallies_since_last(
+        self, statuses: Mapping[str, dict[str, Any]], sites: Mapping[str, str], unchanged: set[str]
+    ) -> dict[str, dict[str, Tally]]:
+        """Return by node what it did since the last call; `unchanged` are the nodes without the change."""
+        tallies = {}
+        thresholds = self._present_thresholds(statuses, unchanged)
+        for name, status in statuses.items():
+            key = name, status["start"]
+            if key in self._before:
+                tallies[name] = figures.tallies_between(
+                    self._before[key], status, sites.get(name, ""), thresholds
+                )
+        self._before = {(name, status["start"]): status for name, status in statuses.items()}
+        return tallies
+
+    def _present_thresholds(
+        self, statuses: Mapping[str, dict[str, Any]], unchanged: set[str]
+    ) -> figures.SlowThresholds:
+        """Return the thresholds, with the recent median of the unchanged nodes where it is known."""
+        served: figures.Durations = defaultdict(Counter)
+        for name in unchanged & statuses.keys():
+            status = statuses[name]
+            if before := self._before.get((name, status["start"])):
+                for request_class, counts in figures.durations_between(before, status).items():
+                    served[request_class].update(counts)
+        self._recent.append(served)
+        recent: figures.Durations = defaultdict(Counter)
+        for durations in self._recent:
+            for request_class, counts in durations.items():
+                recent[request_class].update(counts)
+        medians = figures.slow_thresholds(recent, {})
+        return {
+            name: (
+                medians[name][0] if recent[name].total() >= MIN_THRESHOLD_REQUESTS else median,
+                percentile_99,
+            )
+            for name, (median, percentile_99) in self.thresholds.items()
+        }
--- /dev/null
+++ b/wheatroute/rollout/node_process.py
@@ -0,0 +1,78 @@
+"""A process of a node, which outlives the supervisor that started it. Reads /proc and sends signals.
+
+A process is identified by its id and its start time, so that an id that the system has given to another
+process is never signalled.
+"""
+
+from __future__ import annotations
+
+import os
+import signal
+import subprocess
+import time
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+
+def start_ticks(pid: int) -> int:
+    """Return when a process started, in clock ticks since boot; 0 if there is none, or only a zombie."""
+    try:
+        fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
+    except OSError:
+        return 0
+    return 0 if fields[0] in "ZX" else int(fields[19])
+
+
+def find_process(incarnation: str) -> int:
+    """Return the id of the process that was started with this incarnation; 0 if there is none."""
+    variable = f"WHEATROUTE_START={incarnation}".encode()
+    for entry in Path("/proc").iterdir():
+        if entry.name.isdigit():
+            with suppress(OSError):
+                if variable in (entry / "environ").read_bytes().split(b"\0"):
+                    return int(entry.name)
+    return 0
+
+
+class NodeProcess:
+    """A process of the node, started by this supervisor or an earlier one."""
+
+    def __init__(
+        self,
+        program: str,
+        incarnation: str,
+        pid: int,
+        ticks: int,
+        child: subprocess.Popen[bytes] | None = None,
+    ) -> None:
+        self.program, self.incarnation, self.pid, self.ticks = program, incarnation, pid, ticks
+        self._child = child
+        self.since = time.monotonic()  # of its start, or of the signal to stop
+
+    @property
+    def is_alive(self) -> bool:
+        """Whether the process still runs."""
+        if self._child is not None and self._child.poll() is not None:
+            return False
+        return bool(self.ticks) and start_ticks(self.pid) == self.ticks
+
+    @property
+    def exit_text(self) -> str:
+        """How it ended, as far as that is known."""
+        return f"status {self._child.returncode}" if self._child is not None else "unseen"
+
+    def signal(self, number: signal.Signals) -> None:
+        """Send a signal, if the process still runs."""
+        if self.is_alive:
+            with suppress(ProcessLookupError):
+                os.kill(self.pid, number)
+
+    def to_stored(self) -> dict[str, Any]:
+        """Return plain data for the supervisor's state file."""
+        return {"program": self.program, "start": self.incarnation, "pid": self.pid, "ticks": self.ticks}
+
+    @staticmethod
+    def from_stored(stored: dict[str, Any]) -> NodeProcess:
+        """Return the process that `to_stored` gave the data of."""
+        return NodeProcess(stored["program"], stored["start"], stored["pid"], stored["ticks"])
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -1,8 +1,8 @@
-"""The supervisor of a node: runs the program that the rollout says, the new one beside the old, then alone.
+"""The supervisor of a node: runs the program that the rollout names, the new process first beside the old.
 
-Owns the node's processes on its machine, and a file by which a supervisor that starts anew finds them. It
-must never stop the old one before the new one is ready, end a process that neither it nor the supervisor
-before it started, or take the node with it when it dies.
+The old process is not stopped before the new one is ready, and only processes that this supervisor or an
+earlier one started are ended. The node outlives its supervisor: a state file lets the next one find its
+processes. Does I/O through the rollout store, the state file and child processes.
 """
 
 from __future__ import annotations
@@ -14,280 +14,179 @@
 import signal
 import subprocess
 import time
-import tomllib
-from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
 import trio
-from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from wheatroute.agreement.node import open_store
 from wheatroute.agreement.version_store import VersionStoreError, running_store
 from wheatroute.agreement.versions import HistoryError
 from wheatroute.net.addresses import parse_address
+from wheatroute.rollout.node_process import NodeProcess, find_process, start_ticks
 from wheatroute.rollout.progress import RolloutProgress
+from wheatroute.rollout.supervisor_settings import SupervisorSettings
 
-LOOKS = 0.2  # seconds between two looks
-FIRST_WAIT, LONGEST_WAIT = 0.2, 30.0  # seconds until a process that died is started anew, doubled each time
-HELD = 30.0  # seconds that a process must have lived for its next death to count as its first
-ANSWERS = 2.0  # seconds for the place
-
-
-class SupervisorError(Exception):
-    """A file that is no use: a line for each thing that is wrong."""
-
-
-class Table(BaseModel):
-    model_config = ConfigDict(extra="forbid", frozen=True)
-
-
-class Node(Table):
-    """The supervisor's file."""
-
-    name: str = Field(min_length=1)
-    site: str = ""
-    file: str  # the node's own, which PROXY_CONFIG names
-    programs: dict[str, list[str]] = Field(min_length=1)  # by name: the words of the command
-    first: str  # which of them runs where no rollout says
-    state: str  # the file by which a supervisor finds what runs
-    log: str = ""  # of the node; by default beside `state`
-    directory: str = ""
-    etcd: list[str] = []
-    prefix: str = "/rollouts"
-    patience: float = Field(default=30.0, gt=0.0)  # seconds for a new process to be ready
-    leaves: float = Field(default=30.0, gt=0.0)  # seconds for an old one to end; then it is killed
-
-    @model_validator(mode="after")
-    def _whole(self) -> Node:
-        if self.first not in self.programs:
-            raise ValueError(f"first: no program {self.first!r}")
-        if bool(self.directory) == bool(self.etcd):
-            raise ValueError("one place: directory or etcd")
-        for one in self.etcd:
-            parse_address(one)
-        return self
-
-
-def read(path: str) -> Node:
-    """The file, checked whole; raises `SupervisorError`."""
-    try:
-        return Node.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
-    except OSError as trouble:
-        raise SupervisorError(f"{path}: cannot be read: {trouble.strerror}") from trouble
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as trouble:
-        raise SupervisorError(f"{path}: is not TOML: {trouble}") from trouble
-    except ValidationError as trouble:
-        raise SupervisorError(
-            "\n".join(
-                f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole'}: {one['msg']}"
-                for one in trouble.errors()
-            )
-        ) from trouble
-
-
-def born(pid: int) -> int:
-    """When a process started, in the system's ticks; 0 if there is none, or only what is left of one."""
-    try:
-        fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    except OSError:
-        return 0
-    return 0 if fields[0] in "ZX" else int(fields[19])
-
-
-def started_as(start: str) -> int:
-    """The process that was started under a name of its own; 0 if there is none."""
-    mark = f"WHEATROUTE_START={start}".encode()
-    for one in Path("/proc").iterdir():
-        if one.name.isdigit():
-            with suppress(OSError):
-                if mark in (one / "environ").read_bytes().split(b"\0"):
-                    return int(one.name)
-    return 0
-
-
-class Run:
-    """A process of the node, started by this supervisor or one before it."""
-
-    def __init__(
-        self, program: str, start: str, pid: int, ticks: int, child: subprocess.Popen[bytes] | None = None
-    ) -> None:
-        self.program, self.start, self.pid, self.ticks, self._child = program, start, pid, ticks, child
-        self.since = time.monotonic()
-
-    @property
-    def alive(self) -> bool:
-        if self._child is not None and self._child.poll() is not None:
-            return False
-        return bool(self.ticks) and born(self.pid) == self.ticks
-
-    @property
-    def ended(self) -> str:
-        """How, as far as that is known."""
-        return f"status {self._child.returncode}" if self._child is not None else "unseen"
-
-    def signal(self, number: signal.Signals) -> None:
-        if self.alive:
-            with suppress(ProcessLookupError):
-                os.kill(self.pid, number)
-
-    def kept(self) -> dict[str, Any]:
-        return {"program": self.program, "start": self.start, "pid": self.pid, "ticks": self.ticks}
+TURN_INTERVAL_S = 0.2
+MIN_RESTART_BACKOFF_S, MAX_RESTART_BACKOFF_S = 0.2, 30.0  # doubled with each crash
+STABLE_AFTER_S = 30.0  # a process that has lived so long resets the backoff
+STORE_TIMEOUT_S = 2.0
 
 
 class Supervisor:
-    """One node's."""
-
-    def __init__(self, told: Node, log: Any) -> None:
-        self._told, self._log = told, log
-        self._place = open_store(
-            {"directory": told.directory}
-            if told.directory
-            else {"etcd": [parse_address(one) for one in told.etcd], "prefix": told.prefix},
-            random.Random(),
-            ANSWERS / 3,
-        )
+    """The supervisor of one node."""
+
+    def __init__(self, settings: SupervisorSettings, log: Any) -> None:
+        self._settings, self._log = settings, log
+        if settings.directory:
+            address: dict[str, Any] = {"directory": settings.directory}
+        else:
+            endpoints = [parse_address(one) for one in settings.etcd]
+            address = {"etcd": endpoints, "prefix": settings.prefix}
+        self._store = open_store(address, random.Random(), STORE_TIMEOUT_S / 3)
         self._progress = RolloutProgress()
-        self._start = secrets.token_hex(6)
-        self._beat = 0
-        self._last = told.first  # the program that served last
-        self._starting: list[str] = []  # program and start of the process that is started next
-        self._gone: list[str] = []  # rows of processes that have ended
-        self.old: Run | None = None  # the one that serves
-        self.new: Run | None = None  # beside it, until it is ready
-        self.leaving: list[Run] = []
-        self._failed: list[list[Any]] = []  # rollout and program that did not come up or died here
+        self._incarnation = secrets.token_hex(6)
+        self._heartbeat = 0
+        self._last_program = settings.first  # the one that served last
+        self._starting: list[str] = []  # program and incarnation of the process that is started next
+        self._ended_keys: list[str] = []  # statuses of processes that have ended
+        self.serving: NodeProcess | None = None
+        self.candidate: NodeProcess | None = None  # beside the serving one, until it is ready
+        self.draining: list[NodeProcess] = []
+        self._failed: list[list[Any]] = []  # rollout and program that did not come up or crashed here
         self._trouble = ""
         self._crashes = 0
-        self._wait, self._not_before = FIRST_WAIT, 0.0
-        self._rows: dict[str, dict[str, Any]] = {}
+        self._backoff_s, self._restart_at = MIN_RESTART_BACKOFF_S, 0.0
+        self._supervisors: dict[str, dict[str, Any]] = {}  # statuses by node
 
-    # processes
+    async def run(self) -> None:
+        """Supervise until cancelled, which leaves the node serving."""
+        self._read_state()
+        async with running_store(self._store):
+            while True:
+                statuses = await self._exchange()
+                self._take_turn(statuses)
+                self._write_state()
+                await trio.sleep(TURN_INTERVAL_S)
 
-    def _find(self) -> None:
-        """What the supervisor before this one left running."""
+    def _read_state(self) -> None:
+        """Find the processes that an earlier supervisor left running."""
         try:
-            kept = json.loads(Path(self._told.state).read_text())
+            state = json.loads(Path(self._settings.state).read_text())
         except (OSError, json.JSONDecodeError):
             return
-        self._failed, self._crashes = kept.get("failed", []), kept.get("crashes", 0)
-        found = {name: Run(**kept[name]) for name in ("old", "new") if kept.get(name)}
-        if kept.get("starting"):
-            # guards against a process that was started by one that died before it wrote it down
-            program, start = kept["starting"]
-            pid = started_as(start)
-            if pid and not any(run.pid == pid for run in found.values()):
-                found.setdefault("new", Run(program, start, pid, born(pid)))
-        self._last = found["old"].program if "old" in found else self._last
-        alive = {name: run for name, run in found.items() if run.alive}
-        self.old, self.new = alive.get("old"), alive.get("new")
-        if self.old is None and self.new is not None:
-            self.old, self.new = self.new, None
-        self.leaving = [run for run in (Run(**one) for one in kept.get("leaving", ())) if run.alive]
-        self._log.info("found", **{name: run.pid for name, run in alive.items()})
-
-    def _keep(self) -> None:
-        told = {
-            "old": self.old.kept() if self.old else None,
-            "new": self.new.kept() if self.new else None,
-            "leaving": [run.kept() for run in self.leaving],
+        self._failed, self._crashes = state.get("failed", []), state.get("crashes", 0)
+        found = {name: NodeProcess.from_stored(state[name]) for name in ("old", "new") if state.get(name)}
+        if state.get("starting"):
+            # the supervisor may have died after it started a process and before it stored its id
+            program, incarnation = state["starting"]
+            pid = find_process(incarnation)
+            if pid and not any(process.pid == pid for process in found.values()):
+                found.setdefault("new", NodeProcess(program, incarnation, pid, start_ticks(pid)))
+        self._last_program = found["old"].program if "old" in found else self._last_program
+        alive = {name: process for name, process in found.items() if process.is_alive}
+        self.serving, self.candidate = alive.get("old"), alive.get("new")
+        if self.serving is None and self.candidate is not None:
+            self.serving, self.candidate = self.candidate, None
+        draining = [NodeProcess.from_stored(one) for one in state.get("leaving", ())]
+        self.draining = [process for process in draining if process.is_alive]
+        self._log.info("found", **{name: process.pid for name, process in alive.items()})
+
+    def _write_state(self) -> None:
+        state = {
+            "old": self.serving.to_stored() if self.serving else None,
+            "new": self.candidate.to_stored() if self.candidate else None,
+            "leaving": [process.to_stored() for process in self.draining],
             "failed": self._failed,
             "starting": self._starting,
             "crashes": self._crashes,
         }
-        beside = Path(self._told.state + ".new")
-        beside.write_text(json.dumps(told))
-        os.rename(beside, self._told.state)
-
-    def _run(self, program: str) -> Run:
-        start = secrets.token_hex(6)
-        self._starting = [program, start]
-        self._keep()
+        temporary = Path(self._settings.state + ".new")
+        temporary.write_text(json.dumps(state))
+        os.rename(temporary, self._settings.state)
+
+    def _start(self, program: str) -> NodeProcess:
+        incarnation = secrets.token_hex(6)
+        self._starting = [program, incarnation]
+        self._write_state()
         environment = os.environ | {
-            "PROXY_CONFIG": self._told.file,
+            "PROXY_CONFIG": self._settings.file,
             "WHEATROUTE_PROGRAM": program,
-            "WHEATROUTE_START": start,
+            "WHEATROUTE_START": incarnation,
         }
-        with open(self._told.log or f"{self._told.state}.log", "ab") as log:
+        with open(self._settings.log or f"{self._settings.state}.log", "ab") as log:
             child = subprocess.Popen(
-                self._told.programs[program],
+                self._settings.programs[program],
                 env=environment,
                 stdout=log,
                 stderr=subprocess.STDOUT,
                 start_new_session=True,
             )
         self._log.info("started", program=program, pid=child.pid)
-        return Run(program, start, child.pid, born(child.pid), child)
+        return NodeProcess(program, incarnation, child.pid, start_ticks(child.pid), child)
 
-    # the loop
-
-    async def run(self) -> None:
-        """Until SIGTERM, which leaves the node serving."""
-        self._find()
-        async with running_store(self._place):
-            while True:
-                rows = await self._look()
-                self._mind(rows)
-                self._keep()
-                await trio.sleep(LOOKS)
-
-    async def _look(self) -> list[dict[str, Any]] | None:
-        """Says how it stands here, hears the progress; the rows of all, or None where the place is away."""
-        self._beat += 1
-        serving = self.old.program if self.old is not None else ""
-        row = {
+    def _next_status(self) -> dict[str, Any]:
+        self._heartbeat += 1
+        return {
             "row": "keeper",
-            "name": self._told.name,
-            "start": self._start,
-            "beat": self._beat,
-            "site": self._told.site,
-            "runs": serving,
-            "changing": self.new is not None or bool(self.leaving),
+            "name": self._settings.name,
+            "start": self._incarnation,
+            "beat": self._heartbeat,
+            "site": self._settings.site,
+            "runs": self.serving.program if self.serving is not None else "",
+            "changing": self.candidate is not None or bool(self.draining),
             "failed": self._failed,
             "trouble": self._trouble,
             "crashes": self._crashes,
-            "programs": sorted(self._told.programs),
+            "programs": sorted(self._settings.programs),
             "head": self._progress.head,
         }
+
+    async def _exchange(self) -> list[dict[str, Any]] | None:
+        """Write the status and read the progress; returns all statuses, or None if the store failed."""
+        status = self._next_status()
         try:
-            with trio.fail_after(ANSWERS):
-                records = await self._place.exchange(
-                    f"keeper.{self._told.name}", row, self._progress.head, self._progress.mark
+            with trio.fail_after(STORE_TIMEOUT_S):
+                records = await self._store.exchange(
+                    f"keeper.{self._settings.name}", status, self._progress.head, self._progress.head_digest
                 )
                 for record in records:
-                    self._progress.take(record)
-                rows = await self._place.statuses()
-                await self._place.remove_statuses(self._gone)
-                self._gone.clear()
-                self._rows = {one["name"]: one for one in rows if one.get("row") == "keeper"}
-                return rows
-        except (VersionStoreError, HistoryError, trio.TooSlowError) as trouble:
-            if self._trouble != str(trouble):
-                self._log.warning("place", trouble=str(trouble) or "does not answer")
+                    self._progress.apply(record)
+                statuses = await self._store.statuses()
+                await self._store.remove_statuses(self._ended_keys)
+                self._ended_keys.clear()
+                self._supervisors = {one["name"]: one for one in statuses if one.get("row") == "keeper"}
+                return statuses
+        except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
+            if self._trouble != str(error):
+                self._log.warning("place", trouble=str(error) or "does not answer")
             return None
 
-    def _mind(self, rows: list[dict[str, Any]] | None) -> None:
-        """One look at the processes; without the place nothing is changed that need not be."""
-        self.leaving = [run for run in self.leaving if self._still_leaves(run)]
-        if self.old is not None and not self.old.alive:
-            self._died(self.old)
-        if self.old is None and self.new is None and time.monotonic() >= self._not_before:
-            self._last = self._wanted()
-            self.old = self._run(self._last)
-        if self.new is not None:
-            self._mind_new(self.new, rows or [])
-        elif rows is not None and self.old is not None and not self.leaving:
-            wanted = self._wanted()
-            if wanted != self.old.program and self._progress.may_change(self._told.name, self._rows):
-                self.new = self._run(wanted)
-
-    def _wanted(self) -> str:
-        """What the rollout says, unless that failed here or is not known."""
-        target = self._progress.target(self._told.name)
-        if target is not None and target not in self._told.programs:
-            self._note(f"no program {target!r} here")
-            self._fail(target)
-        running = self.old.program if self.old is not None else self._last
+    def _take_turn(self, statuses: list[dict[str, Any]] | None) -> None:
+        """Check the processes once; without the store no change of the program is begun."""
+        self.draining = [process for process in self.draining if self._is_still_draining(process)]
+        if self.serving is not None and not self.serving.is_alive:
+            self._handle_crash(self.serving)
+        if self.serving is None and self.candidate is None and time.monotonic() >= self._restart_at:
+            self._last_program = self._wanted_program()
+            self.serving = self._start(self._last_program)
+        if self.candidate is not None:
+            self._check_candidate(self.candidate, statuses or [])
+        elif statuses is not None and self.serving is not None and not self.draining:
+            wanted = self._wanted_program()
+            may_change = wanted != self.serving.program and self._progress.may_change(
+                self._settings.name, self._supervisors
+            )
+            if may_change:
+                self.candidate = self._start(wanted)
+
+    def _wanted_program(self) -> str:
+        """Return the program that the rollout names, unless it failed here or is not known here."""
+        target = self._progress.target(self._settings.name)
+        if target is not None and target not in self._settings.programs:
+            self._set_trouble(f"no program {target!r} here")
+            self._add_failure(target)
+        running = self.serving.program if self.serving is not None else self._last_program
         if target is None:
             return running
         if [self._progress.number, target] not in self._failed:
@@ -295,62 +194,74 @@
         plan = self._progress.plan
         return plan.old if plan is not None and target == plan.new else running
 
-    def _fail(self, program: str) -> None:
+    def _add_failure(self, program: str) -> None:
         if [self._progress.number, program] not in self._failed:
             self._failed.append([self._progress.number, program])
 
-    def _note(self, trouble: str) -> None:
+    def _set_trouble(self, trouble: str) -> None:
         if trouble != self._trouble:
             self._trouble = trouble
             self._log.warning("trouble", trouble=trouble)
 
-    def _died(self, run: Run) -> None:
-        """The one that serves is gone: what it ran before it, at first at once, then ever later."""
+    def _handle_crash(self, process: NodeProcess) -> None:
+        """The serving process has ended: the candidate takes over, or it is restarted after a backoff."""
         self._crashes += 1
-        self._gone.append(f"figures.{self._told.name}.{run.start}")
-        self._note(f"{run.program} ended, {run.ended}")
-        lived = time.monotonic() - run.since
-        self._wait = FIRST_WAIT if lived >= HELD else min(LONGEST_WAIT, 2.0 * self._wait)
-        self._not_before = time.monotonic() + self._wait
+        self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
+        self._set_trouble(f"{process.program} ended, {process.exit_text}")
+        lived_s = time.monotonic() - process.since
+        is_first = lived_s >= STABLE_AFTER_S
+        backoff_s = min(MAX_RESTART_BACKOFF_S, 2.0 * self._backoff_s)
+        self._backoff_s = MIN_RESTART_BACKOFF_S if is_first else backoff_s
+        self._restart_at = time.monotonic() + self._backoff_s
         plan = self._progress.plan
-        if plan is not None and run.program == plan.new == self._progress.target(self._told.name):
-            self._fail(run.program)
-        self.old = self.new if self.new is not None and self.new.alive else None
-        self.new = None if self.old is not None else self.new
-
-    def _mind_new(self, run: Run, rows: list[dict[str, Any]]) -> None:
-        """Beside the old one until it is ready; then the old one is told to stop."""
-        if not run.alive:
-            self._note(f"{run.program} did not come up: {run.ended}")
-            self._fail(run.program)
-            self.new = None
-        elif any(one.get("row") == "figures" and one["start"] == run.start and one["ready"] for one in rows):
-            if self.old is not None:
-                self.old.signal(signal.SIGTERM)
-                self.old.since = time.monotonic()
-                self.leaving.append(self.old)
-            self._log.info("took over", program=run.program, pid=run.pid)
-            self.old, self.new, self._trouble, self._last = run, None, "", run.program
-        elif time.monotonic() - run.since > self._told.patience:
-            self._note(f"{run.program} was not ready in {self._told.patience:g} s")
-            self._fail(run.program)
-            run.signal(signal.SIGKILL)
-            self.new = None
-
-    def _still_leaves(self, run: Run) -> bool:
-        if not run.alive:
-            self._gone.append(f"figures.{self._told.name}.{run.start}")
+        target = self._progress.target(self._settings.name)
+        if plan is not None and process.program == plan.new == target:
+            self._add_failure(process.program)
+        has_candidate = self.candidate is not None and self.candidate.is_alive
+        self.serving = self.candidate if has_candidate else None
+        self.candidate = None if self.serving is not None else self.candidate
+
+    def _check_candidate(self, process: NodeProcess, statuses: list[dict[str, Any]]) -> None:
+        """Let the candidate take over once it is ready: then the serving process is told to stop."""
+        if not process.is_alive:
+            self._set_trouble(f"{process.program} did not come up: {process.exit_text}")
+            self._add_failure(process.program)
+            self.candidate = None
+        elif _is_ready(process, statuses):
+            if self.serving is not None:
+                self.serving.signal(signal.SIGTERM)
+                self.serving.since = time.monotonic()
+                self.draining.append(self.serving)
+            self._log.info("took over", program=process.program, pid=process.pid)
+            self.serving, self.candidate = process, None
+            self._trouble, self._last_program = "", process.program
+        elif time.monotonic() - process.since > self._settings.patience:
+            self._set_trouble(f"{process.program} was not ready in {self._settings.patience:g} s")
+            self._add_failure(process.program)
+            process.signal(signal.SIGKILL)
+            self.candidate = None
+
+    def _is_still_draining(self, process: NodeProcess) -> bool:
+        if not process.is_alive:
+            self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
             return False
-        if time.monotonic() - run.since > self._told.leaves:
-            self._note(f"{run.program} did not stop in {self._told.leaves:g} s")
-            run.signal(signal.SIGKILL)
+        if time.monotonic() - process.since > self._settings.leaves:
+            self._set_trouble(f"{process.program} did not stop in {self._settings.leaves:g} s")
+            process.signal(signal.SIGKILL)
         return True
 
 
-async def keep(told: Node, log: Any) -> None:
-    """Runs a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` where no store can be opened."""
+def _is_ready(process: NodeProcess, statuses: list[dict[str, Any]]) -> bool:
+    return any(
+        one.get("row") == "figures" and one["start"] == process.incarnation and one["ready"]
+        for one in statuses
+    )
+
+
+async def run_supervisor(settings: SupervisorSettings, log: Any) -> None:
+    """Run a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` where no store can be opened."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(Supervisor(told, log).run)
+            nursery.start_soon(Supervisor(settings, log).run)
             async for _ in signals:
                 nursery.cancel_scope.cancel()
