--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -56,25 +56,25 @@
         # by server id: the order of a stored notice, and when it was first read
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
 
-    def filter_message(self, message: Any) -> Any:
+    def filter_message(self, document: Any) -> Any:
         """Take a message of the own server list; returns it with the others' notices applied."""
         if (
-            not isinstance(message, dict)
-            or message.get("heard")
-            or not isinstance(message.get("servers"), list)
+            not isinstance(document, dict)
+            or document.get("heard")
+            or not isinstance(document.get("servers"), list)
         ):
-            return message
-        if message.get("full"):
-            named = {entry["id"] for entry in message["servers"] if _is_list_entry(entry)}
+            return document
+        if document.get("full"):
+            named = {entry["id"] for entry in document["servers"] if _is_list_entry(entry)}
             self._own_list = {name: entry for name, entry in self._own_list.items() if name in named}
-        for entry in message["servers"]:
+        for entry in document["servers"]:
             if _is_list_entry(entry):
                 self._take_entry(entry)
         self._prune()
         servers = [
-            self._effective_entry(entry) if _is_list_entry(entry) else entry for entry in message["servers"]
+            self._effective_entry(entry) if _is_list_entry(entry) else entry for entry in document["servers"]
         ]
-        return message | {"servers": servers}
+        return document | {"servers": servers}
 
     def receive(self, notices: Iterable[Any], now: float) -> list[ListEntry]:
         """Take notices from the store; returns the list entries that change by them."""
