--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from wheatroute.agreement.version_follower import VersionFollower
-    from wheatroute.rollout.telling import Telling
+    from wheatroute.rollout.figures_reporter import FiguresReporter
 
 CLIENT_CONNECTIONS_RATIO = 0.55  # a request has its client's connection, and while it is sent a server's
 GC_THRESHOLDS = (10000, 20, 50)  # little that is allocated for a request is in a reference cycle
@@ -97,7 +97,7 @@
             self._settings, self._driver, self._upstream, self._downstream, self._discovery, self._log
         )
 
-    def _make_status(self) -> "Telling | None":
+    def _make_status(self) -> "FiguresReporter | None":
         if not self._settings.rollout:
             return None
         from wheatroute.rollout.figures_reporter import FiguresReporter
