--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -20,7 +20,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from replication.histories import random_history  # noqa: E402
-from replication.mutants import MUTANTS, RULES, PatchedView  # noqa: E402
+from replication.mutants import MUTANTS, RULES, with_rule  # noqa: E402
 from replication.simulation import Simulation, ViolationError  # noqa: E402
 from replication.test_voting import explore  # noqa: E402
 
@@ -108,9 +108,9 @@
     for make_core in MUTANTS.values():
         if time.monotonic() < until:
             looked, seen = looked + 1, seen + found(seeds, make_core)
-    for rules in RULES.values():
+    for name in RULES:
         if time.monotonic() < until:
-            with PatchedView(**rules):
+            with with_rule(name):
                 looked, seen = looked + 1, seen + found(seeds)
     return looked, seen
 
--- a/tests/replication/histories.py
+++ b/tests/replication/histories.py
@@ -53,7 +53,7 @@
 
     def loads(self):
         for name in self.it.leading():
-            if not self.it.hosts[name].frozen:
+            if not self.it.hosts[name].is_frozen:
                 (self.it.write if self.rng.random() < 0.7 else self.it.read)(name)
         self.it.at(0.005 + 0.08 * self.rng.random(), self.loads)
 
@@ -91,7 +91,7 @@
         elif kind == "slow":
             it.hosts[name].disk_delay = 0.9
         elif kind == "full":
-            it.hosts[name].disk_fails = True
+            it.hosts[name].is_disk_failing = True
         elif kind == "freeze" and it.hosts[name].core is not None:
             it.freeze(name)
         elif kind == "gone":
@@ -119,8 +119,8 @@
         if name not in it.hosts:
             return
         host = it.hosts[name]
-        host.disk_delay, host.disk_fails = 0.002 + 0.03 * self.rng.random() ** 2, False
-        if host.frozen:
+        host.disk_delay, host.is_disk_failing = 0.002 + 0.03 * self.rng.random() ** 2, False
+        if host.is_frozen:
             it.thaw(name)
         it.start(name)
         self.lost_until[name] = it.now + SYNC_S
@@ -211,7 +211,7 @@
     def stop(self):
         """A planned restart; it counts as lost from the signal on."""
         name = self.rng.choice(sorted(self.it.hosts))
-        if self.lost() or name in self.leaving or name not in self.up() or self.it.hosts[name].frozen:
+        if self.lost() or name in self.leaving or name not in self.up() or self.it.hosts[name].is_frozen:
             return
         self.leaving.add(name)
         self.lost_until[name] = FOREVER
@@ -241,7 +241,7 @@
                 self.it.at(0.6 * self.rng.random(), lambda: self.lost() or self.lose("wipe"))
 
         def leave():
-            if name not in self.up() or self.it.hosts[name].frozen or self.lost():
+            if name not in self.up() or self.it.hosts[name].is_frozen or self.lost():
                 self.leaving.discard(name)
                 return
             self.lost_until[name] = FOREVER
--- a/tests/replication/membership_model.py
+++ b/tests/replication/membership_model.py
@@ -15,6 +15,7 @@
 from typing import NamedTuple
 
 import msgspec
+from replication.simulation import ViolationError
 
 from wheatroute.replication import acceptor, commit, departure, lease, proposal, reconfiguration, takeover
 from wheatroute.replication.identity import genesis_identity, host_of
@@ -35,10 +36,6 @@
 MAX_ROUNDS = 40  # of a calm time until it counts as one in which nothing is reached
 
 
-class ViolationError(AssertionError):
-    """An invariant does not hold."""
-
-
 class Attempt(NamedTuple):
     """A proposal under way: the fields of a `proposal.Proposal`."""
 
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -241,22 +241,6 @@
     return state.take_effects()
 
 
-class PatchedView:
-    """Other rules for the next view while it is open."""
-
-    def __init__(self, **functions):
-        self._functions = functions
-
-    def __enter__(self):
-        self._kept = {name: getattr(reconfiguration, name) for name in self._functions}
-        for name, function in self._functions.items():
-            setattr(reconfiguration, name, function)
-
-    def __exit__(self, *exc):
-        for name, function in self._kept.items():
-            setattr(reconfiguration, name, function)
-
-
 def everyone_a_member(view, nodes, synced, voters, tolerate, now):
     return voters
 
@@ -295,3 +279,8 @@
     "members that are not in sync": {"_members": everyone_a_member},
     "members fewer than may be lost": {"_members": one_member_is_enough},
 }
+
+
+def with_rule(name):
+    """The module of the next view with one of the faults of `RULES`, while the result is open."""
+    return patched(reconfiguration, **RULES[name])
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -19,7 +19,6 @@
 from wheatroute.replication.views import NO_VIEW, genesis_view
 
 TICK = 0.05
-CONTESTED = {"ELECTION_STEP_S": 0.0, "MIN_RETRY_DELAY_S": 0.01, "RETRY_JITTER_S": 0.02}
 SYNC_S = 4.0  # after its return, until a lost node no longer counts as lost
 STOP_BOUND = 5.0  # seconds that a process which is told to stop may wait for others
 
@@ -54,9 +53,9 @@
         self.core = None
         self.incarnation = 0
         self.disk_delay = 0.002
-        self.disk_fails = False
+        self.is_disk_failing = False
         self.rate, self.offset = 1.0, 0.0  # of its steady clock
-        self.frozen = False
+        self.is_frozen = False
         self.queued = []  # what came while it stood still
 
 
@@ -129,15 +128,15 @@
         host = self.hosts[name]
         host.core = None
         host.incarnation += 1
-        host.frozen, host.queued = False, []
+        host.is_frozen, host.queued = False, []
 
     def freeze(self, name):
         """The process stands still; what comes meanwhile waits for it."""
-        self.hosts[name].frozen = True
+        self.hosts[name].is_frozen = True
 
     def thaw(self, name):
         host = self.hosts[name]
-        host.frozen = False
+        host.is_frozen = False
         queued, host.queued = host.queued, []
         for incarnation, sender, message in queued:
             if host.incarnation == incarnation:
@@ -154,7 +153,7 @@
 
         def look():
             alive = host.incarnation == incarnation
-            released = alive and not host.frozen and host.core.can_stop(self.clock(host))
+            released = alive and not host.is_frozen and host.core.can_stop(self.clock(host))
             if alive and not released and self.now < end:
                 self.at(TICK / 2, look)
                 return
@@ -171,7 +170,7 @@
         host = self.hosts.get(name)
         if host is None or host.incarnation != incarnation:
             return
-        if not host.frozen:
+        if not host.is_frozen:
             self.carry_out(name, host.core.tick(self.clock(host)))
         self.at(TICK * (0.9 + 0.2 * self.rng.random()), lambda: self.tick(name, incarnation))
 
@@ -204,7 +203,7 @@
         host = self.hosts.get(target)
         if host is None or host.core is None or (source, target) in self.partitions:
             return
-        if host.frozen:
+        if host.is_frozen:
             host.queued.append((host.incarnation, sender, message))
             return
         self.carry_out(target, host.core.receive(self.clock(host), sender, message))
@@ -219,10 +218,10 @@
                 if host.disk.identity == record.identity and host.core is None and self.rng.random() < 0.5:
                     host.disk = record
                 return
-            if host.frozen:
+            if host.is_frozen:
                 self.at(TICK, done)
                 return
-            if host.disk_fails:
+            if host.is_disk_failing:
                 self.carry_out(host.name, host.core.save_failed(self.clock(host)))
                 return
             host.disk = record
@@ -239,7 +238,7 @@
         return [
             name
             for name, host in self.hosts.items()
-            if host.core is not None and not host.frozen and host.core.is_serving(self.clock(host))
+            if host.core is not None and not host.is_frozen and host.core.is_serving(self.clock(host))
         ]
 
     def write(self, name):
--- a/tests/replication/test_departures.py
+++ b/tests/replication/test_departures.py
@@ -81,7 +81,7 @@
     leader = it.serving()[0]
     others = [name for name in it.hosts if name != leader]
     for name in others:
-        it.hosts[name].disk_fails = True  # they vote no more, but answer
+        it.hosts[name].is_disk_failing = True  # they vote no more, but answer
     it.run(5.0)
     gone = []
     it.stop(leader, gone.append, bound=4.0)
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -244,9 +244,9 @@
     it.run(it.now + 0.05)
     it.deliver = carry
     it.kill(leader)
-    it.hosts[other].disk_fails = True  # so that the new member is the one to lead
+    it.hosts[other].is_disk_failing = True  # so that the new member is the one to lead
     it.run(it.now + 1.5)
-    it.hosts[other].disk_fails = False
+    it.hosts[other].is_disk_failing = False
     it.run(it.now + 3.0)
     it.check_end()
     return it
--- a/tests/replication/test_links.py
+++ b/tests/replication/test_links.py
@@ -15,33 +15,33 @@
 HERE, PEER = "127.0.0.31", "127.0.0.32"
 
 
-def story(tell):
+def run_async(scenario):
     async def limited(*given):
         async with asyncio.timeout(LIMIT):
-            await tell(*given)
+            await scenario(*given)
 
-    def run(dark):
-        asyncio.run(limited(dark))
+    def run(unanswered):
+        asyncio.run(limited(unanswered))
 
-    run.__name__ = tell.__name__
+    run.__name__ = scenario.__name__
     return run
 
 
 @pytest.fixture
-def dark(monkeypatch):
+def unanswered(monkeypatch):
     """Attempts to connect that get no answer, one for each `True` that it holds; then all connect."""
-    answers, begun = [], []
+    answers, attempts = [], []
     connect = asyncio.open_connection
 
     async def open_connection(host, port):
-        begun.append(host)
+        attempts.append(host)
         if host == PEER and answers and answers.pop(0):
             await asyncio.Event().wait()
         return await connect(host, port)
 
     monkeypatch.setattr(links_module.asyncio, "open_connection", open_connection)
     monkeypatch.setattr(links_module, "CONNECT_TIMEOUT_S", LIMIT)
-    return answers, begun
+    return answers, attempts
 
 
 async def free_port():
@@ -57,23 +57,23 @@
         await asyncio.sleep(0)
 
 
-@story
-async def test_what_waits_for_a_machine_without_power_goes_out_once_that_machine_connects(dark):
+@run_async
+async def test_what_waits_for_a_machine_without_power_goes_out_once_that_machine_connects(unanswered):
     """On adomako-fx trouble-1 the word that a lease is over waited 0.4 s for such an attempt to end."""
-    answers, begun = dark
+    answers, attempts = unanswered
     answers.append(True)
-    port, got = await free_port(), []
-    here = Links(f"{HERE}/0", (HERE, port), lambda *told: None, LOG)
+    port, received = await free_port(), []
+    here = Links(f"{HERE}/0", (HERE, port), lambda *message_parts: None, LOG)
     await here.listen()
     here.send(PEER, LeaseEnded(4))
-    await until(lambda: begun == [PEER])
-    peer = Links(f"{PEER}/0", (PEER, port), lambda sender, message: got.append((sender, message)), LOG)
+    await until(lambda: attempts == [PEER])
+    peer = Links(f"{PEER}/0", (PEER, port), lambda sender, message: received.append((sender, message)), LOG)
     await peer.listen()
     here.send(PEER, JoinRequest(4))
-    assert begun == [PEER]  # the attempt is still under way, and nothing has arrived
+    assert attempts == [PEER]  # the attempt is still under way, and nothing has arrived
     peer.send(HERE, JoinRequest(4))
-    await until(lambda: len(got) == 2)
-    assert got == [(f"{HERE}/0", LeaseEnded(4)), (f"{HERE}/0", JoinRequest(4))]
+    await until(lambda: len(received) == 2)
+    assert received == [(f"{HERE}/0", LeaseEnded(4)), (f"{HERE}/0", JoinRequest(4))]
     here.close()
     peer.close()
 
@@ -86,20 +86,20 @@
     return writer
 
 
-@story
-async def test_a_peer_that_cannot_be_reached_from_here_is_tried_once_for_each_of_its_connections(dark):
-    answers, begun = dark
+@run_async
+async def test_a_peer_that_cannot_be_reached_from_here_is_tried_once_for_each_of_its_connections(unanswered):
+    answers, attempts = unanswered
     answers += [True] * 9
-    port, got = await free_port(), []
-    here = Links(f"{HERE}/0", (HERE, port), lambda *told: got.append(told), LOG)
+    port, received = await free_port(), []
+    here = Links(f"{HERE}/0", (HERE, port), lambda *message_parts: received.append(message_parts), LOG)
     await here.listen()
     here.send(PEER, JoinRequest(4))
-    await until(lambda: len(begun) == 1)
+    await until(lambda: len(attempts) == 1)
     for connection in (1, 2):
         writer = await five_messages(port)
-        while len(got) < 5 * connection or begun.count(PEER) < 1 + connection:
+        while len(received) < 5 * connection or attempts.count(PEER) < 1 + connection:
             await asyncio.sleep(0)
-        assert begun.count(PEER) == 1 + connection
+        assert attempts.count(PEER) == 1 + connection
         writer.close()
     here.close()
 
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -2,7 +2,7 @@
 
 import pytest
 from replication.histories import random_history
-from replication.mutants import MUTANTS, RULES, PatchedView
+from replication.mutants import MUTANTS, RULES, with_rule
 from replication.simulation import ViolationError
 
 MAX_HISTORIES = 500  # histories until a fault counts as not found
@@ -26,6 +26,6 @@
 
 @pytest.mark.parametrize("name", RULES)
 def test_a_fault_in_the_choice_of_views_is_found(name):
-    with PatchedView(**RULES[name]):
+    with with_rule(name):
         message, _ = found_by()
     assert message is not None
--- a/tests/replication/test_storage.py
+++ b/tests/replication/test_storage.py
@@ -63,9 +63,9 @@
     disk.write(record())
     assert disk.scrub() == []
     path = tmp_path / FILE_NAME
-    place = path.read_bytes().index(b"payload payload")
+    offset = path.read_bytes().index(b"payload payload")
     with open(path, "r+b") as file:  # under the open environment, as a page that rots
-        file.seek(place)
+        file.seek(offset)
         file.write(b"X")
     assert disk.scrub() == ["document"]
     disk.write(record())
@@ -125,7 +125,7 @@
 
 
 def settings(**fields):
-    told = {
+    defaults = {
         "node": "n",
         "ip": "10.0.0.1",
         "zone": "z",
@@ -134,7 +134,7 @@
         "seeds": ("10.0.0.1:9", "10.0.0.2:9", "10.0.0.3:9"),
         "bootstrap": True,
     }
-    return Settings(**(told | fields))
+    return Settings(**(defaults | fields))
 
 
 def test_only_seeds_of_the_first_start_begin_from_the_first_view():
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -7,7 +7,7 @@
 Invariants: a document is acknowledged once every member of the view has it on disk, and no fewer members than
 may be lost at once plus one. Only a majority of the voters changes a view, so a leader that was deposed can
 gather no acknowledgement: a member of the next view answers none for an older one. A process leads only the
-views that were decided for it (`View.incarnation`).
+views that were decided for it (`View.incarnation`). `invariants` states what must hold after each input.
 
 Transitions: follower -> leader, when a view is decided whose primary this process is; leader -> follower,
 when another one is decided or no lease could be had for `timing.STEP_DOWN_TIMEOUT_S`.
@@ -85,7 +85,7 @@
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """The hosts of all control nodes that this node has heard of."""
+        """The hosts of all control nodes known to this node."""
         hosts = self._leader.all_hosts() if self.is_leading else self._state.all_hosts()
         return tuple(sorted(hosts))
 
@@ -182,13 +182,13 @@
         return self._state.take_effects()
 
     def write(self, now: float, request: int, payload: bytes) -> list[Effect]:
-        """Replicates a new document on top of the present one; `WriteDone` tells what became of it."""
+        """Replicates a new document that replaces the present one; `WriteDone` carries the result."""
         self._state.now = now
         self._leader.write(request, payload)
         return self._state.take_effects()
 
     def confirm_leadership(self, now: float, request: int) -> list[Effect]:
-        """Asks the voters whether this node still leads; `ReadDone` tells.
+        """Asks the voters whether this node still leads; `ReadDone` carries the result.
 
         Only answers to a heartbeat that is sent from now on count.
         """
@@ -197,7 +197,7 @@
         return self._state.take_effects()
 
     def leave(self, now: float) -> list[Effect]:
-        """This node is about to stop: a leader hands over, a follower says so at once; see `can_stop`."""
+        """This node is about to stop: a leader hands over, a follower notifies it at once; see `can_stop`."""
         self._state.now = now
         self._state.is_leaving = True
         if self.is_leading:
--- a/wheatroute/replication/effects.py
+++ b/wheatroute/replication/effects.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class ReadDone:
-    """Whether this node was still the leader after the read with this number was asked for."""
+    """Whether this node was still the leader after the read with this number was requested."""
 
     request: int
     is_confirmed: bool
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -1,6 +1,6 @@
 """A node that doesn't lead: it acknowledges heartbeats and documents, and stands for election. No I/O.
 
-Transitions: follower -> candidate, when a member in sync has heard no heartbeat for its election timeout
+Transitions: follower -> candidate, when a member in sync has received no heartbeat for its election timeout
 and no lease binds its vote; candidate -> leader or follower again, when a view is decided (`core`).
 """
 
@@ -37,7 +37,7 @@
         self._election_timeout_s = (
             self._ranked_timeout_s() - timing.ELECTION_TIMEOUT_S + timing.STARTUP_ELECTION_TIMEOUT_S
         )
-        self.is_released = False  # the leader says that this node, which is leaving, isn't needed
+        self.is_released = False  # set by the leader: this node, which is leaving, isn't needed
 
     def heartbeat_age_s(self, now: float) -> float:
         """Seconds since the last heartbeat of the present view's primary, or since the view began."""
--- a/wheatroute/replication/leader.py
+++ b/wheatroute/replication/leader.py
@@ -65,7 +65,7 @@
         return not others or self._state.identity in self._released
 
     def all_hosts(self) -> set[str]:
-        """The hosts of all control nodes that this leader has heard of."""
+        """The hosts of all control nodes known to this leader."""
         return self._state.all_hosts() | {host_of(peer.identity) for peer in self._peers.all()}
 
     # begin and end
@@ -113,7 +113,7 @@
             self._reconfigure()
 
     def write(self, request: int, payload: bytes) -> None:
-        """Replicates a new document; `WriteDone` tells what became of it."""
+        """Replicates a new document; `WriteDone` carries the result."""
         state = self._state
         if not self.is_serving(state.now) or self._is_handing_over():
             state.emit(WriteDone(request, False))
@@ -123,7 +123,7 @@
         self._documents.replace_document(sequence, payload)
 
     def confirm_leadership(self, request: int) -> None:
-        """Asks the voters whether this node still leads; `ReadDone` tells."""
+        """Asks the voters whether this node still leads; `ReadDone` carries the result."""
         now = self._state.now
         if not self.is_serving(now):
             self._state.emit(ReadDone(request, False))
@@ -149,7 +149,7 @@
         self._documents.check_commit(self._state.document.version)
 
     def on_join_request(self, sender: str) -> None:
-        """A node wants to be taken in."""
+        """A node requests to join."""
         self._peers.get(sender).join_requested_at = self._state.now
 
     # heartbeats
@@ -224,7 +224,7 @@
         """Nodes that are about to stop and aren't needed any more."""
         state = self._state
         is_committed = self.committed is not None and self.committed.version.epoch == state.view.epoch
-        # whoever could succeed a voter has had the time to join this leader
+        # nodes that could succeed a voter have had the time to join this leader
         is_surveyed = state.now - self._led_since > timing.DEPARTURE_SURVEY_S
         is_settled = (
             is_committed and is_surveyed and not self._proposer.is_proposing and self._wanted_view() is None
--- a/wheatroute/replication/lease.py
+++ b/wheatroute/replication/lease.py
@@ -10,7 +10,7 @@
 Live", PODC 2007, section 5.2.
 
 A process that starts doesn't know what it granted before its end, so its vote is bound for `GRANT_S` from
-its start. A lease ends with the process that held it, and when a leader gives it up: the primary says so
+its start. A lease ends with the process that held it, and when a leader gives it up: the primary announces it
 (`LeaseEnded`), which frees every vote at once. No I/O; times are of the steady clock, in seconds, and are
 handed in.
 """
--- a/wheatroute/replication/messages.py
+++ b/wheatroute/replication/messages.py
@@ -80,7 +80,7 @@
 
     `is_healthy` is false while its disk takes no writes. `digest` is that of the document of `version`, None
     while another one is being written. `is_lease_granted`: whether the sender's vote is bound to the primary
-    for another `lease.GRANT_S` seconds. `incarnation` tells the sender's process from those before it.
+    for another `lease.GRANT_S` seconds. `incarnation` identifies the sender's process.
     """
 
     epoch: int
@@ -108,13 +108,13 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag="join"):
-    """Sent by a node without contact with a primary to every node it has heard of."""
+    """Sent by a node without contact with a primary to every node known to it."""
 
     epoch: int
 
 
 class ViewAnnouncement(msgspec.Struct, frozen=True, tag="known"):
-    """The newest decided view that the sender has learned, and the nodes that it has heard of."""
+    """The newest decided view that the sender has learned, and the nodes known to it."""
 
     view: View
     nodes: tuple[str, ...]
--- a/wheatroute/replication/node_state.py
+++ b/wheatroute/replication/node_state.py
@@ -18,7 +18,7 @@
 from wheatroute.replication.records import NodeRecord
 from wheatroute.replication.views import View
 
-INCARNATION_BITS = 48  # of the number that tells a process from the one before it
+INCARNATION_BITS = 48  # of the number that identifies a process
 
 Deliver = Callable[[str, Message], None]
 
@@ -89,7 +89,7 @@
         self._hosts.update(hosts)
 
     def all_hosts(self) -> set[str]:
-        """The hosts of this node, of the voters, and of all nodes it has heard of."""
+        """The hosts of this node, of the voters, and of all nodes known to it."""
         return self._hosts | {host_of(voter) for voter in self.view.voters} | {self.host}
 
     # effects
--- a/wheatroute/replication/peers.py
+++ b/wheatroute/replication/peers.py
@@ -71,7 +71,7 @@
         self._heartbeat_sent_at = {}
 
     def assume_alive(self, view: View, now: float) -> None:
-        """Voters count as alive at first, so that none is replaced before it was asked.
+        """Voters count as alive at first, so that none is replaced before it had time to answer.
 
         One that isn't even a member was unresponsive under an earlier leader, and has `RETURN_GRACE_S` to
         answer.
@@ -83,7 +83,7 @@
                 self._peers[voter] = Peer(voter, last_answer_at=answered_at)
 
     def forget_unresponsive(self, voters: tuple[str, ...], now: float) -> None:
-        """Drops nodes that aren't voters and were last heard of more than `FORGET_TIMEOUT_S` ago."""
+        """Drops nodes that aren't voters and last sent anything more than `FORGET_TIMEOUT_S` ago."""
         for peer in self.all():
             last_contact_at = max(peer.join_requested_at, peer.last_answer_at)
             if peer.identity not in voters and now - last_contact_at > FORGET_TIMEOUT_S:
--- a/wheatroute/replication/storage.py
+++ b/wheatroute/replication/storage.py
@@ -1,9 +1,9 @@
 """A control node's record and soft state on disk, in LMDB, with a checksum over each value. Blocking I/O.
 
 LMDB keeps the last commit whole if a write is cut short; `sync` is called after each commit, since a commit
-counts here only once the disk says so. A record that can't be read makes the node a new one: its old promises
-and documents then count for nothing, which is safe, as for a disk that was lost. Keys and values are those of
-earlier versions and stay.
+counts here only once the disk has confirmed it. A record that can't be read makes the node a new one: its
+old promises and documents then count for nothing, which is safe, as for a disk that was lost. Keys and
+values are those of earlier versions and stay.
 """
 
 from __future__ import annotations
