--- a/tests/control/test_isolation_and_prior_usage.py
+++ b/tests/control/test_isolation_and_prior_usage.py
@@ -4,7 +4,7 @@
 
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, QuotaGrant, UsageReport
-from wheatroute.control.edge_nodes import NODE_FORGOTTEN, NODE_LOST, NODE_UNRESPONSIVE, EdgeNodes
+from wheatroute.control.edge_nodes import NODE_FORGOTTEN_S, NODE_LOST_S, NODE_UNRESPONSIVE_S, EdgeNodes
 from wheatroute.control.prior_usage import PriorUsage
 from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
 from wheatroute.edge.quota_leases import QuotaLeases
@@ -126,8 +126,8 @@
     nodes = EdgeNodes(10.0, 63)
     nodes.contact(10.1, "a")
     assert nodes.count(10.1) == 63
-    nodes.contact(10.0 + NODE_LOST, "a")
-    assert nodes.count(10.0 + NODE_LOST) == 1
+    nodes.contact(10.0 + NODE_LOST_S, "a")
+    assert nodes.count(10.0 + NODE_LOST_S) == 1
     assert EdgeNodes(10.0).count(10.1) == 1
 
 
@@ -177,15 +177,15 @@
     buckets.configure([TENANT], 0.0)
     grants = [report_demand(buckets, nodes, node, 0.0) for node in "ab"]
     level_before = limit_level(buckets)
-    nodes.contact(NODE_UNRESPONSIVE + 0.1, "b")
-    buckets.reserve(NODE_UNRESPONSIVE + 0.1, nodes)
-    reserved = grants[0].local_burst + grants[0].local_rate * (NODE_UNRESPONSIVE + 0.1)
+    nodes.contact(NODE_UNRESPONSIVE_S + 0.1, "b")
+    buckets.reserve(NODE_UNRESPONSIVE_S + 0.1, nodes)
+    reserved = grants[0].local_burst + grants[0].local_rate * (NODE_UNRESPONSIVE_S + 0.1)
     assert reserved > 0 and limit_level(buckets) == pytest.approx(
         BURST - reserved
     )  # the bucket had filled up meanwhile
-    buckets.reserve(NODE_UNRESPONSIVE + 0.2, nodes)  # and its local rate since
+    buckets.reserve(NODE_UNRESPONSIVE_S + 0.2, nodes)  # and its local rate since
     assert limit_level(buckets) == pytest.approx(BURST - reserved + 0.1 * (RATE - grants[0].local_rate))
-    report_demand(buckets, nodes, "a", NODE_UNRESPONSIVE + 0.2, rate=0.0)
+    report_demand(buckets, nodes, "a", NODE_UNRESPONSIVE_S + 0.2, rate=0.0)
     assert limit_level(buckets) == BURST >= level_before
 
 
@@ -193,11 +193,11 @@
     buckets, nodes = QuotaBuckets(0.0, 0.0, is_first=True), EdgeNodes()
     buckets.configure([TENANT], 0.0)
     report_demand(buckets, nodes, "a", 0.0)
-    for step in range(1, round(NODE_FORGOTTEN) + 3):
+    for step in range(1, round(NODE_FORGOTTEN_S) + 3):
         nodes.count(float(step))
         buckets.reserve(float(step), nodes)
-    assert nodes.unresponsive(NODE_FORGOTTEN + 2.0) == {}
-    report_demand(buckets, nodes, "b", NODE_FORGOTTEN + 5.0, rate=0.0)
+    assert nodes.unresponsive(NODE_FORGOTTEN_S + 2.0) == {}
+    report_demand(buckets, nodes, "b", NODE_FORGOTTEN_S + 5.0, rate=0.0)
     assert limit_level(buckets) == BURST
 
 
@@ -206,9 +206,9 @@
     for node in "ab":
         report_recent_usage(buckets, node)
         nodes.contact(0.1, node)
-    buckets.reserve(NODE_UNRESPONSIVE, nodes)
+    buckets.reserve(NODE_UNRESPONSIVE_S, nodes)
     assert limit_level(buckets) == 0.4 * BURST  # not yet: nodes may just not have reached it
-    now = NODE_UNRESPONSIVE + 0.5
+    now = NODE_UNRESPONSIVE_S + 0.5
     buckets.reserve(now, nodes)
     assert limit_level(buckets) == pytest.approx(BURST * (1 - 0.9 / 2) - 0.9 / 2 * RATE * now, rel=0.01)
     report_recent_usage(buckets, "c", now=now)
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -9,15 +9,15 @@
 
 from wheatroute.cluster.messages import ServerLoad, UsageReport
 
-NODE_LOST = 3.0  # seconds without contact after which an edge node is lost and no longer counts
-NODE_UNRESPONSIVE = 1.5  # seconds after which a node may be running isolated, on its local quotas
-NODE_FORGOTTEN = 20.0  # seconds after which a lost node is taken to have ended
+NODE_LOST_S = 3.0  # without contact, after which an edge node is lost and no longer counts
+NODE_UNRESPONSIVE_S = 1.5  # without contact, after which a node may be running isolated, on its local quotas
+NODE_FORGOTTEN_S = 20.0  # without contact, after which a lost node is taken to have ended
 
 
 class EdgeNodes:
     """The edge nodes in contact with this primary, and their load at servers.
 
-    A primary that has just begun has contact with few of them. Until it has listened for `NODE_LOST` seconds,
+    A primary that has just begun has contact with few of them. Until it has listened for `NODE_LOST_S`,
     there are at least `previous_count`, which the primary before counted.
     """
 
@@ -38,27 +38,27 @@
 
     def count(self, now: float) -> int:
         """The number of edge nodes."""
-        for node in [node for node, last in self._last_contact.items() if now - last > NODE_LOST]:
+        for node in [node for node, last in self._last_contact.items() if now - last > NODE_LOST_S]:
             self._lost[node] = self._last_contact.pop(node)
             self._loads.pop(node, None)
-        previous = self._previous_count if now - self._began < NODE_LOST else 0
+        previous = self._previous_count if now - self._began < NODE_LOST_S else 0
         return max(1, len(self._last_contact), previous)
 
     def unresponsive(self, now: float) -> dict[str, float]:
         """Nodes without recent contact, and when the last one was."""
-        self._lost = {node: last for node, last in self._lost.items() if now - last < NODE_FORGOTTEN}
-        late = {node: last for node, last in self._last_contact.items() if now - last > NODE_UNRESPONSIVE}
+        self._lost = {node: last for node, last in self._lost.items() if now - last < NODE_FORGOTTEN_S}
+        late = {node: last for node, last in self._last_contact.items() if now - last > NODE_UNRESPONSIVE_S}
         return self._lost | late
 
     def missing_fraction(self, now: float) -> float:
         """The fraction of the nodes counted before that this primary, though it has listened, never saw."""
-        if not self._previous_count or not NODE_UNRESPONSIVE < now - self._began < NODE_FORGOTTEN:
+        if not self._previous_count or not NODE_UNRESPONSIVE_S < now - self._began < NODE_FORGOTTEN_S:
             return 0.0
         return max(0.0, 1.0 - len(self._ever_seen) / self._previous_count)
 
     def known_fraction(self, now: float) -> float:
         """The fraction of all nodes whose demand is known; 1 once this primary has listened long enough."""
-        if not self._previous_count or now - self._began >= NODE_LOST:
+        if not self._previous_count or now - self._began >= NODE_LOST_S:
             return 1.0
         return min(1.0, max(1, len(self._ever_reported)) / self._previous_count)
 
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from wheatroute.cluster.messages import QuotaDemand
-from wheatroute.control.edge_nodes import NODE_LOST
+from wheatroute.control.edge_nodes import NODE_LOST_S
 from wheatroute.control.prior_usage import PriorUsage
 
 ADVANCE_S = 0.25  # of a node's own demand that it is granted in advance, while the bucket is well filled
@@ -144,7 +144,7 @@
         """Forgets the demand of lost nodes, and computes the totals anew."""
         self._totals_at = now
         self._demands = {
-            node: demand for node, demand in self._demands.items() if now - demand.reported_at <= NODE_LOST
+            node: demand for node, demand in self._demands.items() if now - demand.reported_at <= NODE_LOST_S
         }
         self._total_demand = sum(demand.rate for demand in self._demands.values())
         self._total_share = sum(self.quota_shares.get(node, 0.0) for node in self._demands)
