--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -21,6 +21,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
+from dataclasses import fields, replace
 from functools import partial
 from heapq import heappop, heappush
 from pathlib import Path
@@ -32,6 +33,7 @@
 
 from wheatroute import decide  # noqa: E402
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
 STORIES = ("test_stories", "test_shapes", "test_agreed")  # test modules that are played to both
@@ -47,6 +49,35 @@
     "send_loads": "tell",
 }
 
+EARLIER_FIELDS = {
+    "can_hedge": "hedges",
+    "can_cancel": "withdrawals",
+    "can_probe": "probes",
+    "has_peers": "peers",
+    "can_advise_retry": "refusal_advice",
+    "max_retry_after_s": "longest_advice",
+    "max_attempts": "most_attempts",
+    "connect_timeout_s": "connect_within",
+    "idle_timeout_s": "idle_closed",
+    "max_open_connections": "most_open",
+    "excess_value_factor": "excess_worth",
+    "list_max_age_s": "ask_within",
+    "warmup_s": "cold_time",
+    "warmup_initial_share": "cold_share",
+    "drain_grace_s": "drain_grace",
+    "overload_window_s": "fall_span",
+    "overload_multiple": "fall_multiple",
+    "answer_slack_s": "answer_slack",
+    "max_servers_per_tick": "large",
+    "value": "worth",
+    "late_value": "late_worth",
+    "idempotency": "effect",
+    "deduplication_group": "group",
+    "retry_window": "repeat_window",
+    "is_streamed": "streamed",
+    "can_trial": "harmless",
+}
+
 
 @contextmanager
 def package_at(commit: str) -> Iterator[None]:
@@ -109,65 +140,60 @@
 
 
 def earlier_settings(settings: Any) -> Any:
-    """Decision settings as the module of BASE takes them."""
+    """Decision settings as the module of BASE takes them: dicts, without keys that are None."""
+    if isinstance(settings, DecisionSettings | RequestClass | TenantQuota):
+        values = {field.name: getattr(settings, field.name) for field in fields(settings)}
+        return {
+            EARLIER_FIELDS.get(name, name): earlier_settings(value)
+            for name, value in values.items()
+            if value is not None
+        }
+    if isinstance(settings, list | tuple):
+        return [earlier_settings(one) for one in settings]
     return settings
 
 
-def terms(nodes: int = 1, **changes: Any) -> dict[str, Any]:
-    def kind(
-        effect: Idempotency, worth: float, group: DeduplicationGroup = DeduplicationGroup.ALL
-    ) -> dict[str, Any]:
-        return {
-            "target_latency": 1.0,
-            "stretch": 0.0,
-            "deadline": 3.0,
-            "worth": worth,
-            "late_worth": 0.2,
-            "effect": effect,
-            "group": group,
-            "repeat_window": 2.0,
-            "streamed": False,
-        }
+def decision_settings(nodes: int = 1, **changes: Any) -> DecisionSettings:
+    """The settings that days are played with."""
+
+    def request_class(
+        idempotency: Idempotency, value: float, group: DeduplicationGroup = DeduplicationGroup.ALL
+    ) -> RequestClass:
+        return RequestClass(
+            target_latency=1.0,
+            deadline=3.0,
+            value=value,
+            late_value=0.2,
+            idempotency=idempotency,
+            deduplication_group=group,
+            retry_window=2.0,
+        )
 
-    return {
-        "nodes": nodes,
-        "node": 0,
-        "tick": 0.001,
-        "tier": 0,
-        "tiers": 1,
-        "zones": 1,
-        "hedges": True,
-        "withdrawals": True,
-        "refusal_advice": True,
-        "longest_advice": 2.0,
-        "most_attempts": 4,
-        "connect_within": 0.1,
-        "excess_worth": 0.05,
-        "crossing_price": 0.0,
-        "connection_price": 0.0,
-        "probes": False,
-        "peers": False,
-        "report_how": "none",
-        "idle_closed": 30.0,
-        "calls_per_connection": 1,
-        "ask_within": 10.0,
-        "cold_time": 20.0,
-        "cold_share": 0.1,
-        "drain_grace": 0.5,
-        "fall_span": 3.0,
-        "fall_multiple": 3.0,
-        "zone": 0,
-        "list_on_request": False,
-        "work_counts": False,
-        "reported": [],
-        "late_price": 0.0,
-        "tenants": [{"portion": 0.5, "quota": 900.0}, {"portion": 0.5, "quota": 900.0}],
-        "request_classes": [
-            kind(Idempotency.IDEMPOTENT, 5.0),
-            kind(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
-            kind(Idempotency.NON_IDEMPOTENT, 3.0),
+    usual = DecisionSettings(
+        nodes=nodes,
+        tick=0.001,
+        can_hedge=True,
+        can_cancel=True,
+        can_advise_retry=True,
+        max_retry_after_s=2.0,
+        max_attempts=4,
+        connect_timeout_s=0.1,
+        excess_value_factor=0.05,
+        idle_timeout_s=30.0,
+        list_max_age_s=10.0,
+        warmup_s=20.0,
+        warmup_initial_share=0.1,
+        drain_grace_s=0.5,
+        overload_window_s=3.0,
+        overload_multiple=3.0,
+        tenants=[TenantQuota(0.5, 900.0), TenantQuota(0.5, 900.0)],
+        request_classes=[
+            request_class(Idempotency.IDEMPOTENT, 5.0),
+            request_class(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            request_class(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
-    } | changes
+    )
+    return replace(usual, **changes)
 
 
 class Day:
@@ -387,7 +413,7 @@
     for i, (servers, nodes, apart, work, zones, changes) in enumerate(shapes):
         for rough in (False, True):
             day = Day(servers, 7 + i, rough, apart, work, zones)
-            day.play(twin(terms(nodes, **changes), random.Random(i)), requests)
+            day.play(twin(decision_settings(nodes, **changes), random.Random(i)), requests)
     if stories:
         _stories(twin)
     decide.LARGE, decide.SORTED = usual
@@ -414,7 +440,7 @@
     day = Day(servers, 5, rough)
     gc.collect()
     gc.disable()
-    day.play(make(terms(), random.Random(5)), requests)
+    day.play(make(decision_settings(), random.Random(5)), requests)
     gc.enable()
     first, rounds = day.costs[0], sorted(day.costs[1:])
     return {
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -369,11 +369,11 @@
 
 def change_cost(servers: int) -> tuple[float, float, float]:
     """Seconds for a list of so many, MB for it, and seconds for one change: registry and module together."""
-    from decisions import terms
+    from decisions import decision_settings
 
     registry, numbers = Registry(PREFIX), {}  # type: ignore[var-annotated]
     kvs = [wire.KeyValue(key=PREFIX + b"s%05d" % n, value=value(n)) for n in range(servers)]
-    balancer = Balancer(terms(nodes=200), random.Random(1))
+    balancer = Balancer(decision_settings(nodes=200), random.Random(1))
     tracemalloc.start()
     began = time.perf_counter()
     told, _ = registry.whole(kvs, 0.0)
--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -1,15 +1,12 @@
 """What single functions give, one after the other; no sockets, no clock."""
 
 from wheatroute.agreement import joint_terms, operator, versions
+from wheatroute.balancing.settings import TenantQuota
 
 
 def test_joined_terms():
-    assert joint_terms._joined(
-        joint_terms.TENANT, {"quota": 9.0, "portion": 0.5}, {"quota": 4.0, "portion": 0.7}
-    ) == {
-        "quota": 4.0,
-        "portion": 0.5,
-    }
+    old, new = TenantQuota(portion=0.5, quota=9.0), TenantQuota(portion=0.7, quota=4.0)
+    assert joint_terms._joined(joint_terms.TENANT, old, new) == TenantQuota(portion=0.5, quota=4.0)
 
 
 def test_paths_of_joint_terms():
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -1,19 +1,21 @@
 """Versions, their terms joined, and a member: small stories, then every order of events."""
 
+import dataclasses
 import inspect
 import itertools
 import re
 
 import pytest
 
-from wheatroute import words
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.adapter import VersionAdapter, platform
 from wheatroute.agreement.explore import Bounds, Explorer
 from wheatroute.agreement.member import Acts, Member
 from wheatroute.agreement.places import MOST, Directory, PlaceError
 from wheatroute.agreement.versions import FORCE, WITHDRAW, ContentError, History, HistoryError, canonical
+from wheatroute.balancing import settings
 from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.config import (
     File,
     Pool,
@@ -25,6 +27,7 @@
     told_to_processor,
 )
 from wheatroute.net import boot
+from wheatroute.platform_settings import SETTING_KEYS, decision_settings
 from wheatroute.rig.settings import SETTINGS, change
 
 CONTENT = {"settings": change(SETTINGS, {"dcs": ["a"]}, 2)}
@@ -93,23 +96,22 @@
 
 
 def test_every_key_of_both_configurations_has_an_entry():
-    assert set(words.TERMS) | set(words.terms({}, {})) <= set(joint_terms.TERMS) | {
-        "request_classes",
-        "tenants",
-    }
-    kind = words._request_class({})
-    assert set(kind) <= set(joint_terms.REQUEST_CLASS)
+    fields = {field.name for field in dataclasses.fields(DecisionSettings)}
+    assert set(SETTING_KEYS) <= fields == set(joint_terms.TERMS) | {"request_classes", "tenants"}
+    kind_fields = {field.name for field in dataclasses.fields(settings.RequestClass)}
+    assert kind_fields == set(joint_terms.REQUEST_CLASS) | {"can_trial"}
+    assert {field.name for field in dataclasses.fields(settings.TenantQuota)} == set(joint_terms.TENANT)
     file = File(
         pools=[Pool(name="p", servers=[Server(id="s", address="127.0.0.1:1")])],
         traffic_types=[RequestClass(name="t", effect="pure", paths=["/"], hard_stop=1.0)],
         customers=[Tenant(name="c")],
         processor=Processor(listen="127.0.0.1:1", pool="p"),
     )
-    terms = told_to_processor(file)["terms"]
-    assert set(terms) <= set(joint_terms.TERMS) | {"request_classes", "tenants"}
-    assert set(terms["request_classes"][0]) <= set(joint_terms.REQUEST_CLASS)
-    assert set(terms["tenants"][0]) <= set(joint_terms.TENANT)
-    assert {path for path, _ in words.TERMS.values()} <= set(joint_terms.PATHS)
+    processor_settings = told_to_processor(file)["terms"]
+    assert isinstance(processor_settings, DecisionSettings)
+    assert isinstance(processor_settings.request_classes[0], settings.RequestClass)
+    assert isinstance(processor_settings.tenants[0], settings.TenantQuota)
+    assert {path for path, _ in SETTING_KEYS.values()} <= set(joint_terms.PATHS)
 
 
 def test_every_key_of_the_files_has_an_entry_too():
@@ -152,17 +154,22 @@
 
 
 def test_what_lies_within_two_versions_is_never_looser_than_either():
-    loose = words.terms(SETTINGS, {}) | {"tick": 0.005}
+    loose = dataclasses.replace(decision_settings(SETTINGS, {}), tick=0.005)
     for effects in itertools.permutations(Idempotency, 2):
         one, other = (
-            {**loose, "request_classes": [loose["request_classes"][0] | {"effect": effect}]}
+            dataclasses.replace(
+                loose,
+                request_classes=[dataclasses.replace(loose.request_classes[0], idempotency=effect)],
+            )
             for effect in effects
         )
-        assert joint_terms.joined(one, other)["request_classes"][0]["effect"] == max(effects)
-    tight = loose | {"most_attempts": 1, "fall_multiple": 1.0, "cold_time": 99.0, "hedges": False, "nodes": 7}
+        assert joint_terms.joined(one, other).request_classes[0].idempotency == max(effects)
+    tight = dataclasses.replace(
+        loose, max_attempts=1, overload_multiple=1.0, warmup_s=99.0, can_hedge=False, nodes=7
+    )
     for pair in ((loose, tight), (tight, loose)):
         met = joint_terms.joined(*pair)
-        assert [met[name] for name in ("most_attempts", "fall_multiple", "cold_time", "hedges", "nodes")] == [
+        assert [met.max_attempts, met.overload_multiple, met.warmup_s, met.can_hedge, met.nodes] == [
             1,
             1.0,
             99.0,
@@ -213,11 +220,11 @@
     less = adapter.adapt(Acts(2, 0, False))
     assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
     assert (
-        less.terms["request_classes"][before["buy"]]["effect"] == Idempotency.NON_IDEMPOTENT
+        less.terms.request_classes[before["buy"]].idempotency == Idempotency.NON_IDEMPOTENT
     )  # of those still out
-    assert less.terms["request_classes"][before["buy"]]["worth"] == 0.0
+    assert less.terms.request_classes[before["buy"]].value == 0.0
     new = adapter.adapt(Acts(3, 0, False))
-    assert new.tenants == {"new": 1} and [one["quota"] for one in new.terms["tenants"]] == [0.0, 5.0]
+    assert new.tenants == {"new": 1} and [one.quota for one in new.terms.tenants] == [0.0, 5.0]
 
 
 def test_a_request_that_has_no_key_is_not_repeated_for_its_class_having_them():
@@ -226,8 +233,8 @@
     look = told.request_classes["look"]
     forms, twin = told.forms[look]
     assert forms == {Idempotency.IDEMPOTENT, Idempotency.KEYED}
-    assert told.terms["request_classes"][look]["effect"] == Idempotency.KEYED
-    assert told.terms["request_classes"][twin]["effect"] == Idempotency.NON_IDEMPOTENT
+    assert told.terms.request_classes[look].idempotency == Idempotency.KEYED
+    assert told.terms.request_classes[twin].idempotency == Idempotency.NON_IDEMPOTENT
 
 
 def test_what_only_a_restart_changes_is_refused_with_the_key():
--- a/tests/crossings/test_clients.py
+++ b/tests/crossings/test_clients.py
@@ -13,7 +13,7 @@
 from wheatroute.__main__ import serve_node
 from wheatroute.net import boot, clients
 from wheatroute.net.clients import Clients
-from wheatroute.words import in_header, in_path
+from wheatroute.wire_names import in_header, in_path
 
 
 def types(*names, **changes):
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -11,6 +11,7 @@
 
 import wheatroute.net.discovery as listing
 from wheatroute.balancing.interface import Event, ServerState
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.discovery import Discovery
 
 
@@ -48,7 +49,7 @@
                             "discovery": (host, int(port)),
                             "zones": {"": 0},
                             "models": {"": 0},
-                            "terms": {"list_on_request": on_request},
+                            "terms": DecisionSettings(list_on_request=on_request),
                             "known": {},
                         }
                         side = Discovery(boot, heard, mock.Mock(), structlog.get_logger())
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -6,6 +6,7 @@
 import socket
 import struct
 from contextlib import suppress
+from dataclasses import replace
 from itertools import count
 
 import structlog
@@ -13,73 +14,56 @@
 
 from wheatroute.__main__ import serve_node
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.decide import Balancer
 from wheatroute.net import boot
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 
-def terms(**changes):
-    def kind(effect, worth, group=DeduplicationGroup.ALL):
-        return {
-            "target_latency": 1.0,
-            "stretch": 0.0,
-            "deadline": 3.0,
-            "worth": worth,
-            "late_worth": 0.0,
-            "effect": effect,
-            "group": group,
-            "repeat_window": 2.0,
-            "streamed": False,
-        }
+def decision_settings(**changes):
+    def request_class(idempotency, value, group=DeduplicationGroup.ALL):
+        return RequestClass(
+            target_latency=1.0,
+            deadline=3.0,
+            value=value,
+            idempotency=idempotency,
+            deduplication_group=group,
+            retry_window=2.0,
+        )
 
-    out = {
-        "nodes": 1,
-        "node": 0,
-        "tick": 0.005,
-        "tier": 0,
-        "tiers": 1,
-        "zones": 1,
-        "hedges": True,
-        "withdrawals": True,
-        "probes": False,
-        "refusal_advice": True,
-        "longest_advice": 2.0,
-        "most_attempts": 4,
-        "connect_within": 0.1,
-        "excess_worth": 0.05,
-        "crossing_price": 0.0,
-        "idle_closed": 30.0,
-        "calls_per_connection": 1,
-        "ask_within": 10.0,
-        "cold_time": 20.0,
-        "cold_share": 0.1,
-        "drain_grace": 0.5,
-        "fall_span": 3.0,
-        "fall_multiple": 3.0,
-        "peers": False,
-        "report_how": "answers",
-        "connection_price": 0.0,
-        "zone": 0,
-        "list_on_request": False,
-        "work_counts": False,
-        "tenants": [],
-        "reported": [],
-        "request_classes": [
-            kind(Idempotency.IDEMPOTENT, 5.0),
-            kind(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
-            kind(Idempotency.NON_IDEMPOTENT, 3.0),
+    usual = DecisionSettings(
+        tick=0.005,
+        can_hedge=True,
+        can_cancel=True,
+        can_advise_retry=True,
+        max_retry_after_s=2.0,
+        max_attempts=4,
+        connect_timeout_s=0.1,
+        excess_value_factor=0.05,
+        idle_timeout_s=30.0,
+        list_max_age_s=10.0,
+        warmup_s=20.0,
+        warmup_initial_share=0.1,
+        drain_grace_s=0.5,
+        overload_window_s=3.0,
+        overload_multiple=3.0,
+        report_how="answers",
+        request_classes=[
+            request_class(Idempotency.IDEMPOTENT, 5.0),
+            request_class(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            request_class(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
-    }
-    return out | changes
+    )
+    return replace(usual, **changes)
 
 
 class Host:
     """Servers are numbered; `answer(server, attempt)` tells (outcome, took), or None for never."""
 
     def __init__(self, servers=4, answer=None, seed=1, start=100.0, entries=None, report=None, **changes):
-        self.terms = terms(**changes)
-        self.balancer = Balancer(self.terms, random.Random(seed))
+        self.settings = decision_settings(**changes)
+        self.balancer = Balancer(self.settings, random.Random(seed))
         self.now, self.answer = start, answer or (lambda server, attempt: (Outcome.SERVED, 0.1))
         self.events, self.pending, self.did = [], [], []
         self.report = report or (lambda server: None)
@@ -110,7 +94,7 @@
             self.balancer.handle_events(self.now, events, self)
             if self.now >= end - 1e-9:
                 return self
-            self.now += self.terms["tick"]
+            self.now += self.settings.tick
 
     def run(self, seconds, rate, kind=SAFE, **how):
         """Requests at an even rate."""
@@ -152,7 +136,7 @@
     def cancel(self, request, n):
         self.did.append(("withdraw", self.now, request, n))
         self.pending.append(
-            (self.now + self.terms["tick"], request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
+            (self.now + self.settings.tick, request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
         )
 
     def reject(self, request, stay_away):
--- a/tests/processor/test_accounts.py
+++ b/tests/processor/test_accounts.py
@@ -3,12 +3,15 @@
 import pytest
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.processor.accounts import Accounts, Refusal, RefusedError
 from wheatroute.processor.service import WorkerSupervisor
 
 KINDS = [
-    {"effect": effect, "group": DeduplicationGroup.ALL, "repeat_window": 5.0, "deadline": 2.0}
-    for effect in (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
+    RequestClass(
+        idempotency=idempotency, deduplication_group=DeduplicationGroup.ALL, retry_window=5.0, deadline=2.0
+    )
+    for idempotency in (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
 ]
 
 
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -1,9 +1,12 @@
-"""Other terms while requests are out: one short story for each way in which that could break a rule."""
+"""Other settings while requests are out: one short story for each way in which that could break a rule."""
+
+from dataclasses import replace
 
 import structlog
-from fakehost import KEYED, SAFE, UNSAFE, Host, terms
+from fakehost import KEYED, SAFE, UNSAFE, Host, decision_settings
 
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome
+from wheatroute.balancing.settings import TenantQuota
 from wheatroute.net.rounds import Rounds, now
 
 LOST = (Outcome.RESET, 0.2)
@@ -11,13 +14,12 @@
 
 
 def agree(host, binding, kinds=None, **changes):
-    """Hands the module other terms; `kinds` are changes by the number of a class."""
-    told = host.terms | changes
-    told["request_classes"] = [
-        kind | (kinds or {}).get(i, {}) for i, kind in enumerate(told["request_classes"])
+    """Hands the module other settings; `kinds` are changes by the number of a class."""
+    classes = [
+        replace(kind, **(kinds or {}).get(i, {})) for i, kind in enumerate(host.settings.request_classes)
     ]
-    host.terms = told
-    host.events.append((Event.SETTINGS_CHANGED, told, binding))
+    host.settings = replace(host.settings, **({"request_classes": classes} | changes))
+    host.events.append((Event.SETTINGS_CHANGED, host.settings, binding))
     return host
 
 
@@ -25,7 +27,7 @@
     host = Host(answer=lambda server, attempt: LOST)
     number = host.ask(SAFE)
     host.step(0.1)
-    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT}}).step(1.0)
+    agree(host, True, {SAFE: {"idempotency": Idempotency.NON_IDEMPOTENT}}).step(1.0)
     assert host.final == {number: "failed"} and len(host.attempts[number]) == 1
     again = Host(answer=lambda server, attempt: LOST)
     number = again.ask(SAFE)
@@ -38,7 +40,7 @@
     host.answer = lambda server, attempt: None
     number = host.ask(SAFE)
     host.step(0.05)
-    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT}}, hedges=False).step(1.0)
+    agree(host, True, {SAFE: {"idempotency": Idempotency.NON_IDEMPOTENT}}, can_hedge=False).step(1.0)
     assert len(host.attempts[number]) == 1
 
 
@@ -46,7 +48,7 @@
     host = Host(answer=lambda server, attempt: LOST)
     old = host.ask(UNSAFE)
     host.step(0.1)
-    agree(host, False, {UNSAFE: {"effect": Idempotency.IDEMPOTENT}})
+    agree(host, False, {UNSAFE: {"idempotency": Idempotency.IDEMPOTENT}})
     new = host.ask(UNSAFE)
     host.step(1.0)
     assert host.final[old] == "failed" and len(host.attempts[old]) == 1
@@ -56,10 +58,10 @@
 def test_a_group_that_narrows_keeps_a_repeat_where_the_first_attempt_went():
     for seed in range(8):
         host = Host(servers=8, seed=seed, answer=lambda server, attempt: LOST if attempt[1] == 0 else SERVED)
-        host.terms["request_classes"][KEYED]["group"] = DeduplicationGroup.ALL
+        agree(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.ALL}})
         number = host.ask(KEYED)
         host.step(0.1)
-        agree(host, True, {KEYED: {"group": DeduplicationGroup.CELL}}).step(1.0)
+        agree(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.CELL}}).step(1.0)
         first, *more = host.attempts[number]
         assert more and all(server // 2 == first // 2 for server in more)  # cells of two
 
@@ -70,15 +72,17 @@
     while len({server // 2 for server in host.attempts[number]}) < 2:
         host.step(0.005)
     sent = len(host.attempts[number])
-    agree(host, True, {SAFE: {"effect": Idempotency.KEYED, "group": DeduplicationGroup.CELL}}).step(2.0)
+    agree(
+        host, True, {SAFE: {"idempotency": Idempotency.KEYED, "deduplication_group": DeduplicationGroup.CELL}}
+    ).step(2.0)
     assert len(host.attempts[number]) == sent and host.final[number] == "failed"
 
 
 def test_a_quota_that_halves_counts_at_once_and_a_new_tenant_has_one():
-    told = [{"portion": 1.0, "quota": 100.0}]
+    told = [TenantQuota(1.0, 100.0)]
     host = Host(tenants=told)
     host.run(2.0, 50, tenant=0)
-    agree(host, True, tenants=[{"portion": 0.5, "quota": 10.0}, {"portion": 0.5, "quota": 40.0}]).step(0.0)
+    agree(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
     assert host.balancer._allowance[0] <= 20.0 and host.balancer._allowance[1] == 40.0
     host.run(1.0, 50, tenant=1)
     assert host.balancer._allowance[1] < 40.0
@@ -87,9 +91,9 @@
 def test_a_request_class_that_comes_while_serving_is_served_and_nothing_learned_is_lost():
     host = Host(answer=lambda server, attempt: (Outcome.SERVED, 0.4 if server == 0 else 0.1)).run(4.0, 30)
     learned = list(host.balancer.servers.latency)
-    kind = terms()["request_classes"][SAFE]
-    host.terms = host.terms | {"request_classes": [*host.terms["request_classes"], kind]}
-    host.events.append((Event.SETTINGS_CHANGED, host.terms, True))
+    classes = host.settings.request_classes
+    host.settings = replace(host.settings, request_classes=[*classes, classes[SAFE]])
+    host.events.append((Event.SETTINGS_CHANGED, host.settings, True))
     number = host.ask(3)
     host.step()
     assert host.balancer.servers.latency == learned
@@ -101,20 +105,20 @@
 
 
 def test_of_two_terms_agreed_in_one_pass_the_later_ones_stand_and_both_come_before_all_else():
-    rounds = Rounds(terms(answer_slack=0.02), "1", structlog.get_logger())
+    rounds = Rounds(decision_settings(answer_slack_s=0.02), "1", structlog.get_logger())
     seen = []
     rounds._balancer.handle_events = lambda now, events, writer: seen.extend(events)
     rounds.happened(Event.LIST_FAILED)
-    rounds.agree(terms(answer_slack=0.02, most_attempts=1), True)
-    rounds.agree(terms(answer_slack=0.02, most_attempts=3), False)
+    rounds.agree(decision_settings(answer_slack_s=0.02, max_attempts=1), True)
+    rounds.agree(decision_settings(answer_slack_s=0.02, max_attempts=3), False)
     rounds.round(now())
-    assert [event[1]["most_attempts"] for event in seen[:2]] == [1, 3] and seen[2] == (Event.LIST_FAILED,)
+    assert [event[1].max_attempts for event in seen[:2]] == [1, 3] and seen[2] == (Event.LIST_FAILED,)
 
 
 def test_a_careful_node_still_tries_a_barred_server_with_what_is_harmless():
     host = Host(answer=lambda server, attempt: None if server == 0 else SERVED).run(6.0, 30)
     assert host.balancer.servers.barred[0]
-    agree(host, True, {SAFE: {"effect": Idempotency.NON_IDEMPOTENT, "harmless": True}})
+    agree(host, True, {SAFE: {"idempotency": Idempotency.NON_IDEMPOTENT, "can_trial": True}})
     host.answer = lambda server, attempt: SERVED
     host.run(8.0, 30)
     assert not host.balancer.servers.barred[0]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -27,7 +27,7 @@
 
 def test_the_example_is_good_and_becomes_the_modules_terms():
     told = config.told_to_processor(config.read(str(GOOD)), 0)
-    assert told["terms"]["nodes"] >= 1 and told["known"]["servers"]
+    assert told["terms"].nodes >= 1 and told["known"]["servers"]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -2,10 +2,12 @@
 
 import pytest
 
-from wheatroute import learned, orders, quantiles, snapshot, talk, words
+from wheatroute import learned, orders, quantiles, snapshot, talk
 from wheatroute.benchlink import host
+from wheatroute.platform_settings import decision_settings
 from wheatroute.rig.settings import change
 from wheatroute.standin import etcd_store, lean
+from wheatroute.wire_names import NameNumbering
 
 
 def test_host_batch():
@@ -76,14 +78,14 @@
     assert (talk.unpack("hello", {}), talk.unpack("", {})) == ({}, {})
 
 
-def test_words_numbers():
-    zones = words.Numbers()
+def test_wire_names_numbering():
+    zones = NameNumbering()
     assert (zones["b"], zones["a"], zones["b"]) == (0, 1, 0)
 
 
-def test_words_terms():
-    got = words.terms({"balancers": 3, "zone": "b", "novel": 1}, {"b": 1})
-    assert (got["nodes"], got["zone"], got["most_attempts"], got["request_classes"]) == (3, 1, 1, [])
+def test_platform_settings_decision_settings():
+    got = decision_settings({"balancers": 3, "zone": "b", "novel": 1}, {"b": 1})
+    assert (got.nodes, got.zone, got.max_attempts, got.request_classes) == (3, 1, 1, [])
 
 
 def test_rig_change():
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -157,8 +157,8 @@
     node.told["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
     node.path.write_text(json.dumps(node.told))
     told = boot.read({"PROXY_CONFIG": str(node.path)})
-    assert told["peers"] is None and told["work_header"] == b"" and told["terms"]["calls_per_connection"] == 1
-    assert not told["terms"]["peers"]  # allowed, but nobody is named: it probes for none
+    assert told["peers"] is None and told["work_header"] == b"" and told["terms"].calls_per_connection == 1
+    assert not told["terms"].has_peers  # allowed, but nobody is named: it probes for none
 
 
 def test_strangers_and_nonsense_are_nothing_told():
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -6,6 +6,7 @@
 import socket
 import subprocess
 import sys
+from dataclasses import replace
 from unittest import mock
 
 import h11
@@ -14,7 +15,8 @@
 import trio
 from fakehost import ERROR, FULL, OK, RESET, SILENT, STRAY, Peer, entry, listed, read_message, story
 
-from wheatroute.balancing.interface import Event, Outcome, ServerState
+from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.net import boot, clients, discovery
 from wheatroute.net.clients import Clients
 from wheatroute.net.connection import Connection
@@ -225,7 +227,7 @@
         "discovery": ("127.0.0.1", 1),
         "zones": {"z": 0},
         "models": {"k": 0},
-        "terms": {"list_on_request": False},
+        "terms": DecisionSettings(list_on_request=False),
         "known": {},
     }
     told = discovery.Discovery(boot, rounds, servers, structlog.get_logger())
@@ -385,22 +387,11 @@
     return exchange
 
 
-TERMS = {
-    "most_attempts": 2,
-    "answer_slack": 0.02,
-    "nodes": 1,
-    "tick": 0.005,
-    "tier": 0,
-    "tiers": 1,
-    "node": 0,
-    "tenants": [],
-    "report_how": "none",
-    "probes": False,
-    "peers": False,
-    "reported": [],
-    "list_on_request": False,
-    "request_classes": [{"worth": 1.0, "effect": 0}],
-}
+TERMS = DecisionSettings(
+    max_attempts=2,
+    answer_slack_s=0.02,
+    request_classes=[RequestClass(value=1.0, idempotency=Idempotency.IDEMPOTENT)],
+)
 
 
 def test_nothing_goes_out_for_a_request_that_has_its_answer():
@@ -520,7 +511,7 @@
 
 
 def test_a_connection_in_use_while_its_server_moves_is_not_kept():
-    terms = TERMS | {"connect_within": 0.1, "idle_closed": 30.0, "report_how": "none"}
+    terms = replace(TERMS, connect_timeout_s=0.1, idle_timeout_s=30.0, report_how="none")
     servers = Servers(terms, 9, 65536, None, None)
     wire = _Wire()
     wire.line = Connection(socket.socket(), h11.CLIENT, "127.0.0.1:1")
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -4,9 +4,10 @@
 from fakehost import UNSAFE, Host
 
 from wheatroute.balancing.interface import Event, Outcome, ServerState
+from wheatroute.balancing.settings import TenantQuota
 
 SERVED = (Outcome.SERVED, 0.1)
-TOLD = {"report_how": "probe", "reported": ["queued", "rate"], "probes": True, "peers": True}
+TOLD = {"report_how": "probe", "reported": ["queued", "rate"], "can_probe": True, "has_peers": True}
 
 
 def hinted(host, kind, work):
@@ -43,7 +44,7 @@
 
 
 def test_the_traffic_of_a_busy_node_is_not_beyond_the_shares_because_it_is_busy():
-    quota = [{"portion": 1.0, "quota": 400.0}]
+    quota = [TenantQuota(1.0, 400.0)]
     host = Host(40, nodes=300, node=5, tenants=quota, **TOLD)
     run_told(host, 6.0, 100, tenant=0)
     # 100 a second of 400, though one of 300 nodes would have 1.3
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -1,11 +1,13 @@
 """One short story for each rule and each failure met."""
 
+from dataclasses import replace
 from io import BytesIO
 from random import Random
 
-from fakehost import KEYED, SAFE, UNSAFE, Host
+from fakehost import KEYED, SAFE, UNSAFE, Host, decision_settings
 
 from wheatroute.balancing.interface import Event, Outcome, ServerState
+from wheatroute.balancing.settings import TenantQuota
 from wheatroute.benchlink.host import serve
 from wheatroute.learned import Idleness, Ring
 
@@ -80,8 +82,9 @@
     host.step(0.5)
     first, second = host.attempts[number]
     assert first // 2 == second // 2 and host.final[number] == "served"
-    late = Host(answer=lambda server, attempt: (Outcome.ERROR, 2.5))
-    late.terms["request_classes"][1]["late_worth"] = 0.5
+    classes = list(decision_settings().request_classes)
+    classes[KEYED] = replace(classes[KEYED], late_value=0.5)
+    late = Host(answer=lambda server, attempt: (Outcome.ERROR, 2.5), request_classes=classes)
     number = late.ask(KEYED)
     late.step(3.0)
     assert len(late.attempts[number]) == 1 and late.final[number] == "failed"
@@ -174,7 +177,7 @@
 
 
 def test_a_small_tenant_is_within_its_share_on_every_one_of_many_nodes():
-    quota = [{"portion": 0.9, "quota": 90.0}, {"portion": 0.1, "quota": 10.0}]
+    quota = [TenantQuota(0.9, 90.0), TenantQuota(0.1, 10.0)]
     host = Host(nodes=100, tenants=quota)
     within = [host.balancer._spend(1) == 1]
     for _ in range(4):
@@ -305,7 +308,7 @@
 def test_the_least_valuable_is_turned_away_first_beyond_a_share_before_within_it():
     host = Host(
         answer=lambda server, attempt: (Outcome.SERVED, 0.1 * max(1.0, len(host.out) / 8)),
-        tenants=[{"portion": 0.5, "quota": 200.0}, {"portion": 0.5, "quota": 10.0}],
+        tenants=[TenantQuota(0.5, 200.0), TenantQuota(0.5, 10.0)],
     )
     greedy = []
     for i in range(600):
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -8,14 +8,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import replace
 from typing import Any, NamedTuple
 
-from wheatroute import words
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.member import Acts
 from wheatroute.agreement.versions import ContentError
 from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.net import boot as boot_data
+from wheatroute.wire_names import NameNumbering
 
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
 Settle = Callable[[dict[str, Any]], dict[str, Any]]  # raises `ContentError`
@@ -26,7 +28,7 @@
 
     request_classes: dict[str, int]
     tenants: dict[str, int]
-    terms: dict[str, Any]
+    terms: DecisionSettings
     forms: Forms
 
 
@@ -35,9 +37,9 @@
 
     def __init__(self, own: dict[str, Any], settle: Settle) -> None:
         self._own, self._settle = own, settle
-        self._classes, self._tenants = words.Numbers(), words.Numbers()
+        self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._known: dict[int, dict[str, Any]] = {0: own}
-        self._seen: dict[str, dict[str, Any]] = {}  # the rules that a class had when it was last there
+        self._seen: dict[str, RequestClass] = {}  # the rules that a class had when it was last there
         self._past = {0}  # versions that were in force here: clients may not have heard that they are not
         for names, numbers in ((own["request_classes"], self._classes), (own["tenants"], self._tenants)):
             for name, number in names.items():
@@ -53,11 +55,11 @@
             return str(trouble)
         own, own_classes = self._own["terms"], self._own["request_classes"]
         for name, rule in joint_terms.TERMS.items():
-            if rule == joint_terms.FIXED and known["terms"].get(name) != own.get(name):
-                return f"{name}: {joint_terms.FIXED}, and is {own.get(name)!r} here"
+            if rule == joint_terms.FIXED and getattr(known["terms"], name) != getattr(own, name):
+                return f"{name}: {joint_terms.FIXED}, and is {getattr(own, name)!r} here"
         for name in own_classes.keys() & known["request_classes"].keys():
             streamed = [
-                one["terms"]["request_classes"][one["request_classes"][name]]["streamed"]
+                one["terms"].request_classes[one["request_classes"][name]].is_streamed
                 for one in (self._own, known)
             ]
             if streamed[0] != streamed[1]:
@@ -73,7 +75,7 @@
             self._number(number)
         terms = self._within(versions, acts.careful)
         forms = self._forms(versions, terms)
-        if len(terms["request_classes"]) < len(self._classes):
+        if len(terms.request_classes) < len(self._classes):
             terms = self._within(versions, acts.careful)  # with the twins that forms wanted
         names = self._known[acts.in_force]
         return AdaptedVersion(
@@ -87,54 +89,55 @@
         known = self._known[version]
         for name, place in known["request_classes"].items():
             self._classes[name]  # noqa: B018 - the next number, for a name that is new
-            self._seen[name] = known["terms"]["request_classes"][place]
+            self._seen[name] = known["terms"].request_classes[place]
         for name in known["tenants"]:
             self._tenants[name]  # noqa: B018
 
-    def _within(self, versions: list[int], careful: bool) -> dict[str, Any]:
+    def _within(self, versions: list[int], careful: bool) -> DecisionSettings:
         terms = self._terms(versions[0])
         for number in versions[1:]:
             terms = joint_terms.joined(terms, self._terms(number))
         return joint_terms.careful(terms) if careful else terms
 
-    def _terms(self, version: int) -> dict[str, Any]:
+    def _terms(self, version: int) -> DecisionSettings:
         """A version's terms in this node's numbering."""
         known, own = self._known[version], self._own["terms"]
-        terms = known["terms"] | {
-            name: own[name]
+        terms: DecisionSettings = known["terms"]
+        own_values = {
+            name: getattr(own, name)
             for name, rule in joint_terms.TERMS.items()
-            if rule in (joint_terms.OWN, joint_terms.FIXED) and name in own
+            if rule in (joint_terms.OWN, joint_terms.FIXED)
         }
         kinds, tenants = [], []
         for name in self._classes:
             there, base = known["request_classes"].get(name.removesuffix("\0strict")), self._seen
             kind = (
-                known["terms"]["request_classes"][there]
+                terms.request_classes[there]
                 if there is not None
-                else base[name.removesuffix("\0strict")] | joint_terms.ABSENT_CLASS
+                else joint_terms.absent(base[name.removesuffix("\0strict")])
             )
-            kinds.append(kind | {"effect": Idempotency.NON_IDEMPOTENT} if name.endswith("\0strict") else kind)
+            if name.endswith("\0strict"):
+                kind = replace(kind, idempotency=Idempotency.NON_IDEMPOTENT)
+            kinds.append(kind)
         for name in self._tenants:
             there = known["tenants"].get(name)
-            tenants.append(
-                known["terms"]["tenants"][there] if there is not None else dict(joint_terms.ABSENT_TENANT)
-            )
-        return terms | {"request_classes": kinds, "tenants": tenants}
+            tenants.append(terms.tenants[there] if there is not None else TenantQuota())
+        return replace(terms, **own_values, request_classes=kinds, tenants=tenants)
 
-    def _forms(self, versions: list[int], terms: dict[str, Any]) -> Forms:
+    def _forms(self, versions: list[int], terms: DecisionSettings) -> Forms:
         """The forms of all versions that clients may have heard of: past, present and next."""
         forms: Forms = {}
         for name, number in list(self._classes.items()):
             if name.endswith("\0strict"):
                 continue
             effects = {
-                self._known[one]["terms"]["request_classes"][self._known[one]["request_classes"][name]][
-                    "effect"
-                ]
+                self._known[one]["terms"]
+                .request_classes[self._known[one]["request_classes"][name]]
+                .idempotency
                 for one in {*versions, *self._past}
                 if name in self._known[one]["request_classes"]
             }
-            now = terms["request_classes"][number]["effect"]
+            now = terms.request_classes[number].idempotency
             others = effects - {now}
             if others:
                 # a class of its own only where the rules are looser than a form or rest on a key it lacks
--- a/wheatroute/agreement/joint_terms.py
+++ b/wheatroute/agreement/joint_terms.py
@@ -8,11 +8,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from dataclasses import replace
 from math import inf
-from typing import Any
+from typing import Any, TypeVar
 
-from wheatroute import words
 from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
+from wheatroute.platform_settings import SETTING_KEYS
+from wheatroute.wire_names import DEDUPLICATION_GROUP_NAMES, IDEMPOTENCY_NAMES
 
 LEAST, MOST, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
 FREE = "may differ: the old one until the new one is in force"
@@ -28,18 +31,18 @@
     "tiers": FIXED,
     "zones": FIXED,
     "zone": OWN,
-    "hedges": BOTH,
-    "withdrawals": FREE,
-    "probes": BOTH,
-    "peers": OWN,
-    "refusal_advice": FREE,
-    "longest_advice": LEAST,
-    "most_attempts": LEAST,
-    "connect_within": FREE,
-    "idle_closed": LEAST,
+    "can_hedge": BOTH,
+    "can_cancel": FREE,
+    "can_probe": BOTH,
+    "has_peers": OWN,
+    "can_advise_retry": FREE,
+    "max_retry_after_s": LEAST,
+    "max_attempts": LEAST,
+    "connect_timeout_s": FREE,
+    "idle_timeout_s": LEAST,
     "calls_per_connection": FIXED,
-    "most_open": FREE,
-    "excess_worth": FREE,
+    "max_open_connections": FREE,
+    "excess_value_factor": FREE,
     "time_left_passed_on": FIXED,
     "connection_price": FREE,
     "crossing_price": FREE,
@@ -49,14 +52,14 @@
     "reported": FIXED,
     "work_counts": FREE,
     "list_on_request": FIXED,
-    "large": OWN,
-    "answer_slack": LEAST,
-    "ask_within": LEAST,
-    "cold_time": MOST,
-    "cold_share": LEAST,
-    "drain_grace": LEAST,
-    "fall_span": LEAST,
-    "fall_multiple": LEAST,
+    "max_servers_per_tick": OWN,
+    "answer_slack_s": LEAST,
+    "list_max_age_s": LEAST,
+    "warmup_s": MOST,
+    "warmup_initial_share": LEAST,
+    "drain_grace_s": LEAST,
+    "overload_window_s": LEAST,
+    "overload_multiple": LEAST,
 }
 # the TOML file, by table: what a version's part for it holds, and what each process keeps to itself
 FILE = {
@@ -115,21 +118,19 @@
 }
 # effects and groups are numbered from the loosest to the strictest, so the larger one binds
 REQUEST_CLASS = {
-    "effect": STRICT,
-    "group": STRICT,
-    "repeat_window": LEAST,
+    "idempotency": STRICT,
+    "deduplication_group": STRICT,
+    "retry_window": LEAST,
     "target_latency": LEAST,
     "deadline": LEAST,
     "stretch": FREE,
-    "worth": FREE,
-    "late_worth": FREE,
-    "streamed": FIXED,
+    "value": FREE,
+    "late_value": FREE,
+    "is_streamed": FIXED,
     "paths": ROUTE,
     "methods": ROUTE,
 }
 TENANT = {"quota": LEAST, "portion": FREE}
-ABSENT_CLASS = {"worth": 0.0, "late_worth": 0.0}  # nothing comes in of it any more
-ABSENT_TENANT = {"quota": 0.0, "portion": 0.0}
 COLD_WHEN_CAREFUL = 0.25
 PARTS = ("settings", "file")  # of a version: for the platform's node, and for the fronts of the TOML file
 FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # of its part for the TOML file
@@ -151,7 +152,7 @@
     "report.fields": FIXED,
     "utility-basis": FREE,
 }
-PATHS = {path: TERMS[name] for name, (path, _) in words.TERMS.items()} | _MORE
+PATHS = {path: TERMS[name] for name, (path, _) in SETTING_KEYS.items()} | _MORE
 CLASS_KEYS = {
     "name",
     "effect",
@@ -167,43 +168,57 @@
 TENANT_KEYS = {"name", "portion", "quota-rps"}
 
 
-def joined(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
-    """Terms within both; their classes and tenants stand under the same numbers in both."""
-    out = _joined(TERMS, old, new)
-    out["request_classes"] = [
-        _joined(REQUEST_CLASS, one, other)
-        for one, other in zip(old["request_classes"], new["request_classes"], strict=True)
-    ]
-    out["tenants"] = [
-        _joined(TENANT, one, other) for one, other in zip(old["tenants"], new["tenants"], strict=True)
-    ]
-    return out
+def joined(old: DecisionSettings, new: DecisionSettings) -> DecisionSettings:
+    """Settings within both; their classes and tenants stand under the same numbers in both."""
+    return replace(
+        _joined(TERMS, old, new),
+        request_classes=[
+            _joined(REQUEST_CLASS, *pair)
+            for pair in zip(old.request_classes, new.request_classes, strict=True)
+        ],
+        tenants=[_joined(TENANT, *pair) for pair in zip(old.tenants, new.tenants, strict=True)],
+    )
 
 
-def _joined(table: Mapping[str, str], old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
-    return {
-        key: _PICK[table[key]](value, new[key]) if table[key] in _PICK else value
-        for key, value in old.items()
-        if key in table
-    }
+_Joinable = TypeVar("_Joinable", DecisionSettings, RequestClass, TenantQuota)
 
 
-def careful(terms: Mapping[str, Any]) -> dict[str, Any]:
+def _joined(table: Mapping[str, str], old: _Joinable, new: _Joinable) -> _Joinable:
+    """`old` with each field that the table joins taken from both."""
+    return replace(
+        old,
+        **{
+            field: _PICK[rule](getattr(old, field), getattr(new, field))
+            for field, rule in table.items()
+            if rule in _PICK
+        },
+    )
+
+
+def absent(request_class: RequestClass) -> RequestClass:
+    """The class as it counts in a version that doesn't have it: nothing comes in of it any more."""
+    return replace(request_class, value=0.0, late_value=0.0)
+
+
+def careful(terms: DecisionSettings) -> DecisionSettings:
     """What a process may do that cannot tell which version is in force: only what every version allows.
 
     Nothing goes out again unless it provably never ran, nothing that may have run is refused, nothing is
     hedged, and cold servers get a quarter. A first attempt is as harmless as it was.
     """
-    return {
-        **terms,
-        "hedges": False,
-        "fall_multiple": terms["fall_multiple"] * COLD_WHEN_CAREFUL,
-        "request_classes": [
-            kind
-            | {"harmless": kind["effect"] == Idempotency.IDEMPOTENT, "effect": Idempotency.NON_IDEMPOTENT}
-            for kind in terms["request_classes"]
+    return replace(
+        terms,
+        can_hedge=False,
+        overload_multiple=terms.overload_multiple * COLD_WHEN_CAREFUL,
+        request_classes=[
+            replace(
+                one,
+                can_trial=one.idempotency == Idempotency.IDEMPOTENT,
+                idempotency=Idempotency.NON_IDEMPOTENT,
+            )
+            for one in terms.request_classes
         ],
-    }
+    )
 
 
 def contradictions(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[tuple[str, Any, Any, str]]:
@@ -228,9 +243,12 @@
             "target-time": "target_latency",
             "hard-stop": "deadline",
             "aim-stretch": "stretch",
-            "utility": "worth",
-            "overdue-utility": "late_worth",
-            "repeat-window": "repeat_window",
+            "utility": "value",
+            "overdue-utility": "late_value",
+            "repeat-window": "retry_window",
+            "effect": "idempotency",
+            "group": "deduplication_group",
+            "streamed": "is_streamed",
         }
         key = path.rsplit(".", 1)[1]
         return ROUTE if path.endswith(".name") else REQUEST_CLASS[name.get(key, key)]
@@ -294,7 +312,7 @@
 
 _NUMBERS = {
     path
-    for path, default in words.TERMS.values()
+    for path, default in SETTING_KEYS.values()
     if isinstance(default, int | float) and not isinstance(default, bool)
 } | {
     "target-time",
@@ -306,8 +324,8 @@
     "portion",
     "quota-rps",
 }
-_YES_OR_NO = {path for path, default in words.TERMS.values() if isinstance(default, bool)} | {"streamed"}
-_ONE_OF: dict[str, list[str]] = {"effect": list(words.EFFECTS), "group": list(words.GROUPS)}
+_YES_OR_NO = {path for path, default in SETTING_KEYS.values() if isinstance(default, bool)} | {"streamed"}
+_ONE_OF: dict[str, list[str]] = {"effect": list(IDEMPOTENCY_NAMES), "group": list(DEDUPLICATION_GROUP_NAMES)}
 
 
 def _unfit(path: str, value: Any) -> str:
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -38,7 +38,8 @@
     """Has a node act on what all agree on; it is careful until it was confirmed for the first time."""
 
     def apply(adapted: AdaptedVersion, binding: bool) -> None:
-        terms = adapted.terms | discovery.counted  # nodes that are counted go before a number that was put
+        # nodes that are counted go before a number that was put
+        terms = adapted.terms.with_node_count(discovery.counted)
         rounds.agree(terms, binding)
         servers.agree(terms)
         agreed = {"request_classes": adapted.request_classes, "tenants": adapted.tenants, "terms": terms}
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -53,7 +53,7 @@
 
     def apply(adapted: AdaptedVersion, binding: bool) -> None:
         twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms | listed.counted
+        terms = adapted.terms.with_node_count(listed.counted)
         dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, binding)
 
     start = secrets.token_hex(6)
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -22,6 +22,7 @@
 from wheatroute.agreement.leaving import KEPT, order, readable
 from wheatroute.agreement.member import Acts, Member
 from wheatroute.agreement.places import Directory, Place, PlaceError, opened, taken
+from wheatroute.balancing.settings import DecisionSettings
 
 FRESH = "fresh"  # the file, beside the records
 IDLE = 3.0  # times that a confirmation lasts after which a row that nobody writes is not carried any more
@@ -166,7 +167,7 @@
         return ""
 
     def adapt(self, acts: Acts) -> AdaptedVersion:
-        return AdaptedVersion({}, {}, {}, {})
+        return AdaptedVersion({}, {}, DecisionSettings(), {})
 
 
 async def relay(store: Callable[[float], Place], directory: str, name: str, within: float, log: Any) -> None:
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -88,7 +88,6 @@
     int, int, int, int, ServerState, float, float
 ]  # server, zone, model, cell, state, size, start
 EarlierAttempt = tuple[int, float, bool]  # server (-1: unknown), when it was sent, whether it may have run
-Terms = Mapping[str, Any]
 Report = Mapping[str, float]
 EventBatch = Sequence[EventFields]
 
--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -5,9 +5,11 @@
 from collections.abc import Mapping
 from typing import Any
 
-from wheatroute import talk, words
+from wheatroute import talk
 from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.decide import Balancer
+from wheatroute.platform_settings import decision_settings
+from wheatroute.wire_names import REPORT_FIGURES, NameNumbering
 
 OUTCOMES = {
     "done": Outcome.SERVED,
@@ -27,11 +29,11 @@
     """Holds the numbering of one instance and is the writer of its decisions."""
 
     def __init__(self, seed: int, info: dict[str, Any]) -> None:
-        self._servers = words.Numbers()
+        self._servers = NameNumbering()
         self._addresses: list[str] = []
         self._known = talk.Known()
-        self._zones = words.Numbers({name: i for i, name in enumerate(info.get("dcs") or [])})
-        self._models = words.Numbers({name: i for i, name in enumerate(info.get("skus") or [])})
+        self._zones = NameNumbering({name: i for i, name in enumerate(info.get("dcs") or [])})
+        self._models = NameNumbering({name: i for i, name in enumerate(info.get("skus") or [])})
         self._classes = {kind["name"]: i for i, kind in enumerate(info.get("traffic-types") or [])}
         self._tenants = {one["name"]: i for i, one in enumerate(info.get("tenants") or [])}
         self._numbers: dict[int | None, int] = {}
@@ -42,7 +44,7 @@
         self._spent: list[int] = []
         self.events: list[tuple[Any, ...]] = []
         self.decisions: list[dict[str, Any]] = []
-        self._balancer = Balancer(words.terms(info, self._zones), random.Random(seed))
+        self._balancer = Balancer(decision_settings(info, self._zones), random.Random(seed))
 
     def round(self, now: float) -> list[dict[str, Any]]:
         events, self.events, self.decisions = self.events, [], []
@@ -211,4 +213,4 @@
 
 def _report(message: dict[str, Any]) -> dict[str, float] | None:
     stats = message.get("server-stats")
-    return {words.FIGURES.get(name, name): figure for name, figure in stats.items()} if stats else None
+    return {REPORT_FIGURES.get(name, name): figure for name, figure in stats.items()} if stats else None
--- a/wheatroute/config.py
+++ b/wheatroute/config.py
@@ -14,9 +14,11 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, field_validator, model_validator
 
+from wheatroute.balancing import settings
 from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import DecisionSettings, TenantQuota
 from wheatroute.net.boot import address
-from wheatroute.words import GROUPS, Numbers
+from wheatroute.wire_names import DEDUPLICATION_GROUP_NAMES, NameNumbering
 
 Seconds = Annotated[float, Field(ge=0.0, allow_inf_nan=False)]
 Some = Annotated[float, Field(gt=0.0, allow_inf_nan=False)]
@@ -301,13 +303,13 @@
     if front is None:
         raise ConfigError(["no [processor] in the file"])
     pool = next(one for one in file.pools if one.name == front.pool)
-    zones, models = Numbers({zone: i for i, zone in enumerate(pool.zones)}), Numbers()
-    kinds = [_kind(one) for one in file.traffic_types]
-    longest = max(kind["deadline"] for kind in kinds)
+    zones, models = NameNumbering({zone: i for i, zone in enumerate(pool.zones)}), NameNumbering()
+    request_classes = [_request_class(one) for one in file.traffic_types]
+    longest = max(one.deadline for one in request_classes)
     return {
         "name": f"{file.name}-{worker}" if front.workers > 1 else file.name,
         "seed": f"{file.seed}/{file.node}/{worker}",
-        "terms": _terms(file, pool, front, kinds, worker, zones),
+        "terms": _decision_settings(file, pool, front, request_classes, worker, zones),
         "zones": zones,
         "models": models,
         "tenants": {one.name: i for i, one in enumerate(file.customers)},
@@ -344,7 +346,7 @@
         "time_header": front.time_header,
         "most_ids": front.most_ids,
         # an id may come again for as long as its request or the window of its key lasts
-        "remembered": 2.0 * longest + max(kind["repeat_window"] for kind in kinds),
+        "remembered": 2.0 * longest + max(one.retry_window for one in request_classes),
     }
 
 
@@ -362,64 +364,69 @@
     return place | {"within": told.within}
 
 
-def _kind(one: RequestClass) -> dict[str, Any]:
-    return {
-        "target_latency": one.target_time or one.hard_stop,
-        "stretch": 0.0,
-        "deadline": one.hard_stop,
-        "worth": one.utility,
-        "late_worth": one.late_utility,
-        "effect": WORDS[one.effect],
-        "group": GROUPS[one.group],
-        "repeat_window": one.repeat_window,
-        "streamed": False,
-        "paths": one.paths,
-        "methods": one.methods,
-    }
+def _request_class(one: RequestClass) -> settings.RequestClass:
+    return settings.RequestClass(
+        target_latency=one.target_time or one.hard_stop,
+        stretch=0.0,
+        deadline=one.hard_stop,
+        value=one.utility,
+        late_value=one.late_utility,
+        idempotency=WORDS[one.effect],
+        deduplication_group=DEDUPLICATION_GROUP_NAMES[one.group],
+        retry_window=one.repeat_window,
+        is_streamed=False,
+        paths=one.paths,
+        methods=one.methods,
+    )
 
 
-def _terms(
-    file: File, pool: Pool, front: Processor, kinds: list[dict[str, Any]], worker: int, zones: Numbers
-) -> dict[str, Any]:
-    """The module's terms: the proxy carries attempts out, so there are no hedges, withdrawals or probes."""
+def _decision_settings(
+    file: File,
+    pool: Pool,
+    front: Processor,
+    request_classes: list[settings.RequestClass],
+    worker: int,
+    zones: NameNumbering,
+) -> DecisionSettings:
+    """Those of one worker: the proxy carries attempts out, so it can't hedge, cancel or probe."""
     rules = pool.rules
-    return {
-        "nodes": file.nodes * front.workers,
-        "node": file.node * front.workers + worker,
-        "tick": 0.001,
-        "tier": 0,
-        "tiers": 1,
-        "zones": max(1, len(pool.zones)),
-        "zone": zones[pool.zone],
-        "hedges": False,
-        "withdrawals": False,
-        "probes": False,
-        "peers": False,
-        "refusal_advice": True,
-        "longest_advice": front.longest_advice,
-        "most_attempts": front.tries,
-        "connect_within": pool.connect_within,
-        "idle_closed": float("inf"),
-        "calls_per_connection": 1,
-        "most_open": 0,
-        "excess_worth": 0.05,
-        "time_left_passed_on": True,
-        "connection_price": pool.connection_price,
-        "crossing_price": pool.crossing_price,
-        "waste_price": 0.0,
-        "late_price": 0.0,
-        "report_how": "answers",
-        "reported": [],
-        "work_counts": False,
-        "ask_within": 10.0,
-        "list_on_request": False,
-        "answer_slack": rules.answer_slack,
-        "cold_time": rules.cold_time,
-        "cold_share": rules.cold_share,
-        "drain_grace": rules.drain_grace,
-        "fall_span": rules.fall_span,
-        "fall_multiple": rules.fall_multiple,
-        "request_classes": kinds,
-        "large": 0,  # a proxy waits for every round: beats are always played in parts
-        "tenants": [{"portion": 0.0, "quota": one.rate} for one in file.customers],
-    }
+    return DecisionSettings(
+        nodes=file.nodes * front.workers,
+        node=file.node * front.workers + worker,
+        tick=0.001,
+        tier=0,
+        tiers=1,
+        zones=max(1, len(pool.zones)),
+        zone=zones[pool.zone],
+        can_hedge=False,
+        can_cancel=False,
+        can_probe=False,
+        has_peers=False,
+        can_advise_retry=True,
+        max_retry_after_s=front.longest_advice,
+        max_attempts=front.tries,
+        connect_timeout_s=pool.connect_within,
+        idle_timeout_s=float("inf"),
+        calls_per_connection=1,
+        max_open_connections=0,
+        excess_value_factor=0.05,
+        time_left_passed_on=True,
+        connection_price=pool.connection_price,
+        crossing_price=pool.crossing_price,
+        waste_price=0.0,
+        late_price=0.0,
+        report_how="answers",
+        reported=[],
+        work_counts=False,
+        list_max_age_s=10.0,
+        list_on_request=False,
+        answer_slack_s=rules.answer_slack,
+        warmup_s=rules.cold_time,
+        warmup_initial_share=rules.cold_share,
+        drain_grace_s=rules.drain_grace,
+        overload_window_s=rules.fall_span,
+        overload_multiple=rules.fall_multiple,
+        request_classes=request_classes,
+        max_servers_per_tick=0,  # a proxy waits for every round: beats are always played in parts
+        tenants=[TenantQuota(quota=one.rate) for one in file.customers],
+    )
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -11,6 +11,7 @@
 from bisect import bisect
 from collections import deque
 from collections.abc import Callable, Sequence
+from dataclasses import replace
 from heapq import heappop, heappush
 from math import ceil, inf, sqrt
 from random import Random
@@ -25,8 +26,8 @@
     Outcome,
     Report,
     ServerState,
-    Terms,
 )
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.learned import FLOOR, MARGIN, RESOLVE, SAMPLES, WINDOW, Idleness, Pace, Request, Ring, Servers
 from wheatroute.orders import Alike, Waiting
 from wheatroute.split import clamped_shares
@@ -61,7 +62,7 @@
 class Balancer:
     """The decisions of one node."""
 
-    def __init__(self, terms: Terms, chance: Random) -> None:
+    def __init__(self, terms: DecisionSettings, chance: Random) -> None:
         self._chance = chance
         self._servers = Servers()
         self._pace = Pace()
@@ -83,7 +84,7 @@
         self._caution = 1.0
         self._served, self._rate = 0, 0.0  # requests served since the last beat, and a second
         self._short = -inf  # when room last ran short of what had to be in time
-        self._ask_at, self._ask_wait = -inf if terms["list_on_request"] else inf, 0.0
+        self._ask_at, self._ask_wait = -inf if terms.list_on_request else inf, 0.0
         self._sounding, self._probes_out = deque[int](), 0  # servers to be probed in this round; probes out
         self._heard: dict[int, float] = {}  # what probes have told since the last word to the others
         self._now = self._by = 0.0
@@ -92,12 +93,12 @@
         }
         self._settle(terms)
 
-    def _settle(self, terms: Terms) -> None:
+    def _settle(self, terms: DecisionSettings) -> None:
         """Terms to decide by, and what follows from them; what was learned stays."""
-        self._terms, self._kinds, self._tick = terms, terms["request_classes"], terms["tick"]
-        self._entry = terms["tier"] == 0
-        self._depth = max(1, terms["tiers"] - terms["tier"])  # tiers that a request here passes
-        self._large = terms.get("large", LARGE)
+        self._terms, self._kinds, self._tick = terms, terms.request_classes, terms.tick
+        self._entry = terms.tier == 0
+        self._depth = max(1, terms.tiers - terms.tier)  # tiers that a request here passes
+        self._large = LARGE if terms.max_servers_per_tick is None else terms.max_servers_per_tick
         self._pace.extend(len(self._kinds))
         self._usual_left += [0.0] * (len(self._kinds) - len(self._usual_left))
         # guards against nodes so many that none ever sees a share used: a few requests may be saved up
@@ -106,25 +107,22 @@
         self._allowance = [*map(min, self._allowance, saved), *new]
         # guards against reports by probes only, too dear for every node: few ask, and tell all others
         self._reports = (
-            terms["report_how"] == "probe"
-            and terms["probes"]
-            and terms["peers"]
-            and terms["node"] < REPORTERS
+            terms.report_how == "probe" and terms.can_probe and terms.has_peers and terms.node < REPORTERS
         )
-        self._waits = {"queued", "rate"}.issubset(terms["reported"]) and "held" not in terms["reported"]
+        self._waits = {"queued", "rate"}.issubset(terms.reported) and "held" not in terms.reported
         # what one more request adds: the class in most haste must still be in time at a server called easy
-        self._one = HURRY * min(one["target_latency"] for one in self._kinds) / FLOOR if self._waits else 1.0
+        self._one = HURRY * min(one.target_latency for one in self._kinds) / FLOOR if self._waits else 1.0
         # guards against work worth little that fills up what all nodes take for room; own limits sort it out
-        self._modest = BEYOND * sum(kind["worth"] for kind in self._kinds) / len(self._kinds)
-        self._tells = self._waits or "held" in terms["reported"]  # reports say how laden servers are
+        self._modest = BEYOND * sum(kind.value for kind in self._kinds) / len(self._kinds)
+        self._tells = self._waits or "held" in terms.reported  # reports say how laden servers are
         self._hedged_worth = max(
-            (kind["worth"] for kind in self._kinds if kind["effect"] == Idempotency.IDEMPOTENT), default=inf
+            (kind.value for kind in self._kinds if kind.idempotency == Idempotency.IDEMPOTENT), default=inf
         )
 
-    def _settings_changed(self, terms: Terms, binding: bool) -> None:
+    def _settings_changed(self, terms: DecisionSettings, binding: bool) -> None:
         """Other terms from now on; requests taken before keep to their own unless these bind them too."""
         for request in self._requests.values() if binding else ():
-            request.rules = terms["request_classes"][request.kind]
+            request.rules = terms.request_classes[request.kind]
             groups = {self._group(request.rules, server) for server in request.servers}
             if len(groups) == 1:
                 request.group = groups.pop()
@@ -188,15 +186,15 @@
     def _list_failed(self) -> None:
         """Guards against a list service that fails under load: asked again later and later, never in step."""
         terms = self._terms
-        if terms["list_on_request"]:
-            longest = terms["ask_within"] / 4  # a node is deemed told of what is older than ask_within
+        if terms.list_on_request:
+            longest = terms.list_max_age_s / 4  # a node is deemed told of what is older than list_max_age_s
             self._ask_wait = min(longest, max(longest / 8, 2 * self._ask_wait))
             self._ask_at = self._now + self._ask_wait * (0.5 + 0.5 * self._chance.random())
 
     def _nodes_counted(self, nodes: int, node: int, caution: float) -> None:
         """Another number of nodes: tenants' quotas, the part kept to and the pace of trials follow."""
         self._caution = caution
-        self._settings_changed({**self._terms, "nodes": nodes, "node": node}, False)
+        self._settings_changed(replace(self._terms, nodes=nodes, node=node), False)
 
     # the split
 
@@ -211,7 +209,7 @@
         ring.out = sum(
             servers.held[server] - len(self._stuck(server)) for server in ring.servers if servers.held[server]
         )
-        ring.fair = max(1, len(everyone)) / self._terms["nodes"]
+        ring.fair = max(1, len(everyone)) / self._terms.nodes
         self._solve_ring(ring)
         self._kept_to = len(kept)
 
@@ -229,12 +227,12 @@
         Guards against hearing each server of a large tier too seldom to tell the slow from the quick: a node
         keeps to a part of the round, at a place of its own, and all parts together cover the tier evenly.
         """
-        count, nodes = len(everyone), self._terms["nodes"]
+        count, nodes = len(everyone), self._terms.nodes
         # one with more traffic to more, as often as it hears them: else its servers carry more than others
-        dear = DEAR if self._terms["connection_price"] > 0 else 1.0
+        dear = DEAR if self._terms.connection_price > 0 else 1.0
         own = self._ring.peak * WINDOW / SAMPLES
         most = min(count, ceil(max(PARTNERS / dear, PARTNERS * dear * count / nodes, own / dear)))
-        first = int(self._terms["node"] * TURN % 1.0 * count)
+        first = int(self._terms.node * TURN % 1.0 * count)
         return everyone[first : first + most] + everyone[: max(0, first + most - count)]
 
     def _solve_ring(self, ring: Ring) -> None:
@@ -248,7 +246,7 @@
         # are the same for all: each tier is taken to have an equal part of the shortest
         below = (1.0 - 1.0 / self._depth) * min(expected, default=0.0)
         # a server in another building looks slower by what crossing costs
-        price, zone = CROSSED * self._terms["crossing_price"], self._terms["zone"]
+        price, zone = CROSSED * self._terms.crossing_price, self._terms.zone
         wish = clamped_shares(
             [
                 one - below + price * (servers.zone[s] != zone)
@@ -267,9 +265,11 @@
     def _warmth(self, server: int) -> float:
         """The least share of its capacity that a server can have by now."""
         terms, age = self._terms, self._now - self._servers.born[server]
-        if not self._servers.born[server] or age >= terms["cold_time"]:
+        if not self._servers.born[server] or age >= terms.warmup_s:
             return 1.0
-        return terms["cold_share"] + (1.0 - terms["cold_share"]) * max(0.0, age) / terms["cold_time"]
+        return (
+            terms.warmup_initial_share + (1.0 - terms.warmup_initial_share) * max(0.0, age) / terms.warmup_s
+        )
 
     def _draw(self, ring: Ring, request: Request, easy: bool = False) -> int:
         """A server by the split, redrawn where it holds far more than the mean; -1 if none will do."""
@@ -355,7 +355,7 @@
         self._probes_out = 0
         everyone, half = self._alike.round(), len(self._alike.round()) // 2
         if not self._sounding:  # one of the two is half a round ahead
-            self._sounding.extend(everyone if self._terms["node"] else everyone[half:] + everyone[:half])
+            self._sounding.extend(everyone if self._terms.node else everyone[half:] + everyone[:half])
         for _ in range(min(len(self._sounding), ceil(len(everyone) * BEAT))):
             server = self._sounding.popleft()
             if self._servers.ready[server]:
@@ -408,33 +408,34 @@
             return False
         if self._warmth(server) < 1.0 and self._servers.credit[server] < 1.0:
             return False
-        if request.rules["effect"] == Idempotency.KEYED and (request.may or request.out):
+        if request.rules.idempotency == Idempotency.KEYED and (request.may or request.out):
             return self._group(request.rules, server) == request.group
         return True
 
-    def _group(self, rules: Terms, server: int) -> int:
-        group = rules["group"]
+    def _group(self, rules: RequestClass, server: int) -> int:
+        group = rules.deduplication_group
         if group == DeduplicationGroup.ALL or server < 0:
             return 0
         return self._servers.zone[server] if group == DeduplicationGroup.ZONE else self._servers.cell[server]
 
     def _may_repeat(self, request: Request) -> bool:
         """Rule two: whether any further attempt may go out at all."""
-        if request.over or len(request.servers) >= self._terms["most_attempts"]:
+        if request.over or len(request.servers) >= self._terms.max_attempts:
             return False
-        if request.out and not self._terms["hedges"]:
+        if request.out and not self._terms.can_hedge:
             return False
         if not request.may and not request.out:
             return True
-        if request.rules["effect"] == Idempotency.KEYED:
-            return self._now < request.since + request.rules["repeat_window"] - self._tick
-        return request.rules["effect"] == Idempotency.IDEMPOTENT
+        if request.rules.idempotency == Idempotency.KEYED:
+            return self._now < request.since + request.rules.retry_window - self._tick
+        return request.rules.idempotency == Idempotency.IDEMPOTENT
 
     def _may_refuse(self, request: Request) -> bool:
-        if request.rules["effect"] == Idempotency.IDEMPOTENT or not (request.may or request.out):
+        if request.rules.idempotency == Idempotency.IDEMPOTENT or not (request.may or request.out):
             return True
         return (
-            request.rules["effect"] == Idempotency.KEYED and request.rules["group"] == DeduplicationGroup.ALL
+            request.rules.idempotency == Idempotency.KEYED
+            and request.rules.deduplication_group == DeduplicationGroup.ALL
         )
 
     # requests
@@ -452,19 +453,19 @@
         terms = self._kinds[kind]
         elapsed = self._elapsed(kind, left, repeated)
         stop = self._now + left - 2 * self._tick
-        target = min(stop, self._now + terms["target_latency"] - elapsed)
-        value = terms["worth"]
-        if not self._terms["work_counts"]:
+        target = min(stop, self._now + terms.target_latency - elapsed)
+        value = terms.value
+        if not self._terms.work_counts:
             value /= self._pace.mean[kind] or 1.0
         share = self._spend(tenant) if self._entry else tenant
-        value *= 1.0 if share == tenant else self._terms["excess_worth"]
+        value *= 1.0 if share == tenant else self._terms.excess_value_factor
         if target <= self._now:
-            value *= terms["late_worth"]
-        give_up = stop if terms["late_worth"] or not self._entry else max(target, self._now)
+            value *= terms.late_value
+        give_up = stop if terms.late_value or not self._entry else max(target, self._now)
         request = Request(number, kind, terms, target, give_up, value)
         request.size = self._pace.size(kind, work)
         request.share, request.part = share, 1.0 if share == tenant else BEYOND
-        if self._waits and terms["worth"] < self._modest:
+        if self._waits and terms.value < self._modest:
             request.part *= BEYOND**2
         self._requests[number] = request
         self._repeat_credit = min(self._repeat_credit + REPEAT_SHARE, 1.0 + REPEAT_SHARE * SAMPLES * 2)
@@ -499,7 +500,7 @@
         if not repeated:
             self._usual_left[kind] = left
             return 0.0
-        used = self._kinds[kind]["deadline"] - left
+        used = self._kinds[kind].deadline - left
         return used if left < (1.0 - MARGIN) * self._usual_left[kind] else 0.0
 
     def _quotas(self) -> list[float]:
@@ -507,8 +508,8 @@
 
         Guards against the few nodes that carry most of the traffic taking most of it for beyond the shares.
         """
-        told = [one["quota"] for one in self._terms["tenants"]]
-        part = max(1.0 / self._terms["nodes"], min(1.0, self._ring.peak / (sum(told) or 1.0)))
+        told = [one.quota for one in self._terms.tenants]
+        part = max(1.0 / self._terms.nodes, min(1.0, self._ring.peak / (sum(told) or 1.0)))
         return [part * one for one in told]
 
     @staticmethod
@@ -564,7 +565,7 @@
         request.out.add(n)
         request.idle.append(self._idleness.step(self._freshen(server)))
         request.opened.append(not servers.spare[server])
-        servers.spare[server] += (self._terms["calls_per_connection"] if request.opened[n] else 0) - 1
+        servers.spare[server] += (self._terms.calls_per_connection if request.opened[n] else 0) - 1
         servers.out[server][request.number, n] = self._now
         servers.held[server] += 1
         servers.told[server] += self._one * (BEYOND if self._waits else 1.0)  # until its next report
@@ -575,9 +576,9 @@
         kind = request.rules
         if (
             n == 0
-            and kind["worth"] == self._hedged_worth
-            and kind["effect"] == Idempotency.IDEMPOTENT
-            and self._terms["hedges"]
+            and kind.value == self._hedged_worth
+            and kind.idempotency == Idempotency.IDEMPOTENT
+            and self._terms.can_hedge
             and self._pace.timer < inf
         ):
             heappush(self._due, (self._now + self._pace.timer, request.number, request))
@@ -588,10 +589,10 @@
         if servers.held[server] or servers.used[server] == -inf:
             return 0.0
         idle = self._now - servers.used[server]
-        if idle < min(self._idleness.stale, self._terms["idle_closed"]):
+        if idle < min(self._idleness.stale, self._terms.idle_timeout_s):
             return idle
         servers.spare[server] = 0
-        if idle < self._terms["idle_closed"]:
+        if idle < self._terms.idle_timeout_s:
             self._writer.close(server)
         return 0.0
 
@@ -646,7 +647,7 @@
         """The request is done: what else is out for it is called off."""
         request.over = True
         for n in sorted(request.out - {kept}):
-            if self._terms["withdrawals"]:
+            if self._terms.can_cancel:
                 self._writer.cancel(request.number, n)
         if not request.out:
             self._requests.pop(request.number, None)
@@ -656,8 +657,8 @@
         if request.share >= 0 and not request.servers:
             self._allowance[request.share] += 1.0  # its client may send it again
         if self._may_refuse(request):
-            advice = self._terms["longest_advice"] if self._terms["refusal_advice"] else 0.0
-            self._writer.reject(request.number, min(advice, self._kinds[request.kind]["target_latency"]))
+            advice = self._terms.max_retry_after_s if self._terms.can_advise_retry else 0.0
+            self._writer.reject(request.number, min(advice, self._kinds[request.kind].target_latency))
         else:
             self._writer.fail(request.number)
         self._close(request)
@@ -813,7 +814,7 @@
         elif outcome in (Outcome.UNCONNECTED, Outcome.RESET):
             # guards against a dead process; when it is back it is cold, whether or not the list says so.
             # A reset or a connection that only never came may be the path: that makes no server cold
-            if outcome == Outcome.UNCONNECTED and took < self._terms["connect_within"] / 2:
+            if outcome == Outcome.UNCONNECTED and took < self._terms.connect_timeout_s / 2:
                 servers.born[server] = max(servers.born[server], now)
         elif outcome == Outcome.FULL:
             # guards against knocking again before it can have done anything
@@ -892,7 +893,9 @@
     def _trial_for(self, request: Request) -> int:
         """A barred server whose time has come gets one safe request: the way back in."""
         servers = self._servers
-        harmless = request.rules.get("harmless", request.rules["effect"] == Idempotency.IDEMPOTENT)
+        harmless = request.rules.can_trial
+        if harmless is None:
+            harmless = request.rules.idempotency == Idempotency.IDEMPOTENT
         if not harmless or request.servers or not self._trial_due():
             return -1
         for server in self._on_trial:
@@ -1013,6 +1016,6 @@
             warmth = self._warmth(server)
             if warmth < 1.0:
                 like = carried.get(servers.model[server]) or everywhere or [max(servers.carried, default=0.0)]
-                rate = terms["fall_multiple"] / 2 * warmth * sum(like) / len(like) / self._caution
-                most = max(1.0, rate * terms["fall_span"] / 2)
+                rate = terms.overload_multiple / 2 * warmth * sum(like) / len(like) / self._caution
+                most = max(1.0, rate * terms.overload_window_s / 2)
                 servers.credit[server] = min(most, max(-most, servers.credit[server]) + rate * step)
--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -19,6 +19,7 @@
 from typing import TYPE_CHECKING, Any
 
 from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings
 
 if TYPE_CHECKING:
     from wheatroute.fleet.nodes import Node
@@ -44,9 +45,9 @@
 class Plain:
     """Sends each request at once where `choose` says, and again where that is allowed; the base of all."""
 
-    def __init__(self, world: World, node: Node, terms: dict[str, Any], draw: Random) -> None:
+    def __init__(self, world: World, node: Node, terms: DecisionSettings, draw: Random) -> None:
         self.world, self.node, self.terms, self.draw = world, node, terms, draw
-        self.kinds = terms["request_classes"]
+        self.kinds = terms.request_classes
         self.ready: list[int] = []
         self.out: dict[int, int] = {}
         self._states: dict[int, ServerState] = {}
@@ -77,8 +78,8 @@
         for event, *fields in events:
             if event == Event.ARRIVED:
                 number, kind, left, *_ = fields
-                self._held[number] = held = Held(kind, now + left - 2 * self.terms["tick"])
-                if left > 2 * self.terms["tick"] and self.admits(kind, left, self.fit(held)):
+                self._held[number] = held = Held(kind, now + left - 2 * self.terms.tick)
+                if left > 2 * self.terms.tick and self.admits(kind, left, self.fit(held)):
                     self._send(number, held, writer)
                     if held.attempts and not held.over:
                         self.sent(number, writer)
@@ -109,17 +110,17 @@
         return fit
 
     def _group_of(self, server: int, kind: int) -> int:
-        place, group = self.world.tiers[self.node.depth][server], int(self.kinds[kind]["group"])
+        place, group = self.world.tiers[self.node.depth][server], int(self.kinds[kind].deduplication_group)
         return (0, place.zone, place.cell)[group]
 
     def _group(self, held: Held) -> int | None:
-        if (held.ran or held.out) and self.kinds[held.kind]["effect"] == Idempotency.KEYED:
+        if (held.ran or held.out) and self.kinds[held.kind].idempotency == Idempotency.KEYED:
             return self._group_of(held.first, held.kind)
         return None
 
     def _send(self, number: int, held: Held, writer: Any) -> bool:
         fit = self.fit(held)
-        if not fit or len(held.attempts) >= self.terms["most_attempts"] or self.now >= held.stop:
+        if not fit or len(held.attempts) >= self.terms.max_attempts or self.now >= held.stop:
             self._end(number, held, writer)
             return False
         server = self.choose(fit, held.kind)
@@ -134,11 +135,11 @@
     def hedge(self, number: int, writer: Any) -> None:
         """One more attempt of a safe request that is still out."""
         held = self._held.get(number)
-        if held is None or held.over or not held.out or len(held.attempts) >= self.terms["most_attempts"]:
+        if held is None or held.over or not held.out or len(held.attempts) >= self.terms.max_attempts:
             return
         if (
-            self.kinds[held.kind]["effect"] == Idempotency.IDEMPOTENT
-            and self.terms["hedges"]
+            self.kinds[held.kind].idempotency == Idempotency.IDEMPOTENT
+            and self.terms.can_hedge
             and self.fit(held)
         ):
             self._send(number, held, writer)
@@ -166,7 +167,7 @@
         if finished or outcome == Outcome.SERVED:
             self._close(number, writer)
         elif not held.over and not held.out:
-            effect = self.kinds[held.kind]["effect"]
+            effect = self.kinds[held.kind].idempotency
             again = not held.ran or effect == Idempotency.IDEMPOTENT
             if again and outcome != Outcome.TIMED_OUT:
                 self._send(number, held, writer)
@@ -177,7 +178,7 @@
 
     def _end(self, number: int, held: Held, writer: Any) -> None:
         kind = self.kinds[held.kind]
-        if not (held.ran or held.out) or kind["effect"] == Idempotency.IDEMPOTENT:
+        if not (held.ran or held.out) or kind.idempotency == Idempotency.IDEMPOTENT:
             writer.reject(number, 0.0)
         else:
             writer.fail(number)
@@ -189,7 +190,7 @@
             return
         if not held.over:
             held.over = True
-            if held.out and self.terms["withdrawals"]:
+            if held.out and self.terms.can_cancel:
                 for n in range(len(held.attempts)):
                     writer.cancel(number, n)
         if not held.out:
@@ -278,7 +279,7 @@
         if not fit:
             return False
         best = min(map(self.burden, fit))
-        return best * self.world.usual_work(kind, self.node.depth) < self.kinds[kind]["target_latency"]
+        return best * self.world.usual_work(kind, self.node.depth) < self.kinds[kind].target_latency
 
 
 class Probing(Plain):
@@ -330,8 +331,8 @@
 
     def sent(self, number: int, writer: Any) -> None:
         kind = self.kinds[self._held[number].kind]
-        if kind["effect"] == Idempotency.IDEMPOTENT:
-            moment = self.now + self.AFTER * kind["target_latency"]
+        if kind.idempotency == Idempotency.IDEMPOTENT:
+            moment = self.now + self.AFTER * kind.target_latency
             self._due.append((moment, number))
             writer.wake_at(moment)
 
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -13,6 +13,7 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 
 if TYPE_CHECKING:
@@ -48,7 +49,9 @@
 class Probed(Balancer):
     """The module with a note at each no."""
 
-    def __init__(self, world: World, node: Node, terms: dict[str, Any], draw: Random, noes: list[No]) -> None:
+    def __init__(
+        self, world: World, node: Node, terms: DecisionSettings, draw: Random, noes: list[No]
+    ) -> None:
         super().__init__(terms, draw)
         self._world, self._node, self._noes = world, node, noes
         self._came: dict[int, float] = {}  # requests without a no, and when they came
@@ -91,7 +94,7 @@
 
 
 def maker(noes: list[No]) -> Any:
-    def make(world: World, node: Node, terms: dict[str, Any], draw: Random) -> Balancer:
+    def make(world: World, node: Node, terms: DecisionSettings, draw: Random) -> Balancer:
         return Probed(world, node, terms, draw, noes)
 
     return make
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -12,6 +12,7 @@
 from typing import Any
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.fleet import chance
 from wheatroute.fleet.clients import Crowd
 from wheatroute.fleet.engine import Engine
@@ -31,7 +32,7 @@
 GROUPS = {"all": DeduplicationGroup.ALL, "zone": DeduplicationGroup.ZONE, "cell": DeduplicationGroup.CELL}
 CELL = 4  # servers
 
-Maker = Callable[["World", Node, dict[str, Any], Random], Decisions]
+Maker = Callable[["World", Node, DecisionSettings, Random], Decisions]
 
 
 class World:
@@ -110,71 +111,71 @@
 
     # nodes
 
-    def terms(self, depth: int, number: int, zone: int) -> dict[str, Any]:
-        """What a node is told at its start, under the names that `Balancer` takes."""
+    def decision_settings(self, depth: int, number: int, zone: int) -> DecisionSettings:
+        """The decision settings of a node of this number before the tier at this depth."""
         plan = self.plan
         senders = plan.nodes if depth == 0 else len(self.tiers[depth - 1])
         tier, network, rules = plan.tiers[depth], plan.network, plan.rules
         quota = plan.callers.quota * plan.capacity()
-        return {
-            "nodes": senders,
-            "node": number,
-            "tick": plan.tick,
-            "tier": depth,
-            "tiers": len(plan.tiers),
-            "zone": zone,
-            "zones": len(network.zones),
-            "hedges": plan.second_copies,
-            "withdrawals": tier.cancel != "none",
-            "probes": True,
-            "peers": False,
-            "refusal_advice": True,
-            "longest_advice": 2.0,
-            "most_attempts": plan.most_relays,
-            "connect_within": network.connect_within,
-            "idle_closed": network.idle_closed,
-            "calls_per_connection": 1,
-            "most_open": 20000,
-            "excess_worth": plan.callers.excess_utility,
-            "time_left_passed_on": plan.time_left_passed_on,
-            "connection_price": 0.0,
-            "crossing_price": plan.crossing_price,
-            "waste_price": 0.0,
-            "late_price": 0.0,
-            "report_how": "answers" if tier.reports is not None else "none",
-            "answer_slack": rules.answer_slack,
-            "ask_within": 10.0,
-            "cold_time": tier.cold_time,
-            "cold_share": tier.cold_share,
-            "drain_grace": rules.drain_grace,
-            "fall_span": rules.fall_span,
-            "fall_multiple": rules.fall_multiple,
-            "list_on_request": False,
-            "work_counts": False,
-            "reported": ["held", "rate", "error_rate"] if tier.reports is not None else [],
-            "request_classes": [
-                {
-                    "target_latency": kind.target_time,
-                    "stretch": 0.0,
-                    "deadline": kind.hard_stop,
-                    "worth": kind.utility,
-                    "late_worth": kind.late_utility,
-                    "effect": EFFECTS[kind.effect],
-                    "group": GROUPS[kind.group],
-                    "repeat_window": kind.repeat_window,
-                    "streamed": False,
-                }
+        return DecisionSettings(
+            nodes=senders,
+            node=number,
+            tick=plan.tick,
+            tier=depth,
+            tiers=len(plan.tiers),
+            zone=zone,
+            zones=len(network.zones),
+            can_hedge=plan.second_copies,
+            can_cancel=tier.cancel != "none",
+            can_probe=True,
+            has_peers=False,
+            can_advise_retry=True,
+            max_retry_after_s=2.0,
+            max_attempts=plan.most_relays,
+            connect_timeout_s=network.connect_within,
+            idle_timeout_s=network.idle_closed,
+            calls_per_connection=1,
+            max_open_connections=20000,
+            excess_value_factor=plan.callers.excess_utility,
+            time_left_passed_on=plan.time_left_passed_on,
+            connection_price=0.0,
+            crossing_price=plan.crossing_price,
+            waste_price=0.0,
+            late_price=0.0,
+            report_how="answers" if tier.reports is not None else "none",
+            answer_slack_s=rules.answer_slack,
+            list_max_age_s=10.0,
+            warmup_s=tier.cold_time,
+            warmup_initial_share=tier.cold_share,
+            drain_grace_s=rules.drain_grace,
+            overload_window_s=rules.fall_span,
+            overload_multiple=rules.fall_multiple,
+            list_on_request=False,
+            work_counts=False,
+            reported=["held", "rate", "error_rate"] if tier.reports is not None else [],
+            request_classes=[
+                RequestClass(
+                    target_latency=kind.target_time,
+                    stretch=0.0,
+                    deadline=kind.hard_stop,
+                    value=kind.utility,
+                    late_value=kind.late_utility,
+                    idempotency=EFFECTS[kind.effect],
+                    deduplication_group=GROUPS[kind.group],
+                    retry_window=kind.repeat_window,
+                    is_streamed=False,
+                )
                 for kind in plan.kinds
             ],
-            "tenants": [{"portion": one.portion, "quota": one.portion * quota} for one in plan.customers],
-        }
+            tenants=[TenantQuota(one.portion, one.portion * quota) for one in plan.customers],
+        )
 
     def _node(self, depth: int, number: int, zone: int, at: Server | None) -> Node:
         node = Node(self, depth, number, zone, at)
         node.decisions = self._make(
             self,
             node,
-            self.terms(depth, number, zone),
+            self.decision_settings(depth, number, zone),
             chance.stream(self.seed, "node", depth, number, at.life if at else 0),
         )
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(depth), True)
--- a/wheatroute/learned.py
+++ b/wheatroute/learned.py
@@ -5,7 +5,7 @@
 from math import inf, log2, sqrt
 from random import Random
 
-from wheatroute.balancing.interface import Terms
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.quantiles import Window
 
 WINDOW = 10.0  # seconds of own latencies behind the hedge timer
@@ -51,7 +51,7 @@
     )
 
     def __init__(
-        self, number: int, kind: int, rules: Terms, target: float, give_up: float, value: float
+        self, number: int, kind: int, rules: RequestClass, target: float, give_up: float, value: float
     ) -> None:
         self.number, self.kind, self.rules, self.target = number, kind, rules, target
         self.give_up, self.value = give_up, value
--- a/wheatroute/net/boot.py
+++ b/wheatroute/net/boot.py
@@ -7,13 +7,16 @@
 import os
 import re
 from collections.abc import Mapping
+from dataclasses import replace
 from math import inf
 from typing import Any
 
 import orjson
 
-from wheatroute import words
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.connection import LONGEST_BODY
+from wheatroute.platform_settings import decision_settings
+from wheatroute.wire_names import NameNumbering
 
 SPARE_DESCRIPTORS = 32  # for files, the listener, the list and the event loop
 SPARE_SHARE = 0.125  # the same where very few descriptors are allowed
@@ -78,14 +81,15 @@
     boot["descriptors"] = _descriptors(told.get("limits"))
     boot["longest_answer"] = _longest_answer(told.get("limits"))
     boot |= settled(settings)
-    terms = boot["terms"]
+    terms: DecisionSettings = boot["terms"]
     boot["agreement"] = _agreement(told.get("agreement"))
     boot["rollout"] = _agreement(told.get("rollout"), "rollout")
     boot["beside"] = told.get("beside", False)
     if not isinstance(boot["beside"], bool):
         raise BootError(f'"beside" is neither true nor false: {boot["beside"]!r}')
-    boot["peers"] = _peers(told.get("peers"), terms["peers"])
-    terms["peers"] = boot["peers"] is not None  # guards against probes for others that nobody is told of
+    boot["peers"] = _peers(told.get("peers"), terms.has_peers)
+    # without peers, probes on behalf of others would reach nobody
+    boot["terms"] = replace(terms, has_peers=boot["peers"] is not None)
     return boot
 
 
@@ -100,14 +104,15 @@
         raise BootError("the settings hold no request classes")
     told["request_classes"] = {one["name"]: i for i, one in enumerate(kinds)}
     try:
-        told["terms"] = words.terms(settings, told["zones"])
+        told["terms"] = decision_settings(settings, told["zones"])
     except (TypeError, ValueError, AttributeError) as trouble:
         raise BootError(f"the settings are malformed: {trouble}") from trouble
     # what the module reads of the settings; HTTP/1.1 carries one request a connection, whatever they say
-    terms = told["terms"] = told["terms"] | {"calls_per_connection": 1}
+    terms = told["terms"] = replace(told["terms"], calls_per_connection=1)
     for name in ("connection_price", "crossing_price"):
-        if not isinstance(terms[name], int | float) or not 0.0 <= terms[name] < inf:
-            raise BootError(f"the settings' {name.replace('_', ' ')} is no number from 0 on: {terms[name]!r}")
+        price = getattr(terms, name)
+        if not isinstance(price, int | float) or not 0.0 <= price < inf:
+            raise BootError(f"the settings' {name.replace('_', ' ')} is no number from 0 on: {price!r}")
     return told
 
 
@@ -213,11 +218,11 @@
     return found
 
 
-def _numbered(settings: dict[str, Any], name: str) -> words.Numbers:
+def _numbered(settings: dict[str, Any], name: str) -> NameNumbering:
     found = settings.get(name) or []
     if not isinstance(found, list) or not all(isinstance(one, str) for one in found):
         raise BootError(f'the settings\' "{name}" is not a list of names')
-    return words.Numbers({one: i for i, one in enumerate(found)})
+    return NameNumbering({one: i for i, one in enumerate(found)})
 
 
 def _descriptors(limits: Any) -> int:
--- a/wheatroute/net/clients.py
+++ b/wheatroute/net/clients.py
@@ -86,14 +86,14 @@
         # the rest is for clients that can only be told that there is no room
         self._most = most - max(2, int(most * RESERVE))
         self._most_open = most
-        self._most_out = min(self._most, boot["terms"]["most_open"] or self._most)
-        self._advice = boot["terms"]["longest_advice"] if boot["terms"]["refusal_advice"] else 0.0
+        self._most_out = min(self._most, boot["terms"].max_open_connections or self._most)
+        self._advice = boot["terms"].max_retry_after_s if boot["terms"].can_advise_retry else 0.0
         self._out = 0  # requests out
         self._refused, self._said = 0, -inf  # requests refused for want of room, and when that was logged
         self._idle: dict[Client, None] = {}  # between two messages, the one idle for longest first
         self._open = 0
         self._room = trio.Event()
-        self._alone = boot["terms"]["nodes"] == 1
+        self._alone = boot["terms"].nodes == 1
         self._beside = boot["beside"]  # another process of this node takes over while this one ends
         self.account: Any = None  # of what becomes of requests, where the file has one kept
         self._until = inf  # by then every request must have its answer
@@ -136,11 +136,11 @@
         """Other settings; see `Intake.agree`."""
         self._intake.agree(boot, also)
         terms = boot["terms"]
-        self._most_out = min(self._most, terms["most_open"] or self._most)
-        self._advice = terms["longest_advice"] if terms["refusal_advice"] else 0.0
-        self._alone = terms["nodes"] == 1
+        self._most_out = min(self._most, terms.max_open_connections or self._most)
+        self._advice = terms.max_retry_after_s if terms.can_advise_retry else 0.0
+        self._alone = terms.nodes == 1
         if self.account is not None:
-            self.account.agree(boot["request_classes"], boot["tenants"], terms["request_classes"])
+            self.account.agree(boot["request_classes"], boot["tenants"], terms.request_classes)
 
     async def stop(self) -> None:
         """On SIGTERM: goes on for as long as what is taken can be answered before the node is killed.
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -51,7 +51,7 @@
         self._turn = 0  # how many answers of the list service were taken
         self.known = False
         self.counted: dict[str, int] = {}  # how many nodes there are and which this is, if that is heard
-        self._on_request = boot["terms"]["list_on_request"]
+        self._on_request = boot["terms"].list_on_request
         self.leaving: Any = None  # what other processes say of servers, where processes agree
         self._watch_scope: trio.CancelScope | None = None
         self._fetches: set[trio.CancelScope] = set()
--- a/wheatroute/net/intake.py
+++ b/wheatroute/net/intake.py
@@ -11,10 +11,10 @@
 import h11
 import trio
 
-from wheatroute import words
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.exchange import Exchange, hinted
+from wheatroute.wire_names import in_header, in_path
 
 KNOWN = 2.0  # a request's name is remembered for this multiple of the longest deadline
 ONCE = (b"request-id", b"idempotency-key", b"request-timeout", b"tenant")
@@ -37,11 +37,11 @@
     """Request classes, tenants, and the names that are taken."""
 
     def __init__(self, boot: dict[str, Any]) -> None:
-        self._kinds = words.in_path(boot["request_classes"])
-        self._tenants = words.in_header(boot["tenants"])
+        self._kinds = in_path(boot["request_classes"])
+        self._tenants = in_header(boot["tenants"])
         self._work_header = boot["work_header"]
-        self._terms = boot["terms"]["request_classes"]
-        self.longest = max(kind["deadline"] for kind in self._terms) or 1.0  # deadline, seconds
+        self._terms = boot["terms"].request_classes
+        self.longest = max(kind.deadline for kind in self._terms) or 1.0  # deadline, seconds
         self._also: Forms = {}
         self._names: set[bytes] = set()  # of requests that are out or were of late
         self._asked: deque[tuple[float, bytes]] = deque()  # and until when they are remembered
@@ -52,13 +52,13 @@
         A class's form follows from its effect, and clients hear of a change earlier or later than this node.
         """
         self._kinds, self._tenants, self._also = (
-            words.in_path(boot["request_classes"]),
-            words.in_header(boot["tenants"]),
+            in_path(boot["request_classes"]),
+            in_header(boot["tenants"]),
             also,
         )
-        self._terms = boot["terms"]["request_classes"]
+        self._terms = boot["terms"].request_classes
         # never shorter: names that were taken are remembered for as long as was said then
-        self.longest = max(self.longest, *(kind["deadline"] for kind in self._terms))
+        self.longest = max(self.longest, *(kind.deadline for kind in self._terms))
 
     def exchange(self, request: h11.Request, path: bytes, body: bytes, lag: float, until: float) -> Exchange:
         """What a client asks for; raises MalformedError where it cannot be had.
@@ -72,7 +72,7 @@
         if any(sum(name == one for name, _ in request.headers) > 1 for one in ONCE):
             raise MalformedError(400, "a header twice that means one thing")
         name, key = headers.get(b"request-id", b""), headers.get(b"idempotency-key", b"")
-        effect = self._terms[kind]["effect"]
+        effect = self._terms[kind].idempotency
         if self._also:
             kind, effect = self._form(kind, effect, request.method, bool(key))
         if request.method != (b"GET" if effect == Idempotency.IDEMPOTENT else b"POST"):
--- a/wheatroute/net/rounds.py
+++ b/wheatroute/net/rounds.py
@@ -15,6 +15,7 @@
 import trio
 
 from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.net.exchange import FAILED, REFUSED, Answer, Attempt, Exchange
 
@@ -83,10 +84,10 @@
 class Rounds:
     """The module's only caller, and its `Writer`."""
 
-    def __init__(self, terms: dict[str, Any], seed: str, log: Any) -> None:
+    def __init__(self, terms: DecisionSettings, seed: str, log: Any) -> None:
         self.passes = Passes()
         self._balancer = Balancer(terms, random.Random(seed))
-        self._most_attempts, self._slack, self._log = terms["most_attempts"], terms["answer_slack"], log
+        self._most_attempts, self._slack, self._log = terms.max_attempts, terms.answer_slack_s, log
         self._held: dict[int, Exchange] = {}
         self._taken = 0
         self._events: list[tuple[Any, ...]] = []
@@ -145,12 +146,12 @@
             report,
         )
 
-    def agree(self, terms: dict[str, Any], binding: bool) -> None:
+    def agree(self, terms: DecisionSettings, binding: bool) -> None:
         """Other terms before all else is decided; where they bind, no repeat not yet written goes out."""
         for exchange in self._held.values() if binding else ():
             for attempt in exchange.attempts[1:]:
                 attempt.withdrawn = True
-        self._most_attempts, self._slack = terms["most_attempts"], terms["answer_slack"]
+        self._most_attempts, self._slack = terms.max_attempts, terms.answer_slack_s
         # guards against two of them in one pass taken the wrong way round: the last one stands
         earlier = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
         self._events.insert(earlier, (Event.SETTINGS_CHANGED, terms, binding))
--- a/wheatroute/net/servers.py
+++ b/wheatroute/net/servers.py
@@ -15,12 +15,13 @@
 import h11
 import trio
 
-from wheatroute import words
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.exchange import Answer, Attempt, Exchange
 from wheatroute.net.log import Reason, ended
 from wheatroute.net.rounds import Rounds, now
+from wheatroute.wire_names import REPORT_FIGURES
 
 STALL = 2.0  # times for a new connection that an answer may stand still once it has begun
 KEEP = 0.9  # of the time after which servers shut idle connections, so that none is used at its very end
@@ -50,7 +51,7 @@
         except ValueError:
             value = -1.0
         if 0.0 <= value < LARGEST:
-            found[words.FIGURES.get(name, name)] = value
+            found[REPORT_FIGURES.get(name, name)] = value
         else:
             malformed = part.strip()
     return found or None, malformed
@@ -59,14 +60,14 @@
 class Servers:
     """Where servers are, and the connections to them."""
 
-    def __init__(self, terms: dict[str, Any], most: int, longest: int, rounds: Rounds, log: Any) -> None:
-        self._connect_within = terms["connect_within"] or float("inf")
-        self._idle_closed = terms["idle_closed"]
-        self._load_path = b"/metrics/load" if terms["report_how"] != "none" else b"/alive"
+    def __init__(self, terms: DecisionSettings, most: int, longest: int, rounds: Rounds, log: Any) -> None:
+        self._connect_within = terms.connect_timeout_s or float("inf")
+        self._idle_closed = terms.idle_timeout_s
+        self._load_path = b"/metrics/load" if terms.report_how != "none" else b"/alive"
         self._most, self._longest, self._rounds, self._log = most, longest, rounds, log
         self._places: dict[int, tuple[str, int]] = {}
         self._idle: dict[int, list[tuple[float, Connection]]] = {}  # by server, the last used at the end
-        self._terms, self._kinds = terms, terms["request_classes"]
+        self._terms, self._kinds = terms, terms.request_classes
         self._standings: dict[
             int, tuple[ServerState, float]
         ] = {}  # by server, as the list has it, and its start
@@ -91,10 +92,10 @@
                 await trio.sleep(pause)
                 self._sweep()
 
-    def agree(self, terms: dict[str, Any]) -> None:
-        self._connect_within = terms["connect_within"] or float("inf")
-        self._idle_closed = terms["idle_closed"]
-        self._terms, self._kinds = terms, terms["request_classes"]
+    def agree(self, terms: DecisionSettings) -> None:
+        self._connect_within = terms.connect_timeout_s or float("inf")
+        self._idle_closed = terms.idle_timeout_s
+        self._terms, self._kinds = terms, terms.request_classes
 
     def place(self, server: int, place: tuple[str, int]) -> None:
         """A server's address; where it has changed, what is open to the old one is of no more use."""
@@ -189,9 +190,9 @@
     @staticmethod
     def _only_once(rules: dict[str, Any]) -> bool:
         """Whether an attempt that may have run can leave its request with nothing more that may be done."""
-        if rules["effect"] == Idempotency.KEYED:
-            return rules["group"] != DeduplicationGroup.ALL or rules["repeat_window"] < rules["deadline"]
-        return rules["effect"] == Idempotency.NON_IDEMPOTENT
+        if rules.idempotency == Idempotency.KEYED:
+            return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
+        return rules.idempotency == Idempotency.NON_IDEMPOTENT
 
     def _may_go(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether an attempt may be written now: the last look before bytes go to its server.
@@ -215,20 +216,20 @@
     def _aged(self, attempt: Attempt) -> bool:
         """Whether a cold server would get what was decided long ago beside all that was decided since."""
         started = self._standings.get(attempt.server, (ServerState.LIVE, 0.0))[1]
-        if not started or now() >= started + self._terms["cold_time"]:
+        if not started or now() >= started + self._terms.warmup_s:
             return False
-        return 0.0 < FRESH * self._terms["fall_span"] < now() - attempt.sent
+        return 0.0 < FRESH * self._terms.overload_window_s < now() - attempt.sent
 
     def _forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Rule two at the socket: whether another attempt that may have run forbids this one by now."""
         rules = self._kinds[exchange.kind]
-        if rules["effect"] == Idempotency.IDEMPOTENT:
+        if rules.idempotency == Idempotency.IDEMPOTENT:
             return False
         others = (one.sent for one in exchange.attempts if one.may_have_run and one is not attempt)
         first = min(others, default=inf)
-        if rules["effect"] == Idempotency.NON_IDEMPOTENT:
+        if rules.idempotency == Idempotency.NON_IDEMPOTENT:
             return first < inf
-        return now() >= first + rules["repeat_window"] - self._terms["tick"]
+        return now() >= first + rules.retry_window - self._terms.tick
 
     def _cut_off(self, wire: "_Wire") -> Outcome:
         """The connection of an attempt is gone; if it had been idle, others that were may be as bad."""
--- a/wheatroute/processor/accounts.py
+++ b/wheatroute/processor/accounts.py
@@ -9,9 +9,9 @@
 from collections import deque
 from collections.abc import Sequence
 from enum import IntEnum
-from typing import Any
 
 from wheatroute.balancing.interface import DeduplicationGroup, EarlierAttempt, Idempotency
+from wheatroute.balancing.settings import RequestClass
 
 Earlier = EarlierAttempt  # server (-1 unknown), when it was decided, whether it may have run
 
@@ -52,7 +52,7 @@
 class Accounts:
     """The tries of each id, remembered for `remembered` seconds after the last; `most` ids at once."""
 
-    def __init__(self, kinds: Sequence[dict[str, Any]], remembered: float, most: int) -> None:
+    def __init__(self, kinds: Sequence[RequestClass], remembered: float, most: int) -> None:
         self._kinds, self._remembered, self._most = kinds, remembered, most
         self._tries: dict[bytes, tuple[int, list[Try]]] = {}
         self._strict: dict[
@@ -61,11 +61,11 @@
         self._last: dict[bytes, float] = {}  # when an id was last asked for
         self._asked: deque[tuple[float, bytes]] = deque()
 
-    def agree(self, kinds: Sequence[dict[str, Any]], remembered: float) -> None:
+    def agree(self, kinds: Sequence[RequestClass], remembered: float) -> None:
         """Other rules: an id that was taken under stricter ones keeps to them."""
         for name, (kind, _) in self._tries.items():
-            old = max(self._kinds[kind]["effect"], self._strict.get(name, Idempotency.IDEMPOTENT))
-            if old > kinds[kind]["effect"]:
+            old = max(self._kinds[kind].idempotency, self._strict.get(name, Idempotency.IDEMPOTENT))
+            if old > kinds[kind].idempotency:
                 self._strict[name] = old
         self._kinds, self._remembered = kinds, max(self._remembered, remembered)
 
@@ -104,7 +104,7 @@
             for one in known[1]
             if one.server >= 0 or one.fate == Fate.MAY_HAVE_RUN
         )
-        effect = self._kinds[kind]["effect"]
+        effect = self._kinds[kind].idempotency
         if (effect == Idempotency.NON_IDEMPOTENT or effect < strict) and any(may for *_, may in earlier):
             raise RefusedError(Refusal.MAY_HAVE_RUN)
         return earlier
@@ -116,13 +116,15 @@
         lasts for as long as a request of this class can: the first try cannot be older than that.
         """
         terms = self._kinds[kind]
-        if terms["effect"] == Idempotency.IDEMPOTENT:
+        if terms.idempotency == Idempotency.IDEMPOTENT:
             return []
-        everywhere = terms["effect"] == Idempotency.KEYED and terms["group"] == DeduplicationGroup.ALL
-        if not everywhere or terms["repeat_window"] < terms["deadline"]:
+        everywhere = (
+            terms.idempotency == Idempotency.KEYED and terms.deduplication_group == DeduplicationGroup.ALL
+        )
+        if not everywhere or terms.retry_window < terms.deadline:
             raise RefusedError(Refusal.MAY_HAVE_RUN)
         first = Try()  # remembered too, or the window would count from the second
-        first.decided, first.fate = now - max(0.0, terms["deadline"] - left), Fate.MAY_HAVE_RUN
+        first.decided, first.fate = now - max(0.0, terms.deadline - left), Fate.MAY_HAVE_RUN
         return [first]
 
     def decided(self, one: Try, server: int, now: float) -> None:
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -13,6 +13,7 @@
 import trio
 
 from wheatroute.balancing.interface import Event, Outcome, Report, ServerState
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.session import Session
@@ -30,7 +31,7 @@
 class Turns(Rounds):
     """Rounds that are played at the end of a burst, without waking a task for each."""
 
-    def __init__(self, terms: dict[str, Any], seed: str, log: Any) -> None:
+    def __init__(self, terms: DecisionSettings, seed: str, log: Any) -> None:
         super().__init__(terms, seed, log)
         self.quiet = False  # a burst is being read: its end plays the round
         self.dirty: set[Session] = set()  # sessions with answers to send
@@ -87,8 +88,8 @@
         self.rounds.servers = self
         self.words = Words(told["destination_header"], told["metadata_namespace"], told["time_header"])
         self._headers = told["headers"]
-        self._reader = Reader(told["headers"], told["terms"]["request_classes"], told["tenants"])
-        self._accounts = Accounts(told["terms"]["request_classes"], told["remembered"], told["most_ids"])
+        self._reader = Reader(told["headers"], told["terms"].request_classes, told["tenants"])
+        self._accounts = Accounts(told["terms"].request_classes, told["remembered"], told["most_ids"])
         self._places: dict[int, bytes] = {}
         self._busy: dict[int, int] = {}
         self._out: list[tuple[float, int, Stream]] = []  # attempts out, by when their time is over
@@ -98,16 +99,16 @@
         self,
         names: dict[str, int],
         tenants: dict[str, int],
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         twins: dict[int, int],
         binding: bool,
     ) -> None:
         """Other terms; what is matched first follows from the order of `names`."""
-        kinds = terms["request_classes"]
+        kinds = terms.request_classes
         self.rounds.agree(terms, binding)
         self._reader = Reader(self._headers, kinds, tenants, list(names.values()), twins)
-        longest = max(kind["deadline"] for kind in kinds)
-        self._accounts.agree(kinds, 2.0 * longest + max(kind["repeat_window"] for kind in kinds))
+        longest = max(kind.deadline for kind in kinds)
+        self._accounts.agree(kinds, 2.0 * longest + max(kind.retry_window for kind in kinds))
 
     async def run(self) -> None:
         """Ends attempts that proxies never speak of again."""
--- a/wheatroute/processor/mapping.py
+++ b/wheatroute/processor/mapping.py
@@ -15,9 +15,10 @@
 from typing import Any, NamedTuple
 
 from wheatroute.balancing.interface import Idempotency, Outcome
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.exchange import hinted
 from wheatroute.net.servers import LARGEST, report_of
-from wheatroute.words import in_header
+from wheatroute.wire_names import in_header
 
 LOAD = "endpoint-load-metrics"  # ORCA's header, with its binary and JSON forms
 LOAD_BINARY = "endpoint-load-metrics-bin"
@@ -76,7 +77,7 @@
     def __init__(
         self,
         headers: Mapping[str, str],
-        kinds: list[dict[str, Any]],
+        kinds: Sequence[RequestClass],
         tenants: Mapping[str, int],
         order: Sequence[int] | None = None,
         twins: Mapping[int, int] | None = None,
@@ -84,7 +85,7 @@
         self._meaning = {name.lower(): meaning for meaning, name in headers.items() if name}
         self._meaning |= {":path": "path", ":method": "method"}
         self._kinds, self._tenants = kinds, in_header(tenants)
-        self._longest = [kind["deadline"] for kind in kinds]
+        self._longest = [kind.deadline for kind in kinds]
         self._order = [(n, kinds[n]) for n in (range(len(kinds)) if order is None else order)]
         self._twins = twins or {}  # types that once needed no key: one without gets the strictest rules
 
@@ -101,7 +102,7 @@
         kind = self._kind(found.get("path", ""), found.get("method", ""))
         if not found.get("request_id"):
             raise UnfitError(400, "no request id")
-        effect = self._kinds[kind]["effect"]
+        effect = self._kinds[kind].idempotency
         if effect == Idempotency.KEYED and not found.get("receipt"):
             if kind not in self._twins:
                 raise UnfitError(400, "no key, which this request class needs")
@@ -123,9 +124,9 @@
     def _kind(self, path: str, method: str) -> int:
         path = path.split("?", 1)[0]
         for kind, terms in self._order:
-            if terms["methods"] and method not in terms["methods"]:
+            if terms.methods and method not in terms.methods:
                 continue
-            if any(path == one or path.startswith(one.rstrip("/") + "/") for one in terms["paths"]):
+            if any(path == one or path.startswith(one.rstrip("/") + "/") for one in terms.paths):
                 return kind
         raise UnfitError(404, "no such request class")
 
--- a/wheatroute/processor/service.py
+++ b/wheatroute/processor/service.py
@@ -57,7 +57,7 @@
         self._file, self._path, self._worker, self._log = file, path, worker, log
         told, front = config.told_to_processor(file, worker), file.processor
         assert front is not None
-        self._longest = max(kind["deadline"] for kind in told["terms"]["request_classes"])
+        self._longest = max(kind.deadline for kind in told["terms"].request_classes)
         self.dispatcher = Dispatcher(told, log)
         self.list = Listed(told, self.dispatcher.rounds, self.dispatcher, log)
         self.dispatcher.rounds.discovery = self.list
--- a/wheatroute/rollout/account.py
+++ b/wheatroute/rollout/account.py
@@ -7,10 +7,11 @@
 from __future__ import annotations
 
 from collections import Counter, defaultdict
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Mapping, Sequence
 from math import floor, log
 from typing import Any
 
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.exchange import REFUSED, Exchange
 from wheatroute.rollout.judge import Tally
 
@@ -30,7 +31,7 @@
     """One node's. `names` and `tenants` are the node's numbers by name."""
 
     def __init__(
-        self, names: Mapping[str, int], tenants: Mapping[str, int], kinds: list[dict[str, Any]]
+        self, names: Mapping[str, int], tenants: Mapping[str, int], kinds: Sequence[RequestClass]
     ) -> None:
         self._lost = 0  # by clients that have gone since
         self._open: dict[int, float] = {}  # requests without an end, and their deadlines
@@ -39,7 +40,7 @@
         self.agree(names, tenants, kinds)
 
     def agree(
-        self, names: Mapping[str, int], tenants: Mapping[str, int], kinds: list[dict[str, Any]]
+        self, names: Mapping[str, int], tenants: Mapping[str, int], kinds: Sequence[RequestClass]
     ) -> None:
         """Other settings."""
         self._names = {number: name for name, number in names.items()}
@@ -60,7 +61,7 @@
         status = exchange.answer.status if exchange.answer is not None else 0
         if status == 200:
             took = now - exchange.deadline + exchange.left
-            cell[IN_TIME] += took <= self._kinds[exchange.kind]["target_latency"]
+            cell[IN_TIME] += took <= self._kinds[exchange.kind].target_latency
             self._times[exchange.kind][bound(took)] += 1
         else:
             cell[REFUSALS if status == REFUSED else FAILED] += 1
@@ -95,7 +96,7 @@
             "lost": lost,
             "cells": cells,
             "times": times,
-            "worth": {name: self._kinds[number]["worth"] for number, name in self._names.items()},
+            "worth": {name: self._kinds[number].value for number, name in self._names.items()},
         }
 
 
--- a/wheatroute/rollout/telling.py
+++ b/wheatroute/rollout/telling.py
@@ -47,7 +47,7 @@
         self._start = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
         self._place = place(boot["rollout"], random.Random(self._start), PATIENCE / 2.0)
         self.account = clients.account = Account(
-            boot["request_classes"], boot["tenants"], boot["terms"]["request_classes"]
+            boot["request_classes"], boot["tenants"], boot["terms"].request_classes
         )
         self._beat = 0
 
