--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -390,12 +390,14 @@
 def compare(commit: str, requests: int, stories: bool) -> Counter[str]:
     """Both modules on generated days of many shapes, and on every story of the decisions.
 
-    The two departures that spread work over rounds are off here: they begin with `LARGE` servers kept to and
-    with `SORTED` requests that wait, and what they change is for the bench to judge.
+    The two departures that spread work over rounds are off here: they begin with `MAX_SERVERS_PER_TICK`
+    servers in the subset and with `MAX_SCANS` requests that wait, and what they change is for the bench to
+    judge.
     """
     earlier = module_at(commit)
     Twin.tally, Twin.first_differences = Counter(), []
-    decide.LARGE, decide.SORTED, usual = 10**9, 10**9, (decide.LARGE, decide.SORTED)
+    usual = decide.MAX_SERVERS_PER_TICK, decide.MAX_SCANS
+    decide.MAX_SERVERS_PER_TICK = decide.MAX_SCANS = 10**9
     vars(earlier).update(LARGE=10**9, SORTED=10**9)  # its own, where it has them
 
     def twin(settings: Any, rng: random.Random) -> Twin:
@@ -416,7 +418,7 @@
             day.play(twin(decision_settings(nodes, **changes), random.Random(i)), requests)
     if stories:
         _stories(twin)
-    decide.LARGE, decide.SORTED = usual
+    decide.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
     return Twin.tally
 
 
--- a/tests/crossings/test_writes.py
+++ b/tests/crossings/test_writes.py
@@ -166,7 +166,7 @@
     modules = []
 
     def credited(module, *_):
-        module._servers.credit[0] = 1.0  # room for one
+        module.servers.slow_start_credit[0] = 1.0  # room for one
         modules.append(module)
 
     with Held() as held, at(Balancer, "_servers_listed", after=credited):
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -13,6 +13,8 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
 
 from wheatroute import config, snapshot
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.etcd import messages as wire
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.client import Channel, connected
@@ -137,17 +139,17 @@
     async with processor(tmp_path) as (service, channel):
         places = [await ask(channel, f"r{n}", n % 3) for n in range(60)]
         assert {*places} == {f"127.0.0.1:{7000 + n}" for n in range(4)}
-        assert service.dispatcher.decisions == 60 and not module(service)._requests
+        assert service.dispatcher.decisions == 60 and not module(service)._state.requests
 
 
 @story
 async def test_a_proxy_that_gives_up_waiting_leaves_nothing_behind(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "r1") as one:
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             assert one.talk.ended is None
-        await until(lambda: not module(service)._requests)
-        assert service.dispatcher.decisions == 0 and sum(module(service)._servers.held) == 0
+        await until(lambda: not module(service)._state.requests)
+        assert service.dispatcher.decisions == 0 and sum(module(service).servers.in_flight) == 0
         service.list._take(
             {
                 "version": 2,
@@ -173,15 +175,15 @@
         with mock.patch.object(Dispatcher, "start", late):
             async with asking(channel, "r1", PLACE):
                 await until(lambda: ended)
-        await until(lambda: not module(service)._requests)
-        assert service.dispatcher.decisions == 0 and sum(module(service)._servers.held) == 0
+        await until(lambda: not module(service)._state.requests)
+        assert service.dispatcher.decisions == 0 and sum(module(service).servers.in_flight) == 0
         assert await ask(channel, "r1", PLACE, 2)  # it never ran: a further try may go
 
 
 def test_tenants_names_outside_ascii_are_known():
     reader = Reader(
         {"request_id": "id", "customer": "tenant"},
-        [{"effect": 0, "deadline": 1.0, "methods": [], "paths": ["/"]}],
+        [RequestClass(idempotency=Idempotency.IDEMPOTENT, deadline=1.0, paths=["/"])],
         {"Zoë": 0, "Zo": 1},
     )
     for name, number in (("Zoë".encode(), 0), (b"Zo\xeb", 0), (b"Zo", 1), (b"Zoe", -1)):
@@ -197,7 +199,7 @@
             assert await ask(channel, "order", PLACE, 2) == 502  # while the first is out
         assert await ask(channel, "order", PLACE, 2) == 502  # its stream ended with no word of the server
         assert await ask(channel, "order", PLACE) == 502  # nor does it help to call it a first try
-        await until(lambda: sum(module(service)._servers.held) == 0)
+        await until(lambda: sum(module(service).servers.in_flight) == 0)
         assert service.dispatcher.decisions == 1
 
 
@@ -243,7 +245,7 @@
 async def test_one_id_from_two_proxies_at_once_is_a_conflict(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "same", PLACE):
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             assert await ask(channel, "same", PLACE) == 409
         async with asking(channel, "other", VIEW):
             await until(lambda: service.dispatcher.asked == 3)
@@ -255,8 +257,8 @@
     async with processor(tmp_path, **{"hard_stop = 1.0": "hard_stop = 0.1"}) as (service, channel):
         async with asking(channel, "r", PLACE) as one:
             assert isinstance(await one.decision(), str)
-            await until(lambda: sum(module(service)._servers.held) == 0)
-            assert not module(service)._requests and one.talk.ended is None
+            await until(lambda: sum(module(service).servers.in_flight) == 0)
+            assert not module(service)._state.requests and one.talk.ended is None
             await one.respond(200)  # too late to count, but its client may still want it
         assert service.dispatcher.decisions == 1
 
@@ -298,8 +300,8 @@
             await one.talk.send(with_body())
             assert (await one.answer()).WhichOneof("response") == "request_body"
             await one.respond(200)
-        await until(lambda: not module(service)._requests)
-        assert sum(module(service)._servers.held) == 0
+        await until(lambda: not module(service)._state.requests)
+        assert sum(module(service).servers.in_flight) == 0
 
 
 @story
@@ -411,7 +413,7 @@
 async def test_sigterm_answers_what_is_open_and_takes_nothing_new(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "waits", PLACE) as waits:
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(service.stop)
                 await until(lambda: not channel.up)
@@ -513,7 +515,7 @@
         async with processor(tmp_path, listed=table, **keep) as (service, channel):
             assert len({await ask(channel, f"b{n}") for n in range(60)}) == 4
             assert any(module(service).servers.weight) and not service.list.etcd.follower.lists
-            await until(lambda: module(service)._terms["nodes"] == 2)
+            await until(lambda: module(service)._state.settings.nodes == 2)
 
 
 @story
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -83,9 +83,9 @@
     host = Host(tenants=told)
     host.run(2.0, 50, tenant=0)
     agree(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
-    assert host.balancer._allowance[0] <= 20.0 and host.balancer._allowance[1] == 40.0
+    assert host.balancer._quotas.tokens[0] <= 20.0 and host.balancer._quotas.tokens[1] == 40.0
     host.run(1.0, 50, tenant=1)
-    assert host.balancer._allowance[1] < 40.0
+    assert host.balancer._quotas.tokens[1] < 40.0
 
 
 def test_a_request_class_that_comes_while_serving_is_served_and_nothing_learned_is_lost():
@@ -117,8 +117,8 @@
 
 def test_a_careful_node_still_tries_a_barred_server_with_what_is_harmless():
     host = Host(answer=lambda server, attempt: None if server == 0 else SERVED).run(6.0, 30)
-    assert host.balancer.servers.barred[0]
+    assert host.balancer.servers.ejected_until[0]
     agree(host, True, {SAFE: {"idempotency": Idempotency.NON_IDEMPOTENT, "can_trial": True}})
     host.answer = lambda server, attempt: SERVED
     host.run(8.0, 30)
-    assert not host.balancer.servers.barred[0]
+    assert not host.balancer.servers.ejected_until[0]
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -2,7 +2,9 @@
 
 import pytest
 
-from wheatroute import learned, orders, quantiles, snapshot, talk
+from wheatroute import quantiles, snapshot, talk
+from wheatroute.balancing.idle_connections import IdleConnectionStatistics
+from wheatroute.balancing.ready_servers import ReadyServers
 from wheatroute.benchlink import host
 from wheatroute.platform_settings import decision_settings
 from wheatroute.rig.settings import change
@@ -17,8 +19,8 @@
     assert str(trouble.value) == 'no clock in "now"'
 
 
-def test_decide_idleness_step():
-    assert [learned.Idleness().step(idle) for idle in (0.0, 0.4, 0.5, 1.0, 1.9, 2.0, 900.0)] == [
+def test_idle_connections_step():
+    assert [IdleConnectionStatistics().step(idle) for idle in (0.0, 0.4, 0.5, 1.0, 1.9, 2.0, 900.0)] == [
         0,
         0,
         1,
@@ -29,12 +31,12 @@
     ]
 
 
-def test_orders_alike():
-    alike = orders.Alike()
+def test_ready_servers_ring():
+    ready = ReadyServers()
     for server, model in ((5, 1), (2, 0), (3, 1), (9, 0), (4, 0)):
-        alike.add((0, model), server)
-    alike.remove((0, 0), 2)
-    assert alike.round() == [3, 4, 5, 9]
+        ready.add((0, model), server)
+    ready.remove((0, 0), 2)
+    assert ready.ring() == [3, 4, 5, 9]
 
 
 def test_quantiles_window():
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -94,14 +94,14 @@
 def test_a_bar_holds_on_over_a_restart_until_its_trial():
     names = {f"s{n}": n for n in range(4)}
     before = Host(answer=lambda server, attempt: None if server == 0 else (0, 0.1)).run(4.0, 40)
-    assert before.balancer.servers.barred[0]
+    assert before.balancer.servers.ejected_until[0]
     told = memory.learned(before.balancer, names, before.now)
     after = Host().step()
     memory.recall(after.balancer, told, names, after.now, 0.1)
     after.step(0.3)
-    assert after.balancer.servers.barred[0] and 0 not in after.balancer._ring.servers
+    assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._selection.servers
     after.run(8.0, 40)
-    assert not after.balancer.servers.barred[0]  # it is well, as its trial shows
+    assert not after.balancer.servers.ejected_until[0]  # it is well, as its trial shows
     after.list([Host.entry(1, ServerState.REMOVED)])
 
 
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -6,10 +6,11 @@
 
 from fakehost import KEYED, SAFE, UNSAFE, Host, decision_settings
 
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.interface import Event, Outcome, ServerState
 from wheatroute.balancing.settings import TenantQuota
 from wheatroute.benchlink.host import serve
-from wheatroute.learned import Idleness, Ring
 
 SERVED, NEVER = (Outcome.SERVED, 0.1), None
 
@@ -38,15 +39,15 @@
 
 def test_a_server_under_the_number_of_one_that_is_gone_inherits_nothing_from_it():
     host = Host(answer=only(0)).run(6.0, 30)
-    servers = host.balancer._servers
-    assert servers.barred[0] and servers.penalty[0]
+    servers = host.balancer.servers
+    assert servers.ejected_until[0] and servers.ejection_s[0]
     host.list([Host.entry(0, ServerState.REMOVED)])
     host.step(4.0)
     host.answer = only()
     host.list([Host.entry(0, ServerState.REMOVED), Host.entry(0)])
     before = host.now
     host.run(2.0, 30)
-    assert not servers.barred[0] and host.sent(0, before) >= 8  # of 60 on four servers, at once
+    assert not servers.ejected_until[0] and host.sent(0, before) >= 8  # of 60 on four servers, at once
 
 
 def test_a_type_that_hangs_at_some_servers_goes_elsewhere_and_takes_no_room_from_others():
@@ -142,9 +143,9 @@
 def test_nodes_that_each_keep_to_a_part_cover_the_tier_evenly():
     entries = [(s, 0, s % 3 > 0, s // 2, ServerState.LIVE, 1.0, 0.0) for s in range(60)]
     hosts = [Host(entries=entries, nodes=120, node=i).step() for i in range(120)]
-    parts = [host.balancer._ring for host in hosts]
+    parts = [host.balancer._selection for host in hosts]
     assert all(8 <= len(part.servers) <= 10 for part in parts)
-    got = [sum(part.share.get(s, 0.0) / part.bounds[-1] for part in parts) for s in range(60)]
+    got = [sum(part.weights.get(s, 0.0) / sum(part.weights.values()) for part in parts) for s in range(60)]
     assert 0.75 * 2.0 < min(got) and max(got) < 1.25 * 2.0
 
 
@@ -154,7 +155,7 @@
     host.run(0.5, 20).step(0.5)
     host.list([(8 + s, 0, s % 2, 8 + s, ServerState.LIVE, 1.0, 0.0) for s in range(2)])
     host.step(0.005)
-    share = host.balancer._ring.share
+    share = host.balancer._selection.weights
     assert share[8] > 1.4 * share[9]
 
 
@@ -164,7 +165,7 @@
     host.run(4.0, 40)
     jam = True
     host.run(0.275, 40, kind=UNSAFE)  # too short for silence, none of them is back
-    share = host.balancer._ring.share
+    share = host.balancer._selection.weights
     assert 0.0 < share[0] < 0.95 * share[1]
 
 
@@ -179,22 +180,22 @@
 def test_a_small_tenant_is_within_its_share_on_every_one_of_many_nodes():
     quota = [TenantQuota(0.9, 90.0), TenantQuota(0.1, 10.0)]
     host = Host(nodes=100, tenants=quota)
-    within = [host.balancer._spend(1) == 1]
+    within = [host.balancer._quotas.take(1) == 1]
     for _ in range(4):
         host.step(12.0)
-        within.append(host.balancer._spend(1) == 1)
-    greedy = [host.balancer._spend(1) == 1 for _ in range(20)]
+        within.append(host.balancer._quotas.take(1) == 1)
+    greedy = [host.balancer._quotas.take(1) == 1 for _ in range(20)]
     assert all(within) and not any(greedy[-10:])
 
 
 def test_the_room_of_many_nodes_adds_up_to_little_for_each_server():
-    chance, rings = Random(1), [Ring() for _ in range(200)]
-    for ring in rings:
+    rng, limiters = Random(1), [ConcurrencyLimiter() for _ in range(200)]
+    for limiter in limiters:
         for _ in range(40):
-            ring.out, ring.served = ring.room, 0 if ring.rate else 1
-            ring.fair = 50 / 200
-            ring.beat(0.25, 0.5, 0.4, chance)
-    assert 2 * 50 < sum(ring.room for ring in rings) < 10 * 50
+            limiter.in_flight, limiter.served_count = limiter.capacity, 0 if limiter.served_rate else 1
+            limiter.servers_per_node = 50 / 200
+            limiter.tick(0.25, 0.5, 0.4, rng)
+    assert 2 * 50 < sum(limiter.capacity for limiter in limiters) < 10 * 50
 
 
 def test_a_server_found_dead_counts_as_cold_when_it_is_back():
@@ -344,16 +345,16 @@
 
 
 def test_a_shared_slowness_does_not_close_the_limit_below_what_keeps_servers_at_work():
-    ring = Ring()
+    limiter = ConcurrencyLimiter()
     for _ in range(80):
-        ring.out, ring.served = 20, 50
-        ring.fair = 4.0
-        ring.beat(0.25, 0.3, 0.4, Random(1))
+        limiter.in_flight, limiter.served_count = 20, 50
+        limiter.servers_per_node = 4.0
+        limiter.tick(0.25, 0.3, 0.4, Random(1))
     for _ in range(40):
-        ring.out, ring.served = min(20, int(ring.limit)), 17
-        ring.fair = 4.0
-        ring.beat(0.25, 0.3, 0.4, Random(1))
-    assert ring.limit > 12  # 200 a second at 0.1 s held 20; a third of the speed lasts ten seconds
+        limiter.in_flight, limiter.served_count = min(20, int(limiter.limit)), 17
+        limiter.servers_per_node = 4.0
+        limiter.tick(0.25, 0.3, 0.4, Random(1))
+    assert limiter.limit > 12  # 200 a second at 0.1 s held 20; a third of the speed lasts ten seconds
 
 
 def test_calls_leave_the_building_less_the_more_that_costs():
@@ -392,10 +393,10 @@
 
 
 def test_attempts_lost_on_all_connections_alike_blame_no_idleness():
-    idleness = Idleness()
-    idleness.good, idleness.lost = [10.0] * 7, [5.0] * 7
-    idleness.resolve()
-    assert idleness.stale > 1e9
+    idleness = IdleConnectionStatistics()
+    idleness.answered, idleness.lost = [10.0] * 7, [5.0] * 7
+    idleness.update()
+    assert idleness.max_idle_s > 1e9
 
 
 def test_events_for_requests_already_over_are_ignored():
@@ -492,15 +493,17 @@
 
 def test_a_type_is_stuck_only_where_the_server_answers_others_meanwhile():
     host = Host(answer=only(0)).run(1.0, 100)
-    balancer, servers = host.balancer, host.balancer._servers
-    assert len(servers.out[0]) > 1 and not balancer._stuck(0)  # it answers nobody: that is no class's matter
-    servers.heard[0] = host.now
-    assert len(balancer._stuck(0)) > 1
+    balancer, servers = host.balancer, host.balancer.servers
+    assert len(servers.sent_at[0]) > 1 and not balancer._selection.stuck_classes(
+        0
+    )  # it answers nobody: that is no class's matter
+    servers.answered_at[0] = host.now
+    assert len(balancer._selection.stuck_classes(0)) > 1
 
 
 def test_a_large_tier_is_solved_with_the_beat_and_heeds_a_drain_and_a_bar_at_once():
     host = Host(servers=100, answer=only(5)).run(3.0, 400)
-    assert host.balancer._servers.barred[5]
+    assert host.balancer.servers.ejected_until[5]
     host.list([Host.entry(3, ServerState.DRAINING), Host.entry(4, ServerState.REMOVED), Host.entry(200)])
     since = host.now
     host.run(1.0, 1000)
--- /dev/null
+++ b/wheatroute/balancing/half_open_trials.py
@@ -0,0 +1,33 @@
+"""When an ejected server may get the one request that decides whether it comes back. No I/O."""
+
+from __future__ import annotations
+
+from math import inf
+
+from wheatroute.balancing.node_state import NodeState
+
+
+class HalfOpenTrials:
+    """The ejected servers of the subset, and the next moment at which one of them may be tried."""
+
+    def __init__(self, state: NodeState) -> None:
+        self._state = state
+        self.ejected: list[int] = []
+        self._due_at = -inf  # before this moment none may be tried
+
+    def reset(self, ejected: list[int]) -> None:
+        """Takes over another list of ejected servers."""
+        self.ejected, self._due_at = ejected, -inf
+
+    def look_again(self) -> None:
+        """Has the next moment looked up anew, as a server's state has changed."""
+        self._due_at = -inf
+
+    def is_due(self) -> bool:
+        """Whether any server may be tried by now; looked up no more often than that can change."""
+        state, servers = self._state, self._state.servers
+        if state.now < self._due_at:
+            return False
+        untried = [servers.ejected_until[one] for one in self.ejected if not servers.is_on_trial[one]]
+        self._due_at = min(untried, default=inf)
+        return self._due_at <= state.now
--- /dev/null
+++ b/wheatroute/balancing/latency_statistics.py
@@ -0,0 +1,77 @@
+"""This node's latencies to the tier over the window, and the hedge timer that follows from them. No I/O."""
+
+from __future__ import annotations
+
+from math import inf
+
+from wheatroute.balancing.parameters import HEDGE_MARGIN, LATENCY_WINDOW_S, MIN_SAMPLES, UPDATE_INTERVAL_S
+from wheatroute.quantiles import Window
+
+ALL_SLOW_RATIO = 1.5  # no hedges while the last second's median is this multiple of the window's
+
+
+class LatencyStatistics:
+    """Latencies by request class and over the window; seconds, or multiples of the class's mean."""
+
+    def __init__(self) -> None:
+        self.window = Window(LATENCY_WINDOW_S)  # latencies, also in multiples of their class's mean
+        self.mean: list[float] = []  # moving average of each request class, seconds
+        self.min_mean = inf  # of the classes that have one
+        self.p95, self.hedge_after_s = 0.0, inf
+        self.median = 0.0  # of the window, in multiples of the class's mean
+        self.latest_median = 0.0  # the same of the last second
+        self.spread = 1.0  # standard deviation over mean of the latencies within a class
+        self.sample_count: list[float] = []
+        self.mean_work: list[float] = []  # moving average of the hints of each request class
+
+    def extend(self, classes: int) -> None:
+        """Makes entries for request classes with numbers below `classes`."""
+        for figures in (self.mean, self.sample_count, self.mean_work):
+            figures.extend([0.0] * (classes - len(figures)))
+
+    def relative_size(self, class_number: int, work: float) -> float:
+        """A request's hinted work in multiples of its class's mean; 1 without a hint.
+
+        With it, a heavy request whose work is known beforehand doesn't make its server look slow.
+        """
+        if work <= 0.0:
+            return 1.0
+        mean = self.mean_work
+        mean[class_number] += (work - mean[class_number]) / (MIN_SAMPLES if mean[class_number] else 1.0)
+        return work / mean[class_number]
+
+    def add(self, now: float, class_number: int, elapsed_s: float, is_served: bool, size: float) -> float:
+        """Adds one latency; returns it in multiples of its class's mean, for a request of mean size."""
+        mean, raw = self.mean[class_number], elapsed_s
+        elapsed_s /= size
+        if is_served:
+            # slow to move, so that it describes the class and not the moment
+            self.sample_count[class_number] = min(self.sample_count[class_number] + 1, 5 * MIN_SAMPLES)
+            mean += (elapsed_s - mean) / self.sample_count[class_number]
+            self.mean[class_number] = mean
+            self.min_mean = min((one for one in self.mean if one), default=inf)
+        relative = elapsed_s / mean if mean else 1.0
+        self.window.add(now, raw, relative)
+        return relative
+
+    def tick(self, now: float) -> None:
+        """Updates the median of the last second."""
+        latest = self.window.shares_since(now - UPDATE_INTERVAL_S)
+        self.latest_median = latest[len(latest) // 2] if len(latest) >= MIN_SAMPLES // 4 else 0.0
+
+    def update(self, now: float) -> None:
+        """Updates the window's quantiles and the hedge timer."""
+        window = self.window
+        window.settle(now)
+        if not window.count:
+            self.hedge_after_s = inf
+            return
+        self.p95, self.median = window.latency(0.95), window.share(0.5)
+        has_samples = window.count >= MIN_SAMPLES
+        self.hedge_after_s = self.p95 * (1.0 + HEDGE_MARGIN) if has_samples else inf
+        self.spread = window.spread()
+
+    @property
+    def is_all_slow(self) -> bool:
+        """Whether the whole tier slows down: the p95 lags, and would have every request hedged."""
+        return self.latest_median > ALL_SLOW_RATIO * self.median > 0.0
--- /dev/null
+++ b/wheatroute/balancing/server_selection.py
@@ -0,0 +1,252 @@
+"""Which server gets an attempt: the subset that a node sends to, weights, and the draw. No I/O."""
+
+from __future__ import annotations
+
+from bisect import bisect
+from math import ceil, inf, sqrt
+
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.half_open_trials import HalfOpenTrials
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.load_reports import LoadReports
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.parameters import (
+    LATENCY_WINDOW_S,
+    MIN_IN_FLIGHT_PER_SERVER,
+    MIN_SAMPLES,
+    OUTLIER_LATENCY_RATIO,
+)
+from wheatroute.balancing.ready_servers import ReadyServers
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.retry_rules import deduplication_group
+from wheatroute.balancing.slow_start import SlowStart
+from wheatroute.split import clamped_shares
+
+MAX_DRAWS = 4
+BUSY_SERVER_RATIO = 1.0  # a server with this multiple of the mean in flight, and a bit, is drawn again
+MIN_SUBSET = 8.0  # servers that a node sends to; more where a server would have fewer nodes than that
+CONNECTION_PRICE_FACTOR = 3.0  # and to so many times fewer where open connections have a price
+SUBSET_STEP = (sqrt(5.0) - 1.0) / 2.0  # of the ring, between the places of one node's subset and the next's
+CROSSING_PRICE_FACTOR = 10.0  # a crossing of zones counts as so many times its price, in mean latencies
+STUCK_RATIO = 5.0  # an attempt in flight for this multiple of its class's mean may be stuck
+
+
+class ServerSelection:
+    """The servers that this node sends to, and the choice among them.
+
+    Weights are inverse to smoothed latency, clamped round the even share (`wheatroute/split.py`).
+    """
+
+    def __init__(
+        self,
+        state: NodeState,
+        ready: ReadyServers,
+        limiter: ConcurrencyLimiter,
+        reports: LoadReports,
+        slow_start: SlowStart,
+        trials: HalfOpenTrials,
+    ) -> None:
+        self._state, self._ready, self._limiter = state, ready, limiter
+        self._reports, self._slow_start, self._trials = reports, slow_start, trials
+        self.servers: list[int] = []  # those of the subset that are not ejected
+        self.subset_size = 0  # ejected ones counted
+        self.max_servers_at_once = 0  # a larger subset is updated with ticks only
+        self.weights: dict[int, float] = {}
+        self._cumulative_weights: list[float] = []
+        self._expected_latency: dict[int, float] = {}  # in multiples of the class's mean
+        self.slow_servers: list[int] = []  # outliers by their latency
+
+    # the subset and its weights
+
+    def update(self) -> None:
+        """Computes subset and weights anew."""
+        state, servers, limiter = self._state, self._state.servers, self._limiter
+        ring = self._ready.ring()
+        subset = self._subset(ring)
+        self.servers = [server for server in subset if not servers.ejected_until[server]]
+        self._trials.reset([server for server in subset if servers.ejected_until[server]])
+        limiter.healthy_fraction = max(1, len(self.servers)) / max(1, len(subset))
+        limiter.in_flight = sum(
+            servers.in_flight[server] - len(self.stuck_classes(server))
+            for server in self.servers
+            if servers.in_flight[server]
+        )
+        limiter.servers_per_node = max(1, len(ring)) / state.settings.nodes
+        self._update_weights()
+        self.subset_size = len(subset)
+
+    def update_soon(self) -> None:
+        """Updates at once, or a large subset with the next tick; until then draws pass by unfit servers.
+
+        With every ejection in a large tier, batches would else take as long as its servers are many.
+        """
+        if self.subset_size <= self.max_servers_at_once:
+            self.update()
+
+    def _subset(self, ring: list[int]) -> list[int]:
+        """The servers that this node sends to: a stretch of the ring at a place of its own.
+
+        With all of a large tier it would hear each server too seldom to tell the slow from the quick. All
+        nodes' stretches together cover the tier evenly. A node with more traffic sends to more servers, as
+        many as it hears often enough; else its servers would carry more than others.
+        """
+        settings, count = self._state.settings, len(ring)
+        price_factor = CONNECTION_PRICE_FACTOR if settings.connection_price > 0 else 1.0
+        by_traffic = self._limiter.peak_rate * LATENCY_WINDOW_S / MIN_SAMPLES / price_factor
+        by_nodes = MIN_SUBSET * price_factor * count / settings.nodes
+        size = min(count, ceil(max(MIN_SUBSET / price_factor, by_nodes, by_traffic)))
+        first = int(settings.node * SUBSET_STEP % 1.0 * count)
+        return ring[first : first + size] + ring[: max(0, first + size - count)]
+
+    def _update_weights(self) -> None:
+        state, settings, members = self._state, self._state.settings, self.servers
+        zone = state.servers.zone
+        mean_latency_s = sum(state.latencies.mean) / len(state.latencies.mean)
+        expected = state.servers.expected_latencies(members, state.now, mean_latency_s)
+        self._expected_latency = dict(zip(members, expected, strict=True))
+        # a server too slow for half the even share, where weights are clamped, is left to trials
+        median = sorted(expected)[len(expected) // 2] if expected else 1.0
+        self.slow_servers = [
+            server
+            for server, one in zip(members, expected, strict=True)
+            if one > OUTLIER_LATENCY_RATIO * median
+        ]
+        # Latency that is spent in the tiers below is the same for all servers and would hide how slow some
+        # are;
+        # each tier is taken to have an equal part of the shortest latency.
+        below = (1.0 - 1.0 / state.tiers_from_here) * min(expected, default=0.0)
+        # a server in another zone looks slower by what the crossing costs
+        crossing = CROSSING_PRICE_FACTOR * settings.crossing_price
+        shares = clamped_shares(
+            [
+                one - below + crossing * (zone[server] != settings.zone)
+                for server, one in zip(members, expected, strict=True)
+            ]
+        )
+        self._reports.update_mean(members)
+        self._cumulative_weights, self.weights, total = [], {}, 0.0
+        for server, share in zip(members, shares, strict=True):
+            share *= self._slow_start.warmth(server)
+            total += share
+            self._cumulative_weights.append(total)
+            self.weights[server] = share
+
+    # the choice for a request
+
+    def pick(self, request: Request, only_light: bool = False) -> int:
+        """A server drawn by weight, again where it is far busier than the mean; -1 if none will do.
+
+        With `only_light`, one that reports little load.
+        """
+        cumulative = self._cumulative_weights
+        if not cumulative:
+            return -1
+        in_flight, rng = self._state.servers.in_flight, self._state.rng
+        busy = BUSY_SERVER_RATIO * self._limiter.in_flight / len(cumulative) + 0.1
+        best, least = -1, inf
+        for _ in range(MAX_DRAWS):
+            place = bisect(cumulative, rng.random() * cumulative[-1])
+            server = self.servers[min(len(cumulative) - 1, place)]
+            if not self._can_take(request, server, only_light):
+                continue
+            is_unfit = request.class_number in self.stuck_classes(server) or self._is_late(request, server)
+            if in_flight[server] < busy and not is_unfit and not self._reports.is_congested(server):
+                return server
+            load = (in_flight[server] + 1 + is_unfit * self._limiter.in_flight) / self.weights[server]
+            if load < least:
+                best, least = server, load
+        if best < 0 or self._is_late(request, best):
+            best = self._least_loaded(request, only_light)
+        if best < 0 and request.servers and not only_light:
+            # a repeat's deduplication group, or another way after a full server, may lie outside the subset
+            best = self._any_server(request)
+        return best
+
+    def _least_loaded(self, request: Request, only_light: bool) -> int:
+        in_flight = self._state.servers.in_flight
+        return min(
+            (server for server in self.servers if self._can_take(request, server, only_light)),
+            default=-1,
+            key=lambda server: (
+                self._is_late(request, server) and self._expected_latency[server],
+                (in_flight[server] + 1) / self.weights[server],
+            ),
+        )
+
+    def _any_server(self, request: Request) -> int:
+        everyone = range(len(self._state.servers.is_ready))
+        fit = [server for server in everyone if self._can_take(request, server)]
+        if not fit:
+            return -1
+        light = [server for server in fit if self._reports.is_lightly_loaded(server)]
+        return self._state.rng.choice(light or fit)
+
+    def pick_last_resort(self, request: Request) -> int:
+        """With all servers ejected, the one with the fewest attempts in flight; -1 if none will do."""
+        servers = self._state.servers
+        fit = [
+            server
+            for server, is_ready in enumerate(servers.is_ready)
+            if is_ready
+            and servers.in_flight[server] < MIN_IN_FLIGHT_PER_SERVER
+            and self.may_send(request, server)
+        ]
+        return min(
+            fit, key=lambda server: (servers.in_flight[server], servers.ejected_until[server]), default=-1
+        )
+
+    def has_lightly_loaded(self) -> bool:
+        """Whether any server of the subset reports little load."""
+        return any(map(self._reports.is_lightly_loaded, self.servers))
+
+    def _can_take(self, request: Request, server: int, only_light: bool = False) -> bool:
+        servers, reports = self._state.servers, self._reports
+        if not servers.is_ready[server] or servers.ejected_until[server]:
+            return False
+        if only_light:
+            fraction = request.capacity_fraction if reports.reports_wait else 1.0
+            if not reports.is_lightly_loaded(server, fraction):
+                return False
+        return self.may_send(request, server)
+
+    def may_send(self, request: Request, server: int) -> bool:
+        """Whether an attempt may go there: no server twice, its credit, its deduplication group."""
+        servers, now = self._state.servers, self._state.now
+        if server in request.servers or servers.full_until[server] > now:
+            return False
+        if servers.connect_after[server] > now and not servers.spare_calls[server]:
+            return False
+        if servers.slow_start_credit[server] < 1.0 and self._slow_start.warmth(server) < 1.0:
+            return False
+        rules = request.rules
+        if rules.idempotency == Idempotency.KEYED and (request.may_have_run or request.attempts_in_flight):
+            return deduplication_group(rules, servers, server) == request.group
+        return True
+
+    def _is_late(self, request: Request, server: int) -> bool:
+        """Whether a server that is in time with light requests is too slow for this heavy one."""
+        if request.relative_size <= 1.0:
+            return False
+        mean_s = self._state.latencies.mean[request.class_number] * request.relative_size
+        return self._state.now + mean_s * self._expected_latency[server] > request.target
+
+    def stuck_classes(self, server: int) -> list[int]:
+        """The request classes of attempts that last far too long on a server that goes on answering others.
+
+        Some classes hang at some servers only. Their attempts don't count against the limit, where they
+        would keep out all other classes, and no more of the class is sent there.
+        """
+        state, latencies = self._state, self._state.latencies
+        sent_at, stuck = state.servers.sent_at[server], list[int]()
+        if len(sent_at) < 2 or latencies.is_all_slow:
+            return stuck
+        # oldest first: the rest was sent too late for the shortest mean there is
+        latest, answered_at = state.now - STUCK_RATIO * latencies.min_mean, state.servers.answered_at[server]
+        for (number, _), sent in sent_at.items():
+            if sent >= latest:
+                break
+            class_number = state.requests[number].class_number
+            if sent < state.now - STUCK_RATIO * (latencies.mean[class_number] or inf) < answered_at:
+                stuck.append(class_number)
+        # one alone may be a long request
+        return [one for one in stuck if stuck.count(one) > 1]
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -22,10 +22,10 @@
 
 WHERE = {
     "_arrived": "too late on arrival",
-    "_run_due": "time ran out",
-    "_sort_out": "foretold wait",
-    "_again": "no further attempt",
-    "_drain_waiting": "waiting",
+    "_run_timers": "time ran out",
+    "_shed_queue": "foretold wait",
+    "_retry": "no further attempt",
+    "_drain_queue": "waiting",
 }
 
 
@@ -57,7 +57,7 @@
         self._came: dict[int, float] = {}  # requests without a no, and when they came
 
     def _arrived(self, number: int, *more: Any) -> None:
-        self._came[number] = self._now
+        self._came[number] = self._state.now
         super()._arrived(number, *more)
 
     def _close(self, request: Any, *more: Any) -> None:
@@ -67,25 +67,24 @@
     def _finish(self, request: Any) -> None:
         client = sys._getframe(1).f_code.co_name
         cause = WHERE.get(client, client)
-        if client == "_run_due":
+        if client == "_run_timers":
             back = ", attempt back" if request.servers else ", never sent"
-            cause += ", attempt out" if request.out else back
-        elif client == "_again":
+            cause += ", attempt out" if request.attempts_in_flight else back
+        elif client == "_retry":
             last = self._node.requests[request.number].attempts
             cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
         servers = [one for one in self._world.tiers[self._node.depth] if one.alive]
-        ring = self._ring
         self._noes.append(
             No(
-                self._now,
+                self._state.now,
                 self._node.depth,
                 self._node.requests[request.number].root,
-                request.kind,
+                request.class_number,
                 cause,
                 len(request.servers),
-                self._now - self._came.get(request.number, self._now),
-                ring.limit if ring.limit < inf else -1.0,
-                ring.out,
+                self._state.now - self._came.get(request.number, self._state.now),
+                self._limiter.limit if self._limiter.limit < inf else -1.0,
+                self._limiter.in_flight,
                 sum(one.held < one.cores for one in servers) / max(1, len(servers)),
                 sum(one.held / one.cores for one in servers) / max(1, len(servers)),
             )
--- a/wheatroute/memory.py
+++ b/wheatroute/memory.py
@@ -21,17 +21,17 @@
     out = {}
     for name, server in names.items():
         if (
-            server < len(servers.ready)
-            and servers.ready[server]
-            and (servers.weight[server] or servers.barred[server])
+            server < len(servers.is_ready)
+            and servers.is_ready[server]
+            and (servers.weight[server] or servers.ejected_until[server])
         ):
             out[name] = {
                 "latency": servers.latency[server],
                 "weight": servers.weight[server],
-                "age": now - servers.noted[server],
-                "errors": servers.errors[server],
-                "barred_for": servers.barred[server] - now if servers.barred[server] else 0.0,
-                "penalty": servers.penalty[server],
+                "age": now - servers.latency_at[server],
+                "errors": servers.error_rate[server],
+                "barred_for": servers.ejected_until[server] - now if servers.ejected_until[server] else 0.0,
+                "penalty": servers.ejection_s[server],
             }
     return out
 
@@ -44,13 +44,16 @@
     servers, count = balancer.servers, 0
     for name, one in told.items() if isinstance(told, dict) else ():
         server = names.get(name, -1)
-        if not 0 <= server < len(servers.ready) or servers.weight[server] or not _fit(one, since):
+        if not 0 <= server < len(servers.is_ready) or servers.weight[server] or not _fit(one, since):
             continue
         servers.latency[server], servers.weight[server] = one["latency"], one["weight"]
-        servers.noted[server], servers.errors[server] = now - one["age"] - since, one["errors"]
+        servers.latency_at[server], servers.error_rate[server] = now - one["age"] - since, one["errors"]
         if one["penalty"]:
             # the bar holds on until its trial, at once if its time has gone by
-            servers.barred[server], servers.penalty[server] = now + one["barred_for"] - since, one["penalty"]
+            servers.ejected_until[server], servers.ejection_s[server] = (
+                now + one["barred_for"] - since,
+                one["penalty"],
+            )
         count += 1
     return count
 
