--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -21,7 +21,7 @@
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.grpc.server import listen
 from wheatroute.grpc.session import Session
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher
 from wheatroute.processor.mapping import Reader
 from wheatroute.processor.service import Service
@@ -150,7 +150,7 @@
             assert one.talk.ended is None
         await until(lambda: not module(service)._state.requests)
         assert service.dispatcher.decisions == 0 and sum(module(service).servers.in_flight) == 0
-        service.list._take(
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -164,7 +164,7 @@
 @story
 async def test_a_stream_that_ends_between_its_decision_and_the_answer_counts_as_never_sent(tmp_path):
     async with processor(tmp_path) as (service, channel):
-        start, ended = Dispatcher.start, []
+        start, ended = Dispatcher.start_attempt, []
 
         def late(dispatcher, exchange, attempt):
             if not ended:
@@ -172,7 +172,7 @@
                 exchange.stream.over(CallError(Status.CANCELLED, "the proxy went"))
             start(dispatcher, exchange, attempt)
 
-        with mock.patch.object(Dispatcher, "start", late):
+        with mock.patch.object(Dispatcher, "start_attempt", late):
             async with asking(channel, "r1", PLACE):
                 await until(lambda: ended)
         await until(lambda: not module(service)._state.requests)
@@ -324,7 +324,7 @@
     async with processor(tmp_path, listed=servers(1)) as (service, channel):
         async with asking(channel, "r1") as one:
             assert await one.decision() == "127.0.0.1:7000"
-            service.list._take(
+            service.list._apply(
                 {
                     "version": 2,
                     "full": False,
@@ -333,7 +333,7 @@
             )
             await one.respond(200)
         assert await ask(channel, "r2", time_out=0.2) == 503  # all servers are gone: told, and in time
-        service.list._take(
+        service.list._apply(
             {
                 "version": 3,
                 "full": True,
@@ -358,7 +358,7 @@
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         for n in range(6):  # more than its tries
             assert await ask(channel, "order", PLACE, n + 1, time_out=0.05) == 503
-        service.list._take(
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -383,12 +383,12 @@
 @story
 async def test_a_proxy_that_reads_nothing_hurts_no_other(tmp_path):
     async with processor(tmp_path) as (service, channel):
-        place = channel.place
+        place = channel.address
         with socket.create_connection(place) as slow:
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            from wheatroute.wire import Wire
+            from wheatroute.byte_stream import ByteStream
 
-            mute = Session(Wire(slow.dup()), True, channel.bounds)
+            mute = Session(ByteStream(slow.dup()), True, channel.limits)
             mute.h2.initiate_connection()
             for n in range(180):
                 call = Call(0, mute, {})
@@ -406,7 +406,7 @@
                 mute.flush()
             for n in range(100):
                 assert isinstance(await ask(channel, f"quick{n}"), str)
-            mute.wire.close()
+            mute.stream.close()
 
 
 @story
@@ -416,8 +416,8 @@
             await until(lambda: module(service)._state.requests)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(service.stop)
-                await until(lambda: not channel.up)
-                service.list._take(
+                await until(lambda: not channel.is_connected)
+                service.list._apply(
                     {
                         "version": 2,
                         "full": True,
--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -7,7 +7,8 @@
 
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome
 from wheatroute.balancing.settings import TenantQuota
-from wheatroute.net.rounds import Rounds, now
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.clock import now
 
 LOST = (Outcome.RESET, 0.2)
 SERVED = (Outcome.SERVED, 0.1)
@@ -105,13 +106,13 @@
 
 
 def test_of_two_terms_agreed_in_one_pass_the_later_ones_stand_and_both_come_before_all_else():
-    rounds = Rounds(decision_settings(answer_slack_s=0.02), "1", structlog.get_logger())
+    driver = BalancerDriver(decision_settings(answer_slack_s=0.02), "1", structlog.get_logger())
     seen = []
-    rounds._balancer.handle_events = lambda now, events, writer: seen.extend(events)
-    rounds.happened(Event.LIST_FAILED)
-    rounds.agree(decision_settings(answer_slack_s=0.02, max_attempts=1), True)
-    rounds.agree(decision_settings(answer_slack_s=0.02, max_attempts=3), False)
-    rounds.round(now())
+    driver._balancer.handle_events = lambda now, events, writer: seen.extend(events)
+    driver.add_event(Event.LIST_FAILED)
+    driver.update_settings(decision_settings(answer_slack_s=0.02, max_attempts=1), True)
+    driver.update_settings(decision_settings(answer_slack_s=0.02, max_attempts=3), False)
+    driver.handle_events(now())
     assert [event[1].max_attempts for event in seen[:2]] == [1, 3] and seen[2] == (Event.LIST_FAILED,)
 
 
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -20,7 +20,7 @@
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
 from wheatroute.balancing.slow_start import SlowStart
-from wheatroute.split import clamped_shares
+from wheatroute.split import clamped_weights
 
 MAX_DRAWS = 4
 BUSY_SERVER_RATIO = 1.0  # a server with this multiple of the mean in flight, and a bit, is drawn again
@@ -117,7 +117,7 @@
         below = (1.0 - 1.0 / state.tiers_from_here) * min(expected, default=0.0)
         # a server in another zone looks slower by what the crossing costs
         crossing = CROSSING_PRICE_FACTOR * settings.crossing_price
-        shares = clamped_shares(
+        shares = clamped_weights(
             [
                 one - below + crossing * (zone[server] != settings.zone)
                 for server, one in zip(members, expected, strict=True)
