--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -56,7 +56,7 @@
 n = int(sys.argv[2])
 while True:
     n += 1
-    snapshot.write(sys.argv[1], snapshot.sealed({"n": n, "servers": [n] * 50000}, float(n)))
+    snapshot.write(sys.argv[1], snapshot.encode({"n": n, "servers": [n] * 50000}, float(n)))
     print(n, flush=True)
 """
 
--- a/tests/agreement/test_agreement_format.py
+++ b/tests/agreement/test_agreement_format.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from wheatroute import snapshot, talk
+from wheatroute import peer_messages, snapshot
 from wheatroute.agreement.leaving import Leaving
 from wheatroute.agreement.member import Acts, Member
 from wheatroute.agreement.versions import History, digest
@@ -122,18 +122,18 @@
 
 def test_a_snapshot_is_sealed_and_opened_as_before():
     body = {"servers": {"s1": {"latency": 1.5, "age": 0.25}}}
-    assert snapshot.sealed(body, 1780000000.0) == SEALED
-    assert snapshot.opened(SEALED, 1780000001.0, 60.0) == body | {"written": 1780000000.0}
+    assert snapshot.encode(body, 1780000000.0) == SEALED
+    assert snapshot.decode(SEALED, 1780000001.0, 60.0) == body | {"written": 1780000000.0}
 
 
 def test_peer_messages_are_packed_and_read_as_before():
     figures = [("10.0.1.1:80", 0.25), ("10.0.1.2:80", 0.0), ("10.0.1.3:80", 7.0)]
     text = "hjdw:m%y!T$<}"
-    assert talk.pack(figures) == [text]
-    servers = talk.Known()
+    assert peer_messages.encode_loads(figures) == [text]
+    servers = peer_messages.ShortNames()
     for number, (name, _) in enumerate(figures):
         servers.add(name, number)
-    assert talk.unpack(text, servers.names) == {0: 0.25, 1: 0.0, 2: 0.92}
+    assert peer_messages.decode_loads(text, servers.numbers) == {0: 0.25, 1: 0.0, 2: 0.92}
 
 
 def test_a_digest_is_that_of_the_canonical_text():
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -522,7 +522,7 @@
 async def test_a_snapshot_that_is_no_use_is_not_used(tmp_path):
     kept = tmp_path / "kept"
     other = {"source": {}, "servers": [{"id": "s0", "addr": "127.0.0.1:7000"}]}
-    kept.write_bytes(snapshot.sealed(other, now()))
+    kept.write_bytes(snapshot.encode(other, now()))
     keep = {"[[pools]]": SNAPSHOT.format(kept, 60.0)}
     async with etcd() as (_, member, table):
         member.stop()
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wheatroute import quantiles, snapshot, talk
+from wheatroute import peer_messages, quantiles, snapshot
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.ready_servers import ReadyServers
 from wheatroute.benchlink import host
@@ -40,44 +40,49 @@
 
 
 def test_quantiles_window():
-    window = quantiles.Window(10.0)
+    window = quantiles.SlidingWindow(10.0)
     for n in range(100):
         window.add(float(n), n * 1.0, 1.0)
-    assert (window.settle(99.0), window.count, window.latency(0.5), window.spread()) == (None, 11, 94.0, 0.0)
+    assert (window.update(99.0), window.count, window.latency(0.5), window.spread()) == (None, 11, 94.0, 0.0)
 
 
-def test_quantiles_ranked():
-    assert quantiles.ranked([[1.0, 4.0, 4.0], [], [2.0, 3.0, 9.0]], 3) == 4.0
+def test_quantiles_value_at_rank():
+    assert quantiles.value_at_rank([[1.0, 4.0, 4.0], [], [2.0, 3.0, 9.0]], 3) == 4.0
 
 
-def test_snapshot_opened():
-    assert snapshot.opened(snapshot.sealed({"revision": 4}, 100.0), 130.0, 60.0)["revision"] == 4
+def test_snapshot_decode():
+    assert snapshot.decode(snapshot.encode({"revision": 4}, 100.0), 130.0, 60.0)["revision"] == 4
     with pytest.raises(snapshot.SnapshotError) as trouble:
-        snapshot.opened(snapshot.sealed({}, 100.0)[:-1], 130.0, 60.0)
+        snapshot.decode(snapshot.encode({}, 100.0)[:-1], 130.0, 60.0)
     assert str(trouble.value) == "is cut short: 16 bytes of 17"
 
 
-def test_talk_known():
-    known = talk.Known()
+def test_peer_messages_short_names():
+    known = peer_messages.ShortNames()
     known.add("a:1", 0)
     known.add("a:1", 0)
-    assert known.names == {"0h@": 0}
+    assert known.numbers == {"0h@": 0}
 
 
-def test_talk_pack():
-    assert [len(one) for one in talk.pack((f"10.0.0.{n}:80", n) for n in range(100))] == [253, 149]
+def test_peer_messages_encode_loads():
+    assert [len(one) for one in peer_messages.encode_loads((f"10.0.0.{n}:80", n) for n in range(100))] == [
+        253,
+        149,
+    ]
 
 
-def test_talk_short():
+def test_peer_messages_short_name():
     assert (
-        talk.short("10.18.74.7:9003") == talk.short("10.18.74.7:9003"),
-        len(talk.short("10.18.74.7:9004")),
+        peer_messages.short_name("10.18.74.7:9003") == peer_messages.short_name("10.18.74.7:9003"),
+        len(peer_messages.short_name("10.18.74.7:9004")),
     ) == (True, 3)
 
 
-def test_talk_unpack():
-    assert talk.unpack(talk.pack([("a:1", 0.07), ("b:2", 400.0)])[0], {talk.short("b:2"): 5}) == {5: 0.92}
-    assert (talk.unpack("hello", {}), talk.unpack("", {})) == ({}, {})
+def test_peer_messages_decode_loads():
+    assert peer_messages.decode_loads(
+        peer_messages.encode_loads([("a:1", 0.07), ("b:2", 400.0)])[0], {peer_messages.short_name("b:2"): 5}
+    ) == {5: 0.92}
+    assert (peer_messages.decode_loads("hello", {}), peer_messages.decode_loads("", {})) == ({}, {})
 
 
 def test_wire_names_numbering():
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -12,7 +12,7 @@
 import trio
 from fakehost import KINDS, Node, Peer, entry, listed, read_message
 
-from wheatroute import talk
+from wheatroute import peer_messages
 from wheatroute.__main__ import serve_node
 from wheatroute.net import node_settings
 
@@ -125,10 +125,10 @@
     assert min(served.values()) > 0.8 * 160 and min(served.values()) > 0.8 * max(served.values())
     # the new ones probe, and tell
     assert all(one.probes for one in stations[:3])
-    heard = talk.Known()
+    heard = peer_messages.ShortNames()
     for n, one in enumerate(stations):
         heard.add(one.name, n)
-    assert talk.unpack(ear.recv(512).decode(), heard.names)
+    assert peer_messages.decode_loads(ear.recv(512).decode(), heard.numbers)
     ear.close()
 
 
@@ -162,8 +162,15 @@
 
 
 def test_strangers_and_nonsense_are_nothing_told():
-    known = talk.Known()
+    known = peer_messages.ShortNames()
     known.add("a", 0)
-    for text in ("", "h", "h!!", "x" + talk.short("a") + "!", "h" + talk.short("b") + "!", "h" * 300):
-        assert talk.unpack(text, known.names) == {}
-    assert talk.pack([]) == []
+    for text in (
+        "",
+        "h",
+        "h!!",
+        "x" + peer_messages.short_name("a") + "!",
+        "h" + peer_messages.short_name("b") + "!",
+        "h" * 300,
+    ):
+        assert peer_messages.decode_loads(text, known.numbers) == {}
+    assert peer_messages.encode_loads([]) == []
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -11,22 +11,22 @@
 import pytest
 from fakehost import Host, only_slow
 
-from wheatroute import memory, snapshot
+from wheatroute import snapshot, stored_statistics
 from wheatroute.balancing.interface import Outcome, ServerState
 
 
 def test_each_way_in_which_a_snapshot_is_no_use_is_said():
-    good = snapshot.sealed({"revision": 4, "servers": ["a"] * 50}, 1000.0)
-    assert snapshot.opened(good, 1010.0, 60.0)["revision"] == 4
+    good = snapshot.encode({"revision": 4, "servers": ["a"] * 50}, 1000.0)
+    assert snapshot.decode(good, 1010.0, 60.0)["revision"] == 4
     chance = Random(1)
     for _ in range(300):  # changed in one byte, anywhere
         at = chance.randrange(len(good))
         changed = good[:at] + bytes((good[at] ^ (1 << chance.randrange(8)),)) + good[at + 1 :]
         with pytest.raises(snapshot.SnapshotError):
-            snapshot.opened(changed, 1010.0, 60.0)
+            snapshot.decode(changed, 1010.0, 60.0)
     for cut in range(0, len(good), 7):
         with pytest.raises(snapshot.SnapshotError):
-            snapshot.opened(good[:cut], 1010.0, 60.0)
+            snapshot.decode(good[:cut], 1010.0, 60.0)
     for data, now, reason in (
         (good, 1070.0, "70 s old"),
         (good, 900.0, "from the future"),
@@ -35,7 +35,7 @@
         (good.replace(b"t 1", b"t 2", 1), 1010.0, "version 2"),
     ):
         with pytest.raises(snapshot.SnapshotError, match=reason):
-            snapshot.opened(data, now, 60.0)
+            snapshot.decode(data, now, 60.0)
 
 
 WRITER = """
@@ -44,7 +44,7 @@
 n = int(sys.argv[2])
 while True:
     n += 1
-    snapshot.write(sys.argv[1], snapshot.sealed({"n": n, "servers": [n] * 20000}, float(n)))
+    snapshot.write(sys.argv[1], snapshot.encode({"n": n, "servers": [n] * 20000}, float(n)))
     print(n, flush=True)
 """
 
@@ -65,10 +65,10 @@
 
 def test_a_full_disk_or_a_folder_that_is_missing_leaves_the_old_one(tmp_path):
     path = str(tmp_path / "snapshot")
-    snapshot.write(path, snapshot.sealed({"n": 1}, 0.0))
+    snapshot.write(path, snapshot.encode({"n": 1}, 0.0))
     os.mkdir(f"{path}.new")  # nothing can be written beside it
     with pytest.raises(OSError):
-        snapshot.write(path, snapshot.sealed({"n": 2}, 0.0))
+        snapshot.write(path, snapshot.encode({"n": 2}, 0.0))
     assert snapshot.read(path, 1.0, 10.0)["n"] == 1
     with pytest.raises(OSError):
         snapshot.write(str(tmp_path / "none" / "snapshot"), b"")
@@ -79,13 +79,13 @@
 def test_what_was_learned_comes_back_with_its_age_and_nothing_that_is_no_figure():
     names = {f"s{n}": n for n in range(4)}
     before = Host(answer=only_slow(2)).run(6.0, 40)
-    told = memory.learned(before.balancer, names, before.now)
+    told = stored_statistics.export_statistics(before.balancer, names, before.now)
     assert told["s2"]["latency"] > 2 * told["s1"]["latency"]
     after = Host(answer=only_slow(2)).step()
     told["s1"] |= {"latency": float("nan")}
     told["s0"] |= {"age": -5.0}
     told["s9"] = told["s2"]
-    assert memory.recall(after.balancer, told, names, after.now, 3.0) == 2  # s2 and s3
+    assert stored_statistics.restore_statistics(after.balancer, told, names, after.now, 3.0) == 2  # s2 and s3
     after.run(0.9, 200)
     fresh = Host(answer=only_slow(2)).run(0.9, 200)
     assert after.sent(2) < 0.8 * fresh.sent(2)
@@ -95,9 +95,9 @@
     names = {f"s{n}": n for n in range(4)}
     before = Host(answer=lambda server, attempt: None if server == 0 else (0, 0.1)).run(4.0, 40)
     assert before.balancer.servers.ejected_until[0]
-    told = memory.learned(before.balancer, names, before.now)
+    told = stored_statistics.export_statistics(before.balancer, names, before.now)
     after = Host().step()
-    memory.recall(after.balancer, told, names, after.now, 0.1)
+    stored_statistics.restore_statistics(after.balancer, told, names, after.now, 0.1)
     after.step(0.3)
     assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._selection.servers
     after.run(8.0, 40)
@@ -119,4 +119,4 @@
     names = {f"s{n}": n for n in range(3)}
     answers = [None, (Outcome.SERVED, 0.1), (Outcome.SERVED, 0.4)]
     host = Host(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
-    assert orjson.dumps(memory.learned(host.balancer, names, host.now)) == LEARNED
+    assert orjson.dumps(stored_statistics.export_statistics(host.balancer, names, host.now)) == LEARNED
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -5,7 +5,7 @@
 from math import inf
 
 from wheatroute.balancing.parameters import HEDGE_MARGIN, LATENCY_WINDOW_S, MIN_SAMPLES, UPDATE_INTERVAL_S
-from wheatroute.quantiles import Window
+from wheatroute.quantiles import SlidingWindow
 
 ALL_SLOW_RATIO = 1.5  # no hedges while the last second's median is this multiple of the window's
 
@@ -14,7 +14,7 @@
     """Latencies by request class and over the window; seconds, or multiples of the class's mean."""
 
     def __init__(self) -> None:
-        self.window = Window(LATENCY_WINDOW_S)  # latencies, also in multiples of their class's mean
+        self.window = SlidingWindow(LATENCY_WINDOW_S)  # latencies, also in multiples of their class's mean
         self.mean: list[float] = []  # moving average of each request class, seconds
         self.min_mean = inf  # of the classes that have one
         self.p95, self.hedge_after_s = 0.0, inf
@@ -56,17 +56,17 @@
 
     def tick(self, now: float) -> None:
         """Updates the median of the last second."""
-        latest = self.window.shares_since(now - UPDATE_INTERVAL_S)
+        latest = self.window.relative_since(now - UPDATE_INTERVAL_S)
         self.latest_median = latest[len(latest) // 2] if len(latest) >= MIN_SAMPLES // 4 else 0.0
 
     def update(self, now: float) -> None:
         """Updates the window's quantiles and the hedge timer."""
         window = self.window
-        window.settle(now)
+        window.update(now)
         if not window.count:
             self.hedge_after_s = inf
             return
-        self.p95, self.median = window.latency(0.95), window.share(0.5)
+        self.p95, self.median = window.latency(0.95), window.relative(0.5)
         has_samples = window.count >= MIN_SAMPLES
         self.hedge_after_s = self.p95 * (1.0 + HEDGE_MARGIN) if has_samples else inf
         self.spread = window.spread()
--- a/wheatroute/benchlink/__init__.py
+++ b/wheatroute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""Speaks the bench's wire for many instances of the decisions; decides nothing."""
+"""The link to the bench: its wire on standard input and output, for many instances of the decisions."""
--- a/wheatroute/benchlink/host.py
+++ b/wheatroute/benchlink/host.py
@@ -1,4 +1,7 @@
-"""Reads batches, hands each instance its events, writes one reply a batch."""
+"""The bench's link: reads a batch a line, hands each instance its events, writes one reply a batch.
+
+`serve` does the I/O, which blocks.
+"""
 
 import sys
 from typing import Any, BinaryIO
@@ -9,58 +12,59 @@
 
 
 class MalformedError(Exception):
-    """A line that does not have the shape of the wire."""
+    """A line does not have the shape of the wire."""
 
 
 class Host:
-    """The instances of this process; they share nothing but the numbered lists of the wire."""
+    """The instances of this process; they share only the numbered lists of the wire."""
 
     def __init__(self) -> None:
         self._instances: dict[str, Instance] = {}
         self._lists: dict[int, list[dict[str, Any]]] = {}
 
     def answer(self, batch: dict[str, Any]) -> dict[str, Any]:
+        """The reply to a batch; raises `MalformedError`."""
         now, replies = batch["now"], []
-        for part in batch["nodes"]:
-            name, events = part["node"], part["events"]
+        for entry in batch["nodes"]:
+            name, events = entry["node"], entry["events"]
             try:
-                decisions = self._play(name, now, events)
-            except (KeyError, TypeError, AttributeError) as trouble:
+                decisions = self._handle_events(name, now, events)
+            except (KeyError, TypeError, AttributeError) as error:
                 if _well_formed(events):
-                    decisions = [_fault(trouble)]
+                    decisions = [_fault(error)]
                 else:
-                    raise MalformedError(f"event without its fields: {trouble}") from trouble
-            except Exception as trouble:  # told to the operators, never lost
-                decisions = [_fault(trouble)]
+                    raise MalformedError(f"event without its fields: {error}") from error
+            except Exception as error:  # in the reply, so that the operators see it
+                decisions = [_fault(error)]
             if decisions:
                 replies.append({"node": name, "decisions": decisions})
         return {"nodes": replies}
 
-    def _play(self, name: str, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    def _handle_events(self, name: str, now: float, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
         decisions: list[dict[str, Any]] = []
         instance = self._instances.get(name)
         for message in events:
-            word = message["m"]
-            if word == "new-instance":
+            kind = message["m"]
+            if kind == "new-instance":
                 instance = Instance(message["rng-seed"], message["boot-info"])
                 self._instances[name] = instance
                 decisions = []
-            elif word == "exit":
+            elif kind == "exit":
                 # what it held is void, also what came earlier in this batch
                 self._instances.pop(name, None)
                 instance = None
-            elif word == "register":
+            elif kind == "register":
                 self._lists[message["roster-id"]] = message["hosts"]
             elif instance is None:
                 continue
-            elif word == "targets":
+            elif kind == "targets":
                 form = message["form"]
                 hosts = [] if form == "broken" else self._lists[message["roster-id"]]
                 instance.targets(form, hosts)
-            elif word in _HANDLERS:
-                _HANDLERS[word](instance, message)
+            elif kind in _HANDLERS:
+                _HANDLERS[kind](instance, message)
         if instance is not None:
-            decisions = instance.round(now)
+            decisions = instance.handle_events(now)
         return decisions
 
 
@@ -73,7 +77,7 @@
     "wakeup": Instance.wakeup,
     "whisper": Instance.whisper,
 }
-_NEEDED = {
+_REQUIRED_KEYS = {
     "new-instance": ("rng-seed", "boot-info"),
     "register": ("roster-id", "hosts"),
     "targets": ("form",),
@@ -87,36 +91,36 @@
 
 def _well_formed(events: Any) -> bool:
     return isinstance(events, list) and all(
-        isinstance(one, dict) and "m" in one and all(name in one for name in _NEEDED.get(one["m"], ()))
+        isinstance(one, dict) and "m" in one and all(name in one for name in _REQUIRED_KEYS.get(one["m"], ()))
         for one in events
     )
 
 
-def _fault(trouble: Exception) -> dict[str, str]:
-    step = trouble.__traceback__
+def _fault(error: Exception) -> dict[str, str]:
+    step = error.__traceback__
     while step is not None and step.tb_next is not None:
         step = step.tb_next
-    place = f" at line {step.tb_lineno} of {step.tb_frame.f_code.co_name}" if step else ""
-    return {"m": "fault", "msg": f"{type(trouble).__name__}: {trouble}{place}"}
+    location = f" at line {step.tb_lineno} of {step.tb_frame.f_code.co_name}" if step else ""
+    return {"m": "fault", "msg": f"{type(error).__name__}: {error}{location}"}
 
 
 def _batch(line: bytes) -> dict[str, Any]:
     """One line as a batch."""
     try:
         batch = orjson.loads(line)
-    except orjson.JSONDecodeError as trouble:
-        raise MalformedError(f"not JSON: {trouble}") from trouble
+    except orjson.JSONDecodeError as error:
+        raise MalformedError(f"not JSON: {error}") from error
     if not isinstance(batch, dict):
         raise MalformedError("not an object")
     if isinstance(batch.get("now"), bool) or not isinstance(batch.get("now"), int | float):
         raise MalformedError('no clock in "now"')
     if not isinstance(batch.get("nodes"), list):
         raise MalformedError('no list in "nodes"')
-    for part in batch["nodes"]:
+    for entry in batch["nodes"]:
         if not (
-            isinstance(part, dict)
-            and isinstance(part.get("node"), str)
-            and isinstance(part.get("events"), list)
+            isinstance(entry, dict)
+            and isinstance(entry.get("node"), str)
+            and isinstance(entry.get("events"), list)
         ):
             raise MalformedError('an entry of "nodes" lacks "node" or "events"')
     return batch
@@ -130,8 +134,8 @@
             continue
         try:
             reply = orjson.dumps(host.answer(_batch(line)))
-        except MalformedError as trouble:
-            print(f"line {count}: {trouble}", file=sys.stderr)
+        except MalformedError as error:
+            print(f"line {count}: {error}", file=sys.stderr)
             return 2
         sink.write(reply + b"\n")
         sink.flush()
--- a/wheatroute/edge/hedge_timer.py
+++ b/wheatroute/edge/hedge_timer.py
@@ -7,7 +7,7 @@
 
 from math import inf
 
-from wheatroute.quantiles import Window
+from wheatroute.quantiles import SlidingWindow
 
 WINDOW_S = 10.0
 MARGIN = 0.1  # of the p95
@@ -20,7 +20,7 @@
     """Sliding window of times to first token; one that timed out counts at its length."""
 
     def __init__(self) -> None:
-        self._window = Window(WINDOW_S)
+        self._window = SlidingWindow(WINDOW_S)
         self._updated_at = -inf
         self._delay_s = inf
 
@@ -37,7 +37,7 @@
         """Return the seconds after which a hedge may be sent; infinite while there are too few samples."""
         if now - self._updated_at >= UPDATE_INTERVAL_S:
             self._updated_at = now
-            self._window.settle(now)
+            self._window.update(now)
             has_samples = self._window.count >= MIN_SAMPLES
             self._delay_s = self._window.latency(QUANTILE) * (1.0 + MARGIN) if has_samples else inf
         return self._delay_s
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from wheatroute import talk
+from wheatroute import peer_messages
 from wheatroute.balancing.interface import Event
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.node_settings import PeerAddresses
@@ -39,7 +39,7 @@
     def send_loads(self, loads: Mapping[int, float]) -> None:
         """Sends the loads of servers, by number, to all other nodes."""
         ids = {server: identity for identity, server in self._servers.numbers.items()}
-        for text in talk.pack((ids[one], load) for one, load in loads.items() if one in ids):
+        for text in peer_messages.encode_loads((ids[one], load) for one, load in loads.items() if one in ids):
             for address in self._others:
                 try:
                     self._socket.sendto(text.encode(), address)
@@ -58,13 +58,13 @@
 
     def _receive(self) -> None:
         try:
-            data, sender = self._socket.recvfrom(talk.LONGEST + 1)
+            data, sender = self._socket.recvfrom(peer_messages.MAX_MESSAGE_BYTES + 1)
         except OSError:
             return  # an ICMP error about what was sent before
         if sender in self._others:
-            known = talk.Known()
+            known = peer_messages.ShortNames()
             for identity, server in self._servers.numbers.items():
                 known.add(identity, server)
-            loads = talk.unpack(data.decode("latin-1"), known.names)
+            loads = peer_messages.decode_loads(data.decode("latin-1"), known.numbers)
             if loads:
                 self._driver.add_event(Event.PEER_REPORTED, loads)
--- a/wheatroute/processor/keeping.py
+++ b/wheatroute/processor/keeping.py
@@ -10,7 +10,7 @@
 
 import trio
 
-from wheatroute import memory, snapshot
+from wheatroute import snapshot, stored_statistics
 from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
@@ -38,7 +38,9 @@
         rounds = self._dispatcher.rounds
         self._list.take_again(told.get("servers"), told.get("peers"), told.get("floor"))
         rounds.turn()  # so that the module knows the servers that it is told of
-        recalled = memory.recall(rounds.balancer, told.get("learned"), self._list.numbers, now(), since)
+        recalled = stored_statistics.restore_statistics(
+            rounds.balancer, told.get("learned"), self._list.numbers, now(), since
+        )
         self._log.info("snapshot", age=round(since, 1), servers=len(self._list.entries), recalled=recalled)
         return True
 
@@ -56,9 +58,11 @@
             "servers": list(self._list.entries.values()),
             "peers": self._list.peers(),
             "floor": self._list.floor,
-            "learned": memory.learned(self._dispatcher.rounds.balancer, self._list.numbers, now()),
+            "learned": stored_statistics.export_statistics(
+                self._dispatcher.rounds.balancer, self._list.numbers, now()
+            ),
         }
-        data = snapshot.sealed(body, now())
+        data = snapshot.encode(body, now())
         try:
             await trio.to_thread.run_sync(snapshot.write, self._path, data)
             self.written += 1
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -1,7 +1,7 @@
 """Quantiles over a sliding window of latencies, at a cost that does not grow with the window.
 
-Owns the samples of the window: each is sorted once, among those of its second, and a quantile is looked up
-across the seconds. It decides nothing, has no clock, and never rounds: what it tells is exact.
+Each sample is sorted once, among those of its interval between two updates, and a quantile is looked up
+across the intervals. Quantiles are exact. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -14,21 +14,24 @@
 Sample = tuple[float, float, float]  # when, latency, latency in multiples of its request class's mean
 
 
-class Sheaf:
-    """The samples between two settlings, oldest first, and their figures in order."""
+class SortedInterval:
+    """The samples between two updates, oldest first, and their figures in order."""
 
-    __slots__ = ("samples", "raw", "shares", "mean", "square")
+    __slots__ = ("samples", "raw", "relative", "mean", "square")
 
     def __init__(self, samples: list[Sample]) -> None:
         self.samples = samples
-        self.raw = sorted(took for _, took, _ in samples)
-        self.shares = sorted(share for _, _, share in samples)
-        self.mean = sum(self.shares) / len(samples)
-        self.square = sum((share - self.mean) ** 2 for share in self.shares)
+        self.raw = sorted(latency for _, latency, _ in samples)
+        self.relative = sorted(relative for _, _, relative in samples)
+        self.mean = sum(self.relative) / len(samples)
+        self.square = sum((relative - self.mean) ** 2 for relative in self.relative)
 
 
-def ranked(lists: list[list[float]], rank: int) -> float:
-    """The figure of this rank, from 0, among several sorted lists that are not all empty."""
+def value_at_rank(lists: list[list[float]], rank: int) -> float:
+    """The value of this rank, from 0, in several sorted lists that are not all empty.
+
+    A binary search over all lists at once: each round halves the longest range left.
+    """
     low, high = [0] * len(lists), [len(one) for one in lists]
     while True:
         widest = max(range(len(lists)), key=lambda i: high[i] - low[i])
@@ -43,46 +46,59 @@
             return pivot
 
 
-class Window:
-    """The samples of the last `length` seconds; `settle` before the figures are asked for."""
+class SlidingWindow:
+    """The samples of the last `length` seconds; call `update` before the quantiles are read."""
 
     def __init__(self, length: float) -> None:
-        self.count = 0  # as of the last settling
+        self.count = 0  # as of the last update
         self._length = length
-        self._fresh: list[Sample] = []
-        self._sheaves: deque[Sheaf] = deque()
-
-    def add(self, now: float, took: float, share: float) -> None:
-        self._fresh.append((now, took, share))
-
-    def shares_since(self, moment: float) -> list[float]:
-        """In order; only what came after the last settling but one is looked through."""
-        before = self._sheaves[-1].samples if self._sheaves else ()
-        late = takewhile(lambda sample: sample[0] >= moment, chain(reversed(self._fresh), reversed(before)))
-        return sorted(share for _, _, share in late)
-
-    def settle(self, now: float) -> None:
-        """Takes in what is new and lets go of what is older than the window, to the sample."""
-        sheaves, oldest = self._sheaves, now - self._length
-        if self._fresh:
-            sheaves.append(Sheaf(self._fresh))
-            self._fresh = []
-        while sheaves and sheaves[0].samples[-1][0] < oldest:
-            sheaves.popleft()
-        if sheaves and sheaves[0].samples[0][0] < oldest:
-            sheaves[0] = Sheaf(sheaves[0].samples[bisect_left(sheaves[0].samples, (oldest,)) :])
-        self.count = sum(len(sheaf.samples) for sheaf in sheaves)
-
-    def latency(self, part: float) -> float:
-        """Seconds that this part of the latencies stays below."""
-        return ranked([sheaf.raw for sheaf in self._sheaves], min(self.count - 1, int(self.count * part)))
-
-    def share(self, part: float) -> float:
-        """The same in multiples of the class's mean."""
-        return ranked([sheaf.shares for sheaf in self._sheaves], min(self.count - 1, int(self.count * part)))
+        self._new_samples: list[Sample] = []
+        self._intervals: deque[SortedInterval] = deque()
+
+    def add(self, now: float, latency: float, relative: float) -> None:
+        """Adds a latency, in seconds and in multiples of its class's mean."""
+        self._new_samples.append((now, latency, relative))
+
+    def relative_since(self, moment: float) -> list[float]:
+        """Relative latencies since a moment, sorted; searches what came after the last update but one."""
+        before = self._intervals[-1].samples if self._intervals else ()
+        late = takewhile(
+            lambda sample: sample[0] >= moment, chain(reversed(self._new_samples), reversed(before))
+        )
+        return sorted(relative for _, _, relative in late)
+
+    def update(self, now: float) -> None:
+        """Adds the new samples and drops those older than the window, to the sample."""
+        intervals, oldest = self._intervals, now - self._length
+        if self._new_samples:
+            intervals.append(SortedInterval(self._new_samples))
+            self._new_samples = []
+        while intervals and intervals[0].samples[-1][0] < oldest:
+            intervals.popleft()
+        if intervals and intervals[0].samples[0][0] < oldest:
+            intervals[0] = SortedInterval(
+                intervals[0].samples[bisect_left(intervals[0].samples, (oldest,)) :]
+            )
+        self.count = sum(len(interval.samples) for interval in intervals)
+
+    def latency(self, quantile: float) -> float:
+        """This quantile (0 to 1) of the latencies, in seconds."""
+        return value_at_rank(
+            [interval.raw for interval in self._intervals], min(self.count - 1, int(self.count * quantile))
+        )
+
+    def relative(self, quantile: float) -> float:
+        """The same of the relative latencies, in multiples of the class's mean."""
+        return value_at_rank(
+            [interval.relative for interval in self._intervals],
+            min(self.count - 1, int(self.count * quantile)),
+        )
 
     def spread(self) -> float:
-        """Standard deviation over mean of the shares; 1 where there is no mean."""
-        mean = sum(sheaf.mean * len(sheaf.samples) for sheaf in self._sheaves) / self.count
-        square = sum(sheaf.square + (sheaf.mean - mean) ** 2 * len(sheaf.samples) for sheaf in self._sheaves)
+        """Standard deviation over mean of the relative values; 1 where there is no mean."""
+        mean = sum(interval.mean * len(interval.samples) for interval in self._intervals) / self.count
+        square = sum(
+            interval.square + (interval.mean - mean) ** 2 * len(interval.samples)
+            for interval in self._intervals
+        )
         return sqrt(square / self.count) / mean if mean else 1.0
--- a/wheatroute/snapshot.py
+++ b/wheatroute/snapshot.py
@@ -1,8 +1,8 @@
-"""A snapshot on disk: written whole beside the old one and renamed, read whole or refused with the reason.
+"""Snapshots on disk: a line of head (format, version, length, SHA-256 of the body), then the body, JSON.
 
-Owns the file's form: one line of head (format, version, length, SHA-256 of the body), then the body, JSON. It
-must never leave a mixture of two, nor give anything of a file that is cut short, changed, of another version,
-from the future or too old. What is in the body is for others to judge.
+A snapshot is written beside the old one and renamed, so that a file is never a mixture of two. Nothing is
+read of one that is cut short, changed, of another version, from the future or too old. Functions with a
+path do I/O, which blocks. What is in the body is for the caller to check.
 """
 
 from __future__ import annotations
@@ -15,22 +15,22 @@
 import orjson
 
 FORMAT, VERSION = b"wheatroute-snapshot", 1
-LONGEST = 1 << 28  # bytes
-AHEAD = 5.0  # seconds by which clocks may differ
+MAX_BYTES = 1 << 28
+MAX_CLOCK_SKEW_S = 5.0
 
 
 class SnapshotError(Exception):
-    """A snapshot that is no use, with the reason."""
+    """A snapshot can't be used; the message says why."""
 
 
-def sealed(body: dict[str, Any], written: float) -> bytes:
-    """The bytes of a snapshot; `written` is Unix time, seconds."""
-    data = orjson.dumps(body | {"written": written})
+def encode(body: dict[str, Any], written_at: float) -> bytes:
+    """The bytes of a snapshot; `written_at` is Unix time, seconds."""
+    data = orjson.dumps(body | {"written": written_at})
     return b"%s %d %d %s\n" % (FORMAT, VERSION, len(data), hashlib.sha256(data).hexdigest().encode()) + data
 
 
-def opened(data: bytes, now: float, oldest: float) -> dict[str, Any]:
-    """The body; raises `SnapshotError`. `oldest` is the age in seconds beyond which it is no use."""
+def decode(data: bytes, now: float, max_age_s: float) -> dict[str, Any]:
+    """The body; raises `SnapshotError`, also for a snapshot older than `max_age_s`."""
     head, _, body = data.partition(b"\n")
     parts = head.split(b" ")
     if len(parts) != 4 or parts[0] != FORMAT or not parts[1].isdigit() or not parts[2].isdigit():
@@ -41,19 +41,19 @@
         raise SnapshotError(f"is cut short: {len(body)} bytes of {int(parts[2])}")
     if len(body) != int(parts[2]) or hashlib.sha256(body).hexdigest().encode() != parts[3]:
         raise SnapshotError("was changed since it was written")
-    told = orjson.loads(body)
-    age = now - told["written"]
-    if age < -AHEAD:
+    content: dict[str, Any] = orjson.loads(body)
+    age = now - content["written"]
+    if age < -MAX_CLOCK_SKEW_S:
         raise SnapshotError(f"is from the future, by {-age:.0f} s")
-    if age > oldest:
-        raise SnapshotError(f"is {age:.0f} s old, {oldest:.0f} s are allowed")
-    return told
+    if age > max_age_s:
+        raise SnapshotError(f"is {age:.0f} s old, {max_age_s:.0f} s are allowed")
+    return content
 
 
 def write(path: str, data: bytes) -> None:
-    """The new one in the place of the old, or the old one as it was; raises `OSError`."""
-    beside = f"{path}.new"
-    descriptor = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    """Replaces the snapshot at a path, or leaves the old one as it was; raises `OSError`."""
+    temporary = f"{path}.new"
+    descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         view = memoryview(data)
         while view:
@@ -61,8 +61,8 @@
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    os.rename(beside, path)
-    # guards against a rename that a loss of power undoes
+    os.rename(temporary, path)
+    # without it a loss of power may undo the rename
     folder = os.open(os.path.dirname(os.path.abspath(path)), os.O_RDONLY)
     try:
         os.fsync(folder)
@@ -70,11 +70,11 @@
         os.close(folder)
 
 
-def read(path: str, now: float, oldest: float) -> dict[str, Any]:
-    """What the file holds; raises `SnapshotError` for one that is no use, or none."""
+def read(path: str, now: float, max_age_s: float) -> dict[str, Any]:
+    """The body of the snapshot at a path; raises `SnapshotError` if there is none that can be used."""
     try:
-        if os.path.getsize(path) > LONGEST:
+        if os.path.getsize(path) > MAX_BYTES:
             raise SnapshotError("is too long")
-        return opened(Path(path).read_bytes(), now, oldest)
-    except OSError as trouble:
-        raise SnapshotError(f"cannot be read: {trouble.strerror}") from trouble
+        return decode(Path(path).read_bytes(), now, max_age_s)
+    except OSError as error:
+        raise SnapshotError(f"cannot be read: {error.strerror}") from error
--- /dev/null
+++ b/wheatroute/stored_statistics.py
@@ -0,0 +1,71 @@
+"""Server statistics as plain data with ages, to be stored, and back. No I/O, no decisions.
+
+Never brought back are a figure that isn't finite, a moment in the future, or a server that the list doesn't
+have: each such server is left out by itself. The keys are those of stored snapshots.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from math import isfinite
+from typing import Any
+
+from wheatroute.decide import Balancer
+
+MAX_AGE_S = 3600.0  # of a statistic; no ejection is longer either
+KEYS = ("latency", "weight", "age", "errors", "barred_for", "penalty")
+
+
+def export_statistics(
+    balancer: Balancer, numbers: Mapping[str, int], now: float
+) -> dict[str, dict[str, float]]:
+    """The statistics of ready servers by name: latency in multiples of its class's mean, ages in seconds."""
+    servers = balancer.servers
+    exported = {}
+    for name, server in numbers.items():
+        if server >= len(servers.is_ready) or not servers.is_ready[server]:
+            continue
+        if servers.weight[server] or servers.ejected_until[server]:
+            ejected_until = servers.ejected_until[server]
+            exported[name] = {
+                "latency": servers.latency[server],
+                "weight": servers.weight[server],
+                "age": now - servers.latency_at[server],
+                "errors": servers.error_rate[server],
+                "barred_for": ejected_until - now if ejected_until else 0.0,
+                "penalty": servers.ejection_s[server],
+            }
+    return exported
+
+
+def restore_statistics(
+    balancer: Balancer, stored: Any, numbers: Mapping[str, int], now: float, age_s: float
+) -> int:
+    """Restores what was exported `age_s` ago for servers without statistics; returns for how many.
+
+    The weights of the servers follow with the next tick.
+    """
+    servers, count = balancer.servers, 0
+    for name, one in stored.items() if isinstance(stored, dict) else ():
+        server = numbers.get(name, -1)
+        if not 0 <= server < len(servers.is_ready) or servers.weight[server] or not _is_valid(one, age_s):
+            continue
+        servers.latency[server], servers.weight[server] = one["latency"], one["weight"]
+        servers.latency_at[server], servers.error_rate[server] = now - one["age"] - age_s, one["errors"]
+        if one["penalty"]:
+            # ejected until its trial, which is due at once if its time has gone by
+            servers.ejected_until[server] = now + one["barred_for"] - age_s
+            servers.ejection_s[server] = one["penalty"]
+        count += 1
+    return count
+
+
+def _is_valid(one: Any, age_s: float) -> bool:
+    if not isinstance(one, dict) or not all(isinstance(one.get(key), int | float) for key in KEYS):
+        return False
+    return (
+        all(isfinite(one[key]) and abs(one[key]) <= MAX_AGE_S for key in KEYS)
+        and all(one[key] >= 0.0 for key in KEYS if key != "barred_for")
+        and one["errors"] <= 1.0
+        and one["age"] + age_s <= MAX_AGE_S
+    )
