--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -254,7 +254,7 @@
 
 
 def test_damage_on_disk_is_found_and_repaired_while_the_node_runs(tmp_path, monkeypatch, caplog):
-    monkeypatch.setattr("wheatroute.replication.replicator.SCRUB_INTERVAL", 0.02)
+    monkeypatch.setattr("wheatroute.replication.replicator.SCRUB_INTERVAL_S", 0.02)
 
     async def scenario(nodes):
         host, service = await nodes.primary()
