--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -203,7 +203,7 @@
             told["discovery"] or NO_ADDRESS,
             told["zones"],
             told["models"],
-            told["terms"]["list_on_request"],
+            told["terms"].list_on_request,
             told["known"],
         )
         super().__init__(settings, driver, dispatcher, log)
