--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -56,7 +56,7 @@
 n = int(sys.argv[2])
 while True:
     n += 1
-    snapshot.write(sys.argv[1], snapshot.sealed({"n": n, "servers": [n] * 50000}, float(n)))
+    snapshot.write(sys.argv[1], snapshot.encode({"n": n, "servers": [n] * 50000}, float(n)))
     print(n, flush=True)
 """
 
@@ -369,11 +369,11 @@
 
 def change_cost(servers: int) -> tuple[float, float, float]:
     """Seconds for a list of so many, MB for it, and seconds for one change: registry and module together."""
-    from decisions import terms
+    from decisions import decision_settings
 
     keys, numbers = ServerKeys(PREFIX), {}  # type: ignore[var-annotated]
     kvs = [wire.KeyValue(key=PREFIX + b"s%05d" % n, value=value(n)) for n in range(servers)]
-    balancer = Balancer(terms(nodes=200), random.Random(1))
+    balancer = Balancer(decision_settings(nodes=200), random.Random(1))
     tracemalloc.start()
     began = time.perf_counter()
     told, _ = keys.load(kvs, 0.0)
--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -6,6 +6,7 @@
 import trio
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.net import server_numbers
 from wheatroute.net.client_registry import ClientRegistry
 from wheatroute.net.clock import now
@@ -17,23 +18,25 @@
 from wheatroute.net.shutdown import ShutdownState
 
 TIMEOUT_S = 5.0
-REPEAT_WINDOW_S = 1.0
+RETRY_WINDOW_S = 1.0
 
 
-def class_terms(effect, group=DeduplicationGroup.ALL, repeat_window=REPEAT_WINDOW_S, deadline=0.5):
-    return {"effect": effect, "group": group, "repeat_window": repeat_window, "deadline": deadline}
+def request_class(idempotency, group=DeduplicationGroup.ALL, retry_window=RETRY_WINDOW_S, deadline=0.5):
+    return RequestClass(
+        idempotency=idempotency, deduplication_group=group, retry_window=retry_window, deadline=deadline
+    )
 
 
-def make_rules(effect=Idempotency.IDEMPOTENT, **changes):
+def make_rules(idempotency=Idempotency.IDEMPOTENT, **changes):
     """Rules for one request class, the table of servers, and the exchanges whose clients have gone."""
-    terms = {
-        "cold_time": 10.0,
-        "fall_span": 0.4,
-        "tick": 0.005,
-        "request_classes": [class_terms(effect, **changes)],
-    }
+    settings = DecisionSettings(
+        warmup_s=10.0,
+        overload_window_s=0.4,
+        tick=0.005,
+        request_classes=[request_class(idempotency, **changes)],
+    )
     servers, gone = ServerTable(), []
-    return SendRules(terms, servers, gone.append), servers, gone
+    return SendRules(settings, servers, gone.append), servers, gone
 
 
 def make_exchange(*ages_s):
@@ -111,7 +114,7 @@
     for effect, first_age_s, is_allowed in (
         (Idempotency.IDEMPOTENT, 3.0, True),
         (Idempotency.KEYED, 0.5, True),
-        (Idempotency.KEYED, REPEAT_WINDOW_S, False),
+        (Idempotency.KEYED, RETRY_WINDOW_S, False),
         (Idempotency.NON_IDEMPOTENT, 0.0, False),
     ):
         rules, _, _ = make_rules(effect)
@@ -136,7 +139,7 @@
         (Idempotency.NON_IDEMPOTENT, {}, True),
         (Idempotency.KEYED, {}, False),
         (Idempotency.KEYED, {"group": DeduplicationGroup.ZONE}, True),
-        (Idempotency.KEYED, {"repeat_window": 0.4}, True),
+        (Idempotency.KEYED, {"retry_window": 0.4}, True),
     ):
         rules, _, _ = make_rules(effect, **changes)
         assert rules.can_strand(make_exchange()[0]) == can_strand, (effect, changes)
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -45,9 +45,8 @@
     """Return a follower that applies versions to a node; conservative until its first confirmation."""
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
-        terms = (
-            adapted.terms | discovery.node_counts
-        )  # nodes that are counted go before a number that was put
+        # nodes that are counted go before a number that was put
+        terms = adapted.terms.with_node_count(discovery.node_counts)
         driver.update_settings(terms, is_binding)
         upstream.update_settings(terms)
         downstream.update_settings(adapted.request_classes, adapted.tenants, terms, adapted.forms)
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -53,7 +53,7 @@
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
         twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms | discovery.node_counts
+        terms = adapted.terms.with_node_count(discovery.node_counts)
         dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, is_binding)
 
     incarnation = secrets.token_hex(6)
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -29,6 +29,7 @@
     running_store,
     take_received_notices,
 )
+from wheatroute.balancing.settings import DecisionSettings
 
 FRESHNESS_FILE = "fresh"  # beside the records
 
@@ -197,7 +198,7 @@
         return ""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
-        return AdaptedVersion({}, {}, {}, {})
+        return AdaptedVersion({}, {}, DecisionSettings(), {})
 
 
 async def run_relay(
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -8,11 +8,11 @@
 import socket
 import time
 from math import inf
-from typing import Any
 
 import h11
 import trio
 
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.addresses import format_address
 from wheatroute.net.clock import now
 from wheatroute.net.connection import Connection
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         max_connections: int,
         max_response_bytes: int,
         servers: ServerTable,
@@ -75,10 +75,10 @@
         self._open = 0
         self.update_settings(terms)
 
-    def update_settings(self, terms: dict[str, Any]) -> None:
+    def update_settings(self, terms: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self.connect_timeout_s: float = terms["connect_within"] or inf
-        self._idle_timeout_s: float = terms["idle_closed"]  # after which servers close idle connections
+        self.connect_timeout_s: float = terms.connect_timeout_s or inf
+        self._idle_timeout_s: float = terms.idle_timeout_s  # after which servers close idle connections
 
     @property
     def open(self) -> int:
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -3,11 +3,10 @@
 Does I/O. Each connection has a task that reads; responses are written by whoever completes an exchange.
 """
 
-from typing import Any
-
 import h11
 import trio
 
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.addresses import format_address
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.client_connection import ClientConnection
@@ -38,14 +37,14 @@
         terms = settings.terms
         self._driver, self._log = driver, log
         self._parser = RequestParser(
-            settings.request_classes, settings.tenants, terms["request_classes"], settings.work_header
+            settings.request_classes, settings.tenants, terms.request_classes, settings.work_header
         )
         self._shutdown = ShutdownState()
         self._clients = ClientRegistry(max_connections, self._shutdown)
         self._handler = RequestHandler(
             terms, self._parser, self._clients, self._shutdown, driver, readiness, log
         )
-        self._is_only_node = terms["nodes"] == 1
+        self._is_only_node = terms.nodes == 1
         self._has_successor = settings.has_successor
         self._listener = Listener(settings.listen, self._has_successor)
         self._accepting = trio.CancelScope()
@@ -64,14 +63,14 @@
         self,
         request_classes: dict[str, int],
         tenants: dict[str, int],
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         other_forms: Forms,
     ) -> None:
         """Puts other settings in force; see `RequestParser.update_settings`."""
-        class_terms = terms["request_classes"]
+        class_terms = terms.request_classes
         self._parser.update_settings(request_classes, tenants, class_terms, other_forms)
         self._handler.update_settings(terms)
-        self._is_only_node = terms["nodes"] == 1
+        self._is_only_node = terms.nodes == 1
         if self._handler.account is not None:
             self._handler.account.update_settings(request_classes, tenants, class_terms)
 
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -7,15 +7,17 @@
 import os
 import re
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from math import inf
 from typing import Any
 
 import orjson
 
-from wheatroute import words
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.addresses import NO_ADDRESS, parse_address
 from wheatroute.net.connection import MAX_BODY_BYTES
+from wheatroute.platform_settings import decision_settings
+from wheatroute.wire_names import NameNumbering
 
 RESERVED_DESCRIPTORS = 32  # for files, the listener, the list service and the event loop
 RESERVED_DESCRIPTORS_RATIO = 0.125  # the same where very few descriptors are allowed
@@ -81,9 +83,9 @@
     peers: PeerAddresses | None
 
     @property
-    def terms(self) -> dict[str, Any]:
+    def terms(self) -> DecisionSettings:
         """Settings of the decision module."""
-        terms: dict[str, Any] = self.derived["terms"]
+        terms: DecisionSettings = self.derived["terms"]
         return terms
 
     @property
@@ -105,7 +107,7 @@
             self.discovery,
             self.derived["zones"],
             self.derived["models"],
-            self.terms["list_on_request"],
+            self.terms.list_on_request,
             self.initial_list,
         )
 
@@ -145,8 +147,9 @@
     agreement = _parse_version_store(document.get("agreement"), "agreement")
     rollout = _parse_version_store(document.get("rollout"), "rollout")
     has_successor = _parse_has_successor(document.get("beside", False))
-    peers = _parse_peers(document.get("peers"), derived["terms"]["peers"])
-    derived["terms"]["peers"] = peers is not None  # without peers no server is probed on their behalf
+    peers = _parse_peers(document.get("peers"), derived["terms"].has_peers)
+    # without peers no server is probed on their behalf
+    derived["terms"] = replace(derived["terms"], has_peers=peers is not None)
     initial_list = document.get("known")
     return NodeSettings(
         name=environment.get("PROXY_NAME") or document.get("name") or "node",
@@ -187,15 +190,16 @@
     if not request_classes:
         raise NodeSettingsError("the settings hold no request classes")
     try:
-        terms = words.terms(settings, zones)
+        terms = decision_settings(settings, zones)
     except (TypeError, ValueError, AttributeError) as error:
         raise NodeSettingsError(f"the settings are malformed: {error}") from error
     # an HTTP/1.1 connection carries one request at a time, whatever the settings say
-    terms = terms | {"calls_per_connection": 1}
+    terms = replace(terms, calls_per_connection=1)
     for name in ("connection_price", "crossing_price"):
-        if not isinstance(terms[name], int | float) or not 0.0 <= terms[name] < inf:
+        price = getattr(terms, name)
+        if not isinstance(price, int | float) or not 0.0 <= price < inf:
             raise NodeSettingsError(
-                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {terms[name]!r}"
+                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {price!r}"
             )
     return {
         "zones": zones,
@@ -314,11 +318,11 @@
     return objects
 
 
-def _numbered_names(settings: dict[str, Any], key: str) -> words.Numbers:
+def _numbered_names(settings: dict[str, Any], key: str) -> NameNumbering:
     names = settings.get(key) or []
     if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
         raise NodeSettingsError(f'the settings\' "{key}" is not a list of names')
-    return words.Numbers({name: number for number, name in enumerate(names)})
+    return NameNumbering({name: number for number, name in enumerate(names)})
 
 
 def _max_connections(limits: object) -> int:
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -3,12 +3,11 @@
 Does I/O.
 """
 
-from typing import Any
-
 import h11
 import trio
 
 from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.clock import now
 from wheatroute.net.connection import MalformedError
@@ -27,14 +26,14 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         servers: ServerTable,
         pool: ConnectionPool,
         reports: LoadReportReader,
         driver: BalancerDriver,
         log: Logger,
     ) -> None:
-        self._path = LIVENESS_PATH if terms["report_how"] == "none" else LOAD_PATH
+        self._path = LIVENESS_PATH if terms.report_how == "none" else LOAD_PATH
         self._servers = servers
         self._pool = pool
         self._reports = reports
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -5,12 +5,14 @@
 """
 
 import time
+from collections.abc import Sequence
 from math import inf
-from typing import Any, Protocol
+from typing import Protocol
 
 import h11
 import trio
 
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.client_connection import ClientConnection
 from wheatroute.net.client_registry import ClientRegistry
@@ -43,7 +45,7 @@
         """The client of a request has gone."""
 
     def update_settings(
-        self, names: dict[str, int], tenants: dict[str, int], kinds: list[dict[str, Any]]
+        self, names: dict[str, int], tenants: dict[str, int], kinds: Sequence[RequestClass]
     ) -> None:
         """Other settings are in force."""
 
@@ -59,7 +61,7 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         parser: RequestParser,
         clients: ClientRegistry,
         shutdown: ShutdownState,
@@ -80,10 +82,12 @@
         self._rejections_logged_at = -inf
         self.update_settings(terms)
 
-    def update_settings(self, terms: dict[str, Any]) -> None:
+    def update_settings(self, terms: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self._max_in_flight = min(self._clients.max_clients, terms["most_open"] or self._clients.max_clients)
-        self._retry_after_s = terms["longest_advice"] if terms["refusal_advice"] else 0.0
+        self._max_in_flight = min(
+            self._clients.max_clients, terms.max_open_connections or self._clients.max_clients
+        )
+        self._retry_after_s = terms.max_retry_after_s if terms.can_advise_retry else 0.0
 
     # requests
 
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Callable
 from math import inf
-from typing import Any
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.clock import now
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
@@ -24,15 +24,15 @@
     """The rules for sending attempts; `on_client_gone` is called for an exchange whose client has gone."""
 
     def __init__(
-        self, terms: dict[str, Any], servers: ServerTable, on_client_gone: Callable[[Exchange], None]
+        self, terms: DecisionSettings, servers: ServerTable, on_client_gone: Callable[[Exchange], None]
     ) -> None:
         self._servers = servers
         self._on_client_gone = on_client_gone
         self.update_settings(terms)
 
-    def update_settings(self, terms: dict[str, Any]) -> None:
+    def update_settings(self, terms: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self._terms, self._class_terms = terms, terms["request_classes"]
+        self._terms, self._class_terms = terms, terms.request_classes
 
     def may_send(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether an attempt may be written now.
@@ -59,24 +59,24 @@
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
         """Whether a server that is warming up would get it beside all that was decided since."""
         started_at = self._servers.started_at(attempt.server)
-        if not started_at or now() >= started_at + self._terms["cold_time"]:
+        if not started_at or now() >= started_at + self._terms.warmup_s:
             return False
-        return 0.0 < MAX_WARMUP_DECISION_AGE * self._terms["fall_span"] < now() - attempt.sent_at
+        return 0.0 < MAX_WARMUP_DECISION_AGE * self._terms.overload_window_s < now() - attempt.sent_at
 
     def _is_forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether another attempt that may have run forbids this one."""
         rules = self._class_terms[exchange.request_class]
-        if rules["effect"] == Idempotency.IDEMPOTENT:
+        if rules.idempotency == Idempotency.IDEMPOTENT:
             return False
         others = (one.sent_at for one in exchange.attempts if one.may_have_run and one is not attempt)
         first_sent_at = min(others, default=inf)
-        if rules["effect"] == Idempotency.NON_IDEMPOTENT:
+        if rules.idempotency == Idempotency.NON_IDEMPOTENT:
             return first_sent_at < inf
-        return now() >= first_sent_at + rules["repeat_window"] - self._terms["tick"]
+        return now() >= first_sent_at + rules.retry_window - self._terms.tick
 
     def can_strand(self, exchange: Exchange) -> bool:
         """Whether an attempt that may have run can leave the exchange without any attempt that is allowed."""
         rules = self._class_terms[exchange.request_class]
-        if rules["effect"] == Idempotency.KEYED:
-            return rules["group"] != DeduplicationGroup.ALL or rules["repeat_window"] < rules["deadline"]
-        return rules["effect"] == Idempotency.NON_IDEMPOTENT
+        if rules.idempotency == Idempotency.KEYED:
+            return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
+        return rules.idempotency == Idempotency.NON_IDEMPOTENT
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -3,11 +3,10 @@
 Brings the parts together and holds their tasks; the I/O is theirs.
 """
 
-from typing import Any
-
 import trio
 
 from wheatroute.balancing.interface import ServerState
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.attempts import AttemptRunner
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection_pool import ConnectionPool
@@ -24,7 +23,7 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         max_connections: int,
         max_response_bytes: int,
         driver: BalancerDriver,
@@ -51,7 +50,7 @@
                 await trio.sleep(interval_s)
                 self._pool.close_expired()
 
-    def update_settings(self, terms: dict[str, Any]) -> None:
+    def update_settings(self, terms: DecisionSettings) -> None:
         """Puts other settings in force."""
         self._pool.update_settings(terms)
         self._rules.update_settings(terms)
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 from collections import Counter, defaultdict
-from collections.abc import Mapping
+from collections.abc import Mapping, Sequence
 from typing import Any
 
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.exchange import REJECTED_STATUS, Exchange
 from wheatroute.rollout.figures import (
     ENDED,
@@ -34,7 +35,7 @@
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_settings: list[dict[str, Any]],
+        class_settings: Sequence[RequestClass],
     ) -> None:
         self._lost = 0  # of clients that have gone since
         self._open: dict[int, float] = {}  # deadlines of requests that have not ended
@@ -46,7 +47,7 @@
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_settings: list[dict[str, Any]],
+        class_settings: Sequence[RequestClass],
     ) -> None:
         """Use other settings from here on."""
         self._class_names = {number: name for name, number in request_classes.items()}
@@ -67,7 +68,7 @@
         status = exchange.response.status if exchange.response is not None else 0
         if status == SERVED_STATUS:
             elapsed_s = now - exchange.deadline + exchange.time_left_s
-            target_s = self._class_settings[exchange.request_class]["target_latency"]
+            target_s = self._class_settings[exchange.request_class].target_latency
             cell[IN_TIME] += elapsed_s <= target_s
             self._durations[exchange.request_class][duration_bucket(elapsed_s)] += 1
         else:
@@ -98,7 +99,7 @@
             self._class_name(request_class): {str(bucket): count for bucket, count in counts.items()}
             for request_class, counts in self._durations.items()
         }
-        worth = {name: self._class_settings[number]["worth"] for number, name in self._class_names.items()}
+        worth = {name: self._class_settings[number].value for number, name in self._class_names.items()}
         return {"format": FIGURES_FORMAT, "lost": lost, "cells": cells, "times": durations, "worth": worth}
 
     def _class_name(self, request_class: int) -> str:
