--- a/wheatroute/agreement/joint_terms.py
+++ b/wheatroute/agreement/joint_terms.py
@@ -1,8 +1,8 @@
-"""What two processes may do while one acts on one version and another on the next. Free of I/O.
+"""The rule of each setting while two versions are joint, and the terms that keep the limits of both. No I/O.
 
-Owns a table with a line for every key that the module or a front acts on, and the terms of two versions
-joined: what lies within both. It must never loosen anything: of two unlike values the stricter one counts,
-and a key that can't be joined says how it changes instead.
+The tables have a line for every key that the decisions, a node or the processor act on. Joining never loosens
+anything: of two different values the stricter one counts, and a key that can't be joined says how it changes
+instead.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from wheatroute import words
 from wheatroute.balancing.interface import Idempotency
 
-LEAST, MOST, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
+MINIMUM, MAXIMUM, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
 FREE = "may differ: the old one until the new one is in force"
 FIXED = "changes with a restart only"
 OWN = "each process has its own"
 ROUTE = "the old one until the new one is in force: who asks too early or late is refused unharmed"
 
 TERMS = {
-    "nodes": MOST,
+    "nodes": MAXIMUM,
     "node": OWN,
     "tick": FIXED,
     "tier": FIXED,
@@ -33,10 +33,10 @@
     "probes": BOTH,
     "peers": OWN,
     "refusal_advice": FREE,
-    "longest_advice": LEAST,
-    "most_attempts": LEAST,
+    "longest_advice": MINIMUM,
+    "most_attempts": MINIMUM,
     "connect_within": FREE,
-    "idle_closed": LEAST,
+    "idle_closed": MINIMUM,
     "calls_per_connection": FIXED,
     "most_open": FREE,
     "excess_worth": FREE,
@@ -50,24 +50,24 @@
     "work_counts": FREE,
     "list_on_request": FIXED,
     "large": OWN,
-    "answer_slack": LEAST,
-    "ask_within": LEAST,
-    "cold_time": MOST,
-    "cold_share": LEAST,
-    "drain_grace": LEAST,
-    "fall_span": LEAST,
-    "fall_multiple": LEAST,
+    "answer_slack": MINIMUM,
+    "ask_within": MINIMUM,
+    "cold_time": MAXIMUM,
+    "cold_share": MINIMUM,
+    "drain_grace": MINIMUM,
+    "fall_span": MINIMUM,
+    "fall_multiple": MINIMUM,
 }
 # the TOML file, by table: what a version's part for it holds, and what each process keeps to itself
 FILE = {
     "File": {
         "name": OWN,
         "seed": OWN,
-        "nodes": MOST,
+        "nodes": MAXIMUM,
         "node": OWN,
         "pools": OWN,
         "traffic_types": STRICT,
-        "customers": LEAST,
+        "customers": MINIMUM,
         "processor": OWN,
         "snapshot": OWN,
         "agreement": OWN,
@@ -77,21 +77,21 @@
         "effect": STRICT,
         "paths": ROUTE,
         "methods": ROUTE,
-        "hard_stop": LEAST,
-        "target_time": LEAST,
+        "hard_stop": MINIMUM,
+        "target_time": MINIMUM,
         "utility": FREE,
         "late_utility": FREE,
         "group": STRICT,
-        "repeat_window": LEAST,
+        "repeat_window": MINIMUM,
     },
-    "Tenant": {"name": ROUTE, "rate": LEAST},
+    "Tenant": {"name": ROUTE, "rate": MINIMUM},
     "Rules": {
-        "cold_time": MOST,
-        "cold_share": LEAST,
-        "drain_grace": LEAST,
-        "fall_span": LEAST,
-        "fall_multiple": LEAST,
-        "answer_slack": LEAST,
+        "cold_time": MAXIMUM,
+        "cold_share": MINIMUM,
+        "drain_grace": MINIMUM,
+        "fall_span": MINIMUM,
+        "fall_multiple": MINIMUM,
+        "answer_slack": MINIMUM,
     },
 }
 # the platform's file beside its settings: none of it is in a version
@@ -117,9 +117,9 @@
 REQUEST_CLASS = {
     "effect": STRICT,
     "group": STRICT,
-    "repeat_window": LEAST,
-    "target_latency": LEAST,
-    "deadline": LEAST,
+    "repeat_window": MINIMUM,
+    "target_latency": MINIMUM,
+    "deadline": MINIMUM,
     "stretch": FREE,
     "worth": FREE,
     "late_worth": FREE,
@@ -127,22 +127,22 @@
     "paths": ROUTE,
     "methods": ROUTE,
 }
-TENANT = {"quota": LEAST, "portion": FREE}
+TENANT = {"quota": MINIMUM, "portion": FREE}
 ABSENT_CLASS = {"worth": 0.0, "late_worth": 0.0}  # nothing comes in of it any more
 ABSENT_TENANT = {"quota": 0.0, "portion": 0.0}
-COLD_WHEN_CAREFUL = 0.25
+CONSERVATIVE_WARMUP_RATIO = 0.25
 PARTS = ("settings", "file")  # of a version: for the platform's node, and for the fronts of the TOML file
 FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # of its part for the TOML file
 
-_PICK: dict[str, Callable[[Any, Any], Any]] = {
-    LEAST: min,
-    MOST: max,
+_JOIN: dict[str, Callable[[Any, Any], Any]] = {
+    MINIMUM: min,
+    MAXIMUM: max,
     STRICT: max,
     BOTH: lambda old, new: old and new,
 }
 
 # the settings' other keys, by what becomes of them under our names
-_MORE = {
+_OTHER_PATHS = {
     "zone": OWN,
     "dcs": FIXED,
     "skus": FIXED,
@@ -151,7 +151,7 @@
     "report.fields": FIXED,
     "utility-basis": FREE,
 }
-PATHS = {path: TERMS[name] for name, (path, _) in words.TERMS.items()} | _MORE
+PATHS = {path: TERMS[name] for name, (path, _) in words.TERMS.items()} | _OTHER_PATHS
 CLASS_KEYS = {
     "name",
     "effect",
@@ -168,7 +168,7 @@
 
 
 def joined(old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
-    """Terms within both; their classes and tenants stand under the same numbers in both."""
+    """Return terms that keep the limits of both; classes and tenants have the same numbers in both."""
     out = _joined(TERMS, old, new)
     out["request_classes"] = [
         _joined(REQUEST_CLASS, one, other)
@@ -182,22 +182,22 @@
 
 def _joined(table: Mapping[str, str], old: Mapping[str, Any], new: Mapping[str, Any]) -> dict[str, Any]:
     return {
-        key: _PICK[table[key]](value, new[key]) if table[key] in _PICK else value
+        key: _JOIN[table[key]](value, new[key]) if table[key] in _JOIN else value
         for key, value in old.items()
         if key in table
     }
 
 
-def careful(terms: Mapping[str, Any]) -> dict[str, Any]:
-    """What a process may do that cannot tell which version is in force: only what every version allows.
+def conservative(terms: Mapping[str, Any]) -> dict[str, Any]:
+    """Return terms for a process that does not know which version is active: what every version allows.
 
-    Nothing goes out again unless it provably never ran, nothing that may have run is refused, nothing is
-    hedged, and cold servers get a quarter. A first attempt is as harmless as it was.
+    No request is retried unless it provably never ran, none that may have run is rejected, nothing is hedged,
+    and servers that warm up get a quarter. A first attempt is as harmless as it was.
     """
     return {
         **terms,
         "hedges": False,
-        "fall_multiple": terms["fall_multiple"] * COLD_WHEN_CAREFUL,
+        "fall_multiple": terms["fall_multiple"] * CONSERVATIVE_WARMUP_RATIO,
         "request_classes": [
             kind
             | {"harmless": kind["effect"] == Idempotency.IDEMPOTENT, "effect": Idempotency.NON_IDEMPOTENT}
@@ -206,8 +206,8 @@
     }
 
 
-def contradictions(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[tuple[str, Any, Any, str]]:
-    """What differs between two settings: path, both values, and what may be done meanwhile."""
+def differences(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[tuple[str, Any, Any, str]]:
+    """Return what differs between two contents: path, both values, and the rule while they are joint."""
     out = []
     olds, news = _paths(old), _paths(new)
     for path in sorted(olds.keys() | news.keys()):
@@ -252,8 +252,8 @@
     return {before: told}
 
 
-def troubles(settings: Any) -> list[str]:
-    """Keys that no version may have: unknown ones, and those that are each process's own; a line each."""
+def setting_errors(settings: Any) -> list[str]:
+    """Return a line for each error: unknown keys, keys that each process has of its own, unfit values."""
     if not isinstance(settings, dict):
         return ["settings: is no table"]
     out = []
@@ -276,10 +276,10 @@
             for name in sorted(one.keys() - known)
         ]
         out += [
-            f"settings.{key}.{one['name']}.{name}: {trouble}"
+            f"settings.{key}.{one['name']}.{name}: {error}"
             for one in told
             for name, value in sorted(one.items())
-            if (trouble := _unfit(name, value))
+            if (error := _value_error(name, value))
         ]
     rest = {key: one for key, one in settings.items() if key not in ("traffic-types", "tenants")}
     for path, value in _paths(rest).items():
@@ -287,12 +287,12 @@
             out.append(f"settings.{path}: is no key that this program knows")
         elif PATHS[path] == OWN:
             out.append(f"settings.{path}: {OWN}")
-        elif trouble := _unfit(path, value):
-            out.append(f"settings.{path}: {trouble}")
+        elif error := _value_error(path, value):
+            out.append(f"settings.{path}: {error}")
     return out
 
 
-_NUMBERS = {
+_NUMBER_KEYS = {
     path
     for path, default in words.TERMS.values()
     if isinstance(default, int | float) and not isinstance(default, bool)
@@ -306,27 +306,27 @@
     "portion",
     "quota-rps",
 }
-_YES_OR_NO = {path for path, default in words.TERMS.values() if isinstance(default, bool)} | {"streamed"}
-_ONE_OF: dict[str, list[str]] = {"effect": list(words.EFFECTS), "group": list(words.GROUPS)}
+_BOOLEANS = {path for path, default in words.TERMS.values() if isinstance(default, bool)} | {"streamed"}
+_CHOICES: dict[str, list[str]] = {"effect": list(words.EFFECTS), "group": list(words.GROUPS)}
 
 
-def _unfit(path: str, value: Any) -> str:
-    """Why a value cannot be that of a key; a version must not break what it reaches."""
-    if path in _NUMBERS and (
+def _value_error(path: str, value: Any) -> str:
+    """Return why a value cannot be that of a key; empty if it can."""
+    if path in _NUMBER_KEYS and (
         isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < inf
     ):
         return f"is no number from 0 on: {value!r}"
     if path == "hard-stop" and not value:
         return "is 0"
-    if path in _YES_OR_NO and not isinstance(value, bool):
+    if path in _BOOLEANS and not isinstance(value, bool):
         return f"is neither true nor false: {value!r}"
-    if path in _ONE_OF and value not in _ONE_OF[path]:
-        return f"is none of {', '.join(_ONE_OF[path])}: {value!r}"
+    if path in _CHOICES and value not in _CHOICES[path]:
+        return f"is none of {', '.join(_CHOICES[path])}: {value!r}"
     return ""
 
 
 def without_own(settings: Mapping[str, Any]) -> tuple[dict[str, Any], list[str]]:
-    """Settings without the keys that each process has of its own, and which those were."""
+    """Return settings without the keys that each process has of its own, and these keys."""
     out, left = dict(settings), []
     for path, rule in PATHS.items():
         if rule == OWN and "." not in path and path in out:
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -10,7 +10,7 @@
 
 from wheatroute import config
 from wheatroute.agreement import joint_terms
-from wheatroute.agreement.adapter import AdaptedVersion, Settle, VersionAdapter
+from wheatroute.agreement.adapter import AdaptedVersion, DeriveSettings, VersionAdapter
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
@@ -19,31 +19,28 @@
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
 
-def shared(file: config.File, worker: int) -> Settle:
-    """Makes of a version what a worker acts on, whose file this is."""
+def file_derivation(file: config.File, worker: int) -> DeriveSettings:
+    """Return the derivation for a worker of the processor with this file."""
 
-    def settle(content: dict[str, Any]) -> dict[str, Any]:
+    def derive(content: dict[str, Any]) -> dict[str, Any]:
         if "file" not in content:
             return config.told_to_processor(file, worker)
-        told = content["file"]
-        if not isinstance(told, dict) or set(told) != set(joint_terms.FILE_KEYS):
-            return _wrong("file: has the tables " + ", ".join(joint_terms.FILE_KEYS) + ", and no others")
-        whole = file.model_dump(exclude_none=True)
-        whole |= {key: told[key] for key in joint_terms.FILE_KEYS if key != "rules"}
+        shared = content["file"]
+        if not isinstance(shared, dict) or set(shared) != set(joint_terms.FILE_KEYS):
+            keys = ", ".join(joint_terms.FILE_KEYS)
+            raise ContentError(f"file: has the tables {keys}, and no others")
+        merged = file.model_dump(exclude_none=True)
+        merged |= {key: shared[key] for key in joint_terms.FILE_KEYS if key != "rules"}
         assert file.processor is not None
-        for pool in whole["pools"]:
+        for pool in merged["pools"]:
             if pool["name"] == file.processor.pool:
-                pool["rules"] = told["rules"]
+                pool["rules"] = shared["rules"]
         try:
-            return config.told_to_processor(config.File.model_validate(whole), worker)
-        except ValidationError as trouble:
-            return _wrong(config._line("file", trouble.errors()[0]))
+            return config.told_to_processor(config.File.model_validate(merged), worker)
+        except ValidationError as error:
+            raise ContentError(config._line("file", error.errors()[0])) from error
 
-    return settle
-
-
-def _wrong(line: str) -> dict[str, Any]:
-    raise ContentError(line)
+    return derive
 
 
 def follow(
@@ -65,7 +62,7 @@
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
-    adapter = VersionAdapter(told, shared(file, worker))
+    adapter = VersionAdapter(told, file_derivation(file, worker))
     return VersionFollower(
         store,
         member,
