--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -75,9 +75,9 @@
     def _make_discovery(self) -> Discovery:
         settings = self._settings
         if settings.etcd_servers:
-            from wheatroute.etcd.node import FollowedList
+            from wheatroute.etcd.discovery import EtcdDiscovery
 
-            return FollowedList(settings, self._driver, self._upstream, self._log)
+            return EtcdDiscovery(settings, self._driver, self._upstream, self._log)
         if settings.agreement:
             from wheatroute.agreement.monotonic_discovery import MonotonicDiscovery
 
