--- a/tests/rollout/test_rollout_format.py
+++ b/tests/rollout/test_rollout_format.py
@@ -5,6 +5,7 @@
 import orjson
 
 from wheatroute.agreement.versions import digest
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.rollout import plan
 from wheatroute.rollout.progress import RolloutProgress, StepKind
 from wheatroute.rollout.request_accounting import RequestAccounting
@@ -81,7 +82,7 @@
 
 
 def test_a_nodes_figures_are_written_as_before():
-    accounting = RequestAccounting({"look": 0}, {"acme": 0}, [{"worth": 2.0, "target_latency": 1.0}])
+    accounting = RequestAccounting({"look": 0}, {"acme": 0}, [RequestClass(value=2.0, target_latency=1.0)])
     exchange = SimpleNamespace(
         number=1,
         is_complete=False,
