--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -297,6 +297,18 @@
     } | changes
 
 
+def reserve_port():
+    """A socket bound to a free port of loopback, for as long as it is open.
+
+    It doesn't listen, so that a program which sets SO_REUSEADDR, as ours does, can listen on the port, and
+    the system gives the port to no other process meanwhile.
+    """
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
+
+
 class Node:
     """A whole node in this process, its servers, and what a client needs."""
 
@@ -311,8 +323,8 @@
         changes=None,
         entries=None,
     ):
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = free.getsockname()[1]
+        self._reservation = reserve_port()
+        self.port = self._reservation.getsockname()[1]
         self.peers, self.discovery = peers, discovery or Peer(SILENT)
         told = {
             "name": "n",
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -11,6 +11,7 @@
 import trio
 from asynchronous import story, until
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
+from fakehost import reserve_port
 
 from wheatroute import config, snapshot
 from wheatroute.balancing.interface import Idempotency
@@ -460,8 +461,8 @@
 """
     for workers in ("", "\nworkers = 2"):
         path = tmp_path / "file.toml"
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            place = f"127.0.0.1:{free.getsockname()[1]}"
+        reservation = reserve_port()
+        place = "{}:{}".format(*reservation.getsockname())
         path.write_text(FILE.format(servers=servers()).replace('127.0.0.1:1"', f'{place}"{workers}'))
         for step in ("listen", "read"):
             ran = subprocess.run(
