--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -56,12 +56,14 @@
         self.now = 0.0
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """Chooses one of the servers that may get the request."""
         raise NotImplementedError
 
     def learn(self, server: int, kind: int, outcome: Outcome, took: float, report: Any) -> None:
         """What an attempt's end tells."""
 
     def admits(self, kind: int, left: float, fit: list[int]) -> bool:
+        """Whether a request with so many seconds left is taken at all."""
         return True
 
     def sent(self, number: int, writer: Any) -> None:
@@ -74,6 +76,7 @@
         """A probe's answer."""
 
     def handle_events(self, now: float, events: Any, writer: Any) -> None:
+        """Handles a batch of events, as `Balancer.handle_events`."""
         self.now = now
         for event, *fields in events:
             if event == Event.ARRIVED:
@@ -102,6 +105,7 @@
                 self.probe_ended(*fields)
 
     def fit(self, held: Held) -> list[int]:
+        """The servers that may get an attempt of this request."""
         avoid = self._avoid
         group = self._group(held)
         fit = [one for one in self.ready if one not in held.attempts and avoid.get(one, 0.0) <= self.now]
@@ -201,6 +205,7 @@
     """Any server."""
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """A uniformly random server."""
         return fit[int(self.draw.random() * len(fit))]
 
 
@@ -212,6 +217,7 @@
         self._at = int(self.draw.random() * 1_000_000)
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The next server in turn."""
         self._at += 1
         return fit[self._at % len(fit)]
 
@@ -225,12 +231,14 @@
         self._mean: dict[int, float] = {}
 
     def learn(self, server: int, kind: int, outcome: Outcome, took: float, report: Any) -> None:
+        """Smooths the latency of a server, in multiples of its class's mean."""
         if outcome in (Outcome.SERVED, Outcome.TIMED_OUT):
             mean = self._mean[kind] = self._mean.get(kind, took) * 0.95 + took * 0.05
             share = took / mean if mean else 1.0
             self._latency[server] = self._latency.get(server, share) * 0.8 + share * 0.2
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """A server with a probability inverse to its smoothed latency."""
         known = [self._latency[one] for one in fit if one in self._latency]
         usual = sum(known) / len(known) if known else 1.0
         weights = list(accumulate(1.0 / max(1e-3, self._latency.get(one, usual)) for one in fit))
@@ -241,6 +249,7 @@
     """Least of its own outstanding, ties by chance."""
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The server with the fewest attempts of this node in flight."""
         return min(fit, key=lambda one: (self.out.get(one, 0), self.draw.random()))
 
 
@@ -248,6 +257,7 @@
     """The one of two with less of its own outstanding."""
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The better of two random servers by attempts of this node in flight."""
         a, b = (fit[int(self.draw.random() * len(fit))] for _ in range(2))
         return min(a, b, key=lambda one: self.out.get(one, 0))
 
@@ -256,11 +266,13 @@
     """Least held by the servers' true state, over their speed; dead and hung ones are seen."""
 
     def burden(self, server: int) -> float:
+        """The true work at a server for each core, weighted by its speed; infinite for one that is down."""
         place = self.world.tiers[self.node.depth][server]
         pace = place.pace() if place.alive else 0.0
         return (place.held + 1) / (place.cores * pace) if pace > 0.0 else inf
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The server with the least true work."""
         return min(fit, key=lambda one: (self.burden(one), self.draw.random()))
 
 
@@ -268,6 +280,7 @@
     """Power of two choices by true state (the policy of the mean-field results)."""
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The better of two random servers by true work."""
         a, b = (fit[int(self.draw.random() * len(fit))] for _ in range(2))
         return min(a, b, key=self.burden)
 
@@ -276,6 +289,7 @@
     """True state, and no request that cannot be in time while others can: about the best there is."""
 
     def admits(self, kind: int, left: float, fit: list[int]) -> bool:
+        """Whether the least laden server can answer in time, by the true work."""
         if not fit:
             return False
         best = min(map(self.burden, fit))
@@ -293,6 +307,7 @@
         self._seen: list[float] = []
 
     def probe_ended(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
+        """Adds the answer to a probe to the pool."""
         if outcome == Outcome.SERVED and report:
             self._pool.append((self.now, server, report["held"], report["latency"]))
             self._seen = (self._seen + [report["held"]])[-100:]
@@ -300,11 +315,13 @@
                 self._pool.pop(0)
 
     def sent(self, number: int, writer: Any) -> None:
+        """Sends probes beside the attempt."""
         for _ in range(int(self.RATE)):
             if self.ready:
                 writer.probe(self.ready[int(self.draw.random() * len(self.ready))])
 
     def choose(self, fit: list[int], kind: int) -> int:
+        """The server by the probe pool's rule: the quickest that is not hot, else the least laden."""
         open_to = set(fit)
         pool = [one for one in self._pool if self.now - one[0] < self.OLD and one[1] in open_to]
         if len(pool) < 2:
@@ -330,6 +347,7 @@
         self._due: list[tuple[float, int]] = []
 
     def sent(self, number: int, writer: Any) -> None:
+        """Sets the hedge timer of an idempotent request."""
         kind = self.kinds[self._held[number].kind]
         if kind.idempotency == Idempotency.IDEMPOTENT:
             moment = self.now + self.AFTER * kind.target_latency
@@ -337,6 +355,7 @@
             writer.wake_at(moment)
 
     def timer_due(self, writer: Any) -> None:
+        """Sends the hedges that are due."""
         due = [number for moment, number in self._due if moment <= self.now + 1e-9]
         self._due = [one for one in self._due if one[0] > self.now + 1e-9]
         for number in due:
@@ -347,6 +366,7 @@
     """Two of everything that is safe."""
 
     def sent(self, number: int, writer: Any) -> None:
+        """Sends the second attempt at once."""
         self.hedge(number, writer)
 
 
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -87,6 +87,7 @@
     # arrivals
 
     def begin(self) -> None:
+        """Schedules the first arrival."""
         moments = self._moments()
         first = next(moments, None)
         if first is not None:
--- a/wheatroute/fleet/engine.py
+++ b/wheatroute/fleet/engine.py
@@ -29,6 +29,7 @@
         return entry
 
     def after(self, seconds: float, do: Callable[..., None], *told: Any) -> list[Any]:
+        """Schedules `do(*told)` in so many seconds; see `at`."""
         return self.at(self.now + seconds, do, *told)
 
     def cancel(self, entry: list[Any] | None) -> None:
@@ -59,4 +60,5 @@
 
     @property
     def idle(self) -> bool:
+        """Whether nothing is scheduled."""
         return len(self._agenda) == self._off
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -93,6 +93,8 @@
 
 
 def maker(noes: list[No]) -> Any:
+    """A factory of balancers that note each request that they give up in `noes`."""
+
     def make(world: World, node: Node, terms: DecisionSettings, draw: Random) -> Balancer:
         return Probed(world, node, terms, draw, noes)
 
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -24,7 +24,8 @@
 class Decisions(Protocol):
     """The module, or a baseline in its place."""
 
-    def handle_events(self, now: float, events: Any, writer: Any) -> None: ...
+    def handle_events(self, now: float, events: Any, writer: Any) -> None:
+        """Handles a batch of events, as `Balancer.handle_events`."""
 
 
 class Attempt:
@@ -139,6 +140,7 @@
         self._happened(Event.SERVERS_LISTED, entries, whole)
 
     def list_failed(self) -> None:
+        """The list service could not be reached."""
         self._happened(Event.LIST_FAILED)
 
     def die(self) -> list[Request]:
@@ -181,6 +183,7 @@
     # the writer
 
     def attempt(self, request: int, server: int, time_out: float) -> None:
+        """Sends an attempt; see `CommandWriter`."""
         told, place = self.requests[request], self._servers[server]
         attempt = Attempt(self, told, len(told.attempts), place, self.engine.now)
         self.world.watch.attempted(self, told, attempt)
@@ -199,17 +202,21 @@
         self._connect(attempt)
 
     def cancel(self, request: int, n: int) -> None:
+        """Cancels an attempt; see `CommandWriter`."""
         told = self.requests.get(request)
         if told is not None and n < len(told.attempts) and not told.attempts[n].over:
             self._give_up(told.attempts[n], Outcome.WITHDRAWN)
 
     def reject(self, request: int, stay_away: float) -> None:
+        """Rejects a request; see `CommandWriter`."""
         self._answer(self.requests[request], "refused", stay_away)
 
     def fail(self, request: int) -> None:
+        """Fails a request; see `CommandWriter`."""
         self._answer(self.requests[request], "failed", 0.0)
 
     def wake_at(self, moment: float) -> None:
+        """Schedules an event batch; see `CommandWriter`."""
         self.engine.at(moment, self._woken)
 
     def probe(self, server: int) -> None:
@@ -246,13 +253,16 @@
         """Nodes of these fleets have no peers."""
 
     def watch(self, enable: bool) -> None:
+        """Watches the list; see `CommandWriter`."""
         if enable:
             self.world.list_for(self)
 
     def fetch(self) -> None:
+        """Fetches the list; see `CommandWriter`."""
         self.world.list_for(self)
 
     def close(self, server: int) -> None:
+        """Closes idle connections to a server; see `CommandWriter`."""
         for _, life in self._idle.pop(server, ()):
             self._disconnect(self._servers[server], life)
 
--- a/wheatroute/fleet/report.py
+++ b/wheatroute/fleet/report.py
@@ -26,6 +26,7 @@
 
 
 def median(figures: list[float]) -> float:
+    """The median of at least one figure."""
     ordered, half = sorted(figures), len(figures) // 2
     return ordered[half] if len(ordered) % 2 else (ordered[half - 1] + ordered[half]) / 2
 
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -25,6 +25,7 @@
 
 
 def quantile(ordered: list[float], part: float) -> float:
+    """A quantile of ordered figures; 0 where there are none."""
     return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
 
 
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -191,12 +191,15 @@
 
     @staticmethod
     def entry(server: Server, state: ServerState = ServerState.LIVE) -> tuple[Any, ...]:
+        """A server as an entry of the list."""
         return (server.number, server.zone, server.model, server.cell, state, 1.0, server.born)
 
     def entries(self, depth: int) -> list[tuple[Any, ...]]:
+        """The list of a tier."""
         return [self.entry(server) for server in self.tiers[depth] if server.alive and not server.draining]
 
     def list_for(self, node: Node) -> None:
+        """Sends a node the full list."""
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(node.depth), True)
 
     def tell(self, server: Server, state: ServerState, least: float = 0.0) -> None:
@@ -248,6 +251,7 @@
             request.told("lost", 0.0)
 
     def revive_node(self, number: int) -> None:
+        """Starts a front node again after a crash."""
         self.front[number] = self._node(0, number, self.front[number].zone, None)
 
     # work
--- a/wheatroute/processor/accounts.py
+++ b/wheatroute/processor/accounts.py
@@ -132,6 +132,7 @@
         one.server, one.decided, one.fate = server, now, Fate.MAY_HAVE_RUN
 
     def never_ran(self, one: Try) -> None:
+        """Notes that an attempt provably never ran."""
         one.fate = Fate.NEVER_RAN
 
     def _let_go(self, now: float) -> None:
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -41,9 +41,11 @@
 
     @property
     def balancer(self) -> Balancer:
+        """The balancer that decides for all streams."""
         return self._balancer
 
     def add_event(self, *event: Any) -> None:
+        """Adds an event; the next batch is due at once unless this is part of a burst."""
         self._events.append(event)
         if not self.quiet:
             self._has_events.set()
@@ -57,6 +59,7 @@
         self._set_timer()
 
     def handle_events(self, moment: float) -> None:
+        """Handles a batch and writes what the streams have to send."""
         super().handle_events(moment)
         for session in self.dirty:
             session.flush()
@@ -108,14 +111,17 @@
                 self.rounds.turn()
 
     def opened(self, call: Call) -> Stream:
+        """The receiver of a stream that a proxy has opened."""
         return Stream(call, self, self.words)
 
     def burst(self) -> None:
+        """Handles the events of one read of a connection."""
         self.rounds.turn()
 
     # streams
 
     def arrived(self, stream: Stream, headers: Any) -> Asked:
+        """Adds the request that a stream's headers describe."""
         self.rounds.quiet = True
         self.asked += 1
         ask = self._reader.ask((one.key, one.raw_value or one.value.encode()) for one in headers)
@@ -136,6 +142,7 @@
         self._accounts.never_ran(exchange.account)
 
     def ended(self, exchange: Asked, outcome: Outcome, report: Report | None) -> None:
+        """Notes how the attempt of a request ended."""
         attempt = exchange.stream.attempt
         if attempt is None:
             return
@@ -146,11 +153,13 @@
         self.rounds.finish_attempt(exchange, attempt, outcome, report)
 
     def answered(self, call: Call) -> None:
+        """Notes that a stream has something to send."""
         self.rounds.dirty.add(call.session)
 
     # the servers' side of the rounds
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
+        """Answers a stream with the address of its server."""
         assert isinstance(exchange, Asked)
         place = self._places.get(attempt.server)
         moment = now()
@@ -168,12 +177,14 @@
         exchange.complete(Response(ROUTED))
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
+        """Sets a server's address, as the proxies get it."""
         self._places[server] = b"%s:%d" % (address[0].encode(), address[1])
 
     def set_state(self, server: int, state: ServerState, started_at: float) -> None:
         """Nothing lies here between a decision and its answer to the proxy that could still be held back."""
 
     def release(self, server: int) -> bool:
+        """Forgets a server unless attempts are in flight there; whether it was forgotten."""
         if self._busy.get(server):
             return False
         self._busy.pop(server, None)
@@ -210,6 +221,7 @@
         self.has_full_list = True
 
     async def run(self) -> None:
+        """Keeps the list of servers up to date until it is cancelled."""
         if self._served:
             await super().run()
         elif self._etcd is not None:
@@ -269,10 +281,12 @@
             self._peers_kept = [name for name in peers if isinstance(name, str)]
 
     def watch(self, enable: bool) -> None:
+        """Watches the list, where a list service serves it."""
         if self._served:
             super().watch(enable)
 
     def fetch(self) -> None:
+        """Fetches the list, where a list service serves it."""
         if self._served:
             super().fetch()
 
--- a/wheatroute/processor/keeping.py
+++ b/wheatroute/processor/keeping.py
@@ -45,6 +45,7 @@
         return True
 
     async def run(self) -> None:
+        """Writes a snapshot at each interval until it is cancelled."""
         while True:
             await trio.sleep(self._every)
             await self.write()
--- a/wheatroute/processor/service.py
+++ b/wheatroute/processor/service.py
@@ -125,6 +125,7 @@
         self._log.info("reloaded", **{"until_restart": ",".join(kept)} if kept else {})
 
     async def heed(self, signals: Any) -> None:
+        """Handles signals until it is cancelled."""
         await handle_signals(signals, self.stop, self.reload, self._log)
 
 
@@ -243,6 +244,7 @@
         self._stopping = False
 
     async def run(self, early: Sequence[int] = ()) -> None:
+        """Runs workers until a stop signal, and starts a crashed one again; returns the exit status."""
         # heeded before the first child: a signal in between would leave one behind without its supervisor
         with open_signal_receiver() as signals:
             if not early:
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -46,15 +46,20 @@
 class Dispatcher(Protocol):
     """What a stream needs of the service."""
 
-    def arrived(self, stream: Stream, headers: Any) -> Asked: ...
+    def arrived(self, stream: Stream, headers: Any) -> Asked:
+        """Adds a request."""
 
-    def left(self, exchange: Asked) -> None: ...
+    def left(self, exchange: Asked) -> None:
+        """The proxy gave the request up."""
 
-    def refused(self, exchange: Asked) -> None: ...
+    def refused(self, exchange: Asked) -> None:
+        """The balancer rejected or failed the request before any attempt."""
 
-    def ended(self, exchange: Asked, outcome: Outcome, report: Report | None) -> None: ...
+    def ended(self, exchange: Asked, outcome: Outcome, report: Report | None) -> None:
+        """The attempt of a request has ended."""
 
-    def answered(self, call: Call) -> None: ...
+    def answered(self, call: Call) -> None:
+        """A stream has something to send."""
 
 
 class Place(IntEnum):
@@ -80,9 +85,11 @@
 
     # what comes
 
-    def headers(self, headers: dict[bytes, bytes]) -> None: ...
+    def headers(self, headers: dict[bytes, bytes]) -> None:
+        """Ignored: a server's receiver gets no response headers."""
 
     def message(self, message: bytes) -> None:
+        """Handles a message of the proxy."""
         try:
             request = ProcessingRequest.FromString(message)
         except DecodeError:
@@ -103,10 +110,12 @@
             self._refuse(Status.INVALID_ARGUMENT, f"{which} before the decision")
 
     def half_closed(self) -> None:
+        """The proxy has ended the stream."""
         self._end()
         self.call.finish()
 
     def over(self, how: CallError) -> None:
+        """The stream was cancelled or reset."""
         self._end()
 
     # what that means
@@ -204,6 +213,7 @@
         self._known: dict[bytes, bytes] = {}
 
     def decision(self, place: bytes, left: float) -> bytes:
+        """The encoded response that names a server; cached where no time is passed on."""
         known = self._known.get(place)
         if known is None:
             if len(self._known) > 65536:
@@ -234,6 +244,7 @@
 
     @staticmethod
     def immediate(status: int, reason: str, stay_away: float) -> bytes:
+        """The encoded response that has the proxy answer the client itself."""
         answer = ProcessingResponse()
         answer.immediate_response.status.code = status
         answer.immediate_response.details = f"wheatroute-{reason.replace(' ', '-')}"
--- a/wheatroute/rig/cluster.py
+++ b/wheatroute/rig/cluster.py
@@ -35,6 +35,7 @@
                 one.drop_streams()
 
     def put(self, key: str, value: str) -> None:
+        """Puts a key."""
         self.store.put(wire.PutRequest(key=key.encode(), value=value.encode()))
 
     def keep(self) -> None:
@@ -64,6 +65,7 @@
 
 
 async def main(count: int) -> None:
+    """Serves and follows orders from standard input; prints the members' addresses first."""
     store = Store()
     members = [Member(store) for _ in range(count)]
     orders = Orders(members)
--- a/wheatroute/rig/endpoints.py
+++ b/wheatroute/rig/endpoints.py
@@ -52,6 +52,7 @@
         return bool(data)
 
     async def answer(self, status: int, body: bytes, **headers: str) -> None:
+        """Sends a response."""
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         await self.stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
@@ -139,6 +140,7 @@
         self._news = trio.Event()
 
     def say(self, entry: dict[str, Any]) -> None:
+        """Changes an entry of the list."""
         self._before[entry["id"]] = self.servers.get(entry["id"], entry | {"_since": 0})
         self.servers[entry["id"]] = entry | {"_since": self.version + 1}
         self.version += 1
@@ -163,6 +165,7 @@
         return json.dumps({"version": self.version, "full": after < 0, "servers": found}).encode()
 
     async def serve(self, stream: trio.SocketStream) -> None:
+        """Serves one connection of a node."""
         line = Line(stream)
         while (message := await line.message()) is not None:
             _, _, query = message[0].split(" ")[1].partition("?")
@@ -187,6 +190,7 @@
         self.left = 2.0
 
     async def run(self) -> None:
+        """Sends requests at the given rate until it is cancelled."""
         async with trio.open_nursery() as nursery:
             due = trio.current_time()
             while True:
--- a/wheatroute/rig/faulting.py
+++ b/wheatroute/rig/faulting.py
@@ -28,6 +28,7 @@
         return found
 
     def cut(self, one: str, other: str, way: str = "both") -> None:
+        """Cuts the link between two parties, in one way or both."""
         self.fault(f"cut {one} {other} {way}")
         if other == "store" and self.kind == "directory":
             (self.folder / f"store-{one}").unlink()
@@ -36,6 +37,7 @@
             link.cut(way)
 
     def heal(self, one: str, other: str) -> None:
+        """Ends what was done to the link between two parties."""
         self.fault(f"heal {one} {other}")
         if other == "store" and self.kind == "directory":
             (self.folder / f"store-{one}").symlink_to(self.folder / "store")
@@ -44,11 +46,13 @@
             link.heal()
 
     def spoil(self, one: str, other: str, way: str = "both", **how: float) -> None:
+        """Delays, loses or throttles what goes over a link."""
         self.fault(f"spoil {one} {other} {way} {how}")
         for link in self.between(one, other):
             link.spoil(way, **how)
 
     def reset(self, one: str, other: str) -> None:
+        """Resets the connections of a link."""
         self.fault(f"reset {one} {other}")
         for link in self.between(one, other):
             link.reset()
@@ -60,16 +64,19 @@
         self.processes[name].signal_all(signal.SIGSTOP)
 
     def go_on(self, name: str) -> None:
+        """Continues a process that was stopped."""
         self.fault(f"continue {name}")
         self.records.killed.append((self._stopped.pop(name), time.monotonic() + 0.5, name))
         self.processes[name].signal_all(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
+        """Kills a process with SIGKILL."""
         self.fault(f"kill {name}")
         self._stopped[name] = time.monotonic()
         self.processes[name].end()
 
     async def start(self, name: str) -> None:
+        """Starts a process and waits until it listens."""
         self.fault(f"start {name}")
         process = self.processes[name]
         before = process.log.count("event=listening")
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -28,6 +28,7 @@
         self._channel = Channel(processor, max_backoff_s=0.2)
 
     async def run(self) -> None:
+        """Keeps the connection to the processor."""
         await self._channel.run()
 
     async def serve(self, stream: trio.SocketStream) -> None:
--- a/wheatroute/rig/links.py
+++ b/wheatroute/rig/links.py
@@ -63,12 +63,14 @@
             self.faults[one].cut = True
 
     def heal(self) -> None:
+        """Ends all faults of this link."""
         self.faults = [Fault(), Fault()]
         self.refuses = False
         healed, self._healed = self._healed, trio.Event()
         healed.set()
 
     def spoil(self, way: str, **how: float) -> None:
+        """Sets faults of this link in one way or both."""
         for one in WAYS[way]:
             for name, value in how.items():
                 setattr(self.faults[one], name, value)
@@ -83,6 +85,7 @@
                     stream.socket.close()
 
     async def run(self) -> None:
+        """Carries connections until it is cancelled."""
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self._listener))
         async with trio.open_nursery() as nursery:
             await trio.serve_listeners(self._serve, [listener], handler_nursery=nursery)
@@ -179,13 +182,16 @@
         self.places: list[tuple[str, int]] = [one.getsockname() for one in self._sockets]
 
     def cut(self, way: str = "both") -> None:
+        """Drops all datagrams in one way or both."""
         for one in WAYS[way]:
             self.faults[one].cut = True
 
     def heal(self) -> None:
+        """Ends all faults of this link."""
         self.faults = [Fault(), Fault()]
 
     def spoil(self, way: str, **how: float) -> None:
+        """Sets faults of this link in one way or both."""
         for one in WAYS[way]:
             for name, value in how.items():
                 setattr(self.faults[one], name, value)
@@ -194,6 +200,7 @@
         """There is nothing to reset."""
 
     async def run(self) -> None:
+        """Carries datagrams until it is cancelled."""
         sockets = [trio.socket.from_stdlib_socket(one) for one in self._sockets]
         async with trio.open_nursery() as nursery:
             # what an end sends to its place goes out to the other end from that one's place
--- a/wheatroute/rig/making.py
+++ b/wheatroute/rig/making.py
@@ -291,4 +291,5 @@
 
 
 def says(process: Process, text: str, times: int = 1) -> bool:
+    """Whether a process has logged a text so often."""
     return process.log.count(text) >= times
--- a/wheatroute/rig/parts.py
+++ b/wheatroute/rig/parts.py
@@ -78,6 +78,7 @@
         return [f"{name}-{i}" for i in range(many)] if many > 1 else [name]
 
     def link(self, name: str, target: tuple[str, int]) -> tuple[str, int]:
+        """The address of a link to a target, by name."""
         return self._linked(name, target).place
 
     def _linked(self, name: str, target: tuple[str, int]) -> Link:
@@ -86,9 +87,11 @@
         return link
 
     def write(self, name: str, told: dict[str, Any]) -> None:
+        """Writes a process's file."""
         (self.folder / f"{name}.json").write_text(json.dumps(told))
 
     def file(self, name: str) -> dict[str, Any]:
+        """Reads a process's file."""
         told: dict[str, Any] = json.loads((self.folder / f"{name}.json").read_text())
         return told
 
@@ -102,6 +105,7 @@
         return place
 
     def end(self) -> None:
+        """Ends all processes and frees reserved ports."""
         for process in self.processes.values():
             process.end()
         for held in self._reserved:
@@ -120,4 +124,5 @@
             await trio.sleep(0.01)
 
     def fault(self, text: str) -> None:
+        """Records a fault with the time."""
         self.records.faults.append((time.monotonic(), text))
--- a/wheatroute/rig/processes.py
+++ b/wheatroute/rig/processes.py
@@ -27,6 +27,7 @@
         self.starts = 0
 
     def start(self) -> None:
+        """Starts the process; raises `RigError` if it runs."""
         if self.alive:
             raise RigError(f"{self.name} runs already")
         self.starts += 1
@@ -42,18 +43,22 @@
 
     @property
     def alive(self) -> bool:
+        """Whether the process runs."""
         return self._running is not None and self._running.poll() is None
 
     @property
     def status(self) -> int | None:
+        """The exit status, None while it runs."""
         return self._running.poll() if self._running else None
 
     @property
     def pid(self) -> int:
+        """The process id."""
         assert self._running is not None
         return self._running.pid
 
     def signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process if it runs."""
         if self._running is not None and self.alive:
             self._running.send_signal(number)
 
@@ -71,6 +76,7 @@
 
     @property
     def log(self) -> str:
+        """What the process has logged."""
         return self._log.read_text(errors="replace") if self._log.exists() else ""
 
 
@@ -86,6 +92,7 @@
 
     @property
     def pids(self) -> list[int]:
+        """The ids of the processes that were started with this mark."""
         found = []
         for one in Path("/proc").iterdir():
             if one.name.isdigit():
@@ -96,14 +103,17 @@
 
     @property
     def alive(self) -> bool:
+        """Whether any of them runs."""
         return bool(self.pids)
 
     def signal_all(self, number: int) -> None:
+        """Sends a signal to all of them."""
         for pid in self.pids:
             with suppress(ProcessLookupError):
                 os.kill(pid, number)
 
     def end(self) -> None:
+        """Kills all of them."""
         self.signal_all(signal.SIGKILL)
 
 
@@ -115,6 +125,7 @@
         self.places: list[tuple[str, int]] = []
 
     def start(self) -> None:
+        """Starts the process."""
         with open(self._log, "ab") as log:
             self._running = subprocess.Popen(
                 self._command,
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -35,6 +35,8 @@
 
 
 class Table(BaseModel):
+    """A table of a scenario file; unknown keys are errors."""
+
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
--- a/wheatroute/rig/versioning.py
+++ b/wheatroute/rig/versioning.py
@@ -84,6 +84,7 @@
                 known.state, known.ended = life[-1], known.ended or time.monotonic()
 
     async def status(self) -> dict[str, Any]:
+        """The status of the agreement, from its store."""
         async with self._place() as place:
             return await operator.agreement_status(place)
 
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -24,6 +24,7 @@
 
 
 async def say(talk: AsyncCall, message: Any) -> None:
+    """Sends a message."""
     await talk.send(message.SerializeToString())
 
 
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -35,6 +35,7 @@
         self.stirred: list[trio.Event] = []
 
     def stir(self) -> None:
+        """Wakes all that wait for a change."""
         waiting, self.stirred = self.stirred, []
         for event in waiting:
             event.set()
@@ -60,6 +61,7 @@
         return keys
 
     def range(self, asked: Any, behind: int = 0) -> Any:
+        """Answers a range request, `behind` revisions late."""
         revision = asked.revision or (max(1, self.revision - behind) if behind else 0)
         found = [
             kv
@@ -85,6 +87,7 @@
         return out
 
     def header(self, behind: int = 0) -> Any:
+        """The header of a response, `behind` revisions late."""
         return wire.ResponseHeader(
             cluster_id=self.cluster, member_id=1, raft_term=2, revision=max(1, self.revision - behind)
         )
@@ -92,9 +95,11 @@
     # writing
 
     def put(self, asked: Any) -> Any:
+        """Answers a put request."""
         return self._write(lambda at: self._put(asked, at))
 
     def delete(self, asked: Any) -> Any:
+        """Answers a delete request."""
         return self._write(lambda at: self._delete(asked, at))
 
     def _write(self, what: Callable[[int], tuple[Any, bool]]) -> Any:
@@ -181,6 +186,7 @@
     # leases
 
     def grant(self, asked: Any) -> Any:
+        """Answers a request for a lease."""
         if not asked.ID:
             self._next_lease += 1
         number = asked.ID or self._next_lease
@@ -188,12 +194,14 @@
         return wire.LeaseGrantResponse(header=self.header(), ID=number, TTL=asked.TTL)
 
     def keep_alive(self, number: int) -> Any:
+        """Renews a lease; returns the response."""
         lease = self.leases.get(number)
         if lease is not None:
             self.leases[number] = (lease[0], self.clock() + lease[0])
         return wire.LeaseKeepAliveResponse(header=self.header(), ID=number, TTL=int(lease[0]) if lease else 0)
 
     def revoke(self, number: int) -> Any:
+        """Revokes a lease and deletes its keys; raises `CallError`."""
         if number not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
         del self.leases[number]
@@ -207,6 +215,7 @@
         return self._write(drop)
 
     def expire(self) -> None:
+        """Revokes leases whose time is over."""
         for number, (_, until) in list(self.leases.items()):
             if until <= self.clock():
                 self.revoke(number)
--- a/wheatroute/standin/lean.py
+++ b/wheatroute/standin/lean.py
@@ -24,12 +24,15 @@
 class Told(Protocol):
     """Who is told of what comes on a call."""
 
-    def message(self, message: bytes) -> None: ...
+    def message(self, message: bytes) -> None:
+        """A message came."""
 
-    def over(self, status: int) -> None: ...
+    def over(self, status: int) -> None:
+        """The call has ended, with -1 where it was reset."""
 
 
 def frame(kind: int, flags: int, number: int, payload: bytes) -> bytes:
+    """An HTTP/2 frame (RFC 9113, 4.1)."""
     return len(payload).to_bytes(3, "big") + bytes((kind, flags)) + number.to_bytes(4, "big") + payload
 
 
@@ -48,6 +51,7 @@
         self.stream: ByteStream
 
     async def connect(self) -> None:
+        """Connects and sends the preface."""
         sock = socket.create_connection(self._place, 5)
         self.stream = ByteStream(sock)
         self.stream.write(b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + frame(SETTINGS, 0, 0, b""))
@@ -128,6 +132,7 @@
         return number
 
     def send(self, number: int, message: bytes) -> None:
+        """Sends a message; raises `RuntimeError` where the peer's window is used up."""
         data = frame_message(message)
         self._window -= len(data)
         if self._window < 0:
@@ -135,8 +140,10 @@
         self.stream.write(frame(DATA, 0, number, data))
 
     def half_close(self, number: int) -> None:
+        """Ends the request."""
         self.stream.write(frame(DATA, END_STREAM, number, b""))
 
     def cancel(self, number: int) -> None:
+        """Resets the call."""
         if self._calls.pop(number, None) is not None:
             self.stream.write(frame(RST_STREAM, 0, number, (8).to_bytes(4, "big")))
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -43,6 +43,7 @@
 
 
 def histogram() -> HdrHistogram:
+    """A histogram of delays in microseconds."""
     return HdrHistogram(1, HIGHEST, 3)
 
 
@@ -70,6 +71,7 @@
 
 
 def response_headers(status: int, **more: str) -> bytes:
+    """The message with a server's response headers."""
     message = ProcessingRequest()
     for key, value in ({":status": str(status), "content-type": "text/plain"} | more).items():
         one = message.response_headers.headers.headers.add()
@@ -95,11 +97,13 @@
         self.answers, self.place = 0, ""
 
     def ask(self, line: Lean) -> None:
+        """Opens the stream with the request's headers."""
         message = request_headers(self.name, self.kind, self.attempt)
         self.line, self.began = line, time.perf_counter()
         self.number = line.open(message, self)
 
     def message(self, message: bytes) -> None:
+        """Handles a decision of the processor."""
         if self.answers == 0:
             self.proxy.delays.record_value(max(1, int((time.perf_counter() - self.began) * 1e6)))
         self.answers += 1
@@ -116,6 +120,7 @@
             self.proxy.count["answers_too_many"] += 1
 
     def over(self, status: int) -> None:
+        """The stream has ended."""
         self.proxy.ended(self, status)
 
 
@@ -144,6 +149,7 @@
         self.seen: dict[str, list[float]] = {}  # when each server was decided for, on the machine's clock
 
     async def run(self) -> None:
+        """Sends requests for the given time, and waits for the answers."""
         async with trio.open_nursery() as nursery:
             for line in self.lines:
                 await line.connect()
@@ -216,6 +222,7 @@
             self._ask(one.name, one.kind, 2)
 
     def ended(self, one: Request, status: int) -> None:
+        """Counts how a stream ended."""
         self._open -= 1
         if one.answers == 0:
             self.count["unanswered"] += 1
@@ -223,6 +230,7 @@
             self.count[f"ended_{Status(status).name.lower() if status >= 0 else 'reset'}"] += 1
 
     def report(self) -> dict[str, Any]:
+        """What was seen, as a JSON object."""
         return {
             "count": dict(self.count),
             "delays": self.delays.encode().decode(),
