--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -19,9 +19,9 @@
 
 def test_joint_terms_that_are_unfit():
     assert (
-        joint_terms._unfit("allowed.connect-timeout", "soon"),
-        joint_terms._unfit("tick", True),
-        joint_terms._unfit("rules.cold", 9),
+        joint_terms._value_error("allowed.connect-timeout", "soon"),
+        joint_terms._value_error("tick", True),
+        joint_terms._value_error("rules.cold", 9),
     ) == ("is no number from 0 on: 'soon'", "is no number from 0 on: True", "")
 
 
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -143,13 +143,13 @@
         },
         "settings": {"tick": 0.01, "tenants": [{"name": "c", "quota-rps": 5.0}]},
     }
-    assert {path: rule for path, _, _, rule in joint_terms.contradictions(old, new)} == {
-        "file.nodes": joint_terms.MOST,
-        "file.rules.cold_time": joint_terms.MOST,
+    assert {path: rule for path, _, _, rule in joint_terms.differences(old, new)} == {
+        "file.nodes": joint_terms.MAXIMUM,
+        "file.rules.cold_time": joint_terms.MAXIMUM,
         "file.traffic_types.view.effect": joint_terms.STRICT,
         "file.traffic_types.view.utility": joint_terms.FREE,
         "settings.tenants.c.name": joint_terms.ROUTE,
-        "settings.tenants.c.quota-rps": joint_terms.LEAST,
+        "settings.tenants.c.quota-rps": joint_terms.MINIMUM,
         "settings.tick": joint_terms.FIXED,
     }
 
@@ -180,7 +180,7 @@
 
 
 def test_bad_content_gets_a_line_for_each_mistake():
-    told = joint_terms.troubles(
+    told = joint_terms.setting_errors(
         {
             "tick": 1,
             "novel": 2,
--- a/wheatroute/agreement/joint_terms.py
+++ b/wheatroute/agreement/joint_terms.py
@@ -1,8 +1,8 @@
-"""What two processes may do while one acts on one version and another on the next. Free of I/O.
+"""The rules by which two versions of the settings are joined: what lies within both. No I/O.
 
-Owns a table with a line for every key that the module or a front acts on, and the terms of two versions
-joined: what lies within both. It must never loosen anything: of two unlike values the stricter one counts,
-and a key that can't be joined says how it changes instead.
+While one process acts on one version and another on the next, every process acts within both. A table has a
+line for each key that the decision module or a front end acts on. Joining never loosens anything: of two
+different values the stricter one counts, and a key that can't be joined says how it changes instead.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from wheatroute.platform_settings import SETTING_KEYS
 from wheatroute.wire_names import DEDUPLICATION_GROUP_NAMES, IDEMPOTENCY_NAMES
 
-LEAST, MOST, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
+MINIMUM, MAXIMUM, BOTH, STRICT = "the smaller", "the larger", "only if both", "the stricter"
 FREE = "may differ: the old one until the new one is in force"
 FIXED = "changes with a restart only"
 OWN = "each process has its own"
 ROUTE = "the old one until the new one is in force: who asks too early or late is refused unharmed"
 
 TERMS = {
-    "nodes": MOST,
+    "nodes": MAXIMUM,
     "node": OWN,
     "tick": FIXED,
     "tier": FIXED,
@@ -36,10 +36,10 @@
     "can_probe": BOTH,
     "has_peers": OWN,
     "can_advise_retry": FREE,
-    "max_retry_after_s": LEAST,
-    "max_attempts": LEAST,
+    "max_retry_after_s": MINIMUM,
+    "max_attempts": MINIMUM,
     "connect_timeout_s": FREE,
-    "idle_timeout_s": LEAST,
+    "idle_timeout_s": MINIMUM,
     "calls_per_connection": FIXED,
     "max_open_connections": FREE,
     "excess_value_factor": FREE,
@@ -53,24 +53,24 @@
     "work_counts": FREE,
     "list_on_request": FIXED,
     "max_servers_per_tick": OWN,
-    "answer_slack_s": LEAST,
-    "list_max_age_s": LEAST,
-    "warmup_s": MOST,
-    "warmup_initial_share": LEAST,
-    "drain_grace_s": LEAST,
-    "overload_window_s": LEAST,
-    "overload_multiple": LEAST,
+    "answer_slack_s": MINIMUM,
+    "list_max_age_s": MINIMUM,
+    "warmup_s": MAXIMUM,
+    "warmup_initial_share": MINIMUM,
+    "drain_grace_s": MINIMUM,
+    "overload_window_s": MINIMUM,
+    "overload_multiple": MINIMUM,
 }
 # the TOML file, by table: what a version's part for it holds, and what each process keeps to itself
 FILE = {
     "File": {
         "name": OWN,
         "seed": OWN,
-        "nodes": MOST,
+        "nodes": MAXIMUM,
         "node": OWN,
         "pools": OWN,
         "traffic_types": STRICT,
-        "customers": LEAST,
+        "customers": MINIMUM,
         "processor": OWN,
         "snapshot": OWN,
         "agreement": OWN,
@@ -80,21 +80,21 @@
         "effect": STRICT,
         "paths": ROUTE,
         "methods": ROUTE,
-        "hard_stop": LEAST,
-        "target_time": LEAST,
+        "hard_stop": MINIMUM,
+        "target_time": MINIMUM,
         "utility": FREE,
         "late_utility": FREE,
         "group": STRICT,
-        "repeat_window": LEAST,
+        "repeat_window": MINIMUM,
     },
-    "Tenant": {"name": ROUTE, "rate": LEAST},
+    "Tenant": {"name": ROUTE, "rate": MINIMUM},
     "Rules": {
-        "cold_time": MOST,
-        "cold_share": LEAST,
-        "drain_grace": LEAST,
-        "fall_span": LEAST,
-        "fall_multiple": LEAST,
-        "answer_slack": LEAST,
+        "cold_time": MAXIMUM,
+        "cold_share": MINIMUM,
+        "drain_grace": MINIMUM,
+        "fall_span": MINIMUM,
+        "fall_multiple": MINIMUM,
+        "answer_slack": MINIMUM,
     },
 }
 # the platform's file beside its settings: none of it is in a version
@@ -120,9 +120,9 @@
 REQUEST_CLASS = {
     "idempotency": STRICT,
     "deduplication_group": STRICT,
-    "retry_window": LEAST,
-    "target_latency": LEAST,
-    "deadline": LEAST,
+    "retry_window": MINIMUM,
+    "target_latency": MINIMUM,
+    "deadline": MINIMUM,
     "stretch": FREE,
     "value": FREE,
     "late_value": FREE,
@@ -130,20 +130,20 @@
     "paths": ROUTE,
     "methods": ROUTE,
 }
-TENANT = {"quota": LEAST, "portion": FREE}
-COLD_WHEN_CAREFUL = 0.25
+TENANT = {"quota": MINIMUM, "portion": FREE}
+CONSERVATIVE_WARMUP_RATIO = 0.25
 PARTS = ("settings", "file")  # of a version: for the platform's node, and for the fronts of the TOML file
 FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # of its part for the TOML file
 
 _PICK: dict[str, Callable[[Any, Any], Any]] = {
-    LEAST: min,
-    MOST: max,
+    MINIMUM: min,
+    MAXIMUM: max,
     STRICT: max,
     BOTH: lambda old, new: old and new,
 }
 
 # the settings' other keys, by what becomes of them under our names
-_MORE = {
+_OTHER_PATHS = {
     "zone": OWN,
     "dcs": FIXED,
     "skus": FIXED,
@@ -152,7 +152,7 @@
     "report.fields": FIXED,
     "utility-basis": FREE,
 }
-PATHS = {path: TERMS[name] for name, (path, _) in SETTING_KEYS.items()} | _MORE
+PATHS = {path: TERMS[name] for name, (path, _) in SETTING_KEYS.items()} | _OTHER_PATHS
 CLASS_KEYS = {
     "name",
     "effect",
@@ -200,7 +200,7 @@
     return replace(request_class, value=0.0, late_value=0.0)
 
 
-def careful(terms: DecisionSettings) -> DecisionSettings:
+def conservative(terms: DecisionSettings) -> DecisionSettings:
     """What a process may do that cannot tell which version is in force: only what every version allows.
 
     Nothing goes out again unless it provably never ran, nothing that may have run is refused, nothing is
@@ -209,7 +209,7 @@
     return replace(
         terms,
         can_hedge=False,
-        overload_multiple=terms.overload_multiple * COLD_WHEN_CAREFUL,
+        overload_multiple=terms.overload_multiple * CONSERVATIVE_WARMUP_RATIO,
         request_classes=[
             replace(
                 one,
@@ -221,7 +221,7 @@
     )
 
 
-def contradictions(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[tuple[str, Any, Any, str]]:
+def differences(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[tuple[str, Any, Any, str]]:
     """What differs between two settings: path, both values, and what may be done meanwhile."""
     out = []
     olds, news = _paths(old), _paths(new)
@@ -270,12 +270,12 @@
     return {before: told}
 
 
-def troubles(settings: Any) -> list[str]:
+def setting_errors(settings: Any) -> list[str]:
     """Keys that no version may have: unknown ones, and those that are each process's own; a line each."""
     if not isinstance(settings, dict):
         return ["settings: is no table"]
     out = []
-    for key, known in (("traffic-types", CLASS_KEYS), ("tenants", TENANT_KEYS)):
+    for key, derived in (("traffic-types", CLASS_KEYS), ("tenants", TENANT_KEYS)):
         told = settings.get(key, [])
         if not isinstance(told, list) or not all(
             isinstance(one, dict) and isinstance(one.get("name"), str) for one in told
@@ -291,13 +291,13 @@
         out += [
             f"settings.{key}.{one['name']}.{name}: is no key that this program knows"
             for one in told
-            for name in sorted(one.keys() - known)
+            for name in sorted(one.keys() - derived)
         ]
         out += [
-            f"settings.{key}.{one['name']}.{name}: {trouble}"
+            f"settings.{key}.{one['name']}.{name}: {error}"
             for one in told
             for name, value in sorted(one.items())
-            if (trouble := _unfit(name, value))
+            if (error := _value_error(name, value))
         ]
     rest = {key: one for key, one in settings.items() if key not in ("traffic-types", "tenants")}
     for path, value in _paths(rest).items():
@@ -305,12 +305,12 @@
             out.append(f"settings.{path}: is no key that this program knows")
         elif PATHS[path] == OWN:
             out.append(f"settings.{path}: {OWN}")
-        elif trouble := _unfit(path, value):
-            out.append(f"settings.{path}: {trouble}")
+        elif error := _value_error(path, value):
+            out.append(f"settings.{path}: {error}")
     return out
 
 
-_NUMBERS = {
+_NUMBER_KEYS = {
     path
     for path, default in SETTING_KEYS.values()
     if isinstance(default, int | float) and not isinstance(default, bool)
@@ -324,19 +324,19 @@
     "portion",
     "quota-rps",
 }
-_YES_OR_NO = {path for path, default in SETTING_KEYS.values() if isinstance(default, bool)} | {"streamed"}
+_BOOLEANS = {path for path, default in SETTING_KEYS.values() if isinstance(default, bool)} | {"streamed"}
 _ONE_OF: dict[str, list[str]] = {"effect": list(IDEMPOTENCY_NAMES), "group": list(DEDUPLICATION_GROUP_NAMES)}
 
 
-def _unfit(path: str, value: Any) -> str:
+def _value_error(path: str, value: Any) -> str:
     """Why a value cannot be that of a key; a version must not break what it reaches."""
-    if path in _NUMBERS and (
+    if path in _NUMBER_KEYS and (
         isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < inf
     ):
         return f"is no number from 0 on: {value!r}"
     if path == "hard-stop" and not value:
         return "is 0"
-    if path in _YES_OR_NO and not isinstance(value, bool):
+    if path in _BOOLEANS and not isinstance(value, bool):
         return f"is neither true nor false: {value!r}"
     if path in _ONE_OF and value not in _ONE_OF[path]:
         return f"is none of {', '.join(_ONE_OF[path])}: {value!r}"
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -75,7 +75,7 @@
             raise OperatorError(f"there is no version {number}", 2)
     old, new = (history.versions[number].content for number in (first, second))
     rows = [["", "key", str(first), str(second), "meanwhile"]]
-    for path, before, after, rule in joint_terms.contradictions(old, new):
+    for path, before, after, rule in joint_terms.differences(old, new):
         mark = "" if rule in (joint_terms.FREE, joint_terms.ROUTE) else "!"
         rows.append([mark, path, _shortened(before), _shortened(after), rule])
     return table(rows) if len(rows) > 1 else ["no difference"]
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -10,7 +10,7 @@
 
 from wheatroute import config
 from wheatroute.agreement import joint_terms
-from wheatroute.agreement.adapter import AdaptedVersion, Settle, VersionAdapter
+from wheatroute.agreement.adapter import AdaptedVersion, DeriveSettings, VersionAdapter
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
@@ -19,7 +19,7 @@
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
 
-def shared(file: config.File, worker: int) -> Settle:
+def shared(file: config.File, worker: int) -> DeriveSettings:
     """Makes of a version what a worker acts on, whose file this is."""
 
     def settle(content: dict[str, Any]) -> dict[str, Any]:
--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -29,7 +29,7 @@
             f'{path}: holds no table "settings", nor the request classes of a TOML file', BAD_INPUT
         )
     settings, left_out = joint_terms.without_own(settings)
-    errors = joint_terms.troubles(settings)
+    errors = joint_terms.setting_errors(settings)
     if not errors:
         try:
             derive_settings(settings)
