--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -232,7 +232,7 @@
         if number in self._ended and self._in_flight[number] <= 0:
             self._to_forget.append(number)
 
-    def _drop_spent(self) -> None:
+    def _drop_forgotten(self) -> None:
         for number in self._to_forget:
             call = self._call_ids.pop(number, None)
             self._request_numbers.pop(call, None)
