--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -20,7 +20,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
 from replication.histories import random_history  # noqa: E402
-from replication.mutants import MUTANTS, RULES, PatchedView  # noqa: E402
+from replication.mutants import MUTANTS, RULES, with_rule  # noqa: E402
 from replication.simulation import Simulation, ViolationError  # noqa: E402
 from replication.test_voting import explore  # noqa: E402
 
@@ -108,9 +108,9 @@
     for make_core in MUTANTS.values():
         if time.monotonic() < until:
             looked, seen = looked + 1, seen + found(seeds, make_core)
-    for rules in RULES.values():
+    for name in RULES:
         if time.monotonic() < until:
-            with PatchedView(**rules):
+            with with_rule(name):
                 looked, seen = looked + 1, seen + found(seeds)
     return looked, seen
 
@@ -129,14 +129,14 @@
     """Bytes of a version with one route more, and of the whole; milliseconds at control and edge node."""
     versions = ConfigurationVersions()
     versions.commit(many_routes(routes, 1), 1)
-    whole = versions.since(NO_SEQUENCE)
-    table = EMPTY_TABLE.changed(decode_difference(whole))
+    whole = versions.difference_since(NO_SEQUENCE)
+    table = EMPTY_TABLE.apply_difference(decode_difference(whole))
     newer = many_routes(routes + 1, 2)
     began = time.perf_counter()
     versions.commit(newer, 2)
-    told = versions.since(1)
+    told = versions.difference_since(1)
     encoded = time.perf_counter()
-    table.changed(decode_difference(told))
+    table.apply_difference(decode_difference(told))
     applied = time.perf_counter()
     return {
         f"version_bytes_{routes}": len(told),
--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -31,14 +31,14 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingResponse  # noqa: E402
 
 from wheatroute import snapshot  # noqa: E402
+from wheatroute.balancing.interface import Event, ServerState  # noqa: E402
 from wheatroute.decide import Balancer  # noqa: E402
 from wheatroute.etcd import messages as wire  # noqa: E402
-from wheatroute.etcd.client import Cluster  # noqa: E402
-from wheatroute.etcd.follow import Follower  # noqa: E402
+from wheatroute.etcd.client import EtcdClient  # noqa: E402
+from wheatroute.etcd.follower import Follower  # noqa: E402
 from wheatroute.etcd.membership import Membership  # noqa: E402
-from wheatroute.etcd.registry import Registry  # noqa: E402
+from wheatroute.etcd.server_keys import ServerKeys  # noqa: E402
 from wheatroute.grpc.client import Channel, connected  # noqa: E402
-from wheatroute.interface import Event, State  # noqa: E402
 from wheatroute.standin.etcd import Member  # noqa: E402
 from wheatroute.standin.etcd_store import Store  # noqa: E402
 from wheatroute.standin.proxy import PATH, destination, request_headers  # noqa: E402
@@ -56,7 +56,7 @@
 n = int(sys.argv[2])
 while True:
     n += 1
-    snapshot.write(sys.argv[1], snapshot.sealed({"n": n, "servers": [n] * 50000}, float(n)))
+    snapshot.write(sys.argv[1], snapshot.encode({"n": n, "servers": [n] * 50000}, float(n)))
     print(n, flush=True)
 """
 
@@ -266,7 +266,7 @@
             chance = random.Random(node)
             followers.append(
                 Follower(
-                    Cluster([member.place], chance),
+                    EtcdClient([member.place], chance),
                     PREFIX,
                     partial(take, node),
                     chance,
@@ -303,7 +303,7 @@
         "herd_last_ms": round(after[-1] * 1e3),
         "herd_spread_ms": round((after[int(nodes * 0.9)] - after[nodes // 10]) * 1e3),
         "herd_streams_a_node": round(streams / nodes, 2),
-        "herd_lists": sum(one.lists for one in followers) - nodes,
+        "herd_lists": sum(one.list_count for one in followers) - nodes,
     }
 
 
@@ -369,28 +369,28 @@
 
 def change_cost(servers: int) -> tuple[float, float, float]:
     """Seconds for a list of so many, MB for it, and seconds for one change: registry and module together."""
-    from decisions import terms
+    from decisions import decision_settings
 
-    registry, numbers = Registry(PREFIX), {}  # type: ignore[var-annotated]
+    keys, numbers = ServerKeys(PREFIX), {}  # type: ignore[var-annotated]
     kvs = [wire.KeyValue(key=PREFIX + b"s%05d" % n, value=value(n)) for n in range(servers)]
-    balancer = Balancer(terms(nodes=200), random.Random(1))
+    balancer = Balancer(decision_settings(nodes=200), random.Random(1))
     tracemalloc.start()
     began = time.perf_counter()
-    told, _ = registry.whole(kvs, 0.0)
+    told, _ = keys.load(kvs, 0.0)
     entries = []
     for one in told["servers"]:
         numbers[one["id"]] = len(numbers)
-        entries.append((numbers[one["id"]], 0, 0, 0, State.LIVE, 1.0, 0.0))
-    balancer.round(1.0, [(Event.LISTED, entries, True)], Nothing())
+        entries.append((numbers[one["id"]], 0, 0, 0, ServerState.LIVE, 1.0, 0.0))
+    balancer.handle_events(1.0, [(Event.SERVERS_LISTED, entries, True)], Nothing())
     took, (held, _) = time.perf_counter() - began, tracemalloc.get_traced_memory()
     tracemalloc.stop()
     costs = []
     for n in range(60):
         event = wire.Event(type=wire.PUT, kv=wire.KeyValue(key=kvs[n].key, value=value(n, "terminating")))
         began = time.perf_counter()
-        told, _ = registry.changes([event], 0.0)
-        changed = [(numbers[one["id"]], 0, 0, 0, State.DRAINING, 1.0, 0.0) for one in told["servers"]]
-        balancer.round(1.0 + n * 1e-6, [(Event.LISTED, changed, False)], Nothing())
+        told, _ = keys.apply([event], 0.0)
+        changed = [(numbers[one["id"]], 0, 0, 0, ServerState.DRAINING, 1.0, 0.0) for one in told["servers"]]
+        balancer.handle_events(1.0 + n * 1e-6, [(Event.SERVERS_LISTED, changed, False)], Nothing())
         costs.append(time.perf_counter() - began)
     return took, held / 2**20, sorted(costs)[len(costs) // 2]
 
@@ -430,8 +430,8 @@
             name = chance.choice(names)
             there = there - {name} if name in there and len(there) > 2 else there | {name}
         for name in there:
-            peers[name].told(sorted(there), moment)
-        sums.append(sum(1.0 / peers[name].assumed(moment)[0] for name in there))
+            peers[name].update(sorted(there), moment)
+        sums.append(sum(1.0 / peers[name].estimate(moment)[0] for name in there))
     return min(sums), max(sums)
 
 
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -16,38 +16,38 @@
     decode_configuration,
 )
 from wheatroute.cluster.distribution import (
-    NOTHING,
+    EMPTY_VERSION,
     Difference,
     ItemChanges,
     decode_difference,
-    difference,
     encode_difference,
-    snapshot,
+    make_difference,
+    make_version,
 )
 from wheatroute.cluster.messages import (
     Instance,
     InstanceState,
-    NotServing,
+    NotPrimary,
+    QuotaDemand,
     QuotaGrant,
-    QuotaNeed,
     RegistryVersion,
     ServerLoad,
     Update,
     UpdateRequest,
-    UsageAnswer,
     UsageReport,
+    UsageResponse,
 )
 from wheatroute.control.changes import Change, ConfigurationState, apply_change, decode_state, encode_state
 from wheatroute.control.quotas import BucketLevels
-from wheatroute.control.registry import Heartbeat, HeartbeatModel, decode_heartbeat
-from wheatroute.control.soft_state import SoftState, soft_state
+from wheatroute.control.registry import HeartbeatModel, ServerHeartbeat, decode_heartbeat
+from wheatroute.control.soft_state import SoftState, make_soft_state
 
 VERSION = RegistryVersion(epoch=7, number=12)
 INSTANCES = (
     Instance("s1", "llm", "10.0.1.1:80", "z1", 8, InstanceState.READY, 3, 250.0, ("m-a", "m-b")),
-    Instance("s2", "llm", "10.0.1.2:80", "z2", 8, InstanceState.SILENT, 4),
+    Instance("s2", "llm", "10.0.1.2:80", "z2", 8, InstanceState.UNRESPONSIVE, 4),
     Instance("s3", "llm", "10.0.1.3:80", "z2", 8, InstanceState.DRAINING, 5),
-    Instance("s4", "llm", "10.0.1.4:80", "z2", 8, InstanceState.GONE, 6),
+    Instance("s4", "llm", "10.0.1.4:80", "z2", 8, InstanceState.REMOVED, 6),
 )
 ROUTE = Route(
     "chat",
@@ -119,7 +119,7 @@
         id="update-without-configuration",
     ),
     pytest.param(
-        NotServing("10.0.0.1", ("10.0.0.1", "10.0.0.2")),
+        NotPrimary("10.0.0.1", ("10.0.0.1", "10.0.0.2")),
         (
             "82a77072696d617279a831302e302e302e31ad636f6e74726f6c5f686f73747392a831302e302e302e31"
             "a831302e302e302e32"
@@ -128,7 +128,7 @@
     ),
     pytest.param(ServerLoad(1200, 3), "92cd04b003", id="server-load"),
     pytest.param(
-        QuotaNeed(10.0, 2.5, 100.0, 30.0, 20.0, (5, 0, 7)),
+        QuotaDemand(10.0, 2.5, 100.0, 30.0, 20.0, (5, 0, 7)),
         (
             "86a677616e746564cb4024000000000000a872657475726e6564cb4004000000000000a472617465cb40"
             "59000000000000a5616c6f6e65cb403e000000000000aa616c6f6e655f746f6c64cb4034000000000000"
@@ -137,7 +137,7 @@
         id="quota-need",
     ),
     pytest.param(
-        QuotaNeed(),
+        QuotaDemand(),
         (
             "86a677616e746564cb0000000000000000a872657475726e6564cb0000000000000000a472617465cb00"
             "00000000000000a5616c6f6e65cb0000000000000000aa616c6f6e655f746f6c64cb0000000000000000"
@@ -154,7 +154,7 @@
         id="quota-grant",
     ),
     pytest.param(
-        UsageReport("edge-1", {"acme": QuotaNeed(1.0)}, {"s1": ServerLoad(10, 1)}, {"s2": 0.8}, 4.0),
+        UsageReport("edge-1", {"acme": QuotaDemand(1.0)}, {"s1": ServerLoad(10, 1)}, {"s2": 0.8}, 4.0),
         (
             "85a46e6f6465a6656467652d31a774656e616e747381a461636d6586a677616e746564cb3ff000000000"
             "0000a872657475726e6564cb0000000000000000a472617465cb0000000000000000a5616c6f6e65cb00"
@@ -173,7 +173,7 @@
         id="usage-report-unchanged",
     ),
     pytest.param(
-        UsageAnswer({"acme": QuotaGrant(1.0)}, {"s1": ServerLoad(10, 1)}, 3, 7),
+        UsageResponse({"acme": QuotaGrant(1.0)}, {"s1": ServerLoad(10, 1)}, 3, 7),
         (
             "84a66772616e747381a461636d6584a6746f6b656e73cb3ff0000000000000a6776169745f73cb000000"
             "0000000000a86f776e5f72617465cb0000000000000000aa6f776e5f746f6b656e73cb00000000000000"
@@ -200,7 +200,7 @@
         id="soft-state",
     ),
     pytest.param(
-        soft_state(INSTANCES, {"acme": BucketLevels(400.0, 20.0)}, 3),
+        make_soft_state(INSTANCES, {"acme": BucketLevels(400.0, 20.0)}, 3),
         (
             "84a9696e7374616e6365739489a26964a27331a773657276696365a36c6c6da761646472657373ab3130"
             "2e302e312e313a3830a47a6f6e65a27a31a5736c6f747308a57374617465a57265616479a76368616e67"
@@ -350,9 +350,9 @@
 
 
 def test_a_configuration_keeps_its_digest_and_its_difference_from_nothing():
-    version = snapshot(decode_configuration(BODY), 41)
+    version = make_version(decode_configuration(BODY), 41)
     assert version.digest == 8673784257128854832
-    sent = encode_difference(difference(NOTHING, version))
+    sent = encode_difference(make_difference(EMPTY_VERSION, version))
     assert (
         hashlib.sha256(msgspec.msgpack.encode(decode_difference(sent))).hexdigest()
         == "4785f94a0c81f430a97fd53265282e89815596f5ddc981898f77aa1dbb1e6b13"
@@ -360,10 +360,10 @@
 
 
 def test_the_replicated_document_of_a_change_is_the_same():
-    state = apply_change(ConfigurationState(), Change(partial=False, match='"0"', body=BODY))
+    state = apply_change(ConfigurationState(), Change(is_partial=False, if_match='"0"', body=BODY))
     assert encode_state(state).hex() == STATE
     assert decode_state(bytes.fromhex(STATE)) == state
-    patch = Change(partial=True, match="3", body=b'{"generation": 4, "delete": {"routes": ["chat"]}}')
+    patch = Change(is_partial=True, if_match="3", body=b'{"generation": 4, "delete": {"routes": ["chat"]}}')
     assert patch.digest.hex() == "9a1456da6c85e7e7a5f7ad656565bd51"
     assert encode_state(apply_change(state, patch)).hex() == PATCHED
 
@@ -381,7 +381,7 @@
         "phase": "prefill",
         "models": [{"name": "m-a", "generation": 2}],
     }
-    expected = Heartbeat(
+    expected = ServerHeartbeat(
         "llm", "10.0.1.1:80", "z1", "g", 8, "draining", 250.0, 9, "prefill", (HeartbeatModel("m-a", 2),)
     )
     assert decode_heartbeat(json.dumps(body).encode()) == expected
--- a/tests/fakehost.py
+++ b/tests/fakehost.py
@@ -6,80 +6,64 @@
 import socket
 import struct
 from contextlib import suppress
+from dataclasses import replace
 from itertools import count
 
 import structlog
 import trio
 
 from wheatroute.__main__ import serve_node
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.decide import Balancer
-from wheatroute.interface import Effect, Event, Group, Outcome, State
-from wheatroute.net import boot
+from wheatroute.net import node_settings
 
 SAFE, KEYED, UNSAFE = 0, 1, 2
 
 
-def terms(**changes):
-    def kind(effect, worth, group=Group.ALL):
-        return {
-            "target_latency": 1.0,
-            "stretch": 0.0,
-            "deadline": 3.0,
-            "worth": worth,
-            "late_worth": 0.0,
-            "effect": effect,
-            "group": group,
-            "repeat_window": 2.0,
-            "streamed": False,
-        }
+def decision_settings(**changes):
+    def request_class(idempotency, value, group=DeduplicationGroup.ALL):
+        return RequestClass(
+            target_latency=1.0,
+            deadline=3.0,
+            value=value,
+            idempotency=idempotency,
+            deduplication_group=group,
+            retry_window=2.0,
+        )
 
-    out = {
-        "nodes": 1,
-        "node": 0,
-        "tick": 0.005,
-        "tier": 0,
-        "tiers": 1,
-        "zones": 1,
-        "hedges": True,
-        "withdrawals": True,
-        "probes": False,
-        "refusal_advice": True,
-        "longest_advice": 2.0,
-        "most_attempts": 4,
-        "connect_within": 0.1,
-        "excess_worth": 0.05,
-        "crossing_price": 0.0,
-        "idle_closed": 30.0,
-        "calls_per_connection": 1,
-        "ask_within": 10.0,
-        "cold_time": 20.0,
-        "cold_share": 0.1,
-        "drain_grace": 0.5,
-        "fall_span": 3.0,
-        "fall_multiple": 3.0,
-        "peers": False,
-        "report_how": "answers",
-        "connection_price": 0.0,
-        "zone": 0,
-        "list_on_request": False,
-        "work_counts": False,
-        "tenants": [],
-        "reported": [],
-        "request_classes": [
-            kind(Effect.SAFE, 5.0),
-            kind(Effect.KEYED, 3.0, Group.CELL),
-            kind(Effect.UNSAFE, 3.0),
+    usual = DecisionSettings(
+        tick=0.005,
+        can_hedge=True,
+        can_cancel=True,
+        can_advise_retry=True,
+        max_retry_after_s=2.0,
+        max_attempts=4,
+        connect_timeout_s=0.1,
+        excess_value_factor=0.05,
+        idle_timeout_s=30.0,
+        list_max_age_s=10.0,
+        warmup_s=20.0,
+        warmup_initial_share=0.1,
+        drain_grace_s=0.5,
+        overload_window_s=3.0,
+        overload_multiple=3.0,
+        report_how="answers",
+        request_classes=[
+            request_class(Idempotency.IDEMPOTENT, 5.0),
+            request_class(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            request_class(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
-    }
-    return out | changes
+    )
+    return replace(usual, **changes)
 
 
 class Host:
     """Servers are numbered; `answer(server, attempt)` tells (outcome, took), or None for never."""
 
     def __init__(self, servers=4, answer=None, seed=1, start=100.0, entries=None, report=None, **changes):
-        self.terms = terms(**changes)
-        self.balancer = Balancer(self.terms, random.Random(seed))
+        self.settings = decision_settings(**changes)
+        self.balancer = Balancer(self.settings, random.Random(seed))
         self.now, self.answer = start, answer or (lambda server, attempt: (Outcome.SERVED, 0.1))
         self.events, self.pending, self.did = [], [], []
         self.report = report or (lambda server: None)
@@ -87,11 +71,11 @@
         self.list(entries or [self.entry(s) for s in range(servers)], True)
 
     @staticmethod
-    def entry(server, state=State.LIVE, zone=0, cell=None, started=0.0):
+    def entry(server, state=ServerState.LIVE, zone=0, cell=None, started=0.0):
         return (server, zone, 0, server // 2 if cell is None else cell, state, 1.0, started)
 
     def list(self, entries, whole=False):
-        self.events.append((Event.LISTED, entries, whole))
+        self.events.append((Event.SERVERS_LISTED, entries, whole))
 
     def ask(self, kind=SAFE, left=3.0, tenant=-1, repeated=False):
         number, self.arrivals = self.arrivals, self.arrivals + 1
@@ -107,10 +91,10 @@
                 self.pending.remove(item)
                 self._return(*item[1:])
             events, self.events = self.events, []
-            self.balancer.round(self.now, events, self)
+            self.balancer.handle_events(self.now, events, self)
             if self.now >= end - 1e-9:
                 return self
-            self.now += self.terms["tick"]
+            self.now += self.settings.tick
 
     def run(self, seconds, rate, kind=SAFE, **how):
         """Requests at an even rate."""
@@ -126,7 +110,9 @@
         finished = number in self.final or outcome == Outcome.SERVED
         if outcome == Outcome.SERVED:
             self.final.setdefault(number, "served")
-        self.events.append((Event.RETURNED, number, n, server, outcome, took, finished, self.report(server)))
+        self.events.append(
+            (Event.ATTEMPT_ENDED, number, n, server, outcome, took, finished, self.report(server))
+        )
 
     def sent(self, server, since=0.0):
         return sum(
@@ -147,13 +133,13 @@
         outcome, took = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, time_out)
         self.pending.append((self.now + took, request, n, server, outcome, took))
 
-    def withdraw(self, request, n):
+    def cancel(self, request, n):
         self.did.append(("withdraw", self.now, request, n))
         self.pending.append(
-            (self.now + self.terms["tick"], request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
+            (self.now + self.settings.tick, request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
         )
 
-    def refuse(self, request, stay_away):
+    def reject(self, request, stay_away):
         self._end(request, "refused", stay_away)
 
     def fail(self, request):
@@ -164,13 +150,13 @@
         self.final[request] = word
         self.did.append((word, self.now, request, stay_away))
 
-    def wake(self, moment):
+    def wake_at(self, moment):
         assert moment > self.now
 
-    def sound(self, server):
+    def probe(self, server):
         self.did.append(("sound", self.now, server))
 
-    def tell(self, figures):
+    def send_loads(self, figures):
         self.did.append(("tell", self.now, dict(figures)))
 
     def watch(self, enable):
@@ -311,6 +297,18 @@
     } | changes
 
 
+def reserve_port():
+    """A socket bound to a free port of loopback, for as long as it is open.
+
+    It doesn't listen, so that a program which sets SO_REUSEADDR, as ours does, can listen on the port, and
+    the system gives the port to no other process meanwhile.
+    """
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
+
+
 class Node:
     """A whole node in this process, its servers, and what a client needs."""
 
@@ -325,8 +323,8 @@
         changes=None,
         entries=None,
     ):
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            self.port = free.getsockname()[1]
+        self._reservation = reserve_port()
+        self.port = self._reservation.getsockname()[1]
         self.peers, self.discovery = peers, discovery or Peer(SILENT)
         told = {
             "name": "n",
@@ -339,10 +337,13 @@
         }
         self.told, self.path = told, folder / "config.json"
         self.path.write_text(json.dumps(told))
-        self.boot, self.done = boot.read({"PROXY_CONFIG": str(self.path)}), trio.Event()
+        self.settings, self.done = (
+            node_settings.read_node_settings({"PROXY_CONFIG": str(self.path)}),
+            trio.Event(),
+        )
 
     async def _serve(self):
-        await serve_node(self.boot, structlog.get_logger())
+        await serve_node(self.settings, structlog.get_logger())
         self.done.set()
 
     async def connect(self):
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -11,15 +11,18 @@
 import trio
 from asynchronous import story, until
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
+from fakehost import reserve_port
 
 from wheatroute import config, snapshot
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.etcd import messages as wire
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.client import Channel, connected
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.grpc.server import listen
 from wheatroute.grpc.session import Session
-from wheatroute.net.rounds import now
+from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher
 from wheatroute.processor.mapping import Reader
 from wheatroute.processor.service import Service
@@ -137,18 +140,18 @@
     async with processor(tmp_path) as (service, channel):
         places = [await ask(channel, f"r{n}", n % 3) for n in range(60)]
         assert {*places} == {f"127.0.0.1:{7000 + n}" for n in range(4)}
-        assert service.dispatcher.decisions == 60 and not module(service)._requests
+        assert service.dispatcher.decisions == 60 and not module(service)._state.requests
 
 
 @story
 async def test_a_proxy_that_gives_up_waiting_leaves_nothing_behind(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "r1") as one:
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             assert one.talk.ended is None
-        await until(lambda: not module(service)._requests)
-        assert service.dispatcher.decisions == 0 and sum(module(service)._servers.held) == 0
-        service.list._take(
+        await until(lambda: not module(service)._state.requests)
+        assert service.dispatcher.decisions == 0 and sum(module(service).servers.in_flight) == 0
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -162,7 +165,7 @@
 @story
 async def test_a_stream_that_ends_between_its_decision_and_the_answer_counts_as_never_sent(tmp_path):
     async with processor(tmp_path) as (service, channel):
-        start, ended = Dispatcher.start, []
+        start, ended = Dispatcher.start_attempt, []
 
         def late(dispatcher, exchange, attempt):
             if not ended:
@@ -170,18 +173,18 @@
                 exchange.stream.over(CallError(Status.CANCELLED, "the proxy went"))
             start(dispatcher, exchange, attempt)
 
-        with mock.patch.object(Dispatcher, "start", late):
+        with mock.patch.object(Dispatcher, "start_attempt", late):
             async with asking(channel, "r1", PLACE):
                 await until(lambda: ended)
-        await until(lambda: not module(service)._requests)
-        assert service.dispatcher.decisions == 0 and sum(module(service)._servers.held) == 0
+        await until(lambda: not module(service)._state.requests)
+        assert service.dispatcher.decisions == 0 and sum(module(service).servers.in_flight) == 0
         assert await ask(channel, "r1", PLACE, 2)  # it never ran: a further try may go
 
 
 def test_tenants_names_outside_ascii_are_known():
     reader = Reader(
         {"request_id": "id", "customer": "tenant"},
-        [{"effect": 0, "deadline": 1.0, "methods": [], "paths": ["/"]}],
+        [RequestClass(idempotency=Idempotency.IDEMPOTENT, deadline=1.0, paths=["/"])],
         {"Zoë": 0, "Zo": 1},
     )
     for name, number in (("Zoë".encode(), 0), (b"Zo\xeb", 0), (b"Zo", 1), (b"Zoe", -1)):
@@ -197,7 +200,7 @@
             assert await ask(channel, "order", PLACE, 2) == 502  # while the first is out
         assert await ask(channel, "order", PLACE, 2) == 502  # its stream ended with no word of the server
         assert await ask(channel, "order", PLACE) == 502  # nor does it help to call it a first try
-        await until(lambda: sum(module(service)._servers.held) == 0)
+        await until(lambda: sum(module(service).servers.in_flight) == 0)
         assert service.dispatcher.decisions == 1
 
 
@@ -243,7 +246,7 @@
 async def test_one_id_from_two_proxies_at_once_is_a_conflict(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "same", PLACE):
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             assert await ask(channel, "same", PLACE) == 409
         async with asking(channel, "other", VIEW):
             await until(lambda: service.dispatcher.asked == 3)
@@ -255,8 +258,8 @@
     async with processor(tmp_path, **{"hard_stop = 1.0": "hard_stop = 0.1"}) as (service, channel):
         async with asking(channel, "r", PLACE) as one:
             assert isinstance(await one.decision(), str)
-            await until(lambda: sum(module(service)._servers.held) == 0)
-            assert not module(service)._requests and one.talk.ended is None
+            await until(lambda: sum(module(service).servers.in_flight) == 0)
+            assert not module(service)._state.requests and one.talk.ended is None
             await one.respond(200)  # too late to count, but its client may still want it
         assert service.dispatcher.decisions == 1
 
@@ -298,8 +301,8 @@
             await one.talk.send(with_body())
             assert (await one.answer()).WhichOneof("response") == "request_body"
             await one.respond(200)
-        await until(lambda: not module(service)._requests)
-        assert sum(module(service)._servers.held) == 0
+        await until(lambda: not module(service)._state.requests)
+        assert sum(module(service).servers.in_flight) == 0
 
 
 @story
@@ -322,7 +325,7 @@
     async with processor(tmp_path, listed=servers(1)) as (service, channel):
         async with asking(channel, "r1") as one:
             assert await one.decision() == "127.0.0.1:7000"
-            service.list._take(
+            service.list._apply(
                 {
                     "version": 2,
                     "full": False,
@@ -331,7 +334,7 @@
             )
             await one.respond(200)
         assert await ask(channel, "r2", time_out=0.2) == 503  # all servers are gone: told, and in time
-        service.list._take(
+        service.list._apply(
             {
                 "version": 3,
                 "full": True,
@@ -356,7 +359,7 @@
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         for n in range(6):  # more than its tries
             assert await ask(channel, "order", PLACE, n + 1, time_out=0.05) == 503
-        service.list._take(
+        service.list._apply(
             {
                 "version": 2,
                 "full": True,
@@ -381,12 +384,12 @@
 @story
 async def test_a_proxy_that_reads_nothing_hurts_no_other(tmp_path):
     async with processor(tmp_path) as (service, channel):
-        place = channel.place
+        place = channel.address
         with socket.create_connection(place) as slow:
             slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            from wheatroute.wire import Wire
+            from wheatroute.byte_stream import ByteStream
 
-            mute = Session(Wire(slow.dup()), True, channel.bounds)
+            mute = Session(ByteStream(slow.dup()), True, channel.limits)
             mute.h2.initiate_connection()
             for n in range(180):
                 call = Call(0, mute, {})
@@ -404,18 +407,18 @@
                 mute.flush()
             for n in range(100):
                 assert isinstance(await ask(channel, f"quick{n}"), str)
-            mute.wire.close()
+            mute.stream.close()
 
 
 @story
 async def test_sigterm_answers_what_is_open_and_takes_nothing_new(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "waits", PLACE) as waits:
-            await until(lambda: module(service)._requests)
+            await until(lambda: module(service)._state.requests)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(service.stop)
-                await until(lambda: not channel.up)
-                service.list._take(
+                await until(lambda: not channel.is_connected)
+                service.list._apply(
                     {
                         "version": 2,
                         "full": True,
@@ -458,8 +461,8 @@
 """
     for workers in ("", "\nworkers = 2"):
         path = tmp_path / "file.toml"
-        with socket.create_server(("127.0.0.1", 0)) as free:
-            place = f"127.0.0.1:{free.getsockname()[1]}"
+        reservation = reserve_port()
+        place = "{}:{}".format(*reservation.getsockname())
         path.write_text(FILE.format(servers=servers()).replace('127.0.0.1:1"', f'{place}"{workers}'))
         for step in ("listen", "read"):
             ran = subprocess.run(
@@ -512,15 +515,15 @@
         member.stop()
         async with processor(tmp_path, listed=table, **keep) as (service, channel):
             assert len({await ask(channel, f"b{n}") for n in range(60)}) == 4
-            assert any(module(service).servers.weight) and not service.list.etcd.follower.lists
-            await until(lambda: module(service)._terms["nodes"] == 2)
+            assert any(module(service).servers.weight) and not service.list.etcd.follower.list_count
+            await until(lambda: module(service)._state.settings.nodes == 2)
 
 
 @story
 async def test_a_snapshot_that_is_no_use_is_not_used(tmp_path):
     kept = tmp_path / "kept"
     other = {"source": {}, "servers": [{"id": "s0", "addr": "127.0.0.1:7000"}]}
-    kept.write_bytes(snapshot.sealed(other, now()))
+    kept.write_bytes(snapshot.encode(other, now()))
     keep = {"[[pools]]": SNAPSHOT.format(kept, 60.0)}
     async with etcd() as (_, member, table):
         member.stop()
--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -20,9 +20,17 @@
 from replication import membership_model as model
 from replication.membership_model import Leading, Machine, ViolationError, World
 
-from wheatroute.replication.view import Ballot, Document, NodeRecord, Stamp, View, WitnessRecord, host_of
+from wheatroute.replication.identity import host_of
+from wheatroute.replication.records import (
+    AcceptorRecord,
+    Document,
+    DocumentVersion,
+    NodeRecord,
+    ProposalNumber,
+)
+from wheatroute.replication.views import View
 
-MOST_GAP = 2  # between two epochs that nothing here could tell from a larger gap
+MAX_GAP = 2  # between two epochs that nothing here could tell from a larger gap
 
 
 class Step(NamedTuple):
@@ -59,7 +67,7 @@
     at_rest: int = 0
     states: int = 0
     steps: int = 0
-    whole: bool = True  # false if the bound on states ended it
+    is_complete: bool = True  # false if the bound on states ended it
     violation: str = ""
     trace: list[str] = field(default_factory=list)
 
@@ -75,20 +83,20 @@
 
 
 def _steps(world: World, bounds: Bounds) -> Iterator[Step]:
-    room = world.tolerate + bounds.beyond - len(world.lost())
-    there = [number for number, machine in enumerate(world.machines) if not machine.gone]
+    remaining_losses = world.tolerate + bounds.beyond - len(world.lost())
+    there = [number for number, machine in enumerate(world.machines) if not machine.is_removed]
     for number in there:
-        yield from _faults_of(world, number, may_be_lost=room > 0 or number in world.lost())
+        yield from _faults_of(world, number, may_be_lost=remaining_losses > 0 or number in world.lost())
     if len(there) < bounds.machines:
         yield Step("add", "a machine is added", lambda: model.add(world, lost=False))
-    if room > 0:
+    if remaining_losses > 0:
         yield from _losses_with_others(world, there)
     yield Step("power", "all lose power", lambda: _power(world))
     yield from _cuts(world, there)
     for number in world.up():
         yield from _attempts(world, number)
         yield from _leader_steps(world, number, bounds)
-        yield from _news(world, number)
+        yield from _announcements(world, number)
 
 
 def _faults_of(world: World, number: int, may_be_lost: bool) -> Iterator[Step]:
@@ -101,10 +109,10 @@
     yield Step("restart", f"h{number} is started again", lambda: model.restart(world, number))
     if may_be_lost:
         yield Step("down", f"h{number} goes down", lambda: _counting(model.end(world, number), number))
-    if machine.leaving:
+    if machine.is_leaving:
         yield from _ends(world, number)
     elif not world.lost():
-        leaving = machine._replace(leaving=True, lost=True)
+        leaving = machine._replace(is_leaving=True, lost=True)
         yield Step("stop", f"h{number} is told to stop", lambda: world.put(number, leaving))
 
 
@@ -151,23 +159,27 @@
 
 def _attempts(world: World, number: int) -> Iterator[Step]:
     machine, attempt = world.machines[number], world.machines[number].attempt
-    seats = _reached(world, number, machine.view)
+    voters = _reached(world, number, machine.view)
     if attempt is None:
         for plan in _plans(world, number):
-            for asked in model.majorities(seats, machine.view.majority):
-                name = f"h{number} stands before {asked}"
-                yield Step("stand", name, lambda a=asked, p=plan: model.stand(world, number, a, p))
+            for receivers in model.majorities(voters, machine.view.majority):
+                name = f"h{number} stands before {receivers}"
+                yield Step("stand", name, lambda a=receivers, p=plan: model.stand(world, number, a, p))
         return
     given_up = machine._replace(attempt=None)
     yield Step("give up", f"h{number} gives its attempt up", lambda: world.put(number, given_up))
     if attempt.view is None:
         return
-    for asked in model.majorities(seats, attempt.base.majority):
-        yield Step("vote", f"{asked} vote for h{number}", lambda a=asked: model.vote(world, number, a))
-    for seat in seats:
-        if seat != number:
-            name = f"h{number} and h{seat} vote for h{number}, unheard"
-            yield Step("unheard", name, lambda s=seat: model.vote(world, number, (number, s), heard=False))
+    for receivers in model.majorities(voters, attempt.base.majority):
+        yield Step(
+            "vote", f"{receivers} vote for h{number}", lambda a=receivers: model.vote(world, number, a)
+        )
+    for voter in voters:
+        if voter != number:
+            name = f"h{number} and h{voter} vote for h{number}, unheard"
+            yield Step(
+                "unheard", name, lambda s=voter: model.vote(world, number, (number, s), is_answered=False)
+            )
 
 
 def _plans(world: World, number: int) -> list[View | None]:
@@ -175,15 +187,15 @@
     if not world.machines[number].leading:
         return [None] if model.may_take_over(world, number) else []
     plans: list[View | None] = []
-    for silence in model.SILENCES:
-        plans += [one for one in model.wanted_views(world, number, silence) if one not in plans]
+    for unresponsive in model.UNRESPONSIVE_S:
+        plans += [one for one in model.wanted_views(world, number, unresponsive) if one not in plans]
     renewed = model.renewed_view(world, number)
     return plans or ([renewed] if renewed is not None else [])
 
 
 def _reached(world: World, number: int, view: View) -> list[int]:
-    """The machines at the addresses of the seats that this one reaches."""
-    places = [world.at(seat) for seat in view.seats]
+    """The machines at the addresses of the voters that this one reaches."""
+    places = [world.at(voter) for voter in view.voters]
     return sorted({place for place in places if place is not None and world.reaches(number, place)})
 
 
@@ -194,24 +206,24 @@
     others = [other for other in world.up() if other != number and world.reaches(number, other)]
     for other in others:
         name = f"h{number}'s document reaches h{other}"
-        yield Step("document", name, lambda o=other: model.beat(world, number, (o,)))
-        yield Step("unheard", f"{name}, unheard", lambda o=other: model.beat(world, number, (o,), False))
+        yield Step("document", name, lambda o=other: model.heartbeat(world, number, (o,)))
+        yield Step("unheard", f"{name}, unheard", lambda o=other: model.heartbeat(world, number, (o,), False))
     if len(others) > 1:
         name = f"h{number}'s document reaches {others}"
-        yield Step("document", name, lambda: model.beat(world, number, tuple(others)))
+        yield Step("document", name, lambda: model.heartbeat(world, number, tuple(others)))
     if world.writes < len(BEYOND) + bounds.writes and model.may_write(world, number):
         yield Step("write", f"h{number} writes", lambda: model.write(world, number))
     down = machine._replace(leading=None, attempt=None)
     yield Step("step down", f"h{number} steps down", lambda: world.put(number, down))
 
 
-def _news(world: World, number: int) -> Iterator[Step]:
-    known = world.machines[number].view.epoch
-    told: set[int] = set()
+def _announcements(world: World, number: int) -> Iterator[Step]:
+    epoch = world.machines[number].view.epoch
+    announced: set[int] = set()
     for other in world.up():
         view = world.machines[other].view
-        if view.epoch > known and view.epoch not in told and world.reaches(number, other):
-            told.add(view.epoch)
+        if view.epoch > epoch and view.epoch not in announced and world.reaches(number, other):
+            announced.add(view.epoch)
             name = f"h{number} hears of view {view.epoch}"
             yield Step("news", name, lambda v=view: model.learn(world, number, v))
 
@@ -222,25 +234,25 @@
 def at_rest(world: World) -> World:
     """The world under the names and numbers that all those have which behave the same.
 
-    - Addresses are interchangeable, and so is the order of members and of seats: both only break ties.
+    - Addresses are interchangeable, and so is the order of members and of voters: both only break ties.
     - A node is told by its address and by whether it still exists; nonces say no more.
     - Epochs keep their order, with gaps of `MOST_GAP` at most.
     - A document either lacks something acknowledged, or is what was acknowledged, or has writes beyond it.
     - Promises without a vote only refuse older attempts, and all attempts are over.
     """
-    return _canonical(_renumbered(_without_the_gone(world)))
+    return _canonical(_renumbered(_without_removed_machines(world)))
 
 
-def _without_the_gone(world: World) -> World:
+def _without_removed_machines(world: World) -> World:
     """Machines that are gone and that no record names any more are dropped."""
     named: set[str] = set()
     for machine in world.machines:
-        if not machine.gone:
+        if not machine.is_removed:
             view = machine.view
-            named |= {host_of(one) for one in (view.primary, *view.members, *view.seats)}
-    kept = [n for n, machine in enumerate(world.machines) if not machine.gone or f"h{n}" in named]
+            named |= {host_of(one) for one in (view.primary, *view.members, *view.voters)}
+    kept = [n for n, machine in enumerate(world.machines) if not machine.is_removed or f"h{n}" in named]
     names = {f"h{old}": f"h{new}" for new, old in enumerate(kept)}
-    exist = {machine.identity for machine in world.machines if not machine.gone}
+    exist = {machine.identity for machine in world.machines if not machine.is_removed}
 
     def rename(identity: str) -> str:
         if not identity:
@@ -267,25 +279,25 @@
 
 
 def _renamed(machine: Machine, rename: Callable[[str], str]) -> Machine:
-    """The machine with other identities; members and seats in the order of names."""
+    """The machine with other identities; members and voters in the order of names."""
 
     def view(one: View) -> View:
         members = tuple(sorted({rename(member) for member in one.members}))
-        seats = tuple(sorted({rename(seat) for seat in one.seats}))
-        return View(one.epoch, rename(one.primary), members, seats, one.process)
+        voters = tuple(sorted({rename(voter) for voter in one.voters}))
+        return View(one.epoch, rename(one.primary), members, voters, one.incarnation)
 
-    seat = machine.record.witness
-    accepted = msgspec.structs.replace(seat.accepted, proposer=rename(seat.accepted.proposer))
-    accepted_view = None if seat.accepted_view is None else view(seat.accepted_view)
+    voter = machine.record.acceptor
+    accepted = msgspec.structs.replace(voter.accepted, proposer=rename(voter.accepted.proposer))
+    accepted_view = None if voter.accepted_view is None else view(voter.accepted_view)
     record = NodeRecord(
         rename(machine.identity),
-        WitnessRecord(view(seat.view), accepted, accepted, accepted_view),
+        AcceptorRecord(view(voter.view), accepted, accepted, accepted_view),
         machine.document,
     )
     leading = machine.leading
     if leading is not None:
-        stamps = tuple(sorted((rename(one), stamp) for one, stamp in leading.stamps))
-        leading = Leading(leading.committed, stamps, tuple(sorted(rename(one) for one in leading.proposed)))
+        versions = tuple(sorted((rename(one), version) for one, version in leading.versions))
+        leading = Leading(leading.committed, versions, tuple(sorted(rename(one) for one in leading.proposed)))
     return machine._replace(record=record, leading=leading)
 
 
@@ -294,21 +306,21 @@
     ranks: dict[int, int] = {}
     before = rank = min(numbers)
     for number in sorted(numbers):
-        rank += min(MOST_GAP, number - before)
+        rank += min(MAX_GAP, number - before)
         ranks[number], before = rank, number
     return ranks
 
 
 def _renumbered(world: World) -> World:
-    """Epochs, ballots, processes and writes made small."""
+    """Epochs, proposal numbers, processes and writes made small."""
     epochs = {model.NO_VIEW.epoch, 0}
-    ballots = {0}
+    proposal_numbers = {0}
     for machine in world.machines:
-        seat = machine.record.witness
-        epochs |= {seat.view.epoch, machine.document.stamp.epoch}
-        epochs |= set() if seat.accepted_view is None else {seat.accepted_view.epoch}
-        ballots.add(seat.accepted.number)
-    renumber = Renumbering(_ranks(epochs), _ranks(ballots), world)
+        voter = machine.record.acceptor
+        epochs |= {voter.view.epoch, machine.document.version.epoch}
+        epochs |= set() if voter.accepted_view is None else {voter.accepted_view.epoch}
+        proposal_numbers.add(voter.accepted.number)
+    renumber = Renumbering(_ranks(epochs), _ranks(proposal_numbers), world)
     machines = tuple(renumber.machine(machine) for machine in world.machines)
     return world._replace(machines=machines, decided=(), acknowledged=ACKNOWLEDGED, writes=len(BEYOND))
 
@@ -321,21 +333,21 @@
     """The small numbers of a world at rest."""
 
     epoch: dict[int, int]
-    ballot: dict[int, int]
+    proposal_number: dict[int, int]
     world: World
 
     def machine(self, machine: Machine) -> Machine:
-        if machine.gone:
+        if machine.is_removed:
             return Machine(
-                model.new_record(machine.identity, WitnessRecord(model.NO_VIEW)), gone=True, up=False
+                model.new_record(machine.identity, AcceptorRecord(model.NO_VIEW)), is_removed=True, up=False
             )
-        seat = machine.record.witness
-        accepted = Ballot(self.ballot[seat.accepted.number], seat.accepted.proposer)
-        accepted_view = None if seat.accepted_view is None else self._view(seat.accepted_view)
-        witness_record = WitnessRecord(self._view(seat.view), accepted, accepted, accepted_view)
-        record = NodeRecord(machine.identity, witness_record, self._document(machine.document))
-        process = 0 if machine.leading else 1
-        return machine._replace(record=record, leading=self._leading(machine), process=process)
+        voter = machine.record.acceptor
+        accepted = ProposalNumber(self.proposal_number[voter.accepted.number], voter.accepted.proposer)
+        accepted_view = None if voter.accepted_view is None else self._view(voter.accepted_view)
+        acceptor_record = AcceptorRecord(self._view(voter.view), accepted, accepted, accepted_view)
+        record = NodeRecord(machine.identity, acceptor_record, self._document(machine.document))
+        incarnation = 0 if machine.leading else 1
+        return machine._replace(record=record, leading=self._leading(machine), incarnation=incarnation)
 
     def _leading(self, machine: Machine) -> Leading | None:
         """Of those that are away nothing is remembered: they have been silent for long."""
@@ -343,17 +355,17 @@
             return None
         here = [other for other in self.world.machines if other.up and other is not machine]
         document = self._document(machine.document)
-        stamps = tuple((other.identity, document.stamp) for other in here)
-        return Leading(document, stamps, machine.leading.proposed)
+        versions = tuple((other.identity, document.version) for other in here)
+        return Leading(document, versions, machine.leading.proposed)
 
     def _view(self, view: View) -> View:
-        return msgspec.structs.replace(view, epoch=self.epoch[view.epoch], process=0)
+        return msgspec.structs.replace(view, epoch=self.epoch[view.epoch], incarnation=0)
 
     def _document(self, document: Document) -> Document:
         payload = b""
         if document.payload.startswith(self.world.acknowledged):
             payload = ACKNOWLEDGED if document.payload == self.world.acknowledged else BEYOND
-        return Document(Stamp(self.epoch[document.stamp.epoch], len(payload)), payload)
+        return Document(DocumentVersion(self.epoch[document.version.epoch], len(payload)), payload)
 
 
 # the search
@@ -382,16 +394,16 @@
             following: dict[World, tuple[str, ...]] = {}
             for episode in episodes:
                 _count(found, episode)
-                story = frontier[episode.start]
+                trace_to_rest = frontier[episode.start]
                 if episode.violation:
-                    found.violation, found.trace = episode.violation, [*story, *episode.trace]
+                    found.violation, found.trace = episode.violation, [*trace_to_rest, *episode.trace]
                     return found
                 for rest, trace in episode.rests.items():
                     if rest not in seen:
                         seen.add(rest)
-                        following[rest] = (*story, *trace, "calm")
+                        following[rest] = (*trace_to_rest, *trace, "calm")
                 if found.states >= bounds.states:
-                    found.whole = False
+                    found.is_complete = False
                     return found
             frontier = following
     return found
@@ -414,7 +426,7 @@
     calms: dict[tuple[World, int], World] = field(default_factory=dict)  # calm times that were played
 
 
-class StoryError(Exception):
+class TraceError(Exception):
     """A violation, and the steps to it."""
 
 
@@ -422,7 +434,7 @@
     episode = Episode(*job)
     try:
         _explore_episode(episode)
-    except StoryError as error:
+    except TraceError as error:
         episode.violation, episode.trace = error.args
     episode.calms = {}
     return episode
@@ -445,7 +457,7 @@
         after: dict[tuple[World, int], tuple[str, ...]] = {}
         for (world, faults), trace in level.items():
             episode.states += 1
-            _look_at_rest(episode, world, trace)
+            _explore_calm_time(episode, world, trace)
             if depth == bounds.depth:
                 continue
             for step in steps(world, bounds, faults):
@@ -463,13 +475,13 @@
         model.check(world)
         return world
     except ViolationError as error:
-        raise StoryError(str(error), (*trace, step.name)) from error
+        raise TraceError(str(error), (*trace, step.name)) from error
 
 
-def _look_at_rest(episode: Episode, world: World, trace: tuple[str, ...]) -> None:
+def _explore_calm_time(episode: Episode, world: World, trace: tuple[str, ...]) -> None:
     """The worlds at rest after this one, whoever leads next; where too many are down, all come back."""
     world = model.before_calm(world)
-    down = [n for n, machine in enumerate(world.machines) if not machine.up and not machine.gone]
+    down = [n for n, machine in enumerate(world.machines) if not machine.up and not machine.is_removed]
     if len(down) > world.tolerate:
         world, down = _all_back(world, down), []
     led = any(machine.leading for machine in world.machines)
@@ -484,7 +496,7 @@
         try:
             episode.calms[world, first] = at_rest(model.calm(world, first))
         except ViolationError as error:
-            raise StoryError(str(error), (*trace, f"calm, candidate {first} first")) from error
+            raise TraceError(str(error), (*trace, f"calm, candidate {first} first")) from error
     return episode.calms[world, first]
 
 
--- a/tests/replication/test_histories.py
+++ b/tests/replication/test_histories.py
@@ -5,7 +5,7 @@
 from replication.histories import random_history
 from replication.simulation import Simulation
 
-from wheatroute.replication.view import Document
+from wheatroute.replication.records import Document
 
 
 @pytest.mark.parametrize("block", range(8))
@@ -23,7 +23,7 @@
         random_history(seed, hosts=5, seeds=3, tolerate=2)
 
 
-def test_a_replica_with_another_content_under_the_same_stamp_is_brought_back():
+def test_a_replica_with_another_content_under_the_same_version_is_brought_back():
     it = Simulation(1)
     it.run(3.0)
     (leader,) = it.serving()
@@ -31,8 +31,8 @@
     it.run(4.0)
     right = it.hosts[leader].core.document
     other = next(name for name in it.hosts if name != leader)
-    wrong = Document(right.stamp, b"[7]")
-    it.hosts[other].core.document = wrong
+    wrong = Document(right.version, b"[7]")
+    it.hosts[other].core._state.document = wrong
     it.hosts[other].disk = msgspec.structs.replace(it.hosts[other].disk, document=wrong)
     it.run(5.0)
     assert it.hosts[other].core.document == right and it.hosts[other].disk.document == right
@@ -51,7 +51,7 @@
     it.kill("h1")
     it.start("h0")
     it.start("h2")
-    while not it.hosts["h0"].core.leading:
+    while not it.hosts["h0"].core.is_leading:
         it.run(it.now + 0.002)
     it.wipe("h0")
     it.start("h1")
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -12,9 +12,9 @@
 import trio
 from fakehost import KINDS, Node, Peer, entry, listed, read_message
 
-from wheatroute import talk
+from wheatroute import peer_messages
 from wheatroute.__main__ import serve_node
-from wheatroute.net import boot
+from wheatroute.net import node_settings
 
 CORES, WORK, GRACE = 2, 0.02, 0.25
 
@@ -71,7 +71,7 @@
         }
         told["peers"] = peers
     node.path.write_text(json.dumps(told))
-    node.boot = boot.read({"PROXY_CONFIG": str(node.path)})
+    node.settings = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
     return node
 
 
@@ -105,7 +105,7 @@
             for one in (*stations, *lists):
                 nursery.start_soon(one.run)
             for node in nodes:
-                nursery.start_soon(serve_node, node.boot, structlog.get_logger())
+                nursery.start_soon(serve_node, node.settings, structlog.get_logger())
                 (await node.connect()).socket.close()
             while not all(one.got for one in lists):
                 await trio.sleep(0.01)
@@ -125,10 +125,10 @@
     assert min(served.values()) > 0.8 * 160 and min(served.values()) > 0.8 * max(served.values())
     # the new ones probe, and tell
     assert all(one.probes for one in stations[:3])
-    heard = talk.Known()
+    heard = peer_messages.ShortNames()
     for n, one in enumerate(stations):
         heard.add(one.name, n)
-    assert talk.unpack(ear.recv(512).decode(), heard.names)
+    assert peer_messages.decode_loads(ear.recv(512).decode(), heard.numbers)
     ear.close()
 
 
@@ -147,8 +147,8 @@
     node.told["settings"]["allowed"]["peers"] = allowed
     node.told["peers"] = peers
     node.path.write_text(json.dumps(node.told))
-    with pytest.raises(boot.BootError, match=line) as found:
-        boot.read({"PROXY_CONFIG": str(node.path)})
+    with pytest.raises(node_settings.NodeSettingsError, match=line) as found:
+        node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
     assert "\n" not in str(found.value)
 
 
@@ -156,14 +156,21 @@
     node = Node(tmp_path, Peer(b""))
     node.told["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
     node.path.write_text(json.dumps(node.told))
-    told = boot.read({"PROXY_CONFIG": str(node.path)})
-    assert told["peers"] is None and told["work_header"] == b"" and told["terms"]["calls_per_connection"] == 1
-    assert not told["terms"]["peers"]  # allowed, but nobody is named: it probes for none
+    told = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
+    assert told.peers is None and told.work_header == b"" and told.terms.calls_per_connection == 1
+    assert not told.terms.has_peers  # allowed, but nobody is named: it probes for none
 
 
 def test_strangers_and_nonsense_are_nothing_told():
-    known = talk.Known()
+    known = peer_messages.ShortNames()
     known.add("a", 0)
-    for text in ("", "h", "h!!", "x" + talk.short("a") + "!", "h" + talk.short("b") + "!", "h" * 300):
-        assert talk.unpack(text, known.names) == {}
-    assert talk.pack([]) == []
+    for text in (
+        "",
+        "h",
+        "h!!",
+        "x" + peer_messages.short_name("a") + "!",
+        "h" + peer_messages.short_name("b") + "!",
+        "h" * 300,
+    ):
+        assert peer_messages.decode_loads(text, known.numbers) == {}
+    assert peer_messages.encode_loads([]) == []
--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -18,7 +18,8 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
-from wheatroute.interface import Effect, Event, Outcome, State
+from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings
 
 if TYPE_CHECKING:
     from wheatroute.fleet.nodes import Node
@@ -44,12 +45,12 @@
 class Plain:
     """Sends each request at once where `choose` says, and again where that is allowed; the base of all."""
 
-    def __init__(self, world: World, node: Node, terms: dict[str, Any], draw: Random) -> None:
+    def __init__(self, world: World, node: Node, terms: DecisionSettings, draw: Random) -> None:
         self.world, self.node, self.terms, self.draw = world, node, terms, draw
-        self.kinds = terms["request_classes"]
+        self.kinds = terms.request_classes
         self.ready: list[int] = []
         self.out: dict[int, int] = {}
-        self._states: dict[int, State] = {}
+        self._states: dict[int, ServerState] = {}
         self._avoid: dict[int, float] = {}
         self._held: dict[int, Held] = {}
         self.now = 0.0
@@ -66,39 +67,39 @@
     def sent(self, number: int, writer: Any) -> None:
         """After a request's first attempt."""
 
-    def woken(self, writer: Any) -> None:
+    def timer_due(self, writer: Any) -> None:
         """A moment asked for has come."""
 
-    def sounded(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
+    def probe_ended(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
         """A probe's answer."""
 
-    def round(self, now: float, events: Any, writer: Any) -> None:
+    def handle_events(self, now: float, events: Any, writer: Any) -> None:
         self.now = now
         for event, *fields in events:
             if event == Event.ARRIVED:
                 number, kind, left, *_ = fields
-                self._held[number] = held = Held(kind, now + left - 2 * self.terms["tick"])
-                if left > 2 * self.terms["tick"] and self.admits(kind, left, self.fit(held)):
+                self._held[number] = held = Held(kind, now + left - 2 * self.terms.tick)
+                if left > 2 * self.terms.tick and self.admits(kind, left, self.fit(held)):
                     self._send(number, held, writer)
                     if held.attempts and not held.over:
                         self.sent(number, writer)
                 else:
                     self._end(number, held, writer)
-            elif event == Event.RETURNED:
+            elif event == Event.ATTEMPT_ENDED:
                 self._returned(writer, *fields)
-            elif event == Event.LISTED:
+            elif event == Event.SERVERS_LISTED:
                 entries, whole = fields
                 if whole:
                     self._states.clear()
                 for entry in entries:
                     self._states[entry[0]] = entry[4]
-                self.ready = sorted(one for one, state in self._states.items() if state == State.LIVE)
-            elif event == Event.LEFT:
+                self.ready = sorted(one for one, state in self._states.items() if state == ServerState.LIVE)
+            elif event == Event.CLIENT_LEFT:
                 self._close(fields[0], writer)
-            elif event == Event.WOKEN:
-                self.woken(writer)
-            elif event == Event.SOUNDED:
-                self.sounded(*fields)
+            elif event == Event.TIMER_DUE:
+                self.timer_due(writer)
+            elif event == Event.PROBE_ENDED:
+                self.probe_ended(*fields)
 
     def fit(self, held: Held) -> list[int]:
         avoid = self._avoid
@@ -109,17 +110,17 @@
         return fit
 
     def _group_of(self, server: int, kind: int) -> int:
-        place, group = self.world.tiers[self.node.depth][server], int(self.kinds[kind]["group"])
+        place, group = self.world.tiers[self.node.depth][server], int(self.kinds[kind].deduplication_group)
         return (0, place.zone, place.cell)[group]
 
     def _group(self, held: Held) -> int | None:
-        if (held.ran or held.out) and self.kinds[held.kind]["effect"] == Effect.KEYED:
+        if (held.ran or held.out) and self.kinds[held.kind].idempotency == Idempotency.KEYED:
             return self._group_of(held.first, held.kind)
         return None
 
     def _send(self, number: int, held: Held, writer: Any) -> bool:
         fit = self.fit(held)
-        if not fit or len(held.attempts) >= self.terms["most_attempts"] or self.now >= held.stop:
+        if not fit or len(held.attempts) >= self.terms.max_attempts or self.now >= held.stop:
             self._end(number, held, writer)
             return False
         server = self.choose(fit, held.kind)
@@ -134,9 +135,13 @@
     def hedge(self, number: int, writer: Any) -> None:
         """One more attempt of a safe request that is still out."""
         held = self._held.get(number)
-        if held is None or held.over or not held.out or len(held.attempts) >= self.terms["most_attempts"]:
+        if held is None or held.over or not held.out or len(held.attempts) >= self.terms.max_attempts:
             return
-        if self.kinds[held.kind]["effect"] == Effect.SAFE and self.terms["hedges"] and self.fit(held):
+        if (
+            self.kinds[held.kind].idempotency == Idempotency.IDEMPOTENT
+            and self.terms.can_hedge
+            and self.fit(held)
+        ):
             self._send(number, held, writer)
 
     def _returned(
@@ -162,8 +167,8 @@
         if finished or outcome == Outcome.SERVED:
             self._close(number, writer)
         elif not held.over and not held.out:
-            effect = self.kinds[held.kind]["effect"]
-            again = not held.ran or effect == Effect.SAFE
+            effect = self.kinds[held.kind].idempotency
+            again = not held.ran or effect == Idempotency.IDEMPOTENT
             if again and outcome != Outcome.TIMED_OUT:
                 self._send(number, held, writer)
             else:
@@ -173,8 +178,8 @@
 
     def _end(self, number: int, held: Held, writer: Any) -> None:
         kind = self.kinds[held.kind]
-        if not (held.ran or held.out) or kind["effect"] == Effect.SAFE:
-            writer.refuse(number, 0.0)
+        if not (held.ran or held.out) or kind.idempotency == Idempotency.IDEMPOTENT:
+            writer.reject(number, 0.0)
         else:
             writer.fail(number)
         self._close(number, writer)
@@ -185,9 +190,9 @@
             return
         if not held.over:
             held.over = True
-            if held.out and self.terms["withdrawals"]:
+            if held.out and self.terms.can_cancel:
                 for n in range(len(held.attempts)):
-                    writer.withdraw(number, n)
+                    writer.cancel(number, n)
         if not held.out:
             self._held.pop(number, None)
 
@@ -274,7 +279,7 @@
         if not fit:
             return False
         best = min(map(self.burden, fit))
-        return best * self.world.usual_work(kind, self.node.depth) < self.kinds[kind]["target_latency"]
+        return best * self.world.usual_work(kind, self.node.depth) < self.kinds[kind].target_latency
 
 
 class Probing(Plain):
@@ -287,7 +292,7 @@
         self._pool: list[tuple[float, int, float, float]] = []  # when, server, in flight, latency
         self._seen: list[float] = []
 
-    def sounded(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
+    def probe_ended(self, server: int, outcome: Outcome, took: float, report: Any) -> None:
         if outcome == Outcome.SERVED and report:
             self._pool.append((self.now, server, report["held"], report["latency"]))
             self._seen = (self._seen + [report["held"]])[-100:]
@@ -297,7 +302,7 @@
     def sent(self, number: int, writer: Any) -> None:
         for _ in range(int(self.RATE)):
             if self.ready:
-                writer.sound(self.ready[int(self.draw.random() * len(self.ready))])
+                writer.probe(self.ready[int(self.draw.random() * len(self.ready))])
 
     def choose(self, fit: list[int], kind: int) -> int:
         open_to = set(fit)
@@ -326,12 +331,12 @@
 
     def sent(self, number: int, writer: Any) -> None:
         kind = self.kinds[self._held[number].kind]
-        if kind["effect"] == Effect.SAFE:
-            moment = self.now + self.AFTER * kind["target_latency"]
+        if kind.idempotency == Idempotency.IDEMPOTENT:
+            moment = self.now + self.AFTER * kind.target_latency
             self._due.append((moment, number))
-            writer.wake(moment)
+            writer.wake_at(moment)
 
-    def woken(self, writer: Any) -> None:
+    def timer_due(self, writer: Any) -> None:
         due = [number for moment, number in self._due if moment <= self.now + 1e-9]
         self._due = [one for one in self._due if one[0] > self.now + 1e-9]
         for number in due:
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -11,23 +11,28 @@
 from random import Random
 from typing import Any
 
-from wheatroute.fleet import chance
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
+from wheatroute.fleet import distributions, random_streams
 from wheatroute.fleet.clients import Crowd
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.faults import Script
-from wheatroute.fleet.network import Paths
+from wheatroute.fleet.network import SimulatedNetwork
 from wheatroute.fleet.nodes import LISTED_LATE, Attempt, Decisions, Node
 from wheatroute.fleet.plan import Fleet, Model, Tier
 from wheatroute.fleet.rules import Watch
 from wheatroute.fleet.servers import IN_STEP, Job, Server
-from wheatroute.interface import Effect, Group, Outcome, State
 
 START = 1000.0  # the moment at which a run begins: 0 means long ago
-EFFECTS = {"pure": Effect.SAFE, "receipted": Effect.KEYED, "effectful": Effect.UNSAFE}
-GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
+EFFECTS = {
+    "pure": Idempotency.IDEMPOTENT,
+    "receipted": Idempotency.KEYED,
+    "effectful": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {"all": DeduplicationGroup.ALL, "zone": DeduplicationGroup.ZONE, "cell": DeduplicationGroup.CELL}
 CELL = 4  # servers
 
-Maker = Callable[["World", Node, dict[str, Any], Random], Decisions]
+Maker = Callable[["World", Node, DecisionSettings, Random], Decisions]
 
 
 class World:
@@ -36,7 +41,7 @@
     def __init__(self, plan: Fleet, seed: int, make: Maker) -> None:
         self.plan, self.seed, self._make = plan, seed, make
         self.engine = Engine(START)
-        self.paths = Paths(plan.network, chance.stream(seed, "network"))
+        self.network = SimulatedNetwork(plan.network, random_streams.stream(seed, "network"))
         self.watch = Watch(self)
         self.tiers: list[list[Server]] = [[] for _ in plan.tiers]
         self.beside: dict[tuple[int, int], Node] = {}  # the node of a server, for its calls
@@ -44,9 +49,9 @@
         self.traced = -1  # the request whose story is told
         self.story: list[str] = []
         self.list_late = 0.0  # seconds beyond the usual, while a fault has it so
-        self._spread = chance.stream(seed, "list")
-        self._laws = [chance.law(kind.law, 1.0, kind.cv) for kind in plan.kinds]
-        self._noises = [chance.law("lognormal", 1.0, kind.relay_noise) for kind in plan.kinds]
+        self._spread = random_streams.stream(seed, "list")
+        self._laws = [distributions.distribution(kind.law, 1.0, kind.cv) for kind in plan.kinds]
+        self._noises = [distributions.distribution("lognormal", 1.0, kind.relay_noise) for kind in plan.kinds]
         for depth, tier in enumerate(plan.tiers):
             self._build(depth, tier)
         zones = len(plan.network.zones)
@@ -60,7 +65,7 @@
         self._look()
 
     def _build(self, depth: int, tier: Tier) -> None:
-        draw = chance.stream(self.seed, "servers", depth)
+        draw = random_streams.stream(self.seed, "servers", depth)
         shares, drawn = sum(model.share for model in tier.models), []
         owed = [0.0] * len(tier.models)
         for _ in range(tier.servers):  # the model that is owed most comes next: shares hold at any size
@@ -77,7 +82,7 @@
         tier: Tier = self.plan.tiers[depth]
         number = len(self.tiers[depth])
         kept: Model = tier.models[model]
-        speed = chance.law("lognormal", kept.speed, kept.speed_cv)(draw.random())
+        speed = distributions.distribution("lognormal", kept.speed, kept.speed_cv)(draw.random())
         server = Server(
             self.engine,
             number,
@@ -85,7 +90,7 @@
             kept,
             (depth, zone, model, number // CELL),
             speed,
-            chance.stream(self.seed, "server", depth, number),
+            random_streams.stream(self.seed, "server", depth, number),
         )
         self.tiers[depth].append(server)
         if tier.reports is not None:
@@ -106,72 +111,72 @@
 
     # nodes
 
-    def terms(self, depth: int, number: int, zone: int) -> dict[str, Any]:
-        """What a node is told at its start, under the names that `Balancer` takes."""
+    def decision_settings(self, depth: int, number: int, zone: int) -> DecisionSettings:
+        """The decision settings of a node of this number before the tier at this depth."""
         plan = self.plan
         senders = plan.nodes if depth == 0 else len(self.tiers[depth - 1])
         tier, network, rules = plan.tiers[depth], plan.network, plan.rules
         quota = plan.callers.quota * plan.capacity()
-        return {
-            "nodes": senders,
-            "node": number,
-            "tick": plan.tick,
-            "tier": depth,
-            "tiers": len(plan.tiers),
-            "zone": zone,
-            "zones": len(network.zones),
-            "hedges": plan.second_copies,
-            "withdrawals": tier.cancel != "none",
-            "probes": True,
-            "peers": False,
-            "refusal_advice": True,
-            "longest_advice": 2.0,
-            "most_attempts": plan.most_relays,
-            "connect_within": network.connect_within,
-            "idle_closed": network.idle_closed,
-            "calls_per_connection": 1,
-            "most_open": 20000,
-            "excess_worth": plan.callers.excess_utility,
-            "time_left_passed_on": plan.time_left_passed_on,
-            "connection_price": 0.0,
-            "crossing_price": plan.crossing_price,
-            "waste_price": 0.0,
-            "late_price": 0.0,
-            "report_how": "answers" if tier.reports is not None else "none",
-            "answer_slack": rules.answer_slack,
-            "ask_within": 10.0,
-            "cold_time": tier.cold_time,
-            "cold_share": tier.cold_share,
-            "drain_grace": rules.drain_grace,
-            "fall_span": rules.fall_span,
-            "fall_multiple": rules.fall_multiple,
-            "list_on_request": False,
-            "work_counts": False,
-            "reported": ["held", "rate", "error_rate"] if tier.reports is not None else [],
-            "request_classes": [
-                {
-                    "target_latency": kind.target_time,
-                    "stretch": 0.0,
-                    "deadline": kind.hard_stop,
-                    "worth": kind.utility,
-                    "late_worth": kind.late_utility,
-                    "effect": EFFECTS[kind.effect],
-                    "group": GROUPS[kind.group],
-                    "repeat_window": kind.repeat_window,
-                    "streamed": False,
-                }
+        return DecisionSettings(
+            nodes=senders,
+            node=number,
+            tick=plan.tick,
+            tier=depth,
+            tiers=len(plan.tiers),
+            zone=zone,
+            zones=len(network.zones),
+            can_hedge=plan.second_copies,
+            can_cancel=tier.cancel != "none",
+            can_probe=True,
+            has_peers=False,
+            can_advise_retry=True,
+            max_retry_after_s=2.0,
+            max_attempts=plan.most_relays,
+            connect_timeout_s=network.connect_within,
+            idle_timeout_s=network.idle_closed,
+            calls_per_connection=1,
+            max_open_connections=20000,
+            excess_value_factor=plan.callers.excess_utility,
+            time_left_passed_on=plan.time_left_passed_on,
+            connection_price=0.0,
+            crossing_price=plan.crossing_price,
+            waste_price=0.0,
+            late_price=0.0,
+            report_how="answers" if tier.reports is not None else "none",
+            answer_slack_s=rules.answer_slack,
+            list_max_age_s=10.0,
+            warmup_s=tier.cold_time,
+            warmup_initial_share=tier.cold_share,
+            drain_grace_s=rules.drain_grace,
+            overload_window_s=rules.fall_span,
+            overload_multiple=rules.fall_multiple,
+            list_on_request=False,
+            work_counts=False,
+            reported=["held", "rate", "error_rate"] if tier.reports is not None else [],
+            request_classes=[
+                RequestClass(
+                    target_latency=kind.target_time,
+                    stretch=0.0,
+                    deadline=kind.hard_stop,
+                    value=kind.utility,
+                    late_value=kind.late_utility,
+                    idempotency=EFFECTS[kind.effect],
+                    deduplication_group=GROUPS[kind.group],
+                    retry_window=kind.repeat_window,
+                    is_streamed=False,
+                )
                 for kind in plan.kinds
             ],
-            "tenants": [{"portion": one.portion, "quota": one.portion * quota} for one in plan.customers],
-        }
+            tenants=[TenantQuota(one.portion, one.portion * quota) for one in plan.customers],
+        )
 
     def _node(self, depth: int, number: int, zone: int, at: Server | None) -> Node:
         node = Node(self, depth, number, zone, at)
         node.decisions = self._make(
             self,
             node,
-            self.terms(depth, number, zone),
-            chance.stream(self.seed, "node", depth, number, at.life if at else 0),
+            self.decision_settings(depth, number, zone),
+            random_streams.stream(self.seed, "node", depth, number, at.life if at else 0),
         )
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(depth), True)
         return node
@@ -185,7 +190,7 @@
     # the list
 
     @staticmethod
-    def entry(server: Server, state: State = State.LIVE) -> tuple[Any, ...]:
+    def entry(server: Server, state: ServerState = ServerState.LIVE) -> tuple[Any, ...]:
         return (server.number, server.zone, server.model, server.cell, state, 1.0, server.born)
 
     def entries(self, depth: int) -> list[tuple[Any, ...]]:
@@ -194,7 +199,7 @@
     def list_for(self, node: Node) -> None:
         self.engine.after(LISTED_LATE, node.listed_anew, self.entries(node.depth), True)
 
-    def tell(self, server: Server, state: State, least: float = 0.0) -> None:
+    def tell(self, server: Server, state: ServerState, least: float = 0.0) -> None:
         """The list tells all nodes of the tier, each after a delay of its own; `least` is added to it."""
         network = self.plan.network
         entry = self.entry(server, state)
@@ -220,11 +225,11 @@
         depth = server.depth
         if depth + 1 < len(self.plan.tiers):
             self.beside[server.place] = self._node(depth + 1, server.number, server.zone, server)
-        self.tell(server, State.LIVE)
+        self.tell(server, ServerState.LIVE)
 
     def drain(self, server: Server) -> None:
         """It finishes what it has; the list tells at once that it wants nothing new."""
-        self.tell(server, State.DRAINING)
+        self.tell(server, ServerState.DRAINING)
 
     def replace(self, server: Server) -> Server:
         """A new server of the same model and zone, under a number of its own."""
@@ -232,7 +237,7 @@
             server.depth,
             server.model,
             server.zone,
-            chance.stream(self.seed, "successor", server.depth, server.number),
+            random_streams.stream(self.seed, "successor", server.depth, server.number),
         )
         self.revive(fresh)
         return fresh
@@ -261,12 +266,14 @@
         """What an attempt asks of its server: parts of work with calls to the tier below between them."""
         request, depth = attempt.request, node.depth
         root, kind = self.crowd.roots[request.root], request.kind
-        noise = self._noises[kind](chance.uniform(self.seed, root.index, request.call, depth, attempt.n))
+        noise = self._noises[kind](
+            random_streams.uniform(self.seed, root.index, request.call, depth, attempt.n)
+        )
         work = root.size * self.usual_work(kind, depth) * noise
         if depth + 1 == len(self.plan.tiers):
             return Job([work], _nothing, self._job_done, attempt)
         mean = self.plan.tiers[depth + 1].calls
-        calls = floor(mean + chance.uniform(self.seed, root.index, request.call, depth, -1))
+        calls = floor(mean + random_streams.uniform(self.seed, root.index, request.call, depth, -1))
         return Job([work / (calls + 1)] * (calls + 1), self._call, self._job_done, attempt)
 
     def law_size(self, kind: int, draw: float) -> float:
--- a/wheatroute/processor/mapping.py
+++ b/wheatroute/processor/mapping.py
@@ -14,10 +14,11 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from wheatroute.interface import Effect, Outcome
-from wheatroute.net.exchange import hinted
-from wheatroute.net.servers import LARGEST, report_of
-from wheatroute.words import in_header
+from wheatroute.balancing.interface import Idempotency, Outcome
+from wheatroute.balancing.settings import RequestClass
+from wheatroute.net.exchange import parse_work_hint
+from wheatroute.net.load_reports import MAX_LOAD_FIGURE, parse_load_report
+from wheatroute.wire_names import in_header
 
 LOAD = "endpoint-load-metrics"  # ORCA's header, with its binary and JSON forms
 LOAD_BINARY = "endpoint-load-metrics-bin"
@@ -76,7 +77,7 @@
     def __init__(
         self,
         headers: Mapping[str, str],
-        kinds: list[dict[str, Any]],
+        kinds: Sequence[RequestClass],
         tenants: Mapping[str, int],
         order: Sequence[int] | None = None,
         twins: Mapping[int, int] | None = None,
@@ -84,7 +85,7 @@
         self._meaning = {name.lower(): meaning for meaning, name in headers.items() if name}
         self._meaning |= {":path": "path", ":method": "method"}
         self._kinds, self._tenants = kinds, in_header(tenants)
-        self._longest = [kind["deadline"] for kind in kinds]
+        self._longest = [kind.deadline for kind in kinds]
         self._order = [(n, kinds[n]) for n in (range(len(kinds)) if order is None else order)]
         self._twins = twins or {}  # types that once needed no key: one without gets the strictest rules
 
@@ -101,8 +102,8 @@
         kind = self._kind(found.get("path", ""), found.get("method", ""))
         if not found.get("request_id"):
             raise UnfitError(400, "no request id")
-        effect = self._kinds[kind]["effect"]
-        if effect == Effect.KEYED and not found.get("receipt"):
+        effect = self._kinds[kind].idempotency
+        if effect == Idempotency.KEYED and not found.get("receipt"):
             if kind not in self._twins:
                 raise UnfitError(400, "no key, which this request class needs")
             kind = self._twins[kind]
@@ -117,15 +118,15 @@
             self._tenants.get(found.get("customer", "").encode("latin-1"), -1),
             found.get("repeated") == "1",
             int(attempt) if attempt.isdigit() and len(attempt) < 7 else 1,
-            hinted(found.get("work", "")),
+            parse_work_hint(found.get("work", "")),
         )
 
     def _kind(self, path: str, method: str) -> int:
         path = path.split("?", 1)[0]
         for kind, terms in self._order:
-            if terms["methods"] and method not in terms["methods"]:
+            if terms.methods and method not in terms.methods:
                 continue
-            if any(path == one or path.startswith(one.rstrip("/") + "/") for one in terms["paths"]):
+            if any(path == one or path.startswith(one.rstrip("/") + "/") for one in terms.paths):
                 return kind
         raise UnfitError(404, "no such request class")
 
@@ -147,7 +148,7 @@
 def load(headers: Mapping[str, bytes]) -> dict[str, float] | None:
     """The load report of an answer under our names, whichever form it has; what is malformed is left out."""
     if OWN_LOAD in headers:
-        report, malformed = report_of(headers[OWN_LOAD].decode("latin-1"))
+        report, malformed = parse_load_report(headers[OWN_LOAD].decode("latin-1"))
         return None if malformed else report
     figures: dict[str, Any] = {}
     if LOAD in headers:
@@ -159,7 +160,7 @@
     found: dict[str, float] = {}
     for name, value in figures.items():
         ours = _ORCA.get(name)
-        if ours and isinstance(value, int | float) and 0.0 <= value < LARGEST:
+        if ours and isinstance(value, int | float) and 0.0 <= value < MAX_LOAD_FIGURE:
             found[ours] = float(value)
     return found or None
 
--- a/wheatroute/replication/effects.py
+++ b/wheatroute/replication/effects.py
@@ -1,10 +1,11 @@
-"""What the replication core asks its caller to do."""
+"""Effects: what the replication core has its caller carry out, in the order in which they are returned."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from wheatroute.replication.view import Document, Message, NodeRecord
+from wheatroute.replication.messages import Message
+from wheatroute.replication.records import Document, NodeRecord
 
 
 @dataclass(frozen=True)
@@ -34,15 +35,15 @@
     """The write with this number is committed, or will never be acknowledged by this node."""
 
     request: int
-    committed: bool
+    is_committed: bool
 
 
 @dataclass(frozen=True)
 class ReadDone:
-    """Whether this node was still the leader after the read with this number was asked for."""
+    """Whether this node was still the leader after the read with this number was requested."""
 
     request: int
-    confirmed: bool
+    is_confirmed: bool
 
 
 Effect = Send | Save | Committed | WriteDone | ReadDone
