--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -15,7 +15,7 @@
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.downstream import Downstream
 from wheatroute.net.request_handler import RequestHandler
-from wheatroute.words import in_header, in_path
+from wheatroute.wire_names import in_header, in_path
 
 
 def types(*names, **changes):
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -3,18 +3,17 @@
 Does I/O. Each connection has a task that reads; responses are written by whoever completes an exchange.
 """
 
-from typing import Any
-
 import h11
 import trio
 
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.addresses import format_address
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.client_connection import ClientConnection
 from wheatroute.net.client_registry import ClientRegistry
 from wheatroute.net.connection import MAX_BODY_BYTES, Connection, MalformedError
 from wheatroute.net.listener import Listener
-from wheatroute.net.log import CloseReason, log_closed_connection
+from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.request_handler import Readiness, RequestAccount, RequestHandler
 from wheatroute.net.request_parser import Forms, RequestParser
@@ -33,19 +32,19 @@
         max_connections: int,
         driver: BalancerDriver,
         readiness: Readiness,
-        log: Any,
+        log: Logger,
     ) -> None:
         terms = settings.terms
         self._driver, self._log = driver, log
         self._parser = RequestParser(
-            settings.request_classes, settings.tenants, terms["request_classes"], settings.work_header
+            settings.request_classes, settings.tenants, terms.request_classes, settings.work_header
         )
         self._shutdown = ShutdownState()
         self._clients = ClientRegistry(max_connections, self._shutdown)
         self._handler = RequestHandler(
             terms, self._parser, self._clients, self._shutdown, driver, readiness, log
         )
-        self._is_only_node = terms["nodes"] == 1
+        self._is_only_node = terms.nodes == 1
         self._has_successor = settings.has_successor
         self._listener = Listener(settings.listen, self._has_successor)
         self._accepting = trio.CancelScope()
@@ -64,16 +63,16 @@
         self,
         request_classes: dict[str, int],
         tenants: dict[str, int],
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         other_forms: Forms,
     ) -> None:
         """Puts other settings in force; see `RequestParser.update_settings`."""
-        class_terms = terms["request_classes"]
+        class_terms = terms.request_classes
         self._parser.update_settings(request_classes, tenants, class_terms, other_forms)
         self._handler.update_settings(terms)
-        self._is_only_node = terms["nodes"] == 1
+        self._is_only_node = terms.nodes == 1
         if self._handler.account is not None:
-            self._handler.account.agree(request_classes, tenants, class_terms)
+            self._handler.account.update_settings(request_classes, tenants, class_terms)
 
     async def run(self) -> None:
         """Accepts clients until the node stops and every client has its response."""
--- a/wheatroute/net/load_reports.py
+++ b/wheatroute/net/load_reports.py
@@ -1,6 +1,6 @@
 """Load reports of servers: the text after "TEXT " in a response header or body. No I/O."""
 
-from wheatroute import words
+from wheatroute.wire_names import REPORT_FIGURES
 
 MAX_LOAD_FIGURE = 1e9  # a larger figure cannot be meant
 
@@ -19,7 +19,7 @@
         except ValueError:
             value = -1.0
         if 0.0 <= value < MAX_LOAD_FIGURE:
-            report[words.FIGURES.get(name, name)] = value
+            report[REPORT_FIGURES.get(name, name)] = value
         else:
             malformed = part.strip()
     return report or None, malformed
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -7,15 +7,17 @@
 import os
 import re
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 from math import inf
 from typing import Any
 
 import orjson
 
-from wheatroute import words
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.addresses import NO_ADDRESS, parse_address
 from wheatroute.net.connection import MAX_BODY_BYTES
+from wheatroute.platform_settings import decision_settings
+from wheatroute.wire_names import NameNumbering
 
 RESERVED_DESCRIPTORS = 32  # for files, the listener, the list service and the event loop
 RESERVED_DESCRIPTORS_RATIO = 0.125  # the same where very few descriptors are allowed
@@ -81,9 +83,9 @@
     peers: PeerAddresses | None
 
     @property
-    def terms(self) -> dict[str, Any]:
+    def terms(self) -> DecisionSettings:
         """Settings of the decision module."""
-        terms: dict[str, Any] = self.derived["terms"]
+        terms: DecisionSettings = self.derived["terms"]
         return terms
 
     @property
@@ -105,7 +107,7 @@
             self.discovery,
             self.derived["zones"],
             self.derived["models"],
-            self.terms["list_on_request"],
+            self.terms.list_on_request,
             self.initial_list,
         )
 
@@ -145,8 +147,9 @@
     agreement = _parse_version_store(document.get("agreement"), "agreement")
     rollout = _parse_version_store(document.get("rollout"), "rollout")
     has_successor = _parse_has_successor(document.get("beside", False))
-    peers = _parse_peers(document.get("peers"), derived["terms"]["peers"])
-    derived["terms"]["peers"] = peers is not None  # without peers no server is probed on their behalf
+    peers = _parse_peers(document.get("peers"), derived["terms"].has_peers)
+    # without peers no server is probed on their behalf
+    derived["terms"] = replace(derived["terms"], has_peers=peers is not None)
     initial_list = document.get("known")
     return NodeSettings(
         name=environment.get("PROXY_NAME") or document.get("name") or "node",
@@ -187,15 +190,16 @@
     if not request_classes:
         raise NodeSettingsError("the settings hold no request classes")
     try:
-        terms = words.terms(settings, zones)
+        terms = decision_settings(settings, zones)
     except (TypeError, ValueError, AttributeError) as error:
         raise NodeSettingsError(f"the settings are malformed: {error}") from error
     # an HTTP/1.1 connection carries one request at a time, whatever the settings say
-    terms = terms | {"calls_per_connection": 1}
+    terms = replace(terms, calls_per_connection=1)
     for name in ("connection_price", "crossing_price"):
-        if not isinstance(terms[name], int | float) or not 0.0 <= terms[name] < inf:
+        price = getattr(terms, name)
+        if not isinstance(price, int | float) or not 0.0 <= price < inf:
             raise NodeSettingsError(
-                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {terms[name]!r}"
+                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {price!r}"
             )
     return {
         "zones": zones,
@@ -221,13 +225,13 @@
     return document
 
 
-def _parse_has_successor(value: Any) -> bool:
+def _parse_has_successor(value: object) -> bool:
     if not isinstance(value, bool):
         raise NodeSettingsError(f'"beside" is neither true nor false: {value!r}')
     return value
 
 
-def _parse_peers(table: Any, is_allowed: bool) -> PeerAddresses | None:
+def _parse_peers(table: object, is_allowed: bool) -> PeerAddresses | None:
     """Returns the addresses of "peers", None where the file has none."""
     if table is None:
         return None
@@ -251,7 +255,7 @@
     return PeerAddresses(listen, others)
 
 
-def _parse_etcd_servers(table: Any) -> dict[str, Any] | None:
+def _parse_etcd_servers(table: object) -> dict[str, Any] | None:
     """Returns where servers are followed in etcd, None for a list service; raises ValueError too."""
     if table is None:
         return None
@@ -275,7 +279,7 @@
     }
 
 
-def _parse_version_store(table: Any, name: str) -> dict[str, Any] | None:
+def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
     """Returns the store of versions that a table names, and the time to agree; None without the table."""
     if table is None:
         return None
@@ -296,7 +300,7 @@
     return {"etcd": addresses, "prefix": table["prefix"], "within": float(within_s)}
 
 
-def _parse_work_header(name: Any) -> bytes:
+def _parse_work_header(name: object) -> bytes:
     """Returns the name of the header that hints at a request's work, in lower case; empty for none."""
     if name is None:
         return b""
@@ -314,14 +318,14 @@
     return objects
 
 
-def _numbered_names(settings: dict[str, Any], key: str) -> words.Numbers:
+def _numbered_names(settings: dict[str, Any], key: str) -> NameNumbering:
     names = settings.get(key) or []
     if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
         raise NodeSettingsError(f'the settings\' "{key}" is not a list of names')
-    return words.Numbers({name: number for number, name in enumerate(names)})
+    return NameNumbering({name: number for number, name in enumerate(names)})
 
 
-def _max_connections(limits: Any) -> int:
+def _max_connections(limits: object) -> int:
     """Returns how many connections the node may hold: its descriptors less a reserve."""
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
@@ -330,7 +334,7 @@
     return sockets - min(RESERVED_DESCRIPTORS, reserved)
 
 
-def _max_response_bytes(limits: Any) -> int:
+def _max_response_bytes(limits: object) -> int:
     """Returns how long a server's response may be, in bytes.
 
     Servers send longer bodies than the 64 KiB that the protocol allows to clients, so that bound would turn
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -3,17 +3,16 @@
 Does I/O.
 """
 
-from typing import Any
-
 import h11
 import trio
 
 from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.clock import now
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
-from wheatroute.net.log import CloseReason
+from wheatroute.net.log import CloseReason, Logger
 from wheatroute.net.response_reader import LoadReportReader, read_response
 from wheatroute.net.server_table import ServerTable
 
@@ -27,14 +26,14 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         servers: ServerTable,
         pool: ConnectionPool,
         reports: LoadReportReader,
         driver: BalancerDriver,
-        log: Any,
+        log: Logger,
     ) -> None:
-        self._path = LIVENESS_PATH if terms["report_how"] == "none" else LOAD_PATH
+        self._path = LIVENESS_PATH if terms.report_how == "none" else LOAD_PATH
         self._servers = servers
         self._pool = pool
         self._reports = reports
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -5,19 +5,21 @@
 """
 
 import time
+from collections.abc import Sequence
 from math import inf
-from typing import Any, Protocol
+from typing import Protocol
 
 import h11
 import trio
 
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.client_connection import ClientConnection
 from wheatroute.net.client_registry import ClientRegistry
 from wheatroute.net.clock import now
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.exchange import REJECTED_STATUS, Exchange, Response
-from wheatroute.net.log import CloseReason
+from wheatroute.net.log import CloseReason, Logger
 from wheatroute.net.request_parser import SINGLE_HEADERS, RequestParser
 from wheatroute.net.response_writer import ResponseWriter
 from wheatroute.net.shutdown import ShutdownState
@@ -30,19 +32,21 @@
 class RequestAccount(Protocol):
     """Counts what becomes of requests, for rollouts."""
 
-    def took(self, exchange: Exchange) -> None:
+    def request_accepted(self, exchange: Exchange) -> None:
         """A request was admitted."""
 
-    def settled(self, exchange: Exchange, now: float) -> None:
+    def request_answered(self, exchange: Exchange, now: float) -> None:
         """A request has its response."""
 
-    def refused(self, exchange: Exchange) -> None:
+    def request_rejected(self, exchange: Exchange) -> None:
         """A request was rejected before it was admitted."""
 
-    def left(self, exchange: Exchange, now: float) -> None:
+    def client_left(self, exchange: Exchange, now: float) -> None:
         """The client of a request has gone."""
 
-    def agree(self, names: dict[str, int], tenants: dict[str, int], kinds: list[dict[str, Any]]) -> None:
+    def update_settings(
+        self, names: dict[str, int], tenants: dict[str, int], kinds: Sequence[RequestClass]
+    ) -> None:
         """Other settings are in force."""
 
 
@@ -57,13 +61,13 @@
 
     def __init__(
         self,
-        terms: dict[str, Any],
+        terms: DecisionSettings,
         parser: RequestParser,
         clients: ClientRegistry,
         shutdown: ShutdownState,
         driver: BalancerDriver,
         readiness: Readiness,
-        log: Any,
+        log: Logger,
     ) -> None:
         self._parser = parser
         self._clients = clients
@@ -78,10 +82,12 @@
         self._rejections_logged_at = -inf
         self.update_settings(terms)
 
-    def update_settings(self, terms: dict[str, Any]) -> None:
+    def update_settings(self, terms: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self._max_in_flight = min(self._clients.max_clients, terms["most_open"] or self._clients.max_clients)
-        self._retry_after_s = terms["longest_advice"] if terms["refusal_advice"] else 0.0
+        self._max_in_flight = min(
+            self._clients.max_clients, terms.max_open_connections or self._clients.max_clients
+        )
+        self._retry_after_s = terms.max_retry_after_s if terms.can_advise_retry else 0.0
 
     # requests
 
@@ -150,7 +156,7 @@
         exchange.is_client_gone = lambda: self._is_client_gone(client)
         self._driver.add_request(exchange)
         if self.account is not None:
-            self.account.took(exchange)
+            self.account.request_accepted(exchange)
 
     def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
         """Rejects a request before it reaches the balancer.
@@ -159,7 +165,7 @@
         without a descriptor left requests would be lost unread in the listener's queue.
         """
         if self.account is not None:
-            self.account.refused(exchange)
+            self.account.request_rejected(exchange)
         if not self._shutdown.is_rejecting:
             self._count_rejected()
         self.writer.write(client, Response(REJECTED_STATUS, retry_after_s=self._retry_after_s))
@@ -186,7 +192,7 @@
         assert exchange is not None and exchange.response is not None
         self._in_flight -= 1
         if self.account is not None:
-            self.account.settled(exchange, now())
+            self.account.request_answered(exchange, now())
         try:
             self.writer.write(client, exchange.response)
         except Exception:  # it must not reach the one who completed the exchange
@@ -207,4 +213,4 @@
         self._in_flight -= 1
         self._driver.abandon_request(client.exchange)
         if self.account is not None:
-            self.account.left(client.exchange, now())
+            self.account.client_left(client.exchange, now())
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -6,16 +6,16 @@
 
 import re
 from collections import deque
-from collections.abc import Mapping
-from typing import Any
+from collections.abc import Mapping, Sequence
 
 import h11
 import trio
 
-from wheatroute import words
 from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.exchange import Exchange, parse_work_hint
+from wheatroute.wire_names import in_header, in_path
 
 REQUEST_ID_MEMORY_DEADLINES = 2.0  # a request id is remembered for this multiple of the longest deadline
 SINGLE_HEADERS = (b"request-id", b"idempotency-key", b"request-timeout", b"tenant")
@@ -45,14 +45,14 @@
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_terms: list[dict[str, Any]],
+        class_terms: Sequence[RequestClass],
         work_header: bytes,
     ) -> None:
-        self._request_classes = words.in_path(request_classes)
-        self._tenants = words.in_header(tenants)
+        self._request_classes = in_path(request_classes)
+        self._tenants = in_header(tenants)
         self._work_header = work_header
         self._class_terms = class_terms
-        self.max_deadline_s = max(rules["deadline"] for rules in class_terms) or 1.0
+        self.max_deadline_s = max(rules.deadline for rules in class_terms) or 1.0
         self._other_forms: Forms = {}
         self._request_ids: set[bytes] = set()
         self._request_id_expiries: deque[tuple[float, bytes]] = deque()
@@ -61,7 +61,7 @@
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_terms: list[dict[str, Any]],
+        class_terms: Sequence[RequestClass],
         other_forms: Forms,
     ) -> None:
         """Puts other settings in force.
@@ -69,12 +69,12 @@
         A class's form follows from its effect. Clients learn of a change earlier or later than this node,
         so a class that changes is accepted in `other_forms` too.
         """
-        self._request_classes = words.in_path(request_classes)
-        self._tenants = words.in_header(tenants)
+        self._request_classes = in_path(request_classes)
+        self._tenants = in_header(tenants)
         self._other_forms = other_forms
         self._class_terms = class_terms
         # never shorter: request ids are remembered for as long as was in force when they were accepted
-        self.max_deadline_s = max(self.max_deadline_s, *(rules["deadline"] for rules in class_terms))
+        self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_terms))
 
     def parse(self, request: h11.Request, path: bytes, body: bytes, lag_s: float, until: float) -> Exchange:
         """Returns the exchange that a client asks for; raises MalformedError with the status to answer.
@@ -90,7 +90,7 @@
             raise MalformedError(400, "a header twice that means one thing")
         request_id = headers.get(b"request-id", b"")
         idempotency_key = headers.get(b"idempotency-key", b"")
-        effect = self._class_terms[request_class]["effect"]
+        effect = self._class_terms[request_class].idempotency
         if self._other_forms:
             request_class, effect = self._match_form(
                 request_class, effect, request.method, bool(idempotency_key)
