--- a/tests/test_agreed.py
+++ b/tests/test_agreed.py
@@ -84,9 +84,12 @@
     host = Host(tenants=told)
     host.run(2.0, 50, tenant=0)
     agree(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
-    assert host.balancer._quotas.tokens[0] <= 20.0 and host.balancer._quotas.tokens[1] == 40.0
+    assert (
+        host.balancer._components.quotas.tokens[0] <= 20.0
+        and host.balancer._components.quotas.tokens[1] == 40.0
+    )
     host.run(1.0, 50, tenant=1)
-    assert host.balancer._quotas.tokens[1] < 40.0
+    assert host.balancer._components.quotas.tokens[1] < 40.0
 
 
 def test_a_request_class_that_comes_while_serving_is_served_and_nothing_learned_is_lost():
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -26,7 +26,7 @@
 
 
 def kept_to(host):
-    return len(host.balancer._selection.servers)
+    return len(host.balancer._components.selection.servers)
 
 
 def test_a_busy_node_of_many_keeps_to_more_servers_than_a_quiet_one():
@@ -48,8 +48,8 @@
     host = Host(40, nodes=300, node=5, tenants=quota, **TOLD)
     run_told(host, 6.0, 100, tenant=0)
     # 100 a second of 400, though one of 300 nodes would have 1.3
-    assert host.balancer._quotas.rates()[0] > 80.0
-    taken = [host.balancer._quotas.take(0) for _ in range(100)]
+    assert host.balancer._components.quotas.rates()[0] > 80.0
+    taken = [host.balancer._components.quotas.take(0) for _ in range(100)]
     assert taken.count(0) > 15  # with a like part of them at most 5
 
 
@@ -126,14 +126,14 @@
     )  # word from before it was turned away
     balancer.servers.full_until[0] = host.now + 1.0
     host.step()
-    assert not balancer._reports.is_lightly_loaded(0) and all(
-        map(balancer._reports.is_lightly_loaded, range(1, 4))
+    assert not balancer._components.reports.is_lightly_loaded(0) and all(
+        map(balancer._components.reports.is_lightly_loaded, range(1, 4))
     )
 
 
 def test_a_held_requests_own_work_is_none_that_it_waits_for():
     host = Host(2, nodes=100, answer=lambda s, r: (Outcome.SERVED, 0.3)).run(6.0, 1)
-    host.balancer._limiter.capacity = 0
+    host.balancer._components.limiter.capacity = 0
     number = host.ask(UNSAFE, left=1.5)
     host.step(0.02)
     assert number not in host.final  # a rate of one a second makes it a second's work, and 1.5 s is the time
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -99,7 +99,7 @@
     after = Host().step()
     stored_statistics.restore_statistics(after.balancer, told, names, after.now, 0.1)
     after.step(0.3)
-    assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._selection.servers
+    assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.selection.servers
     after.run(8.0, 40)
     assert not after.balancer.servers.ejected_until[0]  # it is well, as its trial shows
     after.list([Host.entry(1, ServerState.REMOVED)])
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -143,7 +143,7 @@
 def test_nodes_that_each_keep_to_a_part_cover_the_tier_evenly():
     entries = [(s, 0, s % 3 > 0, s // 2, ServerState.LIVE, 1.0, 0.0) for s in range(60)]
     hosts = [Host(entries=entries, nodes=120, node=i).step() for i in range(120)]
-    parts = [host.balancer._selection for host in hosts]
+    parts = [host.balancer._components.selection for host in hosts]
     assert all(8 <= len(part.servers) <= 10 for part in parts)
     got = [sum(part.weights.get(s, 0.0) / sum(part.weights.values()) for part in parts) for s in range(60)]
     assert 0.75 * 2.0 < min(got) and max(got) < 1.25 * 2.0
@@ -155,7 +155,7 @@
     host.run(0.5, 20).step(0.5)
     host.list([(8 + s, 0, s % 2, 8 + s, ServerState.LIVE, 1.0, 0.0) for s in range(2)])
     host.step(0.005)
-    share = host.balancer._selection.weights
+    share = host.balancer._components.selection.weights
     assert share[8] > 1.4 * share[9]
 
 
@@ -165,7 +165,7 @@
     host.run(4.0, 40)
     jam = True
     host.run(0.275, 40, kind=UNSAFE)  # too short for silence, none of them is back
-    share = host.balancer._selection.weights
+    share = host.balancer._components.selection.weights
     assert 0.0 < share[0] < 0.95 * share[1]
 
 
@@ -180,11 +180,11 @@
 def test_a_small_tenant_is_within_its_share_on_every_one_of_many_nodes():
     quota = [TenantQuota(0.9, 90.0), TenantQuota(0.1, 10.0)]
     host = Host(nodes=100, tenants=quota)
-    within = [host.balancer._quotas.take(1) == 1]
+    within = [host.balancer._components.quotas.take(1) == 1]
     for _ in range(4):
         host.step(12.0)
-        within.append(host.balancer._quotas.take(1) == 1)
-    greedy = [host.balancer._quotas.take(1) == 1 for _ in range(20)]
+        within.append(host.balancer._components.quotas.take(1) == 1)
+    greedy = [host.balancer._components.quotas.take(1) == 1 for _ in range(20)]
     assert all(within) and not any(greedy[-10:])
 
 
@@ -494,11 +494,11 @@
 def test_a_type_is_stuck_only_where_the_server_answers_others_meanwhile():
     host = Host(answer=only(0)).run(1.0, 100)
     balancer, servers = host.balancer, host.balancer.servers
-    assert len(servers.sent_at[0]) > 1 and not balancer._selection.stuck_classes(
+    assert len(servers.sent_at[0]) > 1 and not balancer._components.selection.stuck_classes(
         0
     )  # it answers nobody: that is no class's matter
     servers.answered_at[0] = host.now
-    assert len(balancer._selection.stuck_classes(0)) > 1
+    assert len(balancer._components.selection.stuck_classes(0)) > 1
 
 
 def test_a_large_tier_is_solved_with_the_beat_and_heeds_a_drain_and_a_bar_at_once():
--- /dev/null
+++ b/wheatroute/balancing/attempt_sender.py
@@ -0,0 +1,78 @@
+"""Sends attempts: whether there is capacity for one, and what is noted as it goes. No I/O."""
+
+from math import inf
+
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.hedging import Hedging
+from wheatroute.balancing.idle_connections import IdleConnectionStatistics
+from wheatroute.balancing.load_reports import LoadReports
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.outlier_ejection import OutlierEjection
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.retry_rules import deduplication_group
+from wheatroute.balancing.server_selection import ServerSelection
+
+
+class AttemptSender:
+    """Sends attempts of requests to servers."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        limiter: ConcurrencyLimiter,
+        reports: LoadReports,
+        selection: ServerSelection,
+        ejection: OutlierEjection,
+        hedging: Hedging,
+        idle: IdleConnectionStatistics,
+    ) -> None:
+        self._state, self._limiter, self._reports = state, limiter, reports
+        self._selection, self._ejection, self._hedging, self._idle = selection, ejection, hedging, idle
+
+    def send(self, request: Request) -> bool:
+        """Sends one attempt if there is capacity and a server for it."""
+        limiter, selection = self._limiter, self._selection
+        server = self._ejection.pick_for_trial(request)
+        if server < 0:
+            is_over_limit = limiter.in_flight >= limiter.capacity * request.capacity_fraction
+            if not is_over_limit or selection.has_lightly_loaded():
+                server = selection.pick(request, is_over_limit)
+        if server < 0 and not selection.servers:
+            server = selection.pick_last_resort(request)
+        if server < 0:
+            return False
+        self.send_to(request, server)
+        return True
+
+    def send_to(self, request: Request, server: int) -> None:
+        """Sends one attempt to this server."""
+        state, servers, n = self._state, self._state.servers, len(request.servers)
+        now, settings = state.now, state.settings
+        if not request.may_have_run and not request.attempts_in_flight:
+            request.group, request.first_sent_at = deduplication_group(request.rules, servers, server), now
+        request.servers.append(server)
+        request.attempts_in_flight.add(n)
+        request.idle_steps.append(self._idle.step(self._close_idle(server)))
+        opens_connection = not servers.spare_calls[server]
+        request.opened_connection.append(opens_connection)
+        servers.spare_calls[server] += (settings.calls_per_connection if opens_connection else 0) - 1
+        servers.sent_at[server][request.number, n] = now
+        servers.in_flight[server] += 1
+        self._reports.note_sent(server)
+        servers.slow_start_credit[server] -= 1.0
+        self._limiter.in_flight += server in self._selection.weights
+        state.writer.attempt(request.number, server, request.give_up_at - now)
+        self._hedging.attempt_sent(request, n)
+
+    def _close_idle(self, server: int) -> float:
+        """Closes connections idle for too long; returns how long the one now used was idle, in seconds."""
+        servers, timeout_s = self._state.servers, self._state.settings.idle_timeout_s
+        if servers.in_flight[server] or servers.used_at[server] == -inf:
+            return 0.0
+        idle_s = self._state.now - servers.used_at[server]
+        if idle_s < min(self._idle.max_idle_s, timeout_s):
+            return idle_s
+        servers.spare_calls[server] = 0
+        if idle_s < timeout_s:
+            self._state.writer.close(server)
+        return 0.0
--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -12,9 +12,8 @@
 
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, MIN_IN_FLIGHT_PER_SERVER, MIN_SAMPLES
 
-UNEVENNESS = (
-    2.0  # standard errors of the time in flight that are added to its bound: uneven work makes it rough
-)
+UNEVENNESS = 2.0  # standard errors of the time in flight added to its bound: uneven work makes it rough
+CONGESTION_TOLERANCE = 0.9  # attempts may be this fraction above their shortest time in flight
 GROWTH = 0.2  # of the limit a tick while it binds, times how far attempts are from staying long
 INITIAL_PER_SERVER = 3.0  # attempts in flight at first, for the node's part of a server
 MIN_OF_FULL_RATE = 1.0  # the limit is never less than this multiple of what the peak rate holds
@@ -44,10 +43,9 @@
             # nothing is known at the start, when a node may start in the middle of a burst
             self.limit = initial
         # Rounded at random: many nodes that each round up would exceed what the servers can take. A node
-        # with a
-        # small part of the traffic meets its requests in clusters and needs capacity for the deviation of
-        # their
-        # number, but not for good. What ejected servers would hold is not added to the load of the others.
+        # with a small part of the traffic meets its requests in clusters and needs capacity for the deviation
+        # of their number, but not for good. What ejected servers would hold is not added to the load of the
+        # others.
         limit = self.limit * self.healthy_fraction
         unused = max(0.0, 1.0 - self.mean_in_flight / limit)
         self.capacity = int(limit + 2.0 * unused * sqrt(limit) * fraction + rng.random())
--- /dev/null
+++ b/wheatroute/balancing/final_answers.py
@@ -0,0 +1,35 @@
+"""How a request ends: its final answer, and the end of its attempts in flight. No I/O."""
+
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.retry_rules import may_reject
+from wheatroute.balancing.tenant_quotas import TenantQuotas
+
+
+class FinalAnswers:
+    """Ends requests."""
+
+    def __init__(self, state: NodeState, quotas: TenantQuotas) -> None:
+        self._state, self._quotas = state, quotas
+
+    def finish(self, request: Request) -> None:
+        """Gives the final answer to a request for which no server has given one."""
+        settings = self._state.settings
+        if request.quota_tenant >= 0 and not request.servers:
+            self._quotas.give_back(request.quota_tenant)
+        if may_reject(request):
+            retry_after_s = settings.max_retry_after_s if settings.can_advise_retry else 0.0
+            target_latency = settings.request_classes[request.class_number].target_latency
+            self._state.writer.reject(request.number, min(retry_after_s, target_latency))
+        else:
+            self._state.writer.fail(request.number)
+        self.close(request)
+
+    def close(self, request: Request, kept: int = -1) -> None:
+        """Ends a request and cancels its attempts in flight but `kept`."""
+        request.is_over = True
+        for n in sorted(request.attempts_in_flight - {kept}):
+            if self._state.settings.can_cancel:
+                self._state.writer.cancel(request.number, n)
+        if not request.attempts_in_flight:
+            self._state.requests.pop(request.number, None)
--- /dev/null
+++ b/wheatroute/balancing/hedging.py
@@ -0,0 +1,68 @@
+"""When a second attempt is sent while the first is in flight. No I/O."""
+
+from heapq import heappush
+from math import inf
+
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.parameters import HEDGE_MARGIN, MIN_SAMPLES
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.retry_rules import may_repeat
+from wheatroute.balancing.server_selection import ServerSelection
+
+HEDGE_FRACTION = 0.1  # of the attempts sent may be hedges: twice what a 95th percentile lets through
+MAX_HEDGE_CREDIT = 1.0 + HEDGE_FRACTION * MIN_SAMPLES * 2
+
+
+class Hedging:
+    """Hedge timers, and the credit for hedges, which attempts add to."""
+
+    def __init__(self, state: NodeState, limiter: ConcurrencyLimiter, selection: ServerSelection) -> None:
+        self._state, self._limiter, self._selection = state, limiter, selection
+        self._credit = 1.0
+        self._hedged_value = inf
+
+    def apply_settings(self) -> None:
+        """Takes over changed settings: only the most valuable idempotent requests are hedged."""
+        values = (
+            one.value
+            for one in self._state.settings.request_classes
+            if one.idempotency == Idempotency.IDEMPOTENT
+        )
+        self._hedged_value = max(values, default=inf)
+
+    def attempt_sent(self, request: Request, n: int) -> None:
+        """Adds to the credit; sets the hedge timer with the first attempt of a request."""
+        state, rules = self._state, request.rules
+        self._credit = min(self._credit + HEDGE_FRACTION, MAX_HEDGE_CREDIT)
+        if (
+            n == 0
+            and rules.value == self._hedged_value
+            and rules.idempotency == Idempotency.IDEMPOTENT
+            and state.settings.can_hedge
+            and state.latencies.hedge_after_s < inf
+        ):
+            heappush(state.timers, (state.now + state.latencies.hedge_after_s, request.number, request))
+
+    def pick_for_hedge(self, request: Request, due: float) -> int:
+        """The server for the one hedge of a request whose timer was due at this moment; -1 for none."""
+        state, latencies = self._state, self._state.latencies
+        if request.is_hedged or len(request.attempts_in_flight) != 1:
+            return -1
+        if not may_repeat(request, state.settings, state.now):
+            return -1
+        if state.now - due > latencies.hedge_after_s * HEDGE_MARGIN + state.settings.tick:
+            # after a stall many timers are overdue together: they are spread out again
+            again_at = state.now + latencies.hedge_after_s * state.rng.random()
+            heappush(state.timers, (again_at, request.number, request))
+            return -1
+        if latencies.is_all_slow or self._credit < 1.0 or state.now >= request.target:
+            return -1
+        if self._limiter.in_flight >= self._limiter.capacity:
+            return -1
+        server = self._selection.pick(request)
+        if server >= 0:
+            request.is_hedged = True
+            self._credit -= 1.0
+        return server
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -84,9 +84,8 @@
 
 
 EventFields = tuple[Any, ...]
-ListEntry = tuple[
-    int, int, int, int, ServerState, float, float
-]  # server, zone, model, cell, state, size, start
+# server, zone, model, cell, state, size, start
+ListEntry = tuple[int, int, int, int, ServerState, float, float]
 EarlierAttempt = tuple[int, float, bool]  # server (-1: unknown), when it was sent, whether it may have run
 Report = Mapping[str, float]
 EventBatch = Sequence[EventFields]
--- /dev/null
+++ b/wheatroute/balancing/membership_updates.py
@@ -0,0 +1,49 @@
+"""Takes in the list of servers, and says when it is to be asked for again. No I/O."""
+
+from math import inf
+
+from wheatroute.balancing.interface import ListEntry, ServerState
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.ready_servers import ReadyServers
+from wheatroute.balancing.server_selection import ServerSelection
+
+
+class MembershipUpdates:
+    """The servers by the list, which is pushed, or asked for by this node."""
+
+    def __init__(self, state: NodeState, ready: ReadyServers, selection: ServerSelection) -> None:
+        self._state, self._ready, self._selection = state, ready, selection
+        self.ask_at = -inf if state.settings.list_on_request else inf
+        self._backoff_s = 0.0
+
+    def servers_listed(self, entries: list[ListEntry], is_full: bool) -> None:
+        """Takes a full list, or what has changed in it."""
+        servers = self._state.servers
+        self._backoff_s = 0.0
+        if is_full:
+            servers.is_ready = [False] * len(servers.is_ready)
+            self._ready.clear()
+        for server, zone, model, cell, state, _, started_at in entries:
+            servers.extend(server + 1)
+            if servers.is_ready[server]:
+                self._ready.remove((servers.zone[server], servers.model[server]), server)
+            servers.zone[server], servers.model[server], servers.cell[server] = zone, model, cell
+            # nothing new from the moment this node hears that it drains, well within the grace period
+            servers.is_ready[server] = state == ServerState.LIVE
+            if servers.is_ready[server]:
+                self._ready.add((zone, model), server)
+            if state == ServerState.REMOVED:
+                servers.forget(server, 0.0)
+            elif started_at > servers.started_at[server]:
+                servers.forget(server, started_at)
+                # other nodes hear of it too: a random first credit keeps them from all sending at once
+                servers.slow_start_credit[server] = self._state.rng.random()
+        (self._selection.update if is_full else self._selection.update_soon)()
+
+    def list_failed(self) -> None:
+        """Asks again after a random, growing backoff: a list service may fail under load."""
+        settings = self._state.settings
+        if settings.list_on_request:
+            maximum = settings.list_max_age_s / 4  # a node is taken to know what is older than list_max_age_s
+            self._backoff_s = min(maximum, max(maximum / 8, 2 * self._backoff_s))
+            self.ask_at = self._state.now + self._backoff_s * (0.5 + 0.5 * self._state.rng.random())
--- a/wheatroute/balancing/node_state.py
+++ b/wheatroute/balancing/node_state.py
@@ -1,4 +1,4 @@
-"""What all parts of a node's decisions share: settings, time, measurements, the writer. No I/O."""
+"""What all parts of a node's decisions share: settings, time, measurements, timers, the writer. No I/O."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 class NodeState:
     """Shared state. `now` and `writer` are those of the event batch that is being handled."""
 
-    __slots__ = ("settings", "rng", "now", "writer", "servers", "latencies", "requests")
+    __slots__ = ("settings", "rng", "now", "writer", "servers", "latencies", "requests", "timers")
 
     writer: CommandWriter
 
@@ -24,6 +24,8 @@
         self.servers = ServerStatistics()
         self.latencies = LatencyStatistics()
         self.requests: dict[int, Request] = {}
+        # a heap of (moment, number, request): hedge timers, and ends of requests as -number - 1
+        self.timers: list[tuple[float, int, Request]] = []
 
     @property
     def tiers_from_here(self) -> int:
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -57,17 +57,15 @@
             self._ejection.check_errors(server)
         elif outcome == Outcome.UNCONNECTED:
             # A process that refuses connections has ended; when it is back it must warm up, whether or not
-            # the
-            # list says so. A connection that only never came may be the path's fault.
+            # the list says so. A connection that only never came may be the path's fault.
             if elapsed_s < self._state.settings.connect_timeout_s / 2:
                 servers.started_at[server] = max(servers.started_at[server], now)
         elif outcome == Outcome.FULL:
             # nothing is sent there before it can have finished something
             servers.full_until[server] = now + mean / 2
             self._reports.note_full(server)
-        if (
-            outcome != Outcome.SERVED
-        ):  # a trial that was rejected or never sent is not in flight any more either
+        if outcome != Outcome.SERVED:
+            # a trial that was rejected or never sent is not in flight any more either
             self._ejection.fail_trial(server)
 
     def _record_served(self, request: Request, server: int, elapsed_s: float) -> None:
@@ -129,6 +127,5 @@
             servers.connection_failures[server] += 1
             if servers.connection_failures[server] > 1:
                 # One failure may be the path's. Where paths to all servers are bad, ejecting at the first
-                # would
-                # concentrate the load on the few that happened to be reached.
+                # would concentrate the load on the few that happened to be reached.
                 self._ejection.eject(server)
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -60,10 +60,22 @@
         if rates and servers.error_rate[server] > OUTLIER_ERROR_RATIO * rates[len(rates) // 2]:
             self.eject_unless_many(server)
 
-    def hanging_servers(self) -> Iterator[int]:
+    def eject_slow(self) -> None:
+        """Ejects servers that are far slower than others."""
+        for server in self._selection.slow_servers:
+            self.eject_unless_many(server)
+
+    def eject_hanging(self) -> Iterator[int]:
+        """Ejects servers that hang, one after the other; gives each that is ejected."""
+        for server in self._hanging_servers():
+            self.eject_unless_many(server)
+            if self._state.servers.ejected_until[server]:
+                yield server
+
+    def _hanging_servers(self) -> list[int]:
         """Servers that take work and answer nothing, or far too late."""
         servers, now, timeout_s = self._state.servers, self._state.now, self.hang_timeout_s()
-        hanging = [
+        return [
             server
             for server, sent_at in enumerate(servers.sent_at)
             if sent_at
@@ -75,7 +87,6 @@
                 and now - servers.answered_at[server] > timeout_s
             )
         ]
-        return iter(hanging)
 
     def hang_timeout_s(self) -> float:
         """Seconds after which a server that has not answered hangs."""
--- a/wheatroute/balancing/parameters.py
+++ b/wheatroute/balancing/parameters.py
@@ -10,3 +10,4 @@
 EXCESS_CAPACITY_FRACTION = 0.5  # of the capacity is open to requests beyond their tenant's quota
 CONGESTED_LOAD_RATIO = 1.5  # a server that reports this multiple of the mean load is congested
 OUTLIER_LATENCY_RATIO = 3.0  # a server this multiple slower than the median server is left to trials
+MAX_SCANS = 64  # requests looked at for each one that is queued, or that comes due
--- /dev/null
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -0,0 +1,74 @@
+"""When the parts of the decisions do their periodic work: every `TICK_INTERVAL_S`. No I/O, no decisions."""
+
+from collections import deque
+from collections.abc import Callable
+from math import inf
+
+from wheatroute.balancing.components import Components
+from wheatroute.balancing.concurrency_limit import CONGESTION_TOLERANCE
+from wheatroute.balancing.parameters import TICK_INTERVAL_S, UPDATE_INTERVAL_S
+
+
+class PeriodicTasks:
+    """The tick, at once or, with many servers, spread over several batches."""
+
+    def __init__(self, components: Components) -> None:
+        self._components = components
+        self.pending = deque[Callable[[], None]]()  # of a tick with many servers, still to be done
+        self.next_tick = self._next_update = -inf
+
+    def run(self, due_by: float, is_idle: bool) -> None:
+        """Begins a tick, or does a pending task of one, rather where nobody waits for the batch."""
+        if not self.pending:
+            self._tick()
+        elif is_idle or due_by >= self.next_tick - TICK_INTERVAL_S / 2:
+            self.pending.popleft()()
+
+    def _tick(self) -> None:
+        parts, selection = self._components, self._components.selection
+        now = parts.state.now
+        # after a stall answers may lie unread, so no server is blamed for having sent none
+        is_stalled = now - self.next_tick > TICK_INTERVAL_S / 2
+        self.next_tick = now + TICK_INTERVAL_S
+        parts.state.latencies.tick(now)
+        parts.recorder.tick(TICK_INTERVAL_S)
+        parts.quotas.refill(TICK_INTERVAL_S)
+        tasks = self._tasks(now, is_stalled)
+        if selection.subset_size > selection.max_servers_at_once and parts.limiter.limit < inf:
+            # One batch would take as long as the servers are many: each of the next batches, which come
+            # within some ticks, does a part. Not the first time, when there is no limit yet.
+            self.pending.extend(tasks)
+        else:
+            for task in tasks:
+                task()
+
+    def _tasks(self, now: float, is_stalled: bool) -> list[Callable[[], None]]:
+        """The tasks of a tick, in order."""
+        parts = self._components
+        tasks: list[Callable[[], None]] = []
+        if now >= self._next_update:
+            self._next_update = now + UPDATE_INTERVAL_S
+            tasks += [lambda: parts.state.latencies.update(now), parts.idle.update]
+        if parts.reports.is_probing:
+            tasks.append(parts.reports.probe_next)
+        if not is_stalled:
+            tasks.append(self._check_servers)
+        tasks += [self._refill_credit, self._update_limit, parts.selection.update, parts.queue.shed]
+        return tasks
+
+    def _check_servers(self) -> None:
+        """Ejects servers that hang or are far too slow; what hangs there is sent elsewhere if it may be."""
+        parts, timeout_s = self._components, self._components.ejection.hang_timeout_s()
+        for server in parts.ejection.eject_hanging():
+            parts.lifecycle.resend_hanging(server, timeout_s)
+        parts.ejection.eject_slow()
+
+    def _refill_credit(self) -> None:
+        parts = self._components
+        parts.slow_start.refill(parts.trials.ejected + parts.selection.servers, TICK_INTERVAL_S)
+
+    def _update_limit(self) -> None:
+        limiter, state = self._components.limiter, self._components.state
+        # congestion is thinned out by the calls to the tiers below
+        tolerance = CONGESTION_TOLERANCE / state.tiers_from_here
+        limiter.tick(TICK_INTERVAL_S, state.latencies.spread, tolerance, state.rng)
--- /dev/null
+++ b/wheatroute/balancing/queue_management.py
@@ -0,0 +1,99 @@
+"""Requests that wait: when they are sent, and which are rejected as they can't be served in time. No I/O."""
+
+from math import inf
+
+from wheatroute.balancing.attempt_sender import AttemptSender
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.final_answers import FinalAnswers
+from wheatroute.balancing.half_open_trials import HalfOpenTrials
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.outcome_recorder import OutcomeRecorder
+from wheatroute.balancing.parameters import EXCESS_CAPACITY_FRACTION, MAX_SCANS, UPDATE_INTERVAL_S
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.request_queue import RequestQueue
+from wheatroute.balancing.server_selection import ServerSelection
+
+START_MARGIN = 1.25  # mean latencies that a queued request must have left when it starts
+
+
+class QueueManager:
+    """Fills and empties the queue of a node."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        limiter: ConcurrencyLimiter,
+        selection: ServerSelection,
+        trials: HalfOpenTrials,
+        recorder: OutcomeRecorder,
+        sender: AttemptSender,
+        answers: FinalAnswers,
+    ) -> None:
+        self._state, self._limiter, self._selection, self._trials = state, limiter, selection, trials
+        self._recorder, self._sender, self._answers = recorder, sender, answers
+        self._queue = RequestQueue()
+        self._shed_at = -inf  # when requests were last shed
+
+    def enqueue(self, request: Request) -> None:
+        """Has a request wait for capacity."""
+        request.is_queued = True
+        latencies = self._state.latencies
+        mean_s = latencies.mean[request.class_number] * request.relative_size
+        usual_s = mean_s * max(1.0, latencies.latest_median)
+        self._queue.add(request.target - START_MARGIN * usual_s, request)
+        # the cost of each request must not grow with all that wait
+        if self._queue.added_since_shed * MAX_SCANS >= len(self._queue):
+            self.shed()
+
+    def shed(self) -> None:
+        """Rejects at once what can't all be served in time, the least valuable for its work first."""
+        latencies = self._state.latencies
+        if not self._recorder.served_rate or self._state.settings.tier or not self._queue:
+            self._queue.added_since_shed = 0
+            return
+        mean = latencies.mean
+        usual_s = sum(mean) / len(mean) or 1.0
+        # the rate served of late may be low because little was asked for: the capacity allows at least this
+        possible_rate = self._limiter.capacity / usual_s / max(1.0, latencies.latest_median)
+        rate = max(self._recorder.served_rate, possible_rate)
+
+        def work_s(request: Request) -> float:
+            return (mean[request.class_number] or usual_s) * request.relative_size / usual_s / rate
+
+        for request in self._queue.shed(self._state.now, work_s):
+            request.is_queued = False
+            self._answers.finish(request)
+            self._shed_at = self._state.now
+
+    def _has_no_capacity(self, fraction: float = 1.0) -> bool:
+        """Whether no request that may use this fraction of the capacity can be sent, not even as a trial."""
+        selection, limiter = self._selection, self._limiter
+        return (
+            bool(selection.servers)
+            and limiter.in_flight >= limiter.capacity * fraction
+            and not self._trials.is_due()
+            and not selection.has_lightly_loaded()
+        )
+
+    def drain(self) -> None:
+        """Sends what waits while there is capacity: by due time, or by value while not all can be in time."""
+        queue = self._queue
+        if not queue or self._has_no_capacity():
+            return
+        is_excess_full, removed, has_trial = False, [], self._trials.is_due()
+        is_long = len(queue) > MAX_SCANS
+        is_by_value = self._state.now - self._shed_at < UPDATE_INTERVAL_S
+        for *_, start_by, _, request in queue.by_value if is_by_value else queue.by_start:
+            if is_excess_full and request.capacity_fraction < 1.0 and not request.is_over:
+                continue
+            if request.is_over or self._sender.send(request):
+                request.is_queued = False
+                removed.append((start_by, request))
+                continue
+            # a tier that doesn't take an ordinary request takes no other: a long queue isn't gone through
+            is_ordinary = not request.servers and request.capacity_fraction == 1.0
+            if self._has_no_capacity() or (is_long and is_ordinary and not has_trial):
+                break
+            is_excess_full = is_excess_full or self._has_no_capacity(EXCESS_CAPACITY_FRACTION)
+        for start_by, request in removed:
+            queue.remove(start_by, request)
--- /dev/null
+++ b/wheatroute/balancing/request_admission.py
@@ -0,0 +1,82 @@
+"""What a request is worth as it arrives, its deadlines, and how much of the capacity it may use. No I/O."""
+
+from collections.abc import Sequence
+
+from wheatroute.balancing.interface import EarlierAttempt
+from wheatroute.balancing.load_reports import LoadReports
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.parameters import EXCESS_CAPACITY_FRACTION, HEDGE_MARGIN
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.retry_rules import deduplication_group
+from wheatroute.balancing.tenant_quotas import TenantQuotas
+
+
+class RequestAdmission:
+    """Makes the account of a request that arrives."""
+
+    def __init__(self, state: NodeState, reports: LoadReports, quotas: TenantQuotas) -> None:
+        self._state, self._reports, self._quotas = state, reports, quotas
+        self._usual_time_left: list[float] = []  # by request class, as clients leave it for a first attempt
+
+    def apply_settings(self) -> None:
+        """Takes over changed settings; what was measured stays."""
+        classes = self._state.settings.request_classes
+        self._is_entry = self._state.settings.tier == 0
+        self._usual_time_left += [0.0] * (len(classes) - len(self._usual_time_left))
+        # Where servers report how much waits there, requests worth less than this may use little of what
+        # all nodes take for free capacity: they would fill it up, and keep out what is worth more.
+        self._low_value = EXCESS_CAPACITY_FRACTION * sum(one.value for one in classes) / len(classes)
+
+    def new_request(
+        self, number: int, class_number: int, time_left: float, tenant: int, is_repeated: bool, work: float
+    ) -> Request:
+        """The request with its times, value and share of the capacity."""
+        settings, now, latencies = self._state.settings, self._state.now, self._state.latencies
+        rules = settings.request_classes[class_number]
+        elapsed = self._elapsed(class_number, time_left, is_repeated)
+        deadline = now + time_left - 2 * settings.tick
+        target = min(deadline, now + rules.target_latency - elapsed)
+        value = rules.value
+        if not settings.work_counts:
+            value /= latencies.mean[class_number] or 1.0
+        quota_tenant = self._quotas.take(tenant) if self._is_entry else tenant
+        is_within_quota = quota_tenant == tenant
+        value *= 1.0 if is_within_quota else settings.excess_value_factor
+        if target <= now:
+            value *= rules.late_value
+        give_up_at = deadline if rules.late_value or not self._is_entry else max(target, now)
+        request = Request(number, class_number, rules, target, give_up_at, value)
+        request.relative_size = latencies.relative_size(class_number, work)
+        request.quota_tenant = quota_tenant
+        request.capacity_fraction = 1.0 if is_within_quota else EXCESS_CAPACITY_FRACTION
+        if self._reports.reports_wait and rules.value < self._low_value:
+            request.capacity_fraction *= EXCESS_CAPACITY_FRACTION**2
+        return request
+
+    def add_earlier(self, request: Request, earlier: Sequence[EarlierAttempt]) -> None:
+        """What a client sent before, when it repeats a request by itself, counts as attempts."""
+        for server, sent_at, may_have_run in earlier:
+            if may_have_run and not request.may_have_run:
+                request.group = deduplication_group(request.rules, self._state.servers, server)
+                request.first_sent_at = sent_at
+            request.may_have_run += may_have_run
+            request.servers.append(server)
+            request.idle_steps.append(0)
+            request.opened_connection.append(False)
+
+    def _elapsed(self, class_number: int, time_left: float, is_repeated: bool) -> float:
+        """How much of its target latency a request has used before it came here, as far as that shows.
+
+        A first attempt has used none, however much time its client leaves it: clients differ in that, and
+        one that leaves more than others must not make the others look late.
+        """
+        usual = self._usual_time_left
+        if not self._is_entry:
+            # a call from the tier above, which doesn't always pass on the client's deadline
+            longest = usual[class_number] = max(usual[class_number], time_left)
+            return longest - time_left
+        if not is_repeated:
+            usual[class_number] = time_left
+            return 0.0
+        is_shorter = time_left < (1.0 - HEDGE_MARGIN) * usual[class_number]
+        return self._state.settings.request_classes[class_number].deadline - time_left if is_shorter else 0.0
--- /dev/null
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -0,0 +1,136 @@
+"""The life of a request: its arrival, the ends of its attempts, retries, the client's leaving. No I/O."""
+
+from collections.abc import Sequence
+from heapq import heappush
+
+from wheatroute.balancing.attempt_sender import AttemptSender
+from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
+from wheatroute.balancing.final_answers import FinalAnswers
+from wheatroute.balancing.interface import EarlierAttempt, Outcome, Report
+from wheatroute.balancing.load_reports import LoadReports
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.outcome_recorder import OutcomeRecorder
+from wheatroute.balancing.outlier_ejection import HANG_RATIO
+from wheatroute.balancing.parameters import MIN_SAMPLES
+from wheatroute.balancing.queue_management import QueueManager
+from wheatroute.balancing.request import Request
+from wheatroute.balancing.request_admission import RequestAdmission
+from wheatroute.balancing.retry_rules import may_repeat
+from wheatroute.balancing.server_selection import ServerSelection
+
+RETRY_FRACTION = 0.1  # of the requests taken may be sent again after an attempt that may have run
+MAX_RETRY_CREDIT = 1.0 + RETRY_FRACTION * MIN_SAMPLES * 2
+
+
+class RequestLifecycle:
+    """Handles the events of requests."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        limiter: ConcurrencyLimiter,
+        reports: LoadReports,
+        selection: ServerSelection,
+        recorder: OutcomeRecorder,
+        admission: RequestAdmission,
+        sender: AttemptSender,
+        queue: QueueManager,
+        answers: FinalAnswers,
+    ) -> None:
+        self._state, self._limiter, self._reports, self._selection = state, limiter, reports, selection
+        self._recorder, self._admission, self._sender = recorder, admission, sender
+        self._queue, self._answers = queue, answers
+        self._retry_credit = 1.0
+
+    def arrived(
+        self,
+        number: int,
+        class_number: int,
+        time_left: float,
+        tenant: int,
+        is_repeated: bool,
+        earlier: Sequence[EarlierAttempt] = (),
+        work: float = 0.0,
+    ) -> None:
+        """A request came: it is sent, waits, or is ended at once."""
+        state = self._state
+        request = self._admission.new_request(number, class_number, time_left, tenant, is_repeated, work)
+        state.requests[number] = request
+        self._retry_credit = min(self._retry_credit + RETRY_FRACTION, MAX_RETRY_CREDIT)
+        self._admission.add_earlier(request, earlier)
+        is_late = request.give_up_at <= state.now
+        if is_late or (earlier and not may_repeat(request, state.settings, state.now)):
+            self._answers.finish(request)
+            return
+        heappush(state.timers, (request.give_up_at, -number - 1, request))
+        if not self._sender.send(request):
+            (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
+
+    def attempt_ended(
+        self,
+        number: int,
+        n: int,
+        server: int,
+        outcome: Outcome,
+        elapsed_s: float,
+        is_finished: bool,
+        report: Report | None,
+    ) -> None:
+        """An attempt ended: its request ends with it, or is sent again."""
+        request = self._state.requests.get(number)
+        if request is None or n not in request.attempts_in_flight:
+            return
+        request.attempts_in_flight.discard(n)
+        servers = self._state.servers
+        servers.in_flight[server] -= 1
+        self._limiter.in_flight -= server in self._selection.weights
+        servers.sent_at[server].pop((number, n), None)
+        if report and outcome == Outcome.SERVED:
+            self._reports.take_report(server, report, elapsed_s)
+        self._recorder.record(request, n, server, outcome, elapsed_s)
+        if outcome not in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT):
+            request.may_have_run += 1
+        if is_finished or outcome == Outcome.SERVED:
+            self._answers.close(request)
+        elif not request.is_over and not request.attempts_in_flight and not request.is_queued:
+            self._retry(request)
+        if request.is_over and not request.attempts_in_flight:
+            self._state.requests.pop(number, None)
+
+    def _retry(self, request: Request) -> None:
+        """Sends a request again that has no attempt in flight, or ends it."""
+        state = self._state
+        is_late = state.now + state.settings.tick >= request.give_up_at
+        # without the bound on retries they would add to an overload
+        has_credit = not request.may_have_run or self._retry_credit >= 1.0
+        if not may_repeat(request, state.settings, state.now) or is_late or not has_credit:
+            self._answers.finish(request)
+            return
+        self._retry_credit -= 1.0 if request.may_have_run else 0.0
+        if not self._sender.send(request):
+            (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
+
+    def resend_hanging(self, server: int, timeout_s: float) -> None:
+        """Sends again, elsewhere, what has been in flight for long at a server that hangs."""
+        state = self._state
+        for (number, _), sent_at in list(state.servers.sent_at[server].items()):
+            request = state.requests.get(number)
+            if request is None or request.is_over or len(request.attempts_in_flight) > 1:
+                continue
+            if state.now - sent_at < timeout_s / HANG_RATIO or self._retry_credit < 1.0:
+                continue
+            if may_repeat(request, state.settings, state.now) and self._sender.send(request):
+                self._retry_credit -= 1.0
+
+    def answer_started(self, number: int, n: int, server: int) -> None:
+        """A streamed answer belongs to the client from its first byte on: other attempts are cancelled."""
+        request = self._state.requests.get(number)
+        if request is not None and n in request.attempts_in_flight:
+            self._state.servers.answered_at[server] = self._state.now
+            self._answers.close(request, n)
+
+    def client_left(self, number: int) -> None:
+        """Nobody waits for the request any more."""
+        request = self._state.requests.get(number)
+        if request is not None and not request.is_over:
+            self._answers.close(request)
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from math import inf
+
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.server_statistics import ServerStatistics
@@ -33,6 +35,16 @@
     return request.rules.idempotency == Idempotency.IDEMPOTENT
 
 
+def rebind(request: Request, rules: RequestClass, servers: ServerStatistics) -> None:
+    """Binds a request to changed rules, also where it was sent under others."""
+    request.rules = rules
+    groups = {deduplication_group(rules, servers, server) for server in request.servers}
+    if len(groups) == 1:
+        request.group = groups.pop()
+    elif groups:  # one group would take a repeat for new that another has run
+        request.first_sent_at = -inf
+
+
 def may_reject(request: Request) -> bool:
     """Whether the client may be told that it can send the request again unharmed."""
     if request.rules.idempotency == Idempotency.IDEMPOTENT:
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -23,6 +23,7 @@
 from wheatroute.split import clamped_weights
 
 MAX_DRAWS = 4
+MAX_SERVERS_PER_TICK = 64  # with more, a tick's work is spread over several batches
 BUSY_SERVER_RATIO = 1.0  # a server with this multiple of the mean in flight, and a bit, is drawn again
 MIN_SUBSET = 8.0  # servers that a node sends to; more where a server would have fewer nodes than that
 CONNECTION_PRICE_FACTOR = 3.0  # and to so many times fewer where open connections have a price
@@ -56,6 +57,11 @@
         self._expected_latency: dict[int, float] = {}  # in multiples of the class's mean
         self.slow_servers: list[int] = []  # outliers by their latency
 
+    def apply_settings(self) -> None:
+        """Takes over changed settings."""
+        maximum = self._state.settings.max_servers_per_tick
+        self.max_servers_at_once = MAX_SERVERS_PER_TICK if maximum is None else maximum
+
     # the subset and its weights
 
     def update(self) -> None:
@@ -112,8 +118,7 @@
             if one > OUTLIER_LATENCY_RATIO * median
         ]
         # Latency that is spent in the tiers below is the same for all servers and would hide how slow some
-        # are;
-        # each tier is taken to have an equal part of the shortest latency.
+        # are; each tier is taken to have an equal part of the shortest latency.
         below = (1.0 - 1.0 / state.tiers_from_here) * min(expected, default=0.0)
         # a server in another zone looks slower by what the crossing costs
         crossing = CROSSING_PRICE_FACTOR * settings.crossing_price
--- /dev/null
+++ b/wheatroute/balancing/settings_updates.py
@@ -0,0 +1,51 @@
+"""Takes in changed settings and a changed number of nodes; what was measured stays. No I/O."""
+
+from collections.abc import Sequence
+from dataclasses import replace
+from typing import Protocol
+
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.retry_rules import rebind
+from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.settings import DecisionSettings
+from wheatroute.balancing.slow_start import SlowStart
+
+
+class Configurable(Protocol):
+    """A part of the decisions that keeps something which follows from the settings."""
+
+    def apply_settings(self) -> None:
+        """Takes over changed settings."""
+
+
+class SettingsUpdates:
+    """Hands changed settings to the parts that keep something of them."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        selection: ServerSelection,
+        slow_start: SlowStart,
+        parts: Sequence[Configurable],
+    ) -> None:
+        self._state, self._selection, self._slow_start, self._parts = state, selection, slow_start, parts
+        self._apply()
+
+    def _apply(self) -> None:
+        self._state.latencies.extend(len(self._state.settings.request_classes))
+        for part in self._parts:
+            part.apply_settings()
+
+    def settings_changed(self, settings: DecisionSettings, is_binding: bool) -> None:
+        """Requests taken before keep their own rules unless the new settings bind them too."""
+        state = self._state
+        for request in state.requests.values() if is_binding else ():
+            rebind(request, settings.request_classes[request.class_number], state.servers)
+        state.settings = settings
+        self._apply()
+        self._selection.update()
+
+    def nodes_counted(self, nodes: int, node: int, caution: float) -> None:
+        """Quotas, the subset of servers and the pace of trials follow the number of nodes."""
+        self._slow_start.caution = caution
+        self.settings_changed(replace(self._state.settings, nodes=nodes, node=node), False)
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -13,7 +13,12 @@
 from random import Random
 from typing import TYPE_CHECKING, Any
 
+from wheatroute.balancing.final_answers import FinalAnswers
+from wheatroute.balancing.interface import Event
+from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.request import Request
 from wheatroute.balancing.settings import DecisionSettings
+from wheatroute.balancing.tenant_quotas import TenantQuotas
 from wheatroute.decide import Balancer
 
 if TYPE_CHECKING:
@@ -21,11 +26,11 @@
     from wheatroute.fleet.world import World
 
 WHERE = {
-    "_arrived": "too late on arrival",
+    "arrived": "too late on arrival",
     "_run_timers": "time ran out",
-    "_shed_queue": "foretold wait",
+    "shed": "foretold wait",
     "_retry": "no further attempt",
-    "_drain_queue": "waiting",
+    "drain": "waiting",
 }
 
 
@@ -55,17 +60,21 @@
         super().__init__(terms, draw)
         self._world, self._node, self._noes = world, node, noes
         self._came: dict[int, float] = {}  # requests without a no, and when they came
+        self._handlers[Event.ARRIVED] = self._arrived
+
+    def _make_final_answers(self, state: NodeState, quotas: TenantQuotas) -> FinalAnswers:
+        return ProbedAnswers(self, state, quotas)
 
     def _arrived(self, number: int, *more: Any) -> None:
         self._came[number] = self._state.now
-        super()._arrived(number, *more)
+        self._components.lifecycle.arrived(number, *more)
 
-    def _close(self, request: Any, *more: Any) -> None:
+    def closed(self, request: Request) -> None:
+        """Forgets a request that has its answer."""
         self._came.pop(request.number, None)
-        super()._close(request, *more)
 
-    def _finish(self, request: Any) -> None:
-        client = sys._getframe(1).f_code.co_name
+    def note(self, request: Request, client: str) -> None:
+        """Writes down a request that is given up, by the function that gives it up."""
         cause = WHERE.get(client, client)
         if client == "_run_timers":
             back = ", attempt back" if request.servers else ", never sent"
@@ -74,6 +83,7 @@
             last = self._node.requests[request.number].attempts
             cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
         servers = [one for one in self._world.tiers[self._node.depth] if one.alive]
+        limiter = self._components.limiter
         self._noes.append(
             No(
                 self._state.now,
@@ -83,13 +93,30 @@
                 cause,
                 len(request.servers),
                 self._state.now - self._came.get(request.number, self._state.now),
-                self._limiter.limit if self._limiter.limit < inf else -1.0,
-                self._limiter.in_flight,
+                limiter.limit if limiter.limit < inf else -1.0,
+                limiter.in_flight,
                 sum(one.held < one.cores for one in servers) / max(1, len(servers)),
                 sum(one.held / one.cores for one in servers) / max(1, len(servers)),
             )
         )
-        super()._finish(request)
+
+
+class ProbedAnswers(FinalAnswers):
+    """The final answers of a node, with a note at each no."""
+
+    def __init__(self, probed: Probed, state: NodeState, quotas: TenantQuotas) -> None:
+        super().__init__(state, quotas)
+        self._probed = probed
+
+    def finish(self, request: Request) -> None:
+        """Gives the final answer to a request for which no server has given one."""
+        self._probed.note(request, sys._getframe(1).f_code.co_name)
+        super().finish(request)
+
+    def close(self, request: Request, kept: int = -1) -> None:
+        """Ends a request and cancels its attempts in flight but `kept`."""
+        self._probed.closed(request)
+        super().close(request, kept)
 
 
 def maker(noes: list[No]) -> Any:
