--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -350,14 +350,14 @@
 
 @story
 async def test_a_mistake_in_the_module_ends_no_node_and_leaves_no_request_unanswered(start):
-    from wheatroute.decide import Balancer
+    from wheatroute.balancing.request_admission import RequestAdmission
 
     node = await start(Peer(OK))
-    right, Balancer._elapsed = Balancer._elapsed, lambda *fields: 1 / 0
+    right, RequestAdmission._elapsed = RequestAdmission._elapsed, lambda *fields: 1 / 0
     try:
         assert (await node.ask(time_out="200m"))[0] == 502
     finally:
-        Balancer._elapsed = right
+        RequestAdmission._elapsed = right
     assert (await node.ask())[0] == 200
 
 
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -24,7 +24,7 @@
     wait_until,
 )
 
-from wheatroute.decide import Balancer
+from wheatroute.balancing.membership_updates import MembershipUpdates
 from wheatroute.net import connection_pool
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection
@@ -176,13 +176,13 @@
 async def test_a_cold_server_gets_nothing_that_was_decided_long_before(start):
     server = Server()
 
-    modules = []
+    updates = []
 
-    def credited(module, *_):
-        module.servers.slow_start_credit[0] = 1.0  # room for one
-        modules.append(module)
+    def credited(membership, *_):
+        membership._state.servers.slow_start_credit[0] = 1.0  # room for one
+        updates.append(membership)
 
-    with HeldConnections() as held, at(Balancer, "_servers_listed", after=credited):
+    with HeldConnections() as held, at(MembershipUpdates, "servers_listed", after=credited):
         node = await start(
             server, entries=[entry(server, started_ms=int(time.time() * 1000))], changes=rules(fall=0.8)
         )
@@ -193,7 +193,7 @@
         held.released.set()
         status, _ = await client.answer()
         assert status == 503 and not server.heads
-        credited(modules[0])
+        credited(updates[0])
         text, other = message(node, "place", body="b")
         assert (await Client(node.port).send(text).answer())[0] == 200
     assert server.ids == [other] and server.lines == 1  # on the connection that was up
