--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -29,7 +29,7 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "balancing")]
 
 from wheatroute import decide  # noqa: E402
 from wheatroute.balancing import queue_management, server_selection  # noqa: E402
@@ -426,15 +426,15 @@
 
 def _stories(twin: Callable[[Any, random.Random], Twin]) -> None:
     """The tests of the decisions, with both modules in the place of one."""
-    import fakehost
+    import balancer_host
 
-    fakehost.Balancer = twin
+    balancer_host.Balancer = twin
     for name in STORIES:
         for test_name, test in vars(importlib.import_module(name)).items():
             if test_name.startswith("test_") and not test.__code__.co_argcount:
                 test()
                 Twin.tally["stories"] += 1
-    fakehost.Balancer = decide.Balancer
+    balancer_host.Balancer = decide.Balancer
 
 
 def cost(
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -9,7 +9,7 @@
 import structlog
 import trio
 import trio.testing
-from asynchronous import story
+from async_scenarios import scenario
 from test_processes import MIX, WITHIN, first_version, kept
 
 from wheatroute.agreement import relay
@@ -179,7 +179,7 @@
     assert store.unreadable_keys == {"empty", "half", "list"}
 
 
-@story
+@scenario
 async def test_an_unreadable_status_or_notice_in_etcd_fails_no_exchange():
     backend = Store()
     member = Served(backend)
@@ -199,7 +199,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_notices_expire_from_a_store_that_only_relays_read(tmp_path):
     class Told(DirectoryStore):
         """What the relay removes."""
@@ -226,7 +226,7 @@
     assert DirectoryStore(store.path).changed_drain_notices_blocking() == []
 
 
-@story
+@scenario
 async def test_a_status_is_not_written_after_the_removal_of_a_process_that_ends(tmp_path):
     class Slow(DirectoryStore):
         """An exchange that stays in flight."""
--- /dev/null
+++ b/tests/balancing/balancer_host.py
@@ -0,0 +1,178 @@
+"""A host of the decision module in virtual time, whose servers answer the way a test says."""
+
+import random
+from dataclasses import replace
+
+from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.settings import DecisionSettings, RequestClass
+from wheatroute.decide import Balancer
+
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = 0, 1, 2  # numbers of the request classes of `decision_settings`
+
+
+def decision_settings(**changes):
+    """Settings with one request class of each idempotency."""
+
+    def request_class(idempotency, value, group=DeduplicationGroup.ALL):
+        return RequestClass(
+            target_latency=1.0,
+            deadline=3.0,
+            value=value,
+            idempotency=idempotency,
+            deduplication_group=group,
+            retry_window=2.0,
+        )
+
+    usual = DecisionSettings(
+        tick=0.005,
+        can_hedge=True,
+        can_cancel=True,
+        can_advise_retry=True,
+        max_retry_after_s=2.0,
+        max_attempts=4,
+        connect_timeout_s=0.1,
+        excess_value_factor=0.05,
+        idle_timeout_s=30.0,
+        list_max_age_s=10.0,
+        warmup_s=20.0,
+        warmup_initial_share=0.1,
+        drain_grace_s=0.5,
+        overload_window_s=3.0,
+        overload_multiple=3.0,
+        report_how="answers",
+        request_classes=[
+            request_class(Idempotency.IDEMPOTENT, 5.0),
+            request_class(Idempotency.KEYED, 3.0, DeduplicationGroup.CELL),
+            request_class(Idempotency.NON_IDEMPOTENT, 3.0),
+        ],
+    )
+    return replace(usual, **changes)
+
+
+class BalancerHost:
+    """Gives the decision module events and carries out its commands, which it keeps.
+
+    Servers are numbered; `answer(server, attempt)` gives how an attempt ends, (outcome, seconds), or None if
+    never. `final_answers` has one of "served", "rejected" and "failed" for each request that is over.
+    """
+
+    def __init__(self, servers=4, answer=None, seed=1, start=100.0, entries=None, report=None, **changes):
+        self.settings = decision_settings(**changes)
+        self.balancer = Balancer(self.settings, random.Random(seed))
+        self.now, self.answer = start, answer or (lambda server, attempt: (Outcome.SERVED, 0.1))
+        self.events, self.pending = [], []
+        self.commands = []  # name, moment and arguments of each
+        self.report = report or (lambda server: None)
+        self.attempts = {}  # the servers of each request's attempts
+        self.in_flight = set()  # requests with numbers of their attempts
+        self.final_answers, self.request_count = {}, 0
+        self.list_servers(entries or [self.list_entry(s) for s in range(servers)], True)
+
+    @staticmethod
+    def list_entry(server, state=ServerState.LIVE, zone=0, cell=None, started=0.0):
+        return (server, zone, 0, server // 2 if cell is None else cell, state, 1.0, started)
+
+    def list_servers(self, entries, is_full=False):
+        self.events.append((Event.SERVERS_LISTED, entries, is_full))
+
+    def send_request(self, request_class=IDEMPOTENT, time_left=3.0, tenant=-1, is_repeated=False):
+        """Has a request arrive with the next batch; returns its number."""
+        number, self.request_count = self.request_count, self.request_count + 1
+        self.attempts[number] = []
+        self.events.append((Event.ARRIVED, number, request_class, time_left, tenant, is_repeated))
+        return number
+
+    def step(self, seconds=0.0):
+        """One event batch now, then one a tick until `seconds` have gone by."""
+        end = self.now + seconds
+        while True:
+            for item in sorted(one for one in self.pending if one[0] <= self.now + 1e-9):
+                self.pending.remove(item)
+                self._end_attempt(*item[1:])
+            events, self.events = self.events, []
+            self.balancer.handle_events(self.now, events, self)
+            if self.now >= end - 1e-9:
+                return self
+            self.now += self.settings.tick
+
+    def run(self, seconds, rate, request_class=IDEMPOTENT, **options):
+        """Requests at an even rate."""
+        for _ in range(int(seconds * rate)):
+            self.send_request(request_class, **options)
+            self.step(1.0 / rate)
+        return self
+
+    def _end_attempt(self, number, n, server, outcome, elapsed_s):
+        if (number, n) not in self.in_flight:
+            return
+        self.in_flight.discard((number, n))
+        is_finished = number in self.final_answers or outcome == Outcome.SERVED
+        if outcome == Outcome.SERVED:
+            self.final_answers.setdefault(number, "served")
+        report = self.report(server)
+        self.events.append((Event.ATTEMPT_ENDED, number, n, server, outcome, elapsed_s, is_finished, report))
+
+    def attempts_to(self, server, since=0.0):
+        """How many attempts were sent to a server since a moment."""
+        return sum(
+            1
+            for name, when, *rest in self.commands
+            if name == "attempt" and rest[1] == server and when >= since
+        )
+
+    def command_count(self, name):
+        return sum(1 for one in self.commands if one[0] == name)
+
+    # the command writer
+
+    def attempt(self, request, server, time_out):
+        assert request not in self.final_answers, "nothing goes out after the final answer"
+        n = len(self.attempts[request])
+        self.attempts[request].append(server)
+        self.in_flight.add((request, n))
+        self.commands.append(("attempt", self.now, request, server))
+        outcome, elapsed_s = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, time_out)
+        self.pending.append((self.now + elapsed_s, request, n, server, outcome, elapsed_s))
+
+    def cancel(self, request, n):
+        self.commands.append(("cancel", self.now, request, n))
+        self.pending.append(
+            (self.now + self.settings.tick, request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
+        )
+
+    def reject(self, request, stay_away):
+        self._end_request(request, "rejected", stay_away)
+
+    def fail(self, request):
+        self._end_request(request, "failed", 0.0)
+
+    def _end_request(self, request, final_answer, stay_away):
+        assert request not in self.final_answers, "one final answer"
+        self.final_answers[request] = final_answer
+        self.commands.append((final_answer, self.now, request, stay_away))
+
+    def wake_at(self, moment):
+        assert moment > self.now
+
+    def probe(self, server):
+        self.commands.append(("probe", self.now, server))
+
+    def send_loads(self, figures):
+        self.commands.append(("send_loads", self.now, dict(figures)))
+
+    def watch(self, enable):
+        self.commands.append(("watch", self.now, enable))
+
+    def fetch(self):
+        self.commands.append(("fetch", self.now))
+
+    def close(self, server):
+        self.commands.append(("close", self.now, server))
+
+    def log(self, text):
+        self.commands.append(("log", self.now, text))
+
+
+def only_slow(*slow):
+    """Servers that are all well, those named four times slower."""
+    return lambda server, attempt: (Outcome.SERVED, 0.4 if server in slow else 0.1)
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -2,7 +2,7 @@
 
 import json
 
-from asynchronous import story
+from async_scenarios import scenario
 from edge.harness import (
     CONFIGURATION,
     ScriptedServer,
@@ -13,7 +13,7 @@
 )
 
 
-@story
+@scenario
 async def test_routes_are_found_by_host_and_longest_prefix():
     inner, outer = ScriptedServer("i-1", service="other"), ScriptedServer("i-2")
     async with running_edge(inner, outer) as edge:
@@ -26,7 +26,7 @@
         assert status(await edge.exchange(elsewhere)) == 404
 
 
-@story
+@scenario
 async def test_an_unknown_api_key_is_rejected_except_on_public_routes():
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
@@ -36,7 +36,7 @@
     assert len(server.requests) == 1 and "tenant" not in server.requests[0][1]
 
 
-@story
+@scenario
 async def test_a_request_past_its_deadline_is_answered_at_once_and_cancelled_at_its_server():
     box = []
     server = ScriptedServer("i-1", never_respond(box))
@@ -46,14 +46,14 @@
         await server.cancelled.wait()
 
 
-@story
+@scenario
 async def test_a_request_without_any_server_is_answered_as_one_that_never_ran():
     async with running_edge() as edge:
         response = await edge.exchange(request("/plain/1"))
     assert status(response) == 503 and b"Retry-After: " in response
 
 
-@story
+@scenario
 async def test_a_tenant_over_its_limit_gets_a_retry_after():
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
@@ -67,7 +67,7 @@
     assert edge.requested_leases[1] == ("small", 200.0)
 
 
-@story
+@scenario
 async def test_a_request_that_never_ran_is_refunded():
     async with running_edge() as edge:
         edge.grant("small", 500.0)
@@ -75,7 +75,7 @@
         assert edge.node.quotas.try_use("small", 500.0)
 
 
-@story
+@scenario
 async def test_a_new_configuration_is_in_force_for_the_next_request():
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -5,7 +5,7 @@
 
 import pytest
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     END,
     STREAM_HEAD,
@@ -36,7 +36,7 @@
     return [headers["request-id"] for server in servers for _, headers, _ in server.requests]
 
 
-@story
+@scenario
 async def test_an_informational_response_is_skipped():
     interim = b"HTTP/1.1 103 Early Hints\r\nX: 1\r\n\r\n"
     whole = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 2\r\n\r\nok"
@@ -46,7 +46,7 @@
     assert status(response) == 200 and response.endswith(b"\r\n\r\nok")
 
 
-@story
+@scenario
 async def test_bytes_after_a_complete_response_belong_to_no_other_request():
     server = ScriptedServer("i-1", respond(b"one", after=b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nbad"))
     async with running_edge(server) as edge:
@@ -55,7 +55,7 @@
     assert first.endswith(b"one") and second.endswith(b"ok") and server.connections == 2
 
 
-@story
+@scenario
 async def test_a_surplus_response_to_an_earlier_request_is_skipped():
     surplus = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Signature: old\r\nContent-Length: 3\r\n\r\nold"
     own = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Signature: new\r\nContent-Length: 3\r\n\r\nnew"
@@ -66,7 +66,7 @@
     assert second.endswith(b"new") and b"server-signature: new" in second and server.connections == 1
 
 
-@story
+@scenario
 async def test_a_truncated_response_does_not_look_complete():
     for cut in (
         b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 9\r\n\r\nhal",
@@ -80,7 +80,7 @@
         assert status(response) == 502 and b"half" not in response and len(server.requests) == 1
 
 
-@story
+@scenario
 async def test_a_rejection_that_comes_twice_is_not_taken_for_the_response_to_a_second_attempt():
     """A server that rejected a request doesn't get it again, and the copy belongs to no other request."""
     server = ScriptedServer("i-1", respond_raw(REJECTION + REJECTION, keep=True))
@@ -91,7 +91,7 @@
     assert request_ids(server) == ["r1", "r2"] and server.connections == 2
 
 
-@story
+@scenario
 async def test_a_connection_on_which_a_request_was_rejected_never_carries_it_again():
     """A late copy of the rejection would be taken for the response to the second attempt, by its id."""
     server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
@@ -106,7 +106,7 @@
         assert await edge.node.pool.acquire(at, b"r2") is kept
 
 
-@story
+@scenario
 async def test_a_response_without_an_id_counts_only_on_a_connection_without_other_requests():
     fresh = ScriptedServer("i-1", respond_raw(NO_ID, keep=True))
     async with running_edge(fresh) as edge:
@@ -119,7 +119,7 @@
     assert request_ids(kept) == ["r1", "r2"] and kept.connections == 1
 
 
-@story
+@scenario
 async def test_a_surplus_response_is_skipped_also_for_a_request_with_a_body():
     surplus = b"HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Signature: old\r\nContent-Length: 3\r\n\r\nold"
     own = b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Signature: new\r\nContent-Length: 3\r\n\r\nnew"
@@ -165,7 +165,7 @@
     "part", (b"", HALF_HEAD, HALF_BODY, UNFRAMED), ids=("nothing", "head", "body", "open")
 )
 def test_a_request_whose_response_breaks_off_is_retried_only_if_idempotent(part, how):
-    @story
+    @scenario
     async def script():
         for kept in (False, True):
             before = [respond(b"warm")] if kept else []
@@ -231,7 +231,7 @@
         server.heads.append(rest)
 
 
-@story
+@scenario
 async def test_a_long_body_that_is_rejected_early_by_a_reset_never_ran_and_is_retried():
     first = EarlyServer("i-1", REJECTION, break_off)
     second = ScriptedServer("i-2", respond(b"taken"))
@@ -242,7 +242,7 @@
     assert second.requests[0][2] == LONG
 
 
-@story
+@scenario
 async def test_a_server_that_rejects_early_and_reads_on_gets_the_rest_of_that_body():
     first = EarlyServer("i-1", REJECTION, read_on)
     second = ScriptedServer("i-2", respond(b"taken"))
@@ -253,7 +253,7 @@
         assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
 
 
-@story
+@scenario
 async def test_a_request_cancelled_inside_its_body_is_never_completed():
     """Its client disconnects while the server doesn't read: it can't run, and isn't retried."""
     is_waiting = trio.Event()
@@ -274,7 +274,7 @@
     assert request_ids(second) == []
 
 
-@story
+@scenario
 async def test_a_resumed_stream_uses_another_connection():
     """At the same server too: surplus bytes of the first response would be read as the second one's."""
     begun = STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n")
--- a/tests/edge/test_changes_while_waiting.py
+++ b/tests/edge/test_changes_while_waiting.py
@@ -4,7 +4,7 @@
 
 import trio
 import trio.testing
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     CONFIGURATION,
     ScriptedServer,
@@ -22,7 +22,7 @@
     one["target_ms"] = 20_000  # so that a request waits for a server for seconds
 
 
-@story
+@scenario
 async def test_a_waiting_request_keeps_a_route_that_is_removed():
     """Its version of the configuration stays in force for it; the next request gets the new one."""
     server = ScriptedServer("i-1")
@@ -41,7 +41,7 @@
     assert len(server.requests) == 1
 
 
-@story
+@scenario
 async def test_an_api_key_moved_to_another_tenant_counts_from_the_next_request_on():
     server = ScriptedServer("i-1")
     moved = deepcopy(CONFIGURATION)
@@ -60,7 +60,7 @@
     assert [headers["tenant"] for _, headers, _ in server.requests] == ["mill", "dye-works", "mill"]
 
 
-@story
+@scenario
 async def test_a_waiting_request_whose_client_disconnects_reaches_no_server():
     server = ScriptedServer("i-1")
     async with running_edge(server, configuration=LONG_TARGETS) as edge:
@@ -75,7 +75,7 @@
     assert [headers["request-id"] for _, headers, _ in server.requests] == ["r2"]
 
 
-@story
+@scenario
 async def test_a_waiting_request_is_answered_before_a_stopping_node_ends():
     server = ScriptedServer("i-1")
     async with running_edge(server, configuration=LONG_TARGETS) as edge:
@@ -91,7 +91,7 @@
     assert len(server.requests) == 1
 
 
-@story
+@scenario
 async def test_a_server_that_leaves_while_it_accepts_no_bytes_delays_no_request():
     """The socket never becomes writable again, and the request still goes to another server."""
     body = b"x" * (24 << 20)  # more than the socket buffers hold
@@ -117,7 +117,7 @@
     assert status(response) == 200 and len(other.requests) == 1
 
 
-@story
+@scenario
 async def test_a_server_that_leaves_before_the_last_byte_never_gets_a_complete_request():
     """An incomplete request never runs there, so a non-idempotent one may go to another server."""
     body = b"x" * (24 << 20)  # more than the socket buffers hold
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -1,7 +1,7 @@
 """Clients' connections: framing, disconnection, backpressure and shutdown."""
 
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     END,
     STREAM_HEAD,
@@ -15,7 +15,7 @@
 )
 
 
-@story
+@scenario
 async def test_a_chunked_body_is_sent_on_complete_with_its_length():
     server = ScriptedServer("i-1")
     message = request("/plain/1").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
@@ -25,7 +25,7 @@
     assert body == b"abcdefg" and headers["content-length"] == "7" and "transfer-encoding" not in headers
 
 
-@story
+@scenario
 async def test_a_request_with_two_lengths_reaches_no_server():
     server = ScriptedServer("i-1")
     message = request("/plain/1", body=b"x" * 5).replace(
@@ -36,7 +36,7 @@
     assert not server.requests
 
 
-@story
+@scenario
 async def test_a_request_is_cancelled_when_its_client_disconnects():
     box = []
     server = ScriptedServer("i-1", never_respond(box))
@@ -50,7 +50,7 @@
         await until(lambda: edge.clients.busy_count == 0)
 
 
-@story
+@scenario
 async def test_a_client_that_reads_nothing_delays_no_other_and_fills_no_memory():
     offered, size = 3000, 1 << 16
     sent = []
@@ -79,7 +79,7 @@
         await until(lambda: not edge.clients._clients)
 
 
-@story
+@scenario
 async def test_a_stopping_node_ends_connections_with_their_responses():
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
@@ -94,7 +94,7 @@
         assert await connection.receive_some(10) == b""
 
 
-@story
+@scenario
 async def test_idle_connections_are_closed_by_close_idle():
     async with running_edge(ScriptedServer("i-1")) as edge:
         idle = await trio.open_tcp_stream("127.0.0.1", edge.port)
--- a/tests/edge/test_control_client.py
+++ b/tests/edge/test_control_client.py
@@ -6,7 +6,7 @@
 import msgspec
 import msgspec.yaml
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     CONFIGURATION,
     TIME_LIMIT_S,
@@ -25,7 +25,7 @@
 from wheatroute.edge import control_client, selection, usage_reporter
 
 
-@story
+@scenario
 async def test_an_update_of_an_older_epoch_is_ignored():
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
@@ -46,7 +46,7 @@
     return 200, msgspec.structs.replace(primary.update(poll), configuration=8, configuration_change=body)
 
 
-@story
+@scenario
 async def test_a_difference_that_cannot_be_applied_is_dropped_and_the_full_configuration_requested():
     """One is based on a version that this node doesn't have, the other can't be decoded."""
     first = make_version(decode_configuration(json.dumps(CONFIGURATION)), 7)
@@ -67,7 +67,7 @@
         assert status(await edge.exchange(request("/plain/1"))) == 200
 
 
-@story
+@scenario
 async def test_while_no_node_is_primary_the_configuration_stays_in_force():
     async with running(ScriptedServer("i-1")) as edge:
         edge.primary.scripted_polls += [lambda poll: (503, NotPrimary("", ("127.0.0.1",)))] * 3
@@ -80,7 +80,7 @@
         assert status(await edge.exchange(request("/plain/1"))) == 200
 
 
-@story
+@scenario
 async def test_a_poll_names_the_versions_in_force_and_a_report_the_load():
     may_respond = trio.Event()
 
@@ -101,7 +101,7 @@
         await until(lambda: edge.primary.reports[-1].servers == {})
 
 
-@story
+@scenario
 async def test_a_report_names_an_unresponsive_server_until_it_responds():
     may_respond = trio.Event()
     min_timeout_s, selection.MIN_RESPONSE_TIMEOUT_S = selection.MIN_RESPONSE_TIMEOUT_S, 0.05
@@ -124,7 +124,7 @@
         selection.MIN_RESPONSE_TIMEOUT_S = min_timeout_s
 
 
-@story
+@scenario
 async def test_an_isolated_node_uses_local_tokens_and_at_most_one_request_waits_for_a_lease():
     backoff_s = usage_reporter.LEASE_BACKOFF_S
     usage_reporter.LEASE_BACKOFF_S = TIME_LIMIT_S  # however slow this machine is
@@ -158,7 +158,7 @@
         assert len(waited) <= 1  # none, if a regular report got no response before
 
 
-@story
+@scenario
 async def test_a_poll_whose_connection_breaks_delays_no_lease():
     """A connection that was reset doesn't mean that the primary is down: tokens are requested at once."""
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
@@ -183,7 +183,7 @@
         assert len(leased) == 1
 
 
-@story
+@scenario
 async def test_a_primary_that_another_node_names_is_used_at_once():
     backoff_s = control_client.HOST_BACKOFF_S
     control_client.HOST_BACKOFF_S = 9 * TIME_LIMIT_S  # after a backoff it would hang
--- a/tests/edge/test_dispatch.py
+++ b/tests/edge/test_dispatch.py
@@ -3,7 +3,7 @@
 from contextlib import asynccontextmanager
 
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     END,
     STREAM_HEAD,
@@ -24,7 +24,7 @@
 RUN_ATTEMPT = Attempt.run
 
 
-@story
+@scenario
 async def test_a_non_idempotent_request_that_may_have_run_is_never_retried():
     first, second = ScriptedServer("i-1", respond_raw(b"")), ScriptedServer("i-2", respond_raw(b""))
     async with running_edge(first, second) as edge:
@@ -32,7 +32,7 @@
     assert len(first.requests) + len(second.requests) == 1
 
 
-@story
+@scenario
 async def test_an_idempotent_request_is_retried_once():
     servers = [ScriptedServer(f"i-{n}", respond_raw(b""), respond_raw(b"")) for n in range(3)]
     async with running_edge(*servers) as edge:
@@ -51,7 +51,7 @@
     return [ScriptedServer(f"i-{n}", script, script) for n in range(2)], arrivals
 
 
-@story
+@scenario
 async def test_a_request_that_a_server_did_not_execute_is_retried_even_if_not_idempotent():
     shed = respond(b"", status="503 Service Unavailable", headers=("Not-Executed: 1",))
     servers, arrivals = first_then_ok(shed)
@@ -60,7 +60,7 @@
     assert status(response) == 200 and response.endswith(b"ok") and len(set(arrivals)) == 2
 
 
-@story
+@scenario
 async def test_a_request_rejected_by_all_servers_gets_a_retry_after():
     shed = respond(b"", status="503 Service Unavailable", headers=("Not-Executed: 1", "Server-Signature: s2"))
     server = ScriptedServer("i-1", shed)
@@ -71,7 +71,7 @@
     assert b"server-signature" not in response.lower()
 
 
-@story
+@scenario
 async def test_nothing_is_written_to_a_server_that_leaves_during_the_connect():
     leaving, staying = ScriptedServer("i-1"), ScriptedServer("i-2")
     async with running_edge(leaving, staying) as edge:
@@ -89,7 +89,7 @@
     assert not leaving.requests and len(staying.requests) == 6
 
 
-@story
+@scenario
 async def test_an_idempotent_request_with_an_error_response_is_retried():
     servers, arrivals = first_then_ok(respond(b"broken", status="500 Internal Server Error"))
     async with running_edge(*servers) as edge:
@@ -97,7 +97,7 @@
     assert status(response) == 200 and response.endswith(b"ok") and len(set(arrivals)) == 2
 
 
-@story
+@scenario
 async def test_a_non_idempotent_request_gets_the_error_response():
     failed = respond(b"broken", status="500 Internal Server Error", headers=("Server-Signature: s7",))
     servers = [ScriptedServer(f"i-{n}", failed) for n in range(2)]
@@ -108,7 +108,7 @@
     assert sum(len(one.requests) for one in servers) == 1
 
 
-@story
+@scenario
 async def test_a_late_stream_is_hedged_once_and_the_loser_is_cancelled():
     box = []
     complete = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n") + END, keep=True)
@@ -130,7 +130,7 @@
     assert response.endswith(END) and len(taken) == 2 and len(set(taken)) == 2
 
 
-@story
+@scenario
 async def test_no_hedge_is_sent_on_other_routes_or_with_too_few_samples():
     for path, times in (("/stream/1", 30), ("/plain/1", 30), ("/resume/1", 19)):
         box = []
@@ -180,7 +180,7 @@
         Attempt.run = RUN_ATTEMPT
 
 
-@story
+@scenario
 async def test_a_hedge_that_succeeds_with_the_first_attempt_is_released():
     async with both_attempts_end_at_once() as (edge, client, servers):
         response = b""
@@ -192,7 +192,7 @@
         await client.aclose()
 
 
-@story
+@scenario
 async def test_a_client_that_disconnects_as_both_attempts_succeed_leaves_nothing_open():
     async with both_attempts_end_at_once(before=lambda client: client.aclose()):
         pass
--- a/tests/edge/test_edge_role.py
+++ b/tests/edge/test_edge_role.py
@@ -9,7 +9,7 @@
 import pytest
 import trio
 import trio.testing
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     END,
     STREAM_HEAD,
@@ -26,7 +26,7 @@
 from wheatroute.edge import main as edge_main
 
 
-@story
+@scenario
 async def test_it_is_ready_once_it_has_a_configuration_and_servers():
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
@@ -34,7 +34,7 @@
         assert status(await edge.exchange(request("/plain/1"))) == 200
 
 
-@story
+@scenario
 async def test_a_request_before_the_first_configuration_waits_for_it():
     late = trio.Event()
     async with running(ScriptedServer("i-1")) as edge:
@@ -58,7 +58,7 @@
         assert status(response[0]) == 200
 
 
-@story
+@scenario
 async def test_on_sigterm_it_answers_accepted_and_late_requests_and_then_ends():
     last = trio.Event()
 
@@ -88,7 +88,7 @@
     assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + END)
 
 
-@story
+@scenario
 async def test_on_sigterm_an_endless_stream_is_cut_before_the_platform_kills_the_process():
     async def script(stream, fields):
         head = STREAM_HEAD.replace(b"{id}", fields["request-id"].encode())
@@ -108,7 +108,7 @@
     assert END not in response
 
 
-@story
+@scenario
 async def test_on_sighup_the_seeds_are_read_again_and_nothing_ends():
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
@@ -119,7 +119,7 @@
         assert await edge.ready() == 200 and not edge.ended.is_set()
 
 
-@story
+@scenario
 async def test_a_changed_settings_file_is_applied_with_or_without_a_signal_during_a_stream(tmp_path):
     path = tmp_path / "settings.yaml"
     go_on = trio.Event()
@@ -157,7 +157,7 @@
         assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + END) and not edge.ended.is_set()
 
 
-@story
+@scenario
 async def test_seeds_that_change_in_the_file_without_a_signal_are_used(tmp_path):
     path = tmp_path / "boot.yaml"
     async with running(ScriptedServer("i-1"), seeds=("127.0.0.9:1",), seeds_file=path) as edge:
--- a/tests/edge/test_forwarding.py
+++ b/tests/edge/test_forwarding.py
@@ -1,7 +1,7 @@
 """Forwarding: what a server gets of a request, and a client of a response or stream."""
 
 import trio
-from asynchronous import story
+from async_scenarios import scenario
 from edge.harness import (
     END,
     STREAM_HEAD,
@@ -15,7 +15,7 @@
 )
 
 
-@story
+@scenario
 async def test_a_response_is_forwarded_unchanged():
     server = ScriptedServer("i-1", respond(b"hello", headers=("X-Own: 7", "Connection: X-Hop", "X-Hop: 1")))
     async with running_edge(server) as edge:
@@ -30,7 +30,7 @@
     assert headers["target-instance"] == "i-1" and 0 < int(headers["timeout-ms"]) <= 5000
 
 
-@story
+@scenario
 async def test_the_api_key_is_not_forwarded_and_the_tenant_is_set_by_the_node():
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
@@ -55,7 +55,7 @@
     assert int(headers["timeout-ms"]) <= 900
 
 
-@story
+@scenario
 async def test_a_stream_is_forwarded_event_by_event():
     first = trio.Event()
 
@@ -81,7 +81,7 @@
     assert response.startswith(b"HTTP/1.1 200 OK\r\n") and b"id: 2\ndata: b\n\n" in response
 
 
-@story
+@scenario
 async def test_a_broken_stream_does_not_look_complete_and_loses_its_incomplete_event():
     broken = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\nid: 2\ndata: ha"))
     server = ScriptedServer("i-1", broken)
@@ -91,7 +91,7 @@
     assert len(server.requests) == 1
 
 
-@story
+@scenario
 async def test_a_broken_stream_is_resumed_at_another_server():
     broken = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\nid: 2\ndata: ha"))
     rest = respond_raw(STREAM_HEAD.replace(b"s1", b"s2") + chunk(b"id: 2\ndata: b\n\n") + END, keep=True)
@@ -111,7 +111,7 @@
     )
 
 
-@story
+@scenario
 async def test_an_unhandled_exception_is_answered_by_whether_the_request_may_have_run():
     for sent, expected in ((False, (503, b"internal-unsent\n")), (True, (500, b"internal\n"))):
         server = ScriptedServer("i-1")
--- a/tests/edge/test_instances.py
+++ b/tests/edge/test_instances.py
@@ -3,7 +3,7 @@
 import socket
 
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from edge.harness import (
     TIME_LIMIT_S,
     ScriptedServer,
@@ -18,7 +18,7 @@
 from wheatroute.edge.instances import PendingAttempt
 
 
-@story
+@scenario
 async def test_a_server_whose_address_was_taken_over_is_excluded():
     elsewhere = respond(b"", status="421 Misdirected Request", headers=("Instance-Id: i-9",))
     server = ScriptedServer("i-1", elsewhere)
@@ -27,7 +27,7 @@
         assert not edge.node.instances.available("llm")
 
 
-@story
+@scenario
 async def test_a_server_that_fails_fast_is_ejected():
     failed = respond(b"broken", status="500 Internal Server Error")
     bad, good = ScriptedServer("i-1", *[failed] * 50), ScriptedServer("i-2")
@@ -37,7 +37,7 @@
     assert len(bad.requests) < 10
 
 
-@story
+@scenario
 async def test_a_server_whose_host_acknowledges_nothing_is_avoided_at_once():
     previous = instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S
     instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
@@ -67,7 +67,7 @@
         instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S = previous
 
 
-@story
+@scenario
 async def test_an_unresponsive_server_is_avoided():
     box = []
     dark, good = ScriptedServer("i-1", never_respond(box)), ScriptedServer("i-2")
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -7,7 +7,7 @@
 import pytest
 import structlog
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 
 from wheatroute.etcd import messages as wire
 from wheatroute.etcd.client import EtcdClient
@@ -77,7 +77,7 @@
     return trio.current_time() - began
 
 
-@story
+@scenario
 async def test_servers_are_listed_and_then_each_revision_is_reported_at_once():
     async with cluster() as (store, _, follower, servers, _):
         await until(lambda: servers.changes)
@@ -105,7 +105,7 @@
         assert (follower.list_count, follower.stream_count) == (1, 1)
 
 
-@story
+@scenario
 async def test_a_follower_does_not_go_behind_the_position_of_the_process_before_it():
     store = Store()
     put(store, "s0")
@@ -131,7 +131,7 @@
             nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_a_broken_watch_resumes_where_it_was_and_reports_nothing_twice():
     async with cluster() as (store, members, follower, servers, _):
         await until(lambda: members[0].watches == 1)
@@ -145,7 +145,7 @@
         assert sorted(names) == sorted(f"s{n}" for n in range(30)) and follower.list_count == 1
 
 
-@story
+@scenario
 async def test_a_break_between_the_fragments_of_a_revision_applies_none_of_it_until_it_is_complete():
     async with cluster() as (store, members, follower, servers, _):
         await until(lambda: members[0].watches == 1)
@@ -165,7 +165,7 @@
         assert members[0].watches == 2
 
 
-@story
+@scenario
 async def test_a_compaction_leads_to_a_new_list_without_the_servers_deleted_meanwhile():
     async with cluster() as (store, members, follower, servers, nursery):
         put(store, "stays")
@@ -182,7 +182,7 @@
         await put_and_wait(store, servers, "new", "terminating", port=7002)
 
 
-@story
+@scenario
 async def test_a_long_outage_of_etcd_removes_no_server_and_a_drain_after_it_is_applied_at_once():
     async with cluster() as (store, members, follower, servers, nursery):
         put(store, "a")
@@ -197,7 +197,7 @@
         assert trio.current_time() - began < 2.0 and follower.list_count == 1
 
 
-@story
+@scenario
 async def test_a_member_that_accepts_and_says_nothing_is_left_for_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         await until(lambda: servers.changes and any(member.watches for member in members))
@@ -207,7 +207,7 @@
         assert sum(member.watches for member in members) >= 2
 
 
-@story
+@scenario
 async def test_a_member_that_lags_behind_is_left_for_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         put(store, "a")
@@ -217,7 +217,7 @@
         await put_and_wait(store, servers, "a", "terminating")
 
 
-@story
+@scenario
 async def test_another_cluster_at_the_same_address_is_listed_anew():
     async with cluster() as (store, members, follower, servers, nursery):
         for n in range(5):
@@ -232,7 +232,7 @@
         await until(lambda: set(servers.states) == {"new"})
 
 
-@story
+@scenario
 async def test_a_malformed_value_changes_nothing():
     async with cluster() as (store, _, follower, servers, _):
         put(store, "a")
@@ -252,7 +252,7 @@
         assert servers.states == {"a": "in_service", "b": "in_service"}
 
 
-@story
+@scenario
 async def test_a_server_at_another_address_under_its_old_key_counts_as_new():
     async with cluster() as (store, _, follower, servers, _):
         put(store, "a", 7000, started_ms=5)
@@ -263,7 +263,7 @@
         assert follower.keys.entries["a"]["started_ms"] > 5
 
 
-@story
+@scenario
 async def test_ten_thousand_servers_are_read_in_pages_of_one_revision():
     store = Store()
     for n in range(10000):
@@ -274,7 +274,7 @@
         await put_and_wait(store, servers, "s00007", "terminating", port=8)
 
 
-@story
+@scenario
 async def test_a_value_changed_many_times_ends_as_it_was_put_last():
     async with cluster() as (store, _, follower, servers, _):
         await until(lambda: follower.stream_count)
@@ -284,7 +284,7 @@
         assert servers.states == {"a": "terminating"}
 
 
-@story
+@scenario
 async def test_an_expired_token_is_renewed_and_a_wrong_password_is_an_error():
     async with cluster(users={"node": "secret"}) as (store, members, follower, servers, _):
         put(store, "a")
@@ -301,7 +301,7 @@
         assert caught.value.status == Status.INVALID_ARGUMENT
 
 
-@story
+@scenario
 async def test_a_write_without_a_response_is_never_repeated():
     async with cluster(member_count=2) as (store, members, follower, servers, _):
         client = follower._client
@@ -315,7 +315,7 @@
         assert sum(member.calls for member in members) < 30
 
 
-@story
+@scenario
 async def test_an_expired_lease_deletes_its_keys():
     moment = [0.0]
     async with cluster(store=Store(clock=lambda: moment[0])) as (store, _, follower, servers, _):
--- a/tests/etcd/test_registrar.py
+++ b/tests/etcd/test_registrar.py
@@ -5,7 +5,7 @@
 
 import structlog
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 
 from wheatroute.etcd import messages as wire
 from wheatroute.etcd.client import EtcdClient
@@ -95,7 +95,7 @@
             nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_nodes_that_start_together_count_each_other():
     async with nodes("a", "b", "c") as (store, _, reports, registrars, scopes, start):
         await until(lambda: reports == {"a": (3, 0, 1.0), "b": (3, 1, 1.0), "c": (3, 2, 1.0)})
@@ -106,7 +106,7 @@
         assert reports["a"][0] == 4  # it counts on for a while
 
 
-@story
+@scenario
 async def test_a_reregistrars_node_takes_its_own_key_and_an_older_one_does_not():
     async with nodes("a") as (store, _, reports, registrars, scopes, start):
         await until(lambda: PREFIX + b"a" in store.keys)
@@ -121,7 +121,7 @@
         assert b"7" in store.keys[PREFIX + b"a"].value
 
 
-@story
+@scenario
 async def test_a_node_whose_lease_is_lost_registers_anew():
     async with nodes("a", "b") as (store, member, reports, registrars, scopes, start):
         await until(lambda: len(store.keys) == 2 and reports.get("b", (0,))[0] == 2)
--- a/tests/grpc/test_sessions.py
+++ b/tests/grpc/test_sessions.py
@@ -14,7 +14,7 @@
 import structlog
 import trio
 import trustme
-from asynchronous import story
+from async_scenarios import scenario
 
 from wheatroute import tls
 from wheatroute.grpc.client import Channel, connected
@@ -60,7 +60,7 @@
     return caught.value.text
 
 
-@story
+@scenario
 async def test_calls_of_all_kinds_end_with_their_status():
     async with serving() as (_, place), connected(Channel(place)) as channel:
         assert await channel.unary_call(b"/t/echo", b"one") == b"one"
@@ -81,7 +81,7 @@
         yield message
 
 
-@story
+@scenario
 async def test_a_message_larger_than_every_window_arrives_whole_and_many_share_a_connection():
     async with (
         serving(ConnectionLimits(connection_window=1 << 16)) as (_, place),
@@ -98,7 +98,7 @@
         assert sorted(got) == [(n, True) for n in range(20)]
 
 
-@story
+@scenario
 async def test_a_deadline_ends_the_call_on_both_sides():
     async with serving() as (server, place), connected(Channel(place)) as channel:
         await fails(Status.DEADLINE_EXCEEDED, channel.unary_call, b"/t/hang", b"x", timeout_s=0.05)
@@ -109,7 +109,7 @@
         )
 
 
-@story
+@scenario
 async def test_a_client_that_goes_ends_the_coroutine_that_served_it():
     ended = trio.Event()
 
@@ -125,7 +125,7 @@
         await ended.wait()
 
 
-@story
+@scenario
 async def test_a_server_that_stops_answers_what_is_open_and_takes_nothing_new():
     go = trio.Event()
 
@@ -155,7 +155,7 @@
             await trio.sleep(0.001)
 
 
-@story
+@scenario
 async def test_a_slow_reader_is_bounded_and_hurts_no_other():
     async def pour(talk):
         with trio.CancelScope() as scope:
@@ -198,7 +198,7 @@
     ]
 
 
-@story
+@scenario
 async def test_a_peer_that_opens_and_resets_at_full_speed_is_cut_off():
     opened = []
 
@@ -226,7 +226,7 @@
         assert await other.unary_call(b"/t/echo", b"well") == b"well"
 
 
-@story
+@scenario
 async def test_what_is_no_http2_or_silent_ends_the_connection_and_no_more(monkeypatch=None):
     async with serving(ConnectionLimits(max_header_list_bytes=4096)) as (server, place):
         for noise in (b"GET / HTTP/1.1\r\n\r\n", b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + b"\xff" * 64):
@@ -245,7 +245,7 @@
             assert await channel.unary_call(b"/t/echo", b"well") == b"well"
 
 
-@story
+@scenario
 async def test_a_connection_that_falls_silent_is_noticed_by_its_pings():
     listener = listen(("127.0.0.1", 0))
     limits = ConnectionLimits(ping_interval_s=0.05, ping_timeout_s=0.05)
@@ -261,7 +261,7 @@
             await trio.lowlevel.wait_readable(listener)  # it comes again
 
 
-@story
+@scenario
 async def test_a_goaway_frees_the_calls_that_were_never_looked_at():
     listener = listen(("127.0.0.1", 0))
     channel = Channel(listener.getsockname())
--- a/tests/net/race_harness.py
+++ b/tests/net/race_harness.py
@@ -14,7 +14,7 @@
 from unittest import mock
 
 import trio
-from fakehost import OK, listed
+from node_harness import OK
 
 from wheatroute.net.connection_pool import ConnectionPool
 
@@ -22,23 +22,27 @@
 
 
 class Server:
-    """A server; `on` maps steps to async functions of its stream, `answers` come in turn, the last stays."""
+    """A server; `on` maps steps to async functions of its stream.
 
-    def __init__(self, *answers, name="s", on=None, buffer=0):
-        self.answers, self.name, self.on = list(answers or (OK,)), name, on or {}
-        self.heads, self.got, self.lines = [], [], 0  # heads read, whole requests read, connections
+    `responses` come in turn, the last stays. `heads` are heads of requests that were read, `requests` are
+    those read whole.
+    """
+
+    def __init__(self, *responses, name="s", on=None, buffer=0):
+        self.responses, self.name, self.on = list(responses or (OK,)), name, on or {}
+        self.heads, self.requests, self.connection_count = [], [], 0
         self.listener = socket.socket()
         if buffer:
             self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer)
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(64)
         self.listener.setblocking(False)
-        self.place = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     @property
     def ids(self):
         """The ids of all requests that it has read whole."""
-        return [header_value(one, b"request-id") for one in self.got]
+        return [header_value(one, b"request-id") for one in self.requests]
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
@@ -49,7 +53,7 @@
             await self.on[name](stream)
 
     async def _talk(self, stream):
-        self.lines += 1
+        self.connection_count += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self._step("accepted", stream)
             while (head := await read_until(stream, b"\r\n\r\n")) is not None:
@@ -62,15 +66,15 @@
                     if not part:
                         return
                     body += part
-                self.got.append(head + b"\r\n\r\n" + body)
+                self.requests.append(head + b"\r\n\r\n" + body)
                 await self._step("read", stream)
-                answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-                if answer is None:
+                response = self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+                if response is None:
                     continue
-                half = len(answer) // 2
-                await stream.send_all(answer[:half])
+                half = len(response) // 2
+                await stream.send_all(response[:half])
                 await self._step("half", stream)
-                await stream.send_all(answer[half:])
+                await stream.send_all(response[half:])
                 await self._step("last", stream)
             await self._step("closing", stream)
 
@@ -79,21 +83,21 @@
     """A list service: `answer(request)` is called for each, and returns bytes, None for silence or RST."""
 
     def __init__(self, answer, on=None):
-        self.answer, self.on, self.got, self.lines = answer, on or {}, [], 0
+        self.answer, self.on, self.requests, self.connection_count = answer, on or {}, [], 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
-        self.place = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
         await trio.serve_listeners(self._talk, [listener])
 
     async def _talk(self, stream):
-        self.lines += 1
+        self.connection_count += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while (head := await read_until(stream, b"\r\n\r\n")) is not None:
-                self.got.append(head.split(b"\r\n", 1)[0])
-                answer = self.answer(self.got[-1])
+                self.requests.append(head.split(b"\r\n", 1)[0])
+                answer = self.answer(self.requests[-1])
                 if hasattr(answer, "__await__"):
                     answer = await answer
                 if answer is RST:
@@ -241,11 +245,7 @@
                 time.sleep(0.001)
 
 
-def list_response(version, *entries, full=False):
-    return listed(version, full, list(entries))
-
-
 def message(node, *what, **how):
     """Returns a request and its id."""
-    text = node.message(*what, **how)
+    text = node.request_text(*what, **how)
     return text, header_value(text, b"request-id")
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -6,8 +6,8 @@
 
 import structlog
 import trio
-from fakehost import OK, entry, story
-from race_harness import RST, Client, ListService, Server, at, list_response, message, send_now, wait_until
+from node_harness import OK, list_response, scenario, server_entry
+from race_harness import RST, Client, ListService, Server, at, message, send_now, wait_until
 
 from wheatroute.balancing.interface import Event, ServerState
 from wheatroute.net.discovery import WATCH_WAIT_S, Discovery
@@ -28,7 +28,7 @@
             self.states[server] = state
 
 
-def server_entry(state, version=0):
+def entry_in_state(state, version=0):
     return {"id": "s", "addr": "127.0.0.1:9", "state": state, "started_ms": version}
 
 
@@ -42,7 +42,7 @@
 
                     async def start(service, *others, on_request=False):
                         recorder = EventRecorder()
-                        host, port = service.place.split(":")
+                        host, port = service.address.split(":")
                         settings = DiscoverySettings((host, int(port)), {"": 0}, {"": 0}, on_request, {})
                         discovery = Discovery(settings, recorder, mock.Mock(), structlog.get_logger())
                         for each in (service, *others):
@@ -68,19 +68,18 @@
             return list_response(1)
         if b"after=1&" in request:
             await asked.wait()
-            return list_response(
-                2, server_entry("terminating")
-            )  # while the whole list, made before, is on its way
+            # while the whole list, made before, is on its way
+            return list_response(2, entry_in_state("terminating"))
         if b"after" in request:
             await trio.sleep_forever()
         if not asked.is_set() and discovery._version >= 1:
             asked.set()
             await answered.wait()
-        return list_response(1, server_entry("in_service"), full=True)
+        return list_response(1, entry_in_state("in_service"), is_full=True)
 
     service = ListService(answer)
     discovery, recorder = await start(service)
-    await wait_until(lambda: discovery._version == 1 and len(service.got) >= 2)
+    await wait_until(lambda: discovery._version == 1 and len(service.requests) >= 2)
     discovery.fetch()
     await wait_until(lambda: discovery._version == 2)
     answered.set()
@@ -97,18 +96,20 @@
             return list_response(1)
         if b"after=1&" in request:
             await late.wait()
-            return list_response(2, server_entry("in_service", 5))
+            return list_response(2, entry_in_state("in_service", 5))
         if b"after" in request:
             await trio.sleep_forever()
-        return list_response(1 if discovery._version < 1 else 3, server_entry("terminating", 5), full=True)
+        return list_response(
+            1 if discovery._version < 1 else 3, entry_in_state("terminating", 5), is_full=True
+        )
 
     service = ListService(answer)
     discovery, recorder = await start(service)
-    await wait_until(lambda: discovery._version == 1 and len(service.got) >= 2)
+    await wait_until(lambda: discovery._version == 1 and len(service.requests) >= 2)
     discovery.fetch()
     await wait_until(lambda: discovery._version == 3)
     late.set()
-    await wait_until(lambda: any(b"after=3&" in request for request in service.got))
+    await wait_until(lambda: any(b"after=3&" in request for request in service.requests))
     assert recorder.states == {0: ServerState.DRAINING}
 
 
@@ -120,14 +121,14 @@
         async def answer(request, new=new, full=full):
             if new[0]:
                 if b"after=3&" in request:
-                    return list_response(4, server_entry("terminating"))
+                    return list_response(4, entry_in_state("terminating"))
                 if b"after=4&" in request:
                     await trio.sleep_forever()
                 if b"after" in request:
-                    return list_response(3, server_entry("in_service"), full=full)
-                return list_response(3, server_entry("in_service"), full=True)
+                    return list_response(3, entry_in_state("in_service"), is_full=full)
+                return list_response(3, entry_in_state("in_service"), is_full=True)
             if b"after" not in request:
-                return list_response(50, server_entry("in_service"), full=True)
+                return list_response(50, entry_in_state("in_service"), is_full=True)
             new[0] = True
             return RST
 
@@ -142,7 +143,7 @@
 
     async def answer(request):
         if b"after" not in request:
-            return list_response(40, server_entry("terminating"), full=True)
+            return list_response(40, entry_in_state("terminating"), is_full=True)
         await trio.sleep_forever()
 
     old = ListService(answer)
@@ -153,17 +154,18 @@
         await talk(stream)
 
     old._talk = noting
-    first = list_response(3, server_entry("in_service", 7), full=True)
+    first = list_response(3, entry_in_state("in_service", 7), is_full=True)
     new = ListService(lambda request: None if b"after" in request else first)
     discovery, recorder = await start(old, new)
-    await wait_until(lambda: discovery._version == 40 and any(b"after=40" in request for request in old.got))
-    send_now(
-        streams[-1], list_response(41, server_entry("terminated"))
-    )  # it lies in the node's socket as the node moves
-    host, port = new.place.split(":")
+    await wait_until(
+        lambda: discovery._version == 40 and any(b"after=40" in request for request in old.requests)
+    )
+    # it lies in the node's socket as the node moves
+    send_now(streams[-1], list_response(41, entry_in_state("terminated")))
+    host, port = new.address.split(":")
     discovery.switch_service((host, int(port)))
     await wait_until(lambda: discovery._version == 3)
-    await wait_until(lambda: any(b"after=3&" in request for request in new.got))
+    await wait_until(lambda: any(b"after=3&" in request for request in new.requests))
     assert recorder.states == {0: ServerState.LIVE}
 
 
@@ -173,11 +175,11 @@
 
     async def answer(request):
         if b"after" not in request:
-            return list_response(1, server_entry("in_service"), full=True)
+            return list_response(1, entry_in_state("in_service"), is_full=True)
         if b"after=2&" in request:
             await trio.sleep_forever()
         if reset_at:
-            return list_response(2, server_entry("terminating"))
+            return list_response(2, entry_in_state("terminating"))
         if b"wait_ms=1 " in request:
             return list_response(1)
         reset_at.append(time.monotonic())
@@ -195,7 +197,7 @@
 
     async def answer(request):
         if b"after" not in request:
-            return list_response(1, server_entry("in_service"), full=True)
+            return list_response(1, entry_in_state("in_service"), is_full=True)
         if not silent_since:
             if b"wait_ms=1 " in request:
                 return list_response(1)
@@ -206,7 +208,7 @@
             return None
         if b"after=2&" in request:
             await trio.sleep_forever()
-        return list_response(2, server_entry("terminating"))
+        return list_response(2, entry_in_state("terminating"))
 
     discovery, recorder = await start(ListService(answer))
     await wait_until(lambda: discovery._version == 2)
@@ -223,7 +225,7 @@
 
     async def answer(request):
         if b"after" not in request:
-            return list_response(1, server_entry("in_service"), full=True)
+            return list_response(1, entry_in_state("in_service"), is_full=True)
         if state["silent"] is None:
             if b"wait_ms=1 " in request:
                 return list_response(1)
@@ -231,7 +233,7 @@
             return None
         if b"after=2&" in request:
             await trio.sleep_forever()
-        return list_response(2, server_entry("terminating"))
+        return list_response(2, entry_in_state("terminating"))
 
     service = ListService(answer)
     discovery, recorder = await start(service)
@@ -272,7 +274,7 @@
     import json
 
     body = json.dumps(
-        {"version": 5, "full": True, "servers": [server_entry("terminating")]}, indent=2
+        {"version": 5, "full": True, "servers": [entry_in_state("terminating")]}, indent=2
     ).encode()
     answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
     discovery, recorder = await start(ListService(lambda request: None if b"after" in request else answer))
@@ -289,7 +291,7 @@
         b"\x00\xff" * 40,
         RST,
         list_response(
-            7, {"id": 5}, {"id": "t", "addr": "nowhere"}, "s", server_entry("terminating"), full=True
+            7, {"id": 5}, {"id": "t", "addr": "nowhere"}, "s", entry_in_state("terminating"), is_full=True
         ),
     ]
     discovery, recorder = await start(ListService(lambda request: bad.pop(0) if bad else None))
@@ -297,12 +299,12 @@
     assert recorder.states == {0: ServerState.DRAINING}
 
 
-@story
+@scenario
 async def test_a_drain_heard_by_the_watch_stands_though_an_older_list_comes_after(start):
     """The same through a whole node: nothing new goes to the server that drains."""
     older = trio.Event()
     servers = [Server(OK), Server(OK, name="t")]
-    draining = entry(servers[0], state="terminating")
+    draining = server_entry(servers[0], state="terminating")
 
     async def answer(request):
         if b"after=1&wait_ms=1 " in request:
@@ -312,7 +314,7 @@
         if b"after" in request:
             await trio.sleep_forever()
         await older.wait()
-        return list_response(1, *map(entry, servers), full=True)
+        return list_response(1, *map(server_entry, servers), is_full=True)
 
     found = []
     with at(Discovery, "watch", before=lambda discovery, enable: found.append(discovery)):
@@ -324,4 +326,4 @@
         await wait_until(lambda: not discovery._fetches)
     for _ in range(12):
         assert (await Client(node.port).send(message(node, "place", body="b")[0]).answer())[0] == 200
-    assert not servers[0].heads and len(servers[1].got) == 12
+    assert not servers[0].heads and len(servers[1].requests) == 12
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -7,7 +7,7 @@
 import pytest
 import structlog
 import trio
-from fakehost import OK, Node, entry, settings, story
+from node_harness import OK, Node, platform_settings, scenario, server_entry
 from race_harness import Client, HeldConnections, Server, at, message, wait_until
 
 from wheatroute.__main__ import serve_node
@@ -20,7 +20,7 @@
 
 def types(*names, **changes):
     """Types of these names: (name, effect) each."""
-    kind = settings(1.0)["traffic-types"][0]
+    kind = platform_settings(1.0)["traffic-types"][0]
     return {"traffic-types": [kind | {"name": name, "effect": effect} | changes for name, effect in names]}
 
 
@@ -34,7 +34,7 @@
 # closes
 
 
-@story
+@scenario
 async def test_one_that_is_turned_away_reads_its_whole_answer_though_it_goes_on_sending(start):
     node = await start(Server())
     for bad in (
@@ -48,7 +48,7 @@
         assert await client.answer() is None
 
 
-@story
+@scenario
 async def test_a_client_that_leaves_while_it_is_told_to_continue_ends_nothing_else(start):
     server = Server()
     node = await start(server)
@@ -59,10 +59,10 @@
     client = Client(node.port).send(head.replace(b"Request-Id: ", b"Request-Id: f"))
     assert (await client.answer())[0] == 100
     client.send(b"bb")
-    assert (await client.answer())[0] == 200 and len(server.got) == 1
+    assert (await client.answer())[0] == 200 and len(server.requests) == 1
 
 
-@story
+@scenario
 async def test_a_request_asked_ahead_is_not_taken_once_its_connection_has_ended(start):
     """The next request lies in the buffer, the connection ends, then its turn comes."""
     server = Server()
@@ -89,11 +89,11 @@
         assert (await client.answer())[0] == 200
         await ended.wait()
         assert await client.answer() is None
-    assert (await node.ask("view"))[0] == 200
-    assert second[1] not in server.ids and len(server.got) == 2
+    assert (await node.send_request("view"))[0] == 200
+    assert second[1] not in server.ids and len(server.requests) == 2
 
 
-@story
+@scenario
 async def test_half_a_request_in_the_moment_of_a_shut_is_read_to_its_end(start):
     server = Server()
     node = await start(server)
@@ -113,7 +113,7 @@
 # ids, floods, refusals
 
 
-@story
+@scenario
 async def test_one_id_on_two_connections_in_one_pass_is_one_request(start):
     server = Server()
     node = await start(server)
@@ -125,7 +125,7 @@
     assert sorted(got) == [200, 409] and server.ids == [one]
 
 
-@story
+@scenario
 async def test_clients_that_send_much_and_go_leave_nothing_and_cost_usual_clients_nothing(start):
     server = Server()
     sides = []
@@ -153,7 +153,7 @@
         assert len(side._clients.idle) == 1
 
 
-@story
+@scenario
 async def test_clients_that_come_again_at_once_after_a_refusal_are_refused_at_once_each_time(start):
     """The busy ones are taken up to the limit before the first of these comes."""
     sides = []
@@ -161,12 +161,12 @@
         node = await start(Server(None), descriptors=40, deadline=15.0)
         busy = [Client(node.port) for _ in range(14)]
         for one in busy:
-            one.send(message(node, "place", body="b", time_out="15000m")[0])
+            one.send(message(node, "place", body="b", timeout="15000m")[0])
         side = sides[0]
         await wait_until(lambda: side._handler._in_flight == side._handler._max_in_flight)
         for _ in range(60):
             client = Client(node.port)
-            status, answer = await client.send(message(node, "view", time_out="15000m")[0]).answer()
+            status, answer = await client.send(message(node, "view", timeout="15000m")[0]).answer()
             assert status == 503 and b"retry-after" in answer.lower()
             client.leave()
         assert side._handler._in_flight == side._handler._max_in_flight <= 14
@@ -176,7 +176,7 @@
 # names
 
 
-@story
+@scenario
 async def test_a_class_named_like_the_question_for_readiness_is_a_class(start):
     for effect, method, headers in (
         ("retryable", "GET", {}),
@@ -186,18 +186,18 @@
         server = Server()
         node = await start(server, changes=types(("up", effect), ("upper", effect)))
         assert (await Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n").answer())[0] == 200
-        before = len(server.got)
+        before = len(server.requests)
         for path, status in (("/up", 200), ("/up/7", 200), ("/upper", 200), ("/u", 404), ("/uppe", 404)):
             name = f"{effect}{path.replace('/', '-')}"
             got, answer = await Client(node.port).send(request_text(path, name, method, **headers)).answer()
             assert got == status and (got != 200 or answer.endswith(b"ok")), (effect, path)
-        assert len(server.got) == before + 3
+        assert len(server.requests) == before + 3
         # what lacks an id is a bad request for the class, not a question
         bad = request_text("/up", "x", method, **headers).replace(b"Request-Id: x\r\n", b"")
         assert (await Client(node.port).send(bad).answer())[0] == 400
 
 
-@story
+@scenario
 async def test_names_outside_ascii_and_with_signs_are_told_apart_in_paths_and_headers(start):
     names = ("café", "cafe", "order view", "order", "50%", "a%20b", "日本")
     tenants = [{"name": name, "quota-rps": 100.0} for name in ("Zoë", "Zo", "日本", "a b")]
@@ -225,7 +225,8 @@
             assert status == 200 and seen[-1] == means, path
         for n, path in enumerate(("/caf", "/caf%C3", "/order%20", "/order%20vie", "/%63afe")):
             assert (await Client(node.port).send(request_text(path, f"b{n}")).answer())[0] in (400, 404), path
-    assert [one.split(b" ")[1] for one in server.got] == [path.encode() for path, *_ in cases]  # unchanged
+    # unchanged
+    assert [one.split(b" ")[1] for one in server.requests] == [path.encode() for path, *_ in cases]
 
 
 def test_a_spelling_of_one_name_is_never_anothers_own():
@@ -234,7 +235,7 @@
     assert b"" not in in_header({"日本": 0})
 
 
-@story
+@scenario
 async def test_two_nodes_of_one_process_share_nothing_of_their_settings(start):
     """The same name is safe at one and unsafe at the other; their tenants have each other's numbers."""
     server, other = Server(), Server()
@@ -260,7 +261,7 @@
             assert (await Client(one.port).send(safe).answer())[0] == 200
             assert (await Client(two.port).send(safe).answer())[0] == 405
             assert (await Client(two.port).send(unsafe).answer())[0] == 200
-    assert seen == [(0, 0), (1, 1)] * 3 and len(server.got) == len(other.got) == 3
+    assert seen == [(0, 0), (1, 1)] * 3 and len(server.requests) == len(other.requests) == 3
 
 
 def test_nothing_at_module_level_changes_with_the_settings(tmp_path):
@@ -279,7 +280,7 @@
     async def play(changes):
         async with trio.open_nursery() as nursery:
             server = Server()
-            node = Node(tmp_path, server, changes=changes, entries=[entry(server)])
+            node = Node(tmp_path, server, changes=changes, entries=[server_entry(server)])
             nursery.start_soon(server.run)
             nursery.start_soon(serve_node, node.settings, structlog.get_logger())
             await node.connect()
@@ -312,30 +313,30 @@
     assert "\n" not in str(trouble.value)
 
 
-@story
+@scenario
 async def test_a_connection_that_never_comes_up_proves_that_nothing_ran(start):
     """Its queue is full: the system drops what would open it."""
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     fill = [socket.create_connection(full.getsockname())]
     good = Server(name="t")
     host, port = full.getsockname()
-    silent = mock.Mock(place=f"{host}:{port}", run=trio.sleep_forever)
+    silent = mock.Mock(address=f"{host}:{port}", run=trio.sleep_forever)
     silent.name = "s"
     node = await start(silent, good)
     for _ in range(6):
-        text, _ = message(node, "place", body="b", time_out="3000m")
+        text, _ = message(node, "place", body="b", timeout="3000m")
         assert (await Client(node.port).send(text).answer())[0] == 200
-    assert len(good.got) == 6
+    assert len(good.requests) == 6
     for sock in (*fill, full):
         sock.close()
 
 
-@story
+@scenario
 async def test_a_connection_that_comes_up_in_the_end_is_kept_for_another_and_nothing_goes_out_twice(start):
     server = Server(OK)
     with HeldConnections() as held:
         node = await start(server)
-        client = Client(node.port).send(message(node, "place", body="b", time_out="300m")[0])
+        client = Client(node.port).send(message(node, "place", body="b", timeout="300m")[0])
         assert (await client.answer())[0] in (502, 503)  # its time is over while the connection is held
         assert held.peers and not server.heads
         held.released.set()
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -13,7 +13,19 @@
 import pytest
 import structlog
 import trio
-from fakehost import ERROR, FULL, OK, RESET, SILENT, STRAY, Peer, entry, listed, read_message, story
+from node_harness import (
+    ERROR,
+    FULL,
+    OK,
+    RESET,
+    SILENT,
+    STRAY,
+    StandInServer,
+    list_response,
+    read_message,
+    scenario,
+    server_entry,
+)
 
 from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
 from wheatroute.balancing.settings import DecisionSettings, RequestClass
@@ -34,29 +46,29 @@
 ENDLESS = b"HTTP/1.1 200 OK\r\n\r\nwho knows"
 
 
-@story
+@scenario
 async def test_a_request_goes_on_unchanged_and_its_answer_comes_back_on_kept_connections(start):
-    peer = Peer(OK)
+    peer = StandInServer(OK)
     node = await start(peer)
     stream = await node.connect()
     for _ in range(3):
-        status, answer = await node.ask("amend", body="x" * 60000, stream=stream)
+        status, answer = await node.send_request("amend", body="x" * 60000, stream=stream)
         assert status == 200 and answer.endswith(b"\r\n\r\nok")
-    assert peer.lines == 1 and len(peer.got) == 3
-    head, body = peer.got[0].split(b"\r\n\r\n", 1)
+    assert peer.connection_count == 1 and len(peer.requests) == 3
+    head, body = peer.requests[0].split(b"\r\n\r\n", 1)
     assert head.startswith(b"POST /amend/7?a=b%20c HTTP/1.1\r\n") and body == b"x" * 60000
     assert b"request-id: " in head.lower() and b"idempotency-key: r1" in head.lower()
 
 
-@story
+@scenario
 async def test_an_answer_longer_than_the_protocol_says_goes_on_whole(start):
     body = bytes(range(256)) * 2000
-    node = await start(Peer(b"HTTP/1.1 200 OK\r\nContent-Length: 512000\r\n\r\n" + body))
-    status, answer = await node.ask("place", body="b")
+    node = await start(StandInServer(b"HTTP/1.1 200 OK\r\nContent-Length: 512000\r\n\r\n" + body))
+    status, answer = await node.send_request("place", body="b")
     assert status == 200 and answer.endswith(b"\r\n\r\n" + body)
 
 
-@story
+@scenario
 async def test_an_unsafe_request_goes_elsewhere_only_if_the_answer_proves_that_it_never_ran(start):
     for answer, attempts, status in (
         (FULL, 2, 200),
@@ -67,86 +79,86 @@
         (UNMARKED, 1, 502),
     ):
         turn = [answer, OK]
-        first, second = Peer(OK), Peer(OK, name="t")
-        first.answers = second.answers = turn
+        first, second = StandInServer(OK), StandInServer(OK, name="t")
+        first.responses = second.responses = turn
         node = await start(first, second)
-        got, message = await node.ask("place", body="b")
-        assert (got, len(first.got + second.got)) == (status, attempts), answer
+        got, message = await node.send_request("place", body="b")
+        assert (got, len(first.requests + second.requests)) == (status, attempts), answer
         assert b"part" not in message and b"who knows" not in message
 
 
-@story
+@scenario
 async def test_a_refused_connection_proves_that_nothing_ran(start):
-    dead, alive = Peer(OK), Peer(OK, name="t")
+    dead, alive = StandInServer(OK), StandInServer(OK, name="t")
     dead.listener.close()
     node = await start(dead, alive)
-    assert [(await node.ask("place", body="b"))[0] for _ in range(6)] == [200] * 6
-    assert len(alive.got) == 6
+    assert [(await node.send_request("place", body="b"))[0] for _ in range(6)] == [200] * 6
+    assert len(alive.requests) == 6
 
 
-@story
+@scenario
 async def test_a_kept_connection_that_its_server_has_shut_is_found_out_before_use(start):
-    peer = Peer(OK)
+    peer = StandInServer(OK)
     node = await start(peer)
-    await node.ask("place", body="b")
-    peer.answers = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]  # and it shuts the connection
-    assert (await node.ask("place", body="b"))[0] == 200
+    await node.send_request("place", body="b")
+    peer.responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]  # and it shuts the connection
+    assert (await node.send_request("place", body="b"))[0] == 200
     await trio.sleep(0.05)
-    assert (await node.ask("place", body="b"))[0] == 200 and peer.lines == 2
+    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == 2
 
 
-@story
+@scenario
 async def test_unsafe_requests_go_on_new_connections_once_one_that_was_idle_is_reset(start):
-    peer = Peer(OK, RESET, OK)
+    peer = StandInServer(OK, RESET, OK)
     node = await start(peer)
-    assert [(await node.ask("place", body="b"))[0] for _ in range(3)] == [200, 502, 200]
-    lines = peer.lines
-    assert (await node.ask("view"))[0] == 200 and peer.lines == lines
-    assert (await node.ask("place", body="b"))[0] == 200 and peer.lines == lines + 1
+    assert [(await node.send_request("place", body="b"))[0] for _ in range(3)] == [200, 502, 200]
+    lines = peer.connection_count
+    assert (await node.send_request("view"))[0] == 200 and peer.connection_count == lines
+    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == lines + 1
     with mock.patch.object(
         ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.CONNECTION_REFUSED)
     ):
-        assert (await node.ask("place", body="b"))[0] == 200  # one that was idle is better than none
+        assert (await node.send_request("place", body="b"))[0] == 200  # one that was idle is better than none
 
 
-@story
+@scenario
 async def test_a_client_that_hangs_up_ends_its_attempt_at_once(start):
-    peer = Peer(SILENT)
+    peer = StandInServer(SILENT)
     node = await start(peer, deadline=10.0)
     stream = await node.connect()
-    await stream.send_all(node.message(time_out="10000m"))
-    while not peer.got:
+    await stream.send_all(node.request_text(timeout="10000m"))
+    while not peer.requests:
         await trio.sleep(0.01)
     await stream.aclose()
     with trio.fail_after(2):
         await peer.ended.wait()
 
 
-@story
+@scenario
 async def test_silent_servers_cost_no_answer_and_nothing_stays_out_after_it(start):
-    peer = Peer(SILENT)
+    peer = StandInServer(SILENT)
     node = await start(peer)
     before = trio.current_time()
-    status, _ = await node.ask("place", body="b", time_out="300m")
+    status, _ = await node.send_request("place", body="b", timeout="300m")
     assert status == 502 and 0.25 < trio.current_time() - before < 1.0
     with trio.fail_after(1):
         await peer.ended.wait()
-    assert (await node.ask("view", time_out="200m"))[0] == 503  # safe: trying again is harmless
+    assert (await node.send_request("view", timeout="200m"))[0] == 503  # safe: trying again is harmless
 
 
-@story
+@scenario
 async def test_a_request_that_no_server_can_take_is_answered_in_time_though_nothing_else_happens(start):
     node = await start()
     before = trio.current_time()
-    assert (await node.ask("place", body="b", time_out="300m"))[0] == 503  # it never ran
+    assert (await node.send_request("place", body="b", timeout="300m"))[0] == 503  # it never ran
     assert 0.2 < trio.current_time() - before < 1.0
 
 
-@story
+@scenario
 async def test_what_is_no_request_gets_a_short_reason_and_is_sent_nowhere(start):
-    peer = Peer(OK)
+    peer = StandInServer(OK)
     node = await start(peer)
-    good = node.message("place", body="b")
+    good = node.request_text("place", body="b")
     for bad, status in (
         (good.replace(b"/place", b"/else"), 404),
         (good.replace(b"POST", b"GET"), 405),
@@ -160,7 +172,7 @@
         (good.replace(b"Host:", b"Idempotency-Key: r\r\nHost:"), 400),
         (good.replace(b"Host:", b"Request-Id: 2\r\nHost:"), 400),
         (good.replace(b"/pl", b"/%70l"), 404),
-        (node.message(body="b"), 400),
+        (node.request_text(body="b"), 400),
         (good.replace(b"Length: 1", b"Length: 60000000"), 413),
         (good.replace(b"Host:", b"Transfer-Encoding: chunked\r\nHost:")[:-1] + b"0\r\n\r\n" + good, 400),
         (good.replace(b"Host:", b"Filler: " + b"x" * 70000 + b"\r\nHost:"), 431),
@@ -170,55 +182,55 @@
         answer = await read_message(stream)
         assert int(answer.split()[1]) == status, bad[:60]
         assert await read_message(stream) is None  # and the connection ends
-    assert not peer.got
-    assert (await node.ask("view", headers="Tenant: nobody\r\nNovel: 1\r\n"))[0] == 200
+    assert not peer.requests
+    assert (await node.send_request("view", headers="Tenant: nobody\r\nNovel: 1\r\n"))[0] == 200
 
 
-@story
+@scenario
 async def test_half_a_request_and_silence_ends_in_bounded_time(start):
-    node = await start(Peer(OK), deadline=30.0)
+    node = await start(StandInServer(OK), deadline=30.0)
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 0.3):
         silent, stream = await node.connect(), await node.connect()
-        await stream.send_all(node.message("place", body="body")[:-2])
+        await stream.send_all(node.request_text("place", body="body")[:-2])
         with trio.fail_after(5):
             assert (await read_message(stream)).startswith(b"HTTP/1.1 408 ")
             assert await read_message(silent) is None
         kept = await node.connect()
-        assert (await node.ask(stream=kept))[0] == 200
+        assert (await node.send_request(stream=kept))[0] == 200
         await trio.sleep(0.5)  # one who has asked may stay
-        assert (await node.ask(stream=kept))[0] == 200
+        assert (await node.send_request(stream=kept))[0] == 200
 
 
-@story
+@scenario
 async def test_the_name_of_a_request_that_is_known_is_not_taken_again(start):
-    peer = Peer(SILENT, OK)
+    peer = StandInServer(SILENT, OK)
     node = await start(peer)
-    first, second, message = await node.connect(), await node.connect(), node.message("place", body="b")
+    first, second, message = await node.connect(), await node.connect(), node.request_text("place", body="b")
     await first.send_all(message)
-    while not peer.got:
+    while not peer.requests:
         await trio.sleep(0.01)
     await second.send_all(message)
     assert (await read_message(second)).startswith(b"HTTP/1.1 409 ")
     assert (await read_message(first)).startswith(b"HTTP/1.1 502 ")
     await first.send_all(message)
-    assert (await read_message(first)).startswith(b"HTTP/1.1 409 ") and len(peer.got) == 1
+    assert (await read_message(first)).startswith(b"HTTP/1.1 409 ") and len(peer.requests) == 1
 
 
-@story
+@scenario
 async def test_silent_clients_make_room_for_those_who_ask(start):
-    node = await start(Peer(OK), descriptors=40, deadline=30.0)
+    node = await start(StandInServer(OK), descriptors=40, deadline=30.0)
     silent = [await node.connect() for _ in range(30)]
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 30.0), trio.fail_after(5):
         for _ in range(3):
-            assert (await node.ask(stream=await node.connect()))[0] == 200
+            assert (await node.send_request(stream=await node.connect()))[0] == 200
     assert await read_message(silent[0]) is None
 
 
-@story
+@scenario
 async def test_what_a_client_goes_on_sending_after_its_last_answer_is_not_read_to_the_end(start):
-    node = await start(Peer(OK))
+    node = await start(StandInServer(OK))
     stream = await node.connect()
-    await stream.send_all(node.message("place", body="b").replace(b"Length: 1", b"Length: 60000000"))
+    await stream.send_all(node.request_text("place", body="b").replace(b"Length: 1", b"Length: 60000000"))
     assert (await read_message(stream)).startswith(b"HTTP/1.1 413 ")
     with trio.fail_after(5), pytest.raises(trio.BrokenResourceError):
         while True:
@@ -233,7 +245,7 @@
     side = Discovery(settings, driver, upstream, structlog.get_logger())
 
     def take(full, *names):
-        side._apply({"full": full, "servers": [entry(Peer(OK, name=name)) for name in names]})
+        side._apply({"full": full, "servers": [server_entry(StandInServer(OK, name=name)) for name in names]})
         return [(one[0], one[4]) for one in driver.add_event.call_args.args[1]]
 
     live, gone = ServerState.LIVE, ServerState.REMOVED
@@ -247,26 +259,31 @@
     assert take(True, "d") == [(0, live)] and take(True, "b") == [(1, live)]  # back in time
 
 
-@story
+@scenario
 async def test_sighup_moves_to_the_list_service_that_the_file_names(start):
-    draining, other = Peer(OK), Peer(OK, name="t")
-    old, new = Peer(listed(40, False, []), SILENT), Peer(listed(3, True, [entry(other)]), SILENT)
+    draining, other = StandInServer(OK), StandInServer(OK, name="t")
+    old, new = (
+        StandInServer(list_response(40), SILENT),
+        StandInServer(list_response(3, server_entry(other), is_full=True), SILENT),
+    )
     node = await start(draining, other, discovery=old, others=[new])
-    with mock.patch.dict(os.environ, PROXY_CONFIG=str(node.path), PROXY_DISCOVERY=old.place):
-        node.path.write_text("{")
+    with mock.patch.dict(os.environ, PROXY_CONFIG=str(node.config_path), PROXY_DISCOVERY=old.address):
+        node.config_path.write_text("{")
         os.kill(os.getpid(), signal.SIGHUP)  # half written: the node goes on as it was
         await trio.sleep(0.1)
-        node.path.write_text(json.dumps(node.told | {"discovery": new.place}))
+        node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         os.kill(os.getpid(), signal.SIGHUP)
         with trio.fail_after(2):
-            while len(new.got) < 2:
+            while len(new.requests) < 2:
                 await trio.sleep(0.01)
-    assert b"after" not in new.got[0] and b"after=3&" in new.got[1]
-    before = len(draining.got)
-    assert [(await node.ask())[0] for _ in range(8)] == [200] * 8 and len(draining.got) == before
+    assert b"after" not in new.requests[0] and b"after=3&" in new.requests[1]
+    before = len(draining.requests)
+    assert [(await node.send_request())[0] for _ in range(8)] == [200] * 8 and len(
+        draining.requests
+    ) == before
 
 
-@story
+@scenario
 async def test_a_spoilt_answer_is_known_at_once_though_its_connection_stays_open(start):
     for spoilt in (
         CUT_OFF,
@@ -277,88 +294,90 @@
         OK.replace(b": 2", b": -2"),
         OK.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"),
     ):
-        first, second = Peer(OK), Peer(OK, name="t")
-        first.answers = second.answers = [spoilt, OK]
-        first.stays = second.stays = True
+        first, second = StandInServer(OK), StandInServer(OK, name="t")
+        first.responses = second.responses = [spoilt, OK]
+        first.keeps_open = second.keeps_open = True
         node = await start(first, second, deadline=9.0)
         with trio.fail_after(4):
-            status, answer = await node.ask("view", time_out="9000m")
+            status, answer = await node.send_request("view", timeout="9000m")
             assert status == 200 and answer.endswith(b"\r\n\r\nok"), spoilt
-            first.answers[:] = [spoilt, OK]  # unsafe: it may have run, so it ends there
-            assert (await node.ask("place", body="b", time_out="9000m"))[0] == 502
-        assert len(first.got + second.got) == 3
+            first.responses[:] = [spoilt, OK]  # unsafe: it may have run, so it ends there
+            assert (await node.send_request("place", body="b", timeout="9000m"))[0] == 502
+        assert len(first.requests + second.requests) == 3
 
 
-@story
+@scenario
 async def test_a_stopping_node_serves_who_still_comes_and_answers_all_it_took(start):
-    node = await start(Peer(CUT_OFF.replace(b": 10", b": 4")), Peer(SILENT, name="t"), nodes=2)
+    node = await start(
+        StandInServer(CUT_OFF.replace(b": 10", b": 4")), StandInServer(SILENT, name="t"), nodes=2
+    )
     idle, busy = await node.connect(), await node.connect()
-    assert (await node.ask("view", stream=idle))[0] == 200
-    await busy.send_all(node.message("view", time_out="900m"))
+    assert (await node.send_request("view", stream=idle))[0] == 200
+    await busy.send_all(node.request_text("view", timeout="900m"))
     await trio.sleep(0.05)
     os.kill(os.getpid(), signal.SIGTERM)
     await trio.sleep(0.1)
-    assert (await node.ask("view", stream=idle))[0] in (200, 503)
+    assert (await node.send_request("view", stream=idle))[0] in (200, 503)
     assert await read_message(idle) is None
-    status, answer = await node.ask("view")
+    status, answer = await node.send_request("view")
     assert status in (200, 503) and b"connection: close" in answer.lower()
     assert await read_message(busy) is not None
     with trio.fail_after(3):
-        await node.done.wait()
+        await node.ended.wait()
 
 
-@story
+@scenario
 async def test_a_stopping_node_that_is_alone_goes_on_and_says_in_the_end_when_to_come_back(start):
-    node = await start(Peer(OK), deadline=3.0)
+    node = await start(StandInServer(OK), deadline=3.0)
     kept, stray = await node.connect(), await node.connect()
     os.kill(os.getpid(), signal.SIGTERM)
     await trio.sleep(0.6)
-    assert (await node.ask("place", body="b", stream=kept))[0] == 200
+    assert (await node.send_request("place", body="b", stream=kept))[0] == 200
     status = 200
     while status == 200:
-        status, answer = await node.ask("place", body="b", stream=kept)
+        status, answer = await node.send_request("place", body="b", stream=kept)
         await trio.sleep(0.05)
     assert status == 503 and b"retry-after: 2.0" in answer.lower()
     assert await read_message(kept) is None and await read_message(stray) is None
     with trio.fail_after(1):
-        await node.done.wait()
+        await node.ended.wait()
 
 
-@story
+@scenario
 async def test_no_attempt_goes_to_a_server_once_the_list_says_that_it_drains(start):
-    draining, other = Peer(OK), Peer(OK, name="t")
-    news = [5, {"id": "u", "addr": "nowhere"}, {"id": "s", "addr": draining.place, "state": "terminating"}]
-    told = Peer(listed(2, False, news), SILENT)
+    draining, other = StandInServer(OK), StandInServer(OK, name="t")
+    news = [5, {"id": "u", "addr": "nowhere"}, {"id": "s", "addr": draining.address, "state": "terminating"}]
+    told = StandInServer(list_response(2, *news), SILENT)
     node = await start(draining, other, discovery=told)
     await trio.sleep(0.2)
-    before = len(draining.got)
-    assert [(await node.ask())[0] for _ in range(12)] == [200] * 12
-    assert len(draining.got) == before and len(other.got) == 12
-    assert b"after=1&wait_ms=" in told.got[0]
+    before = len(draining.requests)
+    assert [(await node.send_request())[0] for _ in range(12)] == [200] * 12
+    assert len(draining.requests) == before and len(other.requests) == 12
+    assert b"after=1&wait_ms=" in told.requests[0]
 
 
-@story
+@scenario
 async def test_at_the_descriptor_limit_the_client_idle_for_longest_makes_room(start):
-    node = await start(Peer(OK), descriptors=40)
+    node = await start(StandInServer(OK), descriptors=40)
     used = [await node.connect() for _ in range(12)]
-    assert [(await node.ask(stream=one))[0] for one in used] == [200] * 12
+    assert [(await node.send_request(stream=one))[0] for one in used] == [200] * 12
     fresh = [await node.connect() for _ in range(4)]
     assert await read_message(used[0]) is None
     # those that have not asked yet stay: their clients may have been closed on before
-    assert [(await node.ask(stream=one))[0] for one in fresh] == [200] * 4
+    assert [(await node.send_request(stream=one))[0] for one in fresh] == [200] * 4
 
 
-@story
+@scenario
 async def test_a_mistake_in_the_module_ends_no_node_and_leaves_no_request_unanswered(start):
     from wheatroute.balancing.request_admission import RequestAdmission
 
-    node = await start(Peer(OK))
+    node = await start(StandInServer(OK))
     right, RequestAdmission._elapsed = RequestAdmission._elapsed, lambda *fields: 1 / 0
     try:
-        assert (await node.ask(time_out="200m"))[0] == 502
+        assert (await node.send_request(timeout="200m"))[0] == 502
     finally:
         RequestAdmission._elapsed = right
-    assert (await node.ask())[0] == 200
+    assert (await node.send_request())[0] == 200
 
 
 class Sender:
@@ -465,45 +484,45 @@
     assert ran.returncode == 2 and ran.stderr.count("\n") == 1 and "Traceback" not in ran.stderr
 
 
-@story
+@scenario
 async def test_a_server_whose_address_changes_is_found_at_its_new_one(start):
-    old, new = Peer(OK), Peer(OK)
-    told = Peer(listed(2, False, [{"id": "s", "addr": new.place}]), SILENT)
+    old, new = StandInServer(OK), StandInServer(OK)
+    told = StandInServer(list_response(2, {"id": "s", "addr": new.address}), SILENT)
     node = await start(new, old, discovery=told)  # of the same name: what is known at start is the last
     await trio.sleep(0.2)
-    assert (await node.ask())[0] == 200 and len(new.got) == 1
+    assert (await node.send_request())[0] == 200 and len(new.requests) == 1
 
 
-@story
+@scenario
 async def test_a_client_that_asks_ahead_gets_one_answer_for_each_request(start):
-    peer = Peer(OK)
+    peer = StandInServer(OK)
     node = await start(peer)
     stream = await node.connect()
-    views = [node.message() for _ in range(3)]
-    await stream.send_all(b"".join(views + [node.message("place", body="x" * 50000) for _ in range(3)]))
+    views = [node.request_text() for _ in range(3)]
+    await stream.send_all(b"".join(views + [node.request_text("place", body="x" * 50000) for _ in range(3)]))
     got = b""
     while got.count(b"HTTP/1.1 200 ") < 6:
         got += await stream.receive_some()
-    assert len(peer.got) == 6
+    assert len(peer.requests) == 6
 
 
-@story
+@scenario
 async def test_bytes_that_nobody_asked_for_are_no_answer_to_the_next_request(start):
-    peer = Peer(STRAY, OK)
+    peer = StandInServer(STRAY, OK)
     node = await start(peer)
     for _ in range(3):
-        status, answer = await node.ask("place", body="b")
+        status, answer = await node.send_request("place", body="b")
         assert status == 200 and answer.endswith(b"\r\n\r\nok")
 
 
-@story
+@scenario
 async def test_a_client_that_the_system_cannot_hand_over_is_tried_again(start):
-    node = await start(Peer(OK))
+    node = await start(StandInServer(OK))
     right, Downstream._accept_one = Downstream._accept_one, refuse
     stream = await node.connect()
     await trio.sleep(0.05)
     Downstream._accept_one = right
-    assert (await node.ask(stream=stream))[0] == 200
+    assert (await node.send_request(stream=stream))[0] == 200
 
 
 def refuse(_downstream):
@@ -525,35 +544,37 @@
     assert holder.connection is None and len(pool._idle[0]) == 1
 
 
-@story
+@scenario
 async def test_a_list_service_that_fails_is_asked_again_and_its_news_is_heeded(start):
-    draining, other = Peer(OK), Peer(OK, name="t")
-    told = Peer(b"no list", ERROR, listed(9, True, [{"id": "t", "addr": other.place}]), SILENT)
+    draining, other = StandInServer(OK), StandInServer(OK, name="t")
+    told = StandInServer(
+        b"no list", ERROR, list_response(9, {"id": "t", "addr": other.address}, is_full=True), SILENT
+    )
     node = await start(draining, other, discovery=told)
-    while len(told.got) < 4:
+    while len(told.requests) < 4:
         await trio.sleep(0.05)
-    assert [(await node.ask())[0] for _ in range(8)] == [200] * 8 and not draining.got
-    assert b"after=9&" in told.got[3]
+    assert [(await node.send_request())[0] for _ in range(8)] == [200] * 8 and not draining.requests
+    assert b"after=9&" in told.requests[3]
 
 
-@story
+@scenario
 async def test_a_malformed_load_report_spoils_no_answer(start):
     for text in (b"TEXT active=3, =, x", b"nonsense", b"TEXT active=-1", b"TEXT active=nan", b"\xff"):
-        peer = Peer(OK.replace(b"\r\n\r\n", b"\r\nServer-Load: " + text + b"\r\n\r\n"))
+        peer = StandInServer(OK.replace(b"\r\n\r\n", b"\r\nServer-Load: " + text + b"\r\n\r\n"))
         node = await start(peer)
-        assert (await node.ask())[0] == 200, text
+        assert (await node.send_request())[0] == 200, text
 
 
-@story
+@scenario
 async def test_clients_beyond_the_descriptors_are_refused_at_once_and_not_left_in_the_queue(start):
-    node = await start(Peer(SILENT), descriptors=40, deadline=5.0)
+    node = await start(StandInServer(SILENT), descriptors=40, deadline=5.0)
     busy = [await node.connect() for _ in range(14)]
     for one in busy:
-        await one.send_all(node.message("place", body="b", time_out="5000m"))
+        await one.send_all(node.request_text("place", body="b", timeout="5000m"))
     await trio.sleep(0.1)
     for _ in range(30):
         stream = await node.connect()
         with trio.fail_after(2):
-            status, answer = await node.ask("view", time_out="5000m", stream=stream)
+            status, answer = await node.send_request("view", timeout="5000m", stream=stream)
         await stream.aclose()
         assert status == 503 and b"retry-after: 2.0" in answer.lower()
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -14,8 +14,8 @@
 from contextlib import asynccontextmanager
 
 import trio
-from fakehost import OK, Node
-from race_harness import Client, ListService, Server, list_response, message, wait_until
+from node_harness import OK, Node, list_response
+from race_harness import Client, ListService, Server, message, wait_until
 
 PLAIN = "import sys; from wheatroute.__main__ import main; sys.exit(main())"
 # what the process's own client does at a step; `ask` sends a request into the listener's queue
@@ -64,12 +64,12 @@
 ):
     """A node as a process of its own; its end is looked for, its output is kept."""
     node = Node(folder, *servers, discovery=discovery or ListService(lambda request: None), **how)
-    told_it = node.told if known else {key: value for key, value in node.told.items() if key != "known"}
-    node.path.write_text(json.dumps(told_it))
-    env = os.environ | {"PROXY_CONFIG": str(node.path)}
+    told_it = node.config if known else {key: value for key, value in node.config.items() if key != "known"}
+    node.config_path.write_text(json.dumps(told_it))
+    env = os.environ | {"PROXY_CONFIG": str(node.config_path)}
     if fifo:
-        node.path.unlink()
-        os.mkfifo(node.path)
+        node.config_path.unlink()
+        os.mkfifo(node.config_path)
         env["PLACE"] = f"127.0.0.1:{node.port}"
     node.log = folder / "log"
     async with trio.open_nursery() as nursery:
@@ -111,11 +111,12 @@
 @run
 async def test_sigterm_while_the_file_is_read_ends_it_before_it_listens(tmp_path):
     async with node_process(tmp_path, Server(), fifo=True, wait=False) as node:
-        writer = await trio.to_thread.run_sync(lambda: open(node.path, "wb"))  # it is being read from here on
+        # it is being read from here on
+        writer = await trio.to_thread.run_sync(lambda: open(node.config_path, "wb"))
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: _pending_taken(node.process.pid))
         with writer:
-            writer.write(json.dumps(node.told).encode())
+            writer.write(json.dumps(node.config).encode())
         status, _ = await ended(node)
         assert status == 0 and b"listening" not in node.log.read_bytes()
 
@@ -148,7 +149,7 @@
     async with node_process(tmp_path, known=False) as node:
         client = Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
         assert (await client.answer())[0] == 503
-        waiting = Client(node.port).send(message(node, "view", time_out="800m")[0])
+        waiting = Client(node.port).send(message(node, "view", timeout="800m")[0])
         node.process.send_signal(signal.SIGTERM)
         assert (await waiting.answer())[0] == 503
         status, took = await ended(node)
@@ -160,8 +161,8 @@
     server, go = Server(), trio.Event()
     server.on = {"read": lambda _: go.wait()}
     async with node_process(tmp_path, server, nodes=2) as node:
-        client = Client(node.port).send(message(node, "place", body="b", time_out="900m")[0])
-        await wait_until(lambda: server.got)
+        client = Client(node.port).send(message(node, "place", body="b", timeout="900m")[0])
+        await wait_until(lambda: server.requests)
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
         node.process.send_signal(signal.SIGHUP)
@@ -318,8 +319,8 @@
     async with node_process(tmp_path, server, code=code, nodes=2, deadline=2.0) as node:
         client = Client(node.port)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-        client.send(message(node, "place", body="b", time_out="2000m")[0])
-        await wait_until(lambda: server.got)
+        client.send(message(node, "place", body="b", timeout="2000m")[0])
+        await wait_until(lambda: server.requests)
         await trio.sleep(0.2)  # its answer fills what the client does not read
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
@@ -339,21 +340,21 @@
         lambda request: (
             None
             if b"after" in request
-            else list_response(3, {"id": "t", "addr": servers[1].place}, full=True)
+            else list_response(3, {"id": "t", "addr": servers[1].address}, is_full=True)
         )
     )
     async with node_process(tmp_path, *servers, discovery=old) as node, trio.open_nursery() as nursery:
         nursery.start_soon(new.run)
-        node.path.write_text("{")
+        node.config_path.write_text("{")
         node.process.send_signal(signal.SIGHUP)
         await wait_until(lambda: b"event=not-reloaded" in node.log.read_bytes())
-        node.path.write_text(json.dumps(node.told | {"discovery": new.place}))
+        node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         node.process.send_signal(signal.SIGHUP)
-        await wait_until(lambda: any(b"after=3&" in one for one in new.got))
-        before = len(servers[0].got)
+        await wait_until(lambda: any(b"after=3&" in one for one in new.requests))
+        before = len(servers[0].requests)
         for _ in range(10):
             assert (await Client(node.port).send(message(node, "view")[0]).answer())[0] == 200
-        assert len(servers[0].got) == before
+        assert len(servers[0].requests) == before
         nursery.cancel_scope.cancel()
 
 
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -8,7 +8,7 @@
 from unittest import mock
 
 import trio
-from fakehost import ERROR, FULL, OK, RESET, entry, settings, story
+from node_harness import ERROR, FULL, OK, RESET, list_response, platform_settings, scenario, server_entry
 from race_harness import (
     Client,
     HeldConnections,
@@ -17,7 +17,6 @@
     Stall,
     at,
     header_value,
-    list_response,
     message,
     reset,
     send_now,
@@ -35,12 +34,12 @@
 
 
 def rules(**changes):
-    return {"rules": settings(1.0)["rules"] | changes}
+    return {"rules": platform_settings(1.0)["rules"] | changes}
 
 
 def types(**changes):
     """The settings' three classes, those of the keyed one changed."""
-    kinds = settings(1.0)["traffic-types"]
+    kinds = platform_settings(1.0)["traffic-types"]
     kinds[1] |= changes
     return {"traffic-types": kinds}
 
@@ -49,7 +48,7 @@
     """A list service that has no changes until some are published."""
 
     def __init__(self):
-        self.version, self.entries, self.full = 1, [], False
+        self.version, self.entries, self.is_full = 1, [], False
         self.published = trio.Event()
         self.service = ListService(self.answer)
 
@@ -60,10 +59,10 @@
             if b"wait_ms=1 " not in request:
                 await trio.sleep_forever()
             return list_response(1 + self.published.is_set())
-        return list_response(2, *self.entries, full=self.full)
+        return list_response(2, *self.entries, is_full=self.is_full)
 
-    def publish(self, *entries, full=False):
-        self.entries, self.full = entries, full
+    def publish(self, *entries, is_full=False):
+        self.entries, self.is_full = entries, is_full
         self.published.set()
 
 
@@ -84,7 +83,7 @@
     return found, at(Discovery, "watch", after=lambda one, enable: found.append(one))
 
 
-@story
+@scenario
 async def test_nothing_is_written_once_the_time_of_a_request_is_over(start):
     server = Server()
     node = await start(server)
@@ -95,7 +94,7 @@
             time.sleep(0.01)
 
     with HeldConnections(blocked=late):
-        client, (text, _) = Client(node.port), message(node, "place", body="b", time_out="300m")
+        client, (text, _) = Client(node.port), message(node, "place", body="b", timeout="300m")
         before = time.monotonic()
         client.send(text)
         status, _ = await client.answer()
@@ -111,53 +110,58 @@
         client = Client(node.port)
         client.send(message(node, "place", body="b")[0])
         await wait_until(lambda: held.peers)
-        first = next(one for one in servers if one.place == held.peers[0])
-        updates.publish(*change(first), full=bool(how.get("full")))
+        first = next(one for one in servers if one.address == held.peers[0])
+        updates.publish(*change(first), is_full=bool(how.get("full")))
         await updates_applied(found)
         held.released.set()
         status, _ = await client.answer()
     return servers, first, status
 
 
-@story
+@scenario
 async def test_a_server_told_draining_while_its_connection_came_up_gets_nothing(start):
     servers, first, status = await changed(
-        start, lambda one: [{"id": one.name, "addr": one.place, "state": "terminating"}]
+        start, lambda one: [{"id": one.name, "addr": one.address, "state": "terminating"}]
     )
     assert status == 200 and not first.heads and len(written(*servers)) == 1
 
 
-@story
+@scenario
 async def test_a_server_told_gone_while_its_connection_came_up_gets_nothing(start):
     servers, first, status = await changed(start, lambda one: [{"id": one.name, "state": "terminated"}])
     assert status == 200 and not first.heads and len(written(*servers)) == 1
 
 
-@story
+@scenario
 async def test_an_address_that_is_anothers_by_now_gets_nothing(start):
     stranger = Server(name="u")
     servers, first, status = await changed(
-        start, lambda one: [{"id": one.name, "addr": stranger.place}], others=[stranger]
+        start, lambda one: [{"id": one.name, "addr": stranger.address}], others=[stranger]
     )
     assert status == 200 and not first.heads and len(written(*servers)) == 1
 
 
-@story
+@scenario
 async def test_a_server_that_started_anew_gets_nothing_that_was_chosen_for_the_one_before(start):
     servers, first, status = await changed(
         start,
         lambda one: [
-            {"id": one.name, "addr": one.place, "state": "in_service", "started_ms": int(time.time() * 1000)}
+            {
+                "id": one.name,
+                "addr": one.address,
+                "state": "in_service",
+                "started_ms": int(time.time() * 1000),
+            }
         ],
     )
     assert status == 200 and not first.heads and len(written(*servers)) == 1
 
 
-@story
+@scenario
 async def test_a_keyed_request_is_not_repeated_once_its_window_has_closed(start):
     turn = [ERROR, OK]
     first, second = Server(), Server(name="t")
-    first.answers = second.answers = turn
+    first.responses = second.responses = turn
     with HeldConnections(max_held=2) as held:
         node = await start(first, second, changes=types(**{"repeat-window": 0.4}))
         client = Client(node.port).send(message(node, "amend", body="b")[0])
@@ -172,7 +176,7 @@
     assert status == 503 and len(written(first, second)) == 1
 
 
-@story
+@scenario
 async def test_a_cold_server_gets_nothing_that_was_decided_long_before(start):
     server = Server()
 
@@ -184,9 +188,11 @@
 
     with HeldConnections() as held, at(MembershipUpdates, "servers_listed", after=credited):
         node = await start(
-            server, entries=[entry(server, started_ms=int(time.time() * 1000))], changes=rules(fall=0.8)
+            server,
+            entries=[server_entry(server, started_ms=int(time.time() * 1000))],
+            changes=rules(fall=0.8),
         )
-        text, one = message(node, "place", body="b", time_out="500m")
+        text, one = message(node, "place", body="b", timeout="500m")
         client = Client(node.port).send(text)
         await wait_until(lambda: held.peers)
         await trio.sleep_until(trio.current_time() + 0.25)  # over a quarter of the time in which it falls
@@ -196,7 +202,7 @@
         credited(updates[0])
         text, other = message(node, "place", body="b")
         assert (await Client(node.port).send(text).answer())[0] == 200
-    assert server.ids == [other] and server.lines == 1  # on the connection that was up
+    assert server.ids == [other] and server.connection_count == 1  # on the connection that was up
 
 
 # a server that reads too slowly
@@ -218,10 +224,10 @@
     ):
         node = await start(*servers, discovery=updates.service, **how)
         client = Client(node.port)
-        client.send(message(node, "place", body=BODY, time_out="600m")[0])
+        client.send(message(node, "place", body=BODY, timeout="600m")[0])
         await wait_until(lambda: [line for line in lines if line._unsent])
         place = next(line for line in lines if line._unsent).peer
-        first = next(one for one in servers if one.place == place)
+        first = next(one for one in servers if one.address == place)
         await then(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
@@ -230,17 +236,17 @@
     return servers[0], first, answer
 
 
-@story
+@scenario
 async def test_the_rest_of_a_request_is_not_written_to_a_server_told_draining(start):
     async def drain(first, updates, client, found):
-        updates.publish({"id": first.name, "addr": first.place, "state": "terminating"})
+        updates.publish({"id": first.name, "addr": first.address, "state": "terminating"})
         await updates_applied(found)
 
     other, first, answer = await half_written(start, drain)
-    assert answer[0] == 200 and len(other.got) == 1 and not first.got
+    assert answer[0] == 200 and len(other.requests) == 1 and not first.requests
 
 
-@story
+@scenario
 async def test_the_rest_of_a_request_is_not_written_after_its_time(start):
     async def wait(first, updates, client, found):
         end = time.monotonic() + 0.65
@@ -248,10 +254,10 @@
             time.sleep(0.01)
 
     other, first, answer = await half_written(start, wait)
-    assert answer[0] in (502, 503) and not other.got and not first.got
+    assert answer[0] in (502, 503) and not other.requests and not first.requests
 
 
-@story
+@scenario
 async def test_the_rest_of_a_request_is_not_written_for_a_client_that_has_left(start):
     async def leave(first, updates, client, found):
         client.reset()
@@ -259,7 +265,7 @@
     other, first, _ = await half_written(start, leave)
     with trio.fail_after(5):
         await trio.sleep(0.2)
-    assert not other.got and not first.got
+    assert not other.requests and not first.requests
 
 
 # clients that leave while their request waits for its first attempt
@@ -278,7 +284,7 @@
         ),
     ):
         node = await start(server)
-        text, one = message(node, "place", body="b", time_out="5000m")
+        text, one = message(node, "place", body="b", timeout="5000m")
         client = Client(node.port)
         client.send(text + pipelined)
         await wait_until(lambda: held.peers)
@@ -287,22 +293,23 @@
         leave(client)
         held.released.set()  # the connection is seen to be up in the same pass as the leaving, or before it
         await wait_until(lambda: one in ended)
-        assert (await node.ask("view"))[0] == 200  # the node goes on, and by now all of it would be there
+        # the node goes on, and by now all of it would be there
+        assert (await node.send_request("view"))[0] == 200
     assert one not in server.ids
     return server
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_a_client_that_closed_while_the_connection_came_up(start):
     await left(start, Client.leave)
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_a_client_that_reset_while_the_connection_came_up(start):
     await left(start, Client.reset)
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_a_client_that_left_behind_a_further_request_unread(start):
     for leave in (Client.leave, Client.reset):
         seen = []
@@ -317,12 +324,12 @@
             await left(start, leave, b"GET /view/1 HTTP/1.1\r\nFiller: " + b"x" * 90000, unread)
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_a_client_gone_right_behind_its_request(start):
     server = Server()
     node = await start(server)
-    assert (await node.ask("view"))[0] == 200  # a connection is open: nothing has to come up
-    await wait_until(lambda: server.lines == 1)
+    assert (await node.send_request("view"))[0] == 200  # a connection is open: nothing has to come up
+    await wait_until(lambda: server.connection_count == 1)
     ended = []
     with at(
         BalancerDriver,
@@ -336,15 +343,15 @@
             leave(client)  # request and end lie in the node's socket together
             if leave is Client.leave:  # after a reset the system drops what was not read
                 await wait_until(lambda one=one: one in ended)
-            assert (await node.ask("view"))[0] == 200
+            assert (await node.send_request("view"))[0] == 200
             assert one not in server.ids
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_clients_that_leave_between_decision_and_write(start):
     server = Server()
     node = await start(server)
-    assert (await node.ask("view"))[0] == 200
+    assert (await node.send_request("view"))[0] == 200
     ended, clients = [], {}
 
     def decided(servers, exchange, attempt):
@@ -360,14 +367,14 @@
             after=lambda driver, exchange: ended.append(exchange.request_id),
         ),
     ):
-        text, one = message(node, "place", body="b", time_out="5000m")
+        text, one = message(node, "place", body="b", timeout="5000m")
         clients[one] = Client(node.port).send(text)
         await wait_until(lambda: one in ended)
-        assert (await node.ask("view"))[0] == 200
+        assert (await node.send_request("view"))[0] == 200
     assert one not in server.ids
 
 
-@story
+@scenario
 async def test_nothing_goes_out_for_a_burst_of_clients_that_leave_together(start):
     server = Server()
     ended = []
@@ -382,7 +389,7 @@
         node = await start(server)
         clients = [Client(node.port) for _ in range(30)]
         for client in clients:
-            client.send(message(node, "place", body="b", time_out="5000m")[0])
+            client.send(message(node, "place", body="b", timeout="5000m")[0])
         await wait_until(lambda: len(held.peers) >= 3)  # the others wait for room
         for n, client in enumerate(clients):
             (Client.leave, Client.reset)[n % 2](client)
@@ -397,7 +404,7 @@
 # answers and timers in one pass
 
 
-@story
+@scenario
 async def test_an_answer_and_the_end_of_its_time_seen_in_one_pass_make_one_answer(start):
     for kind, body in (("view", ""), ("place", "b")):
         done = []
@@ -413,7 +420,7 @@
             lambda done=done: bool(done), lambda began=began: time.monotonic() > began[0] + DEAD + 0.1
         )
         trio.lowlevel.add_instrument(stall)
-        client, (text, _) = Client(node.port), message(node, kind, body=body, time_out="300m")
+        client, (text, _) = Client(node.port), message(node, kind, body=body, timeout="300m")
         began.append(time.monotonic())
         client.send(text)
         status, got = await client.answer()
@@ -424,7 +431,7 @@
         assert (await client.send(text).answer())[0] == 200  # nothing is left on the connection
 
 
-@story
+@scenario
 async def test_a_losers_answer_behind_the_winners_reaches_nobody(start):
     slow, go = Server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"), trio.Event()
     quick = Server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsoon", name="t")
@@ -436,13 +443,13 @@
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client, (text, _) = Client(node.port), message(node, "view", time_out="5000m")
+        client, (text, _) = Client(node.port), message(node, "view", timeout="5000m")
         client.send(text)
-        await wait_until(lambda: len(slow.got + quick.got) == 1)
+        await wait_until(lambda: len(slow.requests + quick.requests) == 1)
         driver, exchange = exchanges[0]
         other = 1 - exchange.attempts[0].server
         driver.attempt(exchange.number, other, 5.0)  # a second attempt, as the hedge is
-        await wait_until(lambda: len(slow.got + quick.got) == 2)
+        await wait_until(lambda: len(slow.requests + quick.requests) == 2)
     go.set()  # both answers are in the node's sockets in one pass
     status, answer = await client.answer()
     assert status == 200 and answer.count(b"HTTP/1.1 ") == 1
@@ -450,7 +457,7 @@
     assert status == 200
 
 
-@story
+@scenario
 async def test_an_unsafe_request_that_may_have_run_is_not_written_again_whoever_decides_it(start):
     servers = [Server(None), Server(None, name="t")]
     node = await start(*servers)
@@ -460,7 +467,7 @@
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client = Client(node.port).send(message(node, "place", body="b", time_out="500m")[0])
+        client = Client(node.port).send(message(node, "place", body="b", timeout="500m")[0])
         await wait_until(lambda: written(*servers))
         driver, exchange = exchanges[0]
         driver.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)  # as a mistake would
@@ -468,7 +475,7 @@
     assert status == 502 and len(written(*servers)) == 1
 
 
-@story
+@scenario
 async def test_a_cancelled_attempt_whose_last_byte_is_written_may_have_run(start):
     server = Server(None)
     node = await start(server)
@@ -478,7 +485,7 @@
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client = Client(node.port).send(message(node, "place", body="b", time_out="700m")[0])
+        client = Client(node.port).send(message(node, "place", body="b", timeout="700m")[0])
         await wait_until(lambda: server.heads)
         driver, exchange = exchanges[0]
         driver.cancel(exchange.number, 0)
@@ -489,7 +496,7 @@
 # answers that belong to nobody
 
 
-@story
+@scenario
 async def test_a_second_answer_some_milliseconds_late_is_no_later_requests_answer(start):
     stray = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
     ours, sent = [], []
@@ -501,7 +508,7 @@
 
     server = Server(on={"last": twice})
     node = await start(server)
-    assert (await node.ask("view"))[0] == 200
+    assert (await node.send_request("view"))[0] == 200
     with mock.patch.object(connection_pool, "REUSE_DELAY_S", 30.0):
         for _ in range(6):
             text, one = message(node, "place", body="b")
@@ -509,10 +516,10 @@
             assert status == 200 and answer.endswith(b"\r\n\r\nok")
             ours.append(one)
     # where answers came twice, no connection is used again before it has rested
-    assert server.lines >= 6 and server.ids[1:] == ours
+    assert server.connection_count >= 6 and server.ids[1:] == ours
 
 
-@story
+@scenario
 async def test_an_answer_without_a_length_that_is_reset_is_no_answer(start):
     async def cut(stream):
         reset(stream.socket)
@@ -521,17 +528,18 @@
     first = Server(endless, on={"last": cut})
     node = await start(first)
     status, answer = await Client(node.port).send(message(node, "place", body="b")[0]).answer()
-    assert status == 502 and b"part" not in answer and len(first.got) == 1
+    assert status == 502 and b"part" not in answer and len(first.requests) == 1
 
 
-@story
+@scenario
 async def test_connections_shut_as_they_are_taken_lose_nothing_that_may_be_repeated(start):
     """One is closed by its server the moment that the node writes on it, and so is the one in its stead."""
     servers = [Server(OK, name=name) for name in "stu"]
     node = await start(*servers, changes=types(group="all"))
     asked = 0
-    while not all(one.lines for one in servers) or asked < 30:  # repeats are a share of what is taken
-        assert (await node.ask("view"))[0] == 200
+    # repeats are a share of what is taken
+    while not all(one.connection_count for one in servers) or asked < 30:
+        assert (await node.send_request("view"))[0] == 200
         asked += 1
 
     shut = []
@@ -547,7 +555,7 @@
     assert status == 200 and len(shut) == 3
 
 
-@story
+@scenario
 async def test_full_frees_a_request_for_another_server_and_a_reset_does_not(start):
     for answer, status, count in ((FULL, 200, 2), (RESET, 502, 1)):
         turn = [answer, OK]
@@ -557,10 +565,10 @@
                 await stream.aclose()
 
         first, second = Server(on={"last": end}), Server(name="t", on={"last": end})
-        first.answers = second.answers = turn
+        first.responses = second.responses = turn
         node = await start(first, second)
         got, _ = await Client(node.port).send(message(node, "place", body="b")[0]).answer()
-        assert (got, len(first.got + second.got)) == (status, count)
+        assert (got, len(first.requests + second.requests)) == (status, count)
 
 
 def test_the_stand_ins_read_fields():
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -9,9 +9,9 @@
 import pytest
 import structlog
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
-from fakehost import reserve_port
+from node_harness import reserve_port
 
 from wheatroute import config, snapshot
 from wheatroute.balancing.interface import Idempotency
@@ -135,7 +135,7 @@
     return service.dispatcher.rounds._balancer
 
 
-@story
+@scenario
 async def test_each_request_gets_one_decision_and_all_servers_their_part(tmp_path):
     async with processor(tmp_path) as (service, channel):
         places = [await ask(channel, f"r{n}", n % 3) for n in range(60)]
@@ -143,7 +143,7 @@
         assert service.dispatcher.decisions == 60 and not module(service)._state.requests
 
 
-@story
+@scenario
 async def test_a_proxy_that_gives_up_waiting_leaves_nothing_behind(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "r1") as one:
@@ -162,7 +162,7 @@
         assert service.dispatcher.decisions == 1
 
 
-@story
+@scenario
 async def test_a_stream_that_ends_between_its_decision_and_the_answer_counts_as_never_sent(tmp_path):
     async with processor(tmp_path) as (service, channel):
         start, ended = Dispatcher.start_attempt, []
@@ -192,7 +192,7 @@
         assert reader.ask(told).tenant == number
 
 
-@story
+@scenario
 async def test_no_second_decision_for_an_order_whose_first_may_have_run(tmp_path):
     async with processor(tmp_path) as (service, channel):
         async with asking(channel, "order", PLACE) as one:
@@ -204,7 +204,7 @@
         assert service.dispatcher.decisions == 1
 
 
-@story
+@scenario
 async def test_an_order_that_provably_never_ran_goes_to_another_server(tmp_path):
     async with processor(tmp_path) as (service, channel):
         async with asking(channel, "order", PLACE) as one:
@@ -214,7 +214,7 @@
         assert isinstance(second, str) and second != first
 
 
-@story
+@scenario
 async def test_a_keyed_request_is_tried_again_in_its_group_only_and_a_safe_one_anywhere_else(tmp_path):
     async with processor(tmp_path) as (_, channel):
         for n in range(10):
@@ -228,7 +228,7 @@
             assert await ask(channel, f"view{n}", VIEW, 2) not in (first, 503)
 
 
-@story
+@scenario
 async def test_after_a_restart_a_further_try_may_have_run(tmp_path):
     async with processor(tmp_path) as (service, channel):
         assert await ask(channel, "order", PLACE, 2) == 502
@@ -242,7 +242,7 @@
         assert await ask(channel, "amend", AMEND, 2) == 502  # its window may be over
 
 
-@story
+@scenario
 async def test_one_id_from_two_proxies_at_once_is_a_conflict(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "same", PLACE):
@@ -253,7 +253,7 @@
             assert await ask(channel, "other", PLACE) == 409  # nor as another request class
 
 
-@story
+@scenario
 async def test_a_proxy_that_never_says_how_it_ended_is_not_waited_for(tmp_path):
     async with processor(tmp_path, **{"hard_stop = 1.0": "hard_stop = 0.1"}) as (service, channel):
         async with asking(channel, "r", PLACE) as one:
@@ -280,7 +280,7 @@
     return message.SerializeToString()
 
 
-@story
+@scenario
 async def test_streams_out_of_order_are_ended_and_cost_nothing(tmp_path):
     async with processor(tmp_path) as (service, channel):
         for first in (response_headers(200), with_body(), b"", b"\xff\xff", with_body() + b"\xff"):
@@ -305,7 +305,7 @@
         assert sum(module(service).servers.in_flight) == 0
 
 
-@story
+@scenario
 async def test_what_makes_no_request_is_answered_with_the_reason(tmp_path):
     async with processor(tmp_path) as (service, channel):
         cases = (
@@ -320,7 +320,7 @@
         assert service.dispatcher.decisions == 0
 
 
-@story
+@scenario
 async def test_a_server_that_drains_between_decision_and_response_gets_nothing_new(tmp_path):
     async with processor(tmp_path, listed=servers(1)) as (service, channel):
         async with asking(channel, "r1") as one:
@@ -344,7 +344,7 @@
         assert await ask(channel, "r3") == "127.0.0.1:7009"  # and at its new address
 
 
-@story
+@scenario
 async def test_a_refusal_says_when_to_come_back(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (_, channel):
         async with asking(channel, "r", time_out=0.1) as one:
@@ -354,7 +354,7 @@
             assert found == {"retry-after": b"1"}
 
 
-@story
+@scenario
 async def test_a_refused_id_may_be_asked_for_again_as_often_as_it_takes(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         for n in range(6):  # more than its tries
@@ -369,7 +369,7 @@
         assert await ask(channel, "order", PLACE, 7) == "127.0.0.1:7000"
 
 
-@story
+@scenario
 async def test_a_failing_server_is_learned_of_by_its_responses(tmp_path):
     async with processor(tmp_path) as (service, channel):
         got = []
@@ -381,7 +381,7 @@
         assert got[100:].count("127.0.0.1:7001") < 10  # of an even 25
 
 
-@story
+@scenario
 async def test_a_proxy_that_reads_nothing_hurts_no_other(tmp_path):
     async with processor(tmp_path) as (service, channel):
         place = channel.address
@@ -410,7 +410,7 @@
             mute.stream.close()
 
 
-@story
+@scenario
 async def test_sigterm_answers_what_is_open_and_takes_nothing_new(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         async with asking(channel, "waits", PLACE) as waits:
@@ -431,7 +431,7 @@
                 assert await waits.talk.receive() is None
 
 
-@story
+@scenario
 async def test_a_new_file_is_taken_whole_or_not_at_all(tmp_path):
     async with processor(tmp_path) as (service, channel):
         path = tmp_path / "file.toml"
@@ -489,7 +489,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_a_drain_written_to_etcd_is_heeded_at_once(tmp_path):
     async with etcd() as (store, _, table), processor(tmp_path, listed=table) as (service, channel):
         await until(lambda: len(service.list.entries) == 4)
@@ -502,7 +502,7 @@
         await service.stop()
 
 
-@story
+@scenario
 async def test_a_start_while_etcd_is_away_serves_from_the_snapshot_and_counts_the_peers(tmp_path):
     keep = {"[[pools]]": SNAPSHOT.format(tmp_path / "kept", 60.0)}
     async with etcd() as (store, member, table):
@@ -519,7 +519,7 @@
             await until(lambda: module(service)._state.settings.nodes == 2)
 
 
-@story
+@scenario
 async def test_a_snapshot_that_is_no_use_is_not_used(tmp_path):
     kept = tmp_path / "kept"
     other = {"source": {}, "servers": [{"id": "s0", "addr": "127.0.0.1:7000"}]}
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -3,14 +3,20 @@
 All on loopback: whole nodes, and stand-ins for servers that queue and tell probes so.
 """
 
-import json
 import re
 import socket
 
 import pytest
 import structlog
 import trio
-from fakehost import KINDS, Node, Peer, entry, listed, read_message
+from node_harness import (
+    EFFECT_BY_REQUEST_CLASS,
+    Node,
+    StandInServer,
+    list_response,
+    read_message,
+    server_entry,
+)
 
 from wheatroute import peer_messages
 from wheatroute.__main__ import serve_node
@@ -27,7 +33,7 @@
         self.cores = trio.CapacityLimiter(CORES)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
-        self.place = f"127.0.0.1:{self.listener.getsockname()[1]}"
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
@@ -61,17 +67,16 @@
 
 def shaped(node, nodes, me, peers=None):
     """A node of the old shape, or of the new one if it has peers."""
-    told = node.told
-    told["settings"] |= {"balancers": nodes, "me": me}
+    config = node.config
+    config["settings"] |= {"balancers": nodes, "me": me}
     if peers is not None:
-        told["settings"]["allowed"] |= {"peers": True, "probes": True}
-        told["settings"] |= {
+        config["settings"]["allowed"] |= {"peers": True, "probes": True}
+        config["settings"] |= {
             "report": {"how": "probe", "fields": ["qps", "queue"]},
             "tariffs": {"connection": 0.03},
         }
-        told["peers"] = peers
-    node.path.write_text(json.dumps(told))
-    node.settings = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
+        config["peers"] = peers
+    node.read_config()
     return node
 
 
@@ -89,16 +94,18 @@
     for n in range(4):
         (folder / str(n)).mkdir()
         # the last server drains, and every node is told so at its first watch
-        lists.append(Peer(listed(2, False, [entry(stations[3], state="terminating")]), None))
+        lists.append(StandInServer(list_response(2, server_entry(stations[3], state="terminating")), None))
         node = Node(folder / str(n), *stations, discovery=lists[n], deadline=2.0)
         others = [one for i, one in enumerate(places) if i != n] + [listens]
         nodes.append(shaped(node, 4, n, {"listen": places[n], "others": others} if n < 2 else None))
     answers = []
 
     async def call(node, kind):
-        status, _ = await node.ask(kind, body="" if KINDS[kind] == "retryable" else "b", time_out="2000m")
+        status, _ = await node.send_request(
+            kind, body="" if EFFECT_BY_REQUEST_CLASS[kind] == "retryable" else "b", timeout="2000m"
+        )
         answers.append(status)
-        served["new" if "peers" in node.told else "old"] += status == 200
+        served["new" if "peers" in node.config else "old"] += status == 200
 
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
@@ -107,7 +114,7 @@
             for node in nodes:
                 nursery.start_soon(serve_node, node.settings, structlog.get_logger())
                 (await node.connect()).socket.close()
-            while not all(one.got for one in lists):
+            while not all(one.requests for one in lists):
                 await trio.sleep(0.01)
             told = trio.current_time()
             async with trio.open_nursery() as calls:
@@ -143,22 +150,22 @@
     ],
 )
 def test_peers_of_no_use_are_told_in_one_line(tmp_path, peers, allowed, line):
-    node = Node(tmp_path, Peer(b""))
-    node.told["settings"]["allowed"]["peers"] = allowed
-    node.told["peers"] = peers
-    node.path.write_text(json.dumps(node.told))
+    node = Node(tmp_path, StandInServer(b""))
+    node.config["settings"]["allowed"]["peers"] = allowed
+    node.config["peers"] = peers
     with pytest.raises(node_settings.NodeSettingsError, match=line) as found:
-        node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
+        node.read_config()
     assert "\n" not in str(found.value)
 
 
 def test_without_peers_a_node_has_no_such_socket_and_one_request_a_connection(tmp_path):
-    node = Node(tmp_path, Peer(b""))
-    node.told["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
-    node.path.write_text(json.dumps(node.told))
-    told = node_settings.read_node_settings({"PROXY_CONFIG": str(node.path)})
-    assert told.peers is None and told.work_header == b"" and told.terms.calls_per_connection == 1
-    assert not told.terms.has_peers  # allowed, but nobody is named: it probes for none
+    node = Node(tmp_path, StandInServer(b""))
+    node.config["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
+    node.read_config()
+    settings = node.settings
+    assert settings.peers is None and settings.work_header == b""
+    assert settings.terms.calls_per_connection == 1
+    assert not settings.terms.has_peers  # allowed, but nobody is named: it probes for none
 
 
 def test_strangers_and_nonsense_are_nothing_told():
--- a/tests/test_rig_lateness.py
+++ b/tests/test_rig_lateness.py
@@ -4,7 +4,7 @@
 
 import trio
 import trio.testing
-from asynchronous import story
+from async_scenarios import scenario
 
 from wheatroute.rig.lateness import MOST_EXCUSED, LoopLateness
 from wheatroute.rig.records import Asked, Records, excused, lost, summary
@@ -48,7 +48,7 @@
     assert lost(records, until=20.0)
 
 
-@story
+@scenario
 async def test_a_busy_loop_is_noticed():
     lateness = LoopLateness()
     async with trio.open_nursery() as nursery:
--- a/tests/test_rig_records.py
+++ b/tests/test_rig_records.py
@@ -3,7 +3,7 @@
 import time
 
 import trio
-from asynchronous import story
+from async_scenarios import scenario
 
 from wheatroute.rig.endpoints import Server, listen
 from wheatroute.rig.links import Link
@@ -13,7 +13,7 @@
 REQUEST = b"GET /look/1 HTTP/1.1\r\nRequest-Id: r1\r\n\r\n"
 
 
-@story
+@scenario
 async def test_what_a_busy_rig_reads_late_was_sent_when_it_was():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -9,7 +9,7 @@
 
 import orjson
 import pytest
-from fakehost import Host, only_slow
+from balancer_host import BalancerHost, only_slow
 
 from wheatroute import snapshot, stored_statistics
 from wheatroute.balancing.interface import Outcome, ServerState
@@ -78,31 +78,31 @@
 
 def test_what_was_learned_comes_back_with_its_age_and_nothing_that_is_no_figure():
     names = {f"s{n}": n for n in range(4)}
-    before = Host(answer=only_slow(2)).run(6.0, 40)
+    before = BalancerHost(answer=only_slow(2)).run(6.0, 40)
     told = stored_statistics.export_statistics(before.balancer, names, before.now)
     assert told["s2"]["latency"] > 2 * told["s1"]["latency"]
-    after = Host(answer=only_slow(2)).step()
+    after = BalancerHost(answer=only_slow(2)).step()
     told["s1"] |= {"latency": float("nan")}
     told["s0"] |= {"age": -5.0}
     told["s9"] = told["s2"]
     assert stored_statistics.restore_statistics(after.balancer, told, names, after.now, 3.0) == 2  # s2 and s3
     after.run(0.9, 200)
-    fresh = Host(answer=only_slow(2)).run(0.9, 200)
-    assert after.sent(2) < 0.8 * fresh.sent(2)
+    fresh = BalancerHost(answer=only_slow(2)).run(0.9, 200)
+    assert after.attempts_to(2) < 0.8 * fresh.attempts_to(2)
 
 
 def test_a_bar_holds_on_over_a_restart_until_its_trial():
     names = {f"s{n}": n for n in range(4)}
-    before = Host(answer=lambda server, attempt: None if server == 0 else (0, 0.1)).run(4.0, 40)
+    before = BalancerHost(answer=lambda server, attempt: None if server == 0 else (0, 0.1)).run(4.0, 40)
     assert before.balancer.servers.ejected_until[0]
     told = stored_statistics.export_statistics(before.balancer, names, before.now)
-    after = Host().step()
+    after = BalancerHost().step()
     stored_statistics.restore_statistics(after.balancer, told, names, after.now, 0.1)
     after.step(0.3)
     assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.selection.servers
     after.run(8.0, 40)
     assert not after.balancer.servers.ejected_until[0]  # it is well, as its trial shows
-    after.list([Host.entry(1, ServerState.REMOVED)])
+    after.list_servers([BalancerHost.list_entry(1, ServerState.REMOVED)])
 
 
 LEARNED = (  # as the version before the renaming of the decision module wrote it
@@ -118,5 +118,5 @@
 def test_what_was_learned_is_written_under_the_keys_of_earlier_versions():
     names = {f"s{n}": n for n in range(3)}
     answers = [None, (Outcome.SERVED, 0.1), (Outcome.SERVED, 0.4)]
-    host = Host(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
+    host = BalancerHost(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
     assert orjson.dumps(stored_statistics.export_statistics(host.balancer, names, host.now)) == LEARNED
