--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -55,7 +55,7 @@
         "callers": {"load": 0.5},
     }
     began = time.perf_counter()
-    world = World(plan.of(told), 1, experiment.maker(experiment.DESIGN)).play()
+    world = World(plan.parse_plan(told), 1, experiment.maker(experiment.DESIGN)).play()
     took = time.perf_counter() - began
     return {
         "servers": servers,
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -77,7 +77,7 @@
 def test_a_story_changes_nothing_of_its_run():
     told = scenarios.day("crash", 8)
     told["length"] = 8.0
-    plain, traced = (World(plan.of(told), 1, experiment.maker("design")) for _ in range(2))
+    plain, traced = (World(plan.parse_plan(told), 1, experiment.maker("design")) for _ in range(2))
     traced.traced = 40
     assert plain.play().engine.count == traced.play().engine.count and traced.story
 
@@ -95,5 +95,5 @@
 def test_every_day_is_a_whole_plan_at_every_size():
     for name in scenarios.DAYS:
         for size in scenarios.SIZES.values():
-            assert plan.of(scenarios.day(name, size)).capacity() > size
+            assert plan.parse_plan(scenarios.day(name, size)).capacity() > size
     assert orjson.dumps(scenarios.DAYS)
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -32,7 +32,7 @@
 
 
 def played(make=design, seed=1, **changes):
-    return World(plan.of({**SMALL, **changes}), seed, make).play()
+    return World(plan.parse_plan({**SMALL, **changes}), seed, make).play()
 
 
 def one_tier(**changes):
@@ -94,7 +94,8 @@
 
 
 def test_a_hung_server_answers_nothing_and_a_crashed_one_comes_back_cold():
-    world = World(plan.of({**SMALL, "faults": fault("crash", part=0.1, tier=0, length=2.0)}), 1, design)
+    faults = fault("crash", part=0.1, tier=0, length=2.0)
+    world = World(plan.parse_plan({**SMALL, "faults": faults}), 1, design)
     world.crowd.begin()
     world.engine.run(1004.0)
     assert sum(not server.alive for server in world.tiers[0]) == 1
@@ -206,7 +207,7 @@
 
 def test_a_file_that_is_wrong_is_told_in_a_line_for_each_mistake():
     with pytest.raises(plan.PlanError) as trouble:
-        plan.of({**SMALL, "nodes": 0, "spare": 1, "faults": [{"kind": "fire", "at": 0.0}]})
+        plan.parse_plan({**SMALL, "nodes": 0, "spare": 1, "faults": [{"kind": "fire", "at": 0.0}]})
     assert len(trouble.value.lines) == 3 and "nodes" in trouble.value.lines[0]
     with pytest.raises(plan.PlanError, match="zone 'q'"):
-        plan.of({**SMALL, "faults": fault("zone_loss", zone="q")})
+        plan.parse_plan({**SMALL, "faults": fault("zone_loss", zone="q")})
--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -13,7 +13,7 @@
     told = tomllib.loads(FILE.read_text(encoding="utf-8"))
     told["callers"].update(changes)
     noes = []
-    world = World(plan.of({**told, "length": 6.0}), seed, ledger.maker(noes)).play()
+    world = World(plan.parse_plan({**told, "length": 6.0}), seed, ledger.maker(noes)).play()
     assert world.watch.breaks == [0] * 5, world.watch.broken
     return results.figures(world), noes
 
--- /dev/null
+++ b/tests/fleet/test_plan_keys.py
@@ -0,0 +1,106 @@
+"""Keys of plan files stay, whatever the fields are called in the code."""
+
+import pytest
+
+from wheatroute.fleet import plan
+
+KEYS = {
+    "FleetPlan": [
+        "name",
+        "length",
+        "warm_up",
+        "nodes",
+        "tiers",
+        "kinds",
+        "customers",
+        "callers",
+        "network",
+        "rules",
+        "faults",
+        "tick",
+        "most_relays",
+        "second_copies",
+        "time_left_passed_on",
+        "crossing_price",
+    ],
+    "Tier": [
+        "name",
+        "servers",
+        "models",
+        "work",
+        "calls",
+        "discipline",
+        "slots",
+        "queue",
+        "thrash",
+        "thrash_at",
+        "connection_cost",
+        "most_connections",
+        "cold_share",
+        "cold_time",
+        "cancel",
+        "error_rate",
+        "collapse",
+        "reports",
+    ],
+    "ServerModel": ["name", "share", "cores", "speed", "speed_cv"],
+    "Collapse": ["above", "span", "slower", "below", "rest", "longest"],
+    "LoadReports": ["every", "noise"],
+    "RequestClassPlan": [
+        "name",
+        "share",
+        "work",
+        "law",
+        "cv",
+        "relay_noise",
+        "effect",
+        "target_time",
+        "hard_stop",
+        "utility",
+        "late_utility",
+        "repeat_window",
+        "group",
+    ],
+    "TenantPlan": ["name", "portion", "usage"],
+    "LoadWave": ["at", "length", "times", "rise"],
+    "ClientsPlan": [
+        "load",
+        "arrivals",
+        "swing",
+        "swing_period",
+        "waves",
+        "recorded",
+        "quota",
+        "excess_utility",
+        "retries",
+        "backoff",
+        "honour",
+        "patience",
+        "node_skew",
+        "crossing",
+    ],
+    "NetworkPlan": [
+        "zones",
+        "inside",
+        "between",
+        "jitter",
+        "handshake",
+        "connect_within",
+        "idle_closed",
+        "list_delay",
+        "list_spread",
+    ],
+    "RuleLimits": ["drain_grace", "fall_span", "fall_multiple", "answer_slack"],
+    "FaultPlan": ["kind", "at", "length", "tier", "part", "size", "every", "zone"],
+}
+
+
+@pytest.mark.parametrize("table", sorted(KEYS))
+def test_the_keys_of_a_table_stay(table):
+    fields = getattr(plan, table).model_fields
+    assert [field.alias or name for name, field in fields.items()] == KEYS[table]
+
+
+def test_the_name_of_a_field_is_no_key_of_the_file():
+    with pytest.raises(plan.PlanError, match="max_attempts: Extra inputs are not permitted"):
+        plan.parse_plan({"tiers": [{"name": "only", "servers": 1}], "max_attempts": 3})
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -61,17 +61,17 @@
         self.world, self.plan, self.engine = world, world.plan, world.engine
         self.roots: list[Root] = []
         self.start = world.engine.now
-        clients = self.plan.callers
+        clients = self.plan.clients
         self._rate = clients.load * self.plan.capacity()
         self._when = random_streams.stream(world.seed, "arrivals")
         self._what = random_streams.stream(world.seed, "commands")
         self._which = random_streams.stream(world.seed, "front")
         self._wait = random_streams.stream(world.seed, "retries")
-        self._kinds = list(accumulate(kind.share for kind in self.plan.kinds))
-        usage = [one.portion * one.usage for one in self.plan.customers]
+        self._kinds = list(accumulate(kind.weight for kind in self.plan.request_classes))
+        usage = [one.portion * one.usage for one in self.plan.tenants]
         self._tenants = list(accumulate(usage))
         quota = clients.quota * self.plan.capacity()
-        self._quotas = [one.portion * quota for one in self.plan.customers]
+        self._quotas = [one.portion * quota for one in self.plan.tenants]
         self._saved = list(self._quotas)
         self._saved_at = [self.engine.now] * len(self._quotas)
         self._noticed: dict[int, float] = {}  # by node: from when the front leaves it out
@@ -95,33 +95,35 @@
 
     def rate(self, since: float) -> float:
         """Requests a second, this long after the start."""
-        clients = self.plan.callers
-        rate = self._rate * (1.0 + clients.swing * sin(2.0 * pi * since / clients.swing_period))
+        clients = self.plan.clients
+        rate = self._rate * (1.0 + clients.swing * sin(2.0 * pi * since / clients.swing_period_s))
         for wave in clients.waves:
-            if wave.at <= since < wave.at + wave.length:
-                part = min(1.0, (since - wave.at) / wave.rise) if wave.rise else 1.0
-                rate *= 1.0 + (wave.times - 1.0) * part
+            if wave.start_s <= since < wave.start_s + wave.duration_s:
+                part = min(1.0, (since - wave.start_s) / wave.ramp_s) if wave.ramp_s else 1.0
+                rate *= 1.0 + (wave.factor - 1.0) * part
         return rate
 
     def _moments(self) -> Iterator[float]:
-        start, clients = self.engine.now, self.plan.callers
-        if clients.recorded:
-            yield from (start + one for one in sorted(clients.recorded) if one < self.plan.length)
+        start, clients = self.engine.now, self.plan.clients
+        if clients.recorded_arrivals_s:
+            yield from (
+                start + one for one in sorted(clients.recorded_arrivals_s) if one < self.plan.duration_s
+            )
             return
         if clients.arrivals == "even":
             since = 0.0
-            while since < self.plan.length:
+            while since < self.plan.duration_s:
                 yield start + since
                 since += 1.0 / max(self.rate(since), 1e-9)
             return
         # a Poisson process of changing rate, by thinning (Lewis and Shedler 1979)
         most = self._rate * (1.0 + clients.swing)
         for wave in clients.waves:
-            most *= max(1.0, wave.times)
+            most *= max(1.0, wave.factor)
         since = 0.0
         while most > 0.0:
             since += self._when.expovariate(most)
-            if since >= self.plan.length:
+            if since >= self.plan.duration_s:
                 return
             if self._when.random() * most < self.rate(since):
                 yield start + since
@@ -141,9 +143,9 @@
             self.world.law_size(kind, what.random()),
             int(what.random() * len(self.plan.network.zones)),
         )
-        root.target = now + self.plan.kinds[kind].target_time
-        root.stop = now + self.plan.kinds[kind].hard_stop
-        root.heeds = what.random() < self.plan.callers.honour
+        root.target = now + self.plan.request_classes[kind].target_latency_s
+        root.stop = now + self.plan.request_classes[kind].deadline_s
+        root.heeds = what.random() < self.plan.clients.retry_advice_compliance
         root.within = self._within(tenant)
         self.roots.append(root)
         self._try(root)
@@ -163,14 +165,17 @@
     def _try(self, root: Root) -> None:
         now = self.engine.now
         node = self._node(root)
-        left = min(self.plan.callers.patience * self.plan.kinds[root.kind].hard_stop, root.stop - now)
+        left = min(
+            self.plan.clients.client_timeout * self.plan.request_classes[root.kind].deadline_s,
+            root.stop - now,
+        )
         if root.over or left <= 0.0:
             return
         root.tries += 1
         if node is None:
             self._again(root, UNREACHED)
             return
-        there = self.plan.callers.crossing
+        there = self.plan.clients.latency_s
         self.engine.after(there, self._reach, root, node, left - there)
 
     def _node(self, root: Root) -> Node | None:
@@ -197,10 +202,10 @@
         request: list[Any] = []
 
         def told(answer: str, stay_away: float) -> None:
-            self.engine.after(self.plan.callers.crossing, self._answered, root, attempt, answer, stay_away)
+            self.engine.after(self.plan.clients.latency_s, self._answered, root, attempt, answer, stay_away)
 
         request.append(node.take(root.index, root.kind, 0, left, root.tenant, attempt > 1, told))
-        slack = self.plan.rules.answer_slack
+        slack = self.plan.rules.answer_slack_s
         self.engine.after(left + slack, self._patience_ends, root, attempt, node, request[0])
 
     def _patience_ends(self, root: Root, attempt: int, node: Node, request: Request) -> None:
@@ -219,9 +224,9 @@
             return
         if root.tries != attempt:
             return
-        unsafe = self.plan.kinds[root.kind].effect == "effectful"
+        unsafe = self.plan.request_classes[root.kind].idempotency == "effectful"
         if answer == "refused" or not unsafe:
-            wait = self.plan.callers.backoff * 2 ** (attempt - 1) * (0.5 + self._wait.random())
+            wait = self.plan.clients.backoff_s * 2 ** (attempt - 1) * (0.5 + self._wait.random())
             if root.heeds:
                 wait = max(wait, stay_away)
             self._again(root, min(wait, LONGEST_BACKOFF), answer)
@@ -232,7 +237,7 @@
         now = self.engine.now
         root.answer, root.answered = answer, now
         free = answer == "unreached"  # a refused connection costs no try
-        if not free and root.tries > self.plan.callers.retries or now + wait >= root.stop:
+        if not free and root.tries > self.plan.clients.max_retries or now + wait >= root.stop:
             root.over = True
             return
         self.engine.after(wait, self._try, root)
--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -14,7 +14,7 @@
 from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.distributions import distribution
 from wheatroute.fleet.engine import Engine
-from wheatroute.fleet.plan import Model, Tier
+from wheatroute.fleet.plan import ServerModel, Tier
 from wheatroute.fleet.random_streams import stream
 from wheatroute.fleet.servers import Job, Server
 
@@ -79,17 +79,11 @@
 ) -> Seen:
     """Poisson arrivals at `servers` alike, works of mean 1 s."""
     engine, draw = Engine(), stream(seed, "queues")
-    tier = Tier.model_construct(
-        **{
-            **Tier(name="queue", servers=1).model_dump(),
-            "discipline": discipline,
-            "slots": 10**6,
-            "queue": room,
-            "collapse": None,
-            "reports": None,
-        }
+    # not validated: bounds of plans are no bounds here
+    tier = Tier(name="queue", servers=1).model_copy(
+        update={"discipline": discipline, "slots_per_core": 10**6, "queue_per_core": room}
     )
-    model = Model(name="one", cores=cores)
+    model = ServerModel(name="one", cores=cores)
     all_of_them = [Server(engine, i, tier, model, (0, 0, 0, 0), 1.0, draw) for i in range(servers)]
     for server in all_of_them:
         server.room = room
--- a/wheatroute/fleet/experiment.py
+++ b/wheatroute/fleet/experiment.py
@@ -68,7 +68,7 @@
         known = ", ".join([DESIGN, *sorted(baselines.BASELINES)])
         raise plan.PlanError([f"{path}: policies: no {one!r}; there are {known}" for one in unknown])
     for run in runs(experiment):
-        plan.of(run["fleet"], path)
+        plan.parse_plan(run["fleet"], path)
     return experiment
 
 
@@ -116,7 +116,7 @@
 
 def play(run: dict[str, Any]) -> dict[str, Any]:
     """One run; what is kept of it."""
-    world = World(plan.of(run["fleet"]), run["seed"], maker(run["policy"])).play()
+    world = World(plan.parse_plan(run["fleet"]), run["seed"], maker(run["policy"])).play()
     delays = HdrHistogram(1, LONGEST, 3)
     for root in world.crowd.roots:
         if root.answer == "served":
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -13,7 +13,7 @@
 
 from wheatroute.balancing.interface import ServerState
 from wheatroute.fleet import random_streams
-from wheatroute.fleet.plan import Fault
+from wheatroute.fleet.plan import FaultPlan
 
 if TYPE_CHECKING:
     from wheatroute.fleet.servers import Server
@@ -29,12 +29,12 @@
         self.world, self.engine = world, world.engine
         for number, fault in enumerate(world.plan.faults):
             draw = random_streams.stream(world.seed, "fault", number)
-            begin: Callable[[Fault, str, Random], None] = getattr(self, f"_{fault.kind}")
-            self.engine.after(fault.at, begin, fault, f"{fault.kind}/{number}", draw)
+            begin: Callable[[FaultPlan, str, Random], None] = getattr(self, f"_{fault.kind}")
+            self.engine.after(fault.start_s, begin, fault, f"{fault.kind}/{number}", draw)
 
     # who
 
-    def _struck(self, fault: Fault, draw: Random) -> list[Server]:
+    def _struck(self, fault: FaultPlan, draw: Random) -> list[Server]:
         """The part of each tier's servers that are alive, in the fault's zone where it names one."""
         names, struck = self.world.plan.network.zones, []
         for depth, tier in enumerate(self.world.tiers):
@@ -43,12 +43,12 @@
                     one for one in tier if one.alive and (not fault.zone or names[one.zone] == fault.zone)
                 ]
                 draw.shuffle(alive)
-                struck += alive[: ceil(fault.part * len(alive))]
+                struck += alive[: ceil(fault.fraction * len(alive))]
         return struck
 
-    def _for_a_while(self, fault: Fault, begin: Callable[[], None], end: Callable[[], None]) -> None:
+    def _for_a_while(self, fault: FaultPlan, begin: Callable[[], None], end: Callable[[], None]) -> None:
         begin()
-        self.engine.after(fault.length, end)
+        self.engine.after(fault.duration_s, end)
 
     def _change(self, servers: list[Server], name: str, factor: float) -> None:
         for server in servers:
@@ -57,8 +57,8 @@
 
     # what
 
-    def _crash(self, fault: Fault, name: str, draw: Random) -> None:
-        self._lose(self._struck(fault, draw), fault.length, False)
+    def _crash(self, fault: FaultPlan, name: str, draw: Random) -> None:
+        self._lose(self._struck(fault, draw), fault.duration_s, False)
 
     def _lose(self, servers: list[Server], length: float, silent: bool) -> None:
         for server in servers:
@@ -66,42 +66,44 @@
             self.world.tell(server, ServerState.REMOVED)
             self.engine.after(length, self.world.revive, server)
 
-    def _hang(self, fault: Fault, name: str, draw: Random) -> None:
+    def _hang(self, fault: FaultPlan, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
         self._for_a_while(
             fault, lambda: self._change(struck, "hang", 0.0), lambda: self._change(struck, "hang", 1.0)
         )
 
-    def _slow(self, fault: Fault, name: str, draw: Random) -> None:
+    def _slow(self, fault: FaultPlan, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
         self._for_a_while(
             fault,
-            lambda: self._change(struck, name, 1.0 / max(1.0, fault.size)),
+            lambda: self._change(struck, name, 1.0 / max(1.0, fault.severity)),
             lambda: self._change(struck, name, 1.0),
         )
 
-    def _shared_slow(self, fault: Fault, name: str, draw: Random) -> None:
-        self._slow(fault.model_copy(update={"part": 1.0}), name, draw)
+    def _shared_slow(self, fault: FaultPlan, name: str, draw: Random) -> None:
+        self._slow(fault.model_copy(update={"fraction": 1.0}), name, draw)
 
-    def _errors(self, fault: Fault, name: str, draw: Random) -> None:
+    def _errors(self, fault: FaultPlan, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
 
         def put(share: float) -> None:
             for server in struck:
                 server.errors = share
 
-        self._for_a_while(fault, lambda: put(min(1.0, fault.size)), lambda: put(0.0))
+        self._for_a_while(fault, lambda: put(min(1.0, fault.severity)), lambda: put(0.0))
 
-    def _pauses(self, fault: Fault, name: str, draw: Random) -> None:
-        self._on_and_off(fault, name, draw, 0.0, fault.size, fault.every)
+    def _pauses(self, fault: FaultPlan, name: str, draw: Random) -> None:
+        self._on_and_off(fault, name, draw, 0.0, fault.severity, fault.interval_s)
 
-    def _neighbour(self, fault: Fault, name: str, draw: Random) -> None:
-        self._on_and_off(fault, name, draw, max(0.01, 1.0 - fault.size), fault.every, fault.every)
+    def _neighbour(self, fault: FaultPlan, name: str, draw: Random) -> None:
+        self._on_and_off(
+            fault, name, draw, max(0.01, 1.0 - fault.severity), fault.interval_s, fault.interval_s
+        )
 
     def _on_and_off(
-        self, fault: Fault, name: str, draw: Random, factor: float, on: float, off: float
+        self, fault: FaultPlan, name: str, draw: Random, factor: float, on: float, off: float
     ) -> None:
-        end = self.engine.now + fault.length
+        end = self.engine.now + fault.duration_s
 
         def begin(server: Server) -> None:
             if self.engine.now < end and server.alive:
@@ -116,12 +118,14 @@
         for server in self._struck(fault, draw):
             self.engine.after(off * draw.random(), begin, server)
 
-    def _deploy(self, fault: Fault, name: str, draw: Random) -> None:
+    def _deploy(self, fault: FaultPlan, name: str, draw: Random) -> None:
         """Servers are drained, finish and go, a batch at a time; cold successors start as they drain."""
         struck = self._struck(fault, draw)
-        batches = max(1, round(fault.length / fault.every))
+        batches = max(1, round(fault.duration_s / fault.interval_s))
         for number, server in enumerate(struck):
-            self.engine.after(fault.every * (number * batches // max(1, len(struck))), self._retire, server)
+            self.engine.after(
+                fault.interval_s * (number * batches // max(1, len(struck))), self._retire, server
+            )
 
     def _retire(self, server: Server) -> None:
         if not server.alive:
@@ -138,30 +142,30 @@
             self.world.kill(server)
             self.world.tell(server, ServerState.REMOVED)
 
-    def _zone_loss(self, fault: Fault, name: str, draw: Random) -> None:
+    def _zone_loss(self, fault: FaultPlan, name: str, draw: Random) -> None:
         """A zone with its nodes goes at once and says nothing; it comes back cold."""
-        whole = fault.model_copy(update={"part": 1.0})
-        self._lose(self._struck(whole, draw), fault.length, True)
+        whole = fault.model_copy(update={"fraction": 1.0})
+        self._lose(self._struck(whole, draw), fault.duration_s, True)
         names = self.world.plan.network.zones
         for node in list(self.world.front):
             if node.alive and names[node.zone] == fault.zone:
                 self.world.kill_node(node)
-                self.engine.after(fault.length, self.world.revive_node, node.number)
+                self.engine.after(fault.duration_s, self.world.revive_node, node.number)
 
-    def _node_loss(self, fault: Fault, name: str, draw: Random) -> None:
+    def _node_loss(self, fault: FaultPlan, name: str, draw: Random) -> None:
         alive = [node for node in self.world.front if node.alive]
         draw.shuffle(alive)
-        for node in alive[: ceil(fault.part * len(alive))]:
+        for node in alive[: ceil(fault.fraction * len(alive))]:
             self.world.kill_node(node)
-            self.engine.after(fault.length, self.world.revive_node, node.number)
+            self.engine.after(fault.duration_s, self.world.revive_node, node.number)
 
-    def _list_late(self, fault: Fault, name: str, draw: Random) -> None:
+    def _list_late(self, fault: FaultPlan, name: str, draw: Random) -> None:
         def put(seconds: float) -> None:
             self.world.list_late += seconds
 
-        self._for_a_while(fault, lambda: put(fault.size), lambda: put(-fault.size))
+        self._for_a_while(fault, lambda: put(fault.severity), lambda: put(-fault.severity))
 
-    def _cut_off(self, fault: Fault, name: str, draw: Random) -> None:
+    def _cut_off(self, fault: FaultPlan, name: str, draw: Random) -> None:
         zones = frozenset([self.world.plan.network.zones.index(fault.zone)] if fault.zone else [])
         places = frozenset() if zones else frozenset(one.place for one in self._struck(fault, draw))
 
@@ -171,9 +175,9 @@
 
         self._for_a_while(fault, begin, lambda: self.world.network.repair(name))
 
-    def _lossy(self, fault: Fault, name: str, draw: Random) -> None:
+    def _lossy(self, fault: FaultPlan, name: str, draw: Random) -> None:
         self._for_a_while(
             fault,
-            lambda: self.world.network.lose_responses(name, min(1.0, fault.size)),
+            lambda: self.world.network.lose_responses(name, min(1.0, fault.severity)),
             lambda: self.world.network.repair(name),
         )
--- a/wheatroute/fleet/network.py
+++ b/wheatroute/fleet/network.py
@@ -9,13 +9,13 @@
 from math import inf, log
 from random import Random
 
-from wheatroute.fleet.plan import Network
+from wheatroute.fleet.plan import NetworkPlan
 
 
 class SimulatedNetwork:
     """One-way latencies in seconds; `inf` for a message that never arrives."""
 
-    def __init__(self, network: Network, rng: Random) -> None:
+    def __init__(self, network: NetworkPlan, rng: Random) -> None:
         self._network, self._rng = network, rng
         # by fault
         self._partitions: dict[str, frozenset[int]] = {}  # zones cut off from all others
@@ -25,7 +25,7 @@
     def latency(self, a: int, b: int) -> float:
         """A draw of the latency between two zones."""
         network = self._network
-        base = network.inside if a == b else network.between
+        base = network.zone_latency_s if a == b else network.cross_zone_latency_s
         if not network.jitter:
             return base
         return base * (1.0 - network.jitter / 2 - network.jitter / 2 * log(1.0 - self._rng.random()))
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -225,12 +225,12 @@
         there = self.world.network.message_delay(self.zone, place.zone, self.place, place.place)
         if there == inf or not place.alive:
             self.engine.after(
-                self.world.plan.network.connect_within,
+                self.world.plan.network.connect_timeout_s,
                 self._happened,
                 Event.PROBE_ENDED,
                 server,
                 Outcome.TIMED_OUT,
-                self.world.plan.network.connect_within,
+                self.world.plan.network.connect_timeout_s,
                 None,
             )
             return
@@ -277,21 +277,21 @@
         idle = self._idle.get(server.number)
         while idle:
             since, life = idle.pop()
-            if life == server.life and now - since < 0.9 * network.idle_closed:
+            if life == server.life and now - since < 0.9 * network.idle_timeout_s:
                 attempt.connection = True
                 self._send(attempt)
                 return
             self._disconnect(server, life)
         there = self.world.network.message_delay(self.zone, server.zone, self.place, server.place)
         if there == inf:
-            self.engine.after(network.connect_within, self._unconnected, attempt)
+            self.engine.after(network.connect_timeout_s, self._unconnected, attempt)
         elif not server.alive or server.connections >= server.most_connections:
             self.engine.after(2 * there, self._unconnected, attempt)
         else:
             server.connections += 1
-            server.charge(server.tier.connection_cost)
+            server.charge(server.tier.connection_work_s)
             attempt.connection, attempt.life = True, server.life
-            self.engine.after(2 * there * network.handshake, self._send, attempt)
+            self.engine.after(2 * there * network.handshake_round_trips, self._send, attempt)
 
     def _unconnected(self, attempt: Attempt) -> None:
         if not attempt.over:
--- a/wheatroute/fleet/plan.py
+++ b/wheatroute/fleet/plan.py
@@ -1,31 +1,35 @@
-"""What a fleet is made of, as a file tells it: tiers, servers, traffic, clients, network, faults.
-
-Owns the shape of the file, its checks and its defaults. It plays nothing. Defaults are round figures in the
-range of published work, so that a file names only what it is about: works of tens to hundreds of
-milliseconds with a coefficient of variation of one to two (Dean and Barroso, "The Tail at Scale", 2013;
-Harchol-Balter 1999), 0.25 ms inside a zone and 1 ms between zones (Verma et al., "Large-scale cluster
-management at Google with Borg", 2015, for zones and their fabric), cold starts of seconds (Mirrokni et al.
-and later work on warm-up speak of 10 s to minutes), and a list that is some seconds late.
+"""The plan of an emulated fleet: tiers, servers, traffic, clients, network and faults.
+
+Holds the shape of a plan file, its checks and its defaults; it does no I/O but to read files. Keys of a file
+are the fields' aliases where they differ from the names here; the keys never change. Times are in seconds.
+
+Defaults are round figures in the range of published work, so that a file names only what it is about: service
+times of tens to hundreds of milliseconds with a coefficient of variation of one to two (Dean and Barroso,
+"The Tail at Scale", 2013; Harchol-Balter 1999), 0.25 ms inside a zone and 1 ms between zones (Verma et al.,
+"Large-scale cluster management at Google with Borg", 2015, for zones and their fabric), cold starts of
+seconds (work on warm-up reports 10 s to minutes), and a server list that is some seconds late.
 """
 
 from __future__ import annotations
 
 import tomllib
 from pathlib import Path
-from typing import Annotated, Literal
+from typing import Annotated, Any, Literal
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-Seconds = Annotated[float, Field(ge=0.0, allow_inf_nan=False)]
-Some = Annotated[float, Field(gt=0.0, allow_inf_nan=False)]
-Share = Annotated[float, Field(ge=0.0, le=1.0)]
+NonNegative = Annotated[float, Field(ge=0.0, allow_inf_nan=False)]
+Positive = Annotated[float, Field(gt=0.0, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(ge=0.0, le=1.0)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
 Name = Annotated[str, Field(min_length=1, max_length=200)]
-Law = Literal["none", "exponential", "lognormal", "pareto", "bimodal"]
+DistributionName = Literal["none", "exponential", "lognormal", "pareto", "bimodal"]
+ALL_TIERS = -1  # `FaultPlan.tier` of a fault that strikes every tier
+PORTION_TOLERANCE = 0.01  # by which the tenants' portions may miss 1
 
 
 class PlanError(Exception):
-    """A file that is no use: `lines`, one for each thing that is wrong."""
+    """A plan or experiment file that is not valid; `lines` has a message for each problem."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -33,149 +37,167 @@
 
 
 class Table(BaseModel):
-    """A table of the file: keys that it does not know are wrong."""
+    """A table of a plan file; unknown keys are an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Model(Table):
-    """Servers that are alike."""
+class ServerModel(Table):
+    """Servers of one hardware model."""
 
     name: Name
-    share: Some = 1.0  # of the tier's servers, beside the other models' shares
+    weight: Positive = Field(default=1.0, alias="share")  # of the model among the tier's servers
     cores: Annotated[int, Field(ge=1, le=1024)] = 2
-    speed: Some = 1.0  # of each core, in multiples of the core that works are measured on
-    speed_cv: Seconds = 0.0  # between servers of the model
+    speed: Positive = 1.0  # of a core; a core of speed 1 does one second of work in a second
+    speed_cv: NonNegative = 0.0  # coefficient of variation of the speed between servers of the model
 
 
 class Collapse(Table):
-    """A server that holds too much for too long turns slower, until it was mostly idle for a while.
+    """A server that holds too many requests for too long turns slower until it was mostly idle for a while.
 
     The shape of metastable failures: Bronson et al., "Metastable Failures in Distributed Systems", 2021.
     """
 
-    above: Some = 6.0  # held beyond the cores, in roots of the cores, in the mean over `span`
-    span: Some = 2.0
-    slower: Some = 2.5
-    below: Share = 0.3  # of the cores busy, for `rest`, ends it
-    rest: Some = 3.0
-    longest: Some = 25.0
+    # mean requests held beyond the cores at which a server collapses, in square roots of the cores
+    threshold: Positive = Field(default=6.0, alias="above")
+    window_s: Positive = Field(default=2.0, alias="span")  # that this mean is taken over
+    slowdown: Positive = Field(default=2.5, alias="slower")  # factor on the duration of all work
+    # mean fraction of busy cores below which the server recovers
+    recovery_utilization: Fraction = Field(default=0.3, alias="below")
+    recovery_window_s: Positive = Field(default=3.0, alias="rest")  # that this mean is taken over
+    max_duration_s: Positive = Field(default=25.0, alias="longest")
 
 
-class Reports(Table):
-    """What answers tell of their server's load."""
+class LoadReports(Table):
+    """Load reports of a server in its responses."""
 
-    every: Some = 0.2
-    noise: Seconds = 0.1
+    interval_s: Positive = Field(default=0.2, alias="every")  # between refreshes of what is reported
+    noise: NonNegative = 0.1  # relative error of the reported number of requests, at most
 
 
 class Tier(Table):
-    """Servers that do the same; each of all tiers but the last has a node of its own for its calls."""
+    """Servers with the same job; each one of all tiers but the last has a node of its own for its calls."""
 
     name: Name
     servers: Count
-    models: Annotated[list[Model], Field(min_length=1)] = [Model(name="one")]
-    work: Some = 1.0  # of a request's work, for each call
-    calls: Some = 1.0  # that a request of the tier above makes, in the mean
-    discipline: Literal["sharing", "in_turn"] = "sharing"
-    slots: Count = 32  # requests in work for each core
-    queue: Annotated[int, Field(ge=0, le=1_000_000)] = 200  # that wait for a slot, for each core
-    thrash: Seconds = 0.0  # what a doubling of requests in work beyond `thrash_at` a core costs
-    thrash_at: Some = 16.0
-    connection_cost: Seconds = 0.001  # of work for each new connection
-    most_connections: Count = 1000  # for each core
-    cold_share: Share = 0.4
-    cold_time: Seconds = 8.0
-    cancel: Literal["all", "waiting", "none"] = "all"  # what a cancel stops
-    error_rate: Share = 0.0
+    models: Annotated[list[ServerModel], Field(min_length=1)] = [ServerModel(name="one")]
+    work: Positive = 1.0  # of one call at this tier, as a multiple of its request class's work
+    # mean number of calls to this tier that a request of the tier above makes
+    calls_per_request: Positive = Field(default=1.0, alias="calls")
+    discipline: Literal["sharing", "in_turn"] = "sharing"  # processor sharing, or first come first served
+    slots_per_core: Count = Field(default=32, alias="slots")  # requests in service
+    queue_per_core: Annotated[int, Field(ge=0, le=1_000_000)] = Field(default=200, alias="queue")
+    # relative slowdown for each doubling of the requests in service beyond `thrash_threshold` per core
+    thrash: NonNegative = 0.0
+    thrash_threshold: Positive = Field(default=16.0, alias="thrash_at")
+    connection_work_s: NonNegative = Field(default=0.001, alias="connection_cost")  # of each new connection
+    max_connections_per_core: Count = Field(default=1000, alias="most_connections")
+    warmup_initial_share: Fraction = Field(
+        default=0.4, alias="cold_share"
+    )  # of its speed, right after a start
+    warmup_s: NonNegative = Field(default=8.0, alias="cold_time")
+    cancellable: Literal["all", "waiting", "none"] = Field(
+        default="all", alias="cancel"
+    )  # jobs a cancel stops
+    error_rate: Fraction = 0.0  # accepted, without effect: errors are a fault (`FaultPlan`)
     collapse: Collapse | None = None
-    reports: Reports | None = None
+    reports: LoadReports | None = None
 
 
-class Kind(Table):
-    """A request class."""
+class RequestClassPlan(Table):
+    """Requests with common rules."""
 
     name: Name
-    share: Some = 1.0
-    work: Some = 0.1  # mean, on a core of speed 1, over one call of each tier
-    law: Law = "lognormal"
-    cv: Seconds = 1.5
-    relay_noise: Seconds = 0.2  # by which two attempts of a request differ
-    effect: Literal["pure", "receipted", "effectful"] = "pure"
-    target_time: Some = 1.0
-    hard_stop: Some = 3.0
-    utility: Some = 1.0
-    late_utility: Seconds = 0.0
-    repeat_window: Seconds = 10.0
-    group: Literal["all", "zone", "cell"] = "all"
+    weight: Positive = Field(default=1.0, alias="share")  # of the class in the traffic
+    work_s: Positive = Field(
+        default=0.1, alias="work"
+    )  # mean on a core of speed 1, over one call of each tier
+    distribution: DistributionName = Field(default="lognormal", alias="law")  # of the work
+    cv: NonNegative = 1.5  # coefficient of variation of the work
+    attempt_cv: NonNegative = Field(default=0.2, alias="relay_noise")  # between attempts of one request
+    idempotency: Literal["pure", "receipted", "effectful"] = Field(default="pure", alias="effect")
+    target_latency_s: Positive = Field(default=1.0, alias="target_time")
+    deadline_s: Positive = Field(default=3.0, alias="hard_stop")
+    value: Positive = Field(default=1.0, alias="utility")  # of a response within the target latency
+    late_value: NonNegative = Field(
+        default=0.0, alias="late_utility"
+    )  # of a later one, as a fraction of `value`
+    retry_window_s: NonNegative = Field(
+        default=10.0, alias="repeat_window"
+    )  # in which a keyed request may repeat
+    deduplication_group: Literal["all", "zone", "cell"] = Field(default="all", alias="group")
 
     @model_validator(mode="after")
-    def _ordered(self) -> Kind:
-        if self.target_time > self.hard_stop:
+    def _target_is_before_deadline(self) -> RequestClassPlan:
+        if self.target_latency_s > self.deadline_s:
             raise ValueError("target_time is beyond hard_stop")
         return self
 
 
-class Tenant(Table):
-    """Who requests come from."""
+class TenantPlan(Table):
+    """A source of requests with a quota."""
 
     name: Name
-    portion: Share  # of the traffic, and of what the fleet can do
-    usage: Some = 1.0  # of its portion that it asks for
+    portion: Fraction  # of the traffic, and of the quota of all tenants
+    usage: Positive = 1.0  # traffic it sends, as a multiple of its portion
 
 
-class Wave(Table):
-    """Load that changes: a burst, a flash crowd, a slow wave."""
+class LoadWave(Table):
+    """A change of the load: a burst, a flash crowd, a slow wave."""
 
-    at: Seconds
-    length: Some
-    times: Some = 1.5  # of the load before
-    rise: Seconds = 0.0
+    start_s: NonNegative = Field(alias="at")
+    duration_s: Positive = Field(alias="length")
+    factor: Positive = Field(default=1.5, alias="times")  # on the load without it
+    ramp_s: NonNegative = Field(default=0.0, alias="rise")  # until the factor is reached
 
 
-class Clients(Table):
-    """Arrivals do not wait for answers."""
+class ClientsPlan(Table):
+    """An open workload: arrivals don't wait for responses."""
 
-    load: Some = 0.5  # of what the fleet can do
+    load: Positive = 0.5  # as a fraction of the fleet's capacity
     arrivals: Literal["poisson", "even"] = "poisson"
-    swing: Share = 0.0  # of the load, up and down
-    swing_period: Some = 20.0
-    waves: list[Wave] = []
-    recorded: list[Seconds] = []  # moments of arrival; in place of all the above
-    quota: Some = 0.8  # tenants' shares together, of what the fleet can do
-    excess_utility: Share = 0.05
-    retries: Annotated[int, Field(ge=0, le=100)] = 0
-    backoff: Seconds = 0.2  # doubled with each try
-    honour: Share = 1.0  # of clients heed a node's advice on when to return
-    patience: Share = 1.0  # of the deadline that a client waits
-    node_skew: Annotated[float, Field(ge=1.0, le=100.0)] = 1.0  # the busiest node's traffic over the mean
-    crossing: Seconds = 0.0005  # one way between client and node
-
-
-class Network(Table):
-    """One way latencies, and how the list gets about."""
+    swing: Fraction = 0.0  # amplitude of a sine on the load, as a fraction of it
+    swing_period_s: Positive = Field(default=20.0, alias="swing_period")
+    waves: list[LoadWave] = []
+    recorded_arrivals_s: list[NonNegative] = Field(default=[], alias="recorded")  # in place of all the above
+    quota: Positive = 0.8  # of all tenants, as a fraction of the fleet's capacity
+    excess_value_factor: Fraction = Field(default=0.05, alias="excess_utility")  # on values beyond the quota
+    max_retries: Annotated[int, Field(ge=0, le=100)] = Field(default=0, alias="retries")
+    backoff_s: NonNegative = Field(default=0.2, alias="backoff")  # before the first retry; doubled with each
+    # fraction of the clients that heed a node's advice when to retry
+    retry_advice_compliance: Fraction = Field(default=1.0, alias="honour")
+    client_timeout: Fraction = Field(default=1.0, alias="patience")  # of a try, as a fraction of the deadline
+    # traffic of the busiest node over the mean
+    node_skew: Annotated[float, Field(ge=1.0, le=100.0)] = 1.0
+    latency_s: NonNegative = Field(default=0.0005, alias="crossing")  # one way, between client and node
+
+
+class NetworkPlan(Table):
+    """One-way latencies, connections, and how late changes of the server list arrive."""
 
     zones: Annotated[list[Name], Field(min_length=1)] = ["a"]
-    inside: Seconds = 0.00025
-    between: Seconds = 0.001
-    jitter: Seconds = 0.2
-    handshake: Seconds = 2.0  # round trips of a new connection
-    connect_within: Some = 0.2
-    idle_closed: Some = 30.0
-    list_delay: Seconds = 2.0
-    list_spread: Seconds = 0.5
+    zone_latency_s: NonNegative = Field(default=0.00025, alias="inside")  # within a zone
+    cross_zone_latency_s: NonNegative = Field(default=0.001, alias="between")
+    jitter: NonNegative = 0.2  # of a latency, as a fraction of it
+    handshake_round_trips: NonNegative = Field(default=2.0, alias="handshake")  # of a new connection
+    connect_timeout_s: Positive = Field(default=0.2, alias="connect_within")
+    idle_timeout_s: Positive = Field(
+        default=30.0, alias="idle_closed"
+    )  # a server closes idle connections after it
+    list_delay_s: NonNegative = Field(default=2.0, alias="list_delay")
+    list_jitter_s: NonNegative = Field(default=0.5, alias="list_spread")  # beyond the delay, at most
 
 
-class Rules(Table):
-    """Figures of the four rules."""
+class RuleLimits(Table):
+    """Figures of the four rules that `rules.py` checks."""
 
-    drain_grace: Seconds = 2.0
-    fall_span: Some = 1.0
-    fall_multiple: Some = 3.0
-    answer_slack: Seconds = 0.02
+    drain_grace_s: NonNegative = Field(default=2.0, alias="drain_grace")
+    overload_window_s: Positive = Field(default=1.0, alias="fall_span")
+    overload_multiple: Positive = Field(default=3.0, alias="fall_multiple")
+    answer_slack_s: NonNegative = Field(default=0.02, alias="answer_slack")
 
 
-FAULTS = (
+FaultKind = Literal[
     "crash",
     "hang",
     "slow",
@@ -189,104 +211,110 @@
     "cut_off",
     "node_loss",
     "lossy",
-)
-
-
-class Fault(Table):
-    """One line of the script."""
-
-    kind: Literal[
-        "crash",
-        "hang",
-        "slow",
-        "errors",
-        "pauses",
-        "neighbour",
-        "deploy",
-        "zone_loss",
-        "shared_slow",
-        "list_late",
-        "cut_off",
-        "node_loss",
-        "lossy",
-    ]
-    at: Seconds
-    length: Seconds = 10.0
-    tier: Annotated[int, Field(ge=-1, le=9)] = -1  # -1: all tiers
-    part: Share = 0.1  # of the servers (of the zone's, of the nodes)
-    size: Seconds = 3.0  # times slower; share of errors; length of a pause; share of the machine taken
-    every: Some = 2.0  # between pauses; on and off of a neighbour; batches of a deploy
-    zone: str = ""
+]
+
+
+class FaultPlan(Table):
+    """One fault of the run; `faults.py` says what each kind does."""
+
+    kind: FaultKind
+    start_s: NonNegative = Field(alias="at")
+    duration_s: NonNegative = Field(default=10.0, alias="length")
+    tier: Annotated[int, Field(ge=-1, le=9)] = ALL_TIERS
+    fraction: Fraction = Field(
+        default=0.1, alias="part"
+    )  # of the servers (of the zone's, of the nodes) it strikes
+    # factor of a slowdown, fraction of errors or of lost responses, length of a pause in seconds,
+    # fraction of a machine that a neighbour takes, or further delay of the list in seconds
+    severity: NonNegative = Field(default=3.0, alias="size")
+    interval_s: Positive = Field(
+        default=2.0, alias="every"
+    )  # of pauses, of a neighbour's phases, of deploy batches
+    zone: str = ""  # a name of `NetworkPlan.zones`; empty: any
 
 
-class Fleet(Table):
-    """A whole file."""
+class FleetPlan(Table):
+    """A whole plan file."""
 
     name: Name = "fleet"
-    length: Some = 60.0
-    warm_up: Seconds = 0.0  # from here on requests count
-    nodes: Count = 4  # at the first tier
+    duration_s: Positive = Field(default=60.0, alias="length")
+    warmup_s: NonNegative = Field(default=0.0, alias="warm_up")  # requests before it don't count
+    nodes: Count = 4  # in front of the first tier
     tiers: Annotated[list[Tier], Field(min_length=1, max_length=9)]
-    kinds: Annotated[list[Kind], Field(min_length=1)] = [Kind(name="view")]
-    customers: list[Tenant] = []
-    callers: Clients = Clients()
-    network: Network = Network()
-    rules: Rules = Rules()
-    faults: list[Fault] = []
-    tick: Some = 0.005
-    most_relays: Annotated[int, Field(ge=1, le=20)] = 4
-    second_copies: bool = True
-    time_left_passed_on: bool = True
-    crossing_price: Seconds = 0.0
+    request_classes: Annotated[list[RequestClassPlan], Field(min_length=1)] = Field(
+        default=[RequestClassPlan(name="view")], alias="kinds"
+    )
+    tenants: list[TenantPlan] = Field(default=[], alias="customers")
+    clients: ClientsPlan = Field(default=ClientsPlan(), alias="callers")
+    network: NetworkPlan = NetworkPlan()
+    rules: RuleLimits = RuleLimits()
+    faults: list[FaultPlan] = []
+    tick_s: Positive = Field(default=0.005, alias="tick")  # step of the nodes' clocks
+    max_attempts: Annotated[int, Field(ge=1, le=20)] = Field(default=4, alias="most_relays")
+    can_hedge: bool = Field(default=True, alias="second_copies")
+    time_left_passed_on: bool = True  # calls to the next tier carry the client's deadline
+    crossing_price: NonNegative = 0.0  # of an attempt in another zone, in the value of one request
 
     @model_validator(mode="after")
-    def _agrees(self) -> Fleet:
+    def _is_consistent(self) -> FleetPlan:
         for fault in self.faults:
             if fault.tier >= len(self.tiers):
                 raise ValueError(f"a fault is at tier {fault.tier}, and there are {len(self.tiers)}")
             if fault.zone and fault.zone not in self.network.zones:
                 raise ValueError(f"a fault is in zone {fault.zone!r}, which network.zones does not name")
-        if self.customers and abs(sum(one.portion for one in self.customers) - 1.0) > 0.01:
+        portions = sum(tenant.portion for tenant in self.tenants)
+        if self.tenants and abs(portions - 1.0) > PORTION_TOLERANCE:
             raise ValueError("the tenants' portions do not sum to 1")
         return self
 
-    # what follows from it
+    def mean_work_s(self) -> float:
+        """Mean work of a request over one call of each tier, in seconds on a core of speed 1."""
+        total = sum(request_class.weight for request_class in self.request_classes)
+        return (
+            sum(request_class.weight * request_class.work_s for request_class in self.request_classes) / total
+        )
 
-    def mean_work(self) -> float:
-        """Of a request over one call of each tier, seconds on a core of speed 1."""
-        total = sum(kind.share for kind in self.kinds)
-        return sum(kind.share * kind.work for kind in self.kinds) / total
+    def mean_call_work_s(self, class_number: int, depth: int) -> float:
+        """Mean work of one call of a request class at one tier, in seconds on a core of speed 1."""
+        return self.request_classes[class_number].work_s * self.tiers[depth].work
 
     def capacity(self) -> float:
-        """Requests a second that the tier which runs out first can do."""
-        calls, least = 1.0, float("inf")
+        """Requests per second that the tier with the least capacity can serve, when all servers are warm."""
+        calls = 1.0
+        capacity = float("inf")
         for tier in self.tiers:
-            calls *= tier.calls
-            shares = sum(model.share for model in tier.models)
-            cores = tier.servers * sum(
-                model.share / shares * model.cores * model.speed for model in tier.models
+            calls *= tier.calls_per_request
+            weights = sum(model.weight for model in tier.models)
+            core_seconds = tier.servers * sum(
+                model.weight / weights * model.cores * model.speed for model in tier.models
             )
-            least = min(least, cores / (self.mean_work() * tier.work * calls))
-        return least
+            capacity = min(capacity, core_seconds / (self.mean_work_s() * tier.work * calls))
+        return capacity
 
+    def quota(self) -> float:
+        """Requests per second that all tenants together may send."""
+        return self.clients.quota * self.capacity()
 
-def of(told: dict[str, object], where: str = "plan") -> Fleet:
-    """A fleet from what a file holds; raises PlanError with a line for each mistake."""
+
+def validation_lines(error: ValidationError, source: str) -> list[str]:
+    """A line for each problem that pydantic found in a file or table named `source`."""
+    return [
+        f"{source}: {'.'.join(map(str, problem['loc'])) or 'whole'}: {problem['msg']}"
+        for problem in error.errors()
+    ]
+
+
+def parse_plan(tables: dict[str, Any], source: str = "plan") -> FleetPlan:
+    """The plan in the tables of a file named `source`; raises PlanError with a line for each problem."""
     try:
-        return Fleet.model_validate(told)
-    except ValidationError as trouble:
-        raise PlanError(
-            [
-                f"{where}: {'.'.join(map(str, one['loc'])) or 'whole'}: {one['msg']}"
-                for one in trouble.errors()
-            ]
-        ) from None
-
-
-def read(path: str) -> Fleet:
-    """The fleet that a TOML file describes."""
+        return FleetPlan.model_validate(tables)
+    except ValidationError as error:
+        raise PlanError(validation_lines(error, source)) from None
+
+
+def read_toml(path: Path, source: str) -> dict[str, Any]:
+    """The tables of a TOML file; raises PlanError, with `source` as the name of the file, if it has none."""
     try:
-        told = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as trouble:
-        raise PlanError([f"{path}: {trouble}"]) from None
-    return of(told, path)
+        return tomllib.loads(path.read_text(encoding="utf-8"))
+    except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise PlanError([f"{source}: {error}"]) from None
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -15,13 +15,13 @@
 
 def worth(world: World, root: Root) -> tuple[float, float]:
     """Asked for and earned by one request."""
-    kind = world.plan.kinds[root.kind]
-    asked = kind.utility * (1.0 if root.within else world.plan.callers.excess_utility)
+    kind = world.plan.request_classes[root.kind]
+    asked = kind.value * (1.0 if root.within else world.plan.clients.excess_value_factor)
     if root.answer != "served":
         return asked, 0.0
     if root.answered <= root.target + 1e-9:
         return asked, asked
-    return asked, asked * (kind.late_utility if root.answered <= root.stop + 1e-9 else 0.0)
+    return asked, asked * (kind.late_value if root.answered <= root.stop + 1e-9 else 0.0)
 
 
 def quantile(ordered: list[float], part: float) -> float:
@@ -31,11 +31,11 @@
 
 def figures(world: World) -> dict[str, Any]:
     """One run's figures; shares are of worth unless their name says otherwise."""
-    since = world.crowd.start + world.plan.warm_up
+    since = world.crowd.start + world.plan.warmup_s
     roots = [root for root in world.crowd.roots if root.arrived >= since]
     asked = earned = 0.0
-    by_kind = [[0.0, 0.0] for _ in world.plan.kinds]
-    by_tenant = [[0.0, 0.0] for _ in world.plan.customers]
+    by_kind = [[0.0, 0.0] for _ in world.plan.request_classes]
+    by_tenant = [[0.0, 0.0] for _ in world.plan.tenants]
     delays, ends = [], dict.fromkeys(("served", "refused", "failed", "left", "lost", "unreached", ""), 0)
     late = 0
     for root in roots:
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -42,24 +42,26 @@
         story = f"node {node.place} request {request.number} attempt {attempt.n} to {attempt.server.place}"
         if request.answered and request.answered != "left":
             self._broke(1, f"{story}: after the answer {request.answered!r}")
-        kind = plan.kinds[request.kind]
-        if attempt.n >= plan.most_relays:
-            self._broke(2, f"{story}: more than {plan.most_attempts}")
+        kind = plan.request_classes[request.kind]
+        if attempt.n >= plan.max_attempts:
+            self._broke(2, f"{story}: more than {plan.max_attempts}")
         ran = [one for one in request.attempts if one.outcome not in NEVER_RAN]
-        if ran and kind.effect == "effectful":
+        if ran and kind.idempotency == "effectful":
             self._broke(2, f"{story}: attempt {ran[0].n} may have run ({ran[0].outcome})")
-        elif ran and kind.effect == "receipted":
+        elif ran and kind.idempotency == "receipted":
             first = ran[0]
-            if now > first.sent + kind.repeat_window:
-                self._broke(2, f"{story}: {now - first.sent:.3f} s after, window {kind.repeat_window}")
-            if self._group(kind.group, first.server) != self._group(kind.group, attempt.server):
+            if now > first.sent + kind.retry_window_s:
+                self._broke(2, f"{story}: {now - first.sent:.3f} s after, window {kind.retry_window_s}")
+            if self._group(kind.deduplication_group, first.server) != self._group(
+                kind.deduplication_group, attempt.server
+            ):
                 self._broke(2, f"{story}: outside the group of {first.server.place}")
-        if any(one.outcome is None for one in request.attempts) and not plan.second_copies:
+        if any(one.outcome is None for one in request.attempts) and not plan.can_hedge:
             self._broke(2, f"{story}: a hedge where none may be sent")
         told = node.drains.get(attempt.server.number)
-        if told is not None and now > told + plan.rules.drain_grace:
+        if told is not None and now > told + plan.rules.drain_grace_s:
             self._broke(3, f"{story}: {now - told:.3f} s after the node was told of its drain")
-        if attempt.server.born and now - attempt.server.born < attempt.server.tier.cold_time:
+        if attempt.server.born and now - attempt.server.born < attempt.server.tier.warmup_s:
             self._sent_cold(request, attempt.server, story)
 
     @staticmethod
@@ -73,13 +75,15 @@
         kept = self._cold.setdefault(server.place, deque())
         kept.append((now, work))
         total = self._sum.get(server.place, 0.0) + work
-        while kept and kept[0][0] < now - rules.fall_span:
+        while kept and kept[0][0] < now - rules.overload_window_s:
             total -= kept.popleft()[1]
         self._sum[server.place] = total
-        budget = rules.fall_multiple * server.capacity() * server.warmth() * rules.fall_span
+        budget = rules.overload_multiple * server.capacity() * server.warmth() * rules.overload_window_s
         self.worst_cold = max(self.worst_cold, total / budget)
         if total > SLACK * budget + 3 * work:
-            self._broke(4, f"{story}: {total:.2f} s of work in {rules.fall_span} s, budget {budget:.2f}")
+            self._broke(
+                4, f"{story}: {total:.2f} s of work in {rules.overload_window_s} s, budget {budget:.2f}"
+            )
 
     def answered(self, node: Node, request: Request, answer: str) -> None:
         """Before the answer is entered: refused or failed."""
@@ -87,13 +91,17 @@
         if request.answered and request.answered != "left":
             self._broke(1, f"{story}: {answer!r} after {request.answered!r}")
         late = self._world.engine.now - request.stop
-        if late > self._world.plan.rules.answer_slack:
+        if late > self._world.plan.rules.answer_slack_s:
             self._broke(1, f"{story}: answered {late:.3f} s after its deadline")
         if answer == "refused":
-            kind = self._world.plan.kinds[request.kind]
+            kind = self._world.plan.request_classes[request.kind]
             ran = [one for one in request.attempts if one.outcome not in NEVER_RAN]
             # a keyed one may come again where every server knows its mark
-            harmless = kind.effect == "pure" or kind.effect == "receipted" and kind.group == "all"
+            harmless = (
+                kind.idempotency == "pure"
+                or kind.idempotency == "receipted"
+                and kind.deduplication_group == "all"
+            )
             if ran and not harmless:
                 self._broke(2, f"{story}: refused, attempt {ran[0].n} may have run")
 
@@ -103,7 +111,7 @@
 
     def unanswered(self, node: Node) -> None:
         """At the end of a run: what the node should have answered by now and has not."""
-        now, slack = self._world.engine.now, self._world.plan.rules.answer_slack
+        now, slack = self._world.engine.now, self._world.plan.rules.answer_slack_s
         for request in node.requests.values():
             if not request.answered and request.stop + slack < now:
                 self._broke(1, f"node {node.place} request {request.number}: never answered")
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -18,7 +18,7 @@
 
 from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.engine import Engine
-from wheatroute.fleet.plan import Model, Tier
+from wheatroute.fleet.plan import ServerModel, Tier
 
 IN_STEP = 0.25  # seconds between looks at what changes by itself: warmth, collapse, rest
 
@@ -69,7 +69,7 @@
         engine: Engine,
         number: int,
         tier: Tier,
-        model: Model,
+        model: ServerModel,
         place: tuple[int, int, int, int],
         speed: float,
         chance: Random,
@@ -78,9 +78,9 @@
         self.depth, self.zone, self.model, self.cell = place
         self.place = (self.depth, number)
         self.cores, self.speed = model.cores, speed
-        self.slots = model.cores if tier.discipline == "in_turn" else model.cores * tier.slots
-        self.room = model.cores * tier.queue
-        self.most_connections = model.cores * tier.most_connections
+        self.slots = model.cores if tier.discipline == "in_turn" else model.cores * tier.slots_per_core
+        self.room = model.cores * tier.queue_per_core
+        self.most_connections = model.cores * tier.max_connections_per_core
         self.life, self.alive, self.draining = 0, True, False
         self.born = 0.0  # 0: long ago
         self.connections = 0
@@ -147,7 +147,7 @@
         """Nobody waits for the job any more; returns whether it was stopped."""
         if job.over or job.life != self.life:
             return False
-        stops = self.tier.cancel
+        stops = self.tier.cancellable
         if stops == "none" or stops == "waiting" and not job.waiting:
             return False
         self._end(job)
@@ -212,7 +212,7 @@
             self._rate = 0.0
             return
         share = min(1.0, self.cores / self._running)
-        crowd = self.in_work / self.cores / self.tier.thrash_at
+        crowd = self.in_work / self.cores / self.tier.thrash_threshold
         drag = 1.0 + self.tier.thrash * log2(crowd) if crowd > 1.0 else 1.0
         self._rate = share * self.pace() / drag
         if self._rate > 0.0:
@@ -241,15 +241,19 @@
         for factor in self.factors.values():
             pace *= factor
         if self.collapsed > -inf and self.tier.collapse is not None:
-            pace /= self.tier.collapse.slower
+            pace /= self.tier.collapse.slowdown
         return pace
 
     def warmth(self) -> float:
         """The share of its speed that it has after a start."""
         if not self.born:
             return 1.0
-        part = (self.engine.now - self.born) / (self.tier.cold_time or 1.0)
-        return 1.0 if part >= 1.0 else self.tier.cold_share + (1.0 - self.tier.cold_share) * part
+        part = (self.engine.now - self.born) / (self.tier.warmup_s or 1.0)
+        return (
+            1.0
+            if part >= 1.0
+            else self.tier.warmup_initial_share + (1.0 - self.tier.warmup_initial_share) * part
+        )
 
     def capacity(self) -> float:
         """Work a second that it can do when warm, whatever ails it."""
@@ -272,13 +276,13 @@
         collapse = self.tier.collapse
         if collapse is not None:
             if self.collapsed == -inf:
-                if self._crowd > self.cores + collapse.above * sqrt(self.cores):
+                if self._crowd > self.cores + collapse.threshold * sqrt(self.cores):
                     self.collapsed, self._busy = self.engine.now, 1.0
                     self.collapses += 1
             elif (
-                self._busy < collapse.below
-                and self.engine.now - self.collapsed > collapse.rest
-                or self.engine.now - self.collapsed > collapse.longest
+                self._busy < collapse.recovery_utilization
+                and self.engine.now - self.collapsed > collapse.recovery_window_s
+                or self.engine.now - self.collapsed > collapse.max_duration_s
             ):
                 self.collapsed = -inf
         self._settle()
@@ -290,9 +294,9 @@
         if collapse is None:
             return
         gone = now - self._crowd_at
-        self._crowd += (self.held - self._crowd) * (1.0 - exp(-gone / collapse.span))
+        self._crowd += (self.held - self._crowd) * (1.0 - exp(-gone / collapse.window_s))
         busy = min(1.0, self._running / self.cores)
-        self._busy += (busy - self._busy) * (1.0 - exp(-gone / collapse.rest))
+        self._busy += (busy - self._busy) * (1.0 - exp(-gone / collapse.recovery_window_s))
         self._crowd_at = now
 
     def refresh(self, every: float, noise: float) -> None:
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -16,13 +16,13 @@
     if policy != experiment.DESIGN and policy not in experiment.baselines.BASELINES:
         raise plan.PlanError([f"{path}: no policy {policy!r}"])
     run = next(experiment.runs(told))
-    world = World(plan.of(run["fleet"]), seed, experiment.maker(policy))
+    world = World(plan.parse_plan(run["fleet"]), seed, experiment.maker(policy))
     world.traced = number
     world.play()
     if number >= len(world.crowd.roots):
         raise plan.PlanError([f"{path}: the run has requests 0 to {len(world.crowd.roots) - 1}"])
     root = world.crowd.roots[number]
-    kind, tenant = world.plan.kinds[root.kind], world.plan.customers
+    kind, tenant = world.plan.request_classes[root.kind], world.plan.tenants
     asked, earned = results.worth(world, root)
     head = (
         f"request {number}: {kind.name} of {tenant[root.tenant].name if tenant else 'nobody'}, "
@@ -30,6 +30,6 @@
     )
     end = (
         f"{root.answer or 'open'} after {root.answered - root.arrived:.3f} s in {root.tries} tries "
-        f"(target {kind.target_time} s): {earned:.2f} of {asked:.2f}"
+        f"(target {kind.target_latency_s} s): {earned:.2f} of {asked:.2f}"
     )
     return [head, *world.story, end]
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -19,7 +19,7 @@
 from wheatroute.fleet.faults import Script
 from wheatroute.fleet.network import SimulatedNetwork
 from wheatroute.fleet.nodes import LISTED_LATE, Attempt, Decisions, Node
-from wheatroute.fleet.plan import Fleet, Model, Tier
+from wheatroute.fleet.plan import FleetPlan, ServerModel, Tier
 from wheatroute.fleet.rules import Watch
 from wheatroute.fleet.servers import IN_STEP, Job, Server
 
@@ -38,7 +38,7 @@
 class World:
     """The parts of one run; `make` makes the decisions of each node."""
 
-    def __init__(self, plan: Fleet, seed: int, make: Maker) -> None:
+    def __init__(self, plan: FleetPlan, seed: int, make: Maker) -> None:
         self.plan, self.seed, self._make = plan, seed, make
         self.engine = Engine(START)
         self.network = SimulatedNetwork(plan.network, random_streams.stream(seed, "network"))
@@ -50,8 +50,12 @@
         self.story: list[str] = []
         self.list_late = 0.0  # seconds beyond the usual, while a fault has it so
         self._spread = random_streams.stream(seed, "list")
-        self._laws = [distributions.distribution(kind.law, 1.0, kind.cv) for kind in plan.kinds]
-        self._noises = [distributions.distribution("lognormal", 1.0, kind.relay_noise) for kind in plan.kinds]
+        self._laws = [
+            distributions.distribution(kind.distribution, 1.0, kind.cv) for kind in plan.request_classes
+        ]
+        self._noises = [
+            distributions.distribution("lognormal", 1.0, kind.attempt_cv) for kind in plan.request_classes
+        ]
         for depth, tier in enumerate(plan.tiers):
             self._build(depth, tier)
         zones = len(plan.network.zones)
@@ -66,11 +70,11 @@
 
     def _build(self, depth: int, tier: Tier) -> None:
         draw = random_streams.stream(self.seed, "servers", depth)
-        shares, drawn = sum(model.share for model in tier.models), []
+        shares, drawn = sum(model.weight for model in tier.models), []
         owed = [0.0] * len(tier.models)
         for _ in range(tier.servers):  # the model that is owed most comes next: shares hold at any size
             for i, model in enumerate(tier.models):
-                owed[i] += model.share / shares
+                owed[i] += model.weight / shares
             most = max(range(len(owed)), key=lambda i: owed[i])
             owed[most] -= 1.0
             drawn.append(most)
@@ -81,7 +85,7 @@
     def _add(self, depth: int, model: int, zone: int, draw: Random) -> Server:
         tier: Tier = self.plan.tiers[depth]
         number = len(self.tiers[depth])
-        kept: Model = tier.models[model]
+        kept: ServerModel = tier.models[model]
         speed = distributions.distribution("lognormal", kept.speed, kept.speed_cv)(draw.random())
         server = Server(
             self.engine,
@@ -94,11 +98,11 @@
         )
         self.tiers[depth].append(server)
         if tier.reports is not None:
-            self.engine.after(tier.reports.every * draw.random(), self._report, server)
+            self.engine.after(tier.reports.interval_s * draw.random(), self._report, server)
         return server
 
     def _report(self, server: Server) -> None:
-        every = server.tier.reports.every  # type: ignore[union-attr]
+        every = server.tier.reports.interval_s  # type: ignore[union-attr]
         server.refresh(every, server.tier.reports.noise)  # type: ignore[union-attr]
         self.engine.after(every, self._report, server)
 
@@ -116,58 +120,58 @@
         plan = self.plan
         senders = plan.nodes if depth == 0 else len(self.tiers[depth - 1])
         tier, network, rules = plan.tiers[depth], plan.network, plan.rules
-        quota = plan.callers.quota * plan.capacity()
+        quota = plan.clients.quota * plan.capacity()
         return DecisionSettings(
             nodes=senders,
             node=number,
-            tick=plan.tick,
+            tick=plan.tick_s,
             tier=depth,
             tiers=len(plan.tiers),
             zone=zone,
             zones=len(network.zones),
-            can_hedge=plan.second_copies,
-            can_cancel=tier.cancel != "none",
+            can_hedge=plan.can_hedge,
+            can_cancel=tier.cancellable != "none",
             can_probe=True,
             has_peers=False,
             can_advise_retry=True,
             max_retry_after_s=2.0,
-            max_attempts=plan.most_relays,
-            connect_timeout_s=network.connect_within,
-            idle_timeout_s=network.idle_closed,
+            max_attempts=plan.max_attempts,
+            connect_timeout_s=network.connect_timeout_s,
+            idle_timeout_s=network.idle_timeout_s,
             calls_per_connection=1,
             max_open_connections=20000,
-            excess_value_factor=plan.callers.excess_utility,
+            excess_value_factor=plan.clients.excess_value_factor,
             time_left_passed_on=plan.time_left_passed_on,
             connection_price=0.0,
             crossing_price=plan.crossing_price,
             waste_price=0.0,
             late_price=0.0,
             report_how="answers" if tier.reports is not None else "none",
-            answer_slack_s=rules.answer_slack,
+            answer_slack_s=rules.answer_slack_s,
             list_max_age_s=10.0,
-            warmup_s=tier.cold_time,
-            warmup_initial_share=tier.cold_share,
-            drain_grace_s=rules.drain_grace,
-            overload_window_s=rules.fall_span,
-            overload_multiple=rules.fall_multiple,
+            warmup_s=tier.warmup_s,
+            warmup_initial_share=tier.warmup_initial_share,
+            drain_grace_s=rules.drain_grace_s,
+            overload_window_s=rules.overload_window_s,
+            overload_multiple=rules.overload_multiple,
             list_on_request=False,
             work_counts=False,
             reported=["held", "rate", "error_rate"] if tier.reports is not None else [],
             request_classes=[
                 RequestClass(
-                    target_latency=kind.target_time,
+                    target_latency=kind.target_latency_s,
                     stretch=0.0,
-                    deadline=kind.hard_stop,
-                    value=kind.utility,
-                    late_value=kind.late_utility,
-                    idempotency=EFFECTS[kind.effect],
-                    deduplication_group=GROUPS[kind.group],
-                    retry_window=kind.repeat_window,
+                    deadline=kind.deadline_s,
+                    value=kind.value,
+                    late_value=kind.late_value,
+                    idempotency=EFFECTS[kind.idempotency],
+                    deduplication_group=GROUPS[kind.deduplication_group],
+                    retry_window=kind.retry_window_s,
                     is_streamed=False,
                 )
-                for kind in plan.kinds
+                for kind in plan.request_classes
             ],
-            tenants=[TenantQuota(one.portion, one.portion * quota) for one in plan.customers],
+            tenants=[TenantQuota(one.portion, one.portion * quota) for one in plan.tenants],
         )
 
     def _node(self, depth: int, number: int, zone: int, at: Server | None) -> Node:
@@ -207,7 +211,9 @@
         network = self.plan.network
         entry = self.entry(server, state)
         for node in self.senders(server.depth):
-            delay = least + network.list_delay + self.list_late + network.list_spread * self._spread.random()
+            delay = (
+                least + network.list_delay_s + self.list_late + network.list_jitter_s * self._spread.random()
+            )
             self.engine.after(delay, node.listed_anew, [entry], False)
 
     # servers' lives
@@ -259,12 +265,12 @@
     def latency(self, server: Server) -> float:
         """Seconds that a server of its own accord would tell a probe: what it holds over what it does."""
         pace = server.pace()
-        usual = self.plan.mean_work() * server.tier.work
+        usual = self.plan.mean_work_s() * server.tier.work
         return usual * max(1.0, server.held / server.cores) / pace if pace > 0.0 else 1e9
 
     def usual_work(self, kind: int, depth: int) -> float:
         """Seconds on a core of speed 1 for one call of a tier, in the mean."""
-        return self.plan.kinds[kind].work * self.plan.tiers[depth].work
+        return self.plan.request_classes[kind].work_s * self.plan.tiers[depth].work
 
     def job_for(self, node: Node, attempt: Attempt) -> Job:
         """What an attempt asks of its server: parts of work with calls to the tier below between them."""
@@ -276,7 +282,7 @@
         work = root.size * self.usual_work(kind, depth) * noise
         if depth + 1 == len(self.plan.tiers):
             return Job([work], _nothing, self._job_done, attempt)
-        mean = self.plan.tiers[depth + 1].calls
+        mean = self.plan.tiers[depth + 1].calls_per_request
         calls = floor(mean + random_streams.uniform(self.seed, root.index, request.call, depth, -1))
         return Job([work / (calls + 1)] * (calls + 1), self._call, self._job_done, attempt)
 
@@ -291,7 +297,7 @@
         node = self.beside[server.place]
         left = above.stop - self.engine.now
         if not self.plan.time_left_passed_on:
-            left = self.plan.kinds[above.kind].hard_stop
+            left = self.plan.request_classes[above.kind].deadline_s
         if left <= 0.0:
             server.fail(job)
             return
@@ -337,8 +343,8 @@
     def play(self) -> World:
         """Plays the plan's length, and on until what was asked for by then is answered."""
         self.crowd.begin()
-        longest = max(kind.hard_stop for kind in self.plan.kinds)
-        self.engine.run(START + self.plan.length + 1.5 * longest + 1.0)
+        longest = max(kind.deadline_s for kind in self.plan.request_classes)
+        self.engine.run(START + self.plan.duration_s + 1.5 * longest + 1.0)
         for depth in range(len(self.tiers)):
             for node in self.senders(depth):
                 self.watch.unanswered(node)
