--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -62,7 +62,7 @@
         "nodes": nodes,
         "commands": len(world.crowd.roots),
         "took_s": round(took, 2),
-        "events_per_s": round(world.engine.count / took),
+        "events_per_s": round(world.engine.call_count / took),
         "us_a_command": round(1e6 * took / len(world.crowd.roots), 1),
         "breaks": sum(world.watch.breaks),
     }
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -98,10 +98,10 @@
     world = World(plan.parse_plan({**SMALL, "faults": faults}), 1, design)
     world.crowd.begin()
     world.engine.run(1004.0)
-    assert sum(not server.alive for server in world.tiers[0]) == 1
+    assert sum(not server.is_alive for server in world.tiers[0]) == 1
     world.engine.run(1005.5)
-    back = [server for server in world.tiers[0] if server.born]
-    assert len(back) == 1 and 0.4 <= back[0].warmth() < 0.6
+    back = [server for server in world.tiers[0] if server.started_at]
+    assert len(back) == 1 and 0.4 <= back[0].warmup_share() < 0.6
 
 
 def test_a_server_that_holds_too_much_turns_slow_until_it_was_idle():
@@ -111,8 +111,8 @@
         **one_tier(collapse={"span": 1.0, "rest": 1.0}),
         callers={"load": 0.3, "waves": [{"at": 3.0, "length": 5.0, "times": 6.0}]},
     )
-    assert sum(server.collapses for server in world.tiers[0]) >= 3
-    assert all(server.collapsed < 0.0 for server in world.tiers[0])
+    assert sum(server.collapse.count for server in world.tiers[0]) >= 3
+    assert all(not server.collapse.is_collapsed for server in world.tiers[0])
 
 
 def test_an_overload_outlives_its_trigger_where_clients_retry_without_end():
@@ -158,7 +158,7 @@
                 del self._held[number]
 
     def choose(self, fit, kind):
-        cold = [one for one in fit if self.world.tiers[self.node.depth][one].warmth() < 1.0]
+        cold = [one for one in fit if self.world.tiers[self.node.depth][one].warmup_share() < 1.0]
         return cold[0] if self.sin == "cold" and cold else super().choose(fit, kind)
 
 
--- a/tests/fleet/test_fleet_functions.py
+++ b/tests/fleet/test_fleet_functions.py
@@ -28,12 +28,12 @@
 
 def test_engine_engine():
     one, seen = engine.Engine(), []
-    one.at(2.0, seen.append, "b")
-    one.at(1.0, seen.append, "a")
-    late = one.at(2.0, seen.append, "never")
+    one.call_at(2.0, seen.append, "b")
+    one.call_at(1.0, seen.append, "a")
+    late = one.call_at(2.0, seen.append, "never")
     one.cancel(late)
     one.run(3.0)
-    assert (seen, one.now, one.count) == (["a", "b"], 3.0, 2)
+    assert (seen, one.now, one.call_count) == (["a", "b"], 3.0, 2)
 
 
 def test_experiment_put():
--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -268,7 +268,7 @@
     def burden(self, server: int) -> float:
         """The true work at a server for each core, weighted by its speed; infinite for one that is down."""
         place = self.world.tiers[self.node.depth][server]
-        pace = place.pace() if place.alive else 0.0
+        pace = place.current_speed() if place.is_alive else 0.0
         return (place.held + 1) / (place.cores * pace) if pace > 0.0 else inf
 
     def choose(self, fit: list[int], kind: int) -> int:
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -91,7 +91,7 @@
         moments = self._moments()
         first = next(moments, None)
         if first is not None:
-            self.engine.at(first, self._arrive, moments)
+            self.engine.call_at(first, self._arrive, moments)
 
     def rate(self, since: float) -> float:
         """Requests a second, this long after the start."""
@@ -131,7 +131,7 @@
     def _arrive(self, moments: Iterator[float]) -> None:
         following = next(moments, None)
         if following is not None:
-            self.engine.at(following, self._arrive, moments)
+            self.engine.call_at(following, self._arrive, moments)
         what, now = self._what, self.engine.now
         kind = bisect(self._kinds, what.random() * self._kinds[-1])
         tenant = bisect(self._tenants, what.random() * self._tenants[-1]) if self._tenants else -1
@@ -176,7 +176,7 @@
             self._again(root, UNREACHED)
             return
         there = self.plan.clients.latency_s
-        self.engine.after(there, self._reach, root, node, left - there)
+        self.engine.call_later(there, self._reach, root, node, left - there)
 
     def _node(self, root: Root) -> Node | None:
         """The layer before the nodes deals out tries; it notices a dead node late."""
@@ -202,11 +202,13 @@
         request: list[Any] = []
 
         def told(answer: str, stay_away: float) -> None:
-            self.engine.after(self.plan.clients.latency_s, self._answered, root, attempt, answer, stay_away)
+            self.engine.call_later(
+                self.plan.clients.latency_s, self._answered, root, attempt, answer, stay_away
+            )
 
         request.append(node.take(root.index, root.kind, 0, left, root.tenant, attempt > 1, told))
         slack = self.plan.rules.answer_slack_s
-        self.engine.after(left + slack, self._patience_ends, root, attempt, node, request[0])
+        self.engine.call_later(left + slack, self._patience_ends, root, attempt, node, request[0])
 
     def _patience_ends(self, root: Root, attempt: int, node: Node, request: Request) -> None:
         if not request.answered and node.alive:
@@ -240,4 +242,4 @@
         if not free and root.tries > self.plan.clients.max_retries or now + wait >= root.stop:
             root.over = True
             return
-        self.engine.after(wait, self._try, root)
+        self.engine.call_later(wait, self._try, root)
--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -14,9 +14,10 @@
 from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.distributions import distribution
 from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.jobs import Job
 from wheatroute.fleet.plan import ServerModel, Tier
 from wheatroute.fleet.random_streams import stream
-from wheatroute.fleet.servers import Job, Server
+from wheatroute.fleet.servers import Placement, Server
 
 
 def mm1(load: float, work: float) -> float:
@@ -65,6 +66,26 @@
     tail: list[float]  # share of servers that hold at least 0, 1, 2, ... as arrivals see it
 
 
+class TimedJob:
+    """Owner of a job that notes how long it was in the system."""
+
+    def __init__(self, engine: Engine, times: list[float] | None) -> None:
+        self._engine = engine
+        self._times = times  # None: a job that does not count
+        self._arrived_at = engine.now
+
+    def stage_done(self, job: Job) -> None:
+        """Jobs have one stage."""
+
+    def job_done(self, job: Job, outcome: Outcome) -> None:
+        """Notes the time."""
+        if self._times is not None:
+            self._times.append(self._engine.now - self._arrived_at)
+
+    def server_died(self, job: Job) -> None:
+        """Servers don't end here."""
+
+
 def queues(
     servers: int,
     cores: int,
@@ -84,9 +105,9 @@
         update={"discipline": discipline, "slots_per_core": 10**6, "queue_per_core": room}
     )
     model = ServerModel(name="one", cores=cores)
-    all_of_them = [Server(engine, i, tier, model, (0, 0, 0, 0), 1.0, draw) for i in range(servers)]
+    all_of_them = [Server(engine, Placement(0, i, 0, 0, 0), tier, model, 1.0, draw) for i in range(servers)]
     for server in all_of_them:
-        server.room = room
+        server.queue_capacity = room
     work, rate, started, skip = distribution(name, 1.0, cv), load * cores * servers, 0, jobs // 10
     times: list[float] = []
     tail, looks, lost = [0] * 64, 0, 0
@@ -94,7 +115,6 @@
     def arrive() -> None:
         nonlocal started, lost, looks
         started += 1
-        began = engine.now
         counted = started > skip
         if counted and started % 8 == 0:
             looks += len(all_of_them)
@@ -103,15 +123,12 @@
                     tail[length] += 1
         server = choose(all_of_them) if choose else all_of_them[int(draw.random() * servers)]
 
-        def done(job: Job, outcome: Outcome) -> None:
-            if counted:
-                times.append(engine.now - began)
-
-        if not server.take(Job([work(draw.random())], lambda job: None, done)):
+        owner = TimedJob(engine, times if counted else None)
+        if not server.accept(Job([work(draw.random())], owner)):
             lost += counted
         if started < jobs:
-            engine.after(draw.expovariate(rate), arrive)
+            engine.call_later(draw.expovariate(rate), arrive)
 
-    engine.after(0.0, arrive)
+    engine.call_later(0.0, arrive)
     engine.run(1e12)
     return Seen(sum(times) / len(times), lost / (jobs - skip), [one / max(1, looks) for one in tail])
--- a/wheatroute/fleet/engine.py
+++ b/wheatroute/fleet/engine.py
@@ -1,7 +1,7 @@
-"""Virtual time: what happens next, in an order that is the same every time.
+"""Discrete-event engine: virtual time and the calls that are scheduled in it. No I/O.
 
-Owns the moment and the agenda. Things due at the same moment happen in the order in which they were asked
-for. It must never read a clock or draw a chance: a run is a function of what is put in.
+Calls due at the same moment are made in the order in which they were scheduled. The engine reads no clock and
+draws no random number: a run is a function of what is put in.
 """
 
 from __future__ import annotations
@@ -10,55 +10,70 @@
 from heapq import heapify, heappop, heappush
 from typing import Any
 
+COMPACT_AT = 1000  # cancelled calls from which on the schedule is compacted
+
+
+class ScheduledCall:
+    """A call that is due; `callback` is None once it was made or cancelled."""
+
+    __slots__ = ("callback", "arguments")
+
+    def __init__(self, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.callback: Callable[..., None] | None = callback
+        self.arguments = arguments
+
+    def clear(self) -> None:
+        """Lets go of the callback and of what it holds."""
+        self.callback = None
+        self.arguments = ()
+
 
 class Engine:
-    """The agenda of one run; moments are seconds of virtual time."""
+    """The schedule of one run; moments are seconds of virtual time."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
-        self.count = 0  # things that have happened
-        self._agenda: list[list[Any]] = []  # [moment, sequence, what or None once called off, its arguments]
+        self.call_count = 0  # calls made
+        self._schedule: list[tuple[float, int, ScheduledCall]] = []  # heap by moment and sequence number
         self._sequence = 0
-        self._off = 0  # called off and still on the agenda
+        self._cancelled = 0  # calls cancelled that are still in the schedule
 
-    def at(self, moment: float, do: Callable[..., None], *told: Any) -> list[Any]:
-        """Asks for `do(*told)` at this moment, or now if that has passed; returns what `cancel` takes."""
+    def call_at(self, moment: float, callback: Callable[..., None], *arguments: Any) -> ScheduledCall:
+        """Schedules a call, at once if the moment has passed; returns what `cancel` takes."""
         self._sequence += 1
-        entry = [max(moment, self.now), self._sequence, do, told]
-        heappush(self._agenda, entry)
-        return entry
+        call = ScheduledCall(callback, arguments)
+        heappush(self._schedule, (max(moment, self.now), self._sequence, call))
+        return call
 
-    def after(self, seconds: float, do: Callable[..., None], *told: Any) -> list[Any]:
-        """Schedules `do(*told)` in so many seconds; see `at`."""
-        return self.at(self.now + seconds, do, *told)
+    def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: Any) -> ScheduledCall:
+        """Schedules a call in so many seconds; see `call_at`."""
+        return self.call_at(self.now + delay_s, callback, *arguments)
 
-    def cancel(self, entry: list[Any] | None) -> None:
-        """Calls one thing off; harmless once it has happened."""
-        if entry is None or entry[2] is None:
+    def cancel(self, call: ScheduledCall | None) -> None:
+        """Cancels a call; without effect on None and on one that was made or cancelled before."""
+        if call is None or call.callback is None:
             return
-        entry[2] = entry[3] = None
-        self._off += 1
-        if self._off > 1000 and self._off * 2 > len(self._agenda):
-            # guards against an agenda full of time-outs that never came due
-            self._agenda = [one for one in self._agenda if one[2] is not None]
-            heapify(self._agenda)
-            self._off = 0
+        call.clear()
+        self._cancelled += 1
+        if self._cancelled > COMPACT_AT and self._cancelled * 2 > len(self._schedule):
+            self._compact()
+
+    def _compact(self) -> None:
+        """Removes cancelled calls, so that time-outs that never come due don't fill the schedule."""
+        self._schedule = [entry for entry in self._schedule if entry[2].callback is not None]
+        heapify(self._schedule)
+        self._cancelled = 0
 
     def run(self, until: float) -> None:
-        """Lets everything happen that is due before or at `until`, and stands there."""
-        while self._agenda and self._agenda[0][0] <= until:
-            entry = heappop(self._agenda)
-            do, told = entry[2], entry[3]
-            if do is None:
-                self._off -= 1
+        """Makes all calls that are due before or at `until`, and ends at that moment."""
+        while self._schedule and self._schedule[0][0] <= until:
+            moment, _, call = heappop(self._schedule)
+            callback, arguments = call.callback, call.arguments
+            if callback is None:
+                self._cancelled -= 1
                 continue
-            self.now = entry[0]
-            entry[2] = entry[3] = None
-            self.count += 1
-            do(*told)
+            self.now = moment
+            call.clear()
+            self.call_count += 1
+            callback(*arguments)
         self.now = max(self.now, until)
-
-    @property
-    def idle(self) -> bool:
-        """Whether nothing is scheduled."""
-        return len(self._agenda) == self._off
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -30,7 +30,7 @@
         for number, fault in enumerate(world.plan.faults):
             draw = random_streams.stream(world.seed, "fault", number)
             begin: Callable[[FaultPlan, str, Random], None] = getattr(self, f"_{fault.kind}")
-            self.engine.after(fault.start_s, begin, fault, f"{fault.kind}/{number}", draw)
+            self.engine.call_later(fault.start_s, begin, fault, f"{fault.kind}/{number}", draw)
 
     # who
 
@@ -40,7 +40,7 @@
         for depth, tier in enumerate(self.world.tiers):
             if fault.tier in (-1, depth):
                 alive = [
-                    one for one in tier if one.alive and (not fault.zone or names[one.zone] == fault.zone)
+                    one for one in tier if one.is_alive and (not fault.zone or names[one.zone] == fault.zone)
                 ]
                 draw.shuffle(alive)
                 struck += alive[: ceil(fault.fraction * len(alive))]
@@ -48,12 +48,12 @@
 
     def _for_a_while(self, fault: FaultPlan, begin: Callable[[], None], end: Callable[[], None]) -> None:
         begin()
-        self.engine.after(fault.duration_s, end)
+        self.engine.call_later(fault.duration_s, end)
 
     def _change(self, servers: list[Server], name: str, factor: float) -> None:
         for server in servers:
-            if server.alive:
-                server.change(name, factor)
+            if server.is_alive:
+                server.set_fault_factor(name, factor)
 
     # what
 
@@ -64,7 +64,7 @@
         for server in servers:
             self.world.kill(server, silent)
             self.world.tell(server, ServerState.REMOVED)
-            self.engine.after(length, self.world.revive, server)
+            self.engine.call_later(length, self.world.revive, server)
 
     def _hang(self, fault: FaultPlan, name: str, draw: Random) -> None:
         struck = self._struck(fault, draw)
@@ -88,7 +88,7 @@
 
         def put(share: float) -> None:
             for server in struck:
-                server.errors = share
+                server.error_rate = share
 
         self._for_a_while(fault, lambda: put(min(1.0, fault.severity)), lambda: put(0.0))
 
@@ -106,38 +106,38 @@
         end = self.engine.now + fault.duration_s
 
         def begin(server: Server) -> None:
-            if self.engine.now < end and server.alive:
-                server.change(name, factor)
-                self.engine.after(on * (0.5 + draw.random()), stop, server)
+            if self.engine.now < end and server.is_alive:
+                server.set_fault_factor(name, factor)
+                self.engine.call_later(on * (0.5 + draw.random()), stop, server)
 
         def stop(server: Server) -> None:
-            if server.alive:
-                server.change(name, 1.0)
-                self.engine.after(off * (0.5 + draw.random()), begin, server)
+            if server.is_alive:
+                server.set_fault_factor(name, 1.0)
+                self.engine.call_later(off * (0.5 + draw.random()), begin, server)
 
         for server in self._struck(fault, draw):
-            self.engine.after(off * draw.random(), begin, server)
+            self.engine.call_later(off * draw.random(), begin, server)
 
     def _deploy(self, fault: FaultPlan, name: str, draw: Random) -> None:
         """Servers are drained, finish and go, a batch at a time; cold successors start as they drain."""
         struck = self._struck(fault, draw)
         batches = max(1, round(fault.duration_s / fault.interval_s))
         for number, server in enumerate(struck):
-            self.engine.after(
+            self.engine.call_later(
                 fault.interval_s * (number * batches // max(1, len(struck))), self._retire, server
             )
 
     def _retire(self, server: Server) -> None:
-        if not server.alive:
+        if not server.is_alive:
             return
         self.world.replace(server)
         self.world.drain(server)
-        self.engine.after(1.0, self._leave, server, self.engine.now + LEAVES_WITHIN)
+        self.engine.call_later(1.0, self._leave, server, self.engine.now + LEAVES_WITHIN)
 
     def _leave(self, server: Server, latest: float) -> None:
-        if server.alive and (server.held and self.engine.now < latest):
-            self.engine.after(0.25, self._leave, server, latest)
-        elif server.alive:
+        if server.is_alive and (server.held and self.engine.now < latest):
+            self.engine.call_later(0.25, self._leave, server, latest)
+        elif server.is_alive:
             # it finishes what it has once nobody sends any more; what comes now was never begun
             self.world.kill(server)
             self.world.tell(server, ServerState.REMOVED)
@@ -150,14 +150,14 @@
         for node in list(self.world.front):
             if node.alive and names[node.zone] == fault.zone:
                 self.world.kill_node(node)
-                self.engine.after(fault.duration_s, self.world.revive_node, node.number)
+                self.engine.call_later(fault.duration_s, self.world.revive_node, node.number)
 
     def _node_loss(self, fault: FaultPlan, name: str, draw: Random) -> None:
         alive = [node for node in self.world.front if node.alive]
         draw.shuffle(alive)
         for node in alive[: ceil(fault.fraction * len(alive))]:
             self.world.kill_node(node)
-            self.engine.after(fault.duration_s, self.world.revive_node, node.number)
+            self.engine.call_later(fault.duration_s, self.world.revive_node, node.number)
 
     def _list_late(self, fault: FaultPlan, name: str, draw: Random) -> None:
         def put(seconds: float) -> None:
@@ -167,7 +167,7 @@
 
     def _cut_off(self, fault: FaultPlan, name: str, draw: Random) -> None:
         zones = frozenset([self.world.plan.network.zones.index(fault.zone)] if fault.zone else [])
-        places = frozenset() if zones else frozenset(one.place for one in self._struck(fault, draw))
+        places = frozenset() if zones else frozenset(one.address for one in self._struck(fault, draw))
 
         def begin() -> None:
             self.world.network.partition(name, zones)
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -73,7 +73,7 @@
         elif client == "_retry":
             last = self._node.requests[request.number].attempts
             cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
-        servers = [one for one in self._world.tiers[self._node.depth] if one.alive]
+        servers = [one for one in self._world.tiers[self._node.depth] if one.is_alive]
         self._noes.append(
             No(
                 self._state.now,
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -13,7 +13,9 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from wheatroute.balancing.interface import Event, Outcome, Report, ServerState
-from wheatroute.fleet.servers import Job, Server
+from wheatroute.fleet.engine import ScheduledCall
+from wheatroute.fleet.jobs import Job
+from wheatroute.fleet.servers import Address, Server
 
 if TYPE_CHECKING:
     from wheatroute.fleet.world import World
@@ -48,10 +50,10 @@
 
     def __init__(self, node: Node, request: Request, n: int, server: Server, sent: float) -> None:
         self.node, self.request, self.n, self.server, self.sent = node, request, n, server, sent
-        self.entry: list[Any] | None = None  # its time-out
+        self.entry: ScheduledCall | None = None  # its time-out
         self.job: Job | None = None
         self.over = self.connection = self.written = False
-        self.life = server.life
+        self.life = server.incarnation
         self.outcome: Outcome | None = None
 
 
@@ -94,7 +96,7 @@
         self._due = False
         self._taken = 0
         self._idle: dict[int, list[tuple[float, int]]] = {}  # by server: idle since, the server's life
-        self.place = at.place if at is not None else (-1, number)
+        self.place = at.address if at is not None else Address(-1, number)
         self._servers = world.tiers[depth]
 
     # what comes in
@@ -153,8 +155,8 @@
                     self._let_go(attempt, False)
         self.requests.clear()
         for server, idle in self._idle.items():
-            self._servers[server].connections -= sum(
-                1 for _, life in idle if life == self._servers[server].life
+            self._servers[server].open_connections -= sum(
+                1 for _, life in idle if life == self._servers[server].incarnation
             )
         self._idle.clear()
         return held
@@ -167,7 +169,7 @@
         self._events.append(event)
         if not self._due:
             self._due = True
-            self.engine.at(self.engine.now, self._round)
+            self.engine.call_at(self.engine.now, self._round)
 
     def _round(self) -> None:
         self._due = False
@@ -191,14 +193,14 @@
         told.out += 1
         if told.root == self.world.traced:
             self.world.tell_story(
-                self, told, f"attempt {attempt.n} to server {place.place}, which holds {place.held}"
+                self, told, f"attempt {attempt.n} to server {place.address}, which holds {place.held}"
             )
         longest = told.stop - self.engine.now
         time_out = min(time_out, longest) if time_out else longest
         if told.answered or time_out <= 0.0:
             self._return(attempt, Outcome.MOOT)
             return
-        attempt.entry = self.engine.after(time_out, self._time_out, attempt)
+        attempt.entry = self.engine.call_later(time_out, self._time_out, attempt)
         self._connect(attempt)
 
     def cancel(self, request: int, n: int) -> None:
@@ -217,14 +219,14 @@
 
     def wake_at(self, moment: float) -> None:
         """Schedules an event batch; see `CommandWriter`."""
-        self.engine.at(moment, self._woken)
+        self.engine.call_at(moment, self._woken)
 
     def probe(self, server: int) -> None:
         """Probes are answered with the report as it stands, beside the queue."""
         place = self._servers[server]
-        there = self.world.network.message_delay(self.zone, place.zone, self.place, place.place)
-        if there == inf or not place.alive:
-            self.engine.after(
+        there = self.world.network.message_delay(self.zone, place.zone, self.place, place.address)
+        if there == inf or not place.is_alive:
+            self.engine.call_later(
                 self.world.plan.network.connect_timeout_s,
                 self._happened,
                 Event.PROBE_ENDED,
@@ -234,11 +236,11 @@
                 None,
             )
             return
-        self.engine.after(2 * there, self._sounded, server, 2 * there)
+        self.engine.call_later(2 * there, self._sounded, server, 2 * there)
 
     def _sounded(self, server: int, took: float) -> None:
         place = self._servers[server]
-        if "hang" in place.factors:
+        if place.is_hanging:
             self._happened(Event.PROBE_ENDED, server, Outcome.TIMED_OUT, took, None)
         else:
             self._happened(
@@ -277,21 +279,21 @@
         idle = self._idle.get(server.number)
         while idle:
             since, life = idle.pop()
-            if life == server.life and now - since < 0.9 * network.idle_timeout_s:
+            if life == server.incarnation and now - since < 0.9 * network.idle_timeout_s:
                 attempt.connection = True
                 self._send(attempt)
                 return
             self._disconnect(server, life)
-        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.place)
+        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.address)
         if there == inf:
-            self.engine.after(network.connect_timeout_s, self._unconnected, attempt)
-        elif not server.alive or server.connections >= server.most_connections:
-            self.engine.after(2 * there, self._unconnected, attempt)
+            self.engine.call_later(network.connect_timeout_s, self._unconnected, attempt)
+        elif not server.is_alive or server.open_connections >= server.max_connections:
+            self.engine.call_later(2 * there, self._unconnected, attempt)
         else:
-            server.connections += 1
-            server.charge(server.tier.connection_work_s)
-            attempt.connection, attempt.life = True, server.life
-            self.engine.after(2 * there * network.handshake_round_trips, self._send, attempt)
+            server.open_connections += 1
+            server.add_background_work(server.tier.connection_work_s)
+            attempt.connection, attempt.life = True, server.incarnation
+            self.engine.call_later(2 * there * network.handshake_round_trips, self._send, attempt)
 
     def _unconnected(self, attempt: Attempt) -> None:
         if not attempt.over:
@@ -301,21 +303,21 @@
         if attempt.over:
             return
         server, attempt.written = attempt.server, True
-        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.place)
+        there = self.world.network.message_delay(self.zone, server.zone, self.place, server.address)
         if there < inf:
-            self.engine.after(there, self._arrive, attempt)
+            self.engine.call_later(there, self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
         """The attempt's last byte comes to the server."""
         server = attempt.server
-        if not server.alive or server.life != attempt.life:
+        if not server.is_alive or server.incarnation != attempt.life:
             if not attempt.over:
-                self._return(attempt, Outcome.UNCONNECTED if not server.alive else Outcome.RESET)
+                self._return(attempt, Outcome.UNCONNECTED if not server.is_alive else Outcome.RESET)
             return
         if attempt.over:
             return  # called off on the way, never begun
         job = self.world.job_for(self, attempt)
-        if server.take(job):
+        if server.accept(job):
             attempt.job = job
         else:
             self._answered(attempt, Outcome.FULL)
@@ -326,13 +328,12 @@
 
     def _answered(self, attempt: Attempt, outcome: Outcome) -> None:
         server = attempt.server
-        back = self.world.network.message_delay(server.zone, self.zone, server.place, self.place)
+        back = self.world.network.message_delay(server.zone, self.zone, server.address, self.place)
         if back < inf and not (outcome == Outcome.SERVED and self.world.network.loses_response()):
-            report = None
+            report: Report | None = None
             if server.tier.reports is not None:
-                held, rate, errors = server.reported
-                report = {"held": held, "rate": rate, "error_rate": errors}
-            self.engine.after(back, self._back, attempt, outcome, report)
+                report = server.reporter.report()
+            self.engine.call_later(back, self._back, attempt, outcome, report)
 
     def _back(self, attempt: Attempt, outcome: Outcome, report: Report | None) -> None:
         if attempt.over or not self.alive:
@@ -347,9 +348,9 @@
         server = attempt.server
         if attempt.over or not self.alive:
             return
-        back = self.world.network.message_delay(server.zone, self.zone, server.place, self.place)
+        back = self.world.network.message_delay(server.zone, self.zone, server.address, self.place)
         if back < inf:
-            self.engine.after(back, self._reset, attempt)
+            self.engine.call_later(back, self._reset, attempt)
 
     def _reset(self, attempt: Attempt) -> None:
         if not attempt.over:
@@ -371,17 +372,17 @@
             attempt.connection = False
             self._disconnect(attempt.server, attempt.life)
         job = attempt.job
-        if job is not None and not job.over:
+        if job is not None and not job.is_ended:
             there = self.world.network.message_delay(
-                self.zone, attempt.server.zone, self.place, attempt.server.place
+                self.zone, attempt.server.zone, self.place, attempt.server.address
             )
             if there < inf:
-                self.engine.after(there, self.world.cancel, attempt)
+                self.engine.call_later(there, self.world.cancel, attempt)
 
     @staticmethod
     def _disconnect(server: Server, life: int) -> None:
-        if life == server.life:
-            server.connections -= 1
+        if life == server.incarnation:
+            server.open_connections -= 1
 
     def _return(self, attempt: Attempt, outcome: Outcome, report: Report | None = None) -> None:
         """The one end of an attempt."""
@@ -430,7 +431,7 @@
     def _forget(self, request: Request) -> None:
         if request.answered and request.out <= 0:
             # after the round: a decision of this round may name it
-            self.engine.at(self.engine.now, self._drop, request.number)
+            self.engine.call_at(self.engine.now, self._drop, request.number)
 
     def _drop(self, number: int) -> None:
         self.requests.pop(number, None)
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -67,8 +67,8 @@
         "p95": quantile(delays, 0.95),
         "p99": quantile(delays, 0.99),
         "tries": sum(root.tries for root in roots) / total,
-        "collapses": sum(server.collapses for server in servers),
+        "collapses": sum(server.collapse.count for server in servers),
         "breaks": world.watch.breaks[1:],
         "worst_cold": world.watch.worst_cold,
-        "events": world.engine.count,
+        "events": world.engine.call_count,
     }
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -39,7 +39,7 @@
     def attempted(self, node: Node, request: Request, attempt: Attempt) -> None:
         """Before the attempt is entered in the request's account."""
         plan, now = self._world.plan, self._world.engine.now
-        story = f"node {node.place} request {request.number} attempt {attempt.n} to {attempt.server.place}"
+        story = f"node {node.place} request {request.number} attempt {attempt.n} to {attempt.server.address}"
         if request.answered and request.answered != "left":
             self._broke(1, f"{story}: after the answer {request.answered!r}")
         kind = plan.request_classes[request.kind]
@@ -55,13 +55,13 @@
             if self._group(kind.deduplication_group, first.server) != self._group(
                 kind.deduplication_group, attempt.server
             ):
-                self._broke(2, f"{story}: outside the group of {first.server.place}")
+                self._broke(2, f"{story}: outside the group of {first.server.address}")
         if any(one.outcome is None for one in request.attempts) and not plan.can_hedge:
             self._broke(2, f"{story}: a hedge where none may be sent")
         told = node.drains.get(attempt.server.number)
         if told is not None and now > told + plan.rules.drain_grace_s:
             self._broke(3, f"{story}: {now - told:.3f} s after the node was told of its drain")
-        if attempt.server.born and now - attempt.server.born < attempt.server.tier.warmup_s:
+        if attempt.server.started_at and now - attempt.server.started_at < attempt.server.tier.warmup_s:
             self._sent_cold(request, attempt.server, story)
 
     @staticmethod
@@ -72,13 +72,13 @@
         """Work sent within the span stays under multiple x present capacity x span, over all nodes."""
         rules, now = self._world.plan.rules, self._world.engine.now
         work = self._world.usual_work(request.kind, server.depth)
-        kept = self._cold.setdefault(server.place, deque())
+        kept = self._cold.setdefault(server.address, deque())
         kept.append((now, work))
-        total = self._sum.get(server.place, 0.0) + work
+        total = self._sum.get(server.address, 0.0) + work
         while kept and kept[0][0] < now - rules.overload_window_s:
             total -= kept.popleft()[1]
-        self._sum[server.place] = total
-        budget = rules.overload_multiple * server.capacity() * server.warmth() * rules.overload_window_s
+        self._sum[server.address] = total
+        budget = rules.overload_multiple * server.capacity() * server.warmup_share() * rules.overload_window_s
         self.worst_cold = max(self.worst_cold, total / budget)
         if total > SLACK * budget + 3 * work:
             self._broke(
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -1,331 +1,270 @@
-"""Servers in virtual time: cores shared or taken in turn, queues, cold starts, collapse, and what faults do.
+"""Emulated servers: admission, slots and queue, speed, start and end of their processes. No I/O.
 
-Owns how work gets done. It must never decide where work goes, and knows nothing of requests but how much work
-each part of one is: what happens between parts (calls to the tier below) is told by `Job.part_done`.
-
-Processor sharing is kept by virtual work: each job in work gets the same, so that the job with the least
-virtual end is the next to be done, and an arrival or an end costs one step on a heap whatever is in work.
+A server does the work that it is given and never decides where work goes. It knows nothing of requests but
+the work of each stage of a job; what happens between stages (calls to the next tier) is its owner's.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Callable
-from heapq import heappop, heappush
-from math import exp, inf, log2, sqrt
+from math import log2
 from random import Random
-from typing import Any
+from typing import NamedTuple
 
 from wheatroute.balancing.interface import Outcome
+from wheatroute.fleet.collapse import CollapseMonitor
 from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.jobs import Job, JobState
+from wheatroute.fleet.load_reports import LoadReporter
 from wheatroute.fleet.plan import ServerModel, Tier
+from wheatroute.fleet.processor import Processor
 
-IN_STEP = 0.25  # seconds between looks at what changes by itself: warmth, collapse, rest
+UPDATE_INTERVAL_S = 0.25  # between updates of what changes by itself: warm-up, collapse and recovery
+ERROR_DELAY_S = 0.001  # until a job that fails at once has failed
+HANG_FAULT = "hang"  # name of the fault under which a server answers nothing, probes included
 
 
-class Job:
-    """One attempt's work at one server: parts of work, with a call to the tier below between two parts."""
+class Address(NamedTuple):
+    """Address of a machine in the network: a tier's depth (-1 for entry nodes) and a number in it."""
 
-    __slots__ = (
-        "parts",
-        "at",
-        "server",
-        "end",
-        "over",
-        "working",
-        "waiting",
-        "part_done",
-        "done",
-        "life",
-        "taken",
-        "owner",
-        "call",
-    )
+    depth: int
+    number: int
+
+    def __str__(self) -> str:
+        return f"({self.depth}, {self.number})"
 
-    def __init__(
-        self,
-        parts: list[float],
-        part_done: Callable[[Job], None],
-        done: Callable[[Job, Outcome], None],
-        owner: Any = None,
-    ) -> None:
-        self.owner = owner  # whose work it is
-        self.call: Any = None  # to the tier below, while it is out
-        self.parts = parts  # seconds of work on a core of speed 1
-        self.at = 0  # the part in work or done last
-        self.part_done = part_done  # told after every part but the last; calls `Server.resume` or `fail`
-        self.done = done
-        self.end = 0.0  # in virtual work, while a part is in work
-        self.over = self.working = self.waiting = False
-        self.life = 0  # the server's, when it took the job
-        self.taken = 0.0
+
+class Placement(NamedTuple):
+    """Where a server stands, as numbers."""
+
+    depth: int  # of its tier
+    number: int  # in the tier
+    zone: int
+    model: int  # index into `Tier.models`
+    cell: int
 
 
 class Server:
-    """One server; `life` counts its processes."""
+    """One server; `incarnation` counts its processes, to tell what belongs to an earlier one."""
 
     def __init__(
         self,
         engine: Engine,
-        number: int,
+        placement: Placement,
         tier: Tier,
         model: ServerModel,
-        place: tuple[int, int, int, int],
         speed: float,
-        chance: Random,
+        rng: Random,
     ) -> None:
-        self.engine, self.number, self.tier, self._chance = engine, number, tier, chance
-        self.depth, self.zone, self.model, self.cell = place
-        self.place = (self.depth, number)
-        self.cores, self.speed = model.cores, speed
+        self.depth, self.number, self.zone, self.model, self.cell = placement
+        self.address = Address(self.depth, self.number)
+        self.tier = tier
+        self.cores = model.cores
+        self.speed = speed  # of a core when warm and well
         self.slots = model.cores if tier.discipline == "in_turn" else model.cores * tier.slots_per_core
-        self.room = model.cores * tier.queue_per_core
-        self.most_connections = model.cores * tier.max_connections_per_core
-        self.life, self.alive, self.draining = 0, True, False
-        self.born = 0.0  # 0: long ago
-        self.connections = 0
-        self.held = 0  # in work, waiting, or waiting for the tier below
-        self.in_work = 0  # slots taken
-        self.done_work = 0.0
-        self.factors: dict[str, float] = {}  # what faults make of its speed
-        self.errors = 0.0  # share of requests that fail at once
-        self.collapsed = -inf  # since when
-        self.collapses = 0
-        self.reported = (0.0, 0.0, 0.0)  # held, served a second, share of errors, as last told
-        self._running = 0
-        self._virtual, self._since, self._rate = 0.0, engine.now, 0.0
-        self._ends: list[tuple[float, int, Job]] = []
-        self._sequence = 0
-        self._waiting: deque[Job] = deque()
-        self._next: list[Any] | None = None
-        self._crowd = 0.0  # what it holds, smoothed over the collapse's span
-        self._busy, self._crowd_at = 0.0, engine.now
-        self._finished = self._failed = 0
-        self.jobs: set[Job] = set()
-
-    # work
-
-    def take(self, job: Job) -> bool:
-        """Takes a job on; False where it is full, draining or over its queue: then it never runs."""
-        if self.draining or self.in_work >= self.slots and len(self._waiting) >= self.room:
+        self.queue_capacity = model.cores * tier.queue_per_core
+        self.max_connections = model.cores * tier.max_connections_per_core
+        self.incarnation = 0
+        self.is_alive = True
+        self.started_at = 0.0  # 0: long ago
+        self.open_connections = 0
+        self.held = 0  # jobs in service, queued or blocked on a call
+        self.in_service = 0  # slots taken
+        self.error_rate = 0.0  # fraction of jobs that fail at once, by a fault
+        self.fault_factors: dict[str, float] = {}  # by fault, on the speed
+        self.collapse = CollapseMonitor(tier.collapse, model.cores, engine.now)
+        self.reporter = LoadReporter(rng)
+        self._engine = engine
+        self._rng = rng
+        self._processor = Processor(engine, model.cores, self._stage_ended)
+        self._queue: deque[Job] = deque()
+        self._jobs: dict[Job, None] = {}  # a set that keeps its order
+
+    # jobs
+
+    def accept(self, job: Job) -> bool:
+        """Takes a job on; False if all slots and the queue are full: then it never runs."""
+        if self.in_service >= self.slots and len(self._queue) >= self.queue_capacity:
             return False
-        self._note()
-        job.life, job.taken = self.life, self.engine.now
-        self.jobs.add(job)
+        self._observe_load()
+        job.incarnation = self.incarnation
+        job.accepted_at = self._engine.now
+        self._jobs[job] = None
         self.held += 1
-        if self.errors and self._chance.random() < self.errors:
-            self.engine.after(0.001, self._fail_at_once, job)
-        elif self.in_work < self.slots:
-            self.in_work += 1
-            self._work(job)
+        if self.error_rate and self._rng.random() < self.error_rate:
+            self._engine.call_later(ERROR_DELAY_S, self._fail_at_once, job)
+        elif self.in_service < self.slots:
+            self.in_service += 1
+            self._run(job)
         else:
-            job.waiting = True
-            self._waiting.append(job)
+            job.state = JobState.QUEUED
+            self._queue.append(job)
         return True
 
-    def charge(self, work: float) -> None:
-        """Work that belongs to no request, such as a handshake: it slows what is in work."""
-        if self.alive and work:
-            job = Job([work], lambda job: None, lambda job, outcome: None)
-            job.life = -1
-            self._work(job)
+    def add_background_work(self, work_s: float) -> None:
+        """Work that belongs to no request, such as a handshake: it slows what is in service."""
+        if self.is_alive and work_s:
+            self._run(Job([work_s], None))
 
-    def resume(self, job: Job) -> None:
-        """The call between two parts was served: the next part begins."""
-        if not job.over and job.life == self.life:
-            job.at += 1
-            self._work(job)
+    def run_next_stage(self, job: Job) -> None:
+        """The call between two stages was served: the next stage begins."""
+        if self._holds(job):
+            job.stage += 1
+            self._run(job)
 
     def fail(self, job: Job) -> None:
-        """The call between two parts was not served, or the work is no use: the job ends with an error."""
-        if not job.over and job.life == self.life:
+        """Ends a job with an error, as the call between two stages was not served or it is too late."""
+        if self._holds(job):
             self._end(job)
-            self._failed += 1
-            job.done(job, Outcome.ERROR)
+            self.reporter.count_failed()
+            if job.owner is not None:
+                job.owner.job_done(job, Outcome.ERROR)
 
     def cancel(self, job: Job) -> bool:
-        """Nobody waits for the job any more; returns whether it was stopped."""
-        if job.over or job.life != self.life:
+        """Stops a job that nobody waits for, where the tier can; returns whether it was stopped."""
+        if not self._holds(job):
             return False
-        stops = self.tier.cancellable
-        if stops == "none" or stops == "waiting" and not job.waiting:
+        cancellable = self.tier.cancellable
+        if cancellable == "none" or cancellable == "waiting" and job.state != JobState.QUEUED:
             return False
         self._end(job)
         return True
 
+    def _holds(self, job: Job) -> bool:
+        return job.state != JobState.ENDED and job.incarnation == self.incarnation
+
     def _fail_at_once(self, job: Job) -> None:
-        if not job.over and job.life == self.life:
-            self.in_work += 1
+        if self._holds(job):
+            self.in_service += 1
             self.fail(job)
 
-    def _work(self, job: Job) -> None:
-        self._settle()
-        self._running += 1
-        job.working = True
-        job.end = self._virtual + job.parts[job.at]
-        self._sequence += 1
-        heappush(self._ends, (job.end, self._sequence, job))
-        self._plan()
-
-    def _stop(self, job: Job) -> None:
-        self._settle()
-        job.working = False
-        self._running -= 1
+    def _run(self, job: Job) -> None:
+        self._processor.add(job)
+        self._reschedule()
 
     def _end(self, job: Job) -> None:
-        self._note()
-        job.over = True
-        self.jobs.discard(job)
-        if job.working:
-            self._stop(job)
-        if job.life == -1:
-            self._plan()
-            return
-        self.held -= 1
-        if job.waiting:
-            job.waiting = False
-            self._waiting.remove(job)
-        else:
-            self.in_work -= 1
-            while self._waiting and self.in_work < self.slots:
-                self.in_work += 1
-                first = self._waiting.popleft()
-                first.waiting = False
-                self._work(first)
-        self._plan()
-
-    def _settle(self) -> None:
-        now = self.engine.now
-        gone = (now - self._since) * self._rate
-        self._virtual += gone
-        self.done_work += gone * self._running
-        self._since = now
-
-    def _plan(self) -> None:
-        """Sets the rate of work and when the next part ends."""
-        ends = self._ends
-        while ends and not ends[0][2].working:
-            heappop(ends)
-        self.engine.cancel(self._next)
-        self._next = None
-        if not self._running:
-            self._rate = 0.0
-            return
-        share = min(1.0, self.cores / self._running)
-        crowd = self.in_work / self.cores / self.tier.thrash_threshold
-        drag = 1.0 + self.tier.thrash * log2(crowd) if crowd > 1.0 else 1.0
-        self._rate = share * self.pace() / drag
-        if self._rate > 0.0:
-            left = max(0.0, ends[0][0] - self._virtual) / self._rate
-            self._next = self.engine.after(left, self._part_ends, ends[0][2])
-
-    def _part_ends(self, job: Job) -> None:
-        self._next = None
-        self._settle()
-        heappop(self._ends)
-        if job.at + 1 < len(job.parts):
-            self._stop(job)
-            self._plan()
-            job.part_done(job)
+        """Takes out a job, and begins queued ones in its place."""
+        self._observe_load()
+        state = job.state
+        self._jobs.pop(job, None)
+        if state == JobState.RUNNING:
+            self._processor.remove(job)
+        job.state = JobState.ENDED
+        if job.owner is not None:
+            self.held -= 1
+            if state == JobState.QUEUED:
+                self._queue.remove(job)
+            else:
+                self.in_service -= 1
+                self._start_queued()
+        self._reschedule()
+
+    def _start_queued(self) -> None:
+        while self._queue and self.in_service < self.slots:
+            self.in_service += 1
+            self._run(self._queue.popleft())
+
+    def _stage_ended(self, job: Job) -> None:
+        if job.stage + 1 < len(job.stages):
+            self._processor.remove(job)
+            self._reschedule()
+            if job.owner is not None:
+                job.owner.stage_done(job)
             return
         self._end(job)
-        if job.life >= 0:
-            self._finished += 1
-        job.done(job, Outcome.SERVED)
+        if job.owner is not None:
+            self.reporter.count_served()
+            job.owner.job_done(job, Outcome.SERVED)
 
     # speed
 
-    def pace(self) -> float:
-        """Speed of a core by now."""
-        pace = self.speed * self.warmth()
-        for factor in self.factors.values():
-            pace *= factor
-        if self.collapsed > -inf and self.tier.collapse is not None:
-            pace /= self.tier.collapse.slowdown
-        return pace
-
-    def warmth(self) -> float:
-        """The share of its speed that it has after a start."""
-        if not self.born:
+    def current_speed(self) -> float:
+        """Speed of a core at present, with warm-up, faults and collapse; 0 while it hangs."""
+        speed = self.speed * self.warmup_share()
+        for factor in self.fault_factors.values():
+            speed *= factor
+        return speed / self.collapse.slowdown
+
+    def warmup_share(self) -> float:
+        """The fraction of its speed that it has, by the time since its start."""
+        if not self.started_at:
             return 1.0
-        part = (self.engine.now - self.born) / (self.tier.warmup_s or 1.0)
-        return (
-            1.0
-            if part >= 1.0
-            else self.tier.warmup_initial_share + (1.0 - self.tier.warmup_initial_share) * part
-        )
+        progress = (self._engine.now - self.started_at) / (self.tier.warmup_s or 1.0)
+        if progress >= 1.0:
+            return 1.0
+        initial = self.tier.warmup_initial_share
+        return initial + (1.0 - initial) * progress
 
     def capacity(self) -> float:
-        """Work a second that it can do when warm, whatever ails it."""
+        """Seconds of work per second that it does when warm and well."""
         return self.cores * self.speed
 
-    def change(self, fault: str, factor: float) -> None:
-        """A fault begins (a factor on its speed) or ends (1)."""
-        self._settle()
+    @property
+    def is_hanging(self) -> bool:
+        """Whether it answers nothing."""
+        return HANG_FAULT in self.fault_factors
+
+    def set_fault_factor(self, fault: str, factor: float) -> None:
+        """A fault begins (a factor on the speed) or ends (1)."""
+        self._processor.advance()
         if factor == 1.0:
-            self.factors.pop(fault, None)
+            self.fault_factors.pop(fault, None)
         else:
-            self.factors[fault] = factor
-        self._plan()
+            self.fault_factors[fault] = factor
+        self._reschedule()
 
-    def look(self) -> None:
-        """What changes by itself: warmth, collapse and its end."""
-        if not self.alive:
+    def update(self) -> None:
+        """Takes up what changes by itself: warm-up, collapse and recovery."""
+        if not self.is_alive:
             return
-        self._note()
-        collapse = self.tier.collapse
-        if collapse is not None:
-            if self.collapsed == -inf:
-                if self._crowd > self.cores + collapse.threshold * sqrt(self.cores):
-                    self.collapsed, self._busy = self.engine.now, 1.0
-                    self.collapses += 1
-            elif (
-                self._busy < collapse.recovery_utilization
-                and self.engine.now - self.collapsed > collapse.recovery_window_s
-                or self.engine.now - self.collapsed > collapse.max_duration_s
-            ):
-                self.collapsed = -inf
-        self._settle()
-        self._plan()
-
-    def _note(self) -> None:
-        """Smooths what it holds and how busy it is, up to now."""
-        collapse, now = self.tier.collapse, self.engine.now
-        if collapse is None:
-            return
-        gone = now - self._crowd_at
-        self._crowd += (self.held - self._crowd) * (1.0 - exp(-gone / collapse.window_s))
-        busy = min(1.0, self._running / self.cores)
-        self._busy += (busy - self._busy) * (1.0 - exp(-gone / collapse.recovery_window_s))
-        self._crowd_at = now
+        self._observe_load()
+        self.collapse.update(self._engine.now)
+        self._processor.advance()
+        self._reschedule()
+
+    def start_reports(self, delay_s: float) -> None:
+        """Refreshes the load report after a delay, and then every interval."""
+        self._engine.call_later(delay_s, self._refresh_report)
+
+    def _refresh_report(self) -> None:
+        plan = self.tier.reports
+        if plan is not None:
+            self.reporter.refresh(self.held, plan)
+            self._engine.call_later(plan.interval_s, self._refresh_report)
+
+    def _observe_load(self) -> None:
+        self.collapse.observe(self._engine.now, self.held, self._processor.running)
+
+    def _reschedule(self) -> None:
+        self._processor.reschedule(self.current_speed(), self._thrash_slowdown())
 
-    def refresh(self, every: float, noise: float) -> None:
-        """What the next answers will tell of its load."""
-        wobble = 1.0 + noise * (2.0 * self._chance.random() - 1.0)
-        ended = self._finished + self._failed
-        self.reported = (max(0.0, self.held * wobble), self._finished / every, self._failed / max(1, ended))
-        self._finished = self._failed = 0
+    def _thrash_slowdown(self) -> float:
+        """What too many requests in service cost, as a factor on the duration of all work."""
+        excess = self.in_service / self.cores / self.tier.thrash_threshold
+        return 1.0 + self.tier.thrash * log2(excess) if excess > 1.0 else 1.0
 
-    # life
+    # processes
 
     def die(self) -> list[Job]:
-        """The process is gone, with all it held; returns that."""
-        self._settle()
-        lost = sorted((job for job in self.jobs if not job.over), key=lambda job: (job.taken, job.end))
+        """Ends the process; returns the jobs that it held, in the order in which it accepted them."""
+        self._processor.advance()
+        lost = sorted(self._jobs, key=lambda job: (job.accepted_at, job.virtual_end))
         for job in lost:
-            job.over, job.working, job.waiting = True, False, False
-        self.jobs.clear()
-        self._ends.clear()
-        self._waiting.clear()
-        self._running = self.in_work = self.held = self.connections = 0
-        self.alive, self.life = False, self.life + 1
-        self.collapsed, self._crowd = -inf, 0.0
-        self.factors.clear()
-        self._plan()
+            job.state = JobState.ENDED
+        self._jobs.clear()
+        self._queue.clear()
+        self._processor.clear()
+        self.in_service = self.held = self.open_connections = 0
+        self.is_alive = False
+        self.incarnation += 1
+        self.collapse.process_ended()
+        self.fault_factors.clear()
+        self._reschedule()
         return lost
 
     def start(self) -> None:
-        """A new process, cold."""
-        self.alive, self.draining, self.born = True, False, self.engine.now
-        self._crowd_at = self._since = self.engine.now
-        self._busy = 0.0
+        """Begins a new process, cold."""
+        self.is_alive = True
+        self.started_at = self._engine.now
+        self._processor.restart()
+        self.collapse.process_started(self._engine.now)
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -17,11 +17,12 @@
 from wheatroute.fleet.clients import Crowd
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.faults import Script
+from wheatroute.fleet.jobs import Job
 from wheatroute.fleet.network import SimulatedNetwork
-from wheatroute.fleet.nodes import LISTED_LATE, Attempt, Decisions, Node
+from wheatroute.fleet.nodes import LISTED_LATE, Attempt, Decisions, Node, Request
 from wheatroute.fleet.plan import FleetPlan, ServerModel, Tier
 from wheatroute.fleet.rules import Watch
-from wheatroute.fleet.servers import IN_STEP, Job, Server
+from wheatroute.fleet.servers import UPDATE_INTERVAL_S, Placement, Server
 
 START = 1000.0  # the moment at which a run begins: 0 means long ago
 EFFECTS = {
@@ -63,7 +64,7 @@
             self.front.append(self._node(0, number, number % zones, None))
         for depth in range(len(plan.tiers) - 1):
             for server in self.tiers[depth]:
-                self.beside[server.place] = self._node(depth + 1, server.number, server.zone, server)
+                self.beside[server.address] = self._node(depth + 1, server.number, server.zone, server)
         self.crowd = Crowd(self)
         self.script = Script(self)
         self._look()
@@ -89,29 +90,23 @@
         speed = distributions.distribution("lognormal", kept.speed, kept.speed_cv)(draw.random())
         server = Server(
             self.engine,
-            number,
+            Placement(depth, number, zone, model, number // CELL),
             tier,
             kept,
-            (depth, zone, model, number // CELL),
             speed,
             random_streams.stream(self.seed, "server", depth, number),
         )
         self.tiers[depth].append(server)
         if tier.reports is not None:
-            self.engine.after(tier.reports.interval_s * draw.random(), self._report, server)
+            server.start_reports(tier.reports.interval_s * draw.random())
         return server
 
-    def _report(self, server: Server) -> None:
-        every = server.tier.reports.interval_s  # type: ignore[union-attr]
-        server.refresh(every, server.tier.reports.noise)  # type: ignore[union-attr]
-        self.engine.after(every, self._report, server)
-
     def _look(self) -> None:
         for depth, tier in enumerate(self.plan.tiers):
             for server in self.tiers[depth]:
-                if tier.collapse is not None or server.warmth() < 1.0:
-                    server.look()
-        self.engine.after(IN_STEP, self._look)
+                if tier.collapse is not None or server.warmup_share() < 1.0:
+                    server.update()
+        self.engine.call_later(UPDATE_INTERVAL_S, self._look)
 
     # nodes
 
@@ -180,9 +175,9 @@
             self,
             node,
             self.decision_settings(depth, number, zone),
-            random_streams.stream(self.seed, "node", depth, number, at.life if at else 0),
+            random_streams.stream(self.seed, "node", depth, number, at.incarnation if at else 0),
         )
-        self.engine.after(LISTED_LATE, node.listed_anew, self.entries(depth), True)
+        self.engine.call_later(LISTED_LATE, node.listed_anew, self.entries(depth), True)
         return node
 
     def senders(self, depth: int) -> Iterable[Node]:
@@ -196,15 +191,15 @@
     @staticmethod
     def entry(server: Server, state: ServerState = ServerState.LIVE) -> tuple[Any, ...]:
         """A server as an entry of the list."""
-        return (server.number, server.zone, server.model, server.cell, state, 1.0, server.born)
+        return (server.number, server.zone, server.model, server.cell, state, 1.0, server.started_at)
 
     def entries(self, depth: int) -> list[tuple[Any, ...]]:
         """The list of a tier."""
-        return [self.entry(server) for server in self.tiers[depth] if server.alive and not server.draining]
+        return [self.entry(server) for server in self.tiers[depth] if server.is_alive]
 
     def list_for(self, node: Node) -> None:
         """Sends a node the full list."""
-        self.engine.after(LISTED_LATE, node.listed_anew, self.entries(node.depth), True)
+        self.engine.call_later(LISTED_LATE, node.listed_anew, self.entries(node.depth), True)
 
     def tell(self, server: Server, state: ServerState, least: float = 0.0) -> None:
         """The list tells all nodes of the tier, each after a delay of its own; `least` is added to it."""
@@ -214,17 +209,16 @@
             delay = (
                 least + network.list_delay_s + self.list_late + network.list_jitter_s * self._spread.random()
             )
-            self.engine.after(delay, node.listed_anew, [entry], False)
+            self.engine.call_later(delay, node.listed_anew, [entry], False)
 
     # servers' lives
 
     def kill(self, server: Server, silent: bool = False) -> None:
         """A server's process dies with the node beside it; silent: its machine says nothing any more."""
-        node = self.beside.get(server.place)
+        node = self.beside.get(server.address)
         for job in server.die():
-            attempt: Attempt = job.owner
-            if attempt is not None and not silent:
-                attempt.node.server_died(attempt)
+            if job.owner is not None and not silent:
+                job.owner.server_died(job)
         if node is not None:
             node.die()
 
@@ -233,7 +227,7 @@
         server.start()
         depth = server.depth
         if depth + 1 < len(self.plan.tiers):
-            self.beside[server.place] = self._node(depth + 1, server.number, server.zone, server)
+            self.beside[server.address] = self._node(depth + 1, server.number, server.zone, server)
         self.tell(server, ServerState.LIVE)
 
     def drain(self, server: Server) -> None:
@@ -264,7 +258,7 @@
 
     def latency(self, server: Server) -> float:
         """Seconds that a server of its own accord would tell a probe: what it holds over what it does."""
-        pace = server.pace()
+        pace = server.current_speed()
         usual = self.plan.mean_work_s() * server.tier.work
         return usual * max(1.0, server.held / server.cores) / pace if pace > 0.0 else 1e9
 
@@ -281,56 +275,20 @@
         )
         work = root.size * self.usual_work(kind, depth) * noise
         if depth + 1 == len(self.plan.tiers):
-            return Job([work], _nothing, self._job_done, attempt)
+            return Job([work], AttemptWork(self, attempt))
         mean = self.plan.tiers[depth + 1].calls_per_request
         calls = floor(mean + random_streams.uniform(self.seed, root.index, request.call, depth, -1))
-        return Job([work / (calls + 1)] * (calls + 1), self._call, self._job_done, attempt)
+        return Job([work / (calls + 1)] * (calls + 1), AttemptWork(self, attempt))
 
     def law_size(self, kind: int, draw: float) -> float:
         """A request's size, in multiples of its class's mean work."""
         return self._laws[kind](draw)
 
-    def _call(self, job: Job) -> None:
-        """A server calls the tier below through the node beside it."""
-        attempt: Attempt = job.owner
-        above, server = attempt.request, attempt.server
-        node = self.beside[server.place]
-        left = above.stop - self.engine.now
-        if not self.plan.time_left_passed_on:
-            left = self.plan.request_classes[above.kind].deadline_s
-        if left <= 0.0:
-            server.fail(job)
-            return
-        call = above.call * 16 + job.at + 1
-        request = node.take(
-            above.root,
-            above.kind,
-            call,
-            left,
-            -1,
-            False,
-            lambda answer, stay_away: self._called(job, server, answer),
-        )
-        job.call = (node, request)
-
-    def _called(self, job: Job, server: Server, answer: str) -> None:
-        job.call = None
-        if answer == "served":
-            server.resume(job)
-        else:
-            server.fail(job)
-
-    def _job_done(self, job: Job, outcome: Outcome) -> None:
-        attempt: Attempt = job.owner
-        attempt.node.job_done(attempt, outcome)
-
     def cancel(self, attempt: Attempt) -> None:
         """A node's cancel has come to the server."""
         job = attempt.job
-        if job is not None and attempt.server.cancel(job) and job.call is not None:
-            node, request = job.call
-            job.call = None
-            node.leave(request)
+        if job is not None and attempt.server.cancel(job) and isinstance(job.owner, AttemptWork):
+            job.owner.cancel_call()
 
     def tell_story(self, node: Node, request: Any, text: str) -> None:
         """A line of the traced request's story; what lies deeper is set in further."""
@@ -351,5 +309,53 @@
         return self
 
 
-def _nothing(job: Job) -> None:
-    """The last tier calls nobody."""
+class AttemptWork:
+    """Owner of an attempt's job: calls the next tier between stages, through the node beside the server."""
+
+    def __init__(self, world: World, attempt: Attempt) -> None:
+        self._world = world
+        self._attempt = attempt
+        self._call: tuple[Node, Request] | None = None  # to the next tier, while it is in flight
+
+    def stage_done(self, job: Job) -> None:
+        """Calls the next tier."""
+        world, server, above = self._world, self._attempt.server, self._attempt.request
+        node = world.beside[server.address]
+        left = above.stop - world.engine.now
+        if not world.plan.time_left_passed_on:
+            left = world.plan.request_classes[above.kind].deadline_s
+        if left <= 0.0:
+            server.fail(job)
+            return
+        request = node.take(
+            above.root,
+            above.kind,
+            above.call * 16 + job.stage + 1,
+            left,
+            -1,
+            False,
+            lambda answer, stay_away: self._called(job, answer),
+        )
+        self._call = (node, request)
+
+    def _called(self, job: Job, answer: str) -> None:
+        self._call = None
+        if answer == "served":
+            self._attempt.server.run_next_stage(job)
+        else:
+            self._attempt.server.fail(job)
+
+    def cancel_call(self) -> None:
+        """Leaves the call in flight: nobody waits for it."""
+        if self._call is not None:
+            node, request = self._call
+            self._call = None
+            node.leave(request)
+
+    def job_done(self, job: Job, outcome: Outcome) -> None:
+        """Sends the response."""
+        self._attempt.node.job_done(self._attempt, outcome)
+
+    def server_died(self, job: Job) -> None:
+        """Breaks the attempt's connection."""
+        self._attempt.node.server_died(self._attempt)
