--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -60,11 +60,11 @@
     return {
         "servers": servers,
         "nodes": nodes,
-        "commands": len(world.crowd.roots),
+        "commands": len(world.clients.requests),
         "took_s": round(took, 2),
         "events_per_s": round(world.engine.call_count / took),
-        "us_a_command": round(1e6 * took / len(world.crowd.roots), 1),
-        "breaks": sum(world.watch.breaks),
+        "us_a_command": round(1e6 * took / len(world.clients.requests), 1),
+        "breaks": sum(world.rules.counts.values()),
     }
 
 
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -78,8 +78,8 @@
     told = scenarios.day("crash", 8)
     told["length"] = 8.0
     plain, traced = (World(plan.parse_plan(told), 1, experiment.maker("design")) for _ in range(2))
-    traced.traced = 40
-    assert plain.play().engine.call_count == traced.play().engine.call_count and traced.story
+    traced.trace.request_index = 40
+    assert plain.play().engine.call_count == traced.play().engine.call_count and traced.trace.lines
 
 
 def test_intervals_hold_the_median_as_often_as_they_say():
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -10,6 +10,8 @@
 
 from wheatroute.decide import Balancer
 from wheatroute.fleet import baselines, plan, results
+from wheatroute.fleet.requests import RequestOutcome
+from wheatroute.fleet.rules import Rule
 from wheatroute.fleet.world import World
 
 KINDS = [
@@ -27,8 +29,8 @@
 }
 
 
-def design(world, node, terms, draw):
-    return Balancer(terms, draw)
+def design(node, settings, rng):
+    return Balancer(settings, rng)
 
 
 def played(make=design, seed=1, **changes):
@@ -63,8 +65,8 @@
 
 def test_policies_that_are_compared_meet_the_same_requests():
     a, b = played(), played(baselines.BASELINES["random"])
-    assert [(one.arrived, one.kind, one.size) for one in a.crowd.roots] == [
-        (one.arrived, one.kind, one.size) for one in b.crowd.roots
+    assert [(one.arrived_at, one.class_number, one.size) for one in a.clients.requests] == [
+        (one.arrived_at, one.class_number, one.size) for one in b.clients.requests
     ]
 
 
@@ -89,14 +91,14 @@
 )
 def test_the_design_keeps_its_rules_through_each_fault(kind, told):
     world = played(faults=fault(kind, **told))
-    assert world.watch.breaks == [0] * 5, world.watch.broken
+    assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
     assert results.figures(world)["handled"] > 0.8
 
 
 def test_a_hung_server_answers_nothing_and_a_crashed_one_comes_back_cold():
     faults = fault("crash", part=0.1, tier=0, length=2.0)
     world = World(plan.parse_plan({**SMALL, "faults": faults}), 1, design)
-    world.crowd.begin()
+    world.clients.begin()
     world.engine.run(1004.0)
     assert sum(not server.is_alive for server in world.tiers[0]) == 1
     world.engine.run(1005.5)
@@ -131,8 +133,8 @@
             },
             **one_tier(cancel="none"),
         )
-        end = [root for root in world.crowd.roots if root.arrived > 1030.0]
-        return sum(root.answer == "served" for root in end) / len(end)
+        end = [request for request in world.clients.requests if request.arrived_at > 1030.0]
+        return sum(request.outcome is RequestOutcome.SERVED for request in end) / len(end)
 
     assert late(0) > 0.8 and late(20) < 0.4
 
@@ -151,14 +153,14 @@
                 writer.fail(number)
                 writer.fail(number)
         if self.sin == "drained":
-            self.ready = list(range(len(self.world.tiers[self.node.depth])))
+            self.ready = list(range(len(self.node.servers)))
         if self.sin == "forgets":
             for number in [one for one, held in self._held.items() if held.out and self.draw.random() < 0.5]:
-                self.node.requests[number].out += 1
+                self.node.requests[number].in_flight += 1
                 del self._held[number]
 
     def choose(self, fit, kind):
-        cold = [one for one in fit if self.world.tiers[self.node.depth][one].warmup_share() < 1.0]
+        cold = [one for one in fit if self.node.servers[one].warmup_share() < 1.0]
         return cold[0] if self.sin == "cold" and cold else super().choose(fit, kind)
 
 
@@ -182,14 +184,15 @@
 )
 def test_a_broken_rule_is_seen_with_its_story(sin, rule, changes):
     world = played(lambda *told: setattr(one := Rogue(*told), "sin", sin) or one, **changes)
-    assert world.watch.breaks[rule] > 0
-    assert any(number == rule and "node" in story for number, _, story in world.watch.broken)
+    assert world.rules.counts[rule] > 0
+    assert any(number == rule and "node" in story for number, _, story in world.rules.violations)
 
 
 @pytest.mark.parametrize("name", sorted(baselines.BASELINES))
 def test_baselines_keep_the_rules_on_repeats_and_drains(name):
     world = played(baselines.BASELINES[name], faults=fault("crash"))
-    assert world.watch.breaks[1:4] == [0, 0, 0], world.watch.broken
+    broken = [rule for rule, count in world.rules.counts.items() if count]
+    assert not set(broken) - {Rule.NO_WARMUP_OVERLOAD}, world.rules.violations
 
 
 def test_true_state_serves_best_and_the_design_comes_between():
--- /dev/null
+++ b/tests/fleet/test_imports.py
@@ -0,0 +1,39 @@
+"""Modules of the emulator build on each other in one direction: plan, engine, servers, nodes, clients, world."""
+
+import ast
+from graphlib import TopologicalSorter
+from pathlib import Path
+
+import wheatroute.fleet
+
+FOLDER = Path(wheatroute.fleet.__file__).parent
+PACKAGE = "wheatroute.fleet."
+
+
+def modules():
+    for path in FOLDER.rglob("*.py"):
+        name = ".".join(path.relative_to(FOLDER).with_suffix("").parts)
+        yield name.removesuffix(".__init__") or "__init__", ast.parse(path.read_text(encoding="utf-8"))
+
+
+def imported(tree):
+    for node in ast.walk(tree):  # imports in functions and for types alone count too
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom) and node.module is not None:
+            yield node.module
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+
+
+def test_no_modules_import_each_other():
+    trees = dict(modules())
+    graph = {
+        name: {target.removeprefix(PACKAGE) for target in imported(tree) if target.startswith(PACKAGE)}
+        & trees.keys()
+        for name, tree in trees.items()
+    }
+    order = list(TopologicalSorter(graph).static_order())  # raises CycleError
+    ladder = ["plan", "engine", "servers", "nodes", "clients", "world"]
+    for below, above in zip(ladder, ladder[1:], strict=False):
+        assert below not in graph or above not in graph[below]
+    assert order.index("world") > order.index("clients") > order.index("nodes") > order.index("servers")
--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -4,6 +4,7 @@
 from pathlib import Path
 
 from wheatroute.fleet import ledger, plan, results
+from wheatroute.fleet.rules import Rule
 from wheatroute.fleet.world import World
 
 FILE = Path(__file__).parents[2] / "examples" / "fleet" / "many_small_nodes.toml"
@@ -14,7 +15,7 @@
     told["callers"].update(changes)
     noes = []
     world = World(plan.parse_plan({**told, "length": 6.0}), seed, ledger.maker(noes)).play()
-    assert world.watch.breaks == [0] * 5, world.watch.broken
+    assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
     return results.figures(world), noes
 
 
--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -67,9 +67,9 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def fleet_trace(file: str, number: int, policy: str, seed: int) -> None:
     """Plays the first point of the experiment in FILE again and tells the story of one request."""
-    from wheatroute.fleet import trace
+    from wheatroute.fleet import traced_run
 
-    for line in _plan(lambda: trace.story(file, policy, seed, number)):
+    for line in _plan(lambda: traced_run.trace_request(file, policy, seed, number)):
         click.echo(line)
 
 
--- a/wheatroute/fleet/baselines.py
+++ b/wheatroute/fleet/baselines.py
@@ -16,16 +16,13 @@
 from itertools import accumulate
 from math import inf
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
 from wheatroute.balancing.settings import DecisionSettings
+from wheatroute.fleet.nodes import Node
+from wheatroute.fleet.requests import NEVER_RAN
 
-if TYPE_CHECKING:
-    from wheatroute.fleet.nodes import Node
-    from wheatroute.fleet.world import World
-
-NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
 AVOIDED = 1.0  # seconds that a server is left out after a refused connection
 
 
@@ -45,8 +42,8 @@
 class Plain:
     """Sends each request at once where `choose` says, and again where that is allowed; the base of all."""
 
-    def __init__(self, world: World, node: Node, terms: DecisionSettings, draw: Random) -> None:
-        self.world, self.node, self.terms, self.draw = world, node, terms, draw
+    def __init__(self, node: Node, terms: DecisionSettings, draw: Random) -> None:
+        self.node, self.terms, self.draw = node, terms, draw
         self.kinds = terms.request_classes
         self.ready: list[int] = []
         self.out: dict[int, int] = {}
@@ -114,7 +111,7 @@
         return fit
 
     def _group_of(self, server: int, kind: int) -> int:
-        place, group = self.world.tiers[self.node.depth][server], int(self.kinds[kind].deduplication_group)
+        place, group = self.node.servers[server], int(self.kinds[kind].deduplication_group)
         return (0, place.zone, place.cell)[group]
 
     def _group(self, held: Held) -> int | None:
@@ -267,7 +264,7 @@
 
     def burden(self, server: int) -> float:
         """The true work at a server for each core, weighted by its speed; infinite for one that is down."""
-        place = self.world.tiers[self.node.depth][server]
+        place = self.node.servers[server]
         pace = place.current_speed() if place.is_alive else 0.0
         return (place.held + 1) / (place.cores * pace) if pace > 0.0 else inf
 
@@ -293,7 +290,7 @@
         if not fit:
             return False
         best = min(map(self.burden, fit))
-        return best * self.world.usual_work(kind, self.node.depth) < self.kinds[kind].target_latency
+        return best * self.node.mean_call_work_s(kind) < self.kinds[kind].target_latency
 
 
 class Probing(Plain):
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -1,7 +1,7 @@
-"""Clients: who asks for what and when, through which node, and what they do when they are turned away.
+"""Clients: what they request and when, and what they do when a node rejects or fails a request. No I/O.
 
-Owns arrivals, tenants, sizes, retries and the account of what was asked for and what came of it. Arrivals
-are drawn ahead and do not wait for answers. It must never count a request twice: a client's tries are one.
+All tries of a client are one request. Arrivals, tenants and sizes come from random streams that no decision
+touches, so that policies on one seed meet the same requests.
 """
 
 from __future__ import annotations
@@ -9,237 +9,167 @@
 from bisect import bisect
 from collections.abc import Iterator
 from itertools import accumulate
-from math import inf, pi, sin
-from typing import TYPE_CHECKING, Any
-
-from wheatroute.fleet import random_streams
-
-if TYPE_CHECKING:
-    from wheatroute.fleet.nodes import Node, Request
-    from wheatroute.fleet.world import World
-
-LONGEST_BACKOFF = 2.0  # seconds
-UNREACHED = 0.05  # seconds until a client whose connection was refused tries another node
-FRONT_NOTICES = 2.0  # seconds until the layer before the nodes leaves a dead one out
-
-
-class Root:
-    """One request as its client sees it."""
-
-    __slots__ = (
-        "index",
-        "kind",
-        "tenant",
-        "arrived",
-        "target",
-        "stop",
-        "size",
-        "within",
-        "tries",
-        "answer",
-        "answered",
-        "zone",
-        "over",
-        "heeds",
-    )
-
-    def __init__(self, index: int, kind: int, tenant: int, arrived: float, size: float, zone: int) -> None:
-        self.index, self.kind, self.tenant, self.arrived = index, kind, tenant, arrived
-        self.size, self.zone = size, zone
-        self.target = self.stop = 0.0
-        self.within = True  # its tenant's share
-        self.tries = 0
-        self.answer, self.answered = "", inf
-        self.over = False
-        self.heeds = True
-
-
-class Crowd:
-    """All clients of a run."""
-
-    def __init__(self, world: World) -> None:
-        self.world, self.plan, self.engine = world, world.plan, world.engine
-        self.roots: list[Root] = []
-        self.start = world.engine.now
-        clients = self.plan.clients
-        self._rate = clients.load * self.plan.capacity()
-        self._when = random_streams.stream(world.seed, "arrivals")
-        self._what = random_streams.stream(world.seed, "commands")
-        self._which = random_streams.stream(world.seed, "front")
-        self._wait = random_streams.stream(world.seed, "retries")
-        self._kinds = list(accumulate(kind.weight for kind in self.plan.request_classes))
-        usage = [one.portion * one.usage for one in self.plan.tenants]
-        self._tenants = list(accumulate(usage))
-        quota = clients.quota * self.plan.capacity()
-        self._quotas = [one.portion * quota for one in self.plan.tenants]
-        self._saved = list(self._quotas)
-        self._saved_at = [self.engine.now] * len(self._quotas)
-        self._noticed: dict[int, float] = {}  # by node: from when the front leaves it out
-        count, skew = self.plan.nodes, clients.node_skew
-        # evenly from the least to the busiest, so that the busiest has `skew` times the mean
-        rank = list(range(count))
-        self._which.shuffle(rank)
-        least = max(0.0, 2.0 - skew)
-        self._pull = [
-            least + (skew - least) * (place / max(1, count - 1)) ** max(1.0, skew - 1.0) for place in rank
+from typing import Protocol
+
+from wheatroute.fleet import distributions, random_streams
+from wheatroute.fleet.arrivals import ArrivalProcess
+from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.entry_balancer import EntryBalancer
+from wheatroute.fleet.nodes import Node
+from wheatroute.fleet.plan import FleetPlan
+from wheatroute.fleet.requests import ClientRequest, NodeRequest, RequestOutcome
+from wheatroute.fleet.tenant_quotas import TenantQuotas
+
+MAX_BACKOFF_S = 2.0
+RECONNECT_DELAY_S = 0.05  # until a client whose connection was refused tries another node
+
+
+class TimeoutObserver(Protocol):
+    """Hears of clients that got no answer in time."""
+
+    def client_timed_out(self, node: Node, request: NodeRequest) -> None:
+        """A client has waited as long as it said it would."""
+
+
+class ClientPopulation:
+    """All clients of a run; `requests` are theirs in the order of arrival."""
+
+    def __init__(
+        self,
+        plan: FleetPlan,
+        seed: int,
+        engine: Engine,
+        entry_nodes: list[Node],
+        observer: TimeoutObserver,
+    ) -> None:
+        self.requests: list[ClientRequest] = []
+        self.start = engine.now
+        self._plan = plan
+        self._engine = engine
+        self._observer = observer
+        self._arrivals = ArrivalProcess(plan, random_streams.stream(seed, "arrivals"))
+        self._request_rng = random_streams.stream(seed, "commands")
+        self._backoff_rng = random_streams.stream(seed, "retries")
+        self._balancer = EntryBalancer(plan, entry_nodes, random_streams.stream(seed, "front"))
+        self._quotas = TenantQuotas(plan, engine.now)
+        self._sizes = [
+            distributions.distribution(request_class.distribution, 1.0, request_class.cv)
+            for request_class in plan.request_classes
         ]
+        # cumulative
+        self._class_weights = list(accumulate(one.weight for one in plan.request_classes))
+        self._tenant_weights = list(accumulate(one.portion * one.usage for one in plan.tenants))
 
     # arrivals
 
     def begin(self) -> None:
-        """Schedules the first arrival."""
-        moments = self._moments()
-        first = next(moments, None)
-        if first is not None:
-            self.engine.call_at(first, self._arrive, moments)
-
-    def rate(self, since: float) -> float:
-        """Requests a second, this long after the start."""
-        clients = self.plan.clients
-        rate = self._rate * (1.0 + clients.swing * sin(2.0 * pi * since / clients.swing_period_s))
-        for wave in clients.waves:
-            if wave.start_s <= since < wave.start_s + wave.duration_s:
-                part = min(1.0, (since - wave.start_s) / wave.ramp_s) if wave.ramp_s else 1.0
-                rate *= 1.0 + (wave.factor - 1.0) * part
-        return rate
-
-    def _moments(self) -> Iterator[float]:
-        start, clients = self.engine.now, self.plan.clients
-        if clients.recorded_arrivals_s:
-            yield from (
-                start + one for one in sorted(clients.recorded_arrivals_s) if one < self.plan.duration_s
-            )
-            return
-        if clients.arrivals == "even":
-            since = 0.0
-            while since < self.plan.duration_s:
-                yield start + since
-                since += 1.0 / max(self.rate(since), 1e-9)
-            return
-        # a Poisson process of changing rate, by thinning (Lewis and Shedler 1979)
-        most = self._rate * (1.0 + clients.swing)
-        for wave in clients.waves:
-            most *= max(1.0, wave.factor)
-        since = 0.0
-        while most > 0.0:
-            since += self._when.expovariate(most)
-            if since >= self.plan.duration_s:
-                return
-            if self._when.random() * most < self.rate(since):
-                yield start + since
+        """Schedules the first arrival; each one schedules the next."""
+        self._schedule_next(self._arrivals.moments())
+
+    def _schedule_next(self, moments: Iterator[float]) -> None:
+        moment = next(moments, None)
+        if moment is not None:
+            self._engine.call_at(self.start + moment, self._arrive, moments)
 
     def _arrive(self, moments: Iterator[float]) -> None:
-        following = next(moments, None)
-        if following is not None:
-            self.engine.call_at(following, self._arrive, moments)
-        what, now = self._what, self.engine.now
-        kind = bisect(self._kinds, what.random() * self._kinds[-1])
-        tenant = bisect(self._tenants, what.random() * self._tenants[-1]) if self._tenants else -1
-        root = Root(
-            len(self.roots),
-            kind,
-            tenant,
-            now,
-            self.world.law_size(kind, what.random()),
-            int(what.random() * len(self.plan.network.zones)),
-        )
-        root.target = now + self.plan.request_classes[kind].target_latency_s
-        root.stop = now + self.plan.request_classes[kind].deadline_s
-        root.heeds = what.random() < self.plan.clients.retry_advice_compliance
-        root.within = self._within(tenant)
-        self.roots.append(root)
-        self._try(root)
-
-    def _within(self, tenant: int) -> bool:
-        """Whether a request is inside its tenant's share, seen over all nodes, with a second saved up."""
-        if tenant < 0:
-            return True
-        now, quota = self.engine.now, self._quotas[tenant]
-        saved = min(max(1.0, quota), self._saved[tenant] + quota * (now - self._saved_at[tenant]))
-        self._saved_at[tenant] = now
-        self._saved[tenant] = saved - 1.0 if saved >= 1.0 else saved
-        return saved >= 1.0
+        self._schedule_next(moments)
+        request = self._new_request()
+        self.requests.append(request)
+        self._try(request)
+
+    def _new_request(self) -> ClientRequest:
+        """Draws a request; the order of the draws is part of what a seed means."""
+        rng, now = self._request_rng, self._engine.now
+        class_number = bisect(self._class_weights, rng.random() * self._class_weights[-1])
+        tenant = -1
+        if self._tenant_weights:
+            tenant = bisect(self._tenant_weights, rng.random() * self._tenant_weights[-1])
+        size = self._sizes[class_number](rng.random())
+        zone = int(rng.random() * len(self._plan.network.zones))
+        request = ClientRequest(len(self.requests), class_number, tenant, zone, size, now)
+        request_class = self._plan.request_classes[class_number]
+        request.target_at = now + request_class.target_latency_s
+        request.deadline_at = now + request_class.deadline_s
+        request.heeds_retry_advice = rng.random() < self._plan.clients.retry_advice_compliance
+        request.is_within_quota = self._quotas.take(tenant, now)
+        return request
 
     # tries
 
-    def _try(self, root: Root) -> None:
-        now = self.engine.now
-        node = self._node(root)
-        left = min(
-            self.plan.clients.client_timeout * self.plan.request_classes[root.kind].deadline_s,
-            root.stop - now,
-        )
-        if root.over or left <= 0.0:
+    def _try(self, request: ClientRequest) -> None:
+        now = self._engine.now
+        node = self._balancer.choose(request.zone, now)  # drawn even if there is no time left
+        deadline_s = self._plan.request_classes[request.class_number].deadline_s
+        timeout_s = min(self._plan.clients.client_timeout * deadline_s, request.deadline_at - now)
+        if request.is_over or timeout_s <= 0.0:
             return
-        root.tries += 1
+        request.tries += 1
         if node is None:
-            self._again(root, UNREACHED)
+            self._try_again(request, RequestOutcome.UNREACHED, RECONNECT_DELAY_S)
             return
-        there = self.plan.clients.latency_s
-        self.engine.call_later(there, self._reach, root, node, left - there)
-
-    def _node(self, root: Root) -> Node | None:
-        """The layer before the nodes deals out tries; it notices a dead node late."""
-        now, front = self.engine.now, self.world.front
-        fit = [node for node in front if node.zone == root.zone and self._dealt(node, now)]
-        fit = fit or [node for node in front if self._dealt(node, now)]
-        if not fit:
-            return None
-        pull = list(accumulate(self._pull[node.number] for node in fit))
-        return fit[bisect(pull, self._which.random() * pull[-1])] if pull[-1] else fit[0]
-
-    def _dealt(self, node: Node, now: float) -> bool:
-        if node.alive:
-            self._noticed.pop(node.number, None)
-            return True
-        return now < self._noticed.setdefault(node.number, now + FRONT_NOTICES)
-
-    def _reach(self, root: Root, node: Node, left: float) -> None:
-        if not node.alive:
-            self._again(root, UNREACHED)
-            return
-        attempt = root.tries
-        request: list[Any] = []
-
-        def told(answer: str, stay_away: float) -> None:
-            self.engine.call_later(
-                self.plan.clients.latency_s, self._answered, root, attempt, answer, stay_away
-            )
-
-        request.append(node.take(root.index, root.kind, 0, left, root.tenant, attempt > 1, told))
-        slack = self.plan.rules.answer_slack_s
-        self.engine.call_later(left + slack, self._patience_ends, root, attempt, node, request[0])
-
-    def _patience_ends(self, root: Root, attempt: int, node: Node, request: Request) -> None:
-        if not request.answered and node.alive:
-            self.world.watch.lost(node, request)
-            node.leave(request)
-            if not root.over and root.tries == attempt:
-                self._again(root, 0.0, "left")
-
-    def _answered(self, root: Root, attempt: int, answer: str, stay_away: float) -> None:
-        if root.over:
+        latency_s = self._plan.clients.latency_s
+        self._engine.call_later(latency_s, self._reach, request, node, timeout_s - latency_s)
+
+    def _reach(self, request: ClientRequest, node: Node, time_left_s: float) -> None:
+        """A try comes to its node."""
+        if not node.is_alive:
+            self._try_again(request, RequestOutcome.UNREACHED, RECONNECT_DELAY_S)
             return
-        now = self.engine.now
-        if answer == "served":
-            root.over, root.answer, root.answered = True, "served", now
+        number = request.tries
+
+        def on_answer(outcome: RequestOutcome, retry_after_s: float) -> None:
+            latency_s = self._plan.clients.latency_s
+            self._engine.call_later(latency_s, self._answered, request, number, outcome, retry_after_s)
+
+        node_request = node.receive(request, 0, time_left_s, request.tenant, number > 1, on_answer)
+        wait_s = time_left_s + self._plan.rules.answer_slack_s
+        self._engine.call_later(wait_s, self._time_out, request, number, node, node_request)
+
+    def _time_out(self, request: ClientRequest, number: int, node: Node, node_request: NodeRequest) -> None:
+        if node_request.is_answered or not node.is_alive:
             return
-        if root.tries != attempt:
+        self._observer.client_timed_out(node, node_request)
+        node.client_left(node_request)
+        if not request.is_over and request.tries == number:
+            self._try_again(request, RequestOutcome.LEFT, 0.0)
+
+    def _answered(
+        self, request: ClientRequest, number: int, outcome: RequestOutcome, retry_after_s: float
+    ) -> None:
+        """The answer to a try comes to the client; one to an earlier try counts only if it was served."""
+        if request.is_over:
             return
-        unsafe = self.plan.request_classes[root.kind].idempotency == "effectful"
-        if answer == "refused" or not unsafe:
-            wait = self.plan.clients.backoff_s * 2 ** (attempt - 1) * (0.5 + self._wait.random())
-            if root.heeds:
-                wait = max(wait, stay_away)
-            self._again(root, min(wait, LONGEST_BACKOFF), answer)
+        if outcome is RequestOutcome.SERVED:
+            self._end(request, outcome)
+        elif request.tries == number:
+            request_class = self._plan.request_classes[request.class_number]
+            if outcome is RequestOutcome.REJECTED or request_class.idempotency != "effectful":
+                self._try_again(request, outcome, self._backoff_s(request, retry_after_s))
+            else:
+                self._end(request, outcome)
+
+    def _backoff_s(self, request: ClientRequest, retry_after_s: float) -> float:
+        """Exponential backoff with jitter, and no less than a node's advice if the client heeds it."""
+        jitter = 0.5 + self._backoff_rng.random()
+        backoff_s = self._plan.clients.backoff_s * 2 ** (request.tries - 1) * jitter
+        if request.heeds_retry_advice:
+            backoff_s = max(backoff_s, retry_after_s)
+        return min(backoff_s, MAX_BACKOFF_S)
+
+    def _try_again(self, request: ClientRequest, outcome: RequestOutcome, delay_s: float) -> None:
+        """Tries again after a delay, unless that is too late or the retries are used up."""
+        now = self._engine.now
+        request.outcome = outcome
+        request.ended_at = now
+        # a refused connection costs no retry
+        is_free = outcome is RequestOutcome.UNREACHED
+        has_retries = is_free or request.tries <= self._plan.clients.max_retries
+        if has_retries and now + delay_s < request.deadline_at:
+            self._engine.call_later(delay_s, self._try, request)
         else:
-            root.over, root.answer, root.answered = True, answer, now
-
-    def _again(self, root: Root, wait: float, answer: str = "unreached") -> None:
-        now = self.engine.now
-        root.answer, root.answered = answer, now
-        free = answer == "unreached"  # a refused connection costs no try
-        if not free and root.tries > self.plan.clients.max_retries or now + wait >= root.stop:
-            root.over = True
-            return
-        self.engine.call_later(wait, self._try, root)
+            request.is_over = True
+
+    def _end(self, request: ClientRequest, outcome: RequestOutcome) -> None:
+        request.is_over = True
+        request.outcome = outcome
+        request.ended_at = self._engine.now
--- a/wheatroute/fleet/closed.py
+++ b/wheatroute/fleet/closed.py
@@ -82,6 +82,9 @@
         if self._times is not None:
             self._times.append(self._engine.now - self._arrived_at)
 
+    def cancelled(self, job: Job) -> None:
+        """Nothing is cancelled here."""
+
     def server_died(self, job: Job) -> None:
         """Servers don't end here."""
 
--- a/wheatroute/fleet/experiment.py
+++ b/wheatroute/fleet/experiment.py
@@ -23,7 +23,9 @@
 
 from wheatroute.decide import Balancer
 from wheatroute.fleet import baselines, plan, results
-from wheatroute.fleet.world import Maker, World
+from wheatroute.fleet.nodes import DecisionsFactory
+from wheatroute.fleet.requests import RequestOutcome
+from wheatroute.fleet.world import World
 
 DESIGN = "design"
 KEPT = "runs.jsonl"
@@ -106,27 +108,27 @@
                 }
 
 
-def maker(policy: str) -> Maker:
+def maker(policy: str) -> DecisionsFactory:
     """Makes the decisions of a policy."""
     if policy == DESIGN:
-        return lambda world, node, terms, draw: Balancer(terms, draw)
+        return lambda node, settings, rng: Balancer(settings, rng)
     kind = baselines.BASELINES[policy]
-    return lambda world, node, terms, draw: kind(world, node, terms, draw)
+    return lambda node, settings, rng: kind(node, settings, rng)
 
 
 def play(run: dict[str, Any]) -> dict[str, Any]:
     """One run; what is kept of it."""
     world = World(plan.parse_plan(run["fleet"]), run["seed"], maker(run["policy"])).play()
     delays = HdrHistogram(1, LONGEST, 3)
-    for root in world.crowd.roots:
-        if root.answer == "served":
-            delays.record_value(min(LONGEST, max(1, int((root.answered - root.arrived) * 1e6))))
+    for root in world.clients.requests:
+        if root.outcome is RequestOutcome.SERVED:
+            delays.record_value(min(LONGEST, max(1, int((root.ended_at - root.arrived_at) * 1e6))))
     seconds: list[list[float]] = []
-    for root in world.crowd.roots:
-        at = int(root.arrived - world.crowd.start)
+    for root in world.clients.requests:
+        at = int(root.arrived_at - world.clients.start)
         while len(seconds) <= at:
             seconds.append([0.0, 0.0])
-        asked, earned = results.worth(world, root)
+        asked, earned = results.value(world, root)
         seconds[at][0] += asked
         seconds[at][1] += earned
     return {
@@ -135,7 +137,7 @@
         "policy": run["policy"],
         "seed": run["seed"],
         "figures": results.figures(world),
-        "broken": world.watch.broken,
+        "broken": [tuple(violation) for violation in world.rules.violations],
         "by_second": [earned / asked if asked else 1.0 for asked, earned in seconds],
         "delays": delays.encode().decode("ascii"),
     }
--- a/wheatroute/fleet/jobs.py
+++ b/wheatroute/fleet/jobs.py
@@ -26,6 +26,9 @@
     def job_done(self, job: Job, outcome: Outcome) -> None:
         """The job is served, or ended with an error."""
 
+    def cancelled(self, job: Job) -> None:
+        """The job was stopped, as nobody waits for it."""
+
     def server_died(self, job: Job) -> None:
         """The process that held the job has ended."""
 
--- a/wheatroute/fleet/ledger.py
+++ b/wheatroute/fleet/ledger.py
@@ -11,14 +11,14 @@
 from dataclasses import dataclass
 from math import inf
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
-
-if TYPE_CHECKING:
-    from wheatroute.fleet.nodes import Node
-    from wheatroute.fleet.world import World
+from wheatroute.fleet import results
+from wheatroute.fleet.nodes import DecisionsFactory, Node
+from wheatroute.fleet.requests import RequestOutcome
+from wheatroute.fleet.world import World
 
 WHERE = {
     "_arrived": "too late on arrival",
@@ -49,11 +49,9 @@
 class Probed(Balancer):
     """The module with a note at each no."""
 
-    def __init__(
-        self, world: World, node: Node, terms: DecisionSettings, draw: Random, noes: list[No]
-    ) -> None:
+    def __init__(self, node: Node, terms: DecisionSettings, draw: Random, noes: list[No]) -> None:
         super().__init__(terms, draw)
-        self._world, self._node, self._noes = world, node, noes
+        self._node, self._noes = node, noes
         self._came: dict[int, float] = {}  # requests without a no, and when they came
 
     def _arrived(self, number: int, *more: Any) -> None:
@@ -73,12 +71,12 @@
         elif client == "_retry":
             last = self._node.requests[request.number].attempts
             cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
-        servers = [one for one in self._world.tiers[self._node.depth] if one.is_alive]
+        servers = [one for one in self._node.servers if one.is_alive]
         self._noes.append(
             No(
                 self._state.now,
                 self._node.depth,
-                self._node.requests[request.number].root,
+                self._node.requests[request.number].client_request.index,
                 request.class_number,
                 cause,
                 len(request.servers),
@@ -92,11 +90,11 @@
         super()._finish(request)
 
 
-def maker(noes: list[No]) -> Any:
+def maker(noes: list[No]) -> DecisionsFactory:
     """A factory of balancers that note each request that they give up in `noes`."""
 
-    def make(world: World, node: Node, terms: DecisionSettings, draw: Random) -> Balancer:
-        return Probed(world, node, terms, draw, noes)
+    def make(node: Node, terms: DecisionSettings, draw: Random) -> Balancer:
+        return Probed(node, terms, draw, noes)
 
     return make
 
@@ -106,8 +104,6 @@
 
     What was served late has the cause "late", with where its time went: at the entry, or under way.
     """
-    from wheatroute.fleet.results import worth
-
     last: dict[int, No] = {}
     for no in noes:
         kept = last.get(no.root)
@@ -116,16 +112,16 @@
             last[no.root] = no
     lost: dict[str, list[float]] = defaultdict(lambda: [0.0, 0])
     total = 0.0
-    for root in world.crowd.roots:
-        want, got = worth(world, root)
+    for root in world.clients.requests:
+        want, got = results.value(world, root)
         total += want
         if got < want:
-            if root.answer == "served":
+            if root.outcome is RequestOutcome.SERVED:
                 cause = "late, tries " + str(min(root.tries, 3))
             elif root.index in last:
                 cause = f"tier {last[root.index].depth}: {last[root.index].cause}"
             else:
-                cause = root.answer or "open"
+                cause = root.outcome.value or "open"
             lost[cause][0] += want - got
             lost[cause][1] += 1
     return sorted(
--- /dev/null
+++ b/wheatroute/fleet/probes.py
@@ -0,0 +1,56 @@
+"""Probes of servers by a node: answered beside the queue, with the server's present load. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+
+from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.plan import FleetPlan
+from wheatroute.fleet.servers import Server
+from wheatroute.fleet.transport import AttemptTransport
+
+LATENCY_OF_A_STOPPED_SERVER_S = 1e9
+
+
+class Prober:
+    """Sends the probes of one node; `on_result` gets the server, outcome, seconds passed and report."""
+
+    def __init__(
+        self,
+        engine: Engine,
+        plan: FleetPlan,
+        transport: AttemptTransport,
+        on_result: Callable[[int, Outcome, float, Report | None], None],
+    ) -> None:
+        self._engine = engine
+        self._plan = plan
+        self._transport = transport
+        self._on_result = on_result
+
+    def probe(self, server: Server) -> None:
+        """Sends one probe."""
+        delay_s = self._transport.delay_to(server)
+        if delay_s == inf or not server.is_alive:
+            timeout_s = self._plan.network.connect_timeout_s
+            self._engine.call_later(
+                timeout_s, self._on_result, server.number, Outcome.TIMED_OUT, timeout_s, None
+            )
+        else:
+            self._engine.call_later(2 * delay_s, self._answered, server, 2 * delay_s)
+
+    def _answered(self, server: Server, elapsed_s: float) -> None:
+        if server.is_hanging:
+            self._on_result(server.number, Outcome.TIMED_OUT, elapsed_s, None)
+            return
+        report = {"held": float(server.held), "latency": self._estimated_latency_s(server)}
+        self._on_result(server.number, Outcome.SERVED, elapsed_s, report)
+
+    def _estimated_latency_s(self, server: Server) -> float:
+        """What a server would tell of its latency: the jobs of each core over the core's speed."""
+        speed = server.current_speed()
+        if speed <= 0.0:
+            return LATENCY_OF_A_STOPPED_SERVER_S
+        mean_work_s = self._plan.mean_work_s() * server.tier.work
+        return mean_work_s * max(1.0, server.held / server.cores) / speed
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -1,74 +1,111 @@
-"""What came of a run, in figures.
+"""Figures of a run, from the accounts of its clients and servers. No I/O.
 
-Owns the count of worth: a request counts once, from the first second on, with its client's tries folded in.
-It must never look into a node: all it reads is the clients' account and the servers'.
+A request counts once, with all its client's tries. Requests that arrive before the plan's warm-up ends don't
+count.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
-if TYPE_CHECKING:
-    from wheatroute.fleet.clients import Root
-    from wheatroute.fleet.world import World
+from wheatroute.fleet.requests import ClientRequest, RequestOutcome
+from wheatroute.fleet.world import World
 
+ROUNDING_S = 1e-9  # of moments that follow from sums
 
-def worth(world: World, root: Root) -> tuple[float, float]:
-    """Asked for and earned by one request."""
-    kind = world.plan.request_classes[root.kind]
-    asked = kind.value * (1.0 if root.within else world.plan.clients.excess_value_factor)
-    if root.answer != "served":
-        return asked, 0.0
-    if root.answered <= root.target + 1e-9:
-        return asked, asked
-    return asked, asked * (kind.late_value if root.answered <= root.stop + 1e-9 else 0.0)
 
+class Value(NamedTuple):
+    """What a request could earn, and what it did."""
 
-def quantile(ordered: list[float], part: float) -> float:
+    offered: float
+    earned: float
+
+
+@dataclass(slots=True)
+class ValueSum:
+    """Values of several requests together."""
+
+    offered: float = 0.0
+    earned: float = 0.0
+
+    def add(self, value: Value) -> None:
+        """Adds one request's."""
+        self.offered += value.offered
+        self.earned += value.earned
+
+    def fraction_earned(self) -> float:
+        """The part that was earned; 1 where nothing was offered."""
+        return self.earned / self.offered if self.offered else 1.0
+
+
+def value(world: World, request: ClientRequest) -> Value:
+    """The value of one request: whole within its target latency, a part of it until its deadline."""
+    request_class = world.plan.request_classes[request.class_number]
+    excess_factor = 1.0 if request.is_within_quota else world.plan.clients.excess_value_factor
+    offered = request_class.value * excess_factor
+    if request.outcome is not RequestOutcome.SERVED:
+        return Value(offered, 0.0)
+    if request.ended_at <= request.target_at + ROUNDING_S:
+        return Value(offered, offered)
+    is_in_time = request.ended_at <= request.deadline_at + ROUNDING_S
+    return Value(offered, offered * (request_class.late_value if is_in_time else 0.0))
+
+
+def quantile(ordered: list[float], fraction: float) -> float:
     """A quantile of ordered figures; 0 where there are none."""
-    return ordered[min(len(ordered) - 1, int(len(ordered) * part))] if ordered else 0.0
+    return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))] if ordered else 0.0
+
+
+def counted_requests(world: World) -> list[ClientRequest]:
+    """The requests that arrived after the warm-up."""
+    counted_from = world.clients.start + world.plan.warmup_s
+    return [request for request in world.clients.requests if request.arrived_at >= counted_from]
 
 
 def figures(world: World) -> dict[str, Any]:
-    """One run's figures; shares are of worth unless their name says otherwise."""
-    since = world.crowd.start + world.plan.warmup_s
-    roots = [root for root in world.crowd.roots if root.arrived >= since]
-    asked = earned = 0.0
-    by_kind = [[0.0, 0.0] for _ in world.plan.request_classes]
-    by_tenant = [[0.0, 0.0] for _ in world.plan.tenants]
-    delays, ends = [], dict.fromkeys(("served", "refused", "failed", "left", "lost", "unreached", ""), 0)
+    """One run's figures, under the keys that runs are stored with; times are in seconds."""
+    requests = counted_requests(world)
+    total = ValueSum()
+    by_class = [ValueSum() for _ in world.plan.request_classes]
+    by_tenant = [ValueSum() for _ in world.plan.tenants]
+    outcomes = dict.fromkeys(RequestOutcome, 0)
+    latencies = []
     late = 0
-    for root in roots:
-        want, got = worth(world, root)
-        asked += want
-        earned += got
-        for one, at in ((by_kind, root.kind), (by_tenant, root.tenant if root.within else -1)):
-            if at >= 0:
-                one[at][0] += want
-                one[at][1] += got
-        ends[root.answer] += 1
-        if root.answer == "served":
-            delays.append(root.answered - root.arrived)
-            late += root.answered > root.target
-    delays.sort()
-    total = max(1, len(roots))
-    servers = [server for tier in world.tiers for server in tier]
+    for request in requests:
+        earned = value(world, request)
+        total.add(earned)
+        by_class[request.class_number].add(earned)
+        if request.is_within_quota and request.tenant >= 0:
+            by_tenant[request.tenant].add(earned)
+        outcomes[request.outcome] += 1
+        if request.outcome is RequestOutcome.SERVED:
+            latencies.append(request.ended_at - request.arrived_at)
+            late += request.ended_at > request.target_at
+    latencies.sort()
+    count = max(1, len(requests))
+    unanswered = (
+        outcomes[RequestOutcome.LEFT]
+        + outcomes[RequestOutcome.LOST]
+        + outcomes[RequestOutcome.UNREACHED]
+        + outcomes[RequestOutcome.OPEN]
+    )
     return {
-        "commands": len(roots),
-        "utility": earned / asked if asked else 1.0,
-        "handled": ends["served"] / total,
-        "bounced": ends["refused"] / total,
-        "terminated": ends["failed"] / total,
-        "left": (ends["left"] + ends["lost"] + ends["unreached"] + ends[""]) / total,
-        "late": late / total,
-        "by_kind": [got / want if want else 1.0 for want, got in by_kind],
-        "by_customer": [got / want if want else 1.0 for want, got in by_tenant],
-        "p50": quantile(delays, 0.5),
-        "p95": quantile(delays, 0.95),
-        "p99": quantile(delays, 0.99),
-        "tries": sum(root.tries for root in roots) / total,
-        "collapses": sum(server.collapse.count for server in servers),
-        "breaks": world.watch.breaks[1:],
-        "worst_cold": world.watch.worst_cold,
+        "commands": len(requests),
+        "utility": total.fraction_earned(),
+        "handled": outcomes[RequestOutcome.SERVED] / count,
+        "bounced": outcomes[RequestOutcome.REJECTED] / count,
+        "terminated": outcomes[RequestOutcome.FAILED] / count,
+        "left": unanswered / count,
+        "late": late / count,
+        "by_kind": [earned.fraction_earned() for earned in by_class],
+        "by_customer": [earned.fraction_earned() for earned in by_tenant],
+        "p50": quantile(latencies, 0.5),
+        "p95": quantile(latencies, 0.95),
+        "p99": quantile(latencies, 0.99),
+        "tries": sum(request.tries for request in requests) / count,
+        "collapses": sum(server.collapse.count for tier in world.tiers for server in tier),
+        "breaks": list(world.rules.counts.values()),
+        "worst_cold": world.rules.max_warmup_load,
         "events": world.engine.call_count,
     }
--- /dev/null
+++ b/wheatroute/fleet/server_list.py
@@ -0,0 +1,44 @@
+"""The list service of an emulated fleet: full lists at once, changes after a delay. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from random import Random
+
+from wheatroute.balancing.interface import ListEntry, ServerState
+from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.nodes import Node
+from wheatroute.fleet.plan import NetworkPlan
+from wheatroute.fleet.servers import Server
+
+FULL_LIST_DELAY_S = 0.001  # until a node that starts or asks has the full list
+SERVER_SIZE = 1.0  # in list entries: servers don't tell theirs
+
+
+def list_entry(server: Server, state: ServerState = ServerState.LIVE) -> ListEntry:
+    """A server as an entry of the list."""
+    return (server.number, server.zone, server.model, server.cell, state, SERVER_SIZE, server.started_at)
+
+
+class ServerList:
+    """The list of all tiers; `tiers` is shared with the membership."""
+
+    def __init__(self, plan: NetworkPlan, engine: Engine, tiers: list[list[Server]], rng: Random) -> None:
+        self.extra_delay_s = 0.0  # of changes, by faults
+        self._plan = plan
+        self._engine = engine
+        self._tiers = tiers
+        self._rng = rng
+
+    def send_full(self, node: Node) -> None:
+        """Sends a node the full list of its tier, as it is now."""
+        entries = [list_entry(server) for server in self._tiers[node.depth] if server.is_alive]
+        self._engine.call_later(FULL_LIST_DELAY_S, node.list_received, entries, True)
+
+    def announce(self, server: Server, state: ServerState, nodes: Iterable[Node]) -> None:
+        """Sends a server's new state to nodes, each after a delay of its own."""
+        entry = list_entry(server, state)
+        for node in nodes:
+            jitter_s = self._plan.list_jitter_s * self._rng.random()
+            delay_s = self._plan.list_delay_s + self.extra_delay_s + jitter_s
+            self._engine.call_later(delay_s, node.list_received, [entry], False)
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -120,15 +120,16 @@
             if job.owner is not None:
                 job.owner.job_done(job, Outcome.ERROR)
 
-    def cancel(self, job: Job) -> bool:
-        """Stops a job that nobody waits for, where the tier can; returns whether it was stopped."""
+    def cancel(self, job: Job) -> None:
+        """Stops a job that nobody waits for, if it is one that the tier can stop."""
         if not self._holds(job):
-            return False
+            return
         cancellable = self.tier.cancellable
         if cancellable == "none" or cancellable == "waiting" and job.state != JobState.QUEUED:
-            return False
+            return
         self._end(job)
-        return True
+        if job.owner is not None:
+            job.owner.cancelled(job)
 
     def _holds(self, job: Job) -> bool:
         return job.state != JobState.ENDED and job.incarnation == self.incarnation
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -1,35 +1,28 @@
-"""One request's story: the run played again, with a line for all that became of it at every tier.
-
-Owns how a run of an experiment is found and told. It must never change the run: the same seed has the same
-events with and without a story.
-"""
+"""Trace of one client request through all nodes. A run has the same events with and without it. No I/O."""
 
 from __future__ import annotations
 
-from wheatroute.fleet import experiment, plan, results
-from wheatroute.fleet.world import World
-
-
-def story(path: str, policy: str, seed: int, number: int) -> list[str]:
-    """The lines for request `number`, in order of arrival, at the first point of the experiment's sweeps."""
-    told = experiment.read(path)
-    if policy != experiment.DESIGN and policy not in experiment.baselines.BASELINES:
-        raise plan.PlanError([f"{path}: no policy {policy!r}"])
-    run = next(experiment.runs(told))
-    world = World(plan.parse_plan(run["fleet"]), seed, experiment.maker(policy))
-    world.traced = number
-    world.play()
-    if number >= len(world.crowd.roots):
-        raise plan.PlanError([f"{path}: the run has requests 0 to {len(world.crowd.roots) - 1}"])
-    root = world.crowd.roots[number]
-    kind, tenant = world.plan.request_classes[root.kind], world.plan.tenants
-    asked, earned = results.worth(world, root)
-    head = (
-        f"request {number}: {kind.name} of {tenant[root.tenant].name if tenant else 'nobody'}, "
-        f"{root.size:.2f} times its type's work, {'within' if root.within else 'beyond'} its share"
-    )
-    end = (
-        f"{root.answer or 'open'} after {root.answered - root.arrived:.3f} s in {root.tries} tries "
-        f"(target {kind.target_latency_s} s): {earned:.2f} of {asked:.2f}"
-    )
-    return [head, *world.story, end]
+from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.requests import NodeRequest
+
+NO_REQUEST = -1
+
+
+class RequestTrace:
+    """Lines about one client request; `request_index` is NO_REQUEST where none is traced."""
+
+    def __init__(self, engine: Engine) -> None:
+        self.request_index = NO_REQUEST
+        self.lines: list[str] = []
+        self._engine = engine
+        self._start = engine.now
+
+    def follows(self, request: NodeRequest) -> bool:
+        """Whether this request is traced; asked before a line is made, as lines cost time."""
+        return request.client_request.index == self.request_index
+
+    def add(self, node_name: str, depth: int, request: NodeRequest, text: str) -> None:
+        """Adds a line with the seconds since the run's start, indented by the node's depth."""
+        elapsed_s = self._engine.now - self._start
+        indent = "  " * depth
+        self.lines.append(f"{elapsed_s:9.3f} s  {indent}{node_name}, request {request.number}: {text}")
--- /dev/null
+++ b/wheatroute/fleet/traced_run.py
@@ -0,0 +1,46 @@
+"""The trace of one request of an experiment: its run is played again. Reads the experiment's file."""
+
+from __future__ import annotations
+
+from wheatroute.fleet import experiment, plan, results
+from wheatroute.fleet.requests import ClientRequest
+from wheatroute.fleet.world import World
+
+
+def trace_request(path: str, policy: str, seed: int, number: int) -> list[str]:
+    """Lines for request `number`, in order of arrival, at the first point of the experiment's sweeps.
+
+    Raises PlanError if the file is not valid, or has no such policy or request.
+    """
+    told = experiment.read(path)
+    if policy != experiment.DESIGN and policy not in experiment.baselines.BASELINES:
+        raise plan.PlanError([f"{path}: no policy {policy!r}"])
+    run = next(experiment.runs(told))
+    world = World(plan.parse_plan(run["fleet"]), seed, experiment.maker(policy))
+    world.trace.request_index = number
+    world.play()
+    requests = world.clients.requests
+    if number >= len(requests):
+        raise plan.PlanError([f"{path}: the run has requests 0 to {len(requests) - 1}"])
+    request = requests[number]
+    return [_beginning(world, request), *world.trace.lines, _end(world, request)]
+
+
+def _beginning(world: World, request: ClientRequest) -> str:
+    request_class = world.plan.request_classes[request.class_number]
+    tenants = world.plan.tenants
+    tenant = tenants[request.tenant].name if tenants else "nobody"
+    quota = "within" if request.is_within_quota else "beyond"
+    return (
+        f"request {request.index}: {request_class.name} of {tenant}, "
+        f"{request.size:.2f} times its type's work, {quota} its share"
+    )
+
+
+def _end(world: World, request: ClientRequest) -> str:
+    offered, earned = results.value(world, request)
+    target_latency_s = world.plan.request_classes[request.class_number].target_latency_s
+    return (
+        f"{request.outcome.value or 'open'} after {request.ended_at - request.arrived_at:.3f} s "
+        f"in {request.tries} tries (target {target_latency_s} s): {earned:.2f} of {offered:.2f}"
+    )
--- /dev/null
+++ b/wheatroute/fleet/transport.py
@@ -0,0 +1,181 @@
+"""The way of an attempt to a server and back: connection, latency, timeout, reset, cancellation. No I/O.
+
+Each attempt that is sent ends once, with a call of `on_end`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from math import inf
+from typing import Protocol
+
+from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.fleet.connections import ConnectionPool
+from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.jobs import Job
+from wheatroute.fleet.network import SimulatedNetwork
+from wheatroute.fleet.plan import NetworkPlan
+from wheatroute.fleet.requests import Attempt
+from wheatroute.fleet.servers import Address, Server
+
+
+class JobSource(Protocol):
+    """Makes the jobs that attempts are for servers."""
+
+    def job_for(self, attempt: Attempt, transport: AttemptTransport) -> Job:
+        """The job of an attempt; its response goes through `transport`."""
+
+
+class AttemptTransport:
+    """Sends the attempts of one node."""
+
+    def __init__(
+        self,
+        engine: Engine,
+        network: SimulatedNetwork,
+        plan: NetworkPlan,
+        zone: int,
+        address: Address,
+        connections: ConnectionPool,
+        jobs: JobSource,
+        on_end: Callable[[Attempt, Report | None], None],
+    ) -> None:
+        self._engine = engine
+        self._network = network
+        self._plan = plan
+        self._zone = zone  # of the node
+        self._address = address  # of the node
+        self._connections = connections
+        self._jobs = jobs
+        self._on_end = on_end
+        self._is_closed = False
+
+    def delay_to(self, server: Server) -> float:
+        """The delay of one message to a server, in seconds; `inf` if it does not arrive."""
+        return self._network.message_delay(self._zone, server.zone, self._address, server.address)
+
+    def _delay_from(self, server: Server) -> float:
+        return self._network.message_delay(server.zone, self._zone, server.address, self._address)
+
+    def close(self) -> None:
+        """The node has ended: nothing comes back any more."""
+        self._is_closed = True
+
+    # from the node to the server
+
+    def send(self, attempt: Attempt, timeout_s: float) -> None:
+        """Sends an attempt, on an idle connection or a new one."""
+        attempt.timeout = self._engine.call_later(timeout_s, self._timed_out, attempt)
+        if self._connections.take_idle(attempt.server):
+            attempt.has_connection = True
+            self._write(attempt)
+        else:
+            self._connect(attempt)
+
+    def _connect(self, attempt: Attempt) -> None:
+        """Opens a connection, which takes round trips."""
+        server = attempt.server
+        delay_s = self.delay_to(server)
+        if delay_s == inf:
+            self._engine.call_later(self._plan.connect_timeout_s, self._unconnected, attempt)
+        elif not server.is_alive or server.open_connections >= server.max_connections:
+            self._engine.call_later(2 * delay_s, self._unconnected, attempt)
+        else:
+            self._connections.open(server)
+            attempt.has_connection = True
+            attempt.incarnation = server.incarnation
+            self._engine.call_later(2 * delay_s * self._plan.handshake_round_trips, self._write, attempt)
+
+    def _unconnected(self, attempt: Attempt) -> None:
+        if not attempt.is_over:
+            self.end(attempt, Outcome.UNCONNECTED)
+
+    def _write(self, attempt: Attempt) -> None:
+        if attempt.is_over:
+            return
+        attempt.is_written = True
+        delay_s = self.delay_to(attempt.server)
+        if delay_s < inf:
+            self._engine.call_later(delay_s, self._arrive, attempt)
+
+    def _arrive(self, attempt: Attempt) -> None:
+        """The attempt's last byte comes to the server."""
+        server = attempt.server
+        if not server.is_alive or server.incarnation != attempt.incarnation:
+            if not attempt.is_over:
+                self.end(attempt, Outcome.RESET if server.is_alive else Outcome.UNCONNECTED)
+            return
+        if attempt.is_over:
+            return  # cancelled on the way: it never runs
+        job = self._jobs.job_for(attempt, self)
+        if server.accept(job):
+            attempt.job = job
+        else:
+            self.respond(attempt, Outcome.FULL)
+
+    # from the server to the node
+
+    def respond(self, attempt: Attempt, outcome: Outcome) -> None:
+        """The server sends the response, with its load report."""
+        server = attempt.server
+        delay_s = self._delay_from(server)
+        if delay_s < inf and not (outcome == Outcome.SERVED and self._network.loses_response()):
+            report = server.reporter.report() if server.tier.reports is not None else None
+            self._engine.call_later(delay_s, self._response_arrives, attempt, outcome, report)
+
+    def _response_arrives(self, attempt: Attempt, outcome: Outcome, report: Report | None) -> None:
+        if attempt.is_over or self._is_closed:
+            return
+        if attempt.has_connection:
+            attempt.has_connection = False
+            self._connections.release(attempt.server, attempt.incarnation)
+        self.end(attempt, outcome, report)
+
+    def server_died(self, attempt: Attempt) -> None:
+        """The process that held the attempt has ended: its connection breaks."""
+        if attempt.is_over or self._is_closed:
+            return
+        delay_s = self._delay_from(attempt.server)
+        if delay_s < inf:
+            self._engine.call_later(delay_s, self._reset, attempt)
+
+    def _reset(self, attempt: Attempt) -> None:
+        if not attempt.is_over:
+            self.end(attempt, Outcome.RESET)
+
+    # ends
+
+    def end(self, attempt: Attempt, outcome: Outcome, report: Report | None = None) -> None:
+        """Ends an attempt, and its connection unless `abandon` follows."""
+        attempt.is_over = True
+        attempt.outcome = outcome
+        self._engine.cancel(attempt.timeout)
+        if outcome not in (Outcome.TIMED_OUT, Outcome.WITHDRAWN):
+            self._close_connection(attempt)
+        self._on_end(attempt, report)
+
+    def cancel(self, attempt: Attempt) -> None:
+        """Ends an attempt that the node doesn't wait for any more."""
+        self.end(attempt, Outcome.WITHDRAWN)
+        self.abandon(attempt)
+
+    def _timed_out(self, attempt: Attempt) -> None:
+        if not attempt.is_over:
+            # one that was not written whole has never run
+            self.end(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.MOOT)
+            self.abandon(attempt)
+
+    def abandon(self, attempt: Attempt) -> None:
+        """Closes the connection of an attempt; the server hears of it one latency later."""
+        attempt.is_over = True
+        self._close_connection(attempt)
+        job = attempt.job
+        if job is not None and not job.is_ended:
+            delay_s = self.delay_to(attempt.server)
+            if delay_s < inf:
+                self._engine.call_later(delay_s, attempt.server.cancel, job)
+
+    def _close_connection(self, attempt: Attempt) -> None:
+        if attempt.has_connection:
+            attempt.has_connection = False
+            self._connections.close(attempt.server, attempt.incarnation)
