--- /dev/null
+++ b/wheatroute/fleet/baselines/probing.py
@@ -0,0 +1,85 @@
+"""Choice by a pool of recent probes: requests in flight and latency. No I/O.
+
+After B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", 2024.
+"""
+
+from __future__ import annotations
+
+from random import Random
+from typing import NamedTuple
+
+from wheatroute.balancing.interface import CommandWriter, Outcome, Report
+from wheatroute.balancing.settings import DecisionSettings
+from wheatroute.fleet.baselines.policy import Policy
+from wheatroute.fleet.nodes import Node
+
+POOL_SIZE = 16  # probe results
+PROBES_PER_REQUEST = 3
+MAX_AGE_S = 1.0  # of a probe result
+HOT_QUANTILE = 0.84  # of the requests held; servers above it are hot
+HELD_SAMPLES = 100  # that this quantile is taken over
+MIN_USABLE = 2  # probe results; with fewer the choice is random
+
+
+class ProbeResult(NamedTuple):
+    """A server's answer to a probe."""
+
+    moment: float
+    server: int
+    held: float  # requests
+    latency_s: float  # that the server estimates
+
+
+class PooledProbing(Policy):
+    """The quickest of the servers that are not hot, or the one with the fewest requests if all are."""
+
+    def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
+        super().__init__(node, settings, rng)
+        self._pool: list[ProbeResult] = []
+        self._held_samples: list[float] = []
+
+    def probe_ended(self, server: int, outcome: Outcome, elapsed_s: float, report: Report | None) -> None:
+        """Adds the result to the pool, in place of the oldest if that is full."""
+        if outcome != Outcome.SERVED or not report:
+            return
+        held = report["held"]
+        self._pool.append(ProbeResult(self.now, server, held, report["latency"]))
+        self._held_samples = (self._held_samples + [held])[-HELD_SAMPLES:]
+        if len(self._pool) > POOL_SIZE:
+            self._pool.pop(0)
+
+    def first_attempt_sent(self, number: int, writer: CommandWriter) -> None:
+        """Probes random servers, for requests to come."""
+        for _ in range(PROBES_PER_REQUEST):
+            if self.live:
+                writer.probe(self.live[int(self.rng.random() * len(self.live))])
+
+    def choose(self, candidates: list[int], class_number: int) -> int:
+        """The server of the best usable result, which is used up; a random one if too few are usable."""
+        allowed = set(candidates)
+        usable = [
+            result
+            for result in self._pool
+            if self.now - result.moment < MAX_AGE_S and result.server in allowed
+        ]
+        if len(usable) < MIN_USABLE:
+            return candidates[int(self.rng.random() * len(candidates))]
+        best = self._best(usable)
+        self._pool.remove(best)
+        self._count_sent(best.server)
+        return best.server
+
+    def _best(self, results: list[ProbeResult]) -> ProbeResult:
+        hot_above = self._hot_threshold()
+        cold = [result for result in results if result.held <= hot_above]
+        if cold:
+            return min(cold, key=lambda result: result.latency_s)
+        return min(results, key=lambda result: result.held)
+
+    def _hot_threshold(self) -> float:
+        count = len(self._held_samples)
+        return sorted(self._held_samples)[min(count - 1, int(count * HOT_QUANTILE))]
+
+    def _count_sent(self, server: int) -> None:
+        """What a server is sent now, other results of it count as held."""
+        self._pool = [result._replace(held=result.held + (result.server == server)) for result in self._pool]
