--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -24,7 +24,7 @@
 sys.path.insert(0, str(ROOT))
 
 from wheatroute.agreement.directory_store import DirectoryStore  # noqa: E402
-from wheatroute.rig import records  # noqa: E402
+from wheatroute.rig import verdict  # noqa: E402
 from wheatroute.rig.rig import rig  # noqa: E402
 from wheatroute.rollout import operator, plan  # noqa: E402
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict  # noqa: E402
@@ -96,16 +96,16 @@
     until: float,
 ) -> dict[str, Any]:
     kinds = {one["name"]: one for one in it.settings["traffic-types"]}
-    asked = [one for one in it.records.asked.values() if began <= one.sent <= ended and one.ended]
-    worth = sum(kinds[one.kind]["utility"] for one in asked)
+    asked = [one for one in it.records.requests.values() if began <= one.sent_at <= ended and one.ended_at]
+    worth = sum(kinds[one.request_class]["utility"] for one in asked)
     missed = sum(
-        kinds[one.kind]["utility"]
+        kinds[one.request_class]["utility"]
         for one in asked
-        if one.status != 200 or one.ended - one.sent > kinds[one.kind]["target-time"]
+        if one.status != 200 or one.ended_at - one.sent_at > kinds[one.request_class]["target-time"]
     )
-    lost = Counter(one.node for one in records.lost(it.records, until))
+    lost = Counter(one.node for one in verdict.lost_requests(it.records, until))
     steps = Counter((one["kind"], one.get("stage")) for one in progress.records)
-    took = sorted(one.ended - one.sent for one in asked if one.status == 200)
+    took = sorted(one.ended_at - one.sent_at for one in asked if one.status == 200)
     return {
         "how": how or "good",
         "taken_back": bool(progress.reason),
@@ -115,7 +115,7 @@
         "commands": len(asked),
         "lost_by_it": lost["n0"] if how else 0,
         "lost": sum(lost.values()) - (lost["n0"] if how else 0),
-        "twice": len(records.twice(it.records)) + len(records.refused_begun(it.records)),
+        "twice": len(verdict.unsafe_repeats(it.records)) + len(verdict.rejected_after_execution(it.records)),
         "steps_twice": sum(count - 1 for count in steps.values()),
         "mixed": len({row["runs"] for row in rows.values()}) - 1,
         "p99": took[int(0.99 * len(took))],
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -34,7 +34,7 @@
     MAX_EXCHANGE_INTERVAL_S,
     status_read_interval_s,
 )
-from wheatroute.rig import records  # noqa: E402
+from wheatroute.rig import verdict  # noqa: E402
 from wheatroute.rig.rig import Rig, rig  # noqa: E402
 
 WITHIN = 2.0  # seconds
@@ -147,17 +147,17 @@
                 await it.agreed(number)
         until = await it.quiet()
         await it.note()
-        told = records.summary(it.records, until, WITHIN)
+        told = verdict.summary(it.records, until, WITHIN)
         by_version: dict[int, float] = {}
-        for after, _, version in records.contradictions(it.records):
+        for after, _, version in verdict.contradictions(it.records):
             by_version[version.number] = max(by_version.get(version.number, 0.0), after)
         told["last_contradictions"] = [by_version.get(one.number, 0.0) for one in it.records.versions[1:]]
-        told["into_force"] = [one.ended - one.put for one in it.records.versions[1:]]
+        told["into_force"] = [one.ended_at - one.published_at for one in it.records.versions[1:]]
         told["went_back"] = sum(went_back(it.processes[one].log) for one in it.names)
         told["share"] = share(it, cut) if fault in (cut_both, cut_there, cut_back) else None
-        breaches = records.judge(it.records, until, WITHIN)
-        if breaches:
-            print("\n".join([f"BROKEN in {name} on {store}: {breaches[0].rule}", *breaches[0].story]))
+        violations = verdict.find_violations(it.records, until, WITHIN)
+        if violations:
+            print("\n".join([f"BROKEN in {name} on {store}: {violations[0].rule}", *violations[0].timeline]))
         return told
 
 
@@ -174,7 +174,11 @@
         await it.agreed(first)
 
         def last() -> float:
-            mine = (ran.at for ran in it.records.ran if (ran.node, ran.server) == ("n2", "s3"))
+            mine = (
+                execution.started_at
+                for execution in it.records.executions
+                if (execution.node, execution.server) == ("n2", "s3")
+            )
             return max(mine, default=0.0)
 
         it.cut("n2", "list")
@@ -221,10 +225,10 @@
         agreed = time.monotonic()
         until = await it.quiet()
         await it.note()
-        told = records.summary(it.records, until, WITHIN)
+        told = verdict.summary(it.records, until, WITHIN)
         parts = []
         for begin, end in ((0.0, began), (gone, back)):
-            asked = [one for one in it.records.asked.values() if begin <= one.sent < end]
+            asked = [one for one in it.records.requests.values() if begin <= one.sent_at < end]
             parts.append(sum(one.status == 200 for one in asked) / len(asked))
         print(
             f"etcd away for {seconds:g} s from {phase:8} served before {parts[0]:.3f}, then {parts[1]:.3f}"
@@ -252,8 +256,8 @@
     def served(mine: bool) -> float:
         found = [
             one
-            for one in it.records.asked.values()
-            if (one.node == "n2") == mine and any(begin <= one.sent <= end for begin, end in cut)
+            for one in it.records.requests.values()
+            if (one.node == "n2") == mine and any(begin <= one.sent_at <= end for begin, end in cut)
         ]
         return sum(one.status == 200 for one in found) / max(1, len(found))
 
@@ -280,11 +284,11 @@
             return (int(fields[11]) + int(fields[12])) / TICK
 
         before = {name: used(name) for name in it.names}
-        counts = {name: sum(one.node == name for one in it.records.asked.values()) for name in it.names}
+        counts = {name: sum(one.node == name for one in it.records.requests.values()) for name in it.names}
         await trio.sleep(seconds)
         each = {}
         for name in it.names:
-            count = sum(one.node == name for one in it.records.asked.values()) - counts[name]
+            count = sum(one.node == name for one in it.records.requests.values()) - counts[name]
             each[name] = (used(name) - before[name]) / count
         return each["n1" if off == "n0" else "n0"] / each[off]
 
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -282,7 +282,10 @@
         it.call(40, MIX)
         await first_version(it)
         await it.until(
-            lambda: len({ran.server for ran in it.records.ran if ran.node == "n2"}) == 4, "n2 sends to all"
+            lambda: (
+                len({execution.server for execution in it.records.executions if execution.node == "n2"}) == 4
+            ),
+            "n2 sends to all",
         )
         it.cut("n2", "list")
         told = time.monotonic()
@@ -290,15 +293,25 @@
         # from then on n2 sends nothing there: the stated time to be told in, and the grace
         last = told + WITHIN + 2.0
         await it.until(
-            lambda: sum(ran.node == "n2" and ran.at > last + 0.5 for ran in it.records.ran) > 20,
+            lambda: (
+                sum(
+                    execution.node == "n2" and execution.started_at > last + 0.5
+                    for execution in it.records.executions
+                )
+                > 20
+            ),
             "n2 goes on with the others",
         )
-        late = [ran for ran in it.records.ran if ran.node == "n2" and ran.server == "s3" and ran.at > last]
-        assert not late, f"{len(late)} late, the last after {late[-1].at - told:.2f} s"
+        late = [
+            execution
+            for execution in it.records.executions
+            if execution.node == "n2" and execution.server == "s3" and execution.started_at > last
+        ]
+        assert not late, f"{len(late)} late, the last after {late[-1].started_at - told:.2f} s"
         assert "s3:terminating" in it.processes["n2"].log
         it.heal("n2", "list")
-        if "s3" in it.records.drained:
-            it.records.drained["s3"] += WITHIN
+        if "s3" in it.records.drained_at:
+            it.records.drained_at["s3"] += WITHIN
         await kept(it, served=100)
 
 
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -23,8 +23,8 @@
         await it.until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "p1" and one.sent > cut
-                    for one in it.records.asked.values()
+                    one.status == 200 and one.node == "p1" and one.sent_at > cut
+                    for one in it.records.requests.values()
                 )
                 > 20
             ),
@@ -59,8 +59,8 @@
         await it.until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "p0" and one.sent > on
-                    for one in it.records.asked.values()
+                    one.status == 200 and one.node == "p0" and one.sent_at > on
+                    for one in it.records.requests.values()
                 )
                 > 20
             ),
@@ -92,14 +92,23 @@
         it.call(40, MIX)
         await first_version(it)
         await it.until(
-            lambda: len({ran.server for ran in it.records.ran if ran.node == "p0"}) == 4, "p0 sends to all"
+            lambda: (
+                len({execution.server for execution in it.records.executions if execution.node == "p0"}) == 4
+            ),
+            "p0 sends to all",
         )
         it.cut("p0", "list")
         it.drain("s3")
-        it.records.drained["s3"] += WITHIN  # it is told within that time, by the other's words
-        last = it.records.drained["s3"] + 2.0
+        it.records.drained_at["s3"] += WITHIN  # it is told within that time, by the other's words
+        last = it.records.drained_at["s3"] + 2.0
         await it.until(
-            lambda: sum(ran.node == "p0" and ran.at > last + 0.5 for ran in it.records.ran) > 20,
+            lambda: (
+                sum(
+                    execution.node == "p0" and execution.started_at > last + 0.5
+                    for execution in it.records.executions
+                )
+                > 20
+            ),
             "p0 goes on with the others",
         )
         await kept(it, served=100)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 import trio
 
-from wheatroute.rig import records
+from wheatroute.rig import verdict
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.rig import rig
 from wheatroute.rig.settings import SETTINGS, change
@@ -40,8 +40,11 @@
 
     def seen():
         return any(
-            len(runs) > 1 and runs[0].kind == kind and runs[0].node == node and runs[0].at > since
-            for runs in records.attempts(it.records).values()
+            len(runs) > 1
+            and runs[0].request_class == kind
+            and runs[0].node == node
+            and runs[0].started_at > since
+            for runs in it.records.executions_by_request().values()
         )
 
     await it.until(seen, f"{node} repeats {kind}")
@@ -57,15 +60,15 @@
     """No promise was broken, once there was so much to judge by; and the figures."""
     with trio.fail_after(20):
         while any(
-            records.summary(it.records, time.monotonic(), WITHIN)[name] < value
+            verdict.summary(it.records, time.monotonic(), WITHIN)[name] < value
             for name, value in least.items()
         ):
             await trio.sleep(0.1)
     until = await it.quiet()
     await it.note()
-    breaches = records.judge(it.records, until, WITHIN)
-    assert not breaches, "\n".join([breaches[0].rule, *breaches[0].story])
-    return records.summary(it.records, until, WITHIN)
+    violations = verdict.find_violations(it.records, until, WITHIN)
+    assert not violations, "\n".join([violations[0].rule, *violations[0].timeline])
+    return verdict.summary(it.records, until, WITHIN)
 
 
 async def through_a_change(store, way):
@@ -81,8 +84,8 @@
         await it.until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "n2" and one.sent > cut
-                    for one in it.records.asked.values()
+                    one.status == 200 and one.node == "n2" and one.sent_at > cut
+                    for one in it.records.requests.values()
                 )
                 > 20
             ),
@@ -111,14 +114,20 @@
         it.stop("n1")
         number = await it.put("look has effects now", look__effect="fragile")
         assert await it.ended(number) == "in force"
-        put = it.records.versions[-1].put
+        put = it.records.versions[-1].published_at
         # what comes meanwhile lies in its sockets, answers of servers among it
         await it.until(lambda: time.monotonic() > put + 3 * WITHIN, "three times the stated time has gone by")
         it.go_on("n1")
         gone_on = time.monotonic()
         await it.agreed(number)
         await it.until(
-            lambda: sum(ran.node == "n1" and ran.at > gone_on for ran in it.records.ran) > 20,
+            lambda: (
+                sum(
+                    execution.node == "n1" and execution.started_at > gone_on
+                    for execution in it.records.executions
+                )
+                > 20
+            ),
             "n1 serves again",
         )
         await kept(it, served=100)
@@ -138,9 +147,9 @@
             it.clients[name].kinds["look"] = (0.6, "retryable")
         await repeated(it, "n0")
         first = min(
-            runs[1].at
-            for runs in records.attempts(it.records).values()
-            if len(runs) > 1 and runs[0].kind == "look"
+            runs[1].started_at
+            for runs in it.records.executions_by_request().values()
+            if len(runs) > 1 and runs[0].request_class == "look"
         )
         # not before n2's last confirmation was over: it was seen at most a question before the put
         assert first - put > 0.5 * WITHIN
@@ -360,11 +369,11 @@
         await it.start("n1")  # its own file still says that look has none
         it.call(40, MIX)
         await it.until(
-            lambda: sum(one.node == "n1" and one.status == 200 for one in it.records.asked.values()) > 60,
+            lambda: sum(one.node == "n1" and one.status == 200 for one in it.records.requests.values()) > 60,
             "n1 serves",
         )
         assert not any(
-            len(runs) > 1 and runs[0].node == "n1" for runs in records.attempts(it.records).values()
+            len(runs) > 1 and runs[0].node == "n1" for runs in it.records.executions_by_request().values()
         )
         it.heal("n1", "store")
         await it.agreed(number)
@@ -393,7 +402,8 @@
         wrong = time.monotonic()
         await it.until(
             lambda: (
-                sum(one.sent > wrong and one.status in (502, 503) for one in it.records.asked.values()) > 20
+                sum(one.sent_at > wrong and one.status in (502, 503) for one in it.records.requests.values())
+                > 20
             ),
             "it refuses what comes",
         )
@@ -406,7 +416,9 @@
         assert (await it.note()).versions[3].parent == 2 and time.monotonic() - asked < 5 * WITHIN
         well = time.monotonic()
         await it.until(
-            lambda: sum(one.sent > well and one.status == 200 for one in it.records.asked.values()) > 20,
+            lambda: (
+                sum(one.sent_at > well and one.status == 200 for one in it.records.requests.values()) > 20
+            ),
             "it handles again",
         )
 
@@ -496,11 +508,16 @@
     async with rig(nodes=2, store="etcd", lists="etcd", within=WITHIN) as it:
         it.call(40, MIX)
         await first_version(it)
-        await it.until(lambda: len({ran.server for ran in it.records.ran}) == 4, "all servers serve")
+        await it.until(
+            lambda: len({execution.server for execution in it.records.executions}) == 4, "all servers serve"
+        )
         it.cluster.order("set", member=0, silent=True)
         it.drain("s3")
         drained = time.monotonic()
-        await it.until(lambda: sum(ran.at > drained + 2.3 for ran in it.records.ran) > 40, "the others serve")
+        await it.until(
+            lambda: sum(execution.started_at > drained + 2.3 for execution in it.records.executions) > 40,
+            "the others serve",
+        )
         it.cluster.order("set", member=0, silent=False)
         assert all(
             row["list_revision"] > 1 and row["list_source"] == "etcd 1"
@@ -521,15 +538,21 @@
         await first_version(it)
         it.drain("s3")
         drained = time.monotonic()
-        await it.until(lambda: sum(ran.at > drained + 0.5 for ran in it.records.ran) > 20, "the others serve")
+        await it.until(
+            lambda: sum(execution.started_at > drained + 0.5 for execution in it.records.executions) > 20,
+            "the others serve",
+        )
         it.lists["n0"].put_back(1)
         await it.until(lambda: "event=list-behind" in it.processes["n0"].log, "n0 sees that it lies behind")
         behind = time.monotonic()
-        await it.until(lambda: sum(ran.at > behind + 2.5 for ran in it.records.ran) > 20, "it goes on")
+        await it.until(
+            lambda: sum(execution.started_at > behind + 2.5 for execution in it.records.executions) > 20,
+            "it goes on",
+        )
         for _ in range(2):
             it.drain("s3")
         await it.until(lambda: "event=list-came-up" in it.processes["n0"].log, "n0 follows it again")
-        it.records.drained["s3"] = drained
+        it.records.drained_at["s3"] = drained
         await kept(it, served=100)
 
 
@@ -540,7 +563,10 @@
         await first_version(it)
         it.drain("s3")
         drained = time.monotonic()
-        await it.until(lambda: sum(ran.at > drained + 1.0 for ran in it.records.ran) > 20, "the others serve")
+        await it.until(
+            lambda: sum(execution.started_at > drained + 1.0 for execution in it.records.executions) > 20,
+            "the others serve",
+        )
         it.cluster.order("clear", cluster=77)  # with no servers at all
         await it.until(
             lambda: all(
@@ -550,7 +576,9 @@
         )
         other = time.monotonic()
         await it.until(
-            lambda: sum(one.sent > other and one.status == 200 for one in it.records.asked.values()) > 60,
+            lambda: (
+                sum(one.sent_at > other and one.status == 200 for one in it.records.requests.values()) > 60
+            ),
             "they serve by what they had",
         )
         await kept(it, served=100)
@@ -600,12 +628,18 @@
         it.cluster.order("keep")
         it.drain("s3")
         drained = time.monotonic()
-        await it.until(lambda: sum(ran.at > drained + 1.0 for ran in it.records.ran) > 20, "the others serve")
+        await it.until(
+            lambda: sum(execution.started_at > drained + 1.0 for execution in it.records.executions) > 20,
+            "the others serve",
+        )
         it.cluster.order("restore")
         it.reset("n0", "list")
         it.reset("n1", "list")
         restored = time.monotonic()
-        await it.until(lambda: sum(ran.at > restored + 2.5 for ran in it.records.ran) > 20, "they go on")
+        await it.until(
+            lambda: sum(execution.started_at > restored + 2.5 for execution in it.records.executions) > 20,
+            "they go on",
+        )
         await kept(it, served=100)
 
 
@@ -647,7 +681,7 @@
         assert (await clients.ask("peek")).status == 200 and (await clients.ask("look")).status == 200
         clients.kinds["buy"] = (0.0, "fragile")
         assert (await clients.ask("buy")).status == 404
-        it.records.asked = {name: one for name, one in it.records.asked.items() if one.status != 404}
+        it.records.requests = {name: one for name, one in it.records.requests.items() if one.status != 404}
         await kept(it)
 
 
--- a/tests/test_rig_lateness.py
+++ b/tests/rig/test_rig_lateness.py
@@ -6,46 +6,49 @@
 import trio.testing
 from asynchronous import story
 
-from wheatroute.rig.lateness import MOST_EXCUSED, LoopLateness
-from wheatroute.rig.records import Asked, Records, excused, lost, summary
+from wheatroute.rig.loop_lateness import MAX_EXCUSED_S, LoopLateness
+from wheatroute.rig.run_records import ClientRequest, RunRecords
+from wheatroute.rig.verdict import excused_requests, lost_requests, summary
 
-STALL = 0.3  # seconds
-LEFT = 2.0
+STALL_S = 0.3
+TIMEOUT_S = 2.0
 
 
 def records_of(ended, delays=()):
-    records = Records()
-    records.asked["r1"] = Asked(10.0, "n0", "r1", "look", LEFT, status=200, ended=ended, answers=1)
+    records = RunRecords()
+    records.requests["r1"] = ClientRequest(
+        10.0, "n0", "r1", "look", TIMEOUT_S, status=200, ended_at=ended, response_count=1
+    )
     for woke, delay in delays:
-        records.lateness.note(woke, delay)
+        records.lateness.record(woke, delay)
     return records
 
 
 def test_an_answer_that_is_late_on_a_punctual_rig_is_lost():
-    assert [one.request for one in lost(records_of(ended=12.9), until=20.0)] == ["r1"]
+    assert [one.request_id for one in lost_requests(records_of(ended=12.9), until=20.0)] == ["r1"]
 
 
 def test_an_answer_that_is_late_by_what_the_rig_was_is_excused_and_told():
     records = records_of(ended=12.9, delays=[(11.0, 0.4), (12.9, 0.3)])
-    assert not lost(records, until=20.0) and len(excused(records)) == 1
+    assert not lost_requests(records, until=20.0) and len(excused_requests(records)) == 1
     assert summary(records, 20.0, 1.5)["rig_late_ms"] == 400.0
 
 
 def test_delays_before_and_after_a_request_excuse_nothing():
-    assert lost(records_of(ended=12.9, delays=[(9.9, 0.9), (14.0, 0.9)]), until=20.0)
+    assert lost_requests(records_of(ended=12.9, delays=[(9.9, 0.9), (14.0, 0.9)]), until=20.0)
 
 
 def test_no_more_is_excused_than_stated():
     delays = [(10.0 + 0.5 * n, 0.5) for n in range(1, 12)]
-    records = records_of(ended=12.3 + MOST_EXCUSED + 0.1, delays=delays)
-    assert records.lateness.between(10.0, 16.0) == MOST_EXCUSED
-    assert lost(records, until=20.0)
+    records = records_of(ended=12.3 + MAX_EXCUSED_S + 0.1, delays=delays)
+    assert records.lateness.excused_s(10.0, 16.0) == MAX_EXCUSED_S
+    assert lost_requests(records, until=20.0)
 
 
 def test_a_request_without_any_answer_is_lost_however_late_the_rig():
     records = records_of(ended=13.0, delays=[(12.0, 2.0)])
-    records.asked["r1"].status = records.asked["r1"].answers = 0
-    assert lost(records, until=20.0)
+    records.requests["r1"].status = records.requests["r1"].response_count = 0
+    assert lost_requests(records, until=20.0)
 
 
 @story
@@ -55,10 +58,10 @@
         nursery.start_soon(lateness.run)
         await trio.testing.wait_all_tasks_blocked()  # the probe sleeps
         start = time.monotonic()
-        while time.monotonic() < start + STALL:  # the rig's process is busy
+        while time.monotonic() < start + STALL_S:  # the rig's process is busy
             pass
         with trio.fail_after(10.0):
-            while not lateness.delays:
+            while not lateness.delays_s:
                 await trio.lowlevel.checkpoint()
         nursery.cancel_scope.cancel()
-    assert lateness.between(start, time.monotonic()) > STALL / 2
+    assert lateness.excused_s(start, time.monotonic()) > STALL_S / 2
--- a/tests/test_rig_records.py
+++ b/tests/rig/test_rig_records.py
@@ -7,9 +7,10 @@
 
 from wheatroute.rig.endpoints import Server, listen
 from wheatroute.rig.links import Link
-from wheatroute.rig.records import Asked, Ran, Records, after_answer
+from wheatroute.rig.run_records import ClientRequest, Execution, RunRecords
+from wheatroute.rig.verdict import sent_after_response
 
-STALL = 0.4  # seconds that the rig's process is busy
+STALL_S = 0.4  # that the rig's process is busy
 REQUEST = b"GET /look/1 HTTP/1.1\r\nRequest-Id: r1\r\n\r\n"
 
 
@@ -17,7 +18,7 @@
 async def test_what_a_busy_rig_reads_late_was_sent_when_it_was():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
-            records = Records()
+            records = RunRecords()
             server = Server("s0", "a", 0, records, 1)
             found = []
 
@@ -30,19 +31,20 @@
             stream = await trio.open_tcp_stream(*link.place)
             await stream.send_all(REQUEST)
             sent = time.monotonic()
-            time.sleep(STALL)
+            time.sleep(STALL_S)
             await stream.receive_some(1)
             nursery.cancel_scope.cancel()
-    (ran,) = records.ran
-    assert ran.at > sent + STALL and abs(ran.sent - sent) < STALL / 4
+    (execution,) = records.executions
+    assert execution.started_at > sent + STALL_S and abs(execution.sent_at - sent) < STALL_S / 4
 
 
 def test_an_attempt_is_after_the_answer_by_when_it_was_sent():
-    asked = Asked(1.0, "n0", "r1", "look", 2.0, status=200, ended=2.0, answers=1)
+    request = ClientRequest(1.0, "n0", "r1", "look", 2.0, status=200, ended_at=2.0, response_count=1)
 
-    def ran(at, sent):
-        return Records(ran=[Ran(at, "s0", "a", 0, "n0", "r1", "look", "answered", sent)], asked={"r1": asked})
+    def records_of(started_at, sent_at):
+        execution = Execution(started_at, "s0", "a", 0, "n0", "r1", "look", "answered", sent_at)
+        return RunRecords(executions=[execution], requests={"r1": request})
 
-    assert after_answer(ran(2.9, 1.99)) == []
-    late = ran(2.1, 2.06)
-    assert after_answer(late) == late.ran
+    assert sent_after_response(records_of(2.9, 1.99)) == []
+    late = records_of(2.1, 2.06)
+    assert sent_after_response(late) == late.executions
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -9,7 +9,7 @@
 import trio
 
 from wheatroute.agreement.directory_store import DirectoryStore
-from wheatroute.rig import records
+from wheatroute.rig import verdict
 from wheatroute.rig.rig import rig
 from wheatroute.rollout import operator, plan
 
@@ -85,7 +85,7 @@
         await self.until(lambda rows: len(rows) == 3 and all(row["runs"] == "old" for row in rows.values()))
         self.it.call(rate, MIX)
         await self.it.until(
-            lambda: sum(one.status == 200 for one in self.it.records.asked.values()) > 100, "all serve"
+            lambda: sum(one.status == 200 for one in self.it.records.requests.values()) > 100, "all serve"
         )
 
     async def until(self, what, patience=30.0):
@@ -118,8 +118,8 @@
         """No rule was broken by anyone."""
         until = await self.it.quiet()
         await self.it.note()
-        breaches = records.judge(self.it.records, until, WITHIN)
-        assert not breaches, "\n".join([breaches[0].rule, *breaches[0].story])
+        violations = verdict.find_violations(self.it.records, until, WITHIN)
+        assert not violations, "\n".join([violations[0].rule, *violations[0].timeline])
 
 
 def kinds(progress):
@@ -128,12 +128,14 @@
 
 def not_served(found, names):
     """Each request of these nodes that had another answer than 200, told as a line."""
-    ran = {one.request for one in found.ran}
+    ran = {one.request_id for one in found.executions}
     return [
-        f"{one.node} {one.kind} {one.request} sent at {one.sent:.3f} with {one.left:.3f} s left, "
-        f"{one.status} after {one.ended - one.sent:.3f} s, {'ran' if one.request in ran else 'never ran'}"
-        for one in found.asked.values()
-        if one.node in names and one.ended and one.status not in (0, 200)
+        f"{one.node} {one.request_class} {one.request_id} "
+        f"sent at {one.sent_at:.3f} with {one.timeout_s:.3f} s left, "
+        f"{one.status} after {one.ended_at - one.sent_at:.3f} s, "
+        f"{'ran' if one.request_id in ran else 'never ran'}"
+        for one in found.requests.values()
+        if one.node in names and one.ended_at and one.status not in (0, 200)
     ]
 
 
@@ -148,7 +150,7 @@
         assert number == 1
         assert kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
         assert {row["runs"] for row in (await operator.supervisor_statuses(one.store)).values()} == {"new"}
-        assert sum(one.status != 200 for one in it.records.asked.values() if one.status) == 0
+        assert sum(one.status != 200 for one in it.records.requests.values() if one.status) == 0
         await one.kept()
 
 
@@ -228,8 +230,8 @@
         await it.until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "n0" and one.sent > dead
-                    for one in it.records.asked.values()
+                    one.status == 200 and one.node == "n0" and one.sent_at > dead
+                    for one in it.records.requests.values()
                 )
                 > 20
             ),
--- a/wheatroute/rig/endpoints.py
+++ b/wheatroute/rig/endpoints.py
@@ -15,8 +15,8 @@
 
 import trio
 
-from wheatroute.rig.lateness import MOST_EXCUSED
-from wheatroute.rig.records import Asked, Ran, Records
+from wheatroute.rig.loop_lateness import MAX_EXCUSED_S
+from wheatroute.rig.run_records import ClientRequest, Execution, RunRecords
 
 LONGEST_HEAD = 65536
 PATIENCE = 1.0  # seconds beyond its deadline that a client waits, to see an answer that comes late
@@ -75,7 +75,7 @@
 class Server:
     """A server: takes so long, and after having run ends a share of the connections with no answer."""
 
-    def __init__(self, name: str, zone: str, cell: int, records: Records, seed: int) -> None:
+    def __init__(self, name: str, zone: str, cell: int, records: RunRecords, seed: int) -> None:
         self.name, self.zone, self.cell, self._records = name, zone, cell, records
         self._chance = random.Random(f"{seed}/{name}")
         self.takes = 0.01
@@ -104,8 +104,8 @@
             )
             kind = first.split(" ")[1].lstrip("/").split("/", 1)[0]
             at = time.monotonic()
-            self._records.ran.append(
-                Ran(
+            self._records.executions.append(
+                Execution(
                     at,
                     self.name,
                     self.zone,
@@ -180,7 +180,7 @@
 class Clients:
     """Clients of one node: they ask at their own pace, whatever comes back."""
 
-    def __init__(self, node: str, place: tuple[str, int], records: Records, seed: int) -> None:
+    def __init__(self, node: str, place: tuple[str, int], records: RunRecords, seed: int) -> None:
         self.node, self._place, self._records = node, place, records
         self._chance = random.Random(f"{seed}/callers/{node}")
         self._idle: list[Line] = []
@@ -202,7 +202,7 @@
                 await trio.sleep_until(due)
                 nursery.start_soon(self.ask)
 
-    async def ask(self, kind: str = "") -> Asked:
+    async def ask(self, kind: str = "") -> ClientRequest:
         """One request."""
         if not kind:
             names = sorted(self.kinds)
@@ -221,14 +221,14 @@
         if form == "dedup":
             head.append(f"Idempotency-Key: k-{request}")
         text = ("\r\n".join(head) + "\r\n\r\n" + ("" if form == "retryable" else "go")).encode()
-        asked = Asked(time.monotonic(), self.node, request, kind, self.left)
-        self._records.asked[request] = asked
-        with trio.move_on_after(self.left + PATIENCE + MOST_EXCUSED):
+        asked = ClientRequest(time.monotonic(), self.node, request, kind, self.left)
+        self._records.requests[request] = asked
+        with trio.move_on_after(self.left + PATIENCE + MAX_EXCUSED_S):
             await self._play(asked, text)
-        asked.ended = asked.ended or time.monotonic()
+        asked.ended_at = asked.ended_at or time.monotonic()
         return asked
 
-    async def _play(self, asked: Asked, text: bytes) -> None:
+    async def _play(self, asked: ClientRequest, text: bytes) -> None:
         for first in (True, False):
             kept = first and bool(self._idle)  # the second time on a new connection
             try:
@@ -245,8 +245,8 @@
                 line.stream.socket.close()  # its client gives up
                 raise
             if message is not None:
-                asked.status, asked.ended = int(message[0].split(" ")[1]), time.monotonic()
-                asked.answers += 1
+                asked.status, asked.ended_at = int(message[0].split(" ")[1]), time.monotonic()
+                asked.response_count += 1
                 if message[1].get("connection", "").lower() == "close":
                     await line.stream.aclose()
                 else:
--- a/wheatroute/rig/faulting.py
+++ b/wheatroute/rig/faulting.py
@@ -11,6 +11,7 @@
 from wheatroute.rig.links import Datagrams, Link
 from wheatroute.rig.making import RigMaking
 from wheatroute.rig.processes import RigError
+from wheatroute.rig.run_records import Downtime
 
 
 class RigFaults(RigMaking):
@@ -66,7 +67,7 @@
     def go_on(self, name: str) -> None:
         """Continues a process that was stopped."""
         self.fault(f"continue {name}")
-        self.records.killed.append((self._stopped.pop(name), time.monotonic() + 0.5, name))
+        self.records.downtimes.append(Downtime(self._stopped.pop(name), time.monotonic() + 0.5, name))
         self.processes[name].signal_all(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
@@ -85,18 +86,18 @@
             lambda: process.log.count("event=listening") >= before + self._each(name), f"{name} listens again"
         )
         if name in self._stopped:
-            self.records.killed.append((self._stopped.pop(name), time.monotonic(), name))
+            self.records.downtimes.append(Downtime(self._stopped.pop(name), time.monotonic(), name))
 
     def drain(self, server: str) -> None:
         """All lists say that a server is to be left; what it begins too long after is a broken drain."""
         self.fault(f"drain {server}")
-        self.records.drained[server] = time.monotonic()
+        self.records.drained_at[server] = time.monotonic()
         self._say(server, "terminating")
 
     def take_back(self, server: str) -> None:
         """All lists say that a server that was to be left serves on."""
         self.fault(f"take back {server}")
-        self.records.drained.pop(server, None)
+        self.records.drained_at.pop(server, None)
         self._say(server, "in_service")
 
     def _say(self, server: str, state: str) -> None:
--- a/wheatroute/rig/parts.py
+++ b/wheatroute/rig/parts.py
@@ -18,7 +18,7 @@
 from wheatroute.rig.endpoints import Clients, ListService, Server
 from wheatroute.rig.links import Datagrams, Link, reserved
 from wheatroute.rig.processes import Cluster, Process, RigError
-from wheatroute.rig.records import Records
+from wheatroute.rig.run_records import InjectedFault, RunRecords
 
 PATIENCE = 20.0  # seconds for a process to come up, or for what `until` waits for
 CELLS = 2  # servers of a cell
@@ -45,7 +45,7 @@
         programs: dict[str, list[str]] | None,
     ) -> None:
         self.settings, self.folder, self.seed, self.within = settings, folder, seed, within
-        self.records = Records()
+        self.records = RunRecords()
         self.links: dict[str, Link | Datagrams] = {}
         self._hears: dict[str, tuple[str, int]] = {}  # where nodes hear datagrams, if they tell one another
         self._tell = peers
@@ -119,10 +119,10 @@
         begun = time.monotonic()
         while not what():
             now = time.monotonic()
-            if now > begun + patience + min(patience, self.records.lateness.total(begun, now)):
+            if now > begun + patience + min(patience, self.records.lateness.total_s(begun, now)):
                 raise RigError(f"waited {now - begun:.1f} s until {name}")
             await trio.sleep(0.01)
 
     def fault(self, text: str) -> None:
         """Records a fault with the time."""
-        self.records.faults.append((time.monotonic(), text))
+        self.records.faults.append(InjectedFault(time.monotonic(), text))
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -18,7 +18,8 @@
 import trio
 
 from wheatroute.rig.faulting import RigFaults
-from wheatroute.rig.lateness import MOST_EXCUSED
+from wheatroute.rig.loop_lateness import MAX_EXCUSED_S
+from wheatroute.rig.run_records import Downtime
 from wheatroute.rig.settings import SETTINGS
 from wheatroute.rig.versioning import RigVersions
 
@@ -38,12 +39,12 @@
         """Clients stop asking, all that was asked gets its time; returns the moment after."""
         for clients in self.clients.values():
             clients.rate = 0.0
-        out = max((one.left for one in self.records.asked.values()), default=0.0)
-        with trio.move_on_after(out + 1.5 + MOST_EXCUSED):
-            while any(not one.ended for one in self.records.asked.values()):
+        out = max((one.timeout_s for one in self.records.requests.values()), default=0.0)
+        with trio.move_on_after(out + 1.5 + MAX_EXCUSED_S):
+            while any(not one.ended_at for one in self.records.requests.values()):
                 await trio.sleep(0.02)
         for name, since in self._stopped.items():
-            self.records.killed.append((since, time.monotonic() + 60.0, name))
+            self.records.downtimes.append(Downtime(since, time.monotonic() + 60.0, name))
         return time.monotonic()
 
 
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -11,7 +11,6 @@
 import time
 import tomllib
 from collections.abc import Callable
-from dataclasses import asdict
 from datetime import datetime
 from pathlib import Path
 from typing import Any, Literal
@@ -22,7 +21,7 @@
 from wheatroute.agreement.operator_errors import OperatorError
 from wheatroute.agreement.operator_output import table
 from wheatroute.agreement.version_store import VersionStoreError
-from wheatroute.rig import records
+from wheatroute.rig import run_folder, verdict
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.rig import Rig, rig
 
@@ -215,26 +214,23 @@
 
 
 def _keep(it: Rig, script: Script, folder: Path, began: float, wall: float, until: float) -> dict[str, Any]:
-    told = records.summary(it.records, until, script.within)
-    breaches = records.judge(it.records, until, script.within)
+    told = verdict.summary(it.records, until, script.within)
+    violations = verdict.find_violations(it.records, until, script.within)
     told |= {
         "name": script.name,
         "seed": script.seed,
         "processes": len(it.processes),
         "within": script.within,
         "changes": len(it.records.versions) - 1,
-        "broken": [one.rule for one in breaches],
+        "broken": [one.rule for one in violations],
     }
     kept = {
         "began": began,
         "wall": wall,
         "until": until,
         "script": script.model_dump(),
-        "ran": [asdict(one) for one in it.records.ran],
-        "asked": [asdict(one) for one in it.records.asked.values()],
-        "versions": [asdict(one) | {"kinds": {}} for one in it.records.versions],
-        "faults": it.records.faults,
-        "stories": [[one.rule, one.request, one.story] for one in breaches],
+        **run_folder.stored_records(it.records),
+        "stories": [[one.rule, one.request_id, one.timeline] for one in violations],
     }
     (folder / "records.json").write_text(json.dumps(kept))
     (folder / "summary.json").write_text(json.dumps(told, indent=1))
--- a/wheatroute/rig/versioning.py
+++ b/wheatroute/rig/versioning.py
@@ -15,7 +15,7 @@
 from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
 from wheatroute.rig.parts import PATIENCE, RigParts
 from wheatroute.rig.processes import RigError
-from wheatroute.rig.records import Known
+from wheatroute.rig.run_records import PublishedVersion, repeat_policies
 from wheatroute.rig.settings import change, file_text
 
 
@@ -28,8 +28,8 @@
             history = await operator.read_history(place)
         for number, version in history.versions.items():
             if number not in [one.number for one in self.records.versions]:
-                kinds = {one["name"]: one for one in version.content["settings"]["traffic-types"]}
-                self.records.versions.append(Known(number, kinds, time.monotonic()))
+                policies = repeat_policies(version.content["settings"])
+                self.records.versions.append(PublishedVersion(number, policies, time.monotonic()))
         self._note(history)
         return history
 
@@ -60,9 +60,7 @@
                 path.write_text(file_text(settings, len(self.names), {}))
                 content |= version_content.read_content(str(path))[0]
             version = await operator.put_version(place, content, why, over)
-        self.records.versions.append(
-            Known(version.number, {one["name"]: one for one in settings["traffic-types"]}, moment)
-        )
+        self.records.versions.append(PublishedVersion(version.number, repeat_policies(settings), moment))
         return version.number
 
     async def ended(self, number: int, patience: float = PATIENCE) -> str:
@@ -81,7 +79,7 @@
         for known in self.records.versions:
             life = history.versions[known.number].outcomes if known.number in history.versions else []
             if life and life[-1] != known.state:
-                known.state, known.ended = life[-1], known.ended or time.monotonic()
+                known.state, known.ended_at = life[-1], known.ended_at or time.monotonic()
 
     async def status(self) -> dict[str, Any]:
         """The status of the agreement, from its store."""
