--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -120,7 +120,7 @@
     """Two changes a round, the fault through both of them."""
     async with rig(nodes=3, store=store, within=WITHIN, seed=seed, longest=300.0) as it:
         for server in it.servers.values():
-            server.reset = 0.1
+            server.reset_share = 0.1
         it.call(RATE, MIX)
         first = await it.put("as it was")
         await it.ended(first)
@@ -201,7 +201,7 @@
     async with rig(nodes=3, store="etcd", within=WITHIN, seed=seed, longest=seconds + 120.0) as it:
         assert it.cluster is not None
         for server in it.servers.values():
-            server.reset = 0.1
+            server.reset_share = 0.1
         it.call(RATE, MIX)
         first = await it.put("as it was")
         await it.ended(first)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -31,7 +31,7 @@
 def rough(it):
     """Servers that end a tenth of what they have run without an answer: that is what repeats come of."""
     for server in it.servers.values():
-        server.reset = 0.1
+        server.reset_share = 0.1
 
 
 async def repeated(it, node, kind="look", since=None):
@@ -144,7 +144,7 @@
         number = await it.put("look has no effects", look__effect="retryable")
         assert await it.ended(number) == "in force"
         for name in ("n0", "n1"):  # clients hear of it: their form follows
-            it.clients[name].kinds["look"] = (0.6, "retryable")
+            it.clients[name].set_class("look", 0.6, "retryable")
         await repeated(it, "n0")
         first = min(
             runs[1].started_at
@@ -430,7 +430,7 @@
         it.call(50, MIX)
         await first_version(it)
         await repeated(it, "n1")
-        links = {name: link.connections for name, link in it.links.items() if "etcd" in name}
+        links = {name: link.connection_count for name, link in it.links.items() if "etcd" in name}
         assert links and all(name.startswith("relay-") for name in links)  # nobody else reads etcd
         assert {row["name"] for row in (await it.status())["processes"]} == {"n0", "n1", "n2", "relay-here"}
         it.cut("relay", "etcd", "back")
@@ -542,7 +542,7 @@
             lambda: sum(execution.started_at > drained + 0.5 for execution in it.records.executions) > 20,
             "the others serve",
         )
-        it.lists["n0"].put_back(1)
+        it.lists["n0"].roll_back(1)
         await it.until(lambda: "event=list-behind" in it.processes["n0"].log, "n0 sees that it lies behind")
         behind = time.monotonic()
         await it.until(
@@ -594,12 +594,14 @@
             it.spoil(one, other, lose=0.3, repeat=0.3, reorder=0.3, delay=0.05)
         words = [it.links[name] for name in ("n0-n1", "n0-n2", "n1-n2")]
         await it.until(
-            lambda: all(link.lost and link.repeated and link.reordered for link in words[:2]),
+            lambda: all(
+                link.lost_count and link.duplicated_count and link.reordered_count for link in words[:2]
+            ),
             "words were lost, repeated and out of order",
         )
         it.cut("n0", "n1", "there")
-        passed = words[1].passed
-        await it.until(lambda: words[1].passed > passed, "the others still talk")
+        passed = words[1].passed_count
+        await it.until(lambda: words[1].passed_count > passed, "the others still talk")
         await kept(it, served=100)
 
 
@@ -666,8 +668,8 @@
         it.call(30, {"look": 1.0})
         await first_version(it)
         clients = it.clients["n0"]
-        clients.kinds["peek"] = (0.0, "retryable")
-        assert (await clients.ask("peek")).status == 404
+        clients.set_class("peek", 0.0, "retryable")
+        assert (await clients.send("peek")).status == 404
         look = it.settings["traffic-types"][0]
         number = await it.put(
             "peek comes",
@@ -678,9 +680,9 @@
         )
         assert await it.ended(number) == "in force"
         await it.agreed(number)
-        assert (await clients.ask("peek")).status == 200 and (await clients.ask("look")).status == 200
-        clients.kinds["buy"] = (0.0, "fragile")
-        assert (await clients.ask("buy")).status == 404
+        assert (await clients.send("peek")).status == 200 and (await clients.send("look")).status == 200
+        clients.set_class("buy", 0.0, "fragile")
+        assert (await clients.send("buy")).status == 404
         it.records.requests = {name: one for name, one in it.records.requests.items() if one.status != 404}
         await kept(it)
 
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -12,7 +12,7 @@
 from wheatroute.agreement import operator, version_content
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.grpc.client import Channel, connected
-from wheatroute.rig.links import reserved
+from wheatroute.rig.addresses import reserve_port
 
 WITHIN = 1.5
 
@@ -21,7 +21,7 @@
     def run(tmp_path):
         async def within():
             with trio.fail_after(60):
-                held = reserved()
+                held = reserve_port()
                 place = held.getsockname()
                 path, store = tmp_path / "file.toml", tmp_path / "store"
                 text = FILE.format(servers=servers()).replace(
--- a/tests/rig/test_rig_records.py
+++ b/tests/rig/test_rig_records.py
@@ -5,9 +5,10 @@
 import trio
 from asynchronous import story
 
-from wheatroute.rig.endpoints import Server, listen
-from wheatroute.rig.links import Link
-from wheatroute.rig.run_records import ClientRequest, Execution, RunRecords
+from wheatroute.rig.http_connection import listen
+from wheatroute.rig.run_records import ClientRequest, Execution, ExecutionOutcome, RunRecords
+from wheatroute.rig.server import Server
+from wheatroute.rig.tcp_link import TcpLink
 from wheatroute.rig.verdict import sent_after_response
 
 STALL_S = 0.4  # that the rig's process is busy
@@ -25,10 +26,10 @@
             async def serve(stream):
                 await server.serve(stream, "n0", found[0].sent_at)
 
-            link = Link("n0-s0", await listen(serve, nursery))
+            link = TcpLink("n0-s0", await listen(serve, nursery))
             found.append(link)
             nursery.start_soon(link.run)
-            stream = await trio.open_tcp_stream(*link.place)
+            stream = await trio.open_tcp_stream(*link.address)
             await stream.send_all(REQUEST)
             sent = time.monotonic()
             time.sleep(STALL_S)
@@ -42,7 +43,9 @@
     request = ClientRequest(1.0, "n0", "r1", "look", 2.0, status=200, ended_at=2.0, response_count=1)
 
     def records_of(started_at, sent_at):
-        execution = Execution(started_at, "s0", "a", 0, "n0", "r1", "look", "answered", sent_at)
+        execution = Execution(
+            started_at, "s0", "a", 0, "n0", "r1", "look", ExecutionOutcome.ANSWERED, sent_at
+        )
         return RunRecords(executions=[execution], requests={"r1": request})
 
     assert sent_after_response(records_of(2.9, 1.99)) == []
--- a/wheatroute/rig/faulting.py
+++ b/wheatroute/rig/faulting.py
@@ -8,18 +8,19 @@
 import signal
 import time
 
-from wheatroute.rig.links import Datagrams, Link
+from wheatroute.rig.datagram_link import DatagramLink
 from wheatroute.rig.making import RigMaking
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.run_records import Downtime
+from wheatroute.rig.tcp_link import TcpLink
 
 
 class RigFaults(RigMaking):
     """What can be made to fail."""
 
-    def between(self, one: str, other: str) -> list[Link | Datagrams]:
+    def between(self, one: str, other: str) -> list[TcpLink | DatagramLink]:
         """The links from one process to another, or from it; `etcd` stands for all members."""
-        found: list[Link | Datagrams] = []
+        found: list[TcpLink | DatagramLink] = []
         for name, link in self.links.items():
             first, _, second = name.partition("-")
             if first == one and second.startswith(other) or first == other and second.startswith(one):
@@ -35,7 +36,7 @@
             (self.folder / f"store-{one}").unlink()
             return
         for link in self.between(one, "etcd" if other == "store" else other):
-            link.cut(way)
+            link.faults.partition(way)
 
     def heal(self, one: str, other: str) -> None:
         """Ends what was done to the link between two parties."""
@@ -44,19 +45,20 @@
             (self.folder / f"store-{one}").symlink_to(self.folder / "store")
             return
         for link in self.between(one, "etcd" if other == "store" else other):
-            link.heal()
+            link.faults.heal()
 
     def spoil(self, one: str, other: str, way: str = "both", **how: float) -> None:
         """Delays, loses or throttles what goes over a link."""
         self.fault(f"spoil {one} {other} {way} {how}")
         for link in self.between(one, other):
-            link.spoil(way, **how)
+            link.faults.impair(way, **how)
 
     def reset(self, one: str, other: str) -> None:
         """Resets the connections of a link."""
         self.fault(f"reset {one} {other}")
         for link in self.between(one, other):
-            link.reset()
+            if isinstance(link, TcpLink):
+                link.reset_connections()
 
     def stop(self, name: str) -> None:
         """SIGSTOP."""
@@ -103,5 +105,5 @@
     def _say(self, server: str, state: str) -> None:
         for name, service in self.lists.items():
             entry = self._entries[name, server] | {"state": state}
-            service.say(entry)
+            service.update(entry)
             self._list(name, entry)
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -1,12 +1,13 @@
-"""A proxy in the open: asks an external processor for each request, and carries it to the server it names.
+"""A proxy of the rig: asks an external processor for each request, and carries it to the server it names.
 
-Owns a client's request from when it is whole to its one answer, and the tries between. It must never send a
-request to a server that the processor has not named for that try, nor hide an end from it.
+It must never send a request to a server that the processor has not named for that attempt, nor hide the end
+of an attempt from it.
 """
 
 from __future__ import annotations
 
 from contextlib import suppress
+from typing import NamedTuple
 
 import trio
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
@@ -14,84 +15,101 @@
 from wheatroute.grpc.async_call import AsyncCall
 from wheatroute.grpc.client import Channel
 from wheatroute.grpc.messages import CallError
-from wheatroute.rig.endpoints import BROKEN, Head, Line
+from wheatroute.rig.addresses import Address
+from wheatroute.rig.http_connection import CONNECTION_ERRORS, HttpConnection, HttpMessage
 from wheatroute.standin.proxy import PATH, destination, response_headers
 
-TRIES = 4  # of a request, as the processor's file has it
-WAITS = 0.2  # seconds, for a connection to a server
+MAX_ATTEMPTS = 4  # of a request, as the processor's settings file has it
+CONNECT_TIMEOUT_S = 0.2  # of a connection to a server
+MAX_BACKOFF_S = 0.2  # between two connections to the processor
+DEFAULT_TIMEOUT = "2000m"
+
+
+class _Response(NamedTuple):
+    status: int
+    body: bytes
 
 
 class Gateway:
-    """Before one processor, whose place may be a link's."""
+    """A proxy before one processor."""
 
-    def __init__(self, processor: tuple[str, int]) -> None:
-        self._channel = Channel(processor, max_backoff_s=0.2)
+    def __init__(self, processor: Address) -> None:
+        self._channel = Channel(processor, max_backoff_s=MAX_BACKOFF_S)
 
     async def run(self) -> None:
-        """Keeps the connection to the processor."""
+        """Keeps the connection to the processor until it is cancelled."""
         await self._channel.run()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """A client's connection: one request after the other."""
-        line = Line(stream)
-        while (message := await line.message()) is not None:
-            left = int(message[1].get("request-timeout", "2000m").rstrip("m")) / 1000
-            status, body = 504, b""
-            with trio.move_on_after(left):
-                status, body = await self._request(message)
-            await line.answer(status, body)
-
-    async def _request(self, message: Head) -> tuple[int, bytes]:
-        for attempt in range(1, TRIES + 1):
+        """Serves a client's connection: one request after the other."""
+        connection = HttpConnection(stream)
+        while (request := await connection.read_message()) is not None:
+            timeout_s = int(request.headers.get("request-timeout", DEFAULT_TIMEOUT).rstrip("m")) / 1000
+            response = _Response(504, b"")
+            with trio.move_on_after(timeout_s):
+                response = await self._respond(request)
+            await connection.send_response(response.status, response.body)
+
+    async def _respond(self, request: HttpMessage) -> _Response:
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
-                async with self._channel.call(PATH) as talk:
-                    await talk.send(_asks(message, attempt))
-                    answer = ProcessingResponse.FromString(await talk.receive() or b"")
-                    if answer.HasField("immediate_response"):
-                        return answer.immediate_response.status.code, b""
-                    answered = await self._carry(message, destination(answer))
-                    if answered is not None:
-                        return await self._end(talk, answered)
-                    # ended without an answer: the stream is cancelled, and the request tried again
+                response = await self._attempt(request, attempt)
             except CallError:
-                return 502, b"no processor"
-        return 502, b"no answer"
-
-    @staticmethod
-    async def _end(talk: AsyncCall, answered: Head) -> tuple[int, bytes]:
-        status = int(answered[0].split(" ")[1])
-        with suppress(CallError):
-            await talk.send(response_headers(status))
-            await talk.receive()
-            talk.half_close()
-        return status, answered[2]
-
-    @staticmethod
-    async def _carry(message: Head, place: str) -> Head | None:
-        """What the server answers; None if it does not, or cannot be reached."""
-        first, headers, body = message
-        host, _, port = place.rpartition(":")
-        try:
-            with trio.fail_after(WAITS):
-                stream = await trio.open_tcp_stream(host, int(port))
-        except (OSError, trio.TooSlowError):
-            return None
-        async with stream:
-            with suppress(*BROKEN):
-                lines = [first, *(f"{name}: {value}" for name, value in headers.items())]
-                await stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-                return await Line(stream).message()
+                return _Response(502, b"no processor")
+            if response is not None:
+                return response
+        return _Response(502, b"no answer")
+
+    async def _attempt(self, request: HttpMessage, attempt: int) -> _Response | None:
+        """One attempt; None if the server did not respond. Its stream is then cancelled."""
+        async with self._channel.call(PATH) as call:
+            await call.send(_request_headers(request, attempt))
+            decision = ProcessingResponse.FromString(await call.receive() or b"")
+            if decision.HasField("immediate_response"):
+                return _Response(decision.immediate_response.status.code, b"")
+            response = await _forward(request, destination(decision))
+            if response is None:
+                return None
+            await _report_response(call, response.status)
+            return _Response(response.status, response.body)
+
+
+async def _report_response(call: AsyncCall, status: int) -> None:
+    """Tells the processor of a server's response headers, which ends the stream."""
+    with suppress(CallError):
+        await call.send(response_headers(status))
+        await call.receive()
+        call.half_close()
+
+
+async def _forward(request: HttpMessage, server: str) -> HttpMessage | None:
+    """The response of a server; None if it gives none, or cannot be reached."""
+    host, _, port = server.rpartition(":")
+    try:
+        with trio.fail_after(CONNECT_TIMEOUT_S):
+            stream = await trio.open_tcp_stream(host, int(port))
+    except (OSError, trio.TooSlowError):
         return None
-
-
-def _asks(message: Head, attempt: int) -> bytes:
-    """The first message of a stream."""
-    first, headers, body = message
-    method, path, _ = first.split(" ")
-    asked = ProcessingRequest()
-    told = {":method": method, ":path": path, ":authority": "rig", "x-envoy-attempt-count": str(attempt)}
-    for key, value in (told | headers).items():
-        one = asked.request_headers.headers.headers.add()
-        one.key, one.raw_value = key, value.encode()
-    asked.request_headers.end_of_stream = not body
-    return asked.SerializeToString()
+    async with stream:
+        with suppress(*CONNECTION_ERRORS):
+            lines = [request.first_line, *(f"{name}: {value}" for name, value in request.headers.items())]
+            await stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + request.body)
+            return await HttpConnection(stream).read_message()
+    return None
+
+
+def _request_headers(request: HttpMessage, attempt: int) -> bytes:
+    """The first message of a stream to the processor."""
+    method, path, _ = request.first_line.split(" ")
+    message = ProcessingRequest()
+    pseudo_headers = {
+        ":method": method,
+        ":path": path,
+        ":authority": "rig",
+        "x-envoy-attempt-count": str(attempt),
+    }
+    for key, value in (pseudo_headers | request.headers).items():
+        header = message.request_headers.headers.headers.add()
+        header.key, header.raw_value = key, value.encode()
+    message.request_headers.end_of_stream = not request.body
+    return message.SerializeToString()
--- /dev/null
+++ b/wheatroute/rig/link_fault.py
@@ -0,0 +1,98 @@
+"""Faults of a link between two processes, by direction. Free of I/O.
+
+A fault holds for what is open and for what comes after it, until `heal`.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import IntEnum
+
+import trio
+
+
+class Direction(IntEnum):
+    """Which way something passes a link."""
+
+    FORWARD = 0  # to the target; on a datagram link from its first end to its second
+    BACKWARD = 1
+
+    @property
+    def opposite(self) -> Direction:
+        """The other direction."""
+        return Direction(1 - self)
+
+
+DIRECTIONS = {  # by the word of scenario files
+    "there": (Direction.FORWARD,),
+    "back": (Direction.BACKWARD,),
+    "both": (Direction.FORWARD, Direction.BACKWARD),
+}
+
+
+@dataclass
+class LinkFault:
+    """What one direction of a link does to what passes it."""
+
+    is_partitioned: bool = False
+    delay_s: float = 0.0
+    bytes_per_second: float = 0.0  # 0 for no limit; streams only
+    loss: float = 0.0  # probabilities, of datagrams only
+    duplication: float = 0.0
+    reordering: float = 0.0
+
+
+PARAMETERS = {  # by the word of scenario files
+    "cut": "is_partitioned",
+    "delay": "delay_s",
+    "trickle": "bytes_per_second",
+    "lose": "loss",
+    "repeat": "duplication",
+    "reorder": "reordering",
+}
+
+
+class LinkFaults:
+    """The faults of both directions of a link."""
+
+    def __init__(self) -> None:
+        self._by_direction = [LinkFault(), LinkFault()]
+        self._healed = trio.Event()
+
+    def __getitem__(self, direction: Direction) -> LinkFault:
+        """The fault of a direction, as it is now."""
+        return self._by_direction[direction]
+
+    def partition(self, way: str) -> None:
+        """Lets nothing pass, and tells nobody; `way` is a key of `DIRECTIONS`."""
+        for direction in DIRECTIONS[way]:
+            self._by_direction[direction].is_partitioned = True
+
+    def impair(self, way: str, **parameters: float) -> None:
+        """Sets parameters of the faults, by the keys of `PARAMETERS`; other ones have no effect."""
+        for direction in DIRECTIONS[way]:
+            for word in PARAMETERS.keys() & parameters.keys():
+                setattr(self._by_direction[direction], PARAMETERS[word], parameters[word])
+
+    def heal(self) -> None:
+        """Ends all faults."""
+        self._by_direction = [LinkFault(), LinkFault()]
+        healed, self._healed = self._healed, trio.Event()
+        healed.set()
+
+    @property
+    def is_open(self) -> bool:
+        """Whether neither direction is partitioned."""
+        return not any(fault.is_partitioned for fault in self._by_direction)
+
+    async def wait_until_open(self) -> None:
+        """Waits until neither direction is partitioned."""
+        while not self.is_open:
+            await self._healed.wait()
+
+    async def hold(self, direction: Direction) -> None:
+        """Waits for a direction's delay, and until it is not partitioned."""
+        if self[direction].delay_s:
+            await trio.sleep(self[direction].delay_s)
+        while self[direction].is_partitioned:
+            await self._healed.wait()
--- a/wheatroute/rig/making.py
+++ b/wheatroute/rig/making.py
@@ -16,10 +16,13 @@
 import trio
 
 from wheatroute.agreement.directory_store import DirectoryStore
-from wheatroute.rig.endpoints import Clients, ListService, Server, listen
-from wheatroute.rig.links import Datagrams
+from wheatroute.rig.client_load import ClientLoad
+from wheatroute.rig.datagram_link import DatagramLink
+from wheatroute.rig.discovery_service import DiscoveryService
+from wheatroute.rig.http_connection import listen
 from wheatroute.rig.parts import RigParts
 from wheatroute.rig.processes import Cluster, Kept, Process
+from wheatroute.rig.server import Server
 from wheatroute.rig.settings import file_text
 
 
@@ -41,7 +44,7 @@
         for name in self.names if self._tell else ():
             self._hears[name] = self._reserve(socket.SOCK_DGRAM)
         for one, other in itertools.combinations(self._hears, 2):
-            link = self.links[f"{one}-{other}"] = Datagrams(
+            link = self.links[f"{one}-{other}"] = DatagramLink(
                 f"{one}-{other}", (self._hears[one], self._hears[other]), self.seed
             )
             nursery.start_soon(link.run)
@@ -84,7 +87,7 @@
 
     async def _listed_for(self, name: str) -> tuple[str, int]:
         """The list service of a process, through a link, and links of its own to all servers."""
-        service = self.lists[name] = ListService()
+        service = self.lists[name] = DiscoveryService()
         for server in self.servers.values():
             place = await self._server_for(server, name)
             entry = self._entries[name, server.name] = {
@@ -97,7 +100,7 @@
                 "weight": 1.0,
                 "started_ms": 0,
             }
-            service.say(entry)
+            service.update(entry)
             self._list(name, entry)
         return self.link(f"{name}-list", await listen(service.serve, self._nursery))
 
@@ -129,7 +132,7 @@
         self._call(name, await listen(gateway.serve, self._nursery))
 
     def _call(self, name: str, place: tuple[str, int]) -> None:
-        clients = self.clients[name] = Clients(
+        clients = self.clients[name] = ClientLoad(
             name, self.link(f"callers-{name}", place), self.records, self.seed
         )
         self._nursery.start_soon(clients.run)
@@ -151,9 +154,9 @@
             told["peers"] = {
                 "listen": "{}:{}".format(*self._hears[name]),
                 "others": [
-                    "{}:{}".format(*link.places[name != ends.split("-")[0]])
+                    "{}:{}".format(*link.addresses[name != ends.split("-")[0]])
                     for ends, link in self.links.items()
-                    if isinstance(link, Datagrams) and name in ends.split("-")
+                    if isinstance(link, DatagramLink) and name in ends.split("-")
                 ],
             }
         if self._listed_by == "etcd" and self.cluster is not None:
@@ -241,7 +244,7 @@
             await server.serve(stream, node, link.sent_at)
 
         link = self._linked(f"{node}-{server.name}", await listen(serve, self._nursery))
-        return link.place
+        return link.address
 
     def _agreement(self, name: str) -> dict[str, Any]:
         if self.kind == "relay":
--- a/wheatroute/rig/parts.py
+++ b/wheatroute/rig/parts.py
@@ -15,10 +15,14 @@
 
 import trio
 
-from wheatroute.rig.endpoints import Clients, ListService, Server
-from wheatroute.rig.links import Datagrams, Link, reserved
+from wheatroute.rig.addresses import reserve_port
+from wheatroute.rig.client_load import ClientLoad
+from wheatroute.rig.datagram_link import DatagramLink
+from wheatroute.rig.discovery_service import DiscoveryService
 from wheatroute.rig.processes import Cluster, Process, RigError
 from wheatroute.rig.run_records import InjectedFault, RunRecords
+from wheatroute.rig.server import Server
+from wheatroute.rig.tcp_link import TcpLink
 
 PATIENCE = 20.0  # seconds for a process to come up, or for what `until` waits for
 CELLS = 2  # servers of a cell
@@ -46,12 +50,12 @@
     ) -> None:
         self.settings, self.folder, self.seed, self.within = settings, folder, seed, within
         self.records = RunRecords()
-        self.links: dict[str, Link | Datagrams] = {}
+        self.links: dict[str, TcpLink | DatagramLink] = {}
         self._hears: dict[str, tuple[str, int]] = {}  # where nodes hear datagrams, if they tell one another
         self._tell = peers
         self.processes: dict[str, Process] = {}
-        self.lists: dict[str, ListService] = {}
-        self.clients: dict[str, Clients] = {}
+        self.lists: dict[str, DiscoveryService] = {}
+        self.clients: dict[str, ClientLoad] = {}
         self.zones = [chr(ord("a") + i) for i in range(zones)]
         self.servers = {
             f"s{i}": Server(f"s{i}", self.zones[i % zones], i // CELLS, self.records, seed)
@@ -79,10 +83,10 @@
 
     def link(self, name: str, target: tuple[str, int]) -> tuple[str, int]:
         """The address of a link to a target, by name."""
-        return self._linked(name, target).place
+        return self._linked(name, target).address
 
-    def _linked(self, name: str, target: tuple[str, int]) -> Link:
-        link = self.links[name] = Link(name, target)
+    def _linked(self, name: str, target: tuple[str, int]) -> TcpLink:
+        link = self.links[name] = TcpLink(name, target)
         self._nursery.start_soon(link.run)
         return link
 
@@ -96,7 +100,7 @@
         return told
 
     def _reserve(self, kind: int = socket.SOCK_STREAM) -> tuple[str, int]:
-        held = reserved(kind)
+        held = reserve_port(kind)
         place: tuple[str, int] = held.getsockname()
         if kind == socket.SOCK_STREAM:
             self._reserved.append(held)
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -32,8 +32,10 @@
         """Clients of all nodes ask at a rate each, in the forms of the settings at the start."""
         forms = {one["name"]: one["effect"] for one in self.settings["traffic-types"]}
         for clients in self.clients.values():
-            clients.kinds = {name: (part, forms[name]) for name, part in kinds.items()}
-            clients.rate, clients.left = rate, left
+            clients.clear_classes()
+            for name, share in kinds.items():
+                clients.set_class(name, share, forms[name])
+            clients.rate, clients.timeout_s = rate, left
 
     async def quiet(self) -> float:
         """Clients stop asking, all that was asked gets its time; returns the moment after."""
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -8,12 +8,13 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any, NamedTuple
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 from wheatroute.rig.loop_lateness import LoopLateness
 
-_IDEMPOTENCY = {
+IDEMPOTENCY = {  # by the word of the settings
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
@@ -28,6 +29,15 @@
 NO_RESPONSE = -1  # status of a request whose connection broke
 
 
+class ExecutionOutcome(StrEnum):
+    """What a server did after having run a request."""
+
+    ANSWERED = "answered"
+    ERROR = "error"
+    RESET = "reset"
+    SILENT = "silent"
+
+
 @dataclass(frozen=True, slots=True)
 class Execution:
     """A server read a whole request and began to run it."""
@@ -39,7 +49,7 @@
     node: str
     request_id: str
     request_class: str
-    outcome: str  # what the server did after having run it: answered, reset, error, silent
+    outcome: ExecutionOutcome
     sent_at: float  # when the node's last byte of it was received by the kernel
 
 
@@ -68,7 +78,7 @@
     def from_settings(cls, table: Mapping[str, Any]) -> RepeatPolicy:
         """The policy of a class's table in the settings; an unknown value counts as the strictest."""
         return cls(
-            _IDEMPOTENCY.get(table.get("effect", ""), Idempotency.NON_IDEMPOTENT),
+            IDEMPOTENCY.get(table.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             _DEDUPLICATION_GROUPS.get(table.get("group", "all"), DeduplicationGroup.CELL),
             table.get("repeat-window", 0.0),
         )
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -147,8 +147,10 @@
         longest=script.seconds * 2 + 120.0,
     ) as it:
         for server in it.servers.values():
-            server.takes, server.reset = script.servers.takes, script.servers.reset
-            server.error, server.silent = script.servers.error, script.servers.silent
+            server.mean_service_time_s = script.servers.takes
+            server.reset_share = script.servers.reset
+            server.error_share = script.servers.error
+            server.silent_share = script.servers.silent
         first = await it.put("the settings as they are")
         await it.ended(first)
         await it.agreed(first)
--- /dev/null
+++ b/wheatroute/rig/tcp_link.py
@@ -0,0 +1,134 @@
+"""A TCP link between two processes that can be made to fail.
+
+Each link has a listener of its own. It must never reorder or change bytes of a stream, nor hold more of a
+partitioned stream than the two sides' buffers: what nobody takes stays with its sender, as on a network.
+"""
+
+from __future__ import annotations
+
+import socket
+import struct
+import time
+from contextlib import suppress
+
+import trio
+
+from wheatroute.rig.addresses import LOOPBACK, Address
+from wheatroute.rig.link_fault import Direction, LinkFaults
+
+RECEIVE_BYTES = 65536
+LISTEN_BACKLOG = 512
+THROTTLE_INTERVAL_S = 0.05  # between two pieces of a throttled stream
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
+SO_TIMESTAMPNS = 35  # Linux, socket(7): each receive tells when the kernel took the bytes
+TIMESTAMP = struct.Struct("qq")  # seconds and nanoseconds of the time of day
+ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)
+STREAM_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
+
+
+class TcpLink:
+    """Whoever connects to `address` reaches `target` through it."""
+
+    def __init__(self, name: str, target: Address) -> None:
+        self.name = name
+        self.target = target
+        self.faults = LinkFaults()
+        self.connection_count = 0  # accepted since the start
+        # By the address of the far end's connection, when its last bytes were sent, of the monotonic clock.
+        # Kept after its end, as they may be read later.
+        self.sent_at: dict[Address, float] = {}
+        self._open: set[trio.SocketStream] = set()
+        self._listener = _listening_socket()
+        self.address: Address = self._listener.getsockname()
+
+    def reset_connections(self) -> None:
+        """Resets every open connection, at both ends."""
+        for stream in list(self._open):
+            with suppress(OSError):
+                stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            stream.socket.close()
+
+    async def run(self) -> None:
+        """Carries connections until it is cancelled."""
+        listener = trio.SocketListener(trio.socket.from_stdlib_socket(self._listener))
+        async with trio.open_nursery() as nursery:
+            await trio.serve_listeners(self._serve, [listener], handler_nursery=nursery)
+
+    async def _serve(self, near: trio.SocketStream) -> None:
+        self.connection_count += 1
+        self._open.add(near)
+        with suppress(*STREAM_ERRORS):
+            await self.faults.wait_until_open()
+            far = await trio.open_tcp_stream(*self.target)
+            self._open.add(far)
+            try:
+                async with far:
+                    await self._carry(near, far)
+            finally:
+                self._open.discard(far)
+        self._open.discard(near)
+        with suppress(OSError):
+            near.socket.close()
+
+    async def _carry(self, near: trio.SocketStream, far: trio.SocketStream) -> None:
+        far_address: Address = far.socket.getsockname()
+        async with trio.open_nursery() as nursery:
+
+            async def pump(source: trio.SocketStream, sink: trio.SocketStream, direction: Direction) -> None:
+                try:
+                    await self._pump(source, sink, direction, far_address)
+                except STREAM_ERRORS:
+                    # one side is gone: so is the other, but not before the partition ends that hides it
+                    await self.faults.hold(direction)
+                    nursery.cancel_scope.cancel()
+
+            nursery.start_soon(pump, near, far, Direction.FORWARD)
+            nursery.start_soon(pump, far, near, Direction.BACKWARD)
+
+    async def _pump(
+        self, source: trio.SocketStream, sink: trio.SocketStream, direction: Direction, far_address: Address
+    ) -> None:
+        """Carries one direction to its end."""
+        while True:
+            data, sent_at = await _receive(source)
+            if direction is Direction.FORWARD and data:
+                self.sent_at[far_address] = sent_at
+            await self.faults.hold(direction)
+            if not data:
+                await sink.send_eof()
+                return
+            await self._send(sink, data, direction)
+
+    async def _send(self, sink: trio.SocketStream, data: bytes, direction: Direction) -> None:
+        rate = self.faults[direction].bytes_per_second
+        if not rate:
+            await sink.send_all(data)
+            return
+        piece_bytes = max(1, int(rate * THROTTLE_INTERVAL_S))
+        for start in range(0, len(data), piece_bytes):
+            await self.faults.hold(direction)
+            await sink.send_all(data[start : start + piece_bytes])
+            await trio.sleep(THROTTLE_INTERVAL_S)
+
+
+def _listening_socket() -> socket.socket:
+    listener = socket.socket()
+    listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listener.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)  # accepted connections inherit it
+    listener.bind((LOOPBACK, 0))
+    listener.listen(LISTEN_BACKLOG)
+    return listener
+
+
+async def _receive(source: trio.SocketStream) -> tuple[bytes, float]:
+    """The next bytes, and the time of the monotonic clock at which the kernel took the last of them.
+
+    This process may be busy: when it comes to read them says little of when they were sent.
+    """
+    data, ancillary, _, _ = await source.socket.recvmsg(RECEIVE_BYTES, ANCILLARY_BYTES)
+    now = time.monotonic()
+    for level, kind, value in ancillary:
+        if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
+            seconds, nanoseconds = TIMESTAMP.unpack(value)
+            return data, now - max(0.0, time.time() - seconds - nanoseconds / 1e9)
+    return data, now
