--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -25,7 +25,8 @@
 
 from wheatroute.agreement.directory_store import DirectoryStore  # noqa: E402
 from wheatroute.rig import verdict  # noqa: E402
-from wheatroute.rig.rig import rig  # noqa: E402
+from wheatroute.rig.options import RigOptions  # noqa: E402
+from wheatroute.rig.rig import running_rig  # noqa: E402
 from wheatroute.rollout import operator, plan  # noqa: E402
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict  # noqa: E402
 
@@ -56,30 +57,32 @@
 async def play(how: str, seed: int, kill: bool, out: list[dict[str, Any]]) -> None:
     """One rollout of a version, good if `how` is empty; `kill` ends each controller after its first step."""
     programs = {"old": GOOD, "new": bad(how) if how else GOOD}
-    async with rig(nodes=3, within=WITHIN, seed=seed, programs=programs, longest=200.0) as it:
+    async with running_rig(
+        RigOptions(nodes=3, bound_s=WITHIN, seed=seed, programs=programs, timeout_s=200.0)
+    ) as it:
         place = DirectoryStore(str(it.folder / "rollouts"))
-        first = await it.put("as it was")
-        await it.agreed(first)
-        it.call(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_until_agreed(first)
+        it.start_load(RATE, MIX)
         with trio.fail_after(60):
             while len(await operator.supervisor_statuses(place)) < 3:
                 await trio.sleep(0.05)
         await trio.sleep(1.0)
         began = time.monotonic()
         await operator.start(place, plan.parse_plan(PLAN), "a measurement")
-        killed, head, name, stopped = 0, 1, it.control(), 0.0
+        killed, head, name, stopped = 0, 1, it.launcher.start_controller(), 0.0
         with trio.fail_after(150):
             while (progress := await operator.read_progress(place)).phase != "ended":
                 if progress.phase == "going back":
                     stopped = stopped or time.monotonic()
                 if kill and progress.head > head:
-                    it.kill(name)
-                    killed, head, name = killed + 1, progress.head, it.control()
+                    it.faults.kill(name)
+                    killed, head, name = killed + 1, progress.head, it.launcher.start_controller()
                 await trio.sleep(0.05)
         ended = time.monotonic()
         rows = await operator.supervisor_statuses(place)
-        until = await it.quiet()
-        await it.note()
+        until = await it.stop_load()
+        await it.versions.read_history()
         out.append(
             figures(it, how, progress, rows, began, ended, until)
             | {"killed": killed, "stopped_s": (stopped or ended) - began}
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -35,7 +35,8 @@
     status_read_interval_s,
 )
 from wheatroute.rig import verdict  # noqa: E402
-from wheatroute.rig.rig import Rig, rig  # noqa: E402
+from wheatroute.rig.options import RigOptions  # noqa: E402
+from wheatroute.rig.rig import Rig, running_rig  # noqa: E402
 
 WITHIN = 2.0  # seconds
 RATE = 40.0  # requests a second at each node
@@ -51,39 +52,37 @@
 
 
 async def cut_both(it: Rig) -> None:
-    it.cut("n2", "store")
+    it.faults.partition("n2", "store")
 
 
 async def cut_there(it: Rig) -> None:
-    it.cut("n2", "store", "there")
+    it.faults.partition("n2", "store", "there")
 
 
 async def cut_back(it: Rig) -> None:
-    it.cut("n2", "store", "back")
+    it.faults.partition("n2", "store", "back")
 
 
 async def stopped(it: Rig) -> None:
-    it.stop("n2")
+    it.faults.stop("n2")
 
 
 async def killed(it: Rig) -> None:
-    it.kill("n2")
+    it.faults.kill("n2")
 
 
 async def all_gone(it: Rig) -> None:
-    assert it.cluster is not None
-    it.cluster.order("set", member=-1, silent=True)
+    it.etcd.send_command("set", member=-1, silent=True)
 
 
 async def two_gone(it: Rig) -> None:
-    assert it.cluster is not None
-    it.cluster.order("set", member=0, silent=True)
-    it.cluster.order("set", member=1, behind=3)
+    it.etcd.send_command("set", member=0, silent=True)
+    it.etcd.send_command("set", member=1, behind=3)
 
 
 async def late(it: Rig) -> None:
     for name in it.names:
-        it.spoil(name, "etcd", delay=0.05)
+        it.faults.impair(name, "etcd", delay=0.05)
 
 
 FAULTS: list[tuple[str, str, Fault]] = [
@@ -106,25 +105,25 @@
 
 async def heal(it: Rig, fault: Fault) -> None:
     if fault is stopped:
-        it.go_on("n2")
+        it.faults.resume("n2")
     elif fault is killed:
-        await it.start("n2")
+        await it.faults.start("n2")
     elif fault in (cut_both, cut_there, cut_back):
-        it.heal("n2", "store")
+        it.faults.heal("n2", "store")
     elif fault in (all_gone, two_gone):
-        assert it.cluster is not None
-        it.cluster.order("set", member=-1, silent=False, behind=0)
+        it.etcd.send_command("set", member=-1, silent=False, behind=0)
 
 
 async def play(name: str, store: str, fault: Fault, rounds: int, seed: int) -> dict[str, Any]:
     """Two changes a round, the fault through both of them."""
-    async with rig(nodes=3, store=store, within=WITHIN, seed=seed, longest=300.0) as it:
+    options = RigOptions(nodes=3, store=store, bound_s=WITHIN, seed=seed, timeout_s=300.0)
+    async with running_rig(options) as it:
         for server in it.servers.values():
             server.reset_share = 0.1
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
         cut: list[tuple[float, float]] = []
         for _ in range(rounds):
             for effect in ("fragile", "retryable"):
@@ -132,21 +131,21 @@
                 since = time.monotonic()
                 number = -1
                 if fault is all_gone:  # put, and then the store is away: else it could not be put
-                    number = await it.put(f"{name} {effect}", look__effect=effect)
+                    number = await it.versions.put(f"{name} {effect}", look__effect=effect)
                 await fault(it)
                 if fault is all_gone:
                     await trio.sleep(1.5 * WITHIN)
                     await heal(it, fault)
                 else:
-                    number = await it.put(f"{name} {effect}", look__effect=effect)
-                await it.ended(number)
+                    number = await it.versions.put(f"{name} {effect}", look__effect=effect)
+                await it.versions.wait_for_outcome(number)
                 await trio.sleep(0.25 * WITHIN)
                 cut.append((since, time.monotonic()))
                 if fault is not all_gone:
                     await heal(it, fault)
-                await it.agreed(number)
-        until = await it.quiet()
-        await it.note()
+                await it.versions.wait_until_agreed(number)
+        until = await it.stop_load()
+        await it.versions.read_history()
         told = verdict.summary(it.records, until, WITHIN)
         by_version: dict[int, float] = {}
         for after, _, version in verdict.contradictions(it.records):
@@ -167,11 +166,12 @@
     What servers saw it begin there; the grace of 2 s may be used. It hears of each return, too.
     """
     out = []
-    async with rig(nodes=3, store=store, within=WITHIN, seed=seed, longest=60.0 + 10.0 * count) as it:
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+    options = RigOptions(nodes=3, store=store, bound_s=WITHIN, seed=seed, timeout_s=60.0 + 10.0 * count)
+    async with running_rig(options) as it:
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
 
         def last() -> float:
             mine = (
@@ -181,15 +181,15 @@
             )
             return max(mine, default=0.0)
 
-        it.cut("n2", "list")
+        it.faults.partition("n2", "list")
         for _ in range(count):
             since = time.monotonic()
-            await it.until(lambda since=since: last() > since, "n2 sends there")
+            await it.wait_until(lambda since=since: last() > since, "n2 sends there")
             told = time.monotonic()
-            it.drain("s3")
+            it.faults.drain("s3")
             await trio.sleep(WITHIN + 2.5)
             out.append(max(0.0, last() - told))
-            it.take_back("s3")
+            it.faults.undrain("s3")
     return out
 
 
@@ -198,33 +198,33 @@
 
 async def away(phase: str, seconds: float, seed: int) -> None:
     """All members silent for so long, from a phase of a change on; prints what was served meanwhile."""
-    async with rig(nodes=3, store="etcd", within=WITHIN, seed=seed, longest=seconds + 120.0) as it:
-        assert it.cluster is not None
+    options = RigOptions(nodes=3, store="etcd", bound_s=WITHIN, seed=seed, timeout_s=seconds + 120.0)
+    async with running_rig(options) as it:
         for server in it.servers.values():
             server.reset_share = 0.1
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
         await trio.sleep(2.0)
 
         def said() -> int:
             return sum(process.log.count(PHASES[phase]) for process in it.processes.values())
 
         heard, began = said(), time.monotonic()
-        number = await it.put("while it goes away", look__effect="fragile")
+        number = await it.versions.put("while it goes away", look__effect="fragile")
         if PHASES[phase]:
-            await it.until(lambda: said() > heard, phase)
-        it.cluster.order("set", member=-1, silent=True)
+            await it.wait_until(lambda: said() > heard, phase)
+        it.etcd.send_command("set", member=-1, silent=True)
         gone = time.monotonic()
         await trio.sleep(seconds)
-        it.cluster.order("set", member=-1, silent=False)
+        it.etcd.send_command("set", member=-1, silent=False)
         back = time.monotonic()
-        await it.ended(number)
-        await it.agreed(number)
+        await it.versions.wait_for_outcome(number)
+        await it.versions.wait_until_agreed(number)
         agreed = time.monotonic()
-        until = await it.quiet()
-        await it.note()
+        until = await it.stop_load()
+        await it.versions.read_history()
         told = verdict.summary(it.records, until, WITHIN)
         parts = []
         for begin, end in ((0.0, began), (gone, back)):
@@ -269,14 +269,14 @@
 
     Two nodes with it off differ by some hundredths too, so it is taken with either of them off.
     """
-    async with rig(nodes=2, within=10.0, longest=120.0) as it:
-        told = it.file(off)
+    async with running_rig(RigOptions(nodes=2, bound_s=10.0, timeout_s=120.0)) as it:
+        told = it.files.read_node_file(off)
         del told["agreement"]
-        it.kill(off)
-        it.write(off, told)
-        await it.start(off)
-        await it.ended(await it.put("as it was"))
-        it.call(150.0, {"look": 1.0})
+        it.faults.kill(off)
+        it.files.write_node_file(off, told)
+        await it.faults.start(off)
+        await it.versions.wait_for_outcome(await it.versions.put("as it was"))
+        it.start_load(150.0, {"look": 1.0})
         await trio.sleep(1.0)
 
         def used(name: str) -> float:
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -29,9 +29,9 @@
 )
 from wheatroute.net import node_settings
 from wheatroute.platform_settings import SETTING_KEYS, decision_settings
-from wheatroute.rig.settings import SETTINGS, change
+from wheatroute.rig.settings import DEFAULT_SETTINGS, with_changes
 
-CONTENT = {"settings": change(SETTINGS, {"dcs": ["a"]}, 2)}
+CONTENT = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]}, 2)}
 
 
 def history(*kinds):
@@ -155,7 +155,7 @@
 
 
 def test_what_lies_within_two_versions_is_never_looser_than_either():
-    loose = dataclasses.replace(decision_settings(SETTINGS, {}), tick=0.005)
+    loose = dataclasses.replace(decision_settings(DEFAULT_SETTINGS, {}), tick=0.005)
     for effects in itertools.permutations(Idempotency, 2):
         one, other = (
             dataclasses.replace(
@@ -202,16 +202,16 @@
 
 
 def adapted(*changes):
-    own_settings = SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
-    derived = node_settings.derive_settings(SETTINGS)
+    own_settings = DEFAULT_SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
+    derived = node_settings.derive_settings(DEFAULT_SETTINGS)
     adapter = VersionAdapter(derived, platform(own_settings, derived))
     for i, one in enumerate(changes, 1):
-        assert adapter.check(i, {"settings": change(SETTINGS, {"dcs": ["a"]} | one, 2)}) == ""
+        assert adapter.check(i, {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | one, 2)}) == ""
     return adapter
 
 
 def test_types_and_tenants_keep_their_numbers_whatever_order_a_version_has():
-    kinds = list(reversed(SETTINGS["traffic-types"]))
+    kinds = list(reversed(DEFAULT_SETTINGS["traffic-types"]))
     adapter = adapted(
         {"traffic-types": kinds},
         {"traffic-types": kinds[1:]},
@@ -249,7 +249,10 @@
             "settings.traffic-types.look.effect: is none of retryable, dedup, fragile: 'nice' (and 1 more)",
         ),
     ):
-        assert adapted().check(9, {"settings": change(SETTINGS, {"dcs": ["a"]} | changes, 2)}) == line
+        assert (
+            adapted().check(9, {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)})
+            == line
+        )
     assert adapted().check(9, {"other": {}}).startswith("a version has the parts settings and file")
 
 
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -22,7 +22,8 @@
 from wheatroute.agreement.version_follower import VersionFollower, clock
 from wheatroute.agreement.version_store import VersionStoreError, take_received_notices
 from wheatroute.etcd import messages as wire
-from wheatroute.rig.rig import rig
+from wheatroute.rig.options import RigOptions
+from wheatroute.rig.rig import running_rig
 from wheatroute.standin.etcd import Member as Served
 from wheatroute.standin.etcd_store import Store
 
@@ -278,21 +279,21 @@
 
 
 async def cut_off_from_its_list(store, lists, change):
-    async with rig(nodes=3, store=store, lists=lists, within=WITHIN) as it:
-        it.call(40, MIX)
+    async with running_rig(RigOptions(nodes=3, store=store, discovery=lists, bound_s=WITHIN)) as it:
+        it.start_load(40, MIX)
         await first_version(it)
-        await it.until(
+        await it.wait_until(
             lambda: (
                 len({execution.server for execution in it.records.executions if execution.node == "n2"}) == 4
             ),
             "n2 sends to all",
         )
-        it.cut("n2", "list")
+        it.faults.partition("n2", "list")
         told = time.monotonic()
         change(it)
         # from then on n2 sends nothing there: the stated time to be told in, and the grace
         last = told + WITHIN + 2.0
-        await it.until(
+        await it.wait_until(
             lambda: (
                 sum(
                     execution.node == "n2" and execution.started_at > last + 0.5
@@ -309,7 +310,7 @@
         ]
         assert not late, f"{len(late)} late, the last after {late[-1].started_at - told:.2f} s"
         assert "s3:terminating" in it.processes["n2"].log
-        it.heal("n2", "list")
+        it.faults.heal("n2", "list")
         if "s3" in it.records.drained_at:
             it.records.drained_at["s3"] += WITHIN
         await kept(it, served=100)
@@ -318,19 +319,18 @@
 def moved(it):
     """The others' lists say that another server is at the address of s3 by now."""
     for name in ("n0", "n1"):
-        known = it.lists[name].servers["s3"]
-        place = {key: value for key, value in known.items() if key != "_since"}
-        it.lists[name].say(place | {"state": "terminated"})
-        it.lists[name].say(place | {"id": "s9"})
+        known = it.discovery_services[name].entry("s3")
+        it.discovery_services[name].update(known | {"state": "terminated"})
+        it.discovery_services[name].update(known | {"id": "s9"})
 
 
 @pytest.mark.parametrize(
     "store, lists, change",
     [
-        ("directory", "service", lambda it: it.drain("s3")),
-        ("etcd", "service", lambda it: it.drain("s3")),
-        ("relay", "service", lambda it: it.drain("s3")),
-        ("directory", "etcd", lambda it: it.drain("s3")),
+        ("directory", "service", lambda it: it.faults.drain("s3")),
+        ("etcd", "service", lambda it: it.faults.drain("s3")),
+        ("relay", "service", lambda it: it.faults.drain("s3")),
+        ("directory", "etcd", lambda it: it.faults.drain("s3")),
         ("directory", "service", moved),
     ],
 )
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -5,22 +5,23 @@
 import trio
 from test_processes import MIX, WITHIN, first_version, kept, repeated, rough, story
 
-from wheatroute.rig.rig import rig
+from wheatroute.rig.options import RigOptions
+from wheatroute.rig.rig import running_rig
 
 
 @story
 async def test_nodes_and_processors_agree_though_a_processor_is_cut_off_through_a_change():
-    async with rig(nodes=1, processors=2, store="etcd", within=WITHIN) as it:
+    async with running_rig(RigOptions(nodes=1, processors=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
-        it.call(40, MIX)
+        it.start_load(40, MIX)
         await first_version(it)
         for name in it.names:
             await repeated(it, name)
-        it.cut("p1", "store", "back")
-        number = await it.put("look has effects now", look__effect="fragile")
-        assert await it.ended(number) == "in force"
+        it.faults.partition("p1", "store", "back")
+        number = await it.versions.put("look has effects now", look__effect="fragile")
+        assert await it.versions.wait_for_outcome(number) == "in force"
         cut = time.monotonic()
-        await it.until(
+        await it.wait_until(
             lambda: (
                 sum(
                     one.status == 200 and one.node == "p1" and one.sent_at > cut
@@ -30,9 +31,9 @@
             ),
             "p1 goes on serving",
         )
-        it.heal("p1", "store")
-        await it.agreed(number)
-        assert {row["name"] for row in (await it.status())["processes"]} == {
+        it.faults.heal("p1", "store")
+        await it.versions.wait_until_agreed(number)
+        assert {row["name"] for row in (await it.versions.status())["processes"]} == {
             "n0",
             "p0-0",
             "p0-1",
@@ -44,19 +45,21 @@
 
 @story
 async def test_a_processor_and_its_workers_that_stood_still_over_a_change_repeat_nothing():
-    async with rig(nodes=1, processors=1, within=WITHIN) as it:
+    async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
         rough(it)
-        it.call(40, MIX)
+        it.start_load(40, MIX)
         await first_version(it)
         await repeated(it, "p0")
-        it.stop("p0")
+        it.faults.stop("p0")
         stopped = time.monotonic()
-        number = await it.put("look has effects now", look__effect="fragile")
-        assert await it.ended(number) == "in force"
-        await it.until(lambda: time.monotonic() > stopped + 3 * WITHIN, "three times the stated time is over")
-        it.go_on("p0")
+        number = await it.versions.put("look has effects now", look__effect="fragile")
+        assert await it.versions.wait_for_outcome(number) == "in force"
+        await it.wait_until(
+            lambda: time.monotonic() > stopped + 3 * WITHIN, "three times the stated time is over"
+        )
+        it.faults.resume("p0")
         on = time.monotonic()
-        await it.until(
+        await it.wait_until(
             lambda: (
                 sum(
                     one.status == 200 and one.node == "p0" and one.sent_at > on
@@ -66,42 +69,42 @@
             ),
             "p0 serves again",
         )
-        await it.agreed(number)
+        await it.versions.wait_until_agreed(number)
         await kept(it, served=60)
 
 
 @story
 async def test_a_processor_that_is_killed_with_its_workers_holds_nothing_up_and_comes_back_into_line():
-    async with rig(nodes=1, processors=2, within=WITHIN) as it:
+    async with running_rig(RigOptions(nodes=1, processors=2, bound_s=WITHIN)) as it:
         rough(it)
-        it.call(40, MIX)
+        it.start_load(40, MIX)
         await first_version(it)
-        it.kill("p0")
-        number = await it.put("look has effects now", look__effect="fragile")
-        assert await it.ended(number) == "in force"
-        await it.agreed(number, ["n0", "p1"])
-        await it.start("p0")
+        it.faults.kill("p0")
+        number = await it.versions.put("look has effects now", look__effect="fragile")
+        assert await it.versions.wait_for_outcome(number) == "in force"
+        await it.versions.wait_until_agreed(number, ["n0", "p1"])
+        await it.faults.start("p0")
         with trio.fail_after(20):
-            await it.agreed(number)
+            await it.versions.wait_until_agreed(number)
         await kept(it, served=60)
 
 
 @story
 async def test_a_drain_that_the_nodes_list_tells_is_kept_by_a_processor_whose_list_is_silent():
-    async with rig(nodes=1, processors=1, within=WITHIN) as it:
-        it.call(40, MIX)
+    async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
+        it.start_load(40, MIX)
         await first_version(it)
-        await it.until(
+        await it.wait_until(
             lambda: (
                 len({execution.server for execution in it.records.executions if execution.node == "p0"}) == 4
             ),
             "p0 sends to all",
         )
-        it.cut("p0", "list")
-        it.drain("s3")
+        it.faults.partition("p0", "list")
+        it.faults.drain("s3")
         it.records.drained_at["s3"] += WITHIN  # it is told within that time, by the other's words
         last = it.records.drained_at["s3"] + 2.0
-        await it.until(
+        await it.wait_until(
             lambda: (
                 sum(
                     execution.node == "p0" and execution.started_at > last + 0.5
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -10,7 +10,8 @@
 
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.rig import verdict
-from wheatroute.rig.rig import rig
+from wheatroute.rig.options import RigOptions
+from wheatroute.rig.rig import running_rig
 from wheatroute.rollout import operator, plan
 
 WITHIN = 1.5  # seconds
@@ -80,11 +81,11 @@
         self.it, self.store = it, DirectoryStore(str(it.folder / "rollouts"))
 
     async def ready(self, rate=80):
-        number = await self.it.put("the first")
-        await self.it.agreed(number)
+        number = await self.it.versions.put("the first")
+        await self.it.versions.wait_until_agreed(number)
         await self.until(lambda rows: len(rows) == 3 and all(row["runs"] == "old" for row in rows.values()))
-        self.it.call(rate, MIX)
-        await self.it.until(
+        self.it.start_load(rate, MIX)
+        await self.it.wait_until(
             lambda: sum(one.status == 200 for one in self.it.records.requests.values()) > 100, "all serve"
         )
 
@@ -116,8 +117,8 @@
 
     async def kept(self):
         """No rule was broken by anyone."""
-        until = await self.it.quiet()
-        await self.it.note()
+        until = await self.it.stop_load()
+        await self.it.versions.read_history()
         violations = verdict.find_violations(self.it.records, until, WITHIN)
         assert not violations, "\n".join([violations[0].rule, *violations[0].timeline])
 
@@ -141,10 +142,10 @@
 
 @story
 async def test_a_good_version_goes_through_all_stages_and_nobody_feels_it():
-    async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": GOOD}) as it:
+    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
         one = Story(it)
         await one.ready()
-        it.control()
+        it.launcher.start_controller()
         number = await operator.start(one.store, told(), "a story")
         progress = await one.ended()
         assert number == 1
@@ -157,10 +158,12 @@
 @pytest.mark.parametrize("how, reason", [("dies", "did not come up: status 3"), ("unready", "was not ready")])
 def test_a_version_that_does_not_come_up_leaves_the_old_one_serving(how, reason):
     async def tell():
-        async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": bad(how)}) as it:
+        async with running_rig(
+            RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": bad(how)})
+        ) as it:
             one = Story(it)
             await one.ready()
-            it.control()
+            it.launcher.start_controller()
             await operator.start(one.store, told(), "a story")
             progress = await one.ended()
             assert kinds(progress) == ["start", "stage", "back", "end"] and reason in progress.reason
@@ -176,10 +179,12 @@
 )
 def test_a_version_that_does_worse_is_taken_back_from_the_one_node_that_had_it(how, word):
     async def tell():
-        async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": bad(how)}, longest=300.0) as it:
+        async with running_rig(
+            RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": bad(how)}, timeout_s=300.0)
+        ) as it:
             one = Story(it)
             await one.ready()
-            it.control()
+            it.launcher.start_controller()
             await operator.start(
                 one.store, told(**(TIMES_WATCHED if word == "slow" else LONG_STAGES)), "a story"
             )
@@ -198,20 +203,20 @@
 
 @story
 async def test_controllers_killed_between_steps_leave_the_next_to_go_on_and_no_step_is_done_twice():
-    async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": GOOD}) as it:
+    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
         one = Story(it)
         await one.ready()
         await operator.start(one.store, told(), "a story")
         seen = 0
         with trio.fail_after(90):
             while True:
-                name, other = it.control(), it.control()
+                name, other = it.launcher.start_controller(), it.launcher.start_controller()
                 while (progress := await operator.read_progress(one.store)).head == max(
                     seen, 1
                 ) and progress.phase != "ended":
                     await trio.sleep(0.05)
-                it.kill(name)
-                it.kill(other)
+                it.faults.kill(name)
+                it.faults.kill(other)
                 seen = progress.head
                 if progress.phase == "ended":
                     break
@@ -221,13 +226,13 @@
 
 @story
 async def test_a_supervisor_that_dies_leaves_its_node_serving_and_the_next_one_finds_it():
-    async with rig(nodes=3, within=WITHIN, programs={"old": GOOD, "new": GOOD}) as it:
+    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
         one = Story(it)
         await one.ready()
         pids = it.processes["n0"].pids
-        it.processes["supervisor-n0"].end()
+        it.processes["supervisor-n0"].kill()
         dead = time.monotonic()
-        await it.until(
+        await it.wait_until(
             lambda: (
                 sum(
                     one.status == 200 and one.node == "n0" and one.sent_at > dead
@@ -238,9 +243,9 @@
             "n0 goes on serving",
         )
         it.processes["supervisor-n0"].start()
-        await it.until(lambda: "event=found" in it.processes["supervisor-n0"].log, "it is found")
+        await it.wait_until(lambda: "event=found" in it.processes["supervisor-n0"].log, "it is found")
         assert it.processes["n0"].pids == pids and len(pids) == 1
-        it.control()
+        it.launcher.start_controller()
         await operator.start(one.store, told(), "a story")
         assert kinds(await one.ended())[-1] == "end"
         assert len(it.processes["n0"].pids) == 1 and it.processes["n0"].pids != pids
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -7,7 +7,7 @@
 from wheatroute.balancing.ready_servers import ReadyServers
 from wheatroute.benchlink import host
 from wheatroute.platform_settings import decision_settings
-from wheatroute.rig.settings import change
+from wheatroute.rig.settings import with_changes
 from wheatroute.standin import etcd_store, lean
 from wheatroute.wire_names import NameNumbering
 
@@ -97,7 +97,7 @@
 
 def test_rig_change():
     told = {"balancers": 1, "traffic-types": [{"name": "look", "effect": "retryable"}], "zone": "a"}
-    assert change(told, {"look__effect": "fragile", "most-open": 3}, 2) == {
+    assert with_changes(told, {"look__effect": "fragile", "most-open": 3}, 2) == {
         "balancers": 2,
         "traffic-types": [{"name": "look", "effect": "fragile"}],
         "most-open": 3,
--- /dev/null
+++ b/wheatroute/rig/builder.py
@@ -0,0 +1,189 @@
+"""Builds a rig by its options: etcd cluster, nodes, processors behind proxies, supervisors, clients."""
+
+from __future__ import annotations
+
+import itertools
+from copy import deepcopy
+from typing import Any
+
+import trio
+
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.rig.addresses import Address, host_port
+from wheatroute.rig.client_load import ClientLoad
+from wheatroute.rig.discovery import etcd_servers_table
+from wheatroute.rig.http_connection import listen
+from wheatroute.rig.network import free_datagram_address
+from wheatroute.rig.process_files import toml_entries
+from wheatroute.rig.processes import NODE_COMMAND, Process, SupervisedProcess, cli_command
+from wheatroute.rig.processor_file import ProcessorInstance, processor_file
+from wheatroute.rig.rig_parts import RigParts
+from wheatroute.rig.server import Server
+from wheatroute.rig.supervisor import rollout_directory, supervisor_file
+from wheatroute.rig.version_backend import RelayBackend
+from wheatroute.rig.waiting import wait_until
+
+NODE_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+
+
+class RigBuilder:
+    """Adds processes to a rig's parts and starts them."""
+
+    def __init__(self, parts: RigParts, nursery: trio.Nursery) -> None:
+        self._parts = parts
+        self._options = parts.options
+        self._nursery = nursery
+        self._peer_listeners: dict[str, Address] = {}  # where nodes hear each other's datagrams
+
+    async def build(self) -> None:
+        """Builds and starts all of it; raises `RigError` if a process does not come up."""
+        if self._parts.etcd is not None:
+            self._parts.etcd.start()
+        if isinstance(self._parts.backend, RelayBackend):
+            await self._start_relay(self._parts.backend)
+        if self._options.peers:
+            self._link_peers()
+        for number, name in enumerate(self._options.names):
+            if name in self._options.processor_names:
+                await self._add_processor(number, name)
+            else:
+                await self._add_node(number, name)
+        await self._start_all()
+
+    async def _start_all(self) -> None:
+        for process in self._parts.processes.values():
+            if process.name not in ("etcd", "relay"):  # which run already
+                process.start()
+        for name in self._options.names:
+            await self._wait_for_log(
+                name, "event=listening", self._options.process_count(name), f"{name} listens"
+            )
+
+    async def _wait_for_log(self, name: str, text: str, count: int, description: str) -> None:
+        process = self._parts.processes[name]
+        await wait_until(
+            self._parts.records.lateness,
+            lambda: process.log.count(text) >= count,
+            description,
+        )
+
+    def _add_process(self, process: Process) -> None:
+        self._parts.processes[process.name] = process
+
+    async def _start_relay(self, backend: RelayBackend) -> None:
+        """Starts the one reader of etcd on this machine, through links of its own."""
+        options = ["--into", str(backend.directory), "--within", str(self._options.bound_s), "--name", "here"]
+        command = cli_command("settings", "--at", backend.url("relay"), "relay", *options)
+        relay = Process("relay", command, self._parts.files.log("relay"))
+        self._add_process(relay)
+        relay.start()
+        await self._wait_for_log("relay", 'phase="in force"', 1, "the relay was confirmed")
+
+    def _link_peers(self) -> None:
+        """Links any two of the nodes and processors for datagrams."""
+        self._peer_listeners = {name: free_datagram_address() for name in self._options.names}
+        for one, other in itertools.combinations(self._peer_listeners, 2):
+            ends = self._peer_listeners[one], self._peer_listeners[other]
+            self._parts.network.add_datagram_link(f"{one}-{other}", ends, self._options.seed)
+
+    async def _add_discovery_service(self, name: str) -> Address:
+        """Adds a process's discovery service, and links of its own to it and to all servers."""
+        service = self._parts.discovery.add_process(name)
+        for server in self._parts.servers.values():
+            address = await self._link_server(server, name)
+            self._parts.discovery.add_server(name, server, address)
+        address = await listen(service.serve, self._nursery)
+        return self._parts.network.add_link(f"{name}-list", address).address
+
+    async def _link_server(self, server: Server, name: str) -> Address:
+        async def serve(stream: trio.SocketStream) -> None:
+            await server.serve(stream, name, link.sent_at)
+
+        link = self._parts.network.add_link(f"{name}-{server.name}", await listen(serve, self._nursery))
+        return link.address
+
+    def _add_load(self, name: str, address: Address) -> None:
+        """Adds the clients of a node or proxy."""
+        entrance = self._parts.network.add_link(f"callers-{name}", address).address
+        load = ClientLoad(name, entrance, self._parts.records, self._options.seed)
+        self._parts.loads[name] = load
+        self._nursery.start_soon(load.run)
+
+    # processors
+
+    async def _add_processor(self, number: int, name: str) -> None:
+        list_service = await self._add_discovery_service(name)
+        listener = self._parts.network.reserve_address()
+        instance = ProcessorInstance(
+            name=name,
+            number=number,
+            workers=self._options.workers,
+            listen=host_port(listener),
+            list_service=host_port(list_service),
+        )
+        text = processor_file(self._parts.settings, len(self._options.names), instance)
+        agreement = ["[agreement]", *toml_entries(self._parts.backend.agreement_table(name)), ""]
+        path = self._parts.files.write_toml(name, text + "\n".join(agreement))
+        self._add_process(Process(name, cli_command("processor", str(path)), self._parts.files.log(name)))
+        await self._add_gateway(name, listener)
+
+    async def _add_gateway(self, name: str, processor: Address) -> None:
+        """Adds the proxy before a processor, and its clients."""
+        from wheatroute.rig.gateway import Gateway  # its libraries are needed with processors only
+
+        gateway = Gateway(self._parts.network.add_link(f"proxy-{name}", processor).address)
+        self._nursery.start_soon(gateway.run)
+        self._add_load(name, await listen(gateway.serve, self._nursery))
+
+    # nodes
+
+    async def _add_node(self, number: int, name: str) -> None:
+        discovery = await self._add_discovery_service(name)
+        listener = self._parts.network.reserve_address()
+        document = self._node_document(number, name, listener, discovery)
+        if self._options.programs is not None:
+            DirectoryStore(rollout_directory(self._parts.folder)).create()
+            document["beside"] = True
+            document["rollout"] = {"directory": rollout_directory(self._parts.folder)}
+            self._add_supervisor(number, name, self._options.programs)
+        else:
+            environment = {"PROXY_CONFIG": str(self._parts.files.node_file(name))}
+            log = self._parts.files.log(name)
+            self._add_process(Process(name, NODE_COMMAND, log, environment))
+        self._parts.files.write_node_file(name, document)
+        self._add_load(name, listener)
+
+    def _node_document(self, number: int, name: str, listener: Address, discovery: Address) -> dict[str, Any]:
+        """The settings file of a node."""
+        own_settings = {
+            "me": number,
+            "balancers": len(self._options.names),
+            "zone": self._options.zone_of(number),
+        }
+        document: dict[str, Any] = {
+            "name": name,
+            "listen": host_port(listener),
+            "discovery": host_port(discovery),
+            "seed": f"{self._options.seed}/{name}",
+            "limits": NODE_LIMITS,
+            "settings": deepcopy(self._parts.settings) | own_settings,
+            "agreement": self._parts.backend.agreement_table(name),
+        }
+        if self._options.peers:
+            document["peers"] = {
+                "listen": host_port(self._peer_listeners[name]),
+                "others": [*map(host_port, self._parts.network.peer_addresses(name))],
+            }
+        if self._options.discovery == "etcd" and self._parts.etcd is not None:
+            addresses = self._parts.network.add_links(f"{name}-list", self._parts.etcd.addresses)
+            document["servers"] = etcd_servers_table(name, [*map(host_port, addresses)])
+        return document
+
+    def _add_supervisor(self, number: int, node: str, programs: dict[str, list[str]]) -> None:
+        """Adds a node's supervisor, a process of its own, and the node as what it runs."""
+        files = self._parts.files
+        name = f"supervisor-{node}"
+        text = supervisor_file(node, self._options.zone_of(number), programs, files)
+        path = files.write_toml(name, text)
+        self._add_process(Process(name, cli_command("keep", str(path)), files.log(name)))
+        self._add_process(SupervisedProcess(node, files.node_file(node), files.log(node)))
--- a/wheatroute/rig/discovery_service.py
+++ b/wheatroute/rig/discovery_service.py
@@ -29,6 +29,10 @@
         self._previous: dict[str, _VersionedEntry] = {}  # what each entry was before its last change
         self._changed = trio.Event()
 
+    def entry(self, server: str) -> dict[str, Any]:
+        """The entry of a server."""
+        return self._entries[server].entry
+
     def update(self, entry: dict[str, Any]) -> None:
         """Sets an entry of the list; its `id` names the server."""
         server = entry["id"]
--- a/wheatroute/rig/cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -1,4 +1,4 @@
-"""A stand-in etcd cluster in a process of its own: `python -m wheatroute.rig.cluster MEMBERS`.
+"""A stand-in etcd cluster in a process of its own: `python -m wheatroute.rig.etcd_cluster MEMBERS`.
 
 Owns one store with its members, and takes orders as JSON lines on standard input; it ends with its input.
 Prints the members' places first, then an answer a line.
--- a/wheatroute/rig/processes.py
+++ b/wheatroute/rig/processes.py
@@ -2,37 +2,44 @@
 
 from __future__ import annotations
 
-import json
 import os
 import signal
 import subprocess
 import sys
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 ROOT = Path(__file__).resolve().parents[2]
+NODE_COMMAND = [sys.executable, "-m", "wheatroute"]
 
 
 class RigError(Exception):
     """The run cannot go on, with the reason."""
 
 
+def cli_command(*words: str) -> list[str]:
+    """The command `wheatroute` with these words."""
+    return [sys.executable, "-m", "wheatroute.cli", *words]
+
+
 class Process:
-    """One process of the program, and its file."""
+    """One process of the program, with the processes that it starts: a process group of its own."""
 
-    def __init__(self, name: str, command: list[str], environment: dict[str, str], log: Path) -> None:
-        self.name, self._command, self._environment, self._log = name, command, environment, log
-        self._running: subprocess.Popen[bytes] | None = None
-        self.starts = 0
+    def __init__(
+        self, name: str, command: list[str], log: Path, environment: dict[str, str] | None = None
+    ) -> None:
+        self.name = name
+        self._command = command
+        self._log = log
+        self._environment = environment or {}
+        self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
         """Starts the process; raises `RigError` if it runs."""
-        if self.alive:
+        if self.is_alive:
             raise RigError(f"{self.name} runs already")
-        self.starts += 1
         with open(self._log, "ab") as log:
-            self._running = subprocess.Popen(
+            self._process = subprocess.Popen(
                 self._command,
                 cwd=ROOT,
                 env=os.environ | self._environment,
@@ -42,107 +49,75 @@
             )
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether the process runs."""
-        return self._running is not None and self._running.poll() is None
+        return self._process is not None and self._process.poll() is None
 
     @property
-    def status(self) -> int | None:
-        """The exit status, None while it runs."""
-        return self._running.poll() if self._running else None
+    def exit_status(self) -> int | None:
+        """The exit status; None before the start and while it runs."""
+        return self._process.poll() if self._process else None
 
     @property
     def pid(self) -> int:
-        """The process id."""
-        assert self._running is not None
-        return self._running.pid
-
-    def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the process if it runs."""
-        if self._running is not None and self.alive:
-            self._running.send_signal(number)
-
-    def signal_all(self, number: int) -> None:
-        """To the process and those that it started: a group of its own."""
-        if self._running is not None:
+        """The process id; only after the start."""
+        assert self._process is not None
+        return self._process.pid
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process alone, if it runs."""
+        if self._process is not None and self.is_alive:
+            self._process.send_signal(number)
+
+    def send_group_signal(self, number: signal.Signals) -> None:
+        """Sends a signal to the process and those that it started."""
+        if self._process is not None:
             with suppress(ProcessLookupError):
-                os.killpg(self._running.pid, number)
+                os.killpg(self._process.pid, number)
 
-    def end(self) -> None:
-        """Gone now, whether it was stopped or hung, with what it started."""
-        if self._running is not None:
-            self.signal_all(signal.SIGKILL)
-            self._running.wait()
+    def kill(self) -> None:
+        """Kills the group, also when it is stopped or hangs, and waits for the process's end."""
+        if self._process is not None:
+            self.send_group_signal(signal.SIGKILL)
+            self._process.wait()
 
     @property
     def log(self) -> str:
-        """What the process has logged."""
+        """What the process has logged, in all its starts."""
         return self._log.read_text(errors="replace") if self._log.exists() else ""
 
 
-class Kept(Process):
-    """A node that a supervisor runs: whatever process has the node's file. Its log is the node's."""
+class SupervisedProcess(Process):
+    """A node that a supervisor runs: any process with the node's settings file. Its log is the node's."""
 
-    def __init__(self, name: str, file: Path, log: Path) -> None:
-        super().__init__(name, [], {}, log)
-        self._mark = f"PROXY_CONFIG={file}".encode()
+    def __init__(self, name: str, settings_file: Path, log: Path) -> None:
+        super().__init__(name, [], log)
+        self._environment_entry = f"PROXY_CONFIG={settings_file}".encode()
 
     def start(self) -> None:
-        """Its supervisor does that."""
+        """Does nothing: its supervisor starts it."""
 
     @property
     def pids(self) -> list[int]:
-        """The ids of the processes that were started with this mark."""
-        found = []
-        for one in Path("/proc").iterdir():
-            if one.name.isdigit():
-                with suppress(OSError):
-                    if self._mark in (one / "environ").read_bytes().split(b"\0"):
-                        found.append(int(one.name))
-        return found
+        """The ids of the processes that have the settings file in their environment."""
+        return [int(one.name) for one in Path("/proc").iterdir() if one.name.isdigit() and self._is_own(one)]
+
+    def _is_own(self, process: Path) -> bool:
+        with suppress(OSError):  # it has ended, or belongs to somebody else
+            return self._environment_entry in (process / "environ").read_bytes().split(b"\0")
+        return False
 
     @property
-    def alive(self) -> bool:
+    def is_alive(self) -> bool:
         """Whether any of them runs."""
         return bool(self.pids)
 
-    def signal_all(self, number: int) -> None:
+    def send_group_signal(self, number: signal.Signals) -> None:
         """Sends a signal to all of them."""
         for pid in self.pids:
             with suppress(ProcessLookupError):
                 os.kill(pid, number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kills all of them."""
-        self.signal_all(signal.SIGKILL)
-
-
-class Cluster(Process):
-    """The stand-in etcd cluster's process, with orders."""
-
-    def __init__(self, members: int, log: Path) -> None:
-        super().__init__("etcd", [sys.executable, "-m", "wheatroute.rig.cluster", str(members)], {}, log)
-        self.places: list[tuple[str, int]] = []
-
-    def start(self) -> None:
-        """Starts the process."""
-        with open(self._log, "ab") as log:
-            self._running = subprocess.Popen(
-                self._command,
-                cwd=ROOT,
-                stdin=subprocess.PIPE,
-                stderr=log,
-                stdout=subprocess.PIPE,
-                start_new_session=True,
-            )
-        assert self._running.stdout is not None
-        self.places = [(host, port) for host, port in json.loads(self._running.stdout.readline())]
-
-    def order(self, order: str, **more: Any) -> None:
-        """Has the cluster do something, see `cluster.Orders`."""
-        assert self._running is not None and self._running.stdin and self._running.stdout
-        self._running.stdin.write(json.dumps({"order": order} | more).encode() + b"\n")
-        self._running.stdin.flush()
-        told = json.loads(self._running.stdout.readline() or b'{"trouble": "it is gone"}')
-        if told:
-            raise RigError(f"etcd: {told['trouble']}")
+        self.send_group_signal(signal.SIGKILL)
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -1,7 +1,7 @@
 """The rig: starts processes of the program and everything around them on loopback, and ends all of it.
 
-Owns every process, link and folder of a run. It must never leave a process behind, whatever goes wrong, nor
-end one that it did not start; it tells the program of no fault.
+It must never leave a process behind, whatever goes wrong, nor end one that it did not start; it tells the
+program of no fault.
 """
 
 from __future__ import annotations
@@ -9,99 +9,114 @@
 import shutil
 import tempfile
 import time
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
-from copy import deepcopy
+from collections.abc import AsyncIterator, Callable, Iterator
+from contextlib import ExitStack, asynccontextmanager, contextmanager
 from pathlib import Path
-from typing import Any
 
 import trio
 
-from wheatroute.rig.faulting import RigFaults
+from wheatroute.rig.builder import RigBuilder
+from wheatroute.rig.etcd_process import EtcdProcess
+from wheatroute.rig.faults import FaultInjector
+from wheatroute.rig.launcher import Launcher
 from wheatroute.rig.loop_lateness import MAX_EXCUSED_S
-from wheatroute.rig.run_records import Downtime
-from wheatroute.rig.settings import SETTINGS
-from wheatroute.rig.versioning import RigVersions
-
-
-class Rig(RigFaults, RigVersions):
-    """Nodes n0.., processors p0.. behind a proxy each, servers s0.., a store for versions, clients of each,
-    and a link between any two."""
-
-    def call(self, rate: float, kinds: dict[str, float], left: float = 2.0) -> None:
-        """Clients of all nodes ask at a rate each, in the forms of the settings at the start."""
-        forms = {one["name"]: one["effect"] for one in self.settings["traffic-types"]}
-        for clients in self.clients.values():
-            clients.clear_classes()
-            for name, share in kinds.items():
-                clients.set_class(name, share, forms[name])
-            clients.rate, clients.timeout_s = rate, left
-
-    async def quiet(self) -> float:
-        """Clients stop asking, all that was asked gets its time; returns the moment after."""
-        for clients in self.clients.values():
-            clients.rate = 0.0
-        out = max((one.timeout_s for one in self.records.requests.values()), default=0.0)
-        with trio.move_on_after(out + 1.5 + MAX_EXCUSED_S):
-            while any(not one.ended_at for one in self.records.requests.values()):
-                await trio.sleep(0.02)
-        for name, since in self._stopped.items():
-            self.records.downtimes.append(Downtime(since, time.monotonic() + 60.0, name))
+from wheatroute.rig.options import RigOptions
+from wheatroute.rig.rig_parts import RigParts, create_parts
+from wheatroute.rig.versions import VersionPublisher
+from wheatroute.rig.waiting import WAIT_TIMEOUT_S, wait_until
+
+DRAIN_SLACK_S = 1.5  # beyond the longest deadline in which the last requests end
+CHECK_INTERVAL_S = 0.02
+
+
+class Rig:
+    """Nodes, processors behind a proxy each, servers, a store for versions, clients of each node, and a link
+    between any two processes."""
+
+    def __init__(self, parts: RigParts) -> None:
+        self.names = parts.options.names
+        self.folder = parts.folder
+        self.files = parts.files
+        self.settings = parts.settings
+        self.records = parts.records
+        self.links = parts.network.links
+        self.processes = parts.processes
+        self.servers = parts.servers
+        self.loads = parts.loads
+        self.discovery_services = parts.discovery.services
+        self.launcher = Launcher(parts)
+        self.faults = FaultInjector(
+            parts.options, parts.records, parts.network, parts.processes, parts.discovery, parts.backend
+        )
+        self.versions = VersionPublisher(
+            parts.options, parts.settings, parts.records, parts.backend, parts.folder
+        )
+        self._etcd = parts.etcd
+
+    @property
+    def etcd(self) -> EtcdProcess:
+        """The process of the stand-in etcd cluster; only with one."""
+        assert self._etcd is not None
+        return self._etcd
+
+    @property
+    def has_etcd(self) -> bool:
+        """Whether there is a stand-in etcd cluster."""
+        return self._etcd is not None
+
+    async def wait_until(
+        self, condition: Callable[[], object], description: str, timeout_s: float = WAIT_TIMEOUT_S
+    ) -> None:
+        """See `waiting.wait_until`."""
+        await wait_until(self.records.lateness, condition, description, timeout_s)
+
+    def start_load(self, rate: float, class_shares: dict[str, float], timeout_s: float = 2.0) -> None:
+        """Has the clients of each node send `rate` requests a second, by shares of the request classes."""
+        effects = {table["name"]: table["effect"] for table in self.settings["traffic-types"]}
+        for load in self.loads.values():
+            load.clear_classes()
+            for name, share in class_shares.items():
+                load.set_class(name, share, effects[name])
+            load.rate = rate
+            load.timeout_s = timeout_s
+
+    async def stop_load(self) -> float:
+        """Stops the clients, and waits for the ends of requests under way; returns the time after that."""
+        for load in self.loads.values():
+            load.rate = 0.0
+        requests = self.records.requests
+        longest_s = max((request.timeout_s for request in requests.values()), default=0.0)
+        with trio.move_on_after(longest_s + DRAIN_SLACK_S + MAX_EXCUSED_S):
+            while not all(request.ended_at for request in requests.values()):
+                await trio.sleep(CHECK_INTERVAL_S)
+        self.faults.record_open_downtimes()
         return time.monotonic()
 
 
 @asynccontextmanager
-async def rig(
-    nodes: int = 3,
-    servers: int = 4,
-    store: str = "directory",
-    members: int = 3,
-    zones: int = 1,
-    within: float = 2.0,
-    seed: int = 1,
-    settings: dict[str, Any] | None = None,
-    longest: float = 120.0,
-    keep: Path | None = None,
-    lists: str = "service",
-    peers: bool = False,
-    processors: int = 0,
-    workers: int = 2,
-    programs: dict[str, list[str]] | None = None,
-) -> AsyncIterator[Rig]:
-    """A rig that stands, for as long as that lasts and `longest` at the most; then all of it is ended.
-
-    `store` is where versions are, a directory or etcd; `lists` where servers are, a list service or
-    etcd. With `peers` nodes tell one another what servers hold, by datagrams. Processors, with so many
-    workers each, hear of servers by a list service. With `programs`, nodes are run by supervisors. Logs and
-    files go into `keep`, or into a folder that goes with the rig.
-    """
-    folder = keep or Path(tempfile.mkdtemp(prefix="wheatroute-rig-"))
-    folder.mkdir(parents=True, exist_ok=True)
-    told = deepcopy(settings or SETTINGS)
-    told["dcs"] = [chr(ord("a") + i) for i in range(zones)]
-    made = Rig(
-        told,
-        folder,
-        seed,
-        within,
-        nodes,
-        servers,
-        store,
-        members,
-        zones,
-        lists,
-        peers,
-        processors,
-        workers,
-        programs,
-    )
-    try:
-        with trio.fail_after(longest):
+async def running_rig(options: RigOptions) -> AsyncIterator[Rig]:
+    """A rig that is built and runs, for as long as the context or `timeout_s`; then all of it is ended."""
+    with ExitStack() as cleanup:
+        folder = cleanup.enter_context(_run_folder(options.folder))
+        with trio.fail_after(options.timeout_s):
             async with trio.open_nursery() as nursery:
-                await made._make(nursery)
-                yield made
+                parts = create_parts(options, folder, nursery)
+                cleanup.callback(parts.close)
+                nursery.start_soon(parts.records.lateness.run)
+                await RigBuilder(parts, nursery).build()
+                yield Rig(parts)
                 nursery.cancel_scope.cancel()
+
+
+@contextmanager
+def _run_folder(kept: Path | None) -> Iterator[Path]:
+    """The folder of a run: one that is kept, or a temporary one."""
+    if kept is not None:
+        kept.mkdir(parents=True, exist_ok=True)
+        yield kept
+        return
+    temporary = Path(tempfile.mkdtemp(prefix="wheatroute-rig-"))
+    try:
+        yield temporary
     finally:
-        made.end()
-        if keep is None:
-            shutil.rmtree(folder, ignore_errors=True)
+        shutil.rmtree(temporary, ignore_errors=True)
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -22,8 +22,9 @@
 from wheatroute.agreement.operator_output import table
 from wheatroute.agreement.version_store import VersionStoreError
 from wheatroute.rig import run_folder, verdict
+from wheatroute.rig.options import RigOptions
 from wheatroute.rig.processes import RigError
-from wheatroute.rig.rig import Rig, rig
+from wheatroute.rig.rig import Rig, running_rig
 
 Share = Field(default=0.0, ge=0.0, le=1.0)
 _LINE = re.compile(r'timestamp=(\S+) .*event=settings .*phase=("in force"|\S+) version=(\d+)')
@@ -133,38 +134,40 @@
     script: Script, folder: Path, tell: Callable[[float], None] = lambda done: None
 ) -> dict[str, Any]:
     """Plays the script into a folder; returns the summary."""
-    async with rig(
-        nodes=script.nodes,
-        servers=script.servers.count,
-        store=script.store,
-        zones=script.zones,
-        members=script.members,
-        within=script.within,
-        seed=script.seed,
-        keep=folder,
-        processors=script.processors,
-        workers=script.workers,
-        longest=script.seconds * 2 + 120.0,
+    async with running_rig(
+        RigOptions(
+            nodes=script.nodes,
+            servers=script.servers.count,
+            store=script.store,
+            zones=script.zones,
+            etcd_members=script.members,
+            bound_s=script.within,
+            seed=script.seed,
+            folder=folder,
+            processors=script.processors,
+            workers=script.workers,
+            timeout_s=script.seconds * 2 + 120.0,
+        )
     ) as it:
         for server in it.servers.values():
             server.mean_service_time_s = script.servers.takes
             server.reset_share = script.servers.reset
             server.error_share = script.servers.error
             server.silent_share = script.servers.silent
-        first = await it.put("the settings as they are")
-        await it.ended(first)
-        await it.agreed(first)
+        first = await it.versions.put("the settings as they are")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
         began, wall = time.monotonic(), time.time()
-        it.call(script.callers.rate, script.callers.mix, script.callers.left)
+        it.start_load(script.callers.rate, script.callers.mix, script.callers.left)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_steps, it, script, began)
             while (gone := time.monotonic() - began) < script.seconds:
                 tell(gone / script.seconds)
                 await trio.sleep(0.2)
             nursery.cancel_scope.cancel()
-        until = await it.quiet()
+        until = await it.stop_load()
         try:
-            await it.note()
+            await it.versions.read_history()
         except (VersionStoreError, trio.TooSlowError):
             pass  # the store was left away: what was noted by then stands
         tell(1.0)
@@ -183,34 +186,34 @@
 
 async def _put(it: Rig, step: Step) -> None:
     try:
-        await it.ended(await it.put(step.why, step.over, **step.change), 60.0)
+        await it.versions.wait_for_outcome(await it.versions.put(step.why, step.over, **step.change), 60.0)
     except (OperatorError, VersionStoreError) as trouble:
-        it.fault(f"not put: {trouble}")
+        it.faults.record(f"not put: {trouble}")
 
 
 async def _do(it: Rig, step: Step) -> None:
     one, other = step.one, step.other
     if step.do == "cut":
-        it.cut(one, other, step.way)
+        it.faults.partition(one, other, step.way)
     elif step.do == "heal":
-        it.heal(one, other)
+        it.faults.heal(one, other)
     elif step.do == "spoil":
-        it.spoil(one, other, step.way, **step.how)
+        it.faults.impair(one, other, step.way, **step.how)
     elif step.do == "reset":
-        it.reset(one, other)
+        it.faults.reset_connections(one, other)
     elif step.do == "stop":
-        it.stop(one)
+        it.faults.stop(one)
     elif step.do == "continue":
-        it.go_on(one)
+        it.faults.resume(one)
     elif step.do == "kill":
-        it.kill(one)
+        it.faults.kill(one)
     elif step.do == "start":
-        await it.start(one)
+        await it.faults.start(one)
     elif step.do == "drain":
-        it.drain(one)
-    elif it.cluster is not None:
-        it.fault(f"etcd {step.how}")
-        it.cluster.order(**step.how)
+        it.faults.drain(one)
+    elif it.has_etcd:
+        it.faults.record(f"etcd {step.how}")
+        it.etcd.send_command(**step.how)
     else:
         raise RigError("the store is a directory: there is no etcd to give orders to")
 
--- a/wheatroute/rig/settings.py
+++ b/wheatroute/rig/settings.py
@@ -1,13 +1,11 @@
-"""The settings that a run starts with, changes of them, and the processor's file for them."""
+"""The settings that a run starts with, by the keys of the platform, and changes of them."""
 
 from __future__ import annotations
 
-import json
 from copy import deepcopy
 from typing import Any
 
-EFFECTS = {"retryable": "pure", "dedup": "receipted", "fragile": "effectful"}
-SETTINGS: dict[str, Any] = {
+DEFAULT_SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "tick": 0.005,
     "tier": 0,
@@ -72,80 +70,30 @@
 }
 
 
-def change(settings: dict[str, Any], changes: dict[str, Any], nodes: int) -> dict[str, Any]:
-    """Settings for all nodes, some of them changed."""
-    out = deepcopy(settings) | {"balancers": nodes}
-    out.pop("me", None)
-    out.pop("zone", None)
+def with_changes(settings: dict[str, Any], changes: dict[str, Any], node_count: int) -> dict[str, Any]:
+    """Settings for all nodes, with changes by path.
+
+    `look__effect` is the key `effect` of the request class, tenant or table `look`; a single underscore
+    stands for a hyphen. A path without two underscores is a key of the settings themselves.
+    """
+    changed = deepcopy(settings) | {"balancers": node_count}
+    changed.pop("me", None)
+    changed.pop("zone", None)
     for path, value in changes.items():
         table, _, key = path.partition("__")
-        named = [
-            one for name in ("traffic-types", "tenants") for one in out.get(name, []) if one["name"] == table
-        ]
-        if not key:
-            out[table] = value
-        elif named:
-            named[0][key.replace("_", "-")] = value
+        if key:
+            _table_of(changed, table)[key.replace("_", "-")] = value
         else:
-            out.setdefault(table, {})[key.replace("_", "-")] = value
-    return out
+            changed[table] = value
+    return changed
 
 
-def file_text(settings: dict[str, Any], nodes: int, own: dict[str, Any]) -> str:
-    """The processor's file for settings in the platform's words; `own` is one process's alone, as TOML."""
-    own = {
-        "list_service": '"127.0.0.1:1"',
-        "listen": '"127.0.0.1:1"',
-        "name": '"any"',
-        "node": 0,
-        "workers": 1,
-    } | own
-    rules = settings["rules"]
-    lines = [
-        f"name = {own['name']}",
-        f"nodes = {nodes}",
-        f"node = {own['node']}",
-        "[[pools]]",
-        'name = "shop"',
-        f"list_service = {own['list_service']}",
-        f"zones = {json.dumps(settings.get('dcs', []))}",
-        "[pools.rules]",
-    ]
-    lines += [
-        f"{name} = {rules[key]}"
-        for name, key in (
-            ("cold_time", "cold"),
-            ("cold_share", "cold-share"),
-            ("drain_grace", "drain-grace"),
-            ("fall_span", "fall"),
-            ("fall_multiple", "fall-multiple"),
-            ("answer_slack", "answer-slack"),
-        )
-    ]
-    for kind in settings["traffic-types"]:
-        lines += [
-            "[[traffic_types]]",
-            f'paths = ["/{kind["name"]}"]',
-            f'effect = "{EFFECTS[kind["effect"]]}"',
-            f"late_utility = {kind['overdue-utility']}",
-        ]
-        lines += [
-            f"{key.replace('-', '_')} = {json.dumps(kind[key])}"
-            for key in ("name", "group", "target-time", "hard-stop", "utility", "repeat-window")
-            if key in kind
-        ]
-    for tenant in settings["tenants"]:
-        lines += ["[[customers]]", f"name = {json.dumps(tenant['name'])}", f"rate = {tenant['quota-rps']}"]
-    return "\n".join(
-        [
-            *lines,
-            "[processor]",
-            f"listen = {own['listen']}",
-            'pool = "shop"',
-            "tries = 4",
-            f"workers = {own['workers']}",
-            "[processor.headers]",
-            'request_id = "request-id"',
-            "",
-        ]
-    )
+def _table_of(settings: dict[str, Any], name: str) -> dict[str, Any]:
+    """The request class, the tenant or else the table of a name, added if there is none."""
+    for key in ("traffic-types", "tenants"):
+        for table in settings.get(key, []):
+            if table["name"] == name:
+                found: dict[str, Any] = table
+                return found
+    added: dict[str, Any] = settings.setdefault(name, {})
+    return added
--- /dev/null
+++ b/wheatroute/rig/versions.py
@@ -0,0 +1,142 @@
+"""Versions of a rig's settings as its operator publishes them, and what store and processes say of them."""
+
+from __future__ import annotations
+
+import json
+import time
+from contextlib import suppress
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.version_store import VersionStoreError
+from wheatroute.agreement.versions import History
+from wheatroute.rig.options import RigOptions
+from wheatroute.rig.processes import RigError
+from wheatroute.rig.processor_file import ProcessorInstance, processor_file
+from wheatroute.rig.run_records import IN_FORCE, PublishedVersion, RunRecords, repeat_policies
+from wheatroute.rig.settings import with_changes
+from wheatroute.rig.version_backend import VersionBackend
+from wheatroute.rig.waiting import WAIT_TIMEOUT_S
+
+POLL_INTERVAL_S = 0.02
+STORE_ERRORS = (VersionStoreError, trio.TooSlowError)
+
+
+class VersionPublisher:
+    """The operator's side of versions, by a way to the store that no fault of the rig's links touches."""
+
+    def __init__(
+        self,
+        options: RigOptions,
+        settings: dict[str, Any],
+        records: RunRecords,
+        backend: VersionBackend,
+        folder: Path,
+    ) -> None:
+        self._options = options
+        self._settings = settings
+        self._records = records
+        self._backend = backend
+        self._folder = folder
+
+    async def read_history(self) -> History:
+        """Reads the history from the store, and records its versions, also those that others published."""
+        async with self._backend.operator_store() as store:
+            history = await operator.read_history(store)
+        known = {version.number for version in self._records.versions}
+        for number, version in history.versions.items():
+            if number not in known:
+                policies = repeat_policies(version.content["settings"])
+                self._records.versions.append(PublishedVersion(number, policies, time.monotonic()))
+        self._record_outcomes(history)
+        return history
+
+    def settings_file(self, **changes: Any) -> str:
+        """Writes a file for the command line with changed settings, see `with_changes`; returns its path."""
+        path = self._folder / f"settings{len(list(self._folder.iterdir()))}.json"
+        path.write_text(json.dumps({"settings": self._changed(changes)}))
+        return str(path)
+
+    def _changed(self, changes: dict[str, Any]) -> dict[str, Any]:
+        return with_changes(self._settings, changes, len(self._options.names))
+
+    async def put(self, reason: str = "a change", over: int = 0, **changes: Any) -> int:
+        """Publishes changed settings, see `with_changes`; returns the version's number.
+
+        `over` is a pending version that may be replaced.
+        """
+        settings = self._changed(changes)
+        published_at = time.monotonic()
+        async with self._backend.operator_store() as store:
+            version = await operator.put_version(store, self._content(settings), reason, over)
+        self._records.versions.append(
+            PublishedVersion(version.number, repeat_policies(settings), published_at)
+        )
+        return version.number
+
+    def _content(self, settings: dict[str, Any]) -> dict[str, Any]:
+        """The content of a version: for nodes, and for processors if there are any."""
+        content: dict[str, Any] = {"settings": settings}
+        if self._options.processors:
+            path = self._folder / "put.toml"
+            path.write_text(processor_file(settings, len(self._options.names), ProcessorInstance()))
+            content |= version_content.read_content(str(path))[0]
+        return content
+
+    async def wait_for_outcome(self, number: int, timeout_s: float = WAIT_TIMEOUT_S) -> str:
+        """Waits until it is known what becomes of a version; returns its state."""
+        with trio.fail_after(timeout_s):
+            async with self._backend.operator_store() as store:
+                while True:
+                    with suppress(*STORE_ERRORS):
+                        history = await operator.read_history(store)
+                        self._record_outcomes(history)
+                        if history.versions[number].outcomes:
+                            return history.versions[number].state
+                    await trio.sleep(POLL_INTERVAL_S)
+
+    def _record_outcomes(self, history: History) -> None:
+        for known in self._records.versions:
+            outcomes = history.versions[known.number].outcomes if known.number in history.versions else []
+            if outcomes and outcomes[-1] != known.state:
+                known.state = outcomes[-1]
+                known.ended_at = known.ended_at or time.monotonic()
+
+    async def status(self) -> dict[str, Any]:
+        """The versions and the status of each process, as the command line prints them as JSON."""
+        async with self._backend.operator_store() as store:
+            return await operator.agreement_status(store)
+
+    async def wait_until_agreed(
+        self, number: int, names: list[str] | None = None, timeout_s: float = WAIT_TIMEOUT_S
+    ) -> None:
+        """Waits until all processes of these names act on a version alone; by default all that serve.
+
+        Raises `RigError` when that takes too long.
+        """
+        expected = [
+            status_name
+            for name in names or self._options.names
+            for status_name in self._options.status_names(name)
+        ]
+        statuses: dict[str, dict[str, Any]] = {}
+        with trio.move_on_after(timeout_s):
+            while True:
+                with suppress(*STORE_ERRORS):
+                    statuses = await self._newest_statuses()
+                    if all(_acts_on(statuses.get(name), number) for name in expected):
+                        return
+                await trio.sleep(POLL_INTERVAL_S)
+        raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
+
+    async def _newest_statuses(self) -> dict[str, dict[str, Any]]:
+        """The status of each process by name; of several processes of a name the one confirmed last."""
+        processes = (await self.status())["processes"]
+        return {one["name"]: one for one in sorted(processes, key=lambda one: -one["confirmed_ago_s"])}
+
+
+def _acts_on(status: dict[str, Any] | None, number: int) -> bool:
+    return status is not None and status["phase"] == IN_FORCE and status["version"] == number
