--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -6,6 +6,9 @@
 
 import click
 
+EXIT_VIOLATION = 1
+EXIT_UNUSABLE = 2
+
 
 @click.group()
 def rig() -> None:
@@ -24,28 +27,30 @@
     import trio
 
     from wheatroute.agreement.operator_errors import first_error
-    from wheatroute.rig import script
     from wheatroute.rig.processes import RigError
+    from wheatroute.rig.run_report import summary_lines
+    from wheatroute.rig.scenario import ScenarioError, read_scenario
+    from wheatroute.rig.scenario_player import play
 
     try:
-        told = script.read(file)
-        into = Path(folder or Path(file).with_suffix(""))
-        if into.exists() and any(into.iterdir()):
-            raise script.ScriptError(f"{into}: holds something already, name another folder with --into")
-        with click.progressbar(length=100, label=told.name, file=sys.stderr) as bar:
-
-            def tell(done: float) -> None:
-                bar.update(int(done * 100) - bar.pos)
-
-            summary = trio.run(script.play, told, into, tell)
-    except (script.ScriptError, RigError, BaseExceptionGroup) as trouble:
-        found = first_error(trouble)
-        if not isinstance(found, script.ScriptError | RigError):
+        scenario = read_scenario(file)
+        run_folder = Path(folder or Path(file).with_suffix(""))
+        if run_folder.exists() and any(run_folder.iterdir()):
+            raise ScenarioError(f"{run_folder}: holds something already, name another folder with --into")
+        with click.progressbar(length=100, label=scenario.name, file=sys.stderr) as bar:
+
+            def show_progress(part: float) -> None:
+                bar.update(int(part * 100) - bar.pos)
+
+            summary = trio.run(play, scenario, run_folder, show_progress)
+    except (ScenarioError, RigError, BaseExceptionGroup) as error:
+        cause = first_error(error)
+        if not isinstance(cause, ScenarioError | RigError):
             raise
-        click.echo(str(found), err=True)
-        sys.exit(2)
-    click.echo(json.dumps(summary) if as_json else "\n".join(script.lines(summary, into)))
-    sys.exit(1 if summary["broken"] else 0)
+        click.echo(str(cause), err=True)
+        sys.exit(EXIT_UNUSABLE)
+    click.echo(json.dumps(summary) if as_json else "\n".join(summary_lines(summary, run_folder)))
+    sys.exit(EXIT_VIOLATION if summary["broken"] else 0)
 
 
 @rig.command("report")
@@ -54,10 +59,10 @@
     """Draws the timeline of a run that FOLDER keeps, and writes report.md there."""
     from pathlib import Path
 
-    from wheatroute.rig import script
+    from wheatroute.rig.run_report import write_report
 
     try:
-        click.echo(str(script.report(Path(folder))))
-    except FileNotFoundError as trouble:
-        click.echo(f"{folder}: keeps no run: {trouble.filename} is missing", err=True)
-        sys.exit(2)
+        click.echo(str(write_report(Path(folder))))
+    except FileNotFoundError as error:
+        click.echo(f"{folder}: keeps no run: {error.filename} is missing", err=True)
+        sys.exit(EXIT_UNUSABLE)
--- a/wheatroute/rig/run_folder.py
+++ b/wheatroute/rig/run_folder.py
@@ -1,20 +1,94 @@
-"""How records of a run are stored in its folder. The keys are older than the names in the code."""
+"""The folder of a run: `records.json` and `summary.json`, beside the logs and files of its processes.
+
+Their keys are older than the names in the code and stay.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+import json
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any, NamedTuple
 
-from wheatroute.rig.run_records import ClientRequest, Execution, PublishedVersion, RunRecords
+from wheatroute.rig.run_records import ClientRequest, Execution, InjectedFault, PublishedVersion, RunRecords
+from wheatroute.rig.scenario import Scenario
+from wheatroute.rig.verdict import Violation
 
+RECORDS = "records.json"
+SUMMARY = "summary.json"
 
-def stored_records(records: RunRecords) -> dict[str, Any]:
-    """The records by the keys of `records.json`."""
-    return {
+
+class RunClock(NamedTuple):
+    """When the load of a run began."""
+
+    started_at: float  # of the monotonic clock, as all times of the records
+    started_unix_s: float  # of the time of day, as the processes' logs have it
+
+
+@dataclass(frozen=True)
+class StoredRun:
+    """What is read of a run that was stored."""
+
+    name: str
+    process_names: list[str]  # of nodes and processors
+    duration_s: float
+    clock: RunClock
+    requests: list[ClientRequest]
+    publication_times: list[float]  # of all versions, in their order
+    faults: list[InjectedFault]
+
+
+def write_run(
+    folder: Path,
+    scenario: Scenario,
+    clock: RunClock,
+    until: float,
+    records: RunRecords,
+    violations: list[Violation],
+    summary: dict[str, Any],
+) -> None:
+    """Stores a run that ended at `until`."""
+    document = {
+        "began": clock.started_at,
+        "wall": clock.started_unix_s,
+        "until": until,
+        "script": scenario.model_dump(by_alias=True),
         "ran": [_stored_execution(one) for one in records.executions],
         "asked": [_stored_request(one) for one in records.requests.values()],
         "versions": [_stored_version(one) for one in records.versions],
         "faults": records.faults,
+        "stories": [[one.rule, one.request_id, one.timeline] for one in violations],
     }
+    (folder / RECORDS).write_text(json.dumps(document))
+    (folder / SUMMARY).write_text(json.dumps(summary, indent=1))
+
+
+def read_run(folder: Path) -> StoredRun:
+    """Reads a stored run; raises `FileNotFoundError` if the folder has none."""
+    document = json.loads((folder / RECORDS).read_text())
+    script = document["script"]
+    nodes = [f"n{i}" for i in range(script["nodes"])]
+    processors = [f"p{i}" for i in range(script["processors"])]
+    return StoredRun(
+        name=script["name"],
+        process_names=nodes + processors,
+        duration_s=script["seconds"],
+        clock=RunClock(document["began"], document["wall"]),
+        requests=[_read_request(one) for one in document["asked"]],
+        publication_times=[one["put"] for one in document["versions"]],
+        faults=[InjectedFault(*one) for one in document["faults"]],
+    )
+
+
+def read_violations(folder: Path) -> list[Violation]:
+    """The violations of a stored run."""
+    return [Violation(*one) for one in json.loads((folder / RECORDS).read_text())["stories"]]
+
+
+def read_summary(folder: Path) -> dict[str, Any]:
+    """The summary of a stored run; raises `FileNotFoundError` if the folder has none."""
+    summary: dict[str, Any] = json.loads((folder / SUMMARY).read_text())
+    return summary
 
 
 def _stored_execution(execution: Execution) -> dict[str, Any]:
@@ -44,6 +118,19 @@
     }
 
 
+def _read_request(stored: dict[str, Any]) -> ClientRequest:
+    return ClientRequest(
+        sent_at=stored["sent"],
+        node=stored["node"],
+        request_id=stored["request"],
+        request_class=stored["kind"],
+        timeout_s=stored["left"],
+        status=stored["status"],
+        ended_at=stored["ended"],
+        response_count=stored["answers"],
+    )
+
+
 def _stored_version(version: PublishedVersion) -> dict[str, Any]:
     return {
         "number": version.number,
--- /dev/null
+++ b/wheatroute/rig/scenario_player.py
@@ -0,0 +1,133 @@
+"""Plays a scenario: builds its rig, applies load and steps, judges the records and stores the run."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+import trio
+
+from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.version_store import VersionStoreError
+from wheatroute.rig import run_folder, verdict
+from wheatroute.rig.processes import RigError
+from wheatroute.rig.rig import Rig, running_rig
+from wheatroute.rig.run_folder import RunClock
+from wheatroute.rig.scenario import Action, Scenario, ServersTable, Step
+
+PROGRESS_INTERVAL_S = 0.2
+OUTCOME_TIMEOUT_S = 60.0  # of a version that a step publishes
+
+ProgressCallback = Callable[[float], None]  # takes the part of the load that is over, 0 to 1
+
+
+async def play(
+    scenario: Scenario, folder: Path, on_progress: ProgressCallback = lambda part: None
+) -> dict[str, Any]:
+    """Plays a scenario and stores the run in a folder; returns its summary."""
+    async with running_rig(scenario.rig_options(folder)) as rig:
+        _configure_servers(rig, scenario.servers)
+        await _publish_first_version(rig)
+        clock = RunClock(time.monotonic(), time.time())
+        await _play_load(rig, scenario, clock.started_at, on_progress)
+        until = await rig.stop_load()
+        await _record_versions(rig)
+        on_progress(1.0)
+        return _store(rig, scenario, folder, clock, until)
+
+
+def _configure_servers(rig: Rig, table: ServersTable) -> None:
+    for server in rig.servers.values():
+        server.mean_service_time_s = table.mean_service_time_s
+        server.reset_share = table.reset_share
+        server.error_share = table.error_share
+        server.silent_share = table.silent_share
+
+
+async def _publish_first_version(rig: Rig) -> None:
+    number = await rig.versions.put("the settings as they are")
+    await rig.versions.wait_for_outcome(number)
+    await rig.versions.wait_until_agreed(number)
+
+
+async def _play_load(rig: Rig, scenario: Scenario, started_at: float, on_progress: ProgressCallback) -> None:
+    clients = scenario.clients
+    rig.start_load(clients.rate, clients.class_shares, clients.timeout_s)
+    async with trio.open_nursery() as nursery:
+        nursery.start_soon(_play_steps, rig, scenario.steps, started_at)
+        while (elapsed_s := time.monotonic() - started_at) < scenario.duration_s:
+            on_progress(elapsed_s / scenario.duration_s)
+            await trio.sleep(PROGRESS_INTERVAL_S)
+        nursery.cancel_scope.cancel()
+
+
+async def _play_steps(rig: Rig, steps: list[Step], started_at: float) -> None:
+    async with trio.open_nursery() as nursery:
+        for step in sorted(steps, key=lambda step: step.at_s):
+            await trio.sleep(max(0.0, started_at + step.at_s - time.monotonic()))
+            if step.action is Action.PUT:
+                nursery.start_soon(_publish, rig, step)  # later steps don't wait for its outcome
+            else:
+                await _perform(rig, step)
+
+
+async def _publish(rig: Rig, step: Step) -> None:
+    try:
+        number = await rig.versions.put(step.reason, step.over, **step.changes)
+        await rig.versions.wait_for_outcome(number, OUTCOME_TIMEOUT_S)
+    except (OperatorError, VersionStoreError) as error:
+        rig.faults.record(f"not put: {error}")
+
+
+async def _perform(rig: Rig, step: Step) -> None:
+    match step.action:
+        case Action.PARTITION:
+            rig.faults.partition(step.target, step.other, step.way)
+        case Action.HEAL:
+            rig.faults.heal(step.target, step.other)
+        case Action.IMPAIR:
+            rig.faults.impair(step.target, step.other, step.way, **step.parameters)
+        case Action.RESET_CONNECTIONS:
+            rig.faults.reset_connections(step.target, step.other)
+        case Action.STOP:
+            rig.faults.stop(step.target)
+        case Action.RESUME:
+            rig.faults.resume(step.target)
+        case Action.KILL:
+            rig.faults.kill(step.target)
+        case Action.START:
+            await rig.faults.start(step.target)
+        case Action.DRAIN:
+            rig.faults.drain(step.target)
+        case Action.ETCD:
+            _send_to_etcd(rig, step.parameters)
+
+
+def _send_to_etcd(rig: Rig, command: dict[str, Any]) -> None:
+    if not rig.has_etcd:
+        raise RigError("the store is a directory: there is no etcd to give orders to")
+    rig.faults.record(f"etcd {command}")
+    rig.etcd.send_command(**command)
+
+
+async def _record_versions(rig: Rig) -> None:
+    try:
+        await rig.versions.read_history()
+    except (VersionStoreError, trio.TooSlowError):
+        pass  # the store was left partitioned: what was recorded by then stands
+
+
+def _store(rig: Rig, scenario: Scenario, folder: Path, clock: RunClock, until: float) -> dict[str, Any]:
+    violations = verdict.find_violations(rig.records, until, scenario.bound_s)
+    summary = verdict.summary(rig.records, until, scenario.bound_s) | {
+        "name": scenario.name,
+        "seed": scenario.seed,
+        "processes": len(rig.processes),
+        "within": scenario.bound_s,
+        "changes": len(rig.records.versions) - 1,
+        "broken": [violation.rule for violation in violations],
+    }
+    run_folder.write_run(folder, scenario, clock, until, rig.records, violations, summary)
+    return summary
