--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -24,8 +24,9 @@
 sys.path.insert(0, str(ROOT))
 
 from wheatroute.agreement.directory_store import DirectoryStore  # noqa: E402
-from wheatroute.rig import records  # noqa: E402
-from wheatroute.rig.rig import rig  # noqa: E402
+from wheatroute.rig import verdict  # noqa: E402
+from wheatroute.rig.options import RigOptions  # noqa: E402
+from wheatroute.rig.rig import running_rig  # noqa: E402
 from wheatroute.rollout import operator, plan  # noqa: E402
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict  # noqa: E402
 
@@ -56,30 +57,32 @@
 async def play(how: str, seed: int, kill: bool, out: list[dict[str, Any]]) -> None:
     """One rollout of a version, good if `how` is empty; `kill` ends each controller after its first step."""
     programs = {"old": GOOD, "new": bad(how) if how else GOOD}
-    async with rig(nodes=3, within=WITHIN, seed=seed, programs=programs, longest=200.0) as it:
+    async with running_rig(
+        RigOptions(nodes=3, bound_s=WITHIN, seed=seed, programs=programs, timeout_s=200.0)
+    ) as it:
         place = DirectoryStore(str(it.folder / "rollouts"))
-        first = await it.put("as it was")
-        await it.agreed(first)
-        it.call(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_until_agreed(first)
+        it.start_load(RATE, MIX)
         with trio.fail_after(60):
             while len(await operator.supervisor_statuses(place)) < 3:
                 await trio.sleep(0.05)
         await trio.sleep(1.0)
         began = time.monotonic()
         await operator.start(place, plan.parse_plan(PLAN), "a measurement")
-        killed, head, name, stopped = 0, 1, it.control(), 0.0
+        killed, head, name, stopped = 0, 1, it.launcher.start_controller(), 0.0
         with trio.fail_after(150):
             while (progress := await operator.read_progress(place)).phase != "ended":
                 if progress.phase == "going back":
                     stopped = stopped or time.monotonic()
                 if kill and progress.head > head:
-                    it.kill(name)
-                    killed, head, name = killed + 1, progress.head, it.control()
+                    it.faults.kill(name)
+                    killed, head, name = killed + 1, progress.head, it.launcher.start_controller()
                 await trio.sleep(0.05)
         ended = time.monotonic()
         rows = await operator.supervisor_statuses(place)
-        until = await it.quiet()
-        await it.note()
+        until = await it.stop_load()
+        await it.versions.read_history()
         out.append(
             figures(it, how, progress, rows, began, ended, until)
             | {"killed": killed, "stopped_s": (stopped or ended) - began}
@@ -96,16 +99,16 @@
     until: float,
 ) -> dict[str, Any]:
     kinds = {one["name"]: one for one in it.settings["traffic-types"]}
-    asked = [one for one in it.records.asked.values() if began <= one.sent <= ended and one.ended]
-    worth = sum(kinds[one.kind]["utility"] for one in asked)
+    asked = [one for one in it.records.requests.values() if began <= one.sent_at <= ended and one.ended_at]
+    worth = sum(kinds[one.request_class]["utility"] for one in asked)
     missed = sum(
-        kinds[one.kind]["utility"]
+        kinds[one.request_class]["utility"]
         for one in asked
-        if one.status != 200 or one.ended - one.sent > kinds[one.kind]["target-time"]
+        if one.status != 200 or one.ended_at - one.sent_at > kinds[one.request_class]["target-time"]
     )
-    lost = Counter(one.node for one in records.lost(it.records, until))
+    lost = Counter(one.node for one in verdict.lost_requests(it.records, until))
     steps = Counter((one["kind"], one.get("stage")) for one in progress.records)
-    took = sorted(one.ended - one.sent for one in asked if one.status == 200)
+    took = sorted(one.ended_at - one.sent_at for one in asked if one.status == 200)
     return {
         "how": how or "good",
         "taken_back": bool(progress.reason),
@@ -115,7 +118,7 @@
         "commands": len(asked),
         "lost_by_it": lost["n0"] if how else 0,
         "lost": sum(lost.values()) - (lost["n0"] if how else 0),
-        "twice": len(records.twice(it.records)) + len(records.refused_begun(it.records)),
+        "twice": len(verdict.unsafe_repeats(it.records)) + len(verdict.rejected_after_execution(it.records)),
         "steps_twice": sum(count - 1 for count in steps.values()),
         "mixed": len({row["runs"] for row in rows.values()}) - 1,
         "p99": took[int(0.99 * len(took))],
