--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -12,8 +12,9 @@
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.member import EffectiveVersions, Member
 from wheatroute.agreement.model_checker import Bounds, ModelChecker
+from wheatroute.agreement.records import RecordKind
 from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStoreError
-from wheatroute.agreement.versions import ACTIVATE, WITHDRAW, ContentError, History, HistoryError, canonical
+from wheatroute.agreement.versions import ContentError, History, HistoryError, canonical
 from wheatroute.balancing import settings
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings
@@ -51,14 +52,14 @@
 
 
 def test_a_history_takes_its_next_record_and_nothing_else():
-    told = history("put", ACTIVATE, "put", "put", WITHDRAW)
+    told = history("put", RecordKind.ACTIVATE, "put", "put", RecordKind.WITHDRAW)
     assert (told.active, told.pending) == (1, 0)
     assert [one.state for one in told.versions.values()] == ["in force", "replaced by 3", "withdrawn: r"]
-    other = history("put", ACTIVATE, "put", ACTIVATE)
+    other = history("put", RecordKind.ACTIVATE, "put", RecordKind.ACTIVATE)
     for wrong in (
-        told.records[0],
-        other.next_record(ACTIVATE, version=0),
-        told.next_record(ACTIVATE, version=2),
+        History().put_record(CONTENT, "p0", "me", 1.0, "why"),
+        other.next_record(RecordKind.ACTIVATE, version=0),
+        told.next_record(RecordKind.ACTIVATE, version=2),
         told.next_record("put", version=9, content={}),
         told.next_record("joint", version=4),
     ):
@@ -70,7 +71,7 @@
 def test_a_record_of_a_newer_form_is_not_guessed_at():
     told = history("put")
     with pytest.raises(HistoryError, match="form 2, this program knows 1"):
-        told.apply(told.next_record(ACTIVATE, version=1) | {"format": 2})
+        told.apply(told.next_record(RecordKind.ACTIVATE, version=1) | {"format": 2})
 
 
 def test_what_has_no_canonical_form_is_no_content():
@@ -299,7 +300,7 @@
         answered(member, moment)
         assert member.next_decision(moment, moment, [member.next_status(0.0), silent]) is None
     answered(member, 9.9)
-    assert member.next_decision(9.9, 9.9, [member.next_status(0.0), silent])["kind"] == ACTIVATE
+    assert member.next_decision(9.9, 9.9, [member.next_status(0.0), silent])["kind"] == RecordKind.ACTIVATE
 
 
 def test_whoever_cannot_use_a_version_says_so_and_is_careful_until_it_is_withdrawn():
@@ -309,7 +310,9 @@
     assert member.permitted(1.0).is_conservative
     member.set_effective(member.permitted(1.0))
     record = member.next_decision(1.0, 1.0, [member.next_status(0.0)])
-    assert record["kind"] == WITHDRAW and record["reason"] == "a: tick: changes with a restart only"
+    assert (
+        record["kind"] == RecordKind.WITHDRAW and record["reason"] == "a: tick: changes with a restart only"
+    )
     answered(member, 2.0, record)
     assert member.effective == EffectiveVersions(0, 0, False)
 
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -20,6 +20,9 @@
 import orjson
 import trio
 
+from wheatroute.agreement.member_status import StoredStatus
+from wheatroute.agreement.notice import StoredNotice
+from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.version_store import (
     MAX_RECORDS_PER_READ,
     VersionStoreError,
@@ -39,21 +42,21 @@
         self._status_directory = Path(path) / "nodes"
         self._notice_directory = Path(path) / "words"
         self.path = path
-        self.received_notices: list[dict[str, Any]] = []
+        self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # statuses and drain notices that could not be read
         self._notice_files: dict[str, tuple[int, int]] = {}  # by name: mtime (ns) and inode when last read
 
     async def exchange(
-        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
-    ) -> list[dict[str, Any]]:
+        self, key: str, status: StoredStatus | None, after: int, expected_digest: str
+    ) -> list[StoredRecord]:
         """See `VersionStore.exchange`."""
         return await _in_thread(self.exchange_blocking, key, status, after, expected_digest)
 
-    async def statuses(self) -> list[dict[str, Any]]:
+    async def statuses(self) -> list[StoredStatus]:
         """See `VersionStore.statuses`."""
         return await _in_thread(self.statuses_blocking)
 
-    async def append(self, record: dict[str, Any]) -> bool:
+    async def append(self, record: StoredRecord) -> bool:
         """See `VersionStore.append`."""
         return await _in_thread(self.append_blocking, record)
 
@@ -61,11 +64,11 @@
         """See `VersionStore.remove_statuses`."""
         await _in_thread(self.remove_statuses_blocking, keys)
 
-    async def write_status(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: StoredStatus) -> None:
         """See `VersionStore.write_status`."""
         await _in_thread(self.write_status_blocking, key, status)
 
-    async def write_drain_notices(self, notices: list[dict[str, Any]], expired_ids: list[str]) -> None:
+    async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
         """See `VersionStore.write_drain_notices`."""
         await _in_thread(self.write_drain_notices_blocking, notices, expired_ids)
 
@@ -81,8 +84,8 @@
             raise _store_error(self.path, error) from error
 
     def exchange_blocking(
-        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
-    ) -> list[dict[str, Any]]:
+        self, key: str, status: StoredStatus | None, after: int, expected_digest: str
+    ) -> list[StoredRecord]:
         """Write the status and read the records after `after`; see `VersionStore.exchange`."""
         try:
             if status is not None:
@@ -93,7 +96,7 @@
                 raise VersionStoreError(f"{self.path}: no log")
             if after:
                 self._check_head(after, expected_digest)
-            records: list[dict[str, Any]] = []
+            records: list[StoredRecord] = []
             while len(records) < MAX_RECORDS_PER_READ:
                 record = self._read_record(after + len(records) + 1)
                 if record is None:
@@ -103,17 +106,17 @@
         except (OSError, ValueError) as error:
             raise _store_error(self.path, error) from error
 
-    def write_status_blocking(self, key: str, status: dict[str, Any]) -> None:
+    def write_status_blocking(self, key: str, status: StoredStatus) -> None:
         """Write a status."""
         try:
             self._write_status_file(key, status)
         except (OSError, ValueError) as error:
             raise _store_error(self.path, error) from error
 
-    def statuses_blocking(self) -> list[dict[str, Any]]:
+    def statuses_blocking(self) -> list[StoredStatus]:
         """Return the statuses of all processes; unreadable ones are skipped."""
         try:
-            statuses: list[dict[str, Any]] = []
+            statuses: list[StoredStatus] = []
             for path in sorted(self._status_directory.iterdir()):
                 if not path.name.startswith("."):
                     with suppress(FileNotFoundError):
@@ -123,7 +126,7 @@
         except (OSError, ValueError) as error:
             raise _store_error(self.path, error) from error
 
-    def append_blocking(self, record: dict[str, Any]) -> bool:
+    def append_blocking(self, record: StoredRecord) -> bool:
         """Append a record; False if its number is taken already."""
         temporary = self._log_directory / f".{secrets.token_hex(8)}"
         try:
@@ -146,7 +149,7 @@
             with suppress(OSError):
                 (self._status_directory / _checked_key(key)).unlink()
 
-    def changed_drain_notices_blocking(self) -> list[dict[str, Any]]:
+    def changed_drain_notices_blocking(self) -> list[StoredNotice]:
         """Return the drain notices that were written since the last call."""
         try:
             found = [
@@ -167,7 +170,7 @@
         self._notice_files = files
         return notices
 
-    def write_drain_notices_blocking(self, notices: list[dict[str, Any]], expired_ids: list[str]) -> None:
+    def write_drain_notices_blocking(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
         """Write drain notices and remove those of `expired_ids`."""
         try:
             self._notice_directory.mkdir(exist_ok=True)
@@ -178,7 +181,7 @@
         except OSError as error:
             raise _store_error(self.path, error) from error
 
-    def _write_status_file(self, key: str, status: dict[str, Any]) -> None:
+    def _write_status_file(self, key: str, status: StoredStatus) -> None:
         # not fsynced: after a power loss no process acts on a status written before it
         _replace(self._status_directory / _checked_key(key), orjson.dumps(status))
 
@@ -194,7 +197,7 @@
     def _record_path(self, number: int) -> Path:
         return self._log_directory / f"{number:012d}.json"
 
-    def _read_record(self, number: int) -> dict[str, Any] | None:
+    def _read_record(self, number: int) -> StoredRecord | None:
         try:
             record = orjson.loads(self._record_path(number).read_bytes())
         except FileNotFoundError:
--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -12,29 +12,14 @@
 from collections.abc import Iterable
 from typing import Any
 
+from wheatroute.agreement.notice import Notice, StoredNotice, parse_notices
+
 RETENTION_AGREEMENT_TIMES = 360.0  # how long a notice stays stored, in agreement times
 MAX_REMEMBERED_ADDRESSES = 4096  # addresses for which the last server there is remembered
 
-Notice = dict[str, Any]  # as stored: id, started (ms, Unix time), leaves, turn
 ListEntry = dict[str, Any]  # a server as a server list has it
 
 
-def notice_order(notice: Notice) -> tuple[float, int]:
-    """Return the sort key by which the later one of two notices about one server is the larger."""
-    return float(notice["started"]), int(notice["turn"])
-
-
-def is_notice(value: Any) -> bool:
-    """Whether a stored value has the form of a notice."""
-    return (
-        isinstance(value, dict)
-        and isinstance(value.get("id"), str)
-        and isinstance(value.get("turn"), int)
-        and isinstance(value.get("leaves"), bool)
-        and isinstance(value.get("started"), int | float)
-    )
-
-
 def _is_list_entry(value: Any) -> bool:
     return (
         isinstance(value, dict)
@@ -76,31 +61,31 @@
         ]
         return document | {"servers": servers}
 
-    def receive(self, notices: Iterable[Any], now: float) -> list[ListEntry]:
+    def receive(self, documents: Iterable[Any], now: float) -> list[ListEntry]:
         """Take notices from the store; returns the list entries that change by them."""
         changed = []
-        for notice in filter(is_notice, notices):
-            name, entry = notice["id"], self._own_list.get(notice["id"])
+        for notice, _ in parse_notices(documents):
+            name, entry = notice.server_id, self._own_list.get(notice.server_id)
             state_before = entry and self._effective_entry(entry)["state"]
             self._stored[name] = notice
             returned = self._returned.get(name)
-            if notice["leaves"] and returned and notice_order(returned) >= notice_order(notice):
+            if notice.is_leaving and returned and returned.order >= notice.order:
                 self._unsent[name] = returned  # the notice's author had not heard of the return
-            if self._stored_since.get(name, (None, 0.0))[0] != notice_order(notice):
-                self._stored_since[name] = notice_order(notice), now
+            if self._stored_since.get(name, (None, 0.0))[0] != notice.order:
+                self._stored_since[name] = notice.order, now
             if entry and self._effective_entry(entry)["state"] != state_before:
                 changed.append(self._effective_entry(entry))
         return changed
 
-    def outgoing(self, now: float) -> tuple[list[Notice], list[str]]:
+    def outgoing(self, now: float) -> tuple[list[StoredNotice], list[str]]:
         """Return the notices to write into the store, and the ids of servers whose notices have expired."""
         unsent = []
         for name, notice in list(self._unsent.items()):
             stored = self._stored.get(name)
-            if stored is not None and notice_order(stored) >= notice_order(notice):
+            if stored is not None and stored.order >= notice.order:
                 del self._unsent[name]
             else:
-                unsent.append(notice)
+                unsent.append(notice.to_stored())
         expired = [name for name, (_, since) in self._stored_since.items() if now - since > self._retention_s]
         for name in expired:
             del self._stored_since[name]
@@ -135,13 +120,13 @@
 
     def _create_notice(self, name: str, started: float, is_leaving: bool) -> Notice:
         known = [notices[name] for notices in (self._stored, self._unsent) if name in notices]
-        newest = max(known, key=notice_order, default=None)
-        is_same_process = newest is not None and newest["started"] == started
-        turn = newest["turn"] if newest is not None and is_same_process else 0
-        if newest is not None and is_same_process and newest["leaves"] == is_leaving:
-            turn -= 1  # that notice exists already
-        notice = {"id": name, "started": started, "leaves": is_leaving, "turn": turn + 1}
-        if is_leaving if newest is None else notice_order(notice) > notice_order(newest):
+        newest = max(known, key=lambda notice: notice.order, default=None)
+        turn = 1
+        if newest is not None and newest.started_ms == started:
+            # a notice that says the same exists already
+            turn = newest.turn if newest.is_leaving == is_leaving else newest.turn + 1
+        notice = Notice(name, started, is_leaving, turn)
+        if is_leaving if newest is None else notice.order > newest.order:
             self._unsent[name] = notice
         return notice
 
@@ -149,9 +134,9 @@
         """Return an entry as this process acts on it."""
         notice, returned = self._stored.get(entry["id"]), self._returned.get(entry["id"])
         state, started = entry.get("state", "in_service"), entry.get("started_ms", 0)
-        if notice is None or not notice["leaves"] or state != "in_service" or notice["started"] < started:
+        if notice is None or not notice.is_leaving or state != "in_service" or notice.started_ms < started:
             return entry
-        if returned is not None and notice_order(returned) >= notice_order(notice):
+        if returned is not None and returned.order >= notice.order:
             return entry
         return entry | {"state": "terminating"}
 
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -15,6 +15,9 @@
 
 import orjson
 
+from wheatroute.agreement.member_status import StoredStatus
+from wheatroute.agreement.notice import StoredNotice
+from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.version_store import (
     MAX_RECORDS_PER_READ,
     VersionStoreError,
@@ -45,7 +48,7 @@
         self._log_prefix = f"{prefix}/log/".encode()
         self._status_prefix = f"{prefix}/nodes/".encode()
         self._notice_prefix = f"{prefix}/words/".encode()
-        self.received_notices: list[dict[str, Any]] = []
+        self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # of statuses and drain notices that could not be read
         self._notices_revision = 0  # up to which drain notices were read
         self._cluster_id = 0  # of the cluster that answered first
@@ -56,8 +59,8 @@
         await self._client.run()
 
     async def exchange(
-        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
-    ) -> list[dict[str, Any]]:
+        self, key: str, status: StoredStatus | None, after: int, expected_digest: str
+    ) -> list[StoredRecord]:
         """See `VersionStore.exchange`."""
         with _store_errors():
             if status is not None:
@@ -72,12 +75,12 @@
                 records = records[1:]
             return records
 
-    async def write_status(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: StoredStatus) -> None:
         """See `VersionStore.write_status`."""
         with _store_errors():
             await self._put_status(key, status)
 
-    async def statuses(self) -> list[dict[str, Any]]:
+    async def statuses(self) -> list[StoredStatus]:
         """See `VersionStore.statuses`."""
         with _store_errors():
             header, pairs = await self._client.range_all(self._status_prefix)
@@ -85,7 +88,7 @@
             entries = [self._parse_entry(pair) for pair in pairs]
             return [status for entry in entries if entry is not None for status in unpack_statuses(entry)]
 
-    async def append(self, record: dict[str, Any]) -> bool:
+    async def append(self, record: StoredRecord) -> bool:
         """See `VersionStore.append`."""
         key = self._record_key(record["seq"])
         with _store_errors():
@@ -99,7 +102,7 @@
             for key in keys:
                 await self._client.delete(self._status_prefix + key.encode())
 
-    async def write_drain_notices(self, notices: list[dict[str, Any]], expired_ids: list[str]) -> None:
+    async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
         """See `VersionStore.write_drain_notices`."""
         with _store_errors():
             for notice in notices:
@@ -107,11 +110,11 @@
             for server_id in expired_ids:
                 await self._client.delete(self._notice_prefix + server_id.encode())
 
-    async def _put_status(self, key: str, status: dict[str, Any]) -> Any:
+    async def _put_status(self, key: str, status: StoredStatus) -> Any:
         request = wire.PutRequest(key=self._status_prefix + key.encode(), value=orjson.dumps(status))
         return await self._call("Put", request, wire.PutResponse)
 
-    async def _read(self, first: int, has_notices: bool) -> list[dict[str, Any]]:
+    async def _read(self, first: int, has_notices: bool) -> list[StoredRecord]:
         """Read the records from number `first` on and, with `has_notices`, collect new drain notices.
 
         One read-only transaction, so that both are as of one revision.
@@ -162,7 +165,7 @@
         return parse_entry(pair.key.decode(errors="replace"), pair.value, self.unreadable_keys)
 
     @staticmethod
-    def _parse_record(pair: Any) -> dict[str, Any]:
+    def _parse_record(pair: Any) -> StoredRecord:
         record = orjson.loads(pair.value)
         if not isinstance(record, dict):
             raise VersionStoreError(f"{pair.key.decode(errors='replace')} is no record")
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -17,9 +17,11 @@
 
 from dataclasses import dataclass
 from math import inf
-from typing import Any
+from typing import NamedTuple
 
-from wheatroute.agreement.versions import ACTIVATE, WITHDRAW, History
+from wheatroute.agreement.member_status import MemberStatus, StoredStatus, parse_heartbeat, parse_status
+from wheatroute.agreement.records import ActivateRecord, StoredRecord, VersionRecord, WithdrawRecord
+from wheatroute.agreement.versions import History
 
 MAX_CLOCK_DRIFT = 0.01  # relative difference between the rates of two processes' monotonic clocks
 STATUS_EXPIRY_TTLS = 3.0  # a status without a new heartbeat for so many times to live is removed
@@ -35,9 +37,12 @@
     is_conservative: bool = True
 
 
-def status_key(status: dict[str, Any]) -> str:
-    """Return the store key of a status; two processes of one name have two."""
-    return f"{status['name']}.{status['start']}"
+class _Heartbeat(NamedTuple):
+    """The heartbeat of a status, when it was first seen, and the time to live of that process."""
+
+    number: int
+    since: float
+    ttl_s: float
 
 
 class Member:
@@ -57,7 +62,7 @@
         self.conservative_reason = "not confirmed yet"
         self.server_list = ("", 0)  # source and revision of the server list that it acts on
         self._heartbeat = 0
-        self._heartbeats: dict[str, tuple[int, float]] = {}  # by status key: heartbeat, and when first seen
+        self._heartbeats: dict[str, _Heartbeat] = {}  # by status key; of the statuses read last
         self._pending_since = (0, inf)  # the pending version, and when it was first seen
 
     @property
@@ -70,27 +75,32 @@
         """When the present confirmation ends."""
         return self.confirmed_at + self.confirmation_ttl_s * (1.0 - self.max_clock_drift)
 
-    def next_status(self, unix_time: float) -> dict[str, Any]:
+    def next_status(self, unix_time: float) -> StoredStatus:
         """Return its status with the next heartbeat; `unix_time` is for display only."""
         self._heartbeat += 1
         pending = self.history.pending
-        return {
-            "name": self.name,
-            "start": self.incarnation,
-            "beat": self._heartbeat,
-            "seq": self.history.head,
-            "acts": [self.effective.active, self.effective.joint],
-            "careful": self.effective.is_conservative,
-            "refuses": pending if pending in self.unusable else 0,
-            "reason": self.unusable.get(pending)
-            or self.unusable.get(self.history.active, "")
-            or (self.conservative_reason if self.effective.is_conservative else ""),
-            "lasts": self.confirmation_ttl_s,
-            "list": list(self.server_list),
-            "at": unix_time,
-        }
-
-    def confirm(self, sent_at: float, records: list[dict[str, Any]], is_complete: bool = True) -> None:
+        status = MemberStatus(
+            name=self.name,
+            incarnation=self.incarnation,
+            heartbeat=self._heartbeat,
+            applied_record=self.history.head,
+            versions=(self.effective.active, self.effective.joint),
+            is_conservative=self.effective.is_conservative,
+            unusable_version=pending if pending in self.unusable else 0,
+            reason=self._status_reason(),
+            confirmation_ttl_s=self.confirmation_ttl_s,
+            server_list=self.server_list,
+            written_at=unix_time,
+        )
+        return status.to_stored()
+
+    def _status_reason(self) -> str:
+        unusable = self.unusable.get(self.history.pending) or self.unusable.get(self.history.active)
+        if unusable:
+            return unusable
+        return self.conservative_reason if self.effective.is_conservative else ""
+
+    def confirm(self, sent_at: float, records: list[StoredRecord], is_complete: bool = True) -> None:
         """Apply the answer to an exchange that was sent at `sent_at`: the records after this history's head.
 
         An incomplete answer, after which there may be more records, confirms nothing. Raises `HistoryError`
@@ -136,60 +146,64 @@
         self.effective = effective
 
     def next_decision(
-        self, read_began: float, read_ended: float, statuses: list[dict[str, Any]]
-    ) -> dict[str, Any] | None:
+        self, read_began: float, read_ended: float, statuses: list[StoredStatus]
+    ) -> StoredRecord | None:
         """Return the record to append next, or None, from all statuses as read between two moments.
 
         To be called right after an answer that was read before the statuses: the pending version must be the
-        store's.
+        store's. Raises `msgspec.ValidationError` for a malformed status.
         """
-        history = self.history
-        pending = history.pending
+        decision = self._decide(read_began, read_ended, [parse_status(status) for status in statuses])
+        return self.history.encode(decision) if decision is not None else None
+
+    def _decide(
+        self, read_began: float, read_ended: float, statuses: list[MemberStatus]
+    ) -> VersionRecord | None:
+        pending = self.history.pending
         self._track_heartbeats(read_ended, statuses)
         if not pending or read_ended >= self.confirmed_until:
             return None
         if self._pending_since[0] != pending:
             self._pending_since = (pending, read_ended)
         for status in statuses:
-            if status["refuses"] == pending:
-                reason = f"{status['name']}: {status['reason']}"
-                return history.next_record(WITHDRAW, version=pending, by=self.name, reason=reason)
-        is_listed = any(
-            status["name"] == self.name and status["start"] == self.incarnation for status in statuses
-        )
-        max_ttl_s = max([self.confirmation_ttl_s, *(status["lasts"] for status in statuses)])
+            if status.unusable_version == pending:
+                reason = f"{status.name}: {status.reason}"
+                return WithdrawRecord(version=pending, decided_by=self.name, reason=reason)
+        is_listed = any(status.key == self.key for status in statuses)
+        max_ttl_s = max([self.confirmation_ttl_s, *(status.confirmation_ttl_s for status in statuses)])
         has_expired = read_began - self._pending_since[1] >= max_ttl_s * (1.0 + self.max_clock_drift)
         if is_listed and self._all_have_read_pending(statuses) or has_expired:
-            return history.next_record(ACTIVATE, version=pending, by=self.name)
+            return ActivateRecord(version=pending, decided_by=self.name)
         return None
 
-    def _all_have_read_pending(self, statuses: list[dict[str, Any]]) -> bool:
+    def _all_have_read_pending(self, statuses: list[MemberStatus]) -> bool:
         return all(
-            status["seq"] >= self.history.pending_record
-            and (status["careful"] or status["acts"][1] == self.history.pending)
+            status.applied_record >= self.history.pending_record
+            and (status.is_conservative or status.versions[1] == self.history.pending)
             for status in statuses
         )
 
-    def rank(self, statuses: list[dict[str, Any]]) -> int:
+    def rank(self, statuses: list[StoredStatus]) -> int:
         """Return its position among the processes, which decide one after the other and not all at once."""
-        keys = sorted(status_key(status) for status in statuses)
+        keys = sorted(parse_heartbeat(status).key for status in statuses)
         return keys.index(self.key) if self.key in keys else len(keys)
 
-    def expired_status_keys(self, read_began: float, statuses: list[dict[str, Any]]) -> list[str]:
-        """Return the keys of statuses that can be removed, as their heartbeat has stood still for long."""
+    def expired_status_keys(self, read_began: float) -> list[str]:
+        """Return the keys of statuses that can be removed, as their heartbeat has stood still for long.
+
+        They are those of the statuses that `next_decision` was given last.
+        """
         return [
-            status_key(status)
-            for status in statuses
-            if read_began - self._heartbeats.get(status_key(status), (0, inf))[1]
-            > STATUS_EXPIRY_TTLS * status["lasts"]
+            key
+            for key, heartbeat in self._heartbeats.items()
+            if read_began - heartbeat.since > STATUS_EXPIRY_TTLS * heartbeat.ttl_s
         ]
 
-    def _track_heartbeats(self, read_ended: float, statuses: list[dict[str, Any]]) -> None:
+    def _track_heartbeats(self, read_ended: float, statuses: list[MemberStatus]) -> None:
         heartbeats = {}
         for status in statuses:
-            key = status_key(status)
-            heartbeat, since = self._heartbeats.get(key, (-1, read_ended))
-            if heartbeat != status["beat"]:
-                heartbeat, since = status["beat"], read_ended
-            heartbeats[key] = (heartbeat, since)
+            last = self._heartbeats.get(status.key)
+            has_stood_still = last is not None and last.number == status.heartbeat
+            since = last.since if last is not None and has_stood_still else read_ended
+            heartbeats[status.key] = _Heartbeat(status.heartbeat, since, status.confirmation_ttl_s)
         self._heartbeats = heartbeats
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -18,7 +18,9 @@
 
 from wheatroute.agreement import versions
 from wheatroute.agreement.member import EffectiveVersions, Member
-from wheatroute.agreement.versions import ACTIVATE, History
+from wheatroute.agreement.member_status import StoredStatus, parse_status
+from wheatroute.agreement.records import RecordKind, StoredRecord, parse_header
+from wheatroute.agreement.versions import History
 
 EMPTY: dict[str, Any] = {"settings": {}}
 
@@ -50,7 +52,7 @@
     member: Member
     sent_at: int | None = None  # its status is written, the records not read
     has_new_answer: bool = False  # it has not read the statuses since its last answer
-    to_append: dict[str, Any] | None = None  # a decision that it is about to append
+    to_append: StoredRecord | None = None  # a decision that it is about to append
     incarnation: int = 0
     # at a clock step: what it would act on, and its part of the state key
     cached_view: tuple[int, EffectiveVersions, Any] | None = None
@@ -108,8 +110,8 @@
     """One state of the world."""
 
     now: int
-    records: tuple[dict[str, Any], ...]
-    statuses: dict[str, dict[str, Any]]
+    records: tuple[StoredRecord, ...]
+    statuses: dict[str, StoredStatus]  # by key
     processes: list[Process]
     puts: int = 0
     restarts: int = 0
@@ -210,8 +212,8 @@
             if process.has_new_answer and process.member.history.pending and i < self.bounds.deciders:
                 out.append((f"n{i} reads the statuses", self._read_statuses(world, i)))
             if process.to_append is not None:
-                event = f"n{i} appends {process.to_append['kind']} {process.to_append['version']}"
-                out.append((event, self._append(world, i)))
+                header = parse_header(process.to_append)
+                out.append((f"n{i} appends {header.kind} {header.version}", self._append(world, i)))
             if world.restarts < self.bounds.restarts:
                 out.append((f"n{i} restarts", self._restart(world, i)))
         if world.puts < self.bounds.puts:
@@ -265,10 +267,12 @@
         after = world.copy(i)
         process = after.processes[i]
         assert process.to_append is not None
-        if process.to_append["seq"] == len(world.records) + 1:
+        number = parse_header(process.to_append).number
+        assert isinstance(number, int)
+        if number == len(world.records) + 1:
             after.records = (*world.records, process.to_append)
         elif self._overwrites:
-            after.records = (*world.records[: process.to_append["seq"] - 1], process.to_append)
+            after.records = (*world.records[: number - 1], process.to_append)
         process.to_append = None
         return after
 
@@ -313,22 +317,27 @@
                 and new.member.effective.active < old.member.effective.active
             ):
                 return f"n{i} went back from {old.member.effective.active} to {new.member.effective.active}"
-        for record in world.records:
+        for record in map(parse_header, world.records):
             refused = [
                 i
                 for i, version in self.bounds.rejections
-                if record["kind"] == ACTIVATE and record["version"] == version
+                if record.kind == RecordKind.ACTIVATE and record.version == version
             ]
             if refused and not self.bounds.restarts and not self.bounds.clock_steps:
-                return f"version {record['version']} is in force, which n{refused[0]} cannot use"
+                return f"version {record.version} is in force, which n{refused[0]} cannot use"
         return ""
 
     def _key(self, world: WorldState) -> Any:
         """Return what distinguishes the futures of two states; times are relative, names do not count."""
         now, far = world.now, -self.bounds.ttl_steps
         statuses = {
-            key: (one["seq"], one["acts"][0], one["acts"][1], one["careful"], one["refuses"])
-            for key, one in world.statuses.items()
+            status.key: (
+                status.applied_record,
+                *status.versions,
+                status.is_conservative,
+                status.unusable_version,
+            )
+            for status in map(parse_status, world.statuses.values())
         }
         processes = [
             (
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -16,6 +16,7 @@
 import trio
 
 from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.member_status import parse_status
 from wheatroute.agreement.operator_errors import OperatorError, first_error
 from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
 from wheatroute.agreement.versions import History, HistoryError, Version
@@ -139,22 +140,22 @@
 async def agreement_status(store: VersionStore) -> dict[str, Any]:
     """Return the active and the pending version, and the status of each process, as printed with `--json`."""
     history = await read_history(store)
-    statuses, unix_time = await store.statuses(), time.time()
-    names = [status["name"] for status in statuses]
+    statuses, unix_time = [parse_status(one) for one in await store.statuses()], time.time()
+    names = [status.name for status in statuses]
     processes = [
         {
-            "name": status["name"],
-            "start": status["start"],
-            "version": status["acts"][0],
-            "joint": status["acts"][1],
-            "phase": "careful" if status["careful"] else "joint" if status["acts"][1] else "in force",
-            "record": status["seq"],
-            "confirmed_ago_s": round(max(0.0, unix_time - status["at"]), 3),
-            "list_source": status["list"][0],
-            "list_revision": status["list"][1],
-            "refuses": status["refuses"],
-            "reason": status["reason"],
-            "doubled": names.count(status["name"]) > 1,
+            "name": status.name,
+            "start": status.incarnation,
+            "version": status.versions[0],
+            "joint": status.versions[1],
+            "phase": status.phase,
+            "record": status.applied_record,
+            "confirmed_ago_s": round(max(0.0, unix_time - status.written_at), 3),
+            "list_source": status.server_list[0],
+            "list_revision": status.server_list[1],
+            "refuses": status.unusable_version,
+            "reason": status.reason,
+            "doubled": names.count(status.name) > 1,
         }
         for status in statuses
     ]
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -15,13 +15,17 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import orjson
 import trio
 
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.directory_store import DirectoryStore
-from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES, Notice, is_notice, notice_order
-from wheatroute.agreement.member import STATUS_EXPIRY_TTLS, EffectiveVersions, Member, status_key
+from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES
+from wheatroute.agreement.member import STATUS_EXPIRY_TTLS, EffectiveVersions, Member
+from wheatroute.agreement.member_status import StoredStatus, parse_heartbeat
+from wheatroute.agreement.notice import ForwardedNotice, StoredNotice, parse_notices
+from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.version_follower import VersionFollower, clock
 from wheatroute.agreement.version_store import (
     VersionStore,
@@ -34,36 +38,43 @@
 FRESHNESS_FILE = "fresh"  # beside the records
 
 
+class Freshness(msgspec.Struct, frozen=True, kw_only=True):
+    """The content of the file beside the records."""
+
+    sent_at: float = msgspec.field(name="sent")  # when the exchange was sent; see `clock`
+    notices: list[Any] = msgspec.field(name="words", default_factory=list)  # all that the store has
+    heartbeats: dict[str, int] = msgspec.field(name="rows")  # by key of the statuses that it carried
+
+
 class RelayedDirectoryStore(DirectoryStore):
     """The directory as a process sees it; `exchanged_at` is when the relay sent the exchange it read."""
 
     exchanged_at = 0.0
 
     def exchange_blocking(
-        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
-    ) -> list[dict[str, Any]]:
+        self, key: str, status: StoredStatus | None, after: int, expected_digest: str
+    ) -> list[StoredRecord]:
         """See `VersionStore.exchange`; an error until the relay has carried this process's status."""
         # read before the records, which are then at least as new
         freshness = self._read_freshness() if status is not None else None
         records = super().exchange_blocking(key, status, after, expected_digest)
         if status is not None:
-            if freshness is None or key not in freshness["rows"] or freshness["sent"] > clock():
+            if freshness is None or key not in freshness.heartbeats or freshness.sent_at > clock():
                 raise VersionStoreError(f"{self.path}: the relay has not told of this process yet")
-            self.exchanged_at = float(freshness["sent"])
-            self.received_notices[:] = [notice for notice in freshness.get("words", []) if is_notice(notice)]
+            self.exchanged_at = freshness.sent_at
+            self.received_notices[:] = [document for _, document in parse_notices(freshness.notices)]
         return records
 
-    def append_blocking(self, record: dict[str, Any]) -> bool:
+    def append_blocking(self, record: StoredRecord) -> bool:
         """Append nothing: the relay appends, as it reads the statuses of all machines."""
         return False
 
-    def _read_freshness(self) -> dict[str, Any] | None:
+    def _read_freshness(self) -> Freshness | None:
         try:
-            freshness = orjson.loads((Path(self.path) / FRESHNESS_FILE).read_bytes())
-        except (OSError, orjson.JSONDecodeError):
+            document = orjson.loads((Path(self.path) / FRESHNESS_FILE).read_bytes())
+            return msgspec.convert(document, Freshness)
+        except (OSError, orjson.JSONDecodeError, msgspec.ValidationError):
             return None
-        is_usable = isinstance(freshness, dict) and {"sent", "rows"} <= freshness.keys()
-        return freshness if is_usable else None
 
 
 class RelayStore:
@@ -76,11 +87,12 @@
         self._confirmation_ttl_s = confirmation_ttl_s
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
         self._heartbeats: dict[str, tuple[int, float]] = {}  # by status key: heartbeat, and when first seen
-        self._stored: dict[str, Notice] = {}  # by server id: notices that the store has
-        self._unsent: dict[str, Notice] = {}  # by server id: the machine's notices that it does not have yet
+        self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices that the store has
+        # by server id: the machine's notices that it does not have yet
+        self._unsent: dict[str, ForwardedNotice] = {}
         # by server id: the order of a stored notice, and when it was first seen
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
-        self.received_notices: list[Notice] = []  # the relay itself acts on none
+        self.received_notices: list[StoredNotice] = []  # the relay itself acts on none
         self.path = directory
 
     @property
@@ -94,32 +106,32 @@
             await trio.sleep_forever()
 
     async def exchange(
-        self, key: str, status: dict[str, Any] | None, after: int, expected_digest: str
-    ) -> list[dict[str, Any]]:
+        self, key: str, status: StoredStatus | None, after: int, expected_digest: str
+    ) -> list[StoredRecord]:
         """Exchange with the store for the whole machine, and update the directory."""
         statuses = await trio.to_thread.run_sync(self._live_statuses)
         sent_at = clock()
         entry = {"name": status["name"], "rows": [status, *statuses]} if status is not None else None
         records = await self._store.exchange(key, entry, after, expected_digest)
         received = take_received_notices(self._store)
-        self._stored |= {notice["id"]: notice for notice in received if is_notice(notice)}
+        self._stored |= _by_server(received)
         own = await trio.to_thread.run_sync(self._directory.changed_drain_notices_blocking)
         await self._forward_notices(own)
         await trio.to_thread.run_sync(self._update_directory, records, sent_at, statuses)
         return records
 
-    async def _forward_notices(self, notices: list[Notice]) -> None:
+    async def _forward_notices(self, documents: list[StoredNotice]) -> None:
         """Write the machine's drain notices into the store, unless it has later ones."""
-        self._unsent |= {notice["id"]: notice for notice in filter(is_notice, notices)}
-        later = [
-            notice
-            for name, notice in self._unsent.items()
-            if name not in self._stored or notice_order(notice) > notice_order(self._stored[name])
-        ]
+        self._unsent |= _by_server(documents)
+        later = {
+            name: own
+            for name, own in self._unsent.items()
+            if name not in self._stored or own.notice.order > self._stored[name].notice.order
+        }
         expired_ids = self._expired_ids(clock())
         if later or expired_ids:
-            await self._store.write_drain_notices(later, expired_ids)
-        self._stored |= {notice["id"]: notice for notice in later}
+            await self._store.write_drain_notices([own.document for own in later.values()], expired_ids)
+        self._stored |= later
         self._unsent.clear()
         for name in expired_ids:
             del self._stored[name], self._stored_since[name]
@@ -130,55 +142,59 @@
         The relay removes them as processes only remove notices from their directory: where all machines
         have a relay, the store would otherwise grow with every server that ever left.
         """
-        for name, notice in self._stored.items():
-            if self._stored_since.get(name, (None, 0.0))[0] != notice_order(notice):
-                self._stored_since[name] = notice_order(notice), now
+        for name, (notice, _) in self._stored.items():
+            if self._stored_since.get(name, (None, 0.0))[0] != notice.order:
+                self._stored_since[name] = notice.order, now
         return [
             name
             for name, (_, since) in self._stored_since.items()
             if now - since > self._retention_s and name not in self._unsent
         ]
 
-    def _live_statuses(self) -> list[dict[str, Any]]:
-        """Return the statuses of the machine's processes, without those whose heartbeat has stood still."""
+    def _live_statuses(self) -> list[StoredStatus]:
+        """Return the statuses of the machine's processes, without those whose heartbeat has stood still.
+
+        They are forwarded as they are, also with keys that this program does not know.
+        """
         now, live, heartbeats = clock(), [], {}
-        for status in self._directory.statuses_blocking():
-            key = status_key(status)
-            heartbeat, since = self._heartbeats.get(key, (-1, now))
-            if heartbeat != status["beat"]:
-                heartbeat, since = status["beat"], now
-            heartbeats[key] = (heartbeat, since)
+        for document in self._directory.statuses_blocking():
+            status = parse_heartbeat(document)
+            heartbeat, since = self._heartbeats.get(status.key, (-1, now))
+            if heartbeat != status.heartbeat:
+                heartbeat, since = status.heartbeat, now
+            heartbeats[status.key] = (heartbeat, since)
             if now - since < STATUS_EXPIRY_TTLS * self._confirmation_ttl_s:
-                live.append(status)
+                live.append(document)
         self._heartbeats = heartbeats
         return live
 
     def _update_directory(
-        self, records: list[dict[str, Any]], sent_at: float, statuses: list[dict[str, Any]]
+        self, records: list[StoredRecord], sent_at: float, statuses: list[StoredStatus]
     ) -> None:
         for record in records:
             self._directory.append_blocking(record)
         temporary = Path(self.path) / f".{secrets.token_hex(6)}"
-        freshness = {
-            "sent": sent_at,
-            "words": list(self._stored.values()),
-            "rows": {status_key(status): status["beat"] for status in statuses},
-        }
+        carried = [parse_heartbeat(status) for status in statuses]
+        freshness = Freshness(
+            sent_at=sent_at,
+            notices=[document for _, document in self._stored.values()],
+            heartbeats={status.key: status.heartbeat for status in carried},
+        )
         try:
-            temporary.write_bytes(orjson.dumps(freshness))
+            temporary.write_bytes(orjson.dumps(msgspec.to_builtins(freshness)))
             os.rename(temporary, Path(self.path) / FRESHNESS_FILE)
         except OSError as error:
             raise VersionStoreError(f"{self.path}: {error.strerror}") from error
 
-    async def write_status(self, key: str, status: dict[str, Any]) -> None:
+    async def write_status(self, key: str, status: StoredStatus) -> None:
         """See `VersionStore.write_status`."""
         await self._store.write_status(key, status)
 
-    async def statuses(self) -> list[dict[str, Any]]:
+    async def statuses(self) -> list[StoredStatus]:
         """See `VersionStore.statuses`."""
         return await self._store.statuses()
 
-    async def append(self, record: dict[str, Any]) -> bool:
+    async def append(self, record: StoredRecord) -> bool:
         """See `VersionStore.append`."""
         return await self._store.append(record)
 
@@ -186,11 +202,15 @@
         """See `VersionStore.remove_statuses`."""
         await self._store.remove_statuses(keys)
 
-    async def write_drain_notices(self, notices: list[Notice], expired_ids: list[str]) -> None:
+    async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
         """See `VersionStore.write_drain_notices`."""
         await self._store.write_drain_notices(notices, expired_ids)
 
 
+def _by_server(documents: list[StoredNotice]) -> dict[str, ForwardedNotice]:
+    return {forwarded.notice.server_id: forwarded for forwarded in parse_notices(documents)}
+
+
 class _NullAdapter:
     """The relay acts on no version, so it can use every one."""
 
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -16,6 +16,7 @@
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import EffectiveVersions, Member
+from wheatroute.agreement.records import StoredRecord, WithdrawRecord, parse_record
 from wheatroute.agreement.version_store import (
     MAX_RECORDS_PER_READ,
     VersionStore,
@@ -218,15 +219,15 @@
         # one process after the other: the first one appends it, the others then read it
         await trio.sleep(min(1.0, rank * self._exchange_interval_s / EXCHANGES_PER_TTL))
         if await self._store.append(record):
-            self._log.info(
-                "settings-judged",
-                kind=record["kind"],
-                version=record["version"],
-                reason=record.get("reason", ""),
-            )
-            await self._store.remove_statuses(member.expired_status_keys(began, statuses))
+            self._log_decision(record)
+            await self._store.remove_statuses(member.expired_status_keys(began))
         return True
 
+    def _log_decision(self, document: StoredRecord) -> None:
+        record = parse_record(document)
+        reason = record.reason if isinstance(record, WithdrawRecord) else ""
+        self._log.info("settings-judged", kind=record.kind.value, version=record.version, reason=reason)
+
     async def leave(self) -> None:
         """Remove the process's status, as it stops and acts on nothing more.
 
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -12,10 +12,22 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
+import msgspec
 import rfc8785
 
+from wheatroute.agreement.records import (
+    ActivateRecord,
+    PutRecord,
+    RecordHeader,
+    RecordKind,
+    StoredRecord,
+    VersionRecord,
+    WithdrawRecord,
+    parse_header,
+    parse_record,
+)
+
 FORMAT = 1
-PUT, ACTIVATE, WITHDRAW = "put", "force", "withdraw"  # kinds of records, as stored
 
 
 class HistoryError(Exception):
@@ -67,7 +79,6 @@
         self.active = self.pending = 0  # version numbers; 0 for none
         self.pending_record = 0  # number of the record that put the pending version
         self.versions: dict[int, Version] = {}
-        self.records: list[dict[str, Any]] = []
 
     def copy(self) -> History:
         """Return an independent copy."""
@@ -76,76 +87,92 @@
             number: replace(version, outcomes=list(version.outcomes))
             for number, version in self.versions.items()
         }
-        other.records = list(self.records)
         return other
 
-    def next_record(self, kind: str, **fields: Any) -> dict[str, Any]:
-        """Return a record that would continue this history; it is not applied."""
-        return {"format": FORMAT, "seq": self.head + 1, "before": self.head_digest, "kind": kind} | fields
+    def next_record(self, kind: str, **fields: Any) -> StoredRecord:
+        """Return a document that would continue this history; `fields` have the stored keys."""
+        chain = {"format": FORMAT, "seq": self.head + 1, "before": self.head_digest}
+        return chain | {"kind": str(kind)} | fields
+
+    def encode(self, record: VersionRecord) -> StoredRecord:
+        """Return the document of a record that would continue this history; it is not applied."""
+        return self.next_record(**msgspec.to_builtins(record))
 
     def put_record(
         self, content: dict[str, Any], put_id: str, author: str, put_time: float, reason: str
-    ) -> dict[str, Any]:
-        """Return a record that would put a new version; raises `ContentError`."""
-        return self.next_record(
-            PUT,
+    ) -> StoredRecord:
+        """Return the document of a record that would put a new version; raises `ContentError`."""
+        record = PutRecord(
             version=len(self.versions) + 1,
             parent=self.active,
             content=content,
             digest=digest(content),
-            name=put_id,
-            who=author,
-            when=put_time,
-            why=reason,
+            put_id=put_id,
+            author=author,
+            put_time=put_time,
+            reason=reason,
         )
-
-    def apply(self, record: dict[str, Any]) -> None:
-        """Apply the next record; raises `HistoryError`, and changes nothing, if it is not the next one."""
-        self._check_chain(record)
-        kind, number = record.get("kind"), record.get("version")
-        record_digest = digest(record)
-        if kind == PUT:
-            self._apply_put(record)
-        elif number != self.pending or kind not in (ACTIVATE, WITHDRAW):
+        return self.encode(record)
+
+    def apply(self, document: StoredRecord) -> None:
+        """Apply the next record, and change nothing if it cannot be applied.
+
+        Raises `HistoryError` if it is not the next one, `msgspec.ValidationError` if it is malformed.
+        """
+        header = parse_header(document)
+        self._check_chain(header)
+        document_digest = digest(document)
+        self._check_version(header)
+        match parse_record(document):
+            case PutRecord() as record:
+                self._apply_put(record)
+            case ActivateRecord() as record:
+                self._apply_activate(record)
+            case WithdrawRecord() as record:
+                self.versions[record.version].outcomes.append(f"withdrawn: {record.reason}")
+                self.pending = 0
+        self.head, self.head_digest = self.head + 1, document_digest
+
+    def _check_chain(self, header: RecordHeader) -> None:
+        if header.format != FORMAT:
             raise HistoryError(
-                f"record {self.head + 1}: {kind!r} of version {number!r}, {self.pending} is put"
+                f"record {self.head + 1} has form {header.format!r}, this program knows {FORMAT}"
             )
-        elif kind == ACTIVATE:
-            if self.active:
-                self.versions[self.active].outcomes.append(f"was in force until {number}")
-            self.versions[number].outcomes.append("in force")
-            self.active, self.pending = number, 0
-        else:
-            self.versions[number].outcomes.append(f"withdrawn: {record['reason']}")
-            self.pending = 0
-        self.head, self.head_digest = record["seq"], record_digest
-        self.records.append(record)
-
-    def _check_chain(self, record: dict[str, Any]) -> None:
-        if record.get("format") != FORMAT:
+        if header.number != self.head + 1 or header.previous_digest != self.head_digest:
             raise HistoryError(
-                f"record {self.head + 1} has form {record.get('format')!r}, this program knows {FORMAT}"
+                f"record {header.number!r} does not follow record {self.head} "
+                f"({self.head_digest[:12] or 'the start'})"
             )
-        if record.get("seq") != self.head + 1 or record.get("before") != self.head_digest:
+
+    def _check_version(self, header: RecordHeader) -> None:
+        """Raise `HistoryError` unless a put is of the next version, and another record of the pending one."""
+        number = header.version
+        if header.kind == RecordKind.PUT:
+            if number != len(self.versions) + 1:
+                raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
+        elif number != self.pending or header.kind not in (RecordKind.ACTIVATE, RecordKind.WITHDRAW):
             raise HistoryError(
-                f"record {record.get('seq')!r} does not follow record {self.head} "
-                f"({self.head_digest[:12] or 'the start'})"
+                f"record {self.head + 1}: {header.kind!r} of version {number!r}, {self.pending} is put"
             )
 
-    def _apply_put(self, record: dict[str, Any]) -> None:
-        content, number = record["content"], record.get("version")
-        if number != len(self.versions) + 1:
-            raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
+    def _apply_put(self, record: PutRecord) -> None:
+        number = record.version
         if self.pending:
             self.versions[self.pending].outcomes.append(f"replaced by {number}")
         self.versions[number] = Version(
             number=number,
-            parent=record["parent"],
-            content=content,
-            digest=record["digest"],
-            put_id=record["name"],
-            author=record["who"],
-            put_time=record["when"],
-            reason=record["why"],
+            parent=record.parent,
+            content=record.content,
+            digest=record.digest,
+            put_id=record.put_id,
+            author=record.author,
+            put_time=record.put_time,
+            reason=record.reason,
         )
-        self.pending, self.pending_record = number, record["seq"]
+        self.pending, self.pending_record = number, self.head + 1
+
+    def _apply_activate(self, record: ActivateRecord) -> None:
+        if self.active:
+            self.versions[self.active].outcomes.append(f"was in force until {record.version}")
+        self.versions[record.version].outcomes.append("in force")
+        self.active, self.pending = record.version, 0
