--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -104,7 +104,7 @@
         if one.status != 200 or one.ended - one.sent > kinds[one.kind]["target-time"]
     )
     lost = Counter(one.node for one in records.lost(it.records, until))
-    steps = Counter((one["kind"], one.get("stage")) for one in progress.records)
+    steps = Counter((one.step.kind, getattr(one.step, "stage", None)) for one in progress.records)
     took = sorted(one.ended - one.sent for one in asked if one.status == 200)
     return {
         "how": how or "good",
@@ -117,7 +117,7 @@
         "lost": sum(lost.values()) - (lost["n0"] if how else 0),
         "twice": len(records.twice(it.records)) + len(records.refused_begun(it.records)),
         "steps_twice": sum(count - 1 for count in steps.values()),
-        "mixed": len({row["runs"] for row in rows.values()}) - 1,
+        "mixed": len({row.program for row in rows.values()}) - 1,
         "p99": took[int(0.99 * len(took))],
         "nodes": sum('event="took over"' in it.processes[f"supervisor-{name}"].log for name in it.names),
     }
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -6,6 +6,7 @@
 from wheatroute.rollout import figures
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, DifferenceSequence, Tally, Verdict
 from wheatroute.rollout.figures_watch import FiguresWatch
+from wheatroute.rollout.statuses import NodeFigures, ProcessFigures, RequestFigures
 
 
 def test_an_event_that_has_not_happened_still_has_variance():
@@ -57,19 +58,19 @@
     stage = 140  # the look at which node a gets the change
 
     def row(name, look):
-        told = {"look": {str(at): count for at, count in times[name].items()}}
-        return {
-            "name": name,
-            "start": name,
-            "beat": look,
-            "format": figures.FIGURES_FORMAT,
-            "cells": [],
-            "worth": {},
-            "times": told,
-            "cpu": 0.0,
-            "memory": 0.0,
-            "connections": 0,
-        }
+        process = ProcessFigures(
+            name=name,
+            incarnation=name,
+            program="",
+            heartbeat=look,
+            is_ready=True,
+            is_stopping=False,
+            cpu_s=0.0,
+            memory_bytes=0,
+            open_connections=0,
+        )
+        durations = {"look": dict(times[name])}
+        return NodeFigures(process, RequestFigures(lost=0, outcomes=[], durations=durations, values={}))
 
     for look in range(stage + 160):
         usual = 0.02 if look < stage else 0.06
--- a/tests/rollout/test_request_accounting.py
+++ b/tests/rollout/test_request_accounting.py
@@ -1,12 +1,39 @@
 """Request accounting, the tallies between two figures, and thresholds of slow requests."""
 
+import orjson
+
 from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.exchange import Exchange, Response
-from wheatroute.rollout import figures
+from wheatroute.rollout import figures, statuses
 from wheatroute.rollout.canary_analysis import Tally
 from wheatroute.rollout.figures_watch import FiguresWatch
 from wheatroute.rollout.request_accounting import RequestAccounting
 
+PROCESS = {
+    "row": "figures",
+    "name": "n0",
+    "start": "s",
+    "program": "v1",
+    "beat": 1,
+    "ready": True,
+    "stopping": False,
+    "cpu": 0.0,
+    "memory": 1,
+    "connections": 1,
+}
+
+
+def node_figures(document, **process):
+    """The figures of a node as another process reads them."""
+    return statuses.parse_figures(orjson.loads(orjson.dumps(document | PROCESS | process)))
+
+
+def served_in(buckets):
+    """The figures of a node that served so many requests in each bucket of duration."""
+    empty = {"format": 1, "lost": 0, "cells": [], "worth": {}}
+    times = {"look": {str(bucket): count for bucket, count in buckets.items()}}
+    return node_figures(empty | {"times": times})
+
 
 def test_each_outcome_and_each_loss_is_counted():
     one = RequestAccounting(
@@ -22,7 +49,7 @@
         one.request_accepted(exchange)
         return exchange
 
-    before = one.figures(100.0) | {"start": "s", "cpu": 0.0, "memory": 1, "connections": 1}
+    before = node_figures(one.figures(100.0), cpu=0.0)
     for number, (status, at, kind) in enumerate(
         ((200, 100.1, 0), (200, 100.9, 0), (503, 100.1, 1), (502, 100.1, 1))
     ):
@@ -31,37 +58,36 @@
         one.request_answered(exchange, at)
     one.client_left(take(7), 100.5)
     forgotten = take(8)
-    after = one.figures(100.6) | {"start": "s", "cpu": 2.0, "memory": 1, "connections": 1}
+    after = node_figures(one.figures(100.6), cpu=2.0)
     told = figures.tallies_between(
-        before, after, "east", figures.slow_thresholds(figures.total_durations([after]), {})
+        before, after, "east", figures.slow_thresholds(figures.total_durations([after.requests]), {})
     )
     assert told["worth"] == Tally(0.5 * 2 + 1.0 * 2, 0.5 * 3 + 1.0 * 2)
     assert told["refused tenant=shop"] == Tally(1, 5) and told["terminated site=east"] == Tally(2, 5)
     assert told["refused class=look"] == Tally(0, 3) and told["cpu"] == Tally(2.0, 5)
-    assert after["lost"] == 0 and one.figures(101.4)["lost"] == 1
+    assert after.requests.lost == 0 and one.figures(101.4)["lost"] == 1
     one.client_left(forgotten, 103.0)  # its client gave up: it was lost all the same
     assert one.figures(104.0)["lost"] == 1
-    assert not figures.tallies_between(before, after | {"start": "t"}, "", {})
+    restarted = node_figures(one.figures(100.6), cpu=2.0, start="t")
+    assert not figures.tallies_between(before, restarted, "", {})
 
 
 def test_thresholds_are_the_median_and_the_99th_percentile():
-    times = {str(at): 10 for at in range(100)}
-    assert figures.slow_thresholds(figures.total_durations([{"times": {"look": times}}]), {}) == {
-        "look": (49, 98)
-    }
+    served = served_in({at: 10 for at in range(100)})
+    assert figures.slow_thresholds(figures.total_durations([served.requests]), {}) == {"look": (49, 98)}
 
 
 def test_thresholds_come_from_what_was_served_since_watching_began():
     """Two hundred requests were slow as the nodes started; the hundred since then were not."""
     watch = FiguresWatch()
-    started = {"times": {"look": {"90": 200}}}
+    started = served_in({90: 200})
     watch.measure_thresholds([started], False)
-    later = {"times": {"look": {"90": 200, "10": 60, "20": 40}}}
+    later = served_in({90: 200, 10: 60, 20: 40})
     watch.measure_thresholds([later], False)
     assert watch.thresholds == {}
     watch.measure_thresholds([later], True)
     assert watch.thresholds == {"look": (10, 20)}
-    watch.measure_thresholds([{"times": {"look": {"90": 900}}}], True)
+    watch.measure_thresholds([served_in({90: 900})], True)
     assert watch.thresholds == {"look": (10, 20)}  # until the next stage
     watch.begin_stage()
     watch.measure_thresholds([later], True)
--- a/tests/rollout/test_rollout_progress.py
+++ b/tests/rollout/test_rollout_progress.py
@@ -7,6 +7,7 @@
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict
 from wheatroute.rollout.next_step import Observations, next_step
 from wheatroute.rollout.progress import Phase, RolloutProgress, StepKind
+from wheatroute.rollout.statuses import FailedProgram, SupervisorStatus
 
 STAGES = [
     {"name": "one", "nodes": ["a"], "least": 2.0, "most": 9.0, "ask": True},
@@ -24,16 +25,28 @@
 
 
 def supervisors(**runs):
-    return {name: {"runs": program, "changing": False, "failed": []} for name, program in runs.items()}
+    return {name: supervisor(name, program) for name, program in runs.items()}
+
+
+def supervisor(name, program, is_changing=False, failed=()):
+    return SupervisorStatus(
+        name=name,
+        site="",
+        program=program,
+        is_changing=is_changing,
+        failed=list(failed),
+        trouble="",
+        programs=[],
+    )
 
 
 def step(progress, statuses, watched=99.0, waited=0.0, verdict=Verdict.UNSURE, failure="", has_baseline=True):
-    """Apply the next record; returns its kind."""
+    """Apply the next step; returns its kind."""
     seen = Observations(statuses, watched, waited, verdict, ["seen"], failure, has_baseline)
-    record = next_step(progress, seen)
-    if record is not None:
-        progress.apply(record)
-    return record and record["kind"]
+    step_due = next_step(progress, seen)
+    if step_due is not None:
+        progress.apply(progress.encode(step_due))
+    return step_due and step_due.kind
 
 
 def test_a_rollout_passes_its_stages_and_holds_where_the_plan_says():
@@ -66,16 +79,19 @@
     step(progress, supervisors(a="1", b="1", c="1"))
     assert step(progress, supervisors(a="2", b="1", c="1"), **how) == "back" and progress.reason == reason
     assert step(progress, supervisors(a="2", b="1", c="1")) is None and progress.target("a") == "1"
-    assert step(progress, supervisors(a="1", b="1", c="1")) == "end" and progress.records[-1]["mixed"] == []
+    assert (
+        step(progress, supervisors(a="1", b="1", c="1")) == "end"
+        and progress.records[-1].step.failed_nodes == []
+    )
 
 
 def test_a_node_that_fails_to_roll_back_is_named_at_the_end():
     progress = begun()
     step(progress, supervisors(a="1", b="1", c="1"))
     progress.apply(progress.next_record(StepKind.ROLL_BACK, reason="by hand"))
-    told = supervisors(a="2", b="1", c="1")
-    told["a"]["failed"] = [[progress.number, "1"]]
-    assert step(progress, told) == "end" and progress.records[-1]["mixed"] == ["a"]
+    told = supervisors(b="1", c="1")
+    told["a"] = supervisor("a", "2", failed=[FailedProgram(progress.number, "1")])
+    assert step(progress, told) == "end" and progress.records[-1].step.failed_nodes == ["a"]
 
 
 def test_a_late_stage_is_rolled_back_and_one_without_a_verdict_is_held():
@@ -124,9 +140,9 @@
     step(progress, supervisors(a="2", b="1", c="1"))
     told = supervisors(a="2", b="1", c="1")
     assert progress.may_change("b", told) and not progress.may_change("c", told)
-    told["b"] |= {"runs": "2", "changing": True}  # the old one still leaves
+    told["b"] = supervisor("b", "2", is_changing=True)  # the old one still leaves
     assert not progress.may_change("c", told)
-    told["b"]["changing"] = False
+    told["b"] = supervisor("b", "2")
     assert progress.may_change("c", told)
 
 
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -82,7 +82,7 @@
     async def ready(self, rate=80):
         number = await self.it.put("the first")
         await self.it.agreed(number)
-        await self.until(lambda rows: len(rows) == 3 and all(row["runs"] == "old" for row in rows.values()))
+        await self.until(lambda rows: len(rows) == 3 and all(row.program == "old" for row in rows.values()))
         self.it.call(rate, MIX)
         await self.it.until(
             lambda: sum(one.status == 200 for one in self.it.records.asked.values()) > 100, "all serve"
@@ -123,7 +123,7 @@
 
 
 def kinds(progress):
-    return [one["kind"] for one in progress.records]
+    return [one.step.kind for one in progress.records]
 
 
 def not_served(found, names):
@@ -147,7 +147,7 @@
         progress = await one.ended()
         assert number == 1
         assert kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
-        assert {row["runs"] for row in (await operator.supervisor_statuses(one.store)).values()} == {"new"}
+        assert {row.program for row in (await operator.supervisor_statuses(one.store)).values()} == {"new"}
         assert sum(one.status != 200 for one in it.records.asked.values() if one.status) == 0
         await one.kept()
 
@@ -163,7 +163,8 @@
             progress = await one.ended()
             assert kinds(progress) == ["start", "stage", "back", "end"] and reason in progress.reason
             rows = await operator.supervisor_statuses(one.store)
-            assert {row["runs"] for row in rows.values()} == {"old"} and progress.records[-1]["mixed"] == []
+            assert {row.program for row in rows.values()} == {"old"}
+            assert progress.records[-1].step.failed_nodes == []
             await one.kept()
 
     trio.run(tell)
@@ -184,7 +185,7 @@
             progress = await one.ended(200.0)
             assert kinds(progress) == ["start", "stage", "back", "end"], progress.records
             assert word in progress.reason
-            assert {row["runs"] for row in (await operator.supervisor_statuses(one.store)).values()} == {
+            assert {row.program for row in (await operator.supervisor_statuses(one.store)).values()} == {
                 "old"
             }
             # what the bad one did is its own; the other nodes' clients felt none of it
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -13,6 +13,7 @@
 from collections.abc import Mapping
 from typing import Any
 
+import msgspec
 import trio
 
 from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore, VersionStoreError
@@ -21,7 +22,24 @@
 from wheatroute.rollout.figures import RELATIVE_METRICS
 from wheatroute.rollout.figures_watch import FiguresWatch
 from wheatroute.rollout.next_step import Observations, next_step
-from wheatroute.rollout.progress import Phase, RolloutProgress, StepKind
+from wheatroute.rollout.progress import Phase, RolloutProgress, SupervisorStatuses
+from wheatroute.rollout.records import (
+    HoldStep,
+    PassStep,
+    ResumeStep,
+    StageStep,
+    StartStep,
+    Step,
+    step_fields,
+)
+from wheatroute.rollout.statuses import (
+    ControllerStatus,
+    FailedProgram,
+    NodeFigures,
+    controller_statuses,
+    node_figures,
+    supervisor_statuses,
+)
 
 TURN_INTERVAL_S = 0.25
 STORE_TIMEOUT_S = 2.0
@@ -29,8 +47,14 @@
 TAKEOVER_TURNS = 4  # without a heartbeat of the controllers before it, after which the next one acts
 THRESHOLD_RATIO = 0.25  # part of the time before a stage in which the slow thresholds are measured
 MAX_FINDINGS = 20  # written into a status or a record
+LOGGED_FIELDS = ("kind", "stage", "reason", "how")  # of a step, by their stored keys
 
-Statuses = Mapping[str, dict[str, Any]]  # by node
+Figures = Mapping[str, NodeFigures]  # by node
+
+
+def status_key(incarnation: str) -> str:
+    """Return the key of a controller's status in the store."""
+    return f"controller.{incarnation}"
 
 
 class Controller:
@@ -64,14 +88,13 @@
         if not await self._read_progress(now):
             return
         statuses = await self._store.statuses()
-        supervisors = {one["name"]: one for one in statuses if one.get("row") == "keeper"}
-        reported = [one for one in statuses if one.get("row") == "figures"]
-        figures = self._watch.live_figures(reported, now)
+        supervisors = supervisor_statuses(statuses)
+        figures = self._watch.live_figures(node_figures(statuses), now)
         if self.progress.plan is None or not self.progress.is_running:
             return
         self._add_interval(supervisors, figures, now)
         verdict, evidence = self._verdict()
-        is_first = self._is_first([one for one in statuses if one.get("row") == "controller"])
+        is_first = self._is_first(controller_statuses(statuses))
         observations = Observations(
             supervisors=supervisors,
             watched_s=now - self._watched_since if self._watched_since else 0.0,
@@ -90,68 +113,69 @@
     async def _read_progress(self, now: float) -> bool:
         """Write the own status and read new records; returns whether these were all."""
         self._heartbeat += 1
-        status = {
-            "row": "controller",
-            "name": "controller",
-            "start": self.incarnation,
-            "beat": self._heartbeat,
-            "findings": self.findings[:MAX_FINDINGS],
-            "head": self.progress.head,
-        }
-        records = await self._store.exchange(
-            f"controller.{self.incarnation}", status, self.progress.head, self.progress.head_digest
+        status = ControllerStatus(
+            incarnation=self.incarnation,
+            heartbeat=self._heartbeat,
+            findings=self.findings[:MAX_FINDINGS],
+            applied_record=self.progress.head,
+        )
+        documents = await self._store.exchange(
+            status_key(self.incarnation),
+            status.to_stored(),
+            self.progress.head,
+            self.progress.head_digest,
         )
-        for record in records:
-            self.progress.apply(record)
-            self._begin_phase(record, now)
-        return len(records) < MAX_RECORDS_PER_READ
-
-    async def _append(self, step: dict[str, Any]) -> None:
-        if step["kind"] == StepKind.STAGE and self._analysis is not None:
-            thresholds = {name: list(buckets) for name, buckets in self._watch.thresholds.items()}
-            step |= {"seen": self._analysis.baseline_to_stored(), "slow": thresholds}
-        if await self._store.append(step):
-            logged = {key: value for key, value in step.items() if key in ("kind", "stage", "reason", "how")}
-            self._log.info("step", **logged)
-
-    def _is_first(self, statuses: list[dict[str, Any]]) -> bool:
+        for document in documents:
+            self._begin_phase(self.progress.apply(document).step, now)
+        return len(documents) < MAX_RECORDS_PER_READ
+
+    async def _append(self, step: Step) -> None:
+        if isinstance(step, StageStep) and self._analysis is not None:
+            baseline = self._analysis.baseline_to_stored()
+            thresholds = dict(self._watch.thresholds)
+            step = msgspec.structs.replace(step, baseline=baseline, slow_thresholds=thresholds)
+        if await self._store.append(self.progress.encode(step)):
+            fields = step_fields(step)
+            self._log.info("step", **{key: fields[key] for key in LOGGED_FIELDS if key in fields})
+
+    def _is_first(self, statuses: list[ControllerStatus]) -> bool:
         """Whether this controller is the first of the live ones.
 
         Only so that not all of them append: the store appends a step once in any case.
         """
         others = {}
         for status in statuses:
-            heartbeat, turns = self._others.get(status["start"], (-1, 0))
-            is_same = heartbeat == status["beat"]
-            others[status["start"]] = (heartbeat, turns + 1) if is_same else (status["beat"], 0)
+            heartbeat, turns = self._others.get(status.incarnation, (-1, 0))
+            is_same = heartbeat == status.heartbeat
+            others[status.incarnation] = (heartbeat, turns + 1) if is_same else (status.heartbeat, 0)
         self._others = others
         self._expired_keys = [
-            f"controller.{start}" for start, (_, turns) in others.items() if turns >= EXPIRED_TURNS
+            status_key(incarnation) for incarnation, (_, turns) in others.items() if turns >= EXPIRED_TURNS
         ]
-        live = [start for start, (_, turns) in others.items() if turns < TAKEOVER_TURNS]
+        live = [incarnation for incarnation, (_, turns) in others.items() if turns < TAKEOVER_TURNS]
         return self.incarnation <= min(live, default=self.incarnation)
 
-    def _begin_phase(self, record: dict[str, Any], now: float) -> None:
-        """Start to watch anew, as a record says."""
-        self._record_read_at, plan = now, self.progress.plan
-        kind = record["kind"]
-        if plan is None or kind == StepKind.HOLD:
+    def _begin_phase(self, step: Step, now: float) -> None:
+        """Start to watch anew, as a step says."""
+        self._record_read_at = now
+        if self.progress.plan is None or isinstance(step, HoldStep):
             return
-        if kind in (StepKind.START, StepKind.PASS, StepKind.RESUME):
+        if isinstance(step, StartStep | PassStep | ResumeStep):
             self._analysis, self._watched_since, self.findings = self._new_analysis(), 0.0, []
             self._watch.begin_stage()
-        elif kind == StepKind.STAGE:
-            analysis = self._new_analysis()
-            analysis.before = {
-                metric: DifferenceSequence.from_stored(values)
-                for metric, values in record.get("seen", {}).items()
-            }
-            if record.get("slow"):
-                self._watch.thresholds = {
-                    name: (int(median), int(percentile_99))
-                    for name, (median, percentile_99) in record["slow"].items()
-                }
-            self._analysis, self._watched_since = analysis, 0.0
+        elif isinstance(step, StageStep):
+            self._begin_stage(step)
+
+    def _begin_stage(self, step: StageStep) -> None:
+        """Continue from what the controller that took the step had measured."""
+        analysis = self._new_analysis()
+        baseline = step.baseline or {}
+        analysis.before = {
+            metric: DifferenceSequence.from_stored(values) for metric, values in baseline.items()
+        }
+        if step.slow_thresholds:
+            self._watch.thresholds = dict(step.slow_thresholds)
+        self._analysis, self._watched_since = analysis, 0.0
 
     def _new_analysis(self) -> CanaryAnalysis:
         plan = self.progress.plan
@@ -169,14 +193,14 @@
         unchanged = {name for later in plan.stages[stage + 1 :] for name in later.nodes}
         return set(plan.stages[stage].nodes), unchanged
 
-    def _add_interval(self, supervisors: Statuses, figures: Statuses, now: float) -> None:
+    def _add_interval(self, supervisors: SupervisorStatuses, figures: Figures, now: float) -> None:
         """Add what both sides did since the last turn to the analysis."""
         progress, plan = self.progress, self.progress.plan
         if progress.phase == Phase.BEFORE_STAGE and plan is not None:
             is_over = self._watched_since and now - self._watched_since >= THRESHOLD_RATIO * plan.before
             self._watch.measure_thresholds(figures.values(), bool(is_over))
         new_nodes, old_nodes = self._sides()
-        sites = {name: status["site"] for name, status in supervisors.items()}
+        sites = {name: status.site for name, status in supervisors.items()}
         tallies = self._watch.tallies_since_last(figures, sites, old_nodes)
         if self._analysis is None or progress.phase not in (Phase.BEFORE_STAGE, Phase.IN_STAGE):
             return
@@ -215,17 +239,18 @@
         plan, analysis = self.progress.plan, self._analysis
         return analysis is not None and plan is not None and analysis.has_baseline(frozenset(plan.watched))
 
-    def _failure(self, supervisors: Statuses, figures: Statuses) -> str:
+    def _failure(self, supervisors: SupervisorStatuses, figures: Figures) -> str:
         """Return what stops a rollout without statistics: a failure of the new program at a node."""
         plan, progress = self.progress.plan, self.progress
         if plan is None or progress.phase == Phase.ROLLING_BACK:
             return ""
         for name, status in supervisors.items():
-            if [progress.number, plan.new] in status["failed"]:
-                return f"{name}: {status['trouble'] or plan.new + ' failed'}"
-        for name, status in figures.items():
-            if status["program"] == plan.new and progress.target(name) == plan.new and status["lost"]:
-                return f"{name}: {status['lost']} requests lost by {plan.new}"
+            if FailedProgram(progress.number, plan.new) in status.failed:
+                return f"{name}: {status.trouble or plan.new + ' failed'}"
+        for name, reported in figures.items():
+            is_new = reported.process.program == plan.new and progress.target(name) == plan.new
+            if is_new and reported.requests.lost:
+                return f"{name}: {reported.requests.lost} requests lost by {plan.new}"
         return ""
 
 
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -5,16 +5,13 @@
 from collections import Counter, defaultdict
 from collections.abc import Iterable, Mapping
 from math import floor, log
-from typing import Any
 
 from wheatroute.rollout.canary_analysis import Tally
+from wheatroute.rollout.statuses import ClassOutcomes, NodeFigures, RequestFigures
 
-FIGURES_FORMAT = 1
 BUCKET_RATIO = 1.05  # of two neighbouring bounds of the duration histogram
 MIN_DURATION_S = 1e-6
-# positions of the counts of a request class and tenant
-ENDED, IN_TIME, REJECTED, FAILED, MORE_ATTEMPTS, LEFT = range(6)
-OUTCOME_COUNT = 6
+MIN_VALUE = 1e-9  # of a request, where all classes have the value 0
 RELATIVE_METRICS = frozenset({"cpu", "memory", "connections"})  # compared by their relative difference
 
 Durations = dict[str, Counter[int]]  # by request class: how many requests were served in each bucket
@@ -27,16 +24,16 @@
     return floor(log(max(MIN_DURATION_S, seconds)) / log(BUCKET_RATIO))
 
 
-def total_durations(figures: Iterable[Mapping[str, Any]]) -> Durations:
+def total_durations(figures: Iterable[RequestFigures]) -> Durations:
     """Return what was served since the nodes' starts, summed over all figures."""
     totals: Durations = defaultdict(Counter)
     for one in figures:
-        for name, counts in one["times"].items():
-            totals[name].update({int(bucket): count for bucket, count in counts.items()})
+        for name, counts in one.durations.items():
+            totals[name].update(counts)
     return totals
 
 
-def durations_between(before: Mapping[str, Any], after: Mapping[str, Any]) -> Durations:
+def durations_between(before: RequestFigures, after: RequestFigures) -> Durations:
     """Return what one process served between two of its figures."""
     totals, totals_before = total_durations([after]), total_durations([before])
     return {name: counts - totals_before.get(name, Counter()) for name, counts in totals.items()}
@@ -60,50 +57,56 @@
 
 
 def tallies_between(
-    before: Mapping[str, Any], after: Mapping[str, Any], site: str, thresholds: SlowThresholds
+    before: NodeFigures, after: NodeFigures, site: str, thresholds: SlowThresholds
 ) -> dict[str, Tally]:
     """Return by metric what a node did between two figures; nothing if its process has restarted."""
     tallies: dict[str, Tally] = defaultdict(Tally)
-    if before["start"] != after["start"] or after["format"] != before["format"]:
+    if before.process.incarnation != after.process.incarnation:
         return tallies
-    ended = _add_outcomes(tallies, before, after, site)
-    _add_durations(tallies, before, after, thresholds)
+    ended = _add_outcomes(tallies, before.requests, after.requests, site)
+    _add_durations(tallies, before.requests, after.requests, thresholds)
     if ended:
-        tallies["cpu"] = Tally(after["cpu"] - before["cpu"], ended)
-        tallies["memory"] = Tally(after["memory"] * ended, ended)
-        tallies["connections"] = Tally(after["connections"] * ended, ended)
+        tallies["cpu"] = Tally(after.process.cpu_s - before.process.cpu_s, ended)
+        tallies["memory"] = Tally(after.process.memory_bytes * ended, ended)
+        tallies["connections"] = Tally(after.process.open_connections * ended, ended)
     return tallies
 
 
-def _add_outcomes(
-    tallies: dict[str, Tally], before: Mapping[str, Any], after: Mapping[str, Any], site: str
-) -> int:
+def _add_outcomes(tallies: dict[str, Tally], before: RequestFigures, after: RequestFigures, site: str) -> int:
     """Add the outcomes of requests, for the whole traffic and its parts; returns how many have ended."""
-    counts_before = {(name, tenant): counts for name, tenant, *counts in before["cells"]}
-    total_ended, max_worth = 0, max([1e-9, *after["worth"].values()])
-    for name, tenant, *counts in after["cells"]:
-        earlier = counts_before.get((name, tenant), [0] * len(counts))
-        ended, in_time, rejected, failed, more_attempts, left = (
-            count - count_before for count, count_before in zip(counts, earlier, strict=True)
+    earlier = {(one.request_class, one.tenant): one for one in before.outcomes}
+    total_ended, max_value = 0, max([MIN_VALUE, *after.values.values()])
+    for totals in after.outcomes:
+        outcomes = totals.since(earlier.get((totals.request_class, totals.tenant), ClassOutcomes()))
+        total_ended += outcomes.ended
+        value = after.values.get(outcomes.request_class, 1.0) / max_value
+        parts = (
+            "",
+            f" class={outcomes.request_class}",
+            f" tenant={outcomes.tenant}",
+            f" site={site}",
         )
-        total_ended += ended
-        worth = after["worth"].get(name, 1.0) / max_worth
-        outcomes = {
-            "worth": Tally(worth * (ended - in_time), worth * ended),
-            "refused": Tally(rejected, ended),
-            "terminated": Tally(failed + left, ended),
-            "relays": Tally(more_attempts, ended),
-        }
-        for part in ("", f" class={name}", f" tenant={tenant}", f" site={site}"):
-            for metric, tally in outcomes.items():
+        for metric, tally in _outcome_tallies(outcomes, value).items():
+            for part in parts:
                 tallies[metric + part] += tally
     return total_ended
 
 
+def _outcome_tallies(outcomes: ClassOutcomes, value: float) -> dict[str, Tally]:
+    """Return by metric what the outcomes of a class and tenant add; `value` is that of a request."""
+    ended = outcomes.ended
+    return {
+        "worth": Tally(value * (ended - outcomes.in_time), value * ended),
+        "refused": Tally(outcomes.rejected, ended),
+        "terminated": Tally(outcomes.failed + outcomes.client_left, ended),
+        "relays": Tally(outcomes.more_attempts, ended),
+    }
+
+
 def _add_durations(
     tallies: dict[str, Tally],
-    before: Mapping[str, Any],
-    after: Mapping[str, Any],
+    before: RequestFigures,
+    after: RequestFigures,
     thresholds: SlowThresholds,
 ) -> None:
     for name, served in durations_between(before, after).items():
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -16,6 +16,7 @@
 
 import trio
 
+from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.agreement.node import open_store
 from wheatroute.agreement.version_store import VersionStoreError, running_store
 from wheatroute.net.clock import now
@@ -24,6 +25,7 @@
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.upstream import Upstream
 from wheatroute.rollout.request_accounting import RequestAccounting
+from wheatroute.rollout.statuses import ProcessFigures
 
 REPORT_INTERVAL_S = 0.5  # the finest resolution of the analysis
 STORE_TIMEOUT_S = 1.0
@@ -63,26 +65,26 @@
         """The key of its status in the store."""
         return f"figures.{self._name}.{self._incarnation}"
 
-    def next_status(self) -> dict[str, Any]:
+    def next_status(self) -> StoredStatus:
         """Return the status with the figures of this moment and the next heartbeat."""
         self._heartbeat += 1
         is_ready = self._discovery.has_full_list and (
             self._follower is None or not self._follower.member.effective.is_conservative
         )
         usage = resource.getrusage(resource.RUSAGE_SELF)
-        return self.accounting.figures(now()) | {
-            "row": "figures",
-            "name": self._name,
-            "start": self._incarnation,
-            "program": self._program,
-            "beat": self._heartbeat,
-            "ready": is_ready,
-            "stopping": self._downstream.is_stopping,
-            "cpu": usage.ru_utime + usage.ru_stime,
-            "memory": _resident_bytes(),
-            "connections": self._upstream.open_connections,
-            "at": time.time(),
-        }
+        process = ProcessFigures(
+            name=self._name,
+            incarnation=self._incarnation,
+            program=self._program,
+            heartbeat=self._heartbeat,
+            is_ready=is_ready,
+            is_stopping=self._downstream.is_stopping,
+            cpu_s=usage.ru_utime + usage.ru_stime,
+            memory_bytes=_resident_bytes(),
+            open_connections=self._upstream.open_connections,
+            written_at=time.time(),
+        )
+        return self.accounting.figures(now()) | process.to_stored()
 
     async def run(self) -> None:
         """Write the status at intervals until cancelled; a failure is logged when it begins."""
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -9,10 +9,10 @@
 
 from collections import Counter, defaultdict, deque
 from collections.abc import Iterable, Mapping
-from typing import Any
 
 from wheatroute.rollout import figures
 from wheatroute.rollout.canary_analysis import Tally
+from wheatroute.rollout.statuses import NodeFigures
 
 STALE_FIGURES_S = 5.0  # without a new heartbeat, after which a process's figures do not count
 THRESHOLD_READS = 24  # reads over which the median of the unchanged nodes is taken
@@ -24,17 +24,17 @@
 
     def __init__(self) -> None:
         self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)  # of the unchanged nodes
-        self._before: dict[tuple[str, str], dict[str, Any]] = {}
+        self._before: dict[tuple[str, str], NodeFigures] = {}  # by node and incarnation
         self._heartbeats: dict[tuple[str, str], tuple[int, float]] = {}
         self.thresholds: dict[str, tuple[int, int]] = {}
         self._totals_at_begin: figures.Durations | None = None
 
-    def measure_thresholds(self, statuses: Iterable[Mapping[str, Any]], is_over: bool) -> None:
+    def measure_thresholds(self, reported: Iterable[NodeFigures], is_over: bool) -> None:
         """Set the thresholds, once `is_over`, from what was served since the first call.
 
         What was served before, as processes started, doesn't count.
         """
-        totals = figures.total_durations(statuses)
+        totals = figures.total_durations(one.requests for one in reported)
         if self._totals_at_begin is None:
             self._totals_at_begin = totals
         if is_over and not self.thresholds:
@@ -45,45 +45,46 @@
         self.thresholds, self._totals_at_begin = {}, None
         self._recent.clear()
 
-    def live_figures(self, statuses: list[dict[str, Any]], now: float) -> dict[str, dict[str, Any]]:
+    def live_figures(self, reported: list[NodeFigures], now: float) -> dict[str, NodeFigures]:
         """Return by node the figures of the process that serves, without those that are stale."""
-        live: dict[str, dict[str, Any]] = {}
-        for status in statuses:
-            key = status["name"], status["start"]
+        live: dict[str, NodeFigures] = {}
+        for one in reported:
+            process = one.process
+            key = process.name, process.incarnation
             heartbeat, since = self._heartbeats.get(key, (-1, now))
-            if heartbeat != status["beat"]:
-                heartbeat, since = status["beat"], now
+            if heartbeat != process.heartbeat:
+                heartbeat, since = process.heartbeat, now
             self._heartbeats[key] = heartbeat, since
-            is_known_format = status["format"] == figures.FIGURES_FORMAT
-            if now - since < STALE_FIGURES_S and is_known_format and not status["stopping"]:
-                if status["name"] not in live or status["ready"]:
-                    live[status["name"]] = status
+            if now - since < STALE_FIGURES_S and not process.is_stopping:
+                if process.name not in live or process.is_ready:
+                    live[process.name] = one
         return live
 
     def tallies_since_last(
-        self, statuses: Mapping[str, dict[str, Any]], sites: Mapping[str, str], unchanged: set[str]
+        self, reported: Mapping[str, NodeFigures], sites: Mapping[str, str], unchanged: set[str]
     ) -> dict[str, dict[str, Tally]]:
         """Return by node what it did since the last call; `unchanged` are the nodes without the change."""
         tallies = {}
-        thresholds = self._present_thresholds(statuses, unchanged)
-        for name, status in statuses.items():
-            key = name, status["start"]
+        thresholds = self._present_thresholds(reported, unchanged)
+        for name, one in reported.items():
+            key = name, one.process.incarnation
             if key in self._before:
                 tallies[name] = figures.tallies_between(
-                    self._before[key], status, sites.get(name, ""), thresholds
+                    self._before[key], one, sites.get(name, ""), thresholds
                 )
-        self._before = {(name, status["start"]): status for name, status in statuses.items()}
+        self._before = {(name, one.process.incarnation): one for name, one in reported.items()}
         return tallies
 
     def _present_thresholds(
-        self, statuses: Mapping[str, dict[str, Any]], unchanged: set[str]
+        self, reported: Mapping[str, NodeFigures], unchanged: set[str]
     ) -> figures.SlowThresholds:
         """Return the thresholds, with the recent median of the unchanged nodes where it is known."""
         served: figures.Durations = defaultdict(Counter)
-        for name in unchanged & statuses.keys():
-            status = statuses[name]
-            if before := self._before.get((name, status["start"])):
-                for request_class, counts in figures.durations_between(before, status).items():
+        for name in unchanged & reported.keys():
+            after = reported[name]
+            if before := self._before.get((name, after.process.incarnation)):
+                between = figures.durations_between(before.requests, after.requests)
+                for request_class, counts in between.items():
                     served[request_class].update(counts)
         self._recent.append(served)
         recent: figures.Durations = defaultdict(Counter)
--- a/wheatroute/rollout/node_process.py
+++ b/wheatroute/rollout/node_process.py
@@ -12,7 +12,8 @@
 import time
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
+
+from wheatroute.rollout.supervisor_state import StoredProcess
 
 
 def start_ticks(pid: int) -> int:
@@ -68,11 +69,11 @@
             with suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
-    def to_stored(self) -> dict[str, Any]:
-        """Return plain data for the supervisor's state file."""
-        return {"program": self.program, "start": self.incarnation, "pid": self.pid, "ticks": self.ticks}
+    def to_stored(self) -> StoredProcess:
+        """Return what the supervisor's state file holds of it."""
+        return StoredProcess(self.program, self.incarnation, self.pid, self.ticks)
 
     @staticmethod
-    def from_stored(stored: dict[str, Any]) -> NodeProcess:
-        """Return the process that `to_stored` gave the data of."""
-        return NodeProcess(stored["program"], stored["start"], stored["pid"], stored["ticks"])
+    def from_stored(stored: StoredProcess) -> NodeProcess:
+        """Return the process that an earlier supervisor stored."""
+        return NodeProcess(stored.program, stored.incarnation, stored.pid, stored.start_ticks)
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -17,8 +17,11 @@
 from wheatroute.agreement.operator_errors import OperatorError
 from wheatroute.agreement.version_store import VersionStore, VersionStoreError
 from wheatroute.agreement.versions import HistoryError
+from wheatroute.rollout import statuses
 from wheatroute.rollout.plan import Plan
-from wheatroute.rollout.progress import RolloutProgress, StepKind
+from wheatroute.rollout.progress import RolloutProgress
+from wheatroute.rollout.records import HoldStep, ResumeStep, RollBackStep, StartStep, Step
+from wheatroute.rollout.statuses import SupervisorStatus
 
 RETRY_INTERVAL_S = 0.1
 
@@ -35,9 +38,9 @@
                 return progress
 
 
-async def supervisor_statuses(store: VersionStore) -> dict[str, dict[str, Any]]:
+async def supervisor_statuses(store: VersionStore) -> dict[str, SupervisorStatus]:
     """Return the supervisors' statuses by node."""
-    return {one["name"]: one for one in await store.statuses() if one.get("row") == "keeper"}
+    return statuses.supervisor_statuses(await store.statuses())
 
 
 async def start(store: VersionStore, plan: Plan, why: str) -> int:
@@ -52,55 +55,58 @@
     if errors:
         raise OperatorError("\n".join(errors), 2)
     return await _append(
-        store, StepKind.START, plan=plan.model_dump(), by=getpass.getuser(), when=time.time(), why=why
+        store,
+        StartStep(plan=plan.model_dump(), author=getpass.getuser(), unix_time=time.time(), reason=why),
     )
 
 
-def _start_errors(plan: Plan, supervisors: dict[str, dict[str, Any]]) -> list[str]:
+def _start_errors(plan: Plan, supervisors: dict[str, SupervisorStatus]) -> list[str]:
     errors = []
     for name in [name for stage in plan.stages for name in stage.nodes]:
         if name not in supervisors:
             errors.append(f"{name}: no supervisor has told of itself")
             continue
         supervisor = supervisors[name]
-        missing = [program for program in (plan.old, plan.new) if program not in supervisor["programs"]]
+        missing = [program for program in (plan.old, plan.new) if program not in supervisor.programs]
         if missing:
             errors.append(f"{name}: has no program {', '.join(missing)}")
-        elif supervisor["runs"] != plan.old:
-            errors.append(f"{name}: runs {supervisor['runs'] or 'nothing'}, not {plan.old}")
+        elif supervisor.program != plan.old:
+            errors.append(f"{name}: runs {supervisor.program or 'nothing'}, not {plan.old}")
     return errors
 
 
 async def hold(store: VersionStore, reason: str) -> int:
     """Hold the rollout; returns the number of the record."""
-    return await _append(store, StepKind.HOLD, reason=reason, by=getpass.getuser(), when=time.time())
+    step = HoldStep(reason=reason, author=getpass.getuser(), unix_time=time.time())
+    return await _append(store, step)
 
 
 async def resume(store: VersionStore) -> int:
     """Resume a held rollout; returns the number of the record."""
-    return await _append(store, StepKind.RESUME, by=getpass.getuser(), when=time.time())
+    return await _append(store, ResumeStep(author=getpass.getuser(), unix_time=time.time()))
 
 
 async def roll_back(store: VersionStore, reason: str) -> int:
     """Roll back; returns the number of the record."""
-    return await _append(store, StepKind.ROLL_BACK, reason=reason, by=getpass.getuser(), when=time.time())
+    step = RollBackStep(reason=reason, author=getpass.getuser(), unix_time=time.time())
+    return await _append(store, step)
 
 
-async def _append(store: VersionStore, kind: StepKind, **fields: Any) -> int:
-    """Append a record once, also if the answer is lost; raises `OperatorError` if it is not allowed now."""
+async def _append(store: VersionStore, step: Step) -> int:
+    """Append a step once, also if the answer is lost; raises `OperatorError` if it is not allowed now."""
     doubt = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
         try:
             progress = await read_progress(store)
-            if doubt and any(one.get("when") == fields.get("when") for one in progress.records):
+            if doubt and any(record.step.unix_time == step.unix_time for record in progress.records):
                 return progress.head
-            record = progress.next_record(kind, **fields)
+            document = progress.encode(step)
             try:
-                progress.apply(record)
+                record = progress.apply(document)
             except HistoryError as error:
                 raise OperatorError(str(error).split(": ", 1)[-1], 3) from error
-            if await store.append(record):
-                return int(record["seq"])
+            if await store.append(document):
+                return record.number
         except VersionStoreError as error:
             doubt = str(error)
             await trio.sleep(RETRY_INTERVAL_S)
@@ -109,30 +115,18 @@
 
 async def rollout_status(store: VersionStore) -> dict[str, Any]:
     """Return the last rollout with its nodes and findings, as printed with `--json`."""
-    progress, statuses = await read_progress(store), await store.statuses()
-    supervisors = {one["name"]: one for one in statuses if one.get("row") == "keeper"}
+    progress, documents = await read_progress(store), await store.statuses()
+    supervisors = statuses.supervisor_statuses(documents)
     # a controller that died may have left findings on an earlier record
     analysing = [
-        one
-        for one in statuses
-        if one.get("row") == "controller" and one["findings"] and one["head"] == progress.head
+        controller
+        for controller in statuses.controller_statuses(documents)
+        if controller.findings and controller.applied_record == progress.head
     ]
     plan = progress.plan
     nodes = [
-        {
-            "name": name,
-            "stage": stage.name,
-            "target": progress.target(name),
-            **{
-                key: supervisors.get(name, {}).get(key, absent)
-                for key, absent in (
-                    ("runs", ""),
-                    ("changing", False),
-                    ("trouble", "no supervisor"),
-                    ("crashes", 0),
-                )
-            },
-        }
+        {"name": name, "stage": stage.name, "target": progress.target(name)}
+        | _supervisor_fields(supervisors.get(name))
         for stage in (plan.stages if plan else ())
         for name in stage.nodes
     ]
@@ -143,5 +137,17 @@
         "stage": plan.stages[progress.stage].name if plan and progress.stage >= 0 else "",
         "reason": progress.reason,
         "nodes": nodes,
-        "findings": analysing[0]["findings"] if analysing else [],
+        "findings": analysing[0].findings if analysing else [],
+    }
+
+
+def _supervisor_fields(supervisor: SupervisorStatus | None) -> dict[str, Any]:
+    """Return what a node's supervisor says, as printed with `--json`."""
+    if supervisor is None:
+        return {"runs": "", "changing": False, "trouble": "no supervisor", "crashes": 0}
+    return {
+        "runs": supervisor.program,
+        "changing": supervisor.is_changing,
+        "trouble": supervisor.trouble,
+        "crashes": supervisor.crashes,
     }
--- a/wheatroute/rollout/operator_output.py
+++ b/wheatroute/rollout/operator_output.py
@@ -6,8 +6,9 @@
 
 from wheatroute.agreement.operator_output import table
 from wheatroute.rollout.progress import RolloutProgress
+from wheatroute.rollout.records import step_fields
 
-LOGGED_FIELDS = ("stage", "reason", "by", "how", "mixed", "why")
+LOGGED_FIELDS = ("by", "how", "mixed", "reason", "stage", "why")  # by their stored keys, in this order
 
 
 def status_lines(status: dict[str, Any]) -> list[str]:
@@ -36,10 +37,8 @@
     """Format every step, with the evidence of each verdict."""
     lines = []
     for record in progress.records:
-        fields = {
-            key: value for key, value in record.items() if key in LOGGED_FIELDS and value not in ("", [])
-        }
-        text = ", ".join(f"{key} {value}" for key, value in fields.items())
-        lines.append(f"{record['seq']:4} {record['kind']:6} {text}")
-        lines += [f"            {line}" for line in record.get("evidence", ())]
+        fields = step_fields(record.step)
+        named = [f"{key} {fields[key]}" for key in LOGGED_FIELDS if fields.get(key) not in (None, "", [])]
+        lines.append(f"{record.number:4} {record.step.kind:6} {', '.join(named)}")
+        lines += [f"            {line}" for line in record.step.evidence or ()]
     return lines or ["no rollout yet"]
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -12,24 +12,30 @@
 from enum import StrEnum
 from typing import Any
 
+from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.versions import HistoryError, digest
 from wheatroute.rollout.plan import Plan, parse_plan
+from wheatroute.rollout.records import (
+    EndStep,
+    HoldStep,
+    PassStep,
+    ResumeStep,
+    RollBackStep,
+    RolloutRecord,
+    StageStep,
+    StartStep,
+    Step,
+    StepHeader,
+    StepKind,
+    parse_header,
+    parse_step,
+    step_fields,
+)
+from wheatroute.rollout.statuses import FailedProgram, SupervisorStatus
 
 RECORD_FORMAT = 1
 
-SupervisorStatuses = Mapping[str, Mapping[str, Any]]  # by node
-
-
-class StepKind(StrEnum):
-    """The kind of a record, as stored."""
-
-    START = "start"
-    STAGE = "stage"  # the nodes of the next stage change
-    PASS = "pass"  # the stage had a verdict
-    HOLD = "hold"
-    RESUME = "go"
-    ROLL_BACK = "back"
-    END = "end"
+SupervisorStatuses = Mapping[str, SupervisorStatus]  # by node
 
 
 class Phase(StrEnum):
@@ -59,7 +65,7 @@
 
     head: int = 0
     head_digest: str = ""
-    records: list[dict[str, Any]] = field(default_factory=list)
+    records: list[RolloutRecord] = field(default_factory=list)
     phase: Phase = Phase.NONE
     plan: Plan | None = None
     number: int = 0  # of the rollout
@@ -77,68 +83,84 @@
         """Whether a rollout has started and not ended."""
         return self.phase not in (Phase.NONE, Phase.ENDED)
 
-    def next_record(self, kind: StepKind, **fields: Any) -> dict[str, Any]:
-        """Return a record that would continue the chain; it is not applied."""
+    def next_record(self, kind: str, **fields: Any) -> StoredRecord:
+        """Return a document that would continue the chain; `fields` have the stored keys."""
         chain = {"format": RECORD_FORMAT, "seq": self.head + 1, "before": self.head_digest}
         return chain | {"kind": str(kind)} | fields
 
-    def apply(self, record: dict[str, Any]) -> None:
-        """Apply the next record; raises `HistoryError`, and changes nothing, if it is not the next one."""
-        if record.get("format") != RECORD_FORMAT:
-            raise HistoryError(
-                f"record {self.head + 1} has form {record.get('format')!r}, "
-                f"this program knows {RECORD_FORMAT}"
-            )
-        if record.get("seq") != self.head + 1 or record.get("before") != self.head_digest:
-            raise HistoryError(f"record {record.get('seq')!r} does not follow record {self.head}")
-        kind = record.get("kind")
-        if kind not in list(StepKind):
-            raise HistoryError(f"record {self.head + 1}: {kind!r} is nothing that this program knows")
-        error = self._step_error(StepKind(kind), record)
+    def encode(self, step: Step) -> StoredRecord:
+        """Return the document of a step that would continue the chain; it is not applied."""
+        return self.next_record(**step_fields(step))
+
+    def apply(self, document: StoredRecord) -> RolloutRecord:
+        """Apply the next record and return it; changes nothing if it cannot be applied.
+
+        Raises `HistoryError` if it is not the next one, `msgspec.ValidationError` if it is malformed.
+        """
+        header = parse_header(document)
+        self._check_header(header)
+        error = self._step_error(StepKind(str(header.kind)), header.stage)
         if error:
             raise HistoryError(f"record {self.head + 1}: {error}")
-        self._apply_step(StepKind(kind), record)
-        self.head, self.head_digest = record["seq"], digest(record)
+        record = RolloutRecord(self.head + 1, parse_step(document))
+        document_digest = digest(document)
+        self._apply_step(record)
+        self.head, self.head_digest = record.number, document_digest
         self.records.append(record)
+        return record
+
+    def _check_header(self, header: StepHeader) -> None:
+        if header.format != RECORD_FORMAT:
+            raise HistoryError(
+                f"record {self.head + 1} has form {header.format!r}, this program knows {RECORD_FORMAT}"
+            )
+        if header.number != self.head + 1 or header.previous_digest != self.head_digest:
+            raise HistoryError(f"record {header.number!r} does not follow record {self.head}")
+        if header.kind not in list(StepKind):
+            raise HistoryError(f"record {self.head + 1}: {header.kind!r} is nothing that this program knows")
 
-    def _step_error(self, kind: StepKind, record: dict[str, Any]) -> str:
+    def _step_error(self, kind: StepKind, stage: object) -> str:
         """Return why a step is not allowed now; empty if it is."""
         if kind == StepKind.START:
             return "another rollout is under way" if self.is_running else ""
         if not self.is_running:
             return f"{kind}, and no rollout is under way"
         if kind in (StepKind.STAGE, StepKind.PASS):
-            if record.get("stage") != self.stage + (kind == StepKind.STAGE):
-                return f"{kind} {record.get('stage')!r} out of its order"
+            if stage != self.stage + (kind == StepKind.STAGE):
+                return f"{kind} {stage!r} out of its order"
         return "" if self.phase in _PHASES_FOR_STEP[kind] else f"{kind} while {self.phase}"
 
-    def _apply_step(self, kind: StepKind, record: dict[str, Any]) -> None:
-        if kind == StepKind.START:
-            self._apply_start(record)
-        elif kind == StepKind.STAGE:
-            self.phase, self.stage, self.has_passed = Phase.IN_STAGE, record["stage"], False
-        elif kind == StepKind.PASS:
-            self.phase, self.has_passed = Phase.BEFORE_STAGE, True
-        elif kind == StepKind.HOLD:
-            self.phase, self.reason = Phase.HELD, record["reason"]
-            self._is_baseline_missing = record.get("unseen", False)
-        elif kind == StepKind.RESUME:
-            # a stage that was held counts as passed: an operator has looked at the evidence
-            self.phase, self.has_passed, self.reason = Phase.BEFORE_STAGE, True, ""
-            self.resumed_after_stage = self.stage
-            if self._is_baseline_missing:
-                self.resumed_without_baseline = self.stage
-        elif kind == StepKind.ROLL_BACK:
-            self.phase, self.reason = Phase.ROLLING_BACK, record["reason"]
-        else:
-            self.phase = Phase.ENDED
-
-    def _apply_start(self, record: dict[str, Any]) -> None:
-        self.plan, self.number = parse_plan(record["plan"]), record["seq"]
+    def _apply_step(self, record: RolloutRecord) -> None:
+        match record.step:
+            case StartStep() as step:
+                self._apply_start(record.number, step)
+            case StageStep() as step:
+                self.phase, self.stage, self.has_passed = Phase.IN_STAGE, step.stage, False
+            case PassStep():
+                self.phase, self.has_passed = Phase.BEFORE_STAGE, True
+            case HoldStep() as step:
+                self.phase, self.reason = Phase.HELD, step.reason
+                self._is_baseline_missing = step.is_baseline_missing
+            case ResumeStep():
+                self._apply_resume()
+            case RollBackStep() as step:
+                self.phase, self.reason = Phase.ROLLING_BACK, step.reason
+            case EndStep():
+                self.phase = Phase.ENDED
+
+    def _apply_start(self, number: int, step: StartStep) -> None:
+        self.plan, self.number = parse_plan(step.plan), number
         self.phase, self.stage, self.has_passed, self.reason = Phase.BEFORE_STAGE, -1, False, ""
         self.resumed_after_stage, self.resumed_without_baseline = -1, -2
         self._is_baseline_missing = False
 
+    def _apply_resume(self) -> None:
+        """A stage that was held counts as passed: an operator has looked at the evidence."""
+        self.phase, self.has_passed, self.reason = Phase.BEFORE_STAGE, True, ""
+        self.resumed_after_stage = self.stage
+        if self._is_baseline_missing:
+            self.resumed_without_baseline = self.stage
+
     def target(self, node: str) -> str | None:
         """Return the program that a node is to run; None if the plan does not have the node."""
         if self.plan is None:
@@ -166,11 +188,11 @@
             name
             for name in nodes[: nodes.index(node)]
             if name in supervisors
-            and supervisors[name]["runs"] != self.target(name)
+            and supervisors[name].program != self.target(name)
             and not self._has_failed(name, supervisors)
         ]
         changing = [
-            name for name in nodes if name != node and name in supervisors and supervisors[name]["changing"]
+            name for name in nodes if name != node and name in supervisors and supervisors[name].is_changing
         ]
         return len(ahead) < self.plan.away and len(changing) < self.plan.away
 
@@ -178,8 +200,8 @@
         """Whether every node runs its target alone."""
         return all(
             name in supervisors
-            and supervisors[name]["runs"] == self.target(name)
-            and not supervisors[name]["changing"]
+            and supervisors[name].program == self.target(name)
+            and not supervisors[name].is_changing
             for name in self.nodes()
         )
 
@@ -187,13 +209,14 @@
         """Return the nodes that failed to go back; None while some have not tried yet."""
         failed = []
         for name in self.nodes():
-            if name not in supervisors or supervisors[name]["changing"]:
+            if name not in supervisors or supervisors[name].is_changing:
                 return None
-            if supervisors[name]["runs"] != self.target(name):
+            if supervisors[name].program != self.target(name):
                 if not self._has_failed(name, supervisors):
                     return None
                 failed.append(name)
         return failed
 
     def _has_failed(self, name: str, supervisors: SupervisorStatuses) -> bool:
-        return [self.number, self.target(name)] in supervisors[name]["failed"]
+        target = self.target(name)
+        return target is not None and FailedProgram(self.number, target) in supervisors[name].failed
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -8,21 +8,14 @@
 
 from collections import Counter, defaultdict
 from collections.abc import Mapping, Sequence
-from typing import Any
 
+import msgspec
+
+from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.exchange import REJECTED_STATUS, Exchange
-from wheatroute.rollout.figures import (
-    ENDED,
-    FAILED,
-    FIGURES_FORMAT,
-    IN_TIME,
-    LEFT,
-    MORE_ATTEMPTS,
-    OUTCOME_COUNT,
-    REJECTED,
-    duration_bucket,
-)
+from wheatroute.rollout.figures import duration_bucket
+from wheatroute.rollout.statuses import ClassOutcomes, RequestFigures
 
 LOSS_DELAY_S = 0.3  # after its deadline a request without an answer counts as lost
 SERVED_STATUS = 200
@@ -39,7 +32,8 @@
     ) -> None:
         self._lost = 0  # of clients that have gone since
         self._open: dict[int, float] = {}  # deadlines of requests that have not ended
-        self._cells: dict[tuple[int, int], list[int]] = defaultdict(lambda: [0] * OUTCOME_COUNT)
+        # by the numbers of class and tenant; without their names
+        self._outcomes: dict[tuple[int, int], ClassOutcomes] = defaultdict(ClassOutcomes)
         self._durations: dict[int, Counter[int]] = defaultdict(Counter)  # by class: counts by bucket
         self.update_settings(request_classes, tenants, class_settings)
 
@@ -62,45 +56,51 @@
     def request_answered(self, exchange: Exchange, now: float) -> None:
         """A request has its answer."""
         self._open.pop(exchange.number, None)
-        cell = self._cells[exchange.request_class, exchange.tenant]
-        cell[ENDED] += 1
-        cell[MORE_ATTEMPTS] += len(exchange.attempts) > 1
+        outcomes = self._outcomes[exchange.request_class, exchange.tenant]
+        outcomes.ended += 1
+        outcomes.more_attempts += len(exchange.attempts) > 1
         status = exchange.response.status if exchange.response is not None else 0
         if status == SERVED_STATUS:
             elapsed_s = now - exchange.deadline + exchange.time_left_s
             target_s = self._class_settings[exchange.request_class].target_latency
-            cell[IN_TIME] += elapsed_s <= target_s
+            outcomes.in_time += elapsed_s <= target_s
             self._durations[exchange.request_class][duration_bucket(elapsed_s)] += 1
+        elif status == REJECTED_STATUS:
+            outcomes.rejected += 1
         else:
-            cell[REJECTED if status == REJECTED_STATUS else FAILED] += 1
+            outcomes.failed += 1
 
     def request_rejected(self, exchange: Exchange) -> None:
         """A request was rejected for want of capacity before it was accepted."""
-        cell = self._cells[exchange.request_class, exchange.tenant]
-        cell[ENDED] += 1
-        cell[REJECTED] += 1
+        outcomes = self._outcomes[exchange.request_class, exchange.tenant]
+        outcomes.ended += 1
+        outcomes.rejected += 1
 
     def client_left(self, exchange: Exchange, now: float) -> None:
         """The client of an open request has closed its connection; an overdue request counts as lost."""
         self._lost += now > exchange.deadline + LOSS_DELAY_S
         self._open.pop(exchange.number, None)
-        cell = self._cells[exchange.request_class, exchange.tenant]
-        cell[ENDED] += 1
-        cell[LEFT] += 1
+        outcomes = self._outcomes[exchange.request_class, exchange.tenant]
+        outcomes.ended += 1
+        outcomes.client_left += 1
 
-    def figures(self, now: float) -> dict[str, Any]:
+    def figures(self, now: float) -> StoredStatus:
         """Return the sums since the start, by the names of classes and tenants, as stored."""
         lost = self._lost + sum(now > deadline + LOSS_DELAY_S for deadline in self._open.values())
-        cells = [
-            [self._class_name(request_class), self._tenant_names.get(tenant, ""), *counts]
-            for (request_class, tenant), counts in self._cells.items()
+        outcomes = [
+            msgspec.structs.replace(
+                counts,
+                request_class=self._class_name(request_class),
+                tenant=self._tenant_names.get(tenant, ""),
+            )
+            for (request_class, tenant), counts in self._outcomes.items()
         ]
         durations = {
-            self._class_name(request_class): {str(bucket): count for bucket, count in counts.items()}
-            for request_class, counts in self._durations.items()
+            self._class_name(request_class): dict(counts) for request_class, counts in self._durations.items()
         }
-        worth = {name: self._class_settings[number].value for number, name in self._class_names.items()}
-        return {"format": FIGURES_FORMAT, "lost": lost, "cells": cells, "times": durations, "worth": worth}
+        values = {name: self._class_settings[number].value for number, name in self._class_names.items()}
+        figures = RequestFigures(lost=lost, outcomes=outcomes, durations=durations, values=values)
+        return figures.to_stored()
 
     def _class_name(self, request_class: int) -> str:
         return self._class_names.get(request_class, f"class {request_class}")
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -7,25 +7,31 @@
 
 from __future__ import annotations
 
-import json
 import os
 import random
 import secrets
 import signal
 import subprocess
 import time
-from pathlib import Path
 from typing import Any
 
 import trio
 
+from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.agreement.node import open_store
 from wheatroute.agreement.version_store import VersionStoreError, running_store
 from wheatroute.agreement.versions import HistoryError
 from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.node_process import NodeProcess, find_process, start_ticks
 from wheatroute.rollout.progress import RolloutProgress
+from wheatroute.rollout.statuses import (
+    FailedProgram,
+    SupervisorStatus,
+    is_process_ready,
+    supervisor_statuses,
+)
 from wheatroute.rollout.supervisor_settings import SupervisorSettings
+from wheatroute.rollout.supervisor_state import SupervisorState, read_state, write_state
 
 TURN_INTERVAL_S = 0.2
 MIN_RESTART_BACKOFF_S, MAX_RESTART_BACKOFF_S = 0.2, 30.0  # doubled with each crash
@@ -53,11 +59,11 @@
         self.serving: NodeProcess | None = None
         self.candidate: NodeProcess | None = None  # beside the serving one, until it is ready
         self.draining: list[NodeProcess] = []
-        self._failed: list[list[Any]] = []  # rollout and program that did not come up or crashed here
-        self._trouble = ""
+        self._failed: list[FailedProgram] = []
+        self._last_error = ""  # what went wrong last; "" once a candidate has taken over
         self._crashes = 0
         self._backoff_s, self._restart_at = MIN_RESTART_BACKOFF_S, 0.0
-        self._supervisors: dict[str, dict[str, Any]] = {}  # statuses by node
+        self._supervisors: dict[str, SupervisorStatus] = {}  # by node
 
     async def run(self) -> None:
         """Supervise until cancelled, which leaves the node serving."""
@@ -71,39 +77,31 @@
 
     def _read_state(self) -> None:
         """Find the processes that an earlier supervisor left running."""
-        try:
-            state = json.loads(Path(self._settings.state).read_text())
-        except (OSError, json.JSONDecodeError):
+        state = read_state(self._settings.state)
+        if state is None:
             return
-        self._failed, self._crashes = state.get("failed", []), state.get("crashes", 0)
-        found = {name: NodeProcess.from_stored(state[name]) for name in ("old", "new") if state.get(name)}
-        if state.get("starting"):
-            # the supervisor may have died after it started a process and before it stored its id
-            program, incarnation = state["starting"]
-            pid = find_process(incarnation)
-            if pid and not any(process.pid == pid for process in found.values()):
-                found.setdefault("new", NodeProcess(program, incarnation, pid, start_ticks(pid)))
-        self._last_program = found["old"].program if "old" in found else self._last_program
+        self._failed, self._crashes = list(state.failed), state.crashes
+        if state.serving is not None:
+            self._last_program = state.serving.program
+        found = _stored_processes(state)
         alive = {name: process for name, process in found.items() if process.is_alive}
         self.serving, self.candidate = alive.get("old"), alive.get("new")
         if self.serving is None and self.candidate is not None:
             self.serving, self.candidate = self.candidate, None
-        draining = [NodeProcess.from_stored(one) for one in state.get("leaving", ())]
+        draining = [NodeProcess.from_stored(stored) for stored in state.draining]
         self.draining = [process for process in draining if process.is_alive]
         self._log.info("found", **{name: process.pid for name, process in alive.items()})
 
     def _write_state(self) -> None:
-        state = {
-            "old": self.serving.to_stored() if self.serving else None,
-            "new": self.candidate.to_stored() if self.candidate else None,
-            "leaving": [process.to_stored() for process in self.draining],
-            "failed": self._failed,
-            "starting": self._starting,
-            "crashes": self._crashes,
-        }
-        temporary = Path(self._settings.state + ".new")
-        temporary.write_text(json.dumps(state))
-        os.rename(temporary, self._settings.state)
+        state = SupervisorState(
+            serving=self.serving.to_stored() if self.serving else None,
+            candidate=self.candidate.to_stored() if self.candidate else None,
+            draining=[process.to_stored() for process in self.draining],
+            failed=self._failed,
+            starting=self._starting,
+            crashes=self._crashes,
+        )
+        write_state(self._settings.state, state)
 
     def _start(self, program: str) -> NodeProcess:
         incarnation = secrets.token_hex(6)
@@ -125,44 +123,46 @@
         self._log.info("started", program=program, pid=child.pid)
         return NodeProcess(program, incarnation, child.pid, start_ticks(child.pid), child)
 
-    def _next_status(self) -> dict[str, Any]:
+    def _next_status(self) -> SupervisorStatus:
         self._heartbeat += 1
-        return {
-            "row": "keeper",
-            "name": self._settings.name,
-            "start": self._incarnation,
-            "beat": self._heartbeat,
-            "site": self._settings.site,
-            "runs": self.serving.program if self.serving is not None else "",
-            "changing": self.candidate is not None or bool(self.draining),
-            "failed": self._failed,
-            "trouble": self._trouble,
-            "crashes": self._crashes,
-            "programs": sorted(self._settings.programs),
-            "head": self._progress.head,
-        }
+        return SupervisorStatus(
+            name=self._settings.name,
+            incarnation=self._incarnation,
+            heartbeat=self._heartbeat,
+            site=self._settings.site,
+            program=self.serving.program if self.serving is not None else "",
+            is_changing=self.candidate is not None or bool(self.draining),
+            failed=self._failed,
+            trouble=self._last_error,
+            crashes=self._crashes,
+            programs=sorted(self._settings.programs),
+            applied_record=self._progress.head,
+        )
 
-    async def _exchange(self) -> list[dict[str, Any]] | None:
+    async def _exchange(self) -> list[StoredStatus] | None:
         """Write the status and read the progress; returns all statuses, or None if the store failed."""
         status = self._next_status()
         try:
             with trio.fail_after(STORE_TIMEOUT_S):
-                records = await self._store.exchange(
-                    f"keeper.{self._settings.name}", status, self._progress.head, self._progress.head_digest
+                documents = await self._store.exchange(
+                    f"keeper.{status.name}",
+                    status.to_stored(),
+                    self._progress.head,
+                    self._progress.head_digest,
                 )
-                for record in records:
-                    self._progress.apply(record)
+                for document in documents:
+                    self._progress.apply(document)
                 statuses = await self._store.statuses()
                 await self._store.remove_statuses(self._ended_keys)
                 self._ended_keys.clear()
-                self._supervisors = {one["name"]: one for one in statuses if one.get("row") == "keeper"}
+                self._supervisors = supervisor_statuses(statuses)
                 return statuses
         except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
-            if self._trouble != str(error):
+            if self._last_error != str(error):
                 self._log.warning("place", trouble=str(error) or "does not answer")
             return None
 
-    def _take_turn(self, statuses: list[dict[str, Any]] | None) -> None:
+    def _take_turn(self, statuses: list[StoredStatus] | None) -> None:
         """Check the processes once; without the store no change of the program is begun."""
         self.draining = [process for process in self.draining if self._is_still_draining(process)]
         if self.serving is not None and not self.serving.is_alive:
@@ -184,35 +184,33 @@
         """Return the program that the rollout names, unless it failed here or is not known here."""
         target = self._progress.target(self._settings.name)
         if target is not None and target not in self._settings.programs:
-            self._set_trouble(f"no program {target!r} here")
+            self._report_error(f"no program {target!r} here")
             self._add_failure(target)
         running = self.serving.program if self.serving is not None else self._last_program
         if target is None:
             return running
-        if [self._progress.number, target] not in self._failed:
+        if FailedProgram(self._progress.number, target) not in self._failed:
             return target
         plan = self._progress.plan
         return plan.old if plan is not None and target == plan.new else running
 
     def _add_failure(self, program: str) -> None:
-        if [self._progress.number, program] not in self._failed:
-            self._failed.append([self._progress.number, program])
+        failed = FailedProgram(self._progress.number, program)
+        if failed not in self._failed:
+            self._failed.append(failed)
 
-    def _set_trouble(self, trouble: str) -> None:
-        if trouble != self._trouble:
-            self._trouble = trouble
-            self._log.warning("trouble", trouble=trouble)
+    def _report_error(self, error: str) -> None:
+        """Log an error, if it is another one than the last, and keep it for the status."""
+        if error != self._last_error:
+            self._last_error = error
+            self._log.warning("trouble", trouble=error)
 
     def _handle_crash(self, process: NodeProcess) -> None:
         """The serving process has ended: the candidate takes over, or it is restarted after a backoff."""
         self._crashes += 1
         self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
-        self._set_trouble(f"{process.program} ended, {process.exit_text}")
-        lived_s = time.monotonic() - process.since
-        is_first = lived_s >= STABLE_AFTER_S
-        backoff_s = min(MAX_RESTART_BACKOFF_S, 2.0 * self._backoff_s)
-        self._backoff_s = MIN_RESTART_BACKOFF_S if is_first else backoff_s
-        self._restart_at = time.monotonic() + self._backoff_s
+        self._report_error(f"{process.program} ended, {process.exit_text}")
+        self._back_off(lived_s=time.monotonic() - process.since)
         plan = self._progress.plan
         target = self._progress.target(self._settings.name)
         if plan is not None and process.program == plan.new == target:
@@ -221,41 +219,62 @@
         self.serving = self.candidate if has_candidate else None
         self.candidate = None if self.serving is not None else self.candidate
 
-    def _check_candidate(self, process: NodeProcess, statuses: list[dict[str, Any]]) -> None:
+    def _back_off(self, lived_s: float) -> None:
+        """Put off the restart of a process that has ended after `lived_s` seconds."""
+        if lived_s >= STABLE_AFTER_S:
+            self._backoff_s = MIN_RESTART_BACKOFF_S
+        else:
+            self._backoff_s = min(MAX_RESTART_BACKOFF_S, 2.0 * self._backoff_s)
+        self._restart_at = time.monotonic() + self._backoff_s
+
+    def _check_candidate(self, process: NodeProcess, statuses: list[StoredStatus]) -> None:
         """Let the candidate take over once it is ready: then the serving process is told to stop."""
         if not process.is_alive:
-            self._set_trouble(f"{process.program} did not come up: {process.exit_text}")
+            self._report_error(f"{process.program} did not come up: {process.exit_text}")
             self._add_failure(process.program)
             self.candidate = None
-        elif _is_ready(process, statuses):
-            if self.serving is not None:
-                self.serving.signal(signal.SIGTERM)
-                self.serving.since = time.monotonic()
-                self.draining.append(self.serving)
-            self._log.info("took over", program=process.program, pid=process.pid)
-            self.serving, self.candidate = process, None
-            self._trouble, self._last_program = "", process.program
+        elif is_process_ready(statuses, process.incarnation):
+            self._take_over(process)
         elif time.monotonic() - process.since > self._settings.patience:
-            self._set_trouble(f"{process.program} was not ready in {self._settings.patience:g} s")
+            self._report_error(f"{process.program} was not ready in {self._settings.patience:g} s")
             self._add_failure(process.program)
             process.signal(signal.SIGKILL)
             self.candidate = None
 
+    def _take_over(self, process: NodeProcess) -> None:
+        """Let a candidate serve in the place of the serving process, which drains."""
+        if self.serving is not None:
+            self.serving.signal(signal.SIGTERM)
+            self.serving.since = time.monotonic()
+            self.draining.append(self.serving)
+        self._log.info("took over", program=process.program, pid=process.pid)
+        self.serving, self.candidate = process, None
+        self._last_error, self._last_program = "", process.program
+
     def _is_still_draining(self, process: NodeProcess) -> bool:
         if not process.is_alive:
             self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
             return False
         if time.monotonic() - process.since > self._settings.leaves:
-            self._set_trouble(f"{process.program} did not stop in {self._settings.leaves:g} s")
+            self._report_error(f"{process.program} did not stop in {self._settings.leaves:g} s")
             process.signal(signal.SIGKILL)
         return True
 
 
-def _is_ready(process: NodeProcess, statuses: list[dict[str, Any]]) -> bool:
-    return any(
-        one.get("row") == "figures" and one["start"] == process.incarnation and one["ready"]
-        for one in statuses
-    )
+def _stored_processes(state: SupervisorState) -> dict[str, NodeProcess]:
+    """Return the serving process as "old" and the candidate as "new", as far as the state has them."""
+    found = {
+        name: NodeProcess.from_stored(stored)
+        for name, stored in (("old", state.serving), ("new", state.candidate))
+        if stored is not None
+    }
+    if state.starting:
+        # the supervisor may have died after it started a process and before it stored its id
+        program, incarnation = state.starting
+        pid = find_process(incarnation)
+        if pid and not any(process.pid == pid for process in found.values()):
+            found.setdefault("new", NodeProcess(program, incarnation, pid, start_ticks(pid)))
+    return found
 
 
 async def run_supervisor(settings: SupervisorSettings, log: Any) -> None:
--- /dev/null
+++ b/wheatroute/rollout/supervisor_state.py
@@ -0,0 +1,51 @@
+"""The state file of a supervisor, by which the next one finds the processes that run. Does file I/O."""
+
+from __future__ import annotations
+
+import json
+import os
+from pathlib import Path
+
+import msgspec
+
+from wheatroute.rollout.statuses import FailedProgram
+
+
+class StoredProcess(msgspec.Struct, frozen=True):
+    """A process of the node."""
+
+    program: str
+    incarnation: str = msgspec.field(name="start")
+    pid: int
+    start_ticks: int = msgspec.field(name="ticks")  # clock ticks since boot
+
+
+class SupervisorState(msgspec.Struct, frozen=True, kw_only=True):
+    """The content of the file; keys that are missing in it have their defaults."""
+
+    serving: StoredProcess | None = msgspec.field(name="old", default=None)
+    candidate: StoredProcess | None = msgspec.field(name="new", default=None)
+    draining: list[StoredProcess] = msgspec.field(name="leaving", default_factory=list)
+    failed: list[FailedProgram] = msgspec.field(default_factory=list)
+    # program and incarnation of the process that was started last; [] before the first one
+    starting: list[str] = msgspec.field(default_factory=list)
+    crashes: int = 0
+
+
+def read_state(path: str) -> SupervisorState | None:
+    """Return the state that the last supervisor wrote, or None if there is none.
+
+    Raises `msgspec.ValidationError` if it is malformed.
+    """
+    try:
+        document = json.loads(Path(path).read_text())
+    except (OSError, json.JSONDecodeError):
+        return None
+    return msgspec.convert(document, SupervisorState)
+
+
+def write_state(path: str, state: SupervisorState) -> None:
+    """Replace the file atomically; raises `OSError`."""
+    temporary = Path(path + ".new")
+    temporary.write_text(json.dumps(msgspec.to_builtins(state)))
+    os.rename(temporary, path)
