--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -10,11 +10,12 @@
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.adapter import VersionAdapter, platform
 from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.errors import ContentError, HistoryError, VersionStoreError
 from wheatroute.agreement.member import EffectiveVersions, Member
 from wheatroute.agreement.model_checker import Bounds, ModelChecker
 from wheatroute.agreement.records import RecordKind
-from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStoreError
-from wheatroute.agreement.versions import ContentError, History, HistoryError, canonical
+from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ
+from wheatroute.agreement.versions import History, canonical
 from wheatroute.balancing import settings
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -16,11 +16,12 @@
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES, DrainNotices
+from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.etcd_store import EtcdStore
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.relay import RelayStore
 from wheatroute.agreement.version_follower import VersionFollower, clock
-from wheatroute.agreement.version_store import VersionStoreError, take_received_notices
+from wheatroute.agreement.version_store import take_received_notices
 from wheatroute.etcd import messages as wire
 from wheatroute.rig.rig import rig
 from wheatroute.standin.etcd import Member as Served
--- a/tests/rollout/test_rollout_progress.py
+++ b/tests/rollout/test_rollout_progress.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wheatroute.agreement.versions import HistoryError
+from wheatroute.agreement.errors import HistoryError
 from wheatroute.rollout import plan
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, Tally, Verdict
 from wheatroute.rollout.next_step import Observations, next_step
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from wheatroute.agreement import joint_terms
+from wheatroute.agreement.errors import ContentError
 from wheatroute.agreement.member import EffectiveVersions
-from wheatroute.agreement.versions import ContentError
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.net.node_settings import NodeSettingsError, derive_settings
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -20,15 +20,11 @@
 import orjson
 import trio
 
+from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.agreement.notice import StoredNotice
 from wheatroute.agreement.records import StoredRecord
-from wheatroute.agreement.version_store import (
-    MAX_RECORDS_PER_READ,
-    VersionStoreError,
-    parse_entry,
-    unpack_statuses,
-)
+from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, parse_entry, unpack_statuses
 from wheatroute.agreement.versions import canonical, digest
 
 _KEY_PATTERN = re.compile(r"[A-Za-z0-9_.-]{1,150}\Z")
--- /dev/null
+++ b/wheatroute/agreement/documents.py
@@ -0,0 +1,31 @@
+"""Parses the documents of a version store into typed messages. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from typing import Any, TypeVar
+
+import msgspec
+
+from wheatroute.agreement.errors import MalformedDocumentError
+
+Message = TypeVar("Message")
+
+
+def parse(document: Any, message_type: type[Message]) -> Message:
+    """Return a document as a message; keys that the type does not have are ignored.
+
+    Keys of objects are text, as in JSON, also where the message has numbers. Raises `MalformedDocumentError`.
+    """
+    with malformed_document_errors():
+        return msgspec.convert(document, message_type, str_keys=True)
+
+
+@contextmanager
+def malformed_document_errors() -> Iterator[None]:
+    """Turn errors of validation into `MalformedDocumentError`."""
+    try:
+        yield
+    except msgspec.ValidationError as error:
+        raise MalformedDocumentError(str(error)) from error
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -151,7 +151,7 @@
         """Return the record to append next, or None, from all statuses as read between two moments.
 
         To be called right after an answer that was read before the statuses: the pending version must be the
-        store's. Raises `msgspec.ValidationError` for a malformed status.
+        store's. Raises `MalformedDocumentError` for a malformed status.
         """
         decision = self._decide(read_began, read_ended, [parse_status(status) for status in statuses])
         return self.history.encode(decision) if decision is not None else None
--- a/wheatroute/agreement/member_status.py
+++ b/wheatroute/agreement/member_status.py
@@ -6,6 +6,8 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import parse
+
 StoredStatus = dict[str, Any]  # a status as a store keeps it
 
 
@@ -56,10 +58,10 @@
 
 
 def parse_status(document: StoredStatus) -> MemberStatus:
-    """Return the status in a document; raises `msgspec.ValidationError` if it is malformed."""
-    return msgspec.convert(document, MemberStatus)
+    """Return the status in a document; raises `MalformedDocumentError` if it is malformed."""
+    return parse(document, MemberStatus)
 
 
 def parse_heartbeat(document: StoredStatus) -> StatusHeartbeat:
-    """Return the heartbeat in a document; raises `msgspec.ValidationError` if it is malformed."""
-    return msgspec.convert(document, StatusHeartbeat)
+    """Return the heartbeat in a document; raises `MalformedDocumentError` if it is malformed."""
+    return parse(document, StatusHeartbeat)
--- a/wheatroute/agreement/notice.py
+++ b/wheatroute/agreement/notice.py
@@ -7,6 +7,9 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import parse
+from wheatroute.agreement.errors import MalformedDocumentError
+
 StoredNotice = dict[str, Any]  # a notice as a store keeps it
 
 
@@ -39,8 +42,8 @@
 def parse_notice(document: Any) -> Notice | None:
     """Return the notice in a document; None if it is malformed."""
     try:
-        return msgspec.convert(document, Notice)
-    except msgspec.ValidationError:
+        return parse(document, Notice)
+    except MalformedDocumentError:
         return None
 
 
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -16,10 +16,17 @@
 import trio
 
 from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.errors import (
+    ConflictError,
+    HistoryError,
+    InvalidInputError,
+    StoreUnavailableError,
+    VersionStoreError,
+    first_error,
+)
 from wheatroute.agreement.member_status import parse_status
-from wheatroute.agreement.operator_errors import OperatorError, first_error
-from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
-from wheatroute.agreement.versions import History, HistoryError, Version
+from wheatroute.agreement.version_store import VersionStore, running_store
+from wheatroute.agreement.versions import History, Version
 from wheatroute.net.addresses import parse_address
 
 Result = TypeVar("Result")
@@ -32,7 +39,7 @@
 def store_from_url(url: str, timeout_s: float = 1.0) -> VersionStore:
     """Return the store at `/a/directory`, or at `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
 
-    `timeout_s` is for one call at one endpoint. Raises `OperatorError`.
+    `timeout_s` is for one call at one endpoint. Raises `InvalidInputError`.
     """
     if not url.startswith("etcd://"):
         return DirectoryStore(url)
@@ -40,7 +47,7 @@
     try:
         endpoints = [parse_address(address) for address in addresses.split(",")]
     except ValueError as error:
-        raise OperatorError(f"{url}: {error}", 2) from error
+        raise InvalidInputError(f"{url}: {error}") from error
     from wheatroute.agreement.etcd_store import EtcdStore
 
     return EtcdStore(endpoints, f"/{prefix}" if prefix else "/wheatroute", random.Random(), timeout_s)
@@ -64,7 +71,7 @@
 
 def _as_operator_error(error: BaseException) -> BaseException:
     if isinstance(error, VersionStoreError | HistoryError | trio.TooSlowError):
-        return OperatorError(str(error) or "the place does not answer", 4)
+        return StoreUnavailableError(str(error) or "the place does not answer")
     return error
 
 
@@ -107,22 +114,21 @@
         except (VersionStoreError, trio.TooSlowError) as error:
             doubt = str(error) or "the place does not answer"
     doubt = doubt or "others came first, each time"
-    raise OperatorError(f"not known whether it was put ({doubt}): see log", 4)
+    raise StoreUnavailableError(f"not known whether it was put ({doubt}): see log")
 
 
 def _full_content(history: History, content: dict[str, Any], over: int) -> dict[str, Any]:
     """Return the active version's content with changes; raises `OperatorError` if it must not be put."""
     if history.pending not in (0, over):
         other = history.versions[history.pending]
-        raise OperatorError(
+        raise ConflictError(
             f"version {other.number} by {other.author} is under way ({other.reason}): wait for "
-            f"it, or put over it with --over {other.number}",
-            3,
+            f"it, or put over it with --over {other.number}"
         )
     active = history.versions.get(history.active)
     full_content = (active.content if active is not None else {}) | content
     if active is not None and not history.pending and active.content == full_content:
-        raise OperatorError(f"version {active.number} is in force and says the same", 3)
+        raise ConflictError(f"version {active.number} is in force and says the same")
     return full_content
 
 
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from wheatroute.agreement import joint_terms
-from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.errors import InvalidInputError
 from wheatroute.agreement.versions import History
 
 MAX_VALUE_WIDTH = 30  # characters of a value in a difference
@@ -68,11 +68,11 @@
 def diff_lines(history: History, first: int, second: int) -> list[str]:
     """Format the differences of two versions, marked "!" where two processes must not differ at once.
 
-    Raises `OperatorError` if there is no such version.
+    Raises `InvalidInputError` if there is no such version.
     """
     for number in (first, second):
         if number not in history.versions:
-            raise OperatorError(f"there is no version {number}", 2)
+            raise InvalidInputError(f"there is no version {number}")
     old, new = (history.versions[number].content for number in (first, second))
     rows = [["", "key", str(first), str(second), "meanwhile"]]
     for path, before, after, rule in joint_terms.differences(old, new):
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -12,10 +12,10 @@
 from wheatroute.agreement import joint_terms
 from wheatroute.agreement.adapter import AdaptedVersion, DeriveSettings, VersionAdapter
 from wheatroute.agreement.drain_notices import DrainNotices
+from wheatroute.agreement.errors import ContentError
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
-from wheatroute.agreement.versions import ContentError
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
 
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -11,6 +11,8 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import malformed_document_errors, parse
+
 StoredRecord = dict[str, Any]  # a record as a store keeps it
 
 
@@ -74,10 +76,11 @@
 
 def parse_header(document: StoredRecord) -> RecordHeader:
     """Return what is checked of a document before it is parsed."""
-    return msgspec.convert(document, RecordHeader)
+    return parse(document, RecordHeader)
 
 
 def parse_record(document: StoredRecord) -> VersionRecord:
-    """Return the record in a document; raises `msgspec.ValidationError` if it is malformed."""
-    record: VersionRecord = msgspec.convert(document, type=VersionRecord)
+    """Return the record in a document; raises `MalformedDocumentError` if it is malformed."""
+    with malformed_document_errors():
+        record: VersionRecord = msgspec.convert(document, type=VersionRecord)
     return record
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -21,18 +21,15 @@
 
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.documents import parse
 from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES
+from wheatroute.agreement.errors import MalformedDocumentError, VersionStoreError
 from wheatroute.agreement.member import STATUS_EXPIRY_TTLS, EffectiveVersions, Member
 from wheatroute.agreement.member_status import StoredStatus, parse_heartbeat
 from wheatroute.agreement.notice import ForwardedNotice, StoredNotice, parse_notices
 from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.version_follower import VersionFollower, clock
-from wheatroute.agreement.version_store import (
-    VersionStore,
-    VersionStoreError,
-    running_store,
-    take_received_notices,
-)
+from wheatroute.agreement.version_store import VersionStore, running_store, take_received_notices
 from wheatroute.balancing.settings import DecisionSettings
 
 FRESHNESS_FILE = "fresh"  # beside the records
@@ -72,8 +69,8 @@
     def _read_freshness(self) -> Freshness | None:
         try:
             document = orjson.loads((Path(self.path) / FRESHNESS_FILE).read_bytes())
-            return msgspec.convert(document, Freshness)
-        except (OSError, orjson.JSONDecodeError, msgspec.ValidationError):
+            return parse(document, Freshness)
+        except (OSError, orjson.JSONDecodeError, MalformedDocumentError):
             return None
 
 
--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -8,26 +8,22 @@
 from typing import Any
 
 from wheatroute.agreement import joint_terms
-from wheatroute.agreement.operator_errors import OperatorError
-from wheatroute.agreement.versions import ContentError, canonical
+from wheatroute.agreement.errors import ContentError, InvalidInputError
+from wheatroute.agreement.versions import canonical
 from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
-BAD_INPUT = 2  # exit status
-
 
 def read_content(path: str) -> tuple[dict[str, Any], list[str]]:
     """Return a version's content from a JSON or TOML file, and the keys left out as each process has its own.
 
-    Raises `OperatorError`.
+    Raises `InvalidInputError`.
     """
     document = _read_document(path)
     if isinstance(document, dict) and "traffic_types" in document:
         return {"file": _shared_settings(path)}, []
     settings = document.get("settings") if isinstance(document, dict) else None
     if not isinstance(settings, dict):
-        raise OperatorError(
-            f'{path}: holds no table "settings", nor the request classes of a TOML file', BAD_INPUT
-        )
+        raise InvalidInputError(f'{path}: holds no table "settings", nor the request classes of a TOML file')
     settings, left_out = joint_terms.without_own(settings)
     errors = joint_terms.setting_errors(settings)
     if not errors:
@@ -37,7 +33,7 @@
         except (NodeSettingsError, ContentError) as error:
             errors = [str(error)]
     if errors:
-        raise OperatorError("\n".join(f"{path}: {line}" for line in errors), BAD_INPUT)
+        raise InvalidInputError("\n".join(f"{path}: {line}" for line in errors))
     return {"settings": settings}, left_out
 
 
@@ -46,9 +42,9 @@
         data = Path(path).read_bytes()
         return tomllib.loads(data.decode()) if path.endswith(".toml") else json.loads(data)
     except OSError as error:
-        raise OperatorError(f"{path}: cannot be read: {error.strerror}", BAD_INPUT) from error
+        raise InvalidInputError(f"{path}: cannot be read: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, json.JSONDecodeError, UnicodeDecodeError) as error:
-        raise OperatorError(f"{path}: cannot be understood: {error}", BAD_INPUT) from error
+        raise InvalidInputError(f"{path}: cannot be understood: {error}") from error
 
 
 def _shared_settings(path: str) -> dict[str, Any]:
@@ -58,7 +54,7 @@
     try:
         file = config.read(path)
     except config.ConfigError as error:
-        raise OperatorError(str(error), BAD_INPUT) from error
+        raise InvalidInputError(str(error)) from error
     processor = file.processor
     pools = [pool for pool in file.pools if processor is None or pool.name == processor.pool]
     return {
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -15,16 +15,15 @@
 
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.drain_notices import DrainNotices
+from wheatroute.agreement.errors import HistoryError, VersionStoreError
 from wheatroute.agreement.member import EffectiveVersions, Member
 from wheatroute.agreement.records import StoredRecord, WithdrawRecord, parse_record
 from wheatroute.agreement.version_store import (
     MAX_RECORDS_PER_READ,
     VersionStore,
-    VersionStoreError,
     running_store,
     take_received_notices,
 )
-from wheatroute.agreement.versions import HistoryError
 
 EXCHANGES_PER_TTL = 10.0  # exchanges with the store in the time to live of a confirmation
 MAX_EXCHANGE_INTERVAL_S = 1.0
--- a/wheatroute/agreement/version_store.py
+++ b/wheatroute/agreement/version_store.py
@@ -22,10 +22,6 @@
 MAX_RECORDS_PER_READ = 50  # a read that returns as many may not have reached the end of the log
 
 
-class VersionStoreError(Exception):
-    """The store could not be read, or did not confirm whether a record was appended."""
-
-
 class VersionStore(Protocol):
     """A store of records, process statuses and drain notices. All methods may raise `VersionStoreError`."""
 
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -15,6 +15,7 @@
 import msgspec
 import rfc8785
 
+from wheatroute.agreement.errors import ContentError, HistoryError
 from wheatroute.agreement.records import (
     ActivateRecord,
     PutRecord,
@@ -30,14 +31,6 @@
 FORMAT = 1
 
 
-class HistoryError(Exception):
-    """The records do not continue this history: another store, an older one, or a newer format."""
-
-
-class ContentError(Exception):
-    """The content is not valid for a version."""
-
-
 def canonical(content: Any) -> bytes:
     """Return the canonical JSON of RFC 8785; raises `ContentError` if there is none."""
     try:
@@ -117,7 +110,7 @@
     def apply(self, document: StoredRecord) -> None:
         """Apply the next record, and change nothing if it cannot be applied.
 
-        Raises `HistoryError` if it is not the next one, `msgspec.ValidationError` if it is malformed.
+        Raises `HistoryError` if it is not the next one, `MalformedDocumentError` if it is malformed.
         """
         header = parse_header(document)
         self._check_chain(header)
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -75,11 +75,11 @@
     """Runs the node that FILE describes, in the version that the rollout says; ends without the node."""
     import trio
 
-    from wheatroute.agreement.operator_errors import first_error
-    from wheatroute.agreement.version_store import VersionStoreError
+    from wheatroute.agreement.errors import VersionStoreError, first_error
     from wheatroute.net.log import open_log
+    from wheatroute.rollout.errors import SupervisorSettingsError
     from wheatroute.rollout.supervisor import run_supervisor
-    from wheatroute.rollout.supervisor_settings import SupervisorSettingsError, read_supervisor_settings
+    from wheatroute.rollout.supervisor_settings import read_supervisor_settings
 
     try:
         told = read_supervisor_settings(file)
--- a/wheatroute/commands/place.py
+++ b/wheatroute/commands/place.py
@@ -12,7 +12,7 @@
 def at_place(at: str, what: Callable[[Any], Any]) -> Any:
     """What `what` gives at the place `at`; says a mistake and ends with its exit status."""
     from wheatroute.agreement import operator
-    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.errors import OperatorError
 
     if not at:
         click.echo("settings: no place: --at or WHEATROUTE_SETTINGS", err=True)
@@ -21,4 +21,4 @@
         return operator.run_with_store(at, what)
     except OperatorError as trouble:
         click.echo(str(trouble), err=True)
-        sys.exit(trouble.status)
+        sys.exit(trouble.exit_status)
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -23,7 +23,7 @@
 
     import trio
 
-    from wheatroute.agreement.operator_errors import first_error
+    from wheatroute.agreement.errors import first_error
     from wheatroute.rig import script
     from wheatroute.rig.processes import RigError
 
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -7,6 +7,7 @@
 import click
 
 from wheatroute.commands.place import at_place
+from wheatroute.rollout.errors import PlanError
 
 
 @click.group()
@@ -31,7 +32,7 @@
 
     try:
         told = plan.read_plan(file)
-    except plan.PlanError as trouble:
+    except PlanError as trouble:
         click.echo(str(trouble), err=True)
         sys.exit(2)
     click.echo(f"rollout {at_place(at, lambda place: operator.start(place, told, why))} begun")
@@ -110,8 +111,8 @@
 
     from wheatroute.agreement import operator
     from wheatroute.agreement.directory_store import DirectoryStore
-    from wheatroute.agreement.operator_errors import OperatorError
-    from wheatroute.agreement.version_store import VersionStoreError, running_store
+    from wheatroute.agreement.errors import OperatorError, VersionStoreError
+    from wheatroute.agreement.version_store import running_store
     from wheatroute.net.log import open_log
     from wheatroute.rollout.controller import Controller
 
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -8,6 +8,7 @@
 
 import click
 
+from wheatroute.agreement.errors import InvalidInputError
 from wheatroute.commands.place import at_place
 
 
@@ -57,13 +58,13 @@
 
 def _checked(file: str) -> tuple[dict[str, Any], list[str]]:
     from wheatroute.agreement import version_content
-    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.errors import OperatorError
 
     try:
         return version_content.read_content(file)
     except OperatorError as trouble:
         click.echo(str(trouble), err=True)
-        sys.exit(trouble.status)
+        sys.exit(trouble.exit_status)
 
 
 @settings.command("check")
@@ -84,12 +85,11 @@
 def settings_back(at: str, number: int, why: str, over: int, wait: float) -> None:
     """Puts a new version with the content of version NUMBER."""
     from wheatroute.agreement import operator
-    from wheatroute.agreement.operator_errors import OperatorError
 
     async def back(place: Any) -> Any:
         history = await operator.read_history(place)
         if number not in history.versions:
-            raise OperatorError(f"there is no version {number}", 2)
+            raise InvalidInputError(f"there is no version {number}")
         return await operator.put_version(place, history.versions[number].content, why, over)
 
     _put(at, back, wait)
@@ -156,10 +156,9 @@
     import trio
 
     from wheatroute.agreement import operator
-    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.errors import OperatorError, VersionStoreError
     from wheatroute.agreement.relay import run_relay
     from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION
-    from wheatroute.agreement.version_store import VersionStoreError
     from wheatroute.net.log import open_log
 
     if not at:
--- a/wheatroute/rig/script.py
+++ b/wheatroute/rig/script.py
@@ -19,9 +19,8 @@
 import trio
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
-from wheatroute.agreement.operator_errors import OperatorError
+from wheatroute.agreement.errors import OperatorError, VersionStoreError
 from wheatroute.agreement.operator_output import table
-from wheatroute.agreement.version_store import VersionStoreError
 from wheatroute.rig import records
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.rig import Rig, rig
--- a/wheatroute/rig/versioning.py
+++ b/wheatroute/rig/versioning.py
@@ -12,7 +12,8 @@
 
 from wheatroute.agreement import operator, version_content
 from wheatroute.agreement.directory_store import DirectoryStore
-from wheatroute.agreement.version_store import VersionStore, VersionStoreError, running_store
+from wheatroute.agreement.errors import VersionStoreError
+from wheatroute.agreement.version_store import VersionStore, running_store
 from wheatroute.rig.parts import PATIENCE, RigParts
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.records import Known
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -16,8 +16,8 @@
 import msgspec
 import trio
 
-from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore, VersionStoreError
-from wheatroute.agreement.versions import HistoryError
+from wheatroute.agreement.errors import HistoryError, VersionStoreError
+from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore
 from wheatroute.rollout.canary_analysis import CanaryAnalysis, DifferenceSequence, Tally, Verdict
 from wheatroute.rollout.figures import RELATIVE_METRICS
 from wheatroute.rollout.figures_watch import FiguresWatch
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -16,9 +16,10 @@
 
 import trio
 
+from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.agreement.node import open_store
-from wheatroute.agreement.version_store import VersionStoreError, running_store
+from wheatroute.agreement.version_store import running_store
 from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.downstream import Downstream
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -13,11 +13,16 @@
 import trio
 
 from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.errors import (
+    ConflictError,
+    InvalidInputError,
+    StoreUnavailableError,
+    VersionStoreError,
+)
 from wheatroute.agreement.operator import MAX_APPEND_ATTEMPTS, STORE_TIMEOUT_S
-from wheatroute.agreement.operator_errors import OperatorError
-from wheatroute.agreement.version_store import VersionStore, VersionStoreError
-from wheatroute.agreement.versions import HistoryError
+from wheatroute.agreement.version_store import VersionStore
 from wheatroute.rollout import statuses
+from wheatroute.rollout.errors import StepNotAllowedError
 from wheatroute.rollout.plan import Plan
 from wheatroute.rollout.progress import RolloutProgress
 from wheatroute.rollout.records import HoldStep, ResumeStep, RollBackStep, StartStep, Step
@@ -46,14 +51,14 @@
 async def start(store: VersionStore, plan: Plan, why: str) -> int:
     """Start a rollout; returns its number.
 
-    Raises `OperatorError` unless each node of the plan has a supervisor with both programs, and runs the
+    Raises `InvalidInputError` unless each node of the plan has a supervisor with both programs, and runs the
     old one.
     """
     if isinstance(store, DirectoryStore):
         store.create()
     errors = _start_errors(plan, await supervisor_statuses(store))
     if errors:
-        raise OperatorError("\n".join(errors), 2)
+        raise InvalidInputError("\n".join(errors))
     return await _append(
         store,
         StartStep(plan=plan.model_dump(), author=getpass.getuser(), unix_time=time.time(), reason=why),
@@ -93,7 +98,7 @@
 
 
 async def _append(store: VersionStore, step: Step) -> int:
-    """Append a step once, also if the answer is lost; raises `OperatorError` if it is not allowed now."""
+    """Append a step once, also if the answer is lost; raises `ConflictError` if it is not allowed now."""
     doubt = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
         try:
@@ -103,14 +108,16 @@
             document = progress.encode(step)
             try:
                 record = progress.apply(document)
-            except HistoryError as error:
-                raise OperatorError(str(error).split(": ", 1)[-1], 3) from error
+            except StepNotAllowedError as error:
+                raise ConflictError(error.reason) from error
             if await store.append(document):
                 return record.number
         except VersionStoreError as error:
             doubt = str(error)
             await trio.sleep(RETRY_INTERVAL_S)
-    raise OperatorError(f"not known whether it was added: {doubt}" if doubt else "others were ahead", 4)
+    if doubt:
+        raise StoreUnavailableError(f"not known whether it was added: {doubt}")
+    raise StoreUnavailableError("others were ahead")
 
 
 async def rollout_status(store: VersionStore) -> dict[str, Any]:
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -12,6 +12,8 @@
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
+from wheatroute.rollout.errors import PlanError
+
 Seconds = Annotated[float, Field(gt=0.0, le=86400.0)]
 # by how much a metric may be worse: fractions; the last three relative to the old value
 DEFAULT_MARGINS = {
@@ -27,10 +29,6 @@
 }
 
 
-class PlanError(Exception):
-    """The plan cannot be used; the message has a line for each error."""
-
-
 class Table(BaseModel):
     """A table of the file; unknown keys are errors."""
 
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -12,8 +12,10 @@
 from enum import StrEnum
 from typing import Any
 
+from wheatroute.agreement.errors import HistoryError
 from wheatroute.agreement.records import StoredRecord
-from wheatroute.agreement.versions import HistoryError, digest
+from wheatroute.agreement.versions import digest
+from wheatroute.rollout.errors import StepNotAllowedError
 from wheatroute.rollout.plan import Plan, parse_plan
 from wheatroute.rollout.records import (
     EndStep,
@@ -95,13 +97,13 @@
     def apply(self, document: StoredRecord) -> RolloutRecord:
         """Apply the next record and return it; changes nothing if it cannot be applied.
 
-        Raises `HistoryError` if it is not the next one, `msgspec.ValidationError` if it is malformed.
+        Raises `HistoryError` if it is not the next one, `MalformedDocumentError` if it is malformed.
         """
         header = parse_header(document)
         self._check_header(header)
         error = self._step_error(StepKind(str(header.kind)), header.stage)
         if error:
-            raise HistoryError(f"record {self.head + 1}: {error}")
+            raise StepNotAllowedError(self.head + 1, error)
         record = RolloutRecord(self.head + 1, parse_step(document))
         document_digest = digest(document)
         self._apply_step(record)
--- a/wheatroute/rollout/records.py
+++ b/wheatroute/rollout/records.py
@@ -11,6 +11,7 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import malformed_document_errors, parse
 from wheatroute.agreement.records import RecordHeader, StoredRecord
 
 StoredSequence = list[float]  # see `DifferenceSequence.to_stored`
@@ -108,12 +109,13 @@
 
 def parse_header(document: StoredRecord) -> StepHeader:
     """Return what is checked of a document before it is parsed."""
-    return msgspec.convert(document, StepHeader)
+    return parse(document, StepHeader)
 
 
 def parse_step(document: StoredRecord) -> Step:
-    """Return the step in a document; raises `msgspec.ValidationError` if it is malformed."""
-    step: Step = msgspec.convert(document, type=Step)
+    """Return the step in a document; raises `MalformedDocumentError` if it is malformed."""
+    with malformed_document_errors():
+        step: Step = msgspec.convert(document, type=Step)
     return step
 
 
--- a/wheatroute/rollout/statuses.py
+++ b/wheatroute/rollout/statuses.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import parse
 from wheatroute.agreement.member_status import StoredStatus
 
 FIGURES_FORMAT = 1
@@ -140,38 +141,36 @@
 
 
 def supervisor_statuses(documents: Iterable[StoredStatus]) -> dict[str, SupervisorStatus]:
-    """Return the supervisors' statuses by node; raises `msgspec.ValidationError` for a malformed one."""
-    statuses = [msgspec.convert(one, SupervisorStatus) for one in _of_row(documents, SUPERVISOR_ROW)]
+    """Return the supervisors' statuses by node; raises `MalformedDocumentError` for a malformed one."""
+    statuses = [parse(one, SupervisorStatus) for one in _of_row(documents, SUPERVISOR_ROW)]
     return {status.name: status for status in statuses}
 
 
 def controller_statuses(documents: Iterable[StoredStatus]) -> list[ControllerStatus]:
-    """Return the controllers' statuses; raises `msgspec.ValidationError` for a malformed one."""
-    return [msgspec.convert(one, ControllerStatus) for one in _of_row(documents, CONTROLLER_ROW)]
+    """Return the controllers' statuses; raises `MalformedDocumentError` for a malformed one."""
+    return [parse(one, ControllerStatus) for one in _of_row(documents, CONTROLLER_ROW)]
 
 
 def node_figures(documents: Iterable[StoredStatus]) -> list[NodeFigures]:
     """Return the figures of all nodes' processes that are of the format that this program knows.
 
-    Raises `msgspec.ValidationError` for malformed ones.
+    Raises `MalformedDocumentError` for malformed ones.
     """
     return [
         parse_figures(one)
         for one in _of_row(documents, FIGURES_ROW)
-        if msgspec.convert(one, _Format).format == FIGURES_FORMAT
+        if parse(one, _Format).format == FIGURES_FORMAT
     ]
 
 
 def parse_figures(document: StoredStatus) -> NodeFigures:
-    """Return the figures in a document; raises `msgspec.ValidationError` if they are malformed."""
-    return NodeFigures(
-        msgspec.convert(document, ProcessFigures), msgspec.convert(document, RequestFigures, str_keys=True)
-    )
+    """Return the figures in a document; raises `MalformedDocumentError` if they are malformed."""
+    return NodeFigures(parse(document, ProcessFigures), parse(document, RequestFigures))
 
 
 def is_process_ready(documents: Iterable[StoredStatus], incarnation: str) -> bool:
     """Whether a process says that it is ready, whatever the format of its figures."""
-    processes = (msgspec.convert(one, _Readiness) for one in _of_row(documents, FIGURES_ROW))
+    processes = (parse(one, _Readiness) for one in _of_row(documents, FIGURES_ROW))
     return any(process.incarnation == incarnation and process.is_ready for process in processes)
 
 
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -17,10 +17,10 @@
 
 import trio
 
+from wheatroute.agreement.errors import HistoryError, VersionStoreError
 from wheatroute.agreement.member_status import StoredStatus
 from wheatroute.agreement.node import open_store
-from wheatroute.agreement.version_store import VersionStoreError, running_store
-from wheatroute.agreement.versions import HistoryError
+from wheatroute.agreement.version_store import running_store
 from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.node_process import NodeProcess, find_process, start_ticks
 from wheatroute.rollout.progress import RolloutProgress
--- a/wheatroute/rollout/supervisor_settings.py
+++ b/wheatroute/rollout/supervisor_settings.py
@@ -8,10 +8,7 @@
 from pydantic import BaseModel, ConfigDict, Field, ValidationError, model_validator
 
 from wheatroute.net.addresses import parse_address
-
-
-class SupervisorSettingsError(Exception):
-    """The settings cannot be used; the message has a line for each error."""
+from wheatroute.rollout.errors import SupervisorSettingsError
 
 
 class SupervisorSettings(BaseModel):
--- a/wheatroute/rollout/supervisor_state.py
+++ b/wheatroute/rollout/supervisor_state.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+from wheatroute.agreement.documents import parse
 from wheatroute.rollout.statuses import FailedProgram
 
 
@@ -35,13 +36,13 @@
 def read_state(path: str) -> SupervisorState | None:
     """Return the state that the last supervisor wrote, or None if there is none.
 
-    Raises `msgspec.ValidationError` if it is malformed.
+    Raises `MalformedDocumentError` if it is malformed.
     """
     try:
         document = json.loads(Path(path).read_text())
     except (OSError, json.JSONDecodeError):
         return None
-    return msgspec.convert(document, SupervisorState)
+    return parse(document, SupervisorState)
 
 
 def write_state(path: str, state: SupervisorState) -> None:
