--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -1,27 +1,31 @@
 """What single functions give, one after the other; no sockets, no clock."""
 
-from wheatroute.agreement import joint_terms, operator_output, versions
+from wheatroute.agreement import operator_output, versions
+from wheatroute.agreement.join_rules import TENANT_RULES
+from wheatroute.agreement.joint_settings import join_fields
+from wheatroute.agreement.setting_check import value_error
+from wheatroute.agreement.setting_differences import values_by_path
 from wheatroute.balancing.settings import TenantQuota
 
 
-def test_joined_terms():
+def test_join_fields():
     old, new = TenantQuota(portion=0.5, quota=9.0), TenantQuota(portion=0.7, quota=4.0)
-    assert joint_terms._joined(joint_terms.TENANT, old, new) == TenantQuota(portion=0.5, quota=4.0)
+    assert join_fields(TENANT_RULES, old, new) == TenantQuota(portion=0.5, quota=4.0)
 
 
-def test_paths_of_joint_terms():
-    assert joint_terms._paths({"allowed": {"cancel": True}, "tenants": [{"name": "a", "portion": 1.0}]}) == {
+def test_values_by_path():
+    assert values_by_path({"allowed": {"cancel": True}, "tenants": [{"name": "a", "portion": 1.0}]}) == {
         "allowed.cancel": True,
         "tenants.a.name": "a",
         "tenants.a.portion": 1.0,
     }
 
 
-def test_joint_terms_that_are_unfit():
+def test_value_errors():
     assert (
-        joint_terms._value_error("allowed.connect-timeout", "soon"),
-        joint_terms._value_error("tick", True),
-        joint_terms._value_error("rules.cold", 9),
+        value_error("allowed.connect-timeout", "soon"),
+        value_error("tick", True),
+        value_error("rules.cold", 9),
     ) == ("is no number from 0 on: 'soon'", "is no number from 0 on: True", "")
 
 
--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -7,13 +7,18 @@
 
 import pytest
 
-from wheatroute.agreement import joint_terms
-from wheatroute.agreement.adapter import VersionAdapter, platform
+from wheatroute.agreement import join_rules
+from wheatroute.agreement.adapter import DerivedSettings, VersionAdapter
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.errors import ContentError, HistoryError, VersionStoreError
+from wheatroute.agreement.join_rules import JoinRule
+from wheatroute.agreement.joint_settings import joined
 from wheatroute.agreement.member import EffectiveVersions, Member
 from wheatroute.agreement.model_checker import Bounds, ModelChecker
+from wheatroute.agreement.node_content import node_deriver
 from wheatroute.agreement.records import RecordKind
+from wheatroute.agreement.setting_check import setting_errors
+from wheatroute.agreement.setting_differences import differences
 from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ
 from wheatroute.agreement.versions import History, canonical
 from wheatroute.balancing import settings
@@ -100,10 +105,10 @@
 
 def test_every_key_of_both_configurations_has_an_entry():
     fields = {field.name for field in dataclasses.fields(DecisionSettings)}
-    assert set(SETTING_KEYS) <= fields == set(joint_terms.TERMS) | {"request_classes", "tenants"}
+    assert set(SETTING_KEYS) <= fields == set(join_rules.SETTING_RULES) | {"request_classes", "tenants"}
     kind_fields = {field.name for field in dataclasses.fields(settings.RequestClass)}
-    assert kind_fields == set(joint_terms.REQUEST_CLASS) | {"can_trial"}
-    assert {field.name for field in dataclasses.fields(settings.TenantQuota)} == set(joint_terms.TENANT)
+    assert kind_fields == set(join_rules.REQUEST_CLASS_RULES) | {"can_trial"}
+    assert {field.name for field in dataclasses.fields(settings.TenantQuota)} == set(join_rules.TENANT_RULES)
     file = File(
         pools=[Pool(name="p", servers=[Server(id="s", address="127.0.0.1:1")])],
         traffic_types=[RequestClass(name="t", effect="pure", paths=["/"], hard_stop=1.0)],
@@ -114,16 +119,16 @@
     assert isinstance(processor_settings, DecisionSettings)
     assert isinstance(processor_settings.request_classes[0], settings.RequestClass)
     assert isinstance(processor_settings.tenants[0], settings.TenantQuota)
-    assert {path for path, _ in SETTING_KEYS.values()} <= set(joint_terms.PATHS)
+    assert {path for path, _ in SETTING_KEYS.values()} <= set(join_rules.PATH_RULES)
 
 
 def test_every_key_of_the_files_has_an_entry_too():
     for table in (File, RequestClass, Tenant, Rules):
-        assert set(table.model_fields) == set(joint_terms.FILE[table.__name__])
+        assert set(table.model_fields) == set(join_rules.FILE_RULES[table.__name__])
     text = inspect.getsource(node_settings)
-    assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(joint_terms.BOOT)
-    assert set(joint_terms.FILE_KEYS) - {"rules"} <= {
-        key for key, rule in joint_terms.FILE["File"].items() if rule != joint_terms.OWN
+    assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(join_rules.NODE_FILE_RULES)
+    assert set(join_rules.FILE_KEYS) - {"rules"} <= {
+        key for key, rule in join_rules.FILE_RULES["File"].items() if rule != JoinRule.OWN
     }
 
 
@@ -145,14 +150,14 @@
         },
         "settings": {"tick": 0.01, "tenants": [{"name": "c", "quota-rps": 5.0}]},
     }
-    assert {path: rule for path, _, _, rule in joint_terms.differences(old, new)} == {
-        "file.nodes": joint_terms.MAXIMUM,
-        "file.rules.cold_time": joint_terms.MAXIMUM,
-        "file.traffic_types.view.effect": joint_terms.STRICT,
-        "file.traffic_types.view.utility": joint_terms.FREE,
-        "settings.tenants.c.name": joint_terms.ROUTE,
-        "settings.tenants.c.quota-rps": joint_terms.MINIMUM,
-        "settings.tick": joint_terms.FIXED,
+    assert {path: rule for path, _, _, rule in differences(old, new)} == {
+        "file.nodes": JoinRule.MAXIMUM,
+        "file.rules.cold_time": JoinRule.MAXIMUM,
+        "file.traffic_types.view.effect": JoinRule.STRICT,
+        "file.traffic_types.view.utility": JoinRule.FREE,
+        "settings.tenants.c.name": JoinRule.ROUTE,
+        "settings.tenants.c.quota-rps": JoinRule.MINIMUM,
+        "settings.tick": JoinRule.FIXED,
     }
 
 
@@ -166,12 +171,12 @@
             )
             for effect in effects
         )
-        assert joint_terms.joined(one, other).request_classes[0].idempotency == max(effects)
+        assert joined(one, other).request_classes[0].idempotency == max(effects)
     tight = dataclasses.replace(
         loose, max_attempts=1, overload_multiple=1.0, warmup_s=99.0, can_hedge=False, nodes=7
     )
     for pair in ((loose, tight), (tight, loose)):
-        met = joint_terms.joined(*pair)
+        met = joined(*pair)
         assert [met.max_attempts, met.overload_multiple, met.warmup_s, met.can_hedge, met.nodes] == [
             1,
             1.0,
@@ -182,7 +187,7 @@
 
 
 def test_bad_content_gets_a_line_for_each_mistake():
-    told = joint_terms.setting_errors(
+    told = setting_errors(
         {
             "tick": 1,
             "novel": 2,
@@ -205,8 +210,8 @@
 
 def adapted(*changes):
     own_settings = SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
-    derived = node_settings.derive_settings(SETTINGS)
-    adapter = VersionAdapter(derived, platform(own_settings, derived))
+    derived = DerivedSettings.from_dict(node_settings.derive_settings(SETTINGS))
+    adapter = VersionAdapter(derived, node_deriver(own_settings, derived))
     for i, one in enumerate(changes, 1):
         assert adapter.check(i, {"settings": change(SETTINGS, {"dcs": ["a"]} | one, 2)}) == ""
     return adapter
@@ -224,11 +229,11 @@
     less = adapter.adapt(EffectiveVersions(2, 0, False))
     assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
     assert (
-        less.terms.request_classes[before["buy"]].idempotency == Idempotency.NON_IDEMPOTENT
+        less.settings.request_classes[before["buy"]].idempotency == Idempotency.NON_IDEMPOTENT
     )  # of those still out
-    assert less.terms.request_classes[before["buy"]].value == 0.0
+    assert less.settings.request_classes[before["buy"]].value == 0.0
     new = adapter.adapt(EffectiveVersions(3, 0, False))
-    assert new.tenants == {"new": 1} and [one.quota for one in new.terms.tenants] == [0.0, 5.0]
+    assert new.tenants == {"new": 1} and [one.quota for one in new.settings.tenants] == [0.0, 5.0]
 
 
 def test_a_request_that_has_no_key_is_not_repeated_for_its_class_having_them():
@@ -237,8 +242,8 @@
     look = told.request_classes["look"]
     forms, twin = told.forms[look]
     assert forms == {Idempotency.IDEMPOTENT, Idempotency.KEYED}
-    assert told.terms.request_classes[look].idempotency == Idempotency.KEYED
-    assert told.terms.request_classes[twin].idempotency == Idempotency.NON_IDEMPOTENT
+    assert told.settings.request_classes[look].idempotency == Idempotency.KEYED
+    assert told.settings.request_classes[twin].idempotency == Idempotency.NON_IDEMPOTENT
 
 
 def test_what_only_a_restart_changes_is_refused_with_the_key():
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -7,185 +7,180 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 from dataclasses import replace
 from typing import Any, NamedTuple
 
-from wheatroute.agreement import joint_terms
+from wheatroute.agreement import joint_settings
 from wheatroute.agreement.errors import ContentError
+from wheatroute.agreement.join_rules import SETTING_RULES, VERSION_PARTS, JoinRule
 from wheatroute.agreement.member import EffectiveVersions
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
-from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 from wheatroute.wire_names import NameNumbering
 
+# by class: the idempotencies that its forms have, and the class that requests of another form enter
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
-# derives what a process acts on from a version's content; raises `ContentError`
-DeriveSettings = Callable[[dict[str, Any]], dict[str, Any]]
 STRICT_SUFFIX = "\0strict"  # of the name of a class's strict variant
 
 
+class DerivedSettings(NamedTuple):
+    """What a process acts on by one version: names with their numbers in it, and the decision settings."""
+
+    request_classes: dict[str, int]
+    tenants: dict[str, int]
+    settings: DecisionSettings
+
+    @staticmethod
+    def from_dict(derived: dict[str, Any]) -> DerivedSettings:
+        """Return the settings that were derived from a process's file."""
+        return DerivedSettings(derived["request_classes"], derived["tenants"], derived["terms"])
+
+    def request_class(self, name: str) -> RequestClass:
+        """Return the settings of a request class; raises `KeyError` if the version does not have it."""
+        return self.settings.request_classes[self.request_classes[name]]
+
+
+# derives what a process acts on from a version's content; raises `ContentError`
+DeriveSettings = Callable[[dict[str, Any]], DerivedSettings]
+
+
 class AdaptedVersion(NamedTuple):
-    """What a node acts on: names that it takes, terms, and the forms that a class may come in as well."""
+    """What a node acts on: names that it takes, settings, and the forms that a class may come in as well."""
 
     request_classes: dict[str, int]
     tenants: dict[str, int]
-    terms: DecisionSettings
+    settings: DecisionSettings
     forms: Forms
 
 
 class VersionAdapter:
     """The versions of one process.
 
-    `own` has the names and settings of its file; `derive` returns the same for a version's content.
+    `own` are the settings of its file; `derive` returns the same for a version's content.
     """
 
-    def __init__(self, own: dict[str, Any], derive: DeriveSettings) -> None:
+    def __init__(self, own: DerivedSettings, derive: DeriveSettings) -> None:
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
-        self._derived_by_version: dict[int, dict[str, Any]] = {0: own}
+        self._derived_by_version: dict[int, DerivedSettings] = {0: own}
         self._last_rules: dict[str, RequestClass] = {}  # by class: from the last version that has it
         self._past_versions = {0}  # that were active here: clients may still use their forms
-        for names, numbers in ((own["request_classes"], self._classes), (own["tenants"], self._tenants)):
+        for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
             for name, number in names.items():
                 assert numbers[name] == number
 
     def check(self, number: int, content: Any) -> str:
-        """A line that says why this process cannot use a version; empty if it can."""
-        if not isinstance(content, dict) or not content or set(content) - set(joint_terms.PARTS):
+        """Return a line that says why this process cannot use a version; empty if it can."""
+        if not isinstance(content, dict) or not content or set(content) - set(VERSION_PARTS):
             return "a version has the parts settings and file, and nothing else that this program knows"
         try:
             derived = self._derive(content)
         except ContentError as error:
             return str(error)
-        own, own_classes = self._own["terms"], self._own["request_classes"]
-        for name, rule in joint_terms.TERMS.items():
-            if rule == joint_terms.FIXED and getattr(derived["terms"], name) != getattr(own, name):
-                return f"{name}: {joint_terms.FIXED}, and is {getattr(own, name)!r} here"
-        for name in own_classes.keys() & derived["request_classes"].keys():
-            streamed = [
-                one["terms"].request_classes[one["request_classes"][name]].is_streamed
-                for one in (self._own, derived)
-            ]
-            if streamed[0] != streamed[1]:
-                return f"{name}.streamed: {joint_terms.FIXED}, and is {streamed[0]!r} here"
-        self._derived_by_version[number] = derived
+        reason = self._fixed_setting_error(derived) or self._fixed_class_error(derived)
+        if not reason:
+            self._derived_by_version[number] = derived
+        return reason
+
+    def _fixed_setting_error(self, derived: DerivedSettings) -> str:
+        """Return which setting differs that only a restart can change; empty for none."""
+        for name in _fields_with(JoinRule.FIXED):
+            own = getattr(self._own.settings, name)
+            if getattr(derived.settings, name) != own:
+                return f"{name}: {JoinRule.FIXED}, and is {own!r} here"
+        return ""
+
+    def _fixed_class_error(self, derived: DerivedSettings) -> str:
+        """Return which key of a request class differs that only a restart can change; empty for none."""
+        for name in self._own.request_classes.keys() & derived.request_classes.keys():
+            is_streamed = self._own.request_class(name).is_streamed
+            if derived.request_class(name).is_streamed != is_streamed:
+                return f"{name}.streamed: {JoinRule.FIXED}, and is {is_streamed!r} here"
         return ""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
         """Return what to act on. Classes and tenants keep their numbers, also when no version has them."""
         self._past_versions.add(effective.active)
         versions = [effective.active, *([effective.joint] if effective.joint else [])]
-        for number in versions:
-            self._add_numbers(number)
-        terms = self._joined_settings(versions, effective.is_conservative)
-        forms = self._forms(versions, terms)
-        if len(terms.request_classes) < len(self._classes):
-            terms = self._joined_settings(versions, effective.is_conservative)  # with new strict variants
-        names = self._derived_by_version[effective.active]
+        for version in versions:
+            self._add_numbers(self._derived_by_version[version])
+        settings = self._joined_settings(versions, effective.is_conservative)
+        forms = self._forms(versions, settings)
+        if len(settings.request_classes) < len(self._classes):
+            settings = self._joined_settings(versions, effective.is_conservative)  # with new strict variants
+        active = self._derived_by_version[effective.active]
         return AdaptedVersion(
-            {name: self._classes[name] for name in names["request_classes"]},
-            {name: self._tenants[name] for name in names["tenants"]},
-            terms,
+            {name: self._classes[name] for name in active.request_classes},
+            {name: self._tenants[name] for name in active.tenants},
+            settings,
             forms,
         )
 
-    def _add_numbers(self, version: int) -> None:
-        derived = self._derived_by_version[version]
-        for name, index in derived["request_classes"].items():
-            self._classes[name]  # noqa: B018 - the next number, for a name that is new
-            self._last_rules[name] = derived["terms"].request_classes[index]
-        for name in derived["tenants"]:
-            self._tenants[name]  # noqa: B018
+    def _add_numbers(self, derived: DerivedSettings) -> None:
+        """Number the names of a version that are new, by looking them up."""
+        for name in derived.request_classes:
+            _ = self._classes[name]
+            self._last_rules[name] = derived.request_class(name)
+        for name in derived.tenants:
+            _ = self._tenants[name]
 
     def _joined_settings(self, versions: list[int], is_conservative: bool) -> DecisionSettings:
-        terms = self._terms(versions[0])
-        for number in versions[1:]:
-            terms = joint_terms.joined(terms, self._terms(number))
-        return joint_terms.conservative(terms) if is_conservative else terms
+        settings = self._settings_of(versions[0])
+        for version in versions[1:]:
+            settings = joint_settings.joined(settings, self._settings_of(version))
+        return joint_settings.conservative(settings) if is_conservative else settings
 
-    def _terms(self, version: int) -> DecisionSettings:
+    def _settings_of(self, version: int) -> DecisionSettings:
         """Return a version's settings in this process's numbering."""
-        derived, own = self._derived_by_version[version], self._own["terms"]
-        terms: DecisionSettings = derived["terms"]
-        own_values = {
-            name: getattr(own, name)
-            for name, rule in joint_terms.TERMS.items()
-            if rule in (joint_terms.OWN, joint_terms.FIXED)
-        }
-        request_classes, tenants = [], []
-        for name in self._classes:
-            there, base = derived["request_classes"].get(name.removesuffix(STRICT_SUFFIX)), self._last_rules
-            request_class = (
-                terms.request_classes[there]
-                if there is not None
-                else joint_terms.absent(base[name.removesuffix(STRICT_SUFFIX)])
-            )
-            if name.endswith(STRICT_SUFFIX):
-                request_class = replace(request_class, idempotency=Idempotency.NON_IDEMPOTENT)
-            request_classes.append(request_class)
-        for name in self._tenants:
-            there = derived["tenants"].get(name)
-            tenants.append(terms.tenants[there] if there is not None else TenantQuota())
-        return replace(terms, **own_values, request_classes=request_classes, tenants=tenants)
-
-    def _forms(self, versions: list[int], terms: DecisionSettings) -> Forms:
+        derived, own = self._derived_by_version[version], self._own.settings
+        own_values = {name: getattr(own, name) for name in _fields_with(JoinRule.OWN, JoinRule.FIXED)}
+        return replace(
+            derived.settings,
+            **own_values,
+            request_classes=[self._class_of(derived, name) for name in self._classes],
+            tenants=[_tenant_of(derived, name) for name in self._tenants],
+        )
+
+    def _class_of(self, derived: DerivedSettings, name: str) -> RequestClass:
+        """Return a request class, or a strict variant of one, as it counts in a version."""
+        base_name = name.removesuffix(STRICT_SUFFIX)
+        if base_name in derived.request_classes:
+            request_class = derived.request_class(base_name)
+        else:
+            request_class = joint_settings.absent(self._last_rules[base_name])
+        if name.endswith(STRICT_SUFFIX):
+            return replace(request_class, idempotency=Idempotency.NON_IDEMPOTENT)
+        return request_class
+
+    def _forms(self, versions: list[int], settings: DecisionSettings) -> Forms:
         """Return the forms of all versions that clients may know: past, present and next."""
         forms: Forms = {}
+        known = [self._derived_by_version[version] for version in {*versions, *self._past_versions}]
         for name, number in list(self._classes.items()):
             if name.endswith(STRICT_SUFFIX):
                 continue
-            effects = {
-                self._derived_by_version[one]["terms"]
-                .request_classes[self._derived_by_version[one]["request_classes"][name]]
-                .idempotency
-                for one in {*versions, *self._past_versions}
-                if name in self._derived_by_version[one]["request_classes"]
+            idempotencies = {
+                derived.request_class(name).idempotency
+                for derived in known
+                if name in derived.request_classes
             }
-            now = terms.request_classes[number].idempotency
-            others = effects - {now}
+            present = settings.request_classes[number].idempotency
+            others = idempotencies - {present}
             if others:
                 # a class of its own only where the rules are looser than a form or rest on a key it lacks
-                strict = now == Idempotency.KEYED or Idempotency.NON_IDEMPOTENT in others
-                forms[number] = frozenset(effects), self._classes[name + STRICT_SUFFIX] if strict else number
+                is_strict = present == Idempotency.KEYED or Idempotency.NON_IDEMPOTENT in others
+                entered = self._classes[name + STRICT_SUFFIX] if is_strict else number
+                forms[number] = frozenset(idempotencies), entered
         return forms
 
 
-def platform(own_settings: dict[str, Any], own_derived: dict[str, Any]) -> DeriveSettings:
-    """Return a function that derives what the platform's node acts on from a version's content.
+def _fields_with(*rules: JoinRule) -> Iterable[str]:
+    """Return the fields of the decision settings that have one of the rules."""
+    return (name for name, rule in SETTING_RULES.items() if rule in rules)
 
-    `own_derived` are the derived settings of the node's own file.
-    """
 
-    def derive(content: dict[str, Any]) -> dict[str, Any]:
-        if "settings" not in content:
-            return own_derived
-        told = content["settings"]
-        found = joint_terms.setting_errors(told)
-        if found:
-            raise ContentError(found[0] + (f" (and {len(found) - 1} more)" if len(found) > 1 else ""))
-        whole = {key: dict(one) if isinstance(one, dict) else one for key, one in told.items()}
-        for (
-            path,
-            rule,
-        ) in joint_terms.PATHS.items():  # values of this node alone, or that need a restart
-            if rule in (joint_terms.OWN, joint_terms.FIXED):
-                _carry(own_settings, whole, path.split("."), rule == joint_terms.OWN)
-        try:
-            return derive_settings(whole)
-        except NodeSettingsError as error:
-            raise ContentError(str(error)) from error
-
-    return derive
-
-
-def _carry(own: Any, out: dict[str, Any], path: list[str], always: bool) -> None:
-    """Put the node's own value at a path, if it has one; an existing value is replaced only if `always`."""
-    for name in path[:-1]:
-        own = own.get(name) if isinstance(own, dict) else None
-    if not isinstance(own, dict) or path[-1] not in own:
-        return
-    for name in path[:-1]:
-        out = out.setdefault(name, {})
-    if always or path[-1] not in out:
-        out[path[-1]] = own[path[-1]]
+def _tenant_of(derived: DerivedSettings, name: str) -> TenantQuota:
+    """Return a tenant as it counts in a version; without a quota where the version does not have it."""
+    number = derived.tenants.get(name)
+    return derived.settings.tenants[number] if number is not None else TenantQuota()
--- /dev/null
+++ b/wheatroute/agreement/joint_settings.py
@@ -0,0 +1,79 @@
+"""Joins the settings of two versions into settings that lie within both. No I/O.
+
+While one process acts on one version and another on the next, every process acts within both.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Mapping
+from dataclasses import replace
+from typing import Any, TypeVar
+
+from wheatroute.agreement.join_rules import (
+    REQUEST_CLASS_RULES,
+    SETTING_RULES,
+    TENANT_RULES,
+    JoinRule,
+)
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
+
+CONSERVATIVE_WARMUP_RATIO = 0.25
+
+_JOIN: dict[JoinRule, Callable[[Any, Any], Any]] = {
+    JoinRule.MINIMUM: min,
+    JoinRule.MAXIMUM: max,
+    JoinRule.STRICT: max,
+    JoinRule.BOTH: lambda old, new: old and new,
+}
+_Joinable = TypeVar("_Joinable", DecisionSettings, RequestClass, TenantQuota)
+
+
+def joined(old: DecisionSettings, new: DecisionSettings) -> DecisionSettings:
+    """Return settings within both; their classes and tenants stand under the same numbers in both."""
+    class_pairs = zip(old.request_classes, new.request_classes, strict=True)
+    tenant_pairs = zip(old.tenants, new.tenants, strict=True)
+    return replace(
+        join_fields(SETTING_RULES, old, new),
+        request_classes=[join_fields(REQUEST_CLASS_RULES, *pair) for pair in class_pairs],
+        tenants=[join_fields(TENANT_RULES, *pair) for pair in tenant_pairs],
+    )
+
+
+def join_fields(rules: Mapping[str, JoinRule], old: _Joinable, new: _Joinable) -> _Joinable:
+    """Return `old` with each field that the rules join taken from both."""
+    return replace(
+        old,
+        **{
+            field: _JOIN[rule](getattr(old, field), getattr(new, field))
+            for field, rule in rules.items()
+            if rule in _JOIN
+        },
+    )
+
+
+def absent(request_class: RequestClass) -> RequestClass:
+    """Return the class as it counts in a version that does not have it: its requests have no value."""
+    return replace(request_class, value=0.0, late_value=0.0)
+
+
+def conservative(settings: DecisionSettings) -> DecisionSettings:
+    """Return what a process may do that cannot tell which version is active: what every version allows.
+
+    Nothing is sent again unless it provably never ran, nothing that may have run is rejected, nothing is
+    hedged, and servers that are warming up get a quarter. A first attempt is as harmless as it was.
+    """
+    return replace(
+        settings,
+        can_hedge=False,
+        overload_multiple=settings.overload_multiple * CONSERVATIVE_WARMUP_RATIO,
+        request_classes=[_conservative_class(request_class) for request_class in settings.request_classes],
+    )
+
+
+def _conservative_class(request_class: RequestClass) -> RequestClass:
+    return replace(
+        request_class,
+        can_trial=request_class.idempotency == Idempotency.IDEMPOTENT,
+        idempotency=Idempotency.NON_IDEMPOTENT,
+    )
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -6,10 +6,11 @@
 import secrets
 from typing import Any
 
-from wheatroute.agreement.adapter import AdaptedVersion, VersionAdapter, platform
+from wheatroute.agreement.adapter import AdaptedVersion, DerivedSettings, VersionAdapter
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
+from wheatroute.agreement.node_content import node_deriver
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
 from wheatroute.agreement.version_store import VersionStore
 from wheatroute.net.balancer_driver import BalancerDriver
@@ -21,17 +22,17 @@
 MAX_ENDPOINTS_PER_EXCHANGE = 3.0  # tried one after the other within the time of one exchange
 
 
-def open_store(told: dict[str, Any], rng: random.Random, timeout_s: float) -> VersionStore:
-    """Return the store that a node's file names; `timeout_s` is for one call at one endpoint."""
-    if "relay" in told:
+def open_store(address: dict[str, Any], rng: random.Random, timeout_s: float) -> VersionStore:
+    """Return the store at the address in a node's file; `timeout_s` is for one call at one endpoint."""
+    if "relay" in address:
         from wheatroute.agreement.relay import RelayedDirectoryStore
 
-        return RelayedDirectoryStore(told["relay"])
-    if "directory" in told:
-        return DirectoryStore(told["directory"])
+        return RelayedDirectoryStore(address["relay"])
+    if "directory" in address:
+        return DirectoryStore(address["directory"])
     from wheatroute.agreement.etcd_store import EtcdStore
 
-    return EtcdStore(told["etcd"], told["prefix"], rng, timeout_s)
+    return EtcdStore(address["etcd"], address["prefix"], rng, timeout_s)
 
 
 def follow(
@@ -46,25 +47,26 @@
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
         # nodes that are counted go before a number that was put
-        terms = adapted.terms.with_node_count(discovery.node_counts)
-        driver.update_settings(terms, is_binding)
-        upstream.update_settings(terms)
-        downstream.update_settings(adapted.request_classes, adapted.tenants, terms, adapted.forms)
+        decision_settings = adapted.settings.with_node_count(discovery.node_counts)
+        driver.update_settings(decision_settings, is_binding)
+        upstream.update_settings(decision_settings)
+        downstream.update_settings(adapted.request_classes, adapted.tenants, decision_settings, adapted.forms)
 
-    told, incarnation = settings.agreement, secrets.token_hex(6)
-    assert told is not None
-    drain_notices = discovery.list_filter = DrainNotices(told["within"])
+    agreement, incarnation = settings.agreement, secrets.token_hex(6)
+    assert agreement is not None
+    drain_notices = discovery.list_filter = DrainNotices(agreement["within"])
     drain_notices.filter_message(settings.initial_list)
-    member = Member(settings.name, incarnation, told["within"])
+    member = Member(settings.name, incarnation, agreement["within"])
+    own = DerivedSettings.from_dict(settings.derived)
     store = open_store(
-        told,
+        agreement,
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
     return VersionFollower(
         store,
         member,
-        VersionAdapter(settings.derived, platform(settings.settings, settings.derived)),
+        VersionAdapter(own, node_deriver(settings.settings, own)),
         apply,
         driver.handle_events_now,
         lambda: discovery.list_version,
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -6,8 +6,9 @@
 import time
 from typing import Any
 
-from wheatroute.agreement import joint_terms
 from wheatroute.agreement.errors import InvalidInputError
+from wheatroute.agreement.join_rules import JoinRule
+from wheatroute.agreement.setting_differences import differences
 from wheatroute.agreement.versions import History
 
 MAX_VALUE_WIDTH = 30  # characters of a value in a difference
@@ -75,9 +76,9 @@
             raise InvalidInputError(f"there is no version {number}")
     old, new = (history.versions[number].content for number in (first, second))
     rows = [["", "key", str(first), str(second), "meanwhile"]]
-    for path, before, after, rule in joint_terms.differences(old, new):
-        mark = "" if rule in (joint_terms.FREE, joint_terms.ROUTE) else "!"
-        rows.append([mark, path, _shortened(before), _shortened(after), rule])
+    for path, before, after, rule in differences(old, new):
+        mark = "" if rule in (JoinRule.FREE, JoinRule.ROUTE) else "!"
+        rows.append([mark, path, _shortened(before), _shortened(after), rule.value])
     return table(rows) if len(rows) > 1 else ["no difference"]
 
 
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -9,63 +9,76 @@
 from pydantic import ValidationError
 
 from wheatroute import config
-from wheatroute.agreement import joint_terms
-from wheatroute.agreement.adapter import AdaptedVersion, DeriveSettings, VersionAdapter
+from wheatroute.agreement.adapter import (
+    AdaptedVersion,
+    DerivedSettings,
+    DeriveSettings,
+    VersionAdapter,
+)
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.errors import ContentError
+from wheatroute.agreement.join_rules import FILE_KEYS, FILE_PART
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
 from wheatroute.processor.dispatcher import Dispatcher, Listed
 
 
-def shared(file: config.File, worker: int) -> DeriveSettings:
-    """Makes of a version what a worker acts on, whose file this is."""
-
-    def settle(content: dict[str, Any]) -> dict[str, Any]:
-        if "file" not in content:
-            return config.told_to_processor(file, worker)
-        told = content["file"]
-        if not isinstance(told, dict) or set(told) != set(joint_terms.FILE_KEYS):
-            return _wrong("file: has the tables " + ", ".join(joint_terms.FILE_KEYS) + ", and no others")
-        whole = file.model_dump(exclude_none=True)
-        whole |= {key: told[key] for key in joint_terms.FILE_KEYS if key != "rules"}
-        assert file.processor is not None
-        for pool in whole["pools"]:
-            if pool["name"] == file.processor.pool:
-                pool["rules"] = told["rules"]
+def processor_deriver(file: config.File, worker: int) -> DeriveSettings:
+    """Return a function that derives what a worker acts on from a version's content.
+
+    `file` is the processor's own file.
+    """
+
+    def derive(content: dict[str, Any]) -> DerivedSettings:
+        document = _with_shared(file, content[FILE_PART]) if FILE_PART in content else None
         try:
-            return config.told_to_processor(config.File.model_validate(whole), worker)
-        except ValidationError as trouble:
-            return _wrong(config._line("file", trouble.errors()[0]))
+            whole = config.File.model_validate(document) if document is not None else file
+            return DerivedSettings.from_dict(config.told_to_processor(whole, worker))
+        except ValidationError as error:
+            raise ContentError(config._line("file", error.errors()[0])) from error
 
-    return settle
+    return derive
 
 
-def _wrong(line: str) -> dict[str, Any]:
-    raise ContentError(line)
+def _with_shared(file: config.File, shared: Any) -> dict[str, Any]:
+    """Return the document of a processor's file with a version's part in place of its own."""
+    if not isinstance(shared, dict) or set(shared) != set(FILE_KEYS):
+        raise ContentError("file: has the tables " + ", ".join(FILE_KEYS) + ", and no others")
+    document = file.model_dump(exclude_none=True)
+    document |= {key: shared[key] for key in FILE_KEYS if key != "rules"}
+    assert file.processor is not None
+    for pool in document["pools"]:
+        if pool["name"] == file.processor.pool:
+            pool["rules"] = shared["rules"]
+    return document
 
 
 def follow(
-    file: config.File, worker: int, told: dict[str, Any], dispatcher: Dispatcher, discovery: Listed, log: Any
+    file: config.File, worker: int, own: dict[str, Any], dispatcher: Dispatcher, discovery: Listed, log: Any
 ) -> VersionFollower:
-    """Return a follower that applies versions to a worker; conservative until its first confirmation."""
+    """Return a follower that applies versions to a worker; conservative until its first confirmation.
+
+    `own` is what the worker acts on by its own file.
+    """
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
-        twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms.with_node_count(discovery.node_counts)
-        dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, is_binding)
+        strict_classes = {number: entered for number, (_, entered) in adapted.forms.items()}
+        decision_settings = adapted.settings.with_node_count(discovery.node_counts)
+        dispatcher.agree(
+            adapted.request_classes, adapted.tenants, decision_settings, strict_classes, is_binding
+        )
 
-    incarnation = secrets.token_hex(6)
-    drain_notices = discovery.list_filter = DrainNotices(told["agreement"]["within"])
+    agreement, incarnation = own["agreement"], secrets.token_hex(6)
+    drain_notices = discovery.list_filter = DrainNotices(agreement["within"])
     drain_notices.filter_message({"full": True, "servers": list(discovery.entries.values())})
-    member = Member(told["name"], incarnation, told["agreement"]["within"])
+    member = Member(own["name"], incarnation, agreement["within"])
     store = open_store(
-        told["agreement"],
+        agreement,
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
-    adapter = VersionAdapter(told, shared(file, worker))
+    adapter = VersionAdapter(DerivedSettings.from_dict(own), processor_deriver(file, worker))
     return VersionFollower(
         store,
         member,
--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -7,8 +7,9 @@
 from pathlib import Path
 from typing import Any
 
-from wheatroute.agreement import joint_terms
 from wheatroute.agreement.errors import ContentError, InvalidInputError
+from wheatroute.agreement.join_rules import FILE_PART, NODE_PART
+from wheatroute.agreement.setting_check import setting_errors, without_own
 from wheatroute.agreement.versions import canonical
 from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
@@ -20,12 +21,12 @@
     """
     document = _read_document(path)
     if isinstance(document, dict) and "traffic_types" in document:
-        return {"file": _shared_settings(path)}, []
-    settings = document.get("settings") if isinstance(document, dict) else None
+        return {FILE_PART: _shared_settings(path)}, []
+    settings = document.get(NODE_PART) if isinstance(document, dict) else None
     if not isinstance(settings, dict):
         raise InvalidInputError(f'{path}: holds no table "settings", nor the request classes of a TOML file')
-    settings, left_out = joint_terms.without_own(settings)
-    errors = joint_terms.setting_errors(settings)
+    settings, left_out = without_own(settings)
+    errors = setting_errors(settings)
     if not errors:
         try:
             derive_settings(settings)
@@ -34,7 +35,7 @@
             errors = [str(error)]
     if errors:
         raise InvalidInputError("\n".join(f"{path}: {line}" for line in errors))
-    return {"settings": settings}, left_out
+    return {NODE_PART: settings}, left_out
 
 
 def _read_document(path: str) -> Any:
@@ -60,6 +61,6 @@
     return {
         "nodes": file.nodes,
         "rules": pools[0].rules.model_dump(),
-        "traffic_types": [one.model_dump(exclude_none=True) for one in file.traffic_types],
-        "customers": [one.model_dump() for one in file.customers],
+        "traffic_types": [table.model_dump(exclude_none=True) for table in file.traffic_types],
+        "customers": [table.model_dump() for table in file.customers],
     }
--- a/wheatroute/platform_settings.py
+++ b/wheatroute/platform_settings.py
@@ -1,7 +1,7 @@
 """Makes decision settings of the platform's settings, a tree of JSON with its own names. No I/O.
 
 Keys that are absent get a default; keys that are not known are passed over. Types are not checked here:
-that is for the caller (`wheatroute/net/node_settings.py`, `wheatroute/agreement/joint_terms.py`).
+that is for the caller (`wheatroute/net/node_settings.py`, `wheatroute/agreement/join_rules.py`).
 """
 
 from collections.abc import Mapping
