--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -26,7 +26,7 @@
 
     import trio
 
-    from wheatroute.agreement.operator_errors import first_error
+    from wheatroute.agreement.errors import first_error
     from wheatroute.rig.processes import RigError
     from wheatroute.rig.run_report import summary_lines
     from wheatroute.rig.scenario import ScenarioError, read_scenario
