--- /dev/null
+++ b/tests/processor/test_attempt_history.py
@@ -0,0 +1,107 @@
+"""Rule two across the tries of a proxy, without I/O."""
+
+import pytest
+
+from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
+from wheatroute.balancing.settings import RequestClass
+from wheatroute.processor.attempt_history import AttemptHistory, RejectedError, Rejection
+from wheatroute.processor.service import WorkerSupervisor
+
+REQUEST_CLASSES = [
+    RequestClass(
+        idempotency=idempotency, deduplication_group=DeduplicationGroup.ALL, retry_window=5.0, deadline=2.0
+    )
+    for idempotency in (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
+]
+
+
+def rejection_of(history, *what):
+    with pytest.raises(RejectedError) as caught:
+        history.begin_attempt(*what)
+    return caught.value.rejection
+
+
+def test_an_id_is_remembered_for_as_long_as_a_further_try_can_come():
+    history = AttemptHistory(REQUEST_CLASSES, 4.0, 100)
+    one, _ = history.begin_attempt(b"a", 2, 0.0, 2.0, 1)
+    history.record_decision(one, 3, 0.1)
+    assert rejection_of(history, b"a", 2, 3.0, 2.0, 2) == Rejection.MAY_HAVE_RUN
+    assert history.begin_attempt(b"b", 0, 4.1, 2.0, 1)[1] == () and len(history) == 1
+    for n in range(500):  # ids that are asked for again and again stay, and no other
+        try:
+            one, earlier = history.begin_attempt(b"c", 0, 5.0 + n, 2.0, 1)
+            history.record_decision(one, n, 5.0 + n)
+            assert len(earlier) == n
+        except RejectedError:
+            raise AssertionError("a safe request may always have another try") from None
+        if n > 3:
+            break
+    assert history.begin_attempt(b"a", 2, 60.0, 2.0, 1)[1] == () and len(history) == 1
+
+
+def test_a_full_memory_refuses_what_is_new_and_forgets_nothing():
+    history = AttemptHistory(REQUEST_CLASSES, 4.0, 2)
+    for name in (b"a", b"b"):
+        history.record_decision(history.begin_attempt(name, 2, 0.0, 2.0, 1)[0], 0, 0.0)
+    assert rejection_of(history, b"c", 0, 0.1, 2.0, 1) == Rejection.HISTORY_FULL
+    assert rejection_of(history, b"a", 2, 0.2, 2.0, 2) == Rejection.MAY_HAVE_RUN
+    assert history.begin_attempt(b"c", 0, 4.5, 2.0, 1)
+
+
+def test_what_came_before_is_told_with_its_server_time_and_doubt():
+    history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
+    first, _ = history.begin_attempt(b"a", 1, 0.0, 2.0, 1)
+    history.record_decision(first, 3, 0.1)
+    history.record_never_ran(first)
+    second, earlier = history.begin_attempt(b"a", 1, 0.2, 1.8, 2)
+    assert earlier == ((3, 0.1, False),)
+    history.record_decision(second, 4, 0.3)
+    assert history.begin_attempt(b"a", 1, 0.4, 1.6, 3)[1] == ((3, 0.1, False), (4, 0.3, True))
+    assert rejection_of(history, b"a", 1, 0.5, 1.5, 4) == Rejection.CONFLICT  # the third is not decided yet
+
+
+def test_a_first_try_that_is_not_known_counts_for_the_window_of_all_that_follow():
+    history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
+    second, earlier = history.begin_attempt(b"a", 1, 10.0, 1.5, 2)
+    assert earlier == ((-1, 9.5, True),)
+    history.record_decision(second, 3, 10.1)
+    assert history.begin_attempt(b"a", 1, 11.0, 0.5, 3)[1] == ((-1, 9.5, True), (3, 10.1, True))
+
+
+def test_a_try_that_was_refused_counts_for_nothing():
+    history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
+    for n in range(5):
+        one, earlier = history.begin_attempt(b"a", 2, n * 0.1, 2.0, n + 1 if n else 1)
+        assert earlier == ()
+        history.record_never_ran(one)
+
+
+def test_a_keeper_starts_a_crashed_worker_anew_and_stops_for_one_that_cannot_start():
+    import structlog
+    import trio
+
+    class Child:
+        pid = 0
+
+        def __init__(self, status):
+            self.status, self.signals = status, []
+
+        def wait(self):
+            return self.status
+
+        def poll(self):
+            return self.status
+
+        def send_signal(self, number):
+            self.signals.append(number)
+
+    statuses = [-9, 1, 2]
+    started = []
+
+    def start(request, pass_fds):
+        started.append((request, pass_fds))
+        return Child(statuses[len(started) - 1])
+
+    supervisor = WorkerSupervisor([["worker"]], (7,), structlog.get_logger(), start)
+    trio.run(supervisor.run)
+    assert started == [(["worker"], (7,))] * 3 and supervisor.status == 2
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -23,7 +23,7 @@
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.exchange import Attempt, Exchange, Response
 from wheatroute.net.node_settings import DiscoverySettings
-from wheatroute.processor.accounts import Accounts
+from wheatroute.processor.attempt_history import AttemptHistory
 from wheatroute.processor.mapping import Reader
 from wheatroute.processor.streams import ROUTED, Asked, Place, Stream, Words
 
@@ -76,7 +76,9 @@
         self.words = Words(told["destination_header"], told["metadata_namespace"], told["time_header"])
         self._headers = told["headers"]
         self._reader = Reader(told["headers"], told["terms"].request_classes, told["tenants"])
-        self._accounts = Accounts(told["terms"].request_classes, told["remembered"], told["most_ids"])
+        self._attempt_history = AttemptHistory(
+            told["terms"].request_classes, told["remembered"], told["most_ids"]
+        )
         self._places: dict[int, bytes] = {}
         self._busy: dict[int, int] = {}
         self._out: list[tuple[float, int, Stream]] = []  # attempts out, by when their time is over
@@ -95,7 +97,7 @@
         self.rounds.update_settings(terms, binding)
         self._reader = Reader(self._headers, kinds, tenants, list(names.values()), twins)
         longest = max(kind.deadline for kind in kinds)
-        self._accounts.agree(kinds, 2.0 * longest + max(kind.retry_window for kind in kinds))
+        self._attempt_history.update_settings(kinds, 2.0 * longest + max(kind.retry_window for kind in kinds))
 
     async def run(self) -> None:
         """Ends attempts that proxies never speak of again."""
@@ -125,8 +127,10 @@
         self.rounds.quiet = True
         self.asked += 1
         ask = self._reader.ask((one.key, one.raw_value or one.value.encode()) for one in headers)
-        account, earlier = self._accounts.take(ask.name, ask.kind, now(), ask.left, ask.attempt)
-        exchange = Asked(stream, ask, account)
+        attempt_record, earlier = self._attempt_history.begin_attempt(
+            ask.name, ask.kind, now(), ask.left, ask.attempt
+        )
+        exchange = Asked(stream, ask, attempt_record)
         exchange.on_response = stream.settled
         self.rounds.add_request(exchange, earlier)
         return exchange
@@ -134,12 +138,12 @@
     def left(self, exchange: Asked) -> None:
         """The proxy went before there was a decision: nothing ran."""
         self.rounds.quiet = True
-        self._accounts.never_ran(exchange.account)
+        self._attempt_history.record_never_ran(exchange.attempt_record)
         self.rounds.abandon_request(exchange)
 
     def refused(self, exchange: Asked) -> None:
         """The module gave it up before there was a decision: the same id may be asked for again."""
-        self._accounts.never_ran(exchange.account)
+        self._attempt_history.record_never_ran(exchange.attempt_record)
 
     def ended(self, exchange: Asked, outcome: Outcome, report: Report | None) -> None:
         """Notes how the attempt of a request ended."""
@@ -148,7 +152,7 @@
             return
         self.rounds.quiet = True
         if outcome in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT):
-            self._accounts.never_ran(exchange.account)
+            self._attempt_history.record_never_ran(exchange.attempt_record)
         self._busy[attempt.server] -= 1
         self.rounds.finish_attempt(exchange, attempt, outcome, report)
 
@@ -165,10 +169,10 @@
         moment = now()
         left = exchange.deadline - moment
         # entered before it is written: the stream may end while it is
-        self._accounts.decided(exchange.account, attempt.server, moment)
+        self._attempt_history.record_decision(exchange.attempt_record, attempt.server, moment)
         self._busy[attempt.server] = self._busy.get(attempt.server, 0) + 1
         if place is None or not exchange.stream.decided(attempt, place, left):
-            self._accounts.never_ran(exchange.account)
+            self._attempt_history.record_never_ran(exchange.attempt_record)
             self._busy[attempt.server] -= 1
             self.rounds.finish_attempt(exchange, attempt, Outcome.MOOT, None)
             return
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -18,29 +18,29 @@
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
-from wheatroute.processor.accounts import Refusal, RefusedError, Try
+from wheatroute.processor.attempt_history import AttemptRecord, RejectedError, Rejection
 from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ROUTED = 0  # the status of an exchange whose final answer to the proxy names a server
 FLAGS = "response.flags"  # attributes that a proxy may send along
-REFUSALS = {
-    Refusal.CONFLICT: (409, "conflict"),
-    Refusal.MAY_HAVE_RUN: (502, "may-have-run"),
-    Refusal.NO_ROOM: (503, "no-room"),
+REJECTIONS = {
+    Rejection.CONFLICT: (409, "conflict"),
+    Rejection.MAY_HAVE_RUN: (502, "may-have-run"),
+    Rejection.HISTORY_FULL: (503, "no-room"),
 }
 
 
 class Asked(Exchange):
     """A request of a proxy: its final answer is the decision, or that there is none."""
 
-    __slots__ = ("stream", "account")
+    __slots__ = ("stream", "attempt_record")
 
-    def __init__(self, stream: Stream, ask: Ask, account: Try) -> None:
+    def __init__(self, stream: Stream, ask: Ask, attempt_record: AttemptRecord) -> None:
         super().__init__(b"", b"", ask.name, b"", b"")
         self.request_class, self.time_left_s, self.tenant = ask.kind, ask.left, ask.tenant
         self.is_client_retry, self.work_hint = ask.repeated or ask.attempt > 1, ask.work
-        self.stream, self.account = stream, account
+        self.stream, self.attempt_record = stream, attempt_record
 
 
 class Dispatcher(Protocol):
@@ -129,8 +129,8 @@
             self.exchange = self.dispatcher.arrived(self, request.request_headers.headers.headers)
         except UnfitError as trouble:
             self._immediate(trouble.status, trouble.reason, 0.0)
-        except RefusedError as refused:
-            status, reason = REFUSALS[refused.refusal]
+        except RejectedError as refused:
+            status, reason = REJECTIONS[refused.rejection]
             self._immediate(status, reason, 0.0)
 
     def _response(self, request: Any) -> None:
