--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -14,8 +14,6 @@
 from fakehost import reserve_port
 
 from wheatroute import config, snapshot
-from wheatroute.balancing.interface import Idempotency
-from wheatroute.balancing.settings import RequestClass
 from wheatroute.etcd import messages as wire
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.client import Channel, connected
@@ -24,7 +22,6 @@
 from wheatroute.grpc.session import Session
 from wheatroute.net.clock import now
 from wheatroute.processor.dispatcher import Dispatcher
-from wheatroute.processor.mapping import Reader
 from wheatroute.processor.service import Service
 from wheatroute.processor.streams import PATH
 from wheatroute.standin.etcd import Member
@@ -181,17 +178,6 @@
         assert await ask(channel, "r1", PLACE, 2)  # it never ran: a further try may go
 
 
-def test_tenants_names_outside_ascii_are_known():
-    reader = Reader(
-        {"request_id": "id", "customer": "tenant"},
-        [RequestClass(idempotency=Idempotency.IDEMPOTENT, deadline=1.0, paths=["/"])],
-        {"Zoë": 0, "Zo": 1},
-    )
-    for name, number in (("Zoë".encode(), 0), (b"Zo\xeb", 0), (b"Zo", 1), (b"Zoe", -1)):
-        told = [(":path", b"/x"), (":method", b"GET"), ("id", b"1"), ("tenant", name)]
-        assert reader.ask(told).tenant == number
-
-
 @story
 async def test_no_second_decision_for_an_order_whose_first_may_have_run(tmp_path):
     async with processor(tmp_path) as (service, channel):
--- /dev/null
+++ b/tests/processor/test_routing_request.py
@@ -0,0 +1,20 @@
+"""Requests by their headers; no sockets, no clock."""
+
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.balancing.settings import RequestClass
+from wheatroute.processor.routing_request import RequestReader, parse_timeout
+
+
+def test_timeouts_have_the_units_of_grpc():
+    assert (parse_timeout("480m"), parse_timeout("1500u"), parse_timeout("250")) == (0.48, 0.0015, 0.25)
+
+
+def test_tenants_names_outside_ascii_are_known():
+    reader = RequestReader(
+        {"request_id": "id", "customer": "tenant"},
+        [RequestClass(idempotency=Idempotency.IDEMPOTENT, deadline=1.0, paths=["/"])],
+        {"Zoë": 0, "Zo": 1},
+    )
+    for name, number in (("Zoë".encode(), 0), (b"Zo\xeb", 0), (b"Zo", 1), (b"Zoe", -1)):
+        headers = [(":path", b"/x"), (":method", b"GET"), ("id", b"1"), ("tenant", name)]
+        assert reader.read(headers).tenant == number
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -24,7 +24,7 @@
 from wheatroute.net.exchange import Attempt, Exchange, Response
 from wheatroute.net.node_settings import DiscoverySettings
 from wheatroute.processor.attempt_history import AttemptHistory
-from wheatroute.processor.mapping import Reader
+from wheatroute.processor.routing_request import RequestReader
 from wheatroute.processor.streams import ROUTED, Asked, Place, Stream, Words
 
 SWEEP = 0.02  # seconds between two looks at attempts whose time is over
@@ -75,7 +75,7 @@
         self.rounds.upstream = self
         self.words = Words(told["destination_header"], told["metadata_namespace"], told["time_header"])
         self._headers = told["headers"]
-        self._reader = Reader(told["headers"], told["terms"].request_classes, told["tenants"])
+        self._reader = RequestReader(told["headers"], told["terms"].request_classes, told["tenants"])
         self._attempt_history = AttemptHistory(
             told["terms"].request_classes, told["remembered"], told["most_ids"]
         )
@@ -95,7 +95,7 @@
         """Other terms; what is matched first follows from the order of `names`."""
         kinds = terms.request_classes
         self.rounds.update_settings(terms, binding)
-        self._reader = Reader(self._headers, kinds, tenants, list(names.values()), twins)
+        self._reader = RequestReader(self._headers, kinds, tenants, list(names.values()), twins)
         longest = max(kind.deadline for kind in kinds)
         self._attempt_history.update_settings(kinds, 2.0 * longest + max(kind.retry_window for kind in kinds))
 
@@ -126,11 +126,15 @@
         """Adds the request that a stream's headers describe."""
         self.rounds.quiet = True
         self.asked += 1
-        ask = self._reader.ask((one.key, one.raw_value or one.value.encode()) for one in headers)
+        request = self._reader.read((one.key, one.raw_value or one.value.encode()) for one in headers)
         attempt_record, earlier = self._attempt_history.begin_attempt(
-            ask.name, ask.kind, now(), ask.left, ask.attempt
+            request.request_id,
+            request.request_class,
+            now(),
+            request.time_left_s,
+            request.attempt_number,
         )
-        exchange = Asked(stream, ask, attempt_record)
+        exchange = Asked(stream, request, attempt_record)
         exchange.on_response = stream.settled
         self.rounds.add_request(exchange, earlier)
         return exchange
--- /dev/null
+++ b/wheatroute/processor/load_reports.py
@@ -0,0 +1,101 @@
+"""Load reports in the headers of responses: the project's own, and ORCA's in its three forms. No I/O.
+
+ORCA (Open Request Cost Aggregation) is published as `xds.data.orca.v3.OrcaLoadReport`. What is malformed is
+left out.
+"""
+
+from __future__ import annotations
+
+import base64
+import binascii
+import json
+from collections.abc import Mapping
+from math import inf
+from typing import Any
+
+from wheatroute.net.load_reports import MAX_LOAD_FIGURE, parse_load_report
+
+OWN_HEADER = "server-load"
+ORCA_HEADER = "endpoint-load-metrics"  # its value begins with the form: TEXT, JSON or BIN
+ORCA_BINARY_HEADER = "endpoint-load-metrics-bin"
+_NAMED_METRICS = "named_metrics"
+# ORCA's names and ours; named metrics go by the names that reports of our own use
+_FIGURE_NAMES = {
+    "cpu_utilization": "busy",
+    "application_utilization": "busy",
+    "rps_fractional": "rate",
+    "rps": "rate",
+    "eps": "error_rate",
+    "named_metrics.inflight": "held",
+    "named_metrics.queue": "queued",
+}
+
+
+def read_load_report(headers: Mapping[str, bytes]) -> dict[str, float] | None:
+    """Returns a response's load figures under our names, None where there are none."""
+    if OWN_HEADER in headers:
+        report, malformed = parse_load_report(headers[OWN_HEADER].decode("latin-1"))
+        return None if malformed else report
+    report = {}
+    for name, value in _orca_figures(headers).items():
+        figure = _FIGURE_NAMES.get(name)
+        if figure and isinstance(value, int | float) and 0.0 <= value < MAX_LOAD_FIGURE:
+            report[figure] = float(value)
+    return report or None
+
+
+def _orca_figures(headers: Mapping[str, bytes]) -> dict[str, Any]:
+    """Returns ORCA's figures by ORCA's names, not checked yet."""
+    if ORCA_HEADER in headers:
+        form, _, text = headers[ORCA_HEADER].decode("latin-1").partition(" ")
+        match form:
+            case "TEXT":
+                return _parse_text(text)
+            case "JSON":
+                return _parse_json(text)
+            case "BIN":
+                return _parse_binary(text.encode("latin-1"))
+        return {}
+    if ORCA_BINARY_HEADER in headers:
+        return _parse_binary(headers[ORCA_BINARY_HEADER])
+    return {}
+
+
+def _parse_text(text: str) -> dict[str, Any]:
+    figures = {}
+    for part in text.split(","):
+        name, _, figure = part.strip().partition("=")
+        try:
+            figures[name] = float(figure)
+        except ValueError:
+            continue
+    return figures
+
+
+def _parse_json(text: str) -> dict[str, Any]:
+    try:
+        document = json.loads(text, parse_constant=lambda _: inf)
+    except (ValueError, RecursionError):
+        return {}
+    if not isinstance(document, dict):
+        return {}
+    named = document.get(_NAMED_METRICS)
+    return document | (_prefixed(named) if isinstance(named, dict) else {})
+
+
+def _parse_binary(text: bytes) -> dict[str, Any]:
+    # imported here: who gets no such report does not pay for it
+    from google.protobuf.message import DecodeError
+    from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
+
+    padded = text + b"=" * (-len(text) % 4)
+    try:
+        report = OrcaLoadReport.FromString(base64.b64decode(padded, validate=True))
+    except (binascii.Error, DecodeError):
+        return {}
+    figures: dict[str, Any] = {field.name: value for field, value in report.ListFields()}
+    return figures | _prefixed(report.named_metrics)
+
+
+def _prefixed(named: Mapping[str, Any]) -> dict[str, Any]:
+    return {f"{_NAMED_METRICS}.{name}": value for name, value in named.items()}
--- /dev/null
+++ b/wheatroute/processor/response_outcome.py
@@ -0,0 +1,48 @@
+"""What the headers of a response say of its attempt. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from enum import IntFlag
+from http import HTTPStatus
+
+from wheatroute.balancing.interface import Outcome
+
+NOT_STARTED = "not-started"  # a server's or proxy's proof that the request never ran
+
+
+class ResponseFlags(IntFlag):
+    """What a proxy says of a response that it made up itself: bits of Envoy's `response.flags`."""
+
+    NO_HEALTHY_HOST = 0x2
+    TIMED_OUT = 0x4
+    LOCAL_RESET = 0x8
+    REMOTE_RESET = 0x10
+    CONNECTION_FAILED = 0x20
+    CONNECTION_ENDED = 0x40
+    OVERFLOW = 0x80
+
+
+_UNCONNECTED = ResponseFlags.NO_HEALTHY_HOST | ResponseFlags.CONNECTION_FAILED | ResponseFlags.OVERFLOW
+_RESET = ResponseFlags.LOCAL_RESET | ResponseFlags.REMOTE_RESET | ResponseFlags.CONNECTION_ENDED
+# plain numbers, as they are compared for each response
+_FLAG_OUTCOMES = (
+    (_UNCONNECTED.value, Outcome.UNCONNECTED),
+    (ResponseFlags.TIMED_OUT.value, Outcome.TIMED_OUT),
+    (_RESET.value, Outcome.RESET),
+)
+
+
+def response_outcome(headers: Mapping[str, bytes], flags: int = 0) -> Outcome:
+    """Returns an attempt's outcome; only a mark of server or proxy proves that it never ran."""
+    status = headers.get(":status", b"")
+    if len(status) != 3 or not status.isdigit():
+        return Outcome.UNKNOWN
+    for bits, outcome in _FLAG_OUTCOMES:
+        if flags & bits:
+            return outcome
+    code = int(status)
+    may_be_unstarted = code in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+    if may_be_unstarted and headers.get(NOT_STARTED, b"").strip() == b"1":
+        return Outcome.FULL
+    return Outcome.ERROR if code >= HTTPStatus.INTERNAL_SERVER_ERROR else Outcome.SERVED
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -19,7 +19,9 @@
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
 from wheatroute.processor.attempt_history import AttemptRecord, RejectedError, Rejection
-from wheatroute.processor.mapping import Ask, UnfitError, load, outcome
+from wheatroute.processor.load_reports import read_load_report
+from wheatroute.processor.response_outcome import response_outcome
+from wheatroute.processor.routing_request import InvalidRequestError, RoutingRequest
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ROUTED = 0  # the status of an exchange whose final answer to the proxy names a server
@@ -36,10 +38,13 @@
 
     __slots__ = ("stream", "attempt_record")
 
-    def __init__(self, stream: Stream, ask: Ask, attempt_record: AttemptRecord) -> None:
-        super().__init__(b"", b"", ask.name, b"", b"")
-        self.request_class, self.time_left_s, self.tenant = ask.kind, ask.left, ask.tenant
-        self.is_client_retry, self.work_hint = ask.repeated or ask.attempt > 1, ask.work
+    def __init__(self, stream: Stream, request: RoutingRequest, attempt_record: AttemptRecord) -> None:
+        super().__init__(b"", b"", request.request_id, b"", b"")
+        self.request_class = request.request_class
+        self.time_left_s = request.time_left_s
+        self.tenant = request.tenant
+        self.is_client_retry = request.is_client_retry or request.attempt_number > 1
+        self.work_hint = request.work_hint
         self.stream, self.attempt_record = stream, attempt_record
 
 
@@ -127,7 +132,7 @@
         self.place = Place.ASKED
         try:
             self.exchange = self.dispatcher.arrived(self, request.request_headers.headers.headers)
-        except UnfitError as trouble:
+        except InvalidRequestError as trouble:
             self._immediate(trouble.status, trouble.reason, 0.0)
         except RejectedError as refused:
             status, reason = REJECTIONS[refused.rejection]
@@ -146,7 +151,7 @@
         self.call.send(_PASS["response_headers"])
         if self.place == Place.OVERDUE:
             self.place = Place.ENDED  # its client may still want it; the module has given it up
-        self._done(outcome(headers, _flags(request)), load(headers))
+        self._done(response_outcome(headers, _flags(request)), read_load_report(headers))
 
     def _end(self) -> None:
         """The proxy says no more: nothing is owed if it was told nothing, else the attempt may have run."""
