--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -53,17 +53,19 @@
 
 def _shared_settings(path: str) -> dict[str, Any]:
     """Return the part of a processor's TOML file that all processes share."""
-    from wheatroute import config
+    from wheatroute.config import settings_file
 
     try:
-        file = config.read(path)
-    except config.ConfigError as error:
+        settings = settings_file.read(path)
+    except settings_file.ConfigError as error:
         raise OperatorError(str(error), BAD_INPUT) from error
-    processor = file.processor
-    pools = [pool for pool in file.pools if processor is None or pool.name == processor.pool]
+    processor = settings.processor
+    pools = [pool for pool in settings.pools if processor is None or pool.name == processor.pool]
     return {
-        "nodes": file.nodes,
-        "rules": pools[0].rules.model_dump(),
-        "traffic_types": [one.model_dump(exclude_none=True) for one in file.traffic_types],
-        "customers": [one.model_dump() for one in file.customers],
+        "nodes": settings.nodes,
+        "rules": pools[0].rules.model_dump(by_alias=True),
+        "traffic_types": [
+            one.model_dump(by_alias=True, exclude_none=True) for one in settings.request_classes
+        ],
+        "customers": [one.model_dump(by_alias=True) for one in settings.tenants],
     }
--- a/wheatroute/balancing/settings.py
+++ b/wheatroute/balancing/settings.py
@@ -1,7 +1,7 @@
 """The settings that decisions are made by, typed. No I/O.
 
 They are built from the platform's settings (`wheatroute/platform_settings.py`), from the TOML file
-(`wheatroute/config.py`) or by the simulated fleet, and replaced as a whole, never changed in place.
+(`wheatroute/config/`) or by the simulated fleet, and replaced as a whole, never changed in place.
 Times are in seconds, prices in the value of one request.
 """
 
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -8,6 +8,7 @@
 import click
 
 from wheatroute import system
+from wheatroute.commands.exit_status import exit_with_error
 from wheatroute.commands.fleet import fleet
 from wheatroute.commands.rig import rig
 from wheatroute.commands.rollout import rollout
@@ -38,35 +39,37 @@
 @click.option("--descriptor", type=int, default=-1, hidden=True, help="accept on this open listener")
 def processor(file: str, worker: int | None, descriptor: int) -> None:
     """The external processor that FILE describes: other proxies ask it where to send."""
-    from wheatroute.processor import service
+    from wheatroute.processor import program
 
     def follow(*parts: Any) -> Any:
-        from wheatroute.agreement import processor as agreement  # off unless the file names a place
+        # imported here: a file without [agreement] does not pay for it
+        from wheatroute.agreement import processor as agreement
 
         return agreement.follow(*parts)
 
     if worker is None:
-        sys.exit(service.run(file, follow))
-    sys.exit(service.serve(file, worker, descriptor, follow=follow))
+        sys.exit(program.run(file, follow))
+    sys.exit(program.run_worker(file, worker, descriptor, follow=follow))
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
     """Checks FILE whole and says what is wrong, a line each; exit status 2 if anything is."""
-    from wheatroute import config
+    from wheatroute.config import settings_file
     from wheatroute.tls import ServerContext, TlsError
 
     try:
-        told = config.read(file)
-        if told.processor is not None and (tls := told.processor.tls) is not None:
+        settings = settings_file.read(file)
+        if settings.processor is not None and (tls := settings.processor.tls) is not None:
             ServerContext(tls.certificate, tls.key, tls.client_authorities)
-    except (config.ConfigError, TlsError) as trouble:
-        told_by = "" if isinstance(trouble, config.ConfigError) else f"{file}: processor.tls: "
-        click.echo(f"{told_by}{trouble}", err=True)
-        sys.exit(2)
-    front = "processor" if told.processor is not None else "no front"
-    click.echo(f"{file}: good: {len(told.pools)} pools, {len(told.traffic_types)} request classes, {front}")
+    except settings_file.ConfigError as error:
+        exit_with_error(str(error))
+    except TlsError as error:
+        exit_with_error(f"{file}: processor.tls: {error}")
+    front = "processor" if settings.processor is not None else "no front"
+    counts = f"{len(settings.pools)} pools, {len(settings.request_classes)} request classes"
+    click.echo(f"{file}: good: {counts}, {front}")
 
 
 @main.command()
@@ -82,14 +85,13 @@
     from wheatroute.rollout.supervisor_settings import SupervisorSettingsError, read_supervisor_settings
 
     try:
-        told = read_supervisor_settings(file)
-        trio.run(run_supervisor, told, open_log(f"supervisor-{told.name}"))
-    except (SupervisorSettingsError, BaseExceptionGroup) as trouble:
-        found = first_error(trouble)
+        settings = read_supervisor_settings(file)
+        trio.run(run_supervisor, settings, open_log(f"supervisor-{settings.name}"))
+    except (SupervisorSettingsError, BaseExceptionGroup) as error:
+        found = first_error(error)
         if not isinstance(found, SupervisorSettingsError | VersionStoreError):
             raise
-        click.echo(str(found), err=True)
-        sys.exit(2)
+        exit_with_error(str(found))
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/wheatroute/commands/exit_status.py
@@ -0,0 +1,16 @@
+"""Exit statuses that commands share, and how a command ends with an error."""
+
+from __future__ import annotations
+
+import sys
+from typing import NoReturn
+
+import click
+
+BAD_INPUT_STATUS = 2
+
+
+def exit_with_error(message: str, status: int = BAD_INPUT_STATUS) -> NoReturn:
+    """Writes a message to standard error and ends the process."""
+    click.echo(message, err=True)
+    sys.exit(status)
--- /dev/null
+++ b/wheatroute/config/fields.py
@@ -0,0 +1,39 @@
+"""What the sections of the settings file have in common: their base and the types of their values. No I/O.
+
+A field whose name in the code differs from its key in the file has the key as its alias. Only the key is
+accepted in files, and errors name the key.
+"""
+
+from __future__ import annotations
+
+from typing import Annotated
+
+from pydantic import BaseModel, ConfigDict, Field
+
+from wheatroute.net.addresses import parse_address
+
+NonNegative = Annotated[float, Field(ge=0.0, allow_inf_nan=False)]
+Positive = Annotated[float, Field(gt=0.0, allow_inf_nan=False)]
+Fraction = Annotated[float, Field(gt=0.0, le=1.0)]
+Count = Annotated[int, Field(ge=1, le=1_000_000)]
+Name = Annotated[str, Field(min_length=1, max_length=200)]
+
+
+class Section(BaseModel):
+    """A table of the file: keys that it doesn't know are errors."""
+
+    model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
+
+
+def check_address(text: str) -> str:
+    """Returns the text of an address unchanged; raises `ValueError`."""
+    parse_address(text)
+    return text
+
+
+def check_unique(key: str, names: list[str]) -> None:
+    """Raises `ValueError` for a name that stands twice."""
+    if len(set(names)) == len(names):
+        return
+    first_duplicate = min(name for name in names if names.count(name) > 1)
+    raise ValueError(f"{key}: two of the name {first_duplicate!r}")
--- a/wheatroute/etcd/discovery.py
+++ b/wheatroute/etcd/discovery.py
@@ -10,7 +10,7 @@
 import trio
 
 from wheatroute.balancing.interface import Event
-from wheatroute.config import Etcd
+from wheatroute.config.pools import EtcdSettings
 from wheatroute.etcd.services import EtcdServices
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
@@ -26,7 +26,7 @@
     def __init__(self, settings: NodeSettings, driver: BalancerDriver, servers: Upstream, log: Any) -> None:
         super().__init__(settings.discovery_settings, driver, servers, log)
         self._etcd = EtcdServices(
-            Etcd.model_validate(settings.etcd_servers),
+            EtcdSettings.model_validate(settings.etcd_servers),
             settings.name,
             self._apply,
             self._count_nodes,
--- a/wheatroute/etcd/services.py
+++ b/wheatroute/etcd/services.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from wheatroute.config import Etcd
+from wheatroute.config.pools import EtcdSettings
 from wheatroute.etcd.client import EtcdClient
 from wheatroute.etcd.follower import Follower
 from wheatroute.etcd.membership import Membership
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        settings: Etcd,
+        settings: EtcdSettings,
         name: str,
         on_servers: Callable[[dict[str, Any]], None],
         on_peers: Callable[[int, int, float], None],
--- a/wheatroute/processor/attempt_history.py
+++ b/wheatroute/processor/attempt_history.py
@@ -62,6 +62,15 @@
     strictest: Idempotency = Idempotency.IDEMPOTENT
 
 
+def retention_s(request_classes: Sequence[RequestClass]) -> float:
+    """Returns how long an id is kept, in seconds.
+
+    It may come again for as long as its request, or the retry window of its key, lasts.
+    """
+    max_deadline_s = max(request_class.deadline for request_class in request_classes)
+    return 2.0 * max_deadline_s + max(request_class.retry_window for request_class in request_classes)
+
+
 class AttemptHistory:
     """The attempts of each id, kept for `retention_s` after the last one; of `max_ids` ids at most."""
 
--- /dev/null
+++ b/wheatroute/processor/burst_driver.py
@@ -0,0 +1,58 @@
+"""A driver of the decision module for bursts: all messages of one read of a connection make one event batch.
+
+No task is woken for a batch, and all responses that it leads to are written at once.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from wheatroute.balancing.settings import DecisionSettings
+from wheatroute.decide import Balancer
+from wheatroute.grpc.session import Session
+from wheatroute.net.balancer_driver import BalancerDriver
+from wheatroute.net.clock import now
+from wheatroute.net.log import Logger
+
+
+class BurstDriver(BalancerDriver):
+    """Handles events at the end of a burst, and all others as the base class does."""
+
+    def __init__(self, settings: DecisionSettings, seed: str, log: Logger) -> None:
+        super().__init__(settings, seed, log)
+        self._is_in_burst = False
+        self._sessions_to_flush: set[Session] = set()
+
+    @property
+    def balancer(self) -> Balancer:
+        """The balancer that decides for all streams."""
+        return self._balancer
+
+    def add_event(self, *event: Any) -> None:
+        """Adds an event; outside a burst the next batch is due at once."""
+        self._events.append(event)
+        if not self._is_in_burst:
+            self._has_events.set()
+
+    def begin_burst(self) -> None:
+        """Leaves all events to `finish_burst`, which must be called before the next wait."""
+        self._is_in_burst = True
+
+    def finish_burst(self) -> None:
+        """Handles the events of a burst, and those that follow from them."""
+        self._is_in_burst = True
+        while self._events:
+            self.handle_events(now())
+        self._is_in_burst = False
+        self._set_timer()
+
+    def schedule_flush(self, session: Session) -> None:
+        """Has a session written to after the current batch."""
+        self._sessions_to_flush.add(session)
+
+    def handle_events(self, moment: float) -> None:
+        """Handles a batch, then writes what the streams have to send."""
+        super().handle_events(moment)
+        for session in self._sessions_to_flush:
+            session.flush()
+        self._sessions_to_flush.clear()
--- a/wheatroute/processor/routing_request.py
+++ b/wheatroute/processor/routing_request.py
@@ -14,6 +14,7 @@
 
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import RequestClass
+from wheatroute.config.processor import HeaderNames
 from wheatroute.net.exchange import parse_work_hint
 from wheatroute.wire_names import in_header
 
@@ -47,18 +48,6 @@
     WORK_HINT = 8
 
 
-# by their keys in the settings file
-_MEANINGS = {
-    "request_id": HeaderMeaning.REQUEST_ID,
-    "time_out": HeaderMeaning.TIMEOUT,
-    "customer": HeaderMeaning.TENANT,
-    "receipt": HeaderMeaning.IDEMPOTENCY_KEY,
-    "attempt": HeaderMeaning.ATTEMPT_NUMBER,
-    "repeated": HeaderMeaning.CLIENT_RETRY,
-    "work": HeaderMeaning.WORK_HINT,
-}
-
-
 class RoutingRequest(NamedTuple):
     """A request that a server is to be chosen for; request class and tenant are numbers."""
 
@@ -89,14 +78,13 @@
 
     def __init__(
         self,
-        headers: Mapping[str, str],
+        headers: HeaderNames,
         request_classes: Sequence[RequestClass],
         tenants: Mapping[str, int],
         match_order: Sequence[int] | None = None,
         strict_variants: Mapping[int, int] | None = None,
     ) -> None:
-        self._meanings = {name.lower(): _MEANINGS[key] for key, name in headers.items() if name}
-        self._meanings |= {":path": HeaderMeaning.PATH, ":method": HeaderMeaning.METHOD}
+        self._meanings = _meanings(headers)
         self._request_classes = request_classes
         self._tenants = in_header(tenants)
         self._match_order = range(len(request_classes)) if match_order is None else match_order
@@ -155,6 +143,21 @@
         return self._strict_variants[request_class]
 
 
+def _meanings(headers: HeaderNames) -> dict[str, HeaderMeaning]:
+    """Returns meanings by the names of headers, in lower case."""
+    names = {
+        HeaderMeaning.REQUEST_ID: headers.request_id,
+        HeaderMeaning.TIMEOUT: headers.timeout,
+        HeaderMeaning.TENANT: headers.tenant,
+        HeaderMeaning.IDEMPOTENCY_KEY: headers.idempotency_key,
+        HeaderMeaning.ATTEMPT_NUMBER: headers.attempt_number,
+        HeaderMeaning.CLIENT_RETRY: headers.client_retry,
+        HeaderMeaning.WORK_HINT: headers.work_hint,
+    }
+    meanings = {name.lower(): meaning for meaning, name in names.items() if name}
+    return meanings | {":path": HeaderMeaning.PATH, ":method": HeaderMeaning.METHOD}
+
+
 def _is_below(path: str, prefix: str) -> bool:
     return path == prefix or path.startswith(prefix.rstrip("/") + "/")
 
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -1,17 +1,17 @@
-"""One stream of a proxy: its messages, and the answers that the protocol of external processing has for them.
+"""One stream of a proxy: the order of its messages, and which response each of them gets.
 
-Owns the order of messages on a stream and the words of the answers, as published in
-envoy.service.ext_proc.v3. It must never write two decisions, nor one for a request that is over, and never
-holds a body or a trailer: they are answered at once.
+Invariants: a stream writes one decision at most, and none for a request that is over. Bodies and trailers are
+not kept: they are answered at once. No I/O: the session reads and writes the connection.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
 from enum import IntEnum
-from math import ceil
+from http import HTTPStatus
 from typing import Any, Protocol
 
-from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
+from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest
 from google.protobuf.message import DecodeError
 
 from wheatroute.balancing.interface import Outcome, Report
@@ -20,21 +20,25 @@
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
 from wheatroute.processor.attempt_history import AttemptRecord, RejectedError, Rejection
 from wheatroute.processor.load_reports import read_load_report
+from wheatroute.processor.processing_messages import (
+    CONTINUE_RESPONSES,
+    ResponseEncoder,
+    header_values,
+    response_flags,
+)
 from wheatroute.processor.response_outcome import response_outcome
 from wheatroute.processor.routing_request import InvalidRequestError, RoutingRequest
 
-PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-ROUTED = 0  # the status of an exchange whose final answer to the proxy names a server
-FLAGS = "response.flags"  # attributes that a proxy may send along
-REJECTIONS = {
-    Rejection.CONFLICT: (409, "conflict"),
-    Rejection.MAY_HAVE_RUN: (502, "may-have-run"),
-    Rejection.HISTORY_FULL: (503, "no-room"),
+ROUTED_STATUS = 0  # of an exchange whose final response to the proxy names a server
+REJECTION_RESPONSES = {
+    Rejection.CONFLICT: (HTTPStatus.CONFLICT, "conflict"),
+    Rejection.MAY_HAVE_RUN: (HTTPStatus.BAD_GATEWAY, "may-have-run"),
+    Rejection.HISTORY_FULL: (HTTPStatus.SERVICE_UNAVAILABLE, "no-room"),
 }
 
 
-class Asked(Exchange):
-    """A request of a proxy: its final answer is the decision, or that there is none."""
+class RoutedExchange(Exchange):
+    """A request of a proxy: its final response is the decision, or that there is none."""
 
     __slots__ = ("stream", "attempt_record")
 
@@ -45,50 +49,53 @@
         self.tenant = request.tenant
         self.is_client_retry = request.is_client_retry or request.attempt_number > 1
         self.work_hint = request.work_hint
-        self.stream, self.attempt_record = stream, attempt_record
+        self.stream = stream
+        self.attempt_record = attempt_record
 
 
-class Dispatcher(Protocol):
+class RequestDispatcher(Protocol):
     """What a stream needs of the service."""
 
-    def arrived(self, stream: Stream, headers: Any) -> Asked:
-        """Adds a request."""
+    def add_request(self, stream: Stream, headers: Iterable[tuple[str, bytes]]) -> RoutedExchange:
+        """Adds a request; raises `InvalidRequestError` and `RejectedError`."""
 
-    def left(self, exchange: Asked) -> None:
+    def abandon_request(self, exchange: RoutedExchange) -> None:
         """The proxy gave the request up."""
 
-    def refused(self, exchange: Asked) -> None:
+    def record_rejection(self, exchange: RoutedExchange) -> None:
         """The balancer rejected or failed the request before any attempt."""
 
-    def ended(self, exchange: Asked, outcome: Outcome, report: Report | None) -> None:
+    def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
         """The attempt of a request has ended."""
 
-    def answered(self, call: Call) -> None:
+    def schedule_flush(self, call: Call) -> None:
         """A stream has something to send."""
 
 
-class Place(IntEnum):
+class StreamState(IntEnum):
     """How far a stream has come."""
 
     NEW = 0
-    ASKED = 1
+    AWAITING_DECISION = 1
     DECIDED = 2
     OVERDUE = 3  # its server's time is over, and the proxy has said nothing yet
-    ENDED = 4  # its server's answer has begun, or the proxy has its answer from here
+    ENDED = 4  # its server's response has begun, or the proxy has its response from here
 
 
 class Stream:
-    """A receiver: one stream stands for one request of the proxy."""
+    """The receiver of a call; one stream stands for one request of the proxy."""
 
-    __slots__ = ("call", "dispatcher", "place", "exchange", "attempt", "words")
+    __slots__ = ("call", "dispatcher", "state", "exchange", "attempt", "encoder")
 
-    def __init__(self, call: Call, dispatcher: Dispatcher, words: Words) -> None:
-        self.call, self.dispatcher, self.words = call, dispatcher, words
-        self.place = Place.NEW
-        self.exchange: Asked | None = None
+    def __init__(self, call: Call, dispatcher: RequestDispatcher, encoder: ResponseEncoder) -> None:
+        self.call = call
+        self.dispatcher = dispatcher
+        self.encoder = encoder
+        self.state = StreamState.NEW
+        self.exchange: RoutedExchange | None = None
         self.attempt: Attempt | None = None
 
-    # what comes
+    # the receiver of the call
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
         """Ignored: a server's receiver gets no response headers."""
@@ -98,21 +105,21 @@
         try:
             request = ProcessingRequest.FromString(message)
         except DecodeError:
-            self._refuse(Status.INVALID_ARGUMENT, "no ProcessingRequest")
+            self._fail(Status.INVALID_ARGUMENT, "no ProcessingRequest")
             return
-        which = request.WhichOneof("request")
+        part = request.WhichOneof("request")
         if request.observability_mode:
-            self._refuse(Status.FAILED_PRECONDITION, "in observability mode no decision could be heeded")
-        elif which == "request_headers":
-            self._request(request)
-        elif which is None or self.place == Place.NEW:
-            self._refuse(Status.INVALID_ARGUMENT, f"{which or 'nothing'} before the request's headers")
-        elif which == "response_headers":
-            self._response(request)
-        elif self.place != Place.ASKED:
-            self.call.send(_PASS[which])
+            self._fail(Status.FAILED_PRECONDITION, "in observability mode no decision could be heeded")
+        elif part == "request_headers":
+            self._handle_request_headers(request)
+        elif part is None or self.state == StreamState.NEW:
+            self._fail(Status.INVALID_ARGUMENT, f"{part or 'nothing'} before the request's headers")
+        elif part == "response_headers":
+            self._handle_response_headers(request)
+        elif self.state == StreamState.AWAITING_DECISION:
+            self._fail(Status.INVALID_ARGUMENT, f"{part} before the decision")
         else:
-            self._refuse(Status.INVALID_ARGUMENT, f"{which} before the decision")
+            self.call.send(CONTINUE_RESPONSES[part])
 
     def half_closed(self) -> None:
         """The proxy has ended the stream."""
@@ -123,164 +130,88 @@
         """The stream was cancelled or reset."""
         self._end()
 
-    # what that means
+    # messages of the proxy
 
-    def _request(self, request: Any) -> None:
-        if self.place != Place.NEW:
-            self._refuse(Status.INVALID_ARGUMENT, "the request's headers twice")
+    def _handle_request_headers(self, request: Any) -> None:
+        if self.state != StreamState.NEW:
+            self._fail(Status.INVALID_ARGUMENT, "the request's headers twice")
             return
-        self.place = Place.ASKED
+        self.state = StreamState.AWAITING_DECISION
+        headers = header_values(request.request_headers.headers.headers)
         try:
-            self.exchange = self.dispatcher.arrived(self, request.request_headers.headers.headers)
-        except InvalidRequestError as trouble:
-            self._immediate(trouble.status, trouble.reason, 0.0)
-        except RejectedError as refused:
-            status, reason = REJECTIONS[refused.rejection]
-            self._immediate(status, reason, 0.0)
-
-    def _response(self, request: Any) -> None:
-        if self.place not in (Place.DECIDED, Place.OVERDUE):
-            self._refuse(Status.INVALID_ARGUMENT, "the response's headers out of turn")
+            self.exchange = self.dispatcher.add_request(self, headers)
+        except InvalidRequestError as error:
+            self._send_immediate(error.status, error.reason)
+        except RejectedError as error:
+            status, reason = REJECTION_RESPONSES[error.rejection]
+            self._send_immediate(status, reason)
+
+    def _handle_response_headers(self, request: Any) -> None:
+        if self.state not in (StreamState.DECIDED, StreamState.OVERDUE):
+            self._fail(Status.INVALID_ARGUMENT, "the response's headers out of turn")
             return
-        headers = {
-            one.key: one.raw_value or one.value.encode() for one in request.response_headers.headers.headers
-        }
-        if headers.get(":status", b"").startswith(b"1"):
-            self.call.send(_PASS["response_headers"])
+        headers = dict(header_values(request.response_headers.headers.headers))
+        self.call.send(CONTINUE_RESPONSES["response_headers"])
+        is_informational = headers.get(":status", b"").startswith(b"1")
+        if is_informational:
             return
-        self.call.send(_PASS["response_headers"])
-        if self.place == Place.OVERDUE:
-            self.place = Place.ENDED  # its client may still want it; the module has given it up
-        self._done(response_outcome(headers, _flags(request)), read_load_report(headers))
+        if self.state == StreamState.OVERDUE:
+            self.state = StreamState.ENDED  # its client may still want it; the balancer has given it up
+        self._finish_attempt(response_outcome(headers, response_flags(request)), read_load_report(headers))
 
     def _end(self) -> None:
-        """The proxy says no more: nothing is owed if it was told nothing, else the attempt may have run."""
+        """The proxy says no more: without a decision nothing ran, else the attempt may have run."""
         if self.exchange is None:
             return
-        if self.place == Place.ASKED:
-            self.place = Place.ENDED
-            self.dispatcher.left(self.exchange)
+        if self.state == StreamState.AWAITING_DECISION:
+            self.state = StreamState.ENDED
+            self.dispatcher.abandon_request(self.exchange)
             self.exchange = None
         else:
-            self._done(Outcome.WITHDRAWN, None)
+            self._finish_attempt(Outcome.WITHDRAWN, None)
 
-    def _done(self, outcome: Outcome, report: Report | None) -> None:
-        if self.place == Place.DECIDED and self.exchange is not None:
-            self.place = Place.ENDED
-            self.dispatcher.ended(self.exchange, outcome, report)
-            self.exchange = None  # they name each other
+    def _finish_attempt(self, outcome: Outcome, report: Report | None) -> None:
+        if self.state == StreamState.DECIDED and self.exchange is not None:
+            self.state = StreamState.ENDED
+            self.dispatcher.finish_attempt(self.exchange, outcome, report)
+            self.exchange = None  # they refer to each other
 
-    def _refuse(self, status: Status, reason: str) -> None:
+    def _fail(self, status: Status, reason: str) -> None:
         self._end()
-        self.place = Place.ENDED
+        self.state = StreamState.ENDED
         self.call.finish(status, reason)
 
-    # answers
+    # responses
 
-    def decided(self, attempt: Attempt, place: bytes, left: float) -> bool:
-        """Names the server; False if nobody waits for it any more."""
-        if self.call.is_over or self.place != Place.ASKED:
+    def send_decision(self, attempt: Attempt, address: bytes, time_left_s: float) -> bool:
+        """Names the server; returns False if nobody waits for it any more."""
+        if self.call.is_over or self.state != StreamState.AWAITING_DECISION:
             return False
-        self.attempt, self.place = attempt, Place.DECIDED
-        self.call.send(self.words.decision(place, left))
-        self.dispatcher.answered(self.call)
+        self.attempt = attempt
+        self.state = StreamState.DECIDED
+        self.call.send(self.encoder.decision(address, time_left_s))
+        self.dispatcher.schedule_flush(self.call)
         return True
 
-    def settled(self) -> None:
-        """The exchange has its answer; a decision is written already."""
+    def on_response(self) -> None:
+        """The exchange has its final response; one that names a server is written already."""
         if self.exchange is None or self.exchange.response is None:
             return
-        answer = self.exchange.response
-        if answer.status != ROUTED and self.place == Place.ASKED:
-            self.dispatcher.refused(self.exchange)
-            reason = "refused" if answer.status == REJECTED_STATUS else "failed"
-            self._immediate(answer.status, reason, answer.retry_after_s)
+        response = self.exchange.response
+        if response.status != ROUTED_STATUS and self.state == StreamState.AWAITING_DECISION:
+            self.dispatcher.record_rejection(self.exchange)
+            reason = "refused" if response.status == REJECTED_STATUS else "failed"
+            self._send_immediate(response.status, reason, response.retry_after_s)
             self.exchange = None
 
-    def _immediate(self, status: int, reason: str, stay_away: float) -> None:
-        self.place = Place.ENDED
-        self.call.send(self.words.immediate(status, reason, stay_away))
+    def _send_immediate(self, status: int, reason: str, retry_after_s: float = 0.0) -> None:
+        self.state = StreamState.ENDED
+        self.call.send(self.encoder.immediate(status, reason, retry_after_s))
         self.call.finish()
-        self.dispatcher.answered(self.call)
-
-    def give_up(self) -> None:
-        """The server's time is over and the proxy says nothing: the attempt has run out of time."""
-        if self.place == Place.DECIDED:
-            self._done(Outcome.TIMED_OUT, None)
-            self.place = Place.OVERDUE
-
-
-class Words:
-    """The answers that name a server, or that there is none, in the terms of the file."""
-
-    def __init__(self, header: str, namespace: str, time_header: str) -> None:
-        self._header, self._namespace, self._time_header = header, namespace, time_header
-        self._known: dict[bytes, bytes] = {}
-
-    def decision(self, place: bytes, left: float) -> bytes:
-        """The encoded response that names a server; cached where no time is passed on."""
-        known = self._known.get(place)
-        if known is None:
-            if len(self._known) > 65536:
-                self._known.clear()  # servers come and go for years
-            known = self._known[place] = self._decision(place)
-        if not self._time_header:
-            return known
-        answer = ProcessingResponse.FromString(known)
-        self._set(answer, self._time_header, b"%d" % max(1, int(left * 1000)))
-        return answer.SerializeToString()
-
-    def _decision(self, place: bytes) -> bytes:
-        answer = ProcessingResponse()
-        if self._header:
-            self._set(answer, self._header, place)
-        else:
-            answer.request_headers.SetInParent()
-        if self._namespace:
-            fields = answer.dynamic_metadata.fields[self._namespace].struct_value.fields
-            fields[self._header or "destination"].string_value = place.decode("ascii")
-        return answer.SerializeToString()
-
-    @staticmethod
-    def _set(answer: Any, name: str, value: bytes) -> None:
-        one = answer.request_headers.response.header_mutation.set_headers.add()
-        one.header.key, one.header.raw_value = name, value
-        one.append_action = 2  # OVERWRITE_IF_EXISTS_OR_ADD: a client's own header must not win
-
-    @staticmethod
-    def immediate(status: int, reason: str, stay_away: float) -> bytes:
-        """The encoded response that has the proxy answer the client itself."""
-        answer = ProcessingResponse()
-        answer.immediate_response.status.code = status
-        answer.immediate_response.details = f"wheatroute-{reason.replace(' ', '-')}"
-        answer.immediate_response.body = reason.encode() + b"\n"
-        if stay_away > 0.0:
-            one = answer.immediate_response.headers.set_headers.add()
-            # whole seconds, as clients beyond the proxy read it by the standard
-            one.header.key, one.header.raw_value = "retry-after", b"%d" % ceil(stay_away)
-        return answer.SerializeToString()
-
-
-def _flags(request: Any) -> int:
-    for told in request.attributes.values():
-        if FLAGS in told.fields:
-            return int(told.fields[FLAGS].number_value)
-    return 0
-
-
-def _pass(which: str) -> bytes:
-    answer = ProcessingResponse()
-    getattr(answer, which).SetInParent()
-    return answer.SerializeToString()
-
-
-_PASS = {
-    which: _pass(which)
-    for which in (
-        "response_headers",
-        "request_body",
-        "response_body",
-        "request_trailers",
-        "response_trailers",
-    )
-}
+        self.dispatcher.schedule_flush(self.call)
+
+    def expire(self) -> None:
+        """The server's time is over and the proxy says nothing: the attempt has timed out."""
+        if self.state == StreamState.DECIDED:
+            self._finish_attempt(Outcome.TIMED_OUT, None)
+            self.state = StreamState.OVERDUE
