--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-import sys
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar
 
 import click
 
+from wheatroute.commands.exit_status import exit_with_error
+
+Result = TypeVar("Result")
+
 
 @click.group()
 def fleet() -> None:
@@ -25,15 +28,15 @@
 
     from wheatroute.fleet import experiment
 
-    told = _plan(lambda: experiment.read(file))
+    plan = _or_exit(lambda: experiment.read(file))
     into = Path(folder or Path(file).with_suffix(""))
-    with click.progressbar(length=1, label=told.name) as bar:
+    with click.progressbar(length=1, label=plan.name) as progress_bar:
 
-        def tell(done: int, of: int) -> None:
-            bar.length = of
-            bar.update(1)
+        def show_progress(done: int, total: int) -> None:
+            progress_bar.length = total
+            progress_bar.update(1)
 
-        count = experiment.carry_out(told, into, workers or os.cpu_count() or 1, tell)
+        count = experiment.carry_out(plan, into, workers or os.cpu_count() or 1, show_progress)
     click.echo(f"{into}: {count} runs played, {len(experiment.kept(into))} kept")
 
 
@@ -47,15 +50,15 @@
     from wheatroute.fleet import experiment, report
 
     into = Path(folder)
-    kept = list(experiment.kept(into).values())
-    if not kept:
-        click.echo(f"{folder}: no runs are kept there", err=True)
-        sys.exit(2)
-    text = report.page(into.name, kept)
-    for name in report.plots(kept, into) if plots else ():
+    runs = list(experiment.kept(into).values())
+    if not runs:
+        exit_with_error(f"{folder}: no runs are kept there")
+    text = report.page(into.name, runs)
+    for name in report.plots(runs, into) if plots else ():
         text += f"\n![{name}]({name})\n"
-    into.joinpath("report.md").write_text(text, encoding="utf-8")
-    click.echo(f"{into / 'report.md'}: {len(kept)} runs")
+    page = into / "report.md"
+    page.write_text(text, encoding="utf-8")
+    click.echo(f"{page}: {len(runs)} runs")
 
 
 @fleet.command("trace")
@@ -69,15 +72,15 @@
     """Plays the first point of the experiment in FILE again and tells the story of one request."""
     from wheatroute.fleet import trace
 
-    for line in _plan(lambda: trace.story(file, policy, seed, number)):
+    for line in _or_exit(lambda: trace.story(file, policy, seed, number)):
         click.echo(line)
 
 
-def _plan(do: Callable[[], Any]) -> Any:
-    from wheatroute.fleet import plan
+def _or_exit(read: Callable[[], Result]) -> Result:
+    """Returns what `read` does; ends the process if a plan has errors."""
+    from wheatroute.fleet.plan import PlanError
 
     try:
-        return do()
-    except plan.PlanError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
+        return read()
+    except PlanError as error:
+        exit_with_error(str(error))
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -6,6 +6,11 @@
 
 import click
 
+from wheatroute.commands.exit_status import exit_with_error
+
+PERCENT = 100
+BROKEN_PROMISE_STATUS = 1
+
 
 @click.group()
 def rig() -> None:
@@ -28,24 +33,23 @@
     from wheatroute.rig.processes import RigError
 
     try:
-        told = script.read(file)
+        rig_script = script.read(file)
         into = Path(folder or Path(file).with_suffix(""))
         if into.exists() and any(into.iterdir()):
             raise script.ScriptError(f"{into}: holds something already, name another folder with --into")
-        with click.progressbar(length=100, label=told.name, file=sys.stderr) as bar:
+        with click.progressbar(length=PERCENT, label=rig_script.name, file=sys.stderr) as progress_bar:
 
-            def tell(done: float) -> None:
-                bar.update(int(done * 100) - bar.pos)
+            def show_progress(done: float) -> None:
+                progress_bar.update(int(done * PERCENT) - progress_bar.pos)
 
-            summary = trio.run(script.play, told, into, tell)
-    except (script.ScriptError, RigError, BaseExceptionGroup) as trouble:
-        found = first_error(trouble)
+            summary = trio.run(script.play, rig_script, into, show_progress)
+    except (script.ScriptError, RigError, BaseExceptionGroup) as error:
+        found = first_error(error)
         if not isinstance(found, script.ScriptError | RigError):
             raise
-        click.echo(str(found), err=True)
-        sys.exit(2)
+        exit_with_error(str(found))
     click.echo(json.dumps(summary) if as_json else "\n".join(script.lines(summary, into)))
-    sys.exit(1 if summary["broken"] else 0)
+    sys.exit(BROKEN_PROMISE_STATUS if summary["broken"] else 0)
 
 
 @rig.command("report")
@@ -58,6 +62,5 @@
 
     try:
         click.echo(str(script.report(Path(folder))))
-    except FileNotFoundError as trouble:
-        click.echo(f"{folder}: keeps no run: {trouble.filename} is missing", err=True)
-        sys.exit(2)
+    except FileNotFoundError as error:
+        exit_with_error(f"{folder}: keeps no run: {error.filename} is missing")
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -3,133 +3,148 @@
 from __future__ import annotations
 
 import sys
+from typing import Any
 
 import click
 
-from wheatroute.commands.place import at_place
+from wheatroute.commands.exit_status import exit_with_error
+from wheatroute.commands.store_access import (
+    STORE_URL_FORMAT,
+    machine_name,
+    run_until_interrupted,
+    run_with_store,
+)
+
+POLL_INTERVAL_S = 1.0
+NOT_ENDED_STATUS = 3  # it was taken back, or is not over
+PHASES_NOT_WAITED_FOR = ("ended", "none", "held")
 
 
 @click.group()
 @click.option(
-    "--at",
-    envvar="WHEATROUTE_ROLLOUTS",
-    help="a directory, or etcd://HOST:PORT,HOST:PORT/PREFIX; also WHEATROUTE_ROLLOUTS",
+    "--at", "url", envvar="WHEATROUTE_ROLLOUTS", help=f"{STORE_URL_FORMAT}; also WHEATROUTE_ROLLOUTS"
 )
 @click.pass_context
-def rollout(context: click.Context, at: str) -> None:
+def rollout(context: click.Context, url: str) -> None:
     """A change of the program in stages. Exit status 2: bad input, 3: not as it stands, 4: ask later."""
-    context.obj = at
+    context.obj = url
 
 
 @rollout.command("start")
 @click.argument("file", type=click.Path())
 @click.option("--why", required=True)
 @click.pass_obj
-def rollout_start(at: str, file: str, why: str) -> None:
+def rollout_start(url: str, file: str, why: str) -> None:
     """Begins the rollout that FILE plans."""
     from wheatroute.rollout import operator, plan
 
     try:
-        told = plan.read_plan(file)
-    except plan.PlanError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
-    click.echo(f"rollout {at_place(at, lambda place: operator.start(place, told, why))} begun")
+        rollout_plan = plan.read_plan(file)
+    except plan.PlanError as error:
+        exit_with_error(str(error))
+    number = run_with_store(url, lambda store: operator.start(store, rollout_plan, why))
+    click.echo(f"rollout {number} begun")
 
 
 @rollout.command("status")
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--wait", type=float, default=0.0, metavar="SECONDS", help="until it has ended")
+@click.option("--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until it has ended")
 @click.pass_obj
-def rollout_status(at: str, as_json: bool, wait: float) -> None:
+def rollout_status(url: str, as_json: bool, wait_s: float) -> None:
     """The stage, a row a node, and what the judge sees; exit status 3 if it was taken back or is not over."""
-    import json
+    shows_progress = not as_json and sys.stdout.isatty()
+    status = _wait_for_end(url, wait_s, shows_progress)
+    _print_status(status, as_json)
+    has_succeeded = status["phase"] == "ended" and not status["reason"]
+    sys.exit(NOT_ENDED_STATUS if wait_s and not has_succeeded else 0)
+
+
+def _wait_for_end(url: str, wait_s: float, shows_progress: bool) -> dict[str, Any]:
+    """Returns the status of the rollout once it has ended or is held, or after the time."""
     import time
 
-    from wheatroute.rollout import operator, operator_output
+    from wheatroute.rollout import operator
 
-    until = time.monotonic() + wait
+    deadline = time.monotonic() + wait_s
     while True:
-        told = at_place(at, operator.rollout_status)
-        if told["phase"] in ("ended", "none", "held") or time.monotonic() >= until:
-            break
-        if not as_json and sys.stdout.isatty():
+        status = run_with_store(url, operator.rollout_status)
+        if status["phase"] in PHASES_NOT_WAITED_FOR or time.monotonic() >= deadline:
+            return status
+        if shows_progress:
             click.clear()
-            click.echo("\n".join(operator_output.status_lines(told)))
-        time.sleep(1.0)
-    click.echo(json.dumps(told) if as_json else "\n".join(operator_output.status_lines(told)))
-    sys.exit(3 if wait and (told["phase"] != "ended" or told["reason"]) else 0)
+            _print_status(status, as_json=False)
+        time.sleep(POLL_INTERVAL_S)
+
+
+def _print_status(status: dict[str, Any], as_json: bool) -> None:
+    import json
+
+    from wheatroute.rollout import operator_output
+
+    click.echo(json.dumps(status) if as_json else "\n".join(operator_output.status_lines(status)))
 
 
 @rollout.command("log")
 @click.pass_obj
-def rollout_log(at: str) -> None:
+def rollout_log(url: str) -> None:
     """Every step of all rollouts, with the evidence of each verdict."""
     from wheatroute.rollout import operator, operator_output
 
-    click.echo("\n".join(operator_output.log_lines(at_place(at, operator.read_progress))))
+    progress = run_with_store(url, operator.read_progress)
+    click.echo("\n".join(operator_output.log_lines(progress)))
 
 
 @rollout.command("hold")
 @click.option("--why", required=True)
 @click.pass_obj
-def rollout_hold(at: str, why: str) -> None:
+def rollout_hold(url: str, why: str) -> None:
     """Nothing more changes until `go` or `back`."""
     from wheatroute.rollout import operator
 
-    click.echo(f"held by record {at_place(at, lambda place: operator.hold(place, why))}")
+    record = run_with_store(url, lambda store: operator.hold(store, why))
+    click.echo(f"held by record {record}")
 
 
 @rollout.command("go")
 @click.pass_obj
-def rollout_go(at: str) -> None:
+def rollout_go(url: str) -> None:
     """Goes on from where it is held; what was held in a stage counts as passed."""
     from wheatroute.rollout import operator
 
-    click.echo(f"goes on by record {at_place(at, operator.resume)}")
+    record = run_with_store(url, operator.resume)
+    click.echo(f"goes on by record {record}")
 
 
 @rollout.command("back")
 @click.option("--why", required=True)
 @click.pass_obj
-def rollout_back(at: str, why: str) -> None:
+def rollout_back(url: str, why: str) -> None:
     """All nodes go back to the old program."""
     from wheatroute.rollout import operator
 
-    click.echo(f"goes back by record {at_place(at, lambda place: operator.roll_back(place, why))}")
+    record = run_with_store(url, lambda store: operator.roll_back(store, why))
+    click.echo(f"goes back by record {record}")
 
 
 @rollout.command("control")
 @click.option("--name", default="", help="of this machine; by default its host name")
 @click.pass_obj
-def rollout_control(at: str, name: str) -> None:
+def rollout_control(url: str, name: str) -> None:
     """Watches and judges, and takes the steps; any number of them may run, one of them acts."""
-    import socket
-
-    import trio
-
     from wheatroute.agreement import operator
     from wheatroute.agreement.directory_store import DirectoryStore
-    from wheatroute.agreement.operator_errors import OperatorError
-    from wheatroute.agreement.version_store import VersionStoreError, running_store
+    from wheatroute.agreement.version_store import running_store
     from wheatroute.net.log import open_log
     from wheatroute.rollout.controller import Controller
 
-    if not at:
-        click.echo("rollout: no place: --at or WHEATROUTE_ROLLOUTS", err=True)
-        sys.exit(2)
+    if not url:
+        exit_with_error("rollout: no place: --at or WHEATROUTE_ROLLOUTS")
 
     async def control() -> None:
-        place = operator.store_from_url(at)
-        if isinstance(place, DirectoryStore):
-            place.create()
-        async with running_store(place):
-            await Controller(place, open_log(f"controller-{name or socket.gethostname()}")).run()
+        store = operator.store_from_url(url)
+        if isinstance(store, DirectoryStore):
+            store.create()
+        async with running_store(store):
+            await Controller(store, open_log(f"controller-{machine_name(name)}")).run()
 
-    try:
-        trio.run(control)
-    except KeyboardInterrupt:
-        sys.exit(0)
-    except (OperatorError, VersionStoreError) as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
+    run_until_interrupted(control)
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -3,180 +3,195 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING, Any
 
 import click
 
-from wheatroute.commands.place import at_place
+from wheatroute.commands.exit_status import exit_with_error
+from wheatroute.commands.store_access import (
+    STORE_URL_FORMAT,
+    machine_name,
+    run_until_interrupted,
+    run_with_store,
+)
+
+if TYPE_CHECKING:
+    from wheatroute.agreement.version_store import VersionStore
+    from wheatroute.agreement.versions import Version
+
+NOT_IN_FORCE_STATUS = 3  # the version, or not at all processes
+DIGEST_CHARACTERS = 12
 
 
 @click.group()
 @click.option(
-    "--at",
-    envvar="WHEATROUTE_SETTINGS",
-    help="a directory, or etcd://HOST:PORT,HOST:PORT/PREFIX; also WHEATROUTE_SETTINGS",
+    "--at", "url", envvar="WHEATROUTE_SETTINGS", help=f"{STORE_URL_FORMAT}; also WHEATROUTE_SETTINGS"
 )
 @click.pass_context
-def settings(context: click.Context, at: str) -> None:
+def settings(context: click.Context, url: str) -> None:
     """Settings on which all processes agree. Exit status 2: bad input, 3: decide anew, 4: ask later."""
-    context.obj = at
+    context.obj = url
 
 
-def _put(at: str, what: Callable[[Any], Any], wait: float) -> None:
-    """Says what was put, and with `wait` what became of it: exit status 0 only once it is in force."""
-    from wheatroute.agreement import operator
+_wait_option = click.option(
+    "--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until it is in force or not"
+)
+_over_option = click.option(
+    "--over", type=click.IntRange(0), default=0, help="a version under way to be replaced"
+)
 
-    version = at_place(at, what)
-    click.echo(f"version {version.number} put, from {version.parent}, {version.digest[:12]}")
-    if wait > 0.0:
-        version = at_place(at, lambda place: operator.wait_for_outcome(place, version.number, wait))
-        click.echo(f"version {version.number}: {', '.join(version.outcomes) or 'still under way'}")
-        sys.exit(0 if version.state == "in force" else 3)
 
+def _put(url: str, put: Callable[[VersionStore], Awaitable[Version]], wait_s: float) -> None:
+    """Puts a version and prints it. With a wait the exit status is 0 only once it is in force."""
+    from wheatroute.agreement import operator
 
-_WAIT = click.option("--wait", type=float, default=0.0, metavar="SECONDS", help="until it is in force or not")
-_OVER = click.option("--over", type=click.IntRange(0), default=0, help="a version under way to be replaced")
+    version = run_with_store(url, put)
+    digest = version.digest[:DIGEST_CHARACTERS]
+    click.echo(f"version {version.number} put, from {version.parent}, {digest}")
+    if wait_s <= 0.0:
+        return
+    number = version.number
+    version = run_with_store(url, lambda store: operator.wait_for_outcome(store, number, wait_s))
+    click.echo(f"version {number}: {', '.join(version.outcomes) or 'still under way'}")
+    sys.exit(0 if version.state == "in force" else NOT_IN_FORCE_STATUS)
 
 
 @settings.command("put")
 @click.argument("file", type=click.Path())
 @click.option("--why", required=True)
-@_OVER
-@_WAIT
+@_over_option
+@_wait_option
 @click.pass_obj
-def settings_put(at: str, file: str, why: str, over: int, wait: float) -> None:
+def settings_put(url: str, file: str, why: str, over: int, wait_s: float) -> None:
     """Puts the table "settings" of FILE, JSON or TOML: every process checks it before it comes into force."""
     from wheatroute.agreement import operator
 
-    content, left = _checked(file)
-    if left:
-        click.echo(f"left out, as each process has its own: {', '.join(left)}", err=True)
-    _put(at, lambda place: operator.put_version(place, content, why, over), wait)
+    content, left_out = _read_content(file)
+    if left_out:
+        click.echo(f"left out, as each process has its own: {', '.join(left_out)}", err=True)
+    _put(url, lambda store: operator.put_version(store, content, why, over), wait_s)
 
 
-def _checked(file: str) -> tuple[dict[str, Any], list[str]]:
+def _read_content(file: str) -> tuple[dict[str, Any], list[str]]:
+    """Returns a version's content and the keys left out; ends the process if there are errors in it."""
     from wheatroute.agreement import version_content
     from wheatroute.agreement.operator_errors import OperatorError
 
     try:
         return version_content.read_content(file)
-    except OperatorError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(trouble.status)
+    except OperatorError as error:
+        exit_with_error(str(error), error.status)
 
 
 @settings.command("check")
 @click.argument("file", type=click.Path())
 def settings_check(file: str) -> None:
     """Says what is wrong with FILE as a version, a line each."""
-    content, _ = _checked(file)
-    told = content.get("file", {}).get("traffic_types") or content["settings"]["traffic-types"]
-    click.echo(f"{file}: good: {len(told)} request classes")
+    content, _ = _read_content(file)
+    request_classes = content.get("file", {}).get("traffic_types") or content["settings"]["traffic-types"]
+    click.echo(f"{file}: good: {len(request_classes)} request classes")
 
 
 @settings.command("back")
 @click.argument("number", type=click.IntRange(1))
 @click.option("--why", required=True)
-@_OVER
-@_WAIT
+@_over_option
+@_wait_option
 @click.pass_obj
-def settings_back(at: str, number: int, why: str, over: int, wait: float) -> None:
+def settings_back(url: str, number: int, why: str, over: int, wait_s: float) -> None:
     """Puts a new version with the content of version NUMBER."""
     from wheatroute.agreement import operator
     from wheatroute.agreement.operator_errors import OperatorError
 
-    async def back(place: Any) -> Any:
-        history = await operator.read_history(place)
+    async def put_again(store: VersionStore) -> Version:
+        history = await operator.read_history(store)
         if number not in history.versions:
             raise OperatorError(f"there is no version {number}", 2)
-        return await operator.put_version(place, history.versions[number].content, why, over)
+        return await operator.put_version(store, history.versions[number].content, why, over)
 
-    _put(at, back, wait)
+    _put(url, put_again, wait_s)
 
 
 @settings.command("status")
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--wait", type=float, default=0.0, metavar="SECONDS", help="until all act on the one in force")
+@click.option(
+    "--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until all act on the one in force"
+)
 @click.pass_obj
-def settings_status(at: str, as_json: bool, wait: float) -> None:
+def settings_status(url: str, as_json: bool, wait_s: float) -> None:
     """A row a process: phase, version, confirmed how long ago, why it holds back."""
     import json
+
+    from wheatroute.agreement import operator, operator_output
+
+    status = run_with_store(url, lambda store: _wait_until_settled(store, wait_s))
+    click.echo(json.dumps(status) if as_json else "\n".join(operator_output.status_lines(status)))
+    sys.exit(0 if operator.is_settled(status) or not wait_s else NOT_IN_FORCE_STATUS)
+
+
+async def _wait_until_settled(store: VersionStore, wait_s: float) -> dict[str, Any]:
+    """Returns the status once all processes act on the active version, or after the time."""
     import time
 
     import trio
 
-    from wheatroute.agreement import operator, operator_output
-
-    async def look(place: Any) -> Any:
-        until = time.monotonic() + wait
-        while True:
-            told = await operator.agreement_status(place)
-            if operator.is_settled(told) or time.monotonic() >= until:
-                return told
-            await trio.sleep(operator.POLL_INTERVAL_S)
+    from wheatroute.agreement import operator
 
-    told = at_place(at, look)
-    click.echo(json.dumps(told) if as_json else "\n".join(operator_output.status_lines(told)))
-    sys.exit(0 if operator.is_settled(told) or not wait else 3)
+    deadline = time.monotonic() + wait_s
+    while True:
+        status = await operator.agreement_status(store)
+        if operator.is_settled(status) or time.monotonic() >= deadline:
+            return status
+        await trio.sleep(operator.POLL_INTERVAL_S)
 
 
 @settings.command("log")
 @click.pass_obj
-def settings_log(at: str) -> None:
+def settings_log(url: str) -> None:
     """All versions: who put them, why, and what became of them."""
     from wheatroute.agreement import operator, operator_output
 
-    click.echo("\n".join(operator_output.log_lines(at_place(at, operator.read_history))))
+    history = run_with_store(url, operator.read_history)
+    click.echo("\n".join(operator_output.log_lines(history)))
 
 
 @settings.command("diff")
 @click.argument("first", type=click.IntRange(1))
 @click.argument("second", type=click.IntRange(1))
 @click.pass_obj
-def settings_diff(at: str, first: int, second: int) -> None:
+def settings_diff(url: str, first: int, second: int) -> None:
     """What differs between two versions; ! marks what two processes may not hold unlike at once."""
     from wheatroute.agreement import operator, operator_output
 
-    async def look(place: Any) -> Any:
-        return operator_output.diff_lines(await operator.read_history(place), first, second)
+    async def read_difference(store: VersionStore) -> list[str]:
+        return operator_output.diff_lines(await operator.read_history(store), first, second)
 
-    click.echo("\n".join(at_place(at, look)))
+    click.echo("\n".join(run_with_store(url, read_difference)))
 
 
 @settings.command("relay")
 @click.option("--into", "directory", type=click.Path(), required=True, help="the directory to keep")
-@click.option("--within", type=click.FloatRange(0.1, 3600.0), default=10.0, show_default=True)
+@click.option("--within", "within_s", type=click.FloatRange(0.1, 3600.0), default=10.0, show_default=True)
 @click.option("--name", default="", help="of this machine; by default its host name")
 @click.pass_obj
-def settings_relay(at: str, directory: str, within: float, name: str) -> None:
+def settings_relay(url: str, directory: str, within_s: float, name: str) -> None:
     """Asks the place for all processes of this machine, and keeps a directory like it, which they ask."""
-    import socket
-
-    import trio
-
     from wheatroute.agreement import operator
-    from wheatroute.agreement.operator_errors import OperatorError
+    from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE
     from wheatroute.agreement.relay import run_relay
     from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION
-    from wheatroute.agreement.version_store import VersionStoreError
     from wheatroute.net.log import open_log
 
-    if not at:
-        click.echo("settings: no place: --at or WHEATROUTE_SETTINGS", err=True)
-        sys.exit(2)
-    called = name or socket.gethostname()
-    try:
-        trio.run(
-            run_relay,
-            lambda lasts: operator.store_from_url(at, EXCHANGE_TIMEOUT_FRACTION * lasts / 3.0),
-            directory,
-            f"relay-{called}",
-            within,
-            open_log(called),
-        )
-    except KeyboardInterrupt:
-        sys.exit(0)
-    except (OperatorError, VersionStoreError) as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
+    if not url:
+        exit_with_error("settings: no place: --at or WHEATROUTE_SETTINGS")
+    machine = machine_name(name)
+
+    def open_store(confirmation_ttl_s: float) -> VersionStore:
+        exchange_timeout_s = EXCHANGE_TIMEOUT_FRACTION * confirmation_ttl_s
+        return operator.store_from_url(url, exchange_timeout_s / MAX_ENDPOINTS_PER_EXCHANGE)
+
+    async def relay() -> None:
+        await run_relay(open_store, directory, f"relay-{machine}", within_s, open_log(machine))
+
+    run_until_interrupted(relay)
