--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -7,7 +7,7 @@
 import time
 
 import trio
-from test_processor import FILE, PLACE, VIEW, asking, servers
+from processor_harness import PLACE, SETTINGS_TEXT, VIEW, open_request, server_tables
 
 from wheatroute.agreement import operator, version_content
 from wheatroute.agreement.directory_store import DirectoryStore
@@ -24,7 +24,7 @@
                 held = reserved()
                 place = held.getsockname()
                 path, store = tmp_path / "file.toml", tmp_path / "store"
-                text = FILE.format(servers=servers()).replace(
+                text = SETTINGS_TEXT.format(servers=server_tables()).replace(
                     'listen = "127.0.0.1:1"', f'listen = "127.0.0.1:{place[1]}"\nworkers = 2'
                 )
                 path.write_text(text + f'[agreement]\ndirectory = "{store}"\nwithin = {WITHIN}\n')
@@ -73,7 +73,7 @@
         """Whether a proxy's request is sent to a server; what became of it is never said."""
         async with connected(Channel(self.place)) as channel:
             await channel.session()
-            async with asking(channel, *what, **how) as opened:
+            async with open_request(channel, *what, **how) as opened:
                 return isinstance(await opened.decision(), str)
 
 
--- a/tests/processor/test_attempt_history.py
+++ b/tests/processor/test_attempt_history.py
@@ -1,4 +1,4 @@
-"""Rule two across the tries of a proxy, without I/O."""
+"""Attempts of one request id: what a retry may do after those before it; without I/O."""
 
 import pytest
 
@@ -22,14 +22,14 @@
 
 def test_an_id_is_remembered_for_as_long_as_a_further_try_can_come():
     history = AttemptHistory(REQUEST_CLASSES, 4.0, 100)
-    one, _ = history.begin_attempt(b"a", 2, 0.0, 2.0, 1)
-    history.record_decision(one, 3, 0.1)
+    attempt, _ = history.begin_attempt(b"a", 2, 0.0, 2.0, 1)
+    history.record_decision(attempt, 3, 0.1)
     assert rejection_of(history, b"a", 2, 3.0, 2.0, 2) == Rejection.MAY_HAVE_RUN
     assert history.begin_attempt(b"b", 0, 4.1, 2.0, 1)[1] == () and len(history) == 1
     for n in range(500):  # ids that are asked for again and again stay, and no other
         try:
-            one, earlier = history.begin_attempt(b"c", 0, 5.0 + n, 2.0, 1)
-            history.record_decision(one, n, 5.0 + n)
+            attempt, earlier = history.begin_attempt(b"c", 0, 5.0 + n, 2.0, 1)
+            history.record_decision(attempt, n, 5.0 + n)
             assert len(earlier) == n
         except RejectedError:
             raise AssertionError("a safe request may always have another try") from None
@@ -70,6 +70,6 @@
 def test_a_try_that_was_refused_counts_for_nothing():
     history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
     for n in range(5):
-        one, earlier = history.begin_attempt(b"a", 2, n * 0.1, 2.0, n + 1 if n else 1)
+        attempt, earlier = history.begin_attempt(b"a", 2, n * 0.1, 2.0, n + 1 if n else 1)
         assert earlier == ()
-        history.record_never_ran(one)
+        history.record_never_ran(attempt)
