--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -25,7 +25,7 @@
 from wheatroute.processor.worker_settings import WorkerSettings, derive_worker_settings
 
 
-def shared(settings: Settings, worker: int) -> DeriveSettings:
+def derive_for_worker(settings: Settings, worker: int) -> DeriveSettings:
     """Return a function that derives what a worker acts on from a version's content and the worker's file."""
 
     def derive(content: dict[str, Any]) -> dict[str, Any]:
@@ -100,7 +100,7 @@
     return VersionFollower(
         store,
         member,
-        VersionAdapter(_derived(own), shared(settings, worker)),
+        VersionAdapter(_derived(own), derive_for_worker(settings, worker)),
         apply,
         dispatcher.driver.handle_events_now,
         lambda: discovery.list_version,
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
@@ -14,6 +14,14 @@
 from wheatroute.commands.rollout import rollout
 from wheatroute.commands.settings import settings
 
+if TYPE_CHECKING:
+    from wheatroute.config.settings import Settings
+    from wheatroute.net.log import Logger
+    from wheatroute.processor.discovery import WorkerDiscovery
+    from wheatroute.processor.dispatcher import Dispatcher
+    from wheatroute.processor.worker import SettingsFollower
+    from wheatroute.processor.worker_settings import WorkerSettings
+
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="wheatroute")
@@ -41,15 +49,23 @@
     """The external processor that FILE describes: other proxies ask it where to send."""
     from wheatroute.processor import program
 
-    def follow(*parts: Any) -> Any:
-        # imported here: a file without [agreement] does not pay for it
-        from wheatroute.agreement import processor as agreement
+    if worker is None:
+        sys.exit(program.run(file, _follow_agreement))
+    sys.exit(program.run_worker(file, worker, descriptor, follow=_follow_agreement))
+
 
-        return agreement.follow(*parts)
+def _follow_agreement(
+    settings: Settings,
+    worker: int,
+    own: WorkerSettings,
+    dispatcher: Dispatcher,
+    discovery: WorkerDiscovery,
+    log: Logger,
+) -> SettingsFollower:
+    # imported here: a file without [agreement] does not pay for it
+    from wheatroute.agreement import processor as agreement
 
-    if worker is None:
-        sys.exit(program.run(file, follow))
-    sys.exit(program.run_worker(file, worker, descriptor, follow=follow))
+    return agreement.follow(settings, worker, own, dispatcher, discovery, log)
 
 
 @main.command()
@@ -60,15 +76,15 @@
     from wheatroute.tls import ServerContext, TlsError
 
     try:
-        settings = settings_file.read(file)
-        if settings.processor is not None and (tls := settings.processor.tls) is not None:
+        checked = settings_file.read(file)
+        if checked.processor is not None and (tls := checked.processor.tls) is not None:
             ServerContext(tls.certificate, tls.key, tls.client_authorities)
     except settings_file.ConfigError as error:
         exit_with_error(str(error))
     except TlsError as error:
         exit_with_error(f"{file}: processor.tls: {error}")
-    front = "processor" if settings.processor is not None else "no front"
-    counts = f"{len(settings.pools)} pools, {len(settings.request_classes)} request classes"
+    front = "processor" if checked.processor is not None else "no front"
+    counts = f"{len(checked.pools)} pools, {len(checked.request_classes)} request classes"
     click.echo(f"{file}: good: {counts}, {front}")
 
 
@@ -85,8 +101,8 @@
     from wheatroute.rollout.supervisor_settings import SupervisorSettingsError, read_supervisor_settings
 
     try:
-        settings = read_supervisor_settings(file)
-        trio.run(run_supervisor, settings, open_log(f"supervisor-{settings.name}"))
+        own = read_supervisor_settings(file)
+        trio.run(run_supervisor, own, open_log(f"supervisor-{own.name}"))
     except (SupervisorSettingsError, BaseExceptionGroup) as error:
         found = first_error(error)
         if not isinstance(found, SupervisorSettingsError | VersionStoreError):
