--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -37,7 +37,7 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
-STORIES = ("test_stories", "test_shapes", "test_agreed")  # test modules that are played to both
+SCENARIOS = sorted((ROOT / "tests" / "balancing").glob("test_*.py"))  # test modules that are played to both
 REQUEST_INTERVAL_S = 0.0005
 SERVICE_TIME_S = 0.02
 
@@ -388,8 +388,8 @@
                 self.first_differences.append(f"{now:.4f}: {earlier.made[:4]} against {present.made[:4]}")
 
 
-def compare(commit: str, requests: int, stories: bool) -> Counter[str]:
-    """Both modules on generated days of many shapes, and on every story of the decisions.
+def compare(commit: str, requests: int, with_scenarios: bool) -> Counter[str]:
+    """Both modules on generated days of many shapes, and on every scenario of the decisions.
 
     The two departures that spread work over rounds are off here: they begin with `MAX_SERVERS_PER_TICK`
     servers in the subset and with `MAX_SCANS` requests that wait, and what they change is for the bench to
@@ -417,23 +417,23 @@
         for rough in (False, True):
             day = Day(servers, 7 + i, rough, apart, work, zones)
             day.play(twin(decision_settings(nodes, **changes), random.Random(i)), requests)
-    if stories:
-        _stories(twin)
+    if with_scenarios:
+        _play_scenarios(twin)
     server_selection.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
     queue_management.MAX_SCANS = decide.MAX_SCANS
     return Twin.tally
 
 
-def _stories(twin: Callable[[Any, random.Random], Twin]) -> None:
+def _play_scenarios(twin: Callable[[Any, random.Random], Twin]) -> None:
     """The tests of the decisions, with both modules in the place of one."""
     import balancer_host
 
     balancer_host.Balancer = twin
-    for name in STORIES:
-        for test_name, test in vars(importlib.import_module(name)).items():
+    for path in SCENARIOS:
+        for test_name, test in vars(importlib.import_module(path.stem)).items():
             if test_name.startswith("test_") and not test.__code__.co_argcount:
                 test()
-                Twin.tally["stories"] += 1
+                Twin.tally["scenarios"] += 1
     balancer_host.Balancer = decide.Balancer
 
 
@@ -474,7 +474,7 @@
             print(f"      {told.against}  {cost(earlier, servers, requests, told.rough)}")
     commit = told.against or BASE
     try:
-        tally = compare(commit, 2500 if told.short else 8000, stories=True)
+        tally = compare(commit, 2500 if told.short else 8000, with_scenarios=True)
     except subprocess.CalledProcessError:
         print(f"no commit {commit}: nothing compared")
         tally = Counter()
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -49,6 +49,11 @@
     return replace(usual, **changes)
 
 
+# settings of nodes that probe servers for how much waits there, and send each other what they heard
+REPORTS_WAIT = {"report_how": "probe", "reported": ["queued", "rate"], "can_probe": True, "has_peers": True}
+SERVED, NEVER = (Outcome.SERVED, 0.1), None  # how an attempt ends, and after how many seconds
+
+
 class BalancerHost:
     """Gives the decision module events and carries out its commands, which it keeps.
 
@@ -59,7 +64,7 @@
     def __init__(self, servers=4, answer=None, seed=1, start=100.0, entries=None, report=None, **changes):
         self.settings = decision_settings(**changes)
         self.balancer = Balancer(self.settings, random.Random(seed))
-        self.now, self.answer = start, answer or (lambda server, attempt: (Outcome.SERVED, 0.1))
+        self.now, self.answer = start, answer or (lambda server, attempt: SERVED)
         self.events, self.pending = [], []
         self.commands = []  # name, moment and arguments of each
         self.report = report or (lambda server: None)
@@ -173,6 +178,32 @@
         self.commands.append(("log", self.now, text))
 
 
-def only_slow(*slow):
+def failing_servers(*servers, outcome=NEVER):
+    """Attempts at the servers named end so, the others are served."""
+    return lambda server, attempt: outcome if server in servers else SERVED
+
+
+def slow_servers(*slow):
     """Servers that are all well, those named four times slower."""
     return lambda server, attempt: (Outcome.SERVED, 0.4 if server in slow else 0.1)
+
+
+def slow_at_times(server, attempt):
+    """The first attempt of every 25th request is slow."""
+    return (Outcome.SERVED, 0.8) if attempt[0] % 25 == 24 and attempt[1] == 0 else SERVED
+
+
+def node_at_its_limit(reported_load):
+    """One node of forty, its limit reached by its own little traffic; all eight servers report this load."""
+    report = {"held": reported_load}
+    host = BalancerHost(servers=8, nodes=40, reported=["held"], report=lambda server: report)
+    return host.run(3.0, 20).step(0.2)
+
+
+def run_with_light_reports(host, seconds, rate, **options):
+    """Requests at an even rate, while other nodes report that nothing waits at servers; their numbers."""
+    first = host.request_count
+    for _ in range(int(seconds * 4)):
+        host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(40), 0.0)))
+        host.run(0.25, rate, **options)
+    return range(first, host.request_count)
--- /dev/null
+++ b/tests/balancing/test_connections.py
@@ -0,0 +1,53 @@
+"""Connections that are lost while idle, and tiers that take no new ones."""
+
+from balancer_host import NEVER, SERVED, BalancerHost
+
+from wheatroute.balancing.idle_connections import IdleConnectionStatistics
+from wheatroute.balancing.interface import Outcome
+
+
+def test_idle_connections_that_lose_attempts_are_closed_before_the_next():
+    used = {}
+
+    def answer(server, attempt):
+        last, used[server] = used.get(server, host.now), host.now
+        is_closed = any(one[0] == "close" and one[1] >= last and one[2] == server for one in host.commands)
+        return SERVED if is_closed or host.now - last < 1.0 else NEVER
+
+    host = BalancerHost(8, answer=answer)
+    host.run(60.0, 8)
+    served = [
+        host.final_answers.get(n) == "served" and len(host.attempts[n]) == 1
+        for n in range(host.request_count - 6)
+    ]
+    assert host.command_count("close") > 20
+    assert sum(served[-100:]) > 85  # a third of them would go unanswered
+
+
+def test_attempts_lost_on_all_connections_alike_are_not_put_down_to_idleness():
+    idleness = IdleConnectionStatistics()
+    idleness.answered, idleness.lost = [10.0] * 7, [5.0] * 7
+    idleness.update()
+    assert idleness.max_idle_s > 1e9
+
+
+def test_a_tier_that_takes_no_new_connections_is_used_on_those_open():
+    is_refusing = [False]
+
+    def answer(server, attempt):
+        opened = host.open.setdefault(server, [0, 0])  # in use, open
+        opened[0] = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
+        if opened[0] <= opened[1]:
+            return SERVED
+        if is_refusing[0] and server:
+            return Outcome.UNCONNECTED, 0.1
+        opened[1] = opened[0]
+        return SERVED
+
+    host = BalancerHost(answer=answer, seed=3)
+    host.open = {}
+    host.run(4.0, 40)
+    is_refusing[0], since, first = True, host.now, host.request_count
+    host.run(6.0, 60)
+    failed = [n for n in range(first, host.request_count - 20) if host.final_answers.get(n) != "served"]
+    assert len(failed) < 10 and all(host.attempts_to(s, since) > 40 for s in range(4))
--- a/tests/test_agreed.py
+++ b/tests/balancing/test_settings_updates.py
@@ -1,34 +1,31 @@
-"""Other settings while requests are out: one short story for each way in which that could break a rule."""
+"""Settings that change while requests are in flight: one scenario for each way to break a rule by that."""
 
 from dataclasses import replace
 
-import structlog
-from balancer_host import IDEMPOTENT, KEYED, NON_IDEMPOTENT, BalancerHost, decision_settings
+from balancer_host import IDEMPOTENT, KEYED, NON_IDEMPOTENT, SERVED, BalancerHost, slow_servers
 
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome
 from wheatroute.balancing.settings import TenantQuota
-from wheatroute.net.balancer_driver import BalancerDriver
-from wheatroute.net.clock import now
 
 LOST = (Outcome.RESET, 0.2)
-SERVED = (Outcome.SERVED, 0.1)
 
 
-def agree(host, binding, kinds=None, **changes):
-    """Hands the module other settings; `kinds` are changes by the number of a class."""
+def change_settings(host, is_binding, class_changes=None, **changes):
+    """Hands the module other settings; `class_changes` are by the number of a request class."""
     classes = [
-        replace(kind, **(kinds or {}).get(i, {})) for i, kind in enumerate(host.settings.request_classes)
+        replace(one, **(class_changes or {}).get(i, {}))
+        for i, one in enumerate(host.settings.request_classes)
     ]
     host.settings = replace(host.settings, **({"request_classes": classes} | changes))
-    host.events.append((Event.SETTINGS_CHANGED, host.settings, binding))
+    host.events.append((Event.SETTINGS_CHANGED, host.settings, is_binding))
     return host
 
 
-def test_what_was_safe_when_it_was_taken_does_not_run_again_once_it_has_effects():
+def test_what_was_idempotent_on_arrival_does_not_run_again_once_it_is_not():
     host = BalancerHost(answer=lambda server, attempt: LOST)
     number = host.send_request(IDEMPOTENT)
     host.step(0.1)
-    agree(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT}}).step(1.0)
+    change_settings(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT}}).step(1.0)
     assert host.final_answers == {number: "failed"} and len(host.attempts[number]) == 1
     again = BalancerHost(answer=lambda server, attempt: LOST)
     number = again.send_request(IDEMPOTENT)
@@ -36,20 +33,22 @@
     assert len(again.attempts[number]) > 1  # as it was, it would
 
 
-def test_no_hedge_of_it_goes_out_either():
+def test_what_was_idempotent_on_arrival_is_not_hedged_once_it_is_not():
     host = BalancerHost(answer=lambda server, attempt: SERVED).run(3.0, 30)
     host.answer = lambda server, attempt: None
     number = host.send_request(IDEMPOTENT)
     host.step(0.05)
-    agree(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT}}, can_hedge=False).step(1.0)
+    change_settings(
+        host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT}}, can_hedge=False
+    ).step(1.0)
     assert len(host.attempts[number]) == 1
 
 
-def test_what_had_effects_when_it_was_taken_keeps_to_that_and_what_comes_after_does_not():
+def test_what_was_non_idempotent_on_arrival_stays_so_and_what_comes_after_does_not():
     host = BalancerHost(answer=lambda server, attempt: LOST)
     old = host.send_request(NON_IDEMPOTENT)
     host.step(0.1)
-    agree(host, False, {NON_IDEMPOTENT: {"idempotency": Idempotency.IDEMPOTENT}})
+    change_settings(host, False, {NON_IDEMPOTENT: {"idempotency": Idempotency.IDEMPOTENT}})
     new = host.send_request(NON_IDEMPOTENT)
     host.step(1.0)
     assert host.final_answers[old] == "failed" and len(host.attempts[old]) == 1
@@ -61,10 +60,10 @@
         host = BalancerHost(
             servers=8, seed=seed, answer=lambda server, attempt: LOST if attempt[1] == 0 else SERVED
         )
-        agree(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.ALL}})
+        change_settings(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.ALL}})
         number = host.send_request(KEYED)
         host.step(0.1)
-        agree(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.CELL}}).step(1.0)
+        change_settings(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.CELL}}).step(1.0)
         first, *more = host.attempts[number]
         assert more and all(server // 2 == first // 2 for server in more)  # cells of two
 
@@ -75,7 +74,7 @@
     while len({server // 2 for server in host.attempts[number]}) < 2:
         host.step(0.005)
     sent = len(host.attempts[number])
-    agree(
+    change_settings(
         host,
         True,
         {IDEMPOTENT: {"idempotency": Idempotency.KEYED, "deduplication_group": DeduplicationGroup.CELL}},
@@ -84,29 +83,24 @@
 
 
 def test_a_quota_that_halves_counts_at_once_and_a_new_tenant_has_one():
-    told = [TenantQuota(1.0, 100.0)]
-    host = BalancerHost(tenants=told)
+    host = BalancerHost(tenants=[TenantQuota(1.0, 100.0)])
     host.run(2.0, 50, tenant=0)
-    agree(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
-    assert (
-        host.balancer._components.quotas.tokens[0] <= 20.0
-        and host.balancer._components.quotas.tokens[1] == 40.0
-    )
+    change_settings(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
+    quotas = host.balancer._components.quotas
+    assert quotas.tokens[0] <= 20.0 and quotas.tokens[1] == 40.0
     host.run(1.0, 50, tenant=1)
-    assert host.balancer._components.quotas.tokens[1] < 40.0
+    assert quotas.tokens[1] < 40.0
 
 
-def test_a_request_class_that_comes_while_serving_is_served_and_nothing_learned_is_lost():
-    host = BalancerHost(answer=lambda server, attempt: (Outcome.SERVED, 0.4 if server == 0 else 0.1)).run(
-        4.0, 30
-    )
-    learned = list(host.balancer.servers.latency)
+def test_a_new_request_class_is_served_and_no_measurement_is_lost():
+    host = BalancerHost(answer=slow_servers(0)).run(4.0, 30)
+    latencies = list(host.balancer.servers.latency)
     classes = host.settings.request_classes
     host.settings = replace(host.settings, request_classes=[*classes, classes[IDEMPOTENT]])
     host.events.append((Event.SETTINGS_CHANGED, host.settings, True))
     number = host.send_request(3)
     host.step()
-    assert host.balancer.servers.latency == learned
+    assert host.balancer.servers.latency == latencies
     host.step(0.5)
     assert host.final_answers[number] == "served"
     before = host.now
@@ -114,21 +108,10 @@
     assert host.attempts_to(0, before) < host.attempts_to(1, before)
 
 
-def test_of_two_terms_agreed_in_one_pass_the_later_ones_stand_and_both_come_before_all_else():
-    driver = BalancerDriver(decision_settings(answer_slack_s=0.02), "1", structlog.get_logger())
-    seen = []
-    driver._balancer.handle_events = lambda now, events, writer: seen.extend(events)
-    driver.add_event(Event.LIST_FAILED)
-    driver.update_settings(decision_settings(answer_slack_s=0.02, max_attempts=1), True)
-    driver.update_settings(decision_settings(answer_slack_s=0.02, max_attempts=3), False)
-    driver.handle_events(now())
-    assert [event[1].max_attempts for event in seen[:2]] == [1, 3] and seen[2] == (Event.LIST_FAILED,)
-
-
-def test_a_careful_node_still_tries_a_barred_server_with_what_is_harmless():
+def test_a_conservative_node_still_tries_an_ejected_server_with_what_is_harmless():
     host = BalancerHost(answer=lambda server, attempt: None if server == 0 else SERVED).run(6.0, 30)
     assert host.balancer.servers.ejected_until[0]
-    agree(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT, "can_trial": True}})
+    change_settings(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT, "can_trial": True}})
     host.answer = lambda server, attempt: SERVED
     host.run(8.0, 30)
     assert not host.balancer.servers.ejected_until[0]
--- a/tests/test_benchmark_check.py
+++ b/tests/ci/test_benchmark_check.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-PROGRAM = Path(__file__).parent.parent / ".ci" / "benchmarks.py"
+PROGRAM = Path(__file__).parent.parent.parent / ".ci" / "benchmarks.py"
 GOOD = "import sys\nassert sys.argv[1:] == ['--short', '--json']\nprint('words')\nprint('{\"p50\": 1}')\n"
 
 
--- a/tests/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-PROGRAM = Path(__file__).parent.parent / ".ci" / "known_red.py"
+PROGRAM = Path(__file__).parent.parent.parent / ".ci" / "known_red.py"
 TESTS = """
 def test_good(): pass
 def test_bad(): assert not "bad"
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -1,44 +1,13 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""What single functions of the package's own modules give, one after the other; no sockets, no clock."""
 
 import pytest
 
 from wheatroute import peer_messages, quantiles, snapshot
-from wheatroute.balancing.idle_connections import IdleConnectionStatistics
-from wheatroute.balancing.ready_servers import ReadyServers
-from wheatroute.benchlink import host
 from wheatroute.platform_settings import decision_settings
 from wheatroute.rig.settings import change
-from wheatroute.standin import etcd_store, lean
 from wheatroute.wire_names import NameNumbering
 
 
-def test_host_batch():
-    assert host._batch(b'{"now":1.5,"nodes":[]}')["now"] == 1.5
-    with pytest.raises(host.MalformedError) as trouble:
-        host._batch(b'{"nodes":[]}')
-    assert str(trouble.value) == 'no clock in "now"'
-
-
-def test_idle_connections_step():
-    assert [IdleConnectionStatistics().step(idle) for idle in (0.0, 0.4, 0.5, 1.0, 1.9, 2.0, 900.0)] == [
-        0,
-        0,
-        1,
-        2,
-        2,
-        3,
-        6,
-    ]
-
-
-def test_ready_servers_ring():
-    ready = ReadyServers()
-    for server, model in ((5, 1), (2, 0), (3, 1), (9, 0), (4, 0)):
-        ready.add((0, model), server)
-    ready.remove((0, 0), 2)
-    assert ready.ring() == [3, 4, 5, 9]
-
-
 def test_quantiles_window():
     window = quantiles.SlidingWindow(10.0)
     for n in range(100):
@@ -102,15 +71,3 @@
         "traffic-types": [{"name": "look", "effect": "fragile"}],
         "most-open": 3,
     }
-
-
-def test_etcd_within():
-    assert (
-        etcd_store.within(b"a", b"a", b""),
-        etcd_store.within(b"b", b"a", b"b"),
-        etcd_store.within(b"z", b"a", bytes(1)),
-    ) == (True, False, True)
-
-
-def test_lean_frame():
-    assert lean.frame(lean.PING, 0, 0, b"12345678").hex() == "0000080600000000003132333435363738"
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -9,7 +9,7 @@
 
 import orjson
 import pytest
-from balancer_host import BalancerHost, only_slow
+from balancer_host import BalancerHost, slow_servers
 
 from wheatroute import snapshot, stored_statistics
 from wheatroute.balancing.interface import Outcome, ServerState
@@ -78,16 +78,16 @@
 
 def test_what_was_learned_comes_back_with_its_age_and_nothing_that_is_no_figure():
     names = {f"s{n}": n for n in range(4)}
-    before = BalancerHost(answer=only_slow(2)).run(6.0, 40)
+    before = BalancerHost(answer=slow_servers(2)).run(6.0, 40)
     told = stored_statistics.export_statistics(before.balancer, names, before.now)
     assert told["s2"]["latency"] > 2 * told["s1"]["latency"]
-    after = BalancerHost(answer=only_slow(2)).step()
+    after = BalancerHost(answer=slow_servers(2)).step()
     told["s1"] |= {"latency": float("nan")}
     told["s0"] |= {"age": -5.0}
     told["s9"] = told["s2"]
     assert stored_statistics.restore_statistics(after.balancer, told, names, after.now, 3.0) == 2  # s2 and s3
     after.run(0.9, 200)
-    fresh = BalancerHost(answer=only_slow(2)).run(0.9, 200)
+    fresh = BalancerHost(answer=slow_servers(2)).run(0.9, 200)
     assert after.attempts_to(2) < 0.8 * fresh.attempts_to(2)
 
 
