--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -164,8 +164,8 @@
     node.read_config()
     settings = node.settings
     assert settings.peers is None and settings.work_header == b""
-    assert settings.terms.calls_per_connection == 1
-    assert not settings.terms.has_peers  # allowed, but nobody is named: it probes for none
+    assert settings.decision_settings.calls_per_connection == 1
+    assert not settings.decision_settings.has_peers  # allowed, but nobody is named: it probes for none
 
 
 def test_strangers_and_nonsense_are_nothing_told():
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -390,9 +390,9 @@
         self.started.append((exchange, attempt))
 
 
-def make_driver(terms):
+def make_driver(settings):
     """A `BalancerDriver` without sockets, its balancer replaced by a list of the events it was given."""
-    driver, given = BalancerDriver(terms, "1", structlog.get_logger()), []
+    driver, given = BalancerDriver(settings, "1", structlog.get_logger()), []
     driver.upstream = Sender()
     driver._balancer = type(
         "Module", (), {"handle_events": lambda self, now, events, writer: given.extend(events)}
@@ -406,7 +406,7 @@
     return exchange
 
 
-TERMS = DecisionSettings(
+SETTINGS = DecisionSettings(
     max_attempts=2,
     answer_slack_s=0.02,
     request_classes=[RequestClass(value=1.0, idempotency=Idempotency.IDEMPOTENT)],
@@ -415,7 +415,7 @@
 
 def test_nothing_goes_out_for_a_request_that_has_its_answer():
     async def tell():
-        driver, given = make_driver(TERMS)
+        driver, given = make_driver(SETTINGS)
         exchange = request()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
@@ -432,7 +432,7 @@
 
 def test_a_request_ended_as_overdue_may_still_be_named_by_the_module_in_that_round():
     async def tell():
-        driver, _ = make_driver(TERMS)
+        driver, _ = make_driver(SETTINGS)
 
         def again(self, now, events, writer):
             for event in events:
@@ -531,8 +531,8 @@
 
 def test_a_connection_in_use_while_its_server_moves_is_not_kept():
     servers = ServerTable()
-    terms = replace(TERMS, connect_timeout_s=0.1, idle_timeout_s=30.0, report_how="none")
-    pool = ConnectionPool(terms, 9, 65536, servers, None)
+    settings = replace(SETTINGS, connect_timeout_s=0.1, idle_timeout_s=30.0, report_how="none")
+    pool = ConnectionPool(settings, 9, 65536, servers, None)
     holder = ConnectionHolder()
     holder.connection = Connection(socket.socket(), h11.CLIENT, "127.0.0.1:1")
     servers.set_address(0, ("127.0.0.1", 1))
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -58,9 +58,9 @@
     def __init__(self, settings: NodeSettings, log: Logger) -> None:
         self._settings, self._log = settings, log
         max_clients = int(settings.max_connections * CLIENT_CONNECTIONS_RATIO)
-        self._driver = driver = BalancerDriver(settings.terms, settings.seed, log)
+        self._driver = driver = BalancerDriver(settings.decision_settings, settings.seed, log)
         self._upstream = driver.upstream = Upstream(
-            settings.terms,
+            settings.decision_settings,
             settings.max_connections - max_clients,
             settings.max_response_bytes,
             driver,
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -61,11 +61,11 @@
 class BalancerDriver:
     """The balancer's only caller, and the `CommandWriter` of its commands."""
 
-    def __init__(self, terms: DecisionSettings, seed: str, log: Logger) -> None:
+    def __init__(self, settings: DecisionSettings, seed: str, log: Logger) -> None:
         self.event_loop_lag = EventLoopLag()
-        self._balancer = Balancer(terms, random.Random(seed))
-        self._max_attempts = terms.max_attempts
-        self._answer_slack_s = terms.answer_slack_s
+        self._balancer = Balancer(settings, random.Random(seed))
+        self._max_attempts = settings.max_attempts
+        self._answer_slack_s = settings.answer_slack_s
         self._log = log
         self._exchanges: dict[int, Exchange] = {}  # by number, until complete with no attempt in flight
         self._next_number = 0
@@ -133,7 +133,7 @@
             report,
         )
 
-    def update_settings(self, terms: DecisionSettings, is_binding: bool) -> None:
+    def update_settings(self, settings: DecisionSettings, is_binding: bool) -> None:
         """Puts other settings before all events not handled yet.
 
         Where they are binding, further attempts that have not been written are withdrawn.
@@ -141,11 +141,11 @@
         for exchange in self._exchanges.values() if is_binding else ():
             for attempt in exchange.attempts[1:]:
                 attempt.is_withdrawn = True
-        self._max_attempts = terms.max_attempts
-        self._answer_slack_s = terms.answer_slack_s
+        self._max_attempts = settings.max_attempts
+        self._answer_slack_s = settings.answer_slack_s
         # of several updates in one batch the balancer must end with the last one
         earlier_updates = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
-        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, terms, is_binding))
+        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, is_binding))
         self._has_events.set()
 
     # event batches
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        terms: DecisionSettings,
+        settings: DecisionSettings,
         max_connections: int,
         max_response_bytes: int,
         servers: ServerTable,
@@ -73,12 +73,12 @@
         self._idle_suspect_until = -inf
         self._surplus_until = -inf
         self._open = 0
-        self.update_settings(terms)
+        self.update_settings(settings)
 
-    def update_settings(self, terms: DecisionSettings) -> None:
+    def update_settings(self, settings: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self.connect_timeout_s: float = terms.connect_timeout_s or inf
-        self._idle_timeout_s: float = terms.idle_timeout_s  # after which servers close idle connections
+        self.connect_timeout_s: float = settings.connect_timeout_s or inf
+        self._idle_timeout_s: float = settings.idle_timeout_s  # after which servers close idle connections
 
     @property
     def open(self) -> int:
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -34,17 +34,20 @@
         readiness: Readiness,
         log: Logger,
     ) -> None:
-        terms = settings.terms
+        decision_settings = settings.decision_settings
         self._driver, self._log = driver, log
         self._parser = RequestParser(
-            settings.request_classes, settings.tenants, terms.request_classes, settings.work_header
+            settings.request_classes,
+            settings.tenants,
+            decision_settings.request_classes,
+            settings.work_header,
         )
         self._shutdown = ShutdownState()
         self._clients = ClientRegistry(max_connections, self._shutdown)
         self._handler = RequestHandler(
-            terms, self._parser, self._clients, self._shutdown, driver, readiness, log
+            decision_settings, self._parser, self._clients, self._shutdown, driver, readiness, log
         )
-        self._is_only_node = terms.nodes == 1
+        self._is_only_node = decision_settings.nodes == 1
         self._has_successor = settings.has_successor
         self._listener = Listener(settings.listen, self._has_successor)
         self._accepting = trio.CancelScope()
@@ -63,16 +66,16 @@
         self,
         request_classes: dict[str, int],
         tenants: dict[str, int],
-        terms: DecisionSettings,
+        decision_settings: DecisionSettings,
         other_forms: Forms,
     ) -> None:
         """Puts other settings in force; see `RequestParser.update_settings`."""
-        class_terms = terms.request_classes
-        self._parser.update_settings(request_classes, tenants, class_terms, other_forms)
-        self._handler.update_settings(terms)
-        self._is_only_node = terms.nodes == 1
+        class_rules = decision_settings.request_classes
+        self._parser.update_settings(request_classes, tenants, class_rules, other_forms)
+        self._handler.update_settings(decision_settings)
+        self._is_only_node = decision_settings.nodes == 1
         if self._handler.account is not None:
-            self._handler.account.update_settings(request_classes, tenants, class_terms)
+            self._handler.account.update_settings(request_classes, tenants, class_rules)
 
     async def run(self) -> None:
         """Accepts clients until the node stops and every client has its response."""
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -83,10 +83,10 @@
     peers: PeerAddresses | None
 
     @property
-    def terms(self) -> DecisionSettings:
+    def decision_settings(self) -> DecisionSettings:
         """Settings of the decision module."""
-        terms: DecisionSettings = self.derived["terms"]
-        return terms
+        settings: DecisionSettings = self.derived["terms"]
+        return settings
 
     @property
     def request_classes(self) -> dict[str, int]:
@@ -107,7 +107,7 @@
             self.discovery,
             self.derived["zones"],
             self.derived["models"],
-            self.terms.list_on_request,
+            self.decision_settings.list_on_request,
             self.initial_list,
         )
 
@@ -190,13 +190,13 @@
     if not request_classes:
         raise NodeSettingsError("the settings hold no request classes")
     try:
-        terms = decision_settings(settings, zones)
+        decisions = decision_settings(settings, zones)
     except (TypeError, ValueError, AttributeError) as error:
         raise NodeSettingsError(f"the settings are malformed: {error}") from error
     # an HTTP/1.1 connection carries one request at a time, whatever the settings say
-    terms = replace(terms, calls_per_connection=1)
+    decisions = replace(decisions, calls_per_connection=1)
     for name in ("connection_price", "crossing_price"):
-        price = getattr(terms, name)
+        price = getattr(decisions, name)
         if not isinstance(price, int | float) or not 0.0 <= price < inf:
             raise NodeSettingsError(
                 f"the settings' {name.replace('_', ' ')} is no number from 0 on: {price!r}"
@@ -206,7 +206,7 @@
         "models": models,
         "tenants": tenants,
         "request_classes": {one["name"]: number for number, one in enumerate(request_classes)},
-        "terms": terms,
+        "terms": decisions,
     }
 
 
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -26,14 +26,14 @@
 
     def __init__(
         self,
-        terms: DecisionSettings,
+        settings: DecisionSettings,
         servers: ServerTable,
         pool: ConnectionPool,
         reports: LoadReportReader,
         driver: BalancerDriver,
         log: Logger,
     ) -> None:
-        self._path = LIVENESS_PATH if terms.report_how == "none" else LOAD_PATH
+        self._path = LIVENESS_PATH if settings.report_how == "none" else LOAD_PATH
         self._servers = servers
         self._pool = pool
         self._reports = reports
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -61,7 +61,7 @@
 
     def __init__(
         self,
-        terms: DecisionSettings,
+        settings: DecisionSettings,
         parser: RequestParser,
         clients: ClientRegistry,
         shutdown: ShutdownState,
@@ -80,14 +80,14 @@
         self._in_flight = 0
         self._rejected = 0  # since that was logged
         self._rejections_logged_at = -inf
-        self.update_settings(terms)
+        self.update_settings(settings)
 
-    def update_settings(self, terms: DecisionSettings) -> None:
+    def update_settings(self, settings: DecisionSettings) -> None:
         """Puts other settings in force."""
         self._max_in_flight = min(
-            self._clients.max_clients, terms.max_open_connections or self._clients.max_clients
+            self._clients.max_clients, settings.max_open_connections or self._clients.max_clients
         )
-        self._retry_after_s = terms.max_retry_after_s if terms.can_advise_retry else 0.0
+        self._retry_after_s = settings.max_retry_after_s if settings.can_advise_retry else 0.0
 
     # requests
 
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -38,21 +38,21 @@
 class RequestParser:
     """Request classes, tenants, and the request ids that were accepted.
 
-    `request_classes` and `tenants` are numbers by name, `class_terms` the rules of each class by number.
+    `request_classes` and `tenants` are numbers by name, `class_rules` the rules of each class by number.
     """
 
     def __init__(
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_terms: Sequence[RequestClass],
+        class_rules: Sequence[RequestClass],
         work_header: bytes,
     ) -> None:
         self._request_classes = in_path(request_classes)
         self._tenants = in_header(tenants)
         self._work_header = work_header
-        self._class_terms = class_terms
-        self.max_deadline_s = max(rules.deadline for rules in class_terms) or 1.0
+        self._class_rules = class_rules
+        self.max_deadline_s = max(rules.deadline for rules in class_rules) or 1.0
         self._other_forms: Forms = {}
         self._request_ids: set[bytes] = set()
         self._request_id_expiries: deque[tuple[float, bytes]] = deque()
@@ -61,7 +61,7 @@
         self,
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
-        class_terms: Sequence[RequestClass],
+        class_rules: Sequence[RequestClass],
         other_forms: Forms,
     ) -> None:
         """Puts other settings in force.
@@ -72,9 +72,9 @@
         self._request_classes = in_path(request_classes)
         self._tenants = in_header(tenants)
         self._other_forms = other_forms
-        self._class_terms = class_terms
+        self._class_rules = class_rules
         # never shorter: request ids are remembered for as long as was in force when they were accepted
-        self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_terms))
+        self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_rules))
 
     def parse(self, request: h11.Request, path: bytes, body: bytes, lag_s: float, until: float) -> Exchange:
         """Returns the exchange that a client asks for; raises MalformedError with the status to answer.
@@ -90,7 +90,7 @@
             raise MalformedError(400, "a header twice that means one thing")
         request_id = headers.get(b"request-id", b"")
         idempotency_key = headers.get(b"idempotency-key", b"")
-        effect = self._class_terms[request_class].idempotency
+        effect = self._class_rules[request_class].idempotency
         if self._other_forms:
             request_class, effect = self._match_form(
                 request_class, effect, request.method, bool(idempotency_key)
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -24,15 +24,15 @@
     """The rules for sending attempts; `on_client_gone` is called for an exchange whose client has gone."""
 
     def __init__(
-        self, terms: DecisionSettings, servers: ServerTable, on_client_gone: Callable[[Exchange], None]
+        self, settings: DecisionSettings, servers: ServerTable, on_client_gone: Callable[[Exchange], None]
     ) -> None:
         self._servers = servers
         self._on_client_gone = on_client_gone
-        self.update_settings(terms)
+        self.update_settings(settings)
 
-    def update_settings(self, terms: DecisionSettings) -> None:
+    def update_settings(self, settings: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self._terms, self._class_terms = terms, terms.request_classes
+        self._settings, self._class_rules = settings, settings.request_classes
 
     def may_send(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether an attempt may be written now.
@@ -59,24 +59,24 @@
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
         """Whether a server that is warming up would get it beside all that was decided since."""
         started_at = self._servers.started_at(attempt.server)
-        if not started_at or now() >= started_at + self._terms.warmup_s:
+        if not started_at or now() >= started_at + self._settings.warmup_s:
             return False
-        return 0.0 < MAX_WARMUP_DECISION_AGE * self._terms.overload_window_s < now() - attempt.sent_at
+        return 0.0 < MAX_WARMUP_DECISION_AGE * self._settings.overload_window_s < now() - attempt.sent_at
 
     def _is_forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
         """Whether another attempt that may have run forbids this one."""
-        rules = self._class_terms[exchange.request_class]
+        rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.IDEMPOTENT:
             return False
         others = (one.sent_at for one in exchange.attempts if one.may_have_run and one is not attempt)
         first_sent_at = min(others, default=inf)
         if rules.idempotency == Idempotency.NON_IDEMPOTENT:
             return first_sent_at < inf
-        return now() >= first_sent_at + rules.retry_window - self._terms.tick
+        return now() >= first_sent_at + rules.retry_window - self._settings.tick
 
     def can_strand(self, exchange: Exchange) -> bool:
         """Whether an attempt that may have run can leave the exchange without any attempt that is allowed."""
-        rules = self._class_terms[exchange.request_class]
+        rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.KEYED:
             return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
         return rules.idempotency == Idempotency.NON_IDEMPOTENT
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -23,18 +23,18 @@
 
     def __init__(
         self,
-        terms: DecisionSettings,
+        settings: DecisionSettings,
         max_connections: int,
         max_response_bytes: int,
         driver: BalancerDriver,
         log: Logger,
     ) -> None:
         self._servers = ServerTable()
-        self._pool = ConnectionPool(terms, max_connections, max_response_bytes, self._servers, log)
-        self._rules = SendRules(terms, self._servers, lambda exchange: driver.abandon_request(exchange))
+        self._pool = ConnectionPool(settings, max_connections, max_response_bytes, self._servers, log)
+        self._rules = SendRules(settings, self._servers, lambda exchange: driver.abandon_request(exchange))
         self._reports = LoadReportReader(self._servers, log)
         self._attempts = AttemptRunner(self._servers, self._pool, self._rules, self._reports, driver, log)
-        self._prober = Prober(terms, self._servers, self._pool, self._reports, driver, log)
+        self._prober = Prober(settings, self._servers, self._pool, self._reports, driver, log)
         self._nursery: trio.Nursery
 
     @property
@@ -50,10 +50,10 @@
                 await trio.sleep(interval_s)
                 self._pool.close_expired()
 
-    def update_settings(self, terms: DecisionSettings) -> None:
+    def update_settings(self, settings: DecisionSettings) -> None:
         """Puts other settings in force."""
-        self._pool.update_settings(terms)
-        self._rules.update_settings(terms)
+        self._pool.update_settings(settings)
+        self._rules.update_settings(settings)
 
     # what the list says
 
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -53,7 +53,7 @@
         self._incarnation = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
         self._store = open_store(settings.rollout, random.Random(self._incarnation), STORE_TIMEOUT_S / 2.0)
         self.accounting = RequestAccounting(
-            settings.request_classes, settings.tenants, settings.terms.request_classes
+            settings.request_classes, settings.tenants, settings.decision_settings.request_classes
         )
         downstream.set_account(self.accounting)
         self._heartbeat = 0
