--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -212,9 +212,9 @@
     )
     for client in (idle, idle_later, new, silent):
         clients.add(client)
-    clients.make_room()
+    clients.close_idle_client()
     assert silent.is_close_requested and not idle.is_close_requested
-    clients.make_room()
+    clients.close_idle_client()
     assert idle.is_close_requested and not (idle_later.is_close_requested or new.is_close_requested)
 
 
--- a/wheatroute/balancing/attempt_sender.py
+++ b/wheatroute/balancing/attempt_sender.py
@@ -58,7 +58,7 @@
         servers.spare_calls[server] += (settings.calls_per_connection if opens_connection else 0) - 1
         servers.sent_at[server][request.number, n] = now
         servers.in_flight[server] += 1
-        self._reports.note_sent(server)
+        self._reports.add_sent(server)
         servers.slow_start_credit[server] -= 1.0
         self._limiter.in_flight += server in self._selection.weights
         state.writer.attempt(request.number, server, request.give_up_at - now)
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -19,7 +19,7 @@
         """Takes over another list of ejected servers."""
         self.ejected, self._due_at = ejected, -inf
 
-    def look_again(self) -> None:
+    def reset_due_time(self) -> None:
         """Has the next moment looked up anew, as a server's state has changed."""
         self._due_at = -inf
 
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -77,12 +77,12 @@
             if server < len(servers.is_ready) and servers.is_ready[server]:
                 servers.load[server], servers.reported_at[server] = load, self._state.now
 
-    def note_sent(self, server: int) -> None:
+    def add_sent(self, server: int) -> None:
         """Adds a request that was sent to what the server reported last."""
         weight = EXCESS_CAPACITY_FRACTION if self.reports_wait else 1.0
         self._state.servers.load[server] += self.load_of_request * weight
 
-    def note_full(self, server: int) -> None:
+    def mark_full(self, server: int) -> None:
         """A server that rejected an attempt as full is congested until its next report."""
         load = self._state.servers.load
         load[server] = max(load[server], CONGESTED_LOAD_RATIO * self.mean_load + 2 * self.load_of_request)
@@ -125,8 +125,8 @@
         half = len(ring) // 2
         if not self._to_probe:  # one of the two nodes is half a ring ahead
             self._to_probe.extend(ring if self._state.settings.node else ring[half:] + ring[:half])
-        share = ceil(len(ring) * TICK_INTERVAL_S / UPDATE_INTERVAL_S)
-        for _ in range(min(len(self._to_probe), share)):
+        count = ceil(len(ring) * TICK_INTERVAL_S / UPDATE_INTERVAL_S)
+        for _ in range(min(len(self._to_probe), count)):
             server = self._to_probe.popleft()
             if self._state.servers.is_ready[server]:
                 self._probes_in_flight += 1
--- a/wheatroute/balancing/membership_updates.py
+++ b/wheatroute/balancing/membership_updates.py
@@ -13,7 +13,7 @@
 
     def __init__(self, state: NodeState, ready: ReadyServers, selection: ServerSelection) -> None:
         self._state, self._ready, self._selection = state, ready, selection
-        self.ask_at = -inf if state.settings.list_on_request else inf
+        self.watch_at = -inf if state.settings.list_on_request else inf
         self._backoff_s = 0.0
 
     def servers_listed(self, entries: list[ListEntry], is_full: bool) -> None:
@@ -46,4 +46,4 @@
         if settings.list_on_request:
             maximum = settings.list_max_age_s / 4  # a node is taken to know what is older than list_max_age_s
             self._backoff_s = min(maximum, max(maximum / 8, 2 * self._backoff_s))
-            self.ask_at = self._state.now + self._backoff_s * (0.5 + 0.5 * self._state.rng.random())
+            self.watch_at = self._state.now + self._backoff_s * (0.5 + 0.5 * self._state.rng.random())
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -63,7 +63,7 @@
         elif outcome == Outcome.FULL:
             # nothing is sent there before it can have finished something
             servers.full_until[server] = now + mean / 2
-            self._reports.note_full(server)
+            self._reports.mark_full(server)
         if outcome != Outcome.SERVED:
             # a trial that was rejected or never sent is not in flight any more either
             self._ejection.fail_trial(server)
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -41,7 +41,7 @@
             return
         self._prolong(server)
         self._trials.ejected.append(server)
-        self._trials.look_again()
+        self._trials.reset_due_time()
         self._selection.update_soon()
 
     def eject_unless_many(self, server: int) -> None:
@@ -124,7 +124,7 @@
         """A server was heard: an ejected one comes back unless it is far too slow."""
         servers = self._state.servers
         servers.is_on_trial[server] = False
-        self._trials.look_again()
+        self._trials.reset_due_time()
         max_latency = OUTLIER_LATENCY_RATIO * max(1.0, self._state.latencies.median)
         if servers.ejected_until[server] and servers.latency[server] < max_latency:
             servers.ejected_until[server] = servers.ejection_s[server] = servers.error_rate[server] = 0.0
@@ -137,5 +137,5 @@
         servers = self._state.servers
         if servers.ejected_until[server] and servers.is_on_trial[server]:
             servers.is_on_trial[server] = False
-            self._trials.look_again()
+            self._trials.reset_due_time()
             self._prolong(server)
--- a/wheatroute/balancing/periodic_tasks.py
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -25,16 +25,16 @@
             self.pending.popleft()()
 
     def _tick(self) -> None:
-        parts, selection = self._components, self._components.selection
-        now = parts.state.now
+        components, selection = self._components, self._components.selection
+        now = components.state.now
         # after a stall answers may lie unread, so no server is blamed for having sent none
         is_stalled = now - self.next_tick > TICK_INTERVAL_S / 2
         self.next_tick = now + TICK_INTERVAL_S
-        parts.state.latencies.tick(now)
-        parts.recorder.tick(TICK_INTERVAL_S)
-        parts.quotas.refill(TICK_INTERVAL_S)
+        components.state.latencies.tick(now)
+        components.recorder.tick(TICK_INTERVAL_S)
+        components.quotas.refill(TICK_INTERVAL_S)
         tasks = self._tasks(now, is_stalled)
-        if selection.subset_size > selection.max_servers_at_once and parts.limiter.limit < inf:
+        if selection.subset_size > selection.max_servers_at_once and components.limiter.limit < inf:
             # One batch would take as long as the servers are many: each of the next batches, which come
             # within some ticks, does a part. Not the first time, when there is no limit yet.
             self.pending.extend(tasks)
@@ -44,28 +44,30 @@
 
     def _tasks(self, now: float, is_stalled: bool) -> list[Callable[[], None]]:
         """The tasks of a tick, in order."""
-        parts = self._components
+        components = self._components
         tasks: list[Callable[[], None]] = []
         if now >= self._next_update:
             self._next_update = now + UPDATE_INTERVAL_S
-            tasks += [lambda: parts.state.latencies.update(now), parts.idle.update]
-        if parts.reports.is_probing:
-            tasks.append(parts.reports.probe_next)
+            tasks += [lambda: components.state.latencies.update(now), components.idle.update]
+        if components.reports.is_probing:
+            tasks.append(components.reports.probe_next)
         if not is_stalled:
             tasks.append(self._check_servers)
-        tasks += [self._refill_credit, self._update_limit, parts.selection.update, parts.queue.shed]
+        tasks += [self._refill_credit, self._update_limit, components.selection.update, components.queue.shed]
         return tasks
 
     def _check_servers(self) -> None:
         """Ejects servers that hang or are far too slow; what hangs there is sent elsewhere if it may be."""
-        parts, timeout_s = self._components, self._components.ejection.hang_timeout_s()
-        for server in parts.ejection.eject_hanging():
-            parts.lifecycle.resend_hanging(server, timeout_s)
-        parts.ejection.eject_slow()
+        components, timeout_s = self._components, self._components.ejection.hang_timeout_s()
+        for server in components.ejection.eject_hanging():
+            components.lifecycle.resend_hanging(server, timeout_s)
+        components.ejection.eject_slow()
 
     def _refill_credit(self) -> None:
-        parts = self._components
-        parts.slow_start.refill(parts.trials.ejected + parts.selection.servers, TICK_INTERVAL_S)
+        components = self._components
+        components.slow_start.refill(
+            components.trials.ejected + components.selection.servers, TICK_INTERVAL_S
+        )
 
     def _update_limit(self) -> None:
         limiter, state = self._components.limiter, self._components.state
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -25,7 +25,7 @@
         self._usual_time_left += [0.0] * (len(classes) - len(self._usual_time_left))
         # Where servers report how much waits there, requests worth less than this may use little of what
         # all nodes take for free capacity: they would fill it up, and keep out what is worth more.
-        self._low_value = EXCESS_CAPACITY_FRACTION * sum(one.value for one in classes) / len(classes)
+        self._low_value_bound = EXCESS_CAPACITY_FRACTION * sum(one.value for one in classes) / len(classes)
 
     def new_request(
         self, number: int, class_number: int, time_left: float, tenant: int, is_repeated: bool, work: float
@@ -49,7 +49,7 @@
         request.relative_size = latencies.relative_size(class_number, work)
         request.quota_tenant = quota_tenant
         request.capacity_fraction = 1.0 if is_within_quota else EXCESS_CAPACITY_FRACTION
-        if self._reports.reports_wait and rules.value < self._low_value:
+        if self._reports.reports_wait and rules.value < self._low_value_bound:
             request.capacity_fraction *= EXCESS_CAPACITY_FRACTION**2
         return request
 
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -122,7 +122,7 @@
         below = (1.0 - 1.0 / state.tiers_from_here) * min(expected, default=0.0)
         # a server in another zone looks slower by what the crossing costs
         crossing = CROSSING_PRICE_FACTOR * settings.crossing_price
-        shares = clamped_weights(
+        weights = clamped_weights(
             [
                 one - below + crossing * (zone[server] != settings.zone)
                 for server, one in zip(members, expected, strict=True)
@@ -130,11 +130,11 @@
         )
         self._reports.update_mean(members)
         self._cumulative_weights, self.weights, total = [], {}, 0.0
-        for server, share in zip(members, shares, strict=True):
-            share *= self._slow_start.warmth(server)
-            total += share
+        for server, weight in zip(members, weights, strict=True):
+            weight *= self._slow_start.warmth(server)
+            total += weight
             self._cumulative_weights.append(total)
-            self.weights[server] = share
+            self.weights[server] = weight
 
     # the choice for a request
 
@@ -148,18 +148,18 @@
             return -1
         in_flight, rng = self._state.servers.in_flight, self._state.rng
         busy = BUSY_SERVER_RATIO * self._limiter.in_flight / len(cumulative) + 0.1
-        best, least = -1, inf
+        best, min_load = -1, inf
         for _ in range(MAX_DRAWS):
-            place = bisect(cumulative, rng.random() * cumulative[-1])
-            server = self.servers[min(len(cumulative) - 1, place)]
+            position = bisect(cumulative, rng.random() * cumulative[-1])
+            server = self.servers[min(len(cumulative) - 1, position)]
             if not self._can_take(request, server, only_light):
                 continue
             is_unfit = request.class_number in self.stuck_classes(server) or self._is_late(request, server)
             if in_flight[server] < busy and not is_unfit and not self._reports.is_congested(server):
                 return server
             load = (in_flight[server] + 1 + is_unfit * self._limiter.in_flight) / self.weights[server]
-            if load < least:
-                best, least = server, load
+            if load < min_load:
+                best, min_load = server, load
         if best < 0 or self._is_late(request, best):
             best = self._least_loaded(request, only_light)
         if best < 0 and request.servers and not only_light:
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -30,21 +30,21 @@
     """The decisions of one node."""
 
     def __init__(self, settings: DecisionSettings, rng: Random) -> None:
-        self._components = parts = Components(settings, rng, self._make_final_answers)
-        self._state, self._membership, self._queue = parts.state, parts.membership, parts.queue
-        self._periodic = PeriodicTasks(parts)
+        self._components = components = Components(settings, rng, self._make_final_answers)
+        self._state, self._membership, self._queue = components.state, components.membership, components.queue
+        self._periodic = PeriodicTasks(components)
         self._wake_at = inf  # the moment last asked for
         self._handlers: dict[Event, Callable[..., None]] = {
-            Event.ARRIVED: parts.lifecycle.arrived,
-            Event.ANSWER_STARTED: parts.lifecycle.answer_started,
-            Event.ATTEMPT_ENDED: parts.lifecycle.attempt_ended,
-            Event.CLIENT_LEFT: parts.lifecycle.client_left,
-            Event.SERVERS_LISTED: parts.membership.servers_listed,
-            Event.LIST_FAILED: parts.membership.list_failed,
-            Event.PROBE_ENDED: parts.reports.probe_ended,
-            Event.NODES_COUNTED: parts.settings_updates.nodes_counted,
-            Event.PEER_REPORTED: parts.reports.take_peer_report,
-            Event.SETTINGS_CHANGED: parts.settings_updates.settings_changed,
+            Event.ARRIVED: components.lifecycle.arrived,
+            Event.ANSWER_STARTED: components.lifecycle.answer_started,
+            Event.ATTEMPT_ENDED: components.lifecycle.attempt_ended,
+            Event.CLIENT_LEFT: components.lifecycle.client_left,
+            Event.SERVERS_LISTED: components.membership.servers_listed,
+            Event.LIST_FAILED: components.membership.list_failed,
+            Event.PROBE_ENDED: components.reports.probe_ended,
+            Event.NODES_COUNTED: components.settings_updates.nodes_counted,
+            Event.PEER_REPORTED: components.reports.take_peer_report,
+            Event.SETTINGS_CHANGED: components.settings_updates.settings_changed,
         }
 
     def _make_final_answers(self, state: NodeState, quotas: TenantQuotas) -> FinalAnswers:
@@ -66,32 +66,32 @@
         for event, *fields in events:
             if event in handlers:
                 handlers[event](*fields)
-        if due_by >= membership.ask_at:
-            membership.ask_at = inf
+        if due_by >= membership.watch_at:
+            membership.watch_at = inf
             writer.watch(True)
         if periodic.pending or due_by >= periodic.next_tick:
             is_idle = not events or events[0][0] == Event.TIMER_DUE
             periodic.run(due_by, is_idle)
         self._run_timers(due_by)
         self._queue.drain()
-        self._ask_to_wake()
+        self._request_wake_up()
 
     def _run_timers(self, due_by: float) -> None:
         """Ends requests whose time is up, and sends hedges."""
-        timers, parts = self._state.timers, self._components
+        timers, components = self._state.timers, self._components
         while timers and timers[0][0] <= due_by:
             moment, number, request = heappop(timers)
             if request.is_over:
                 continue
             if number < 0:
                 request.is_queued = False
-                parts.answers.finish(request)
+                components.answers.finish(request)
                 continue
-            server = parts.hedging.pick_for_hedge(request, moment)
+            server = components.hedging.pick_for_hedge(request, moment)
             if server >= 0:
-                parts.sender.send_to(request, server)
+                components.sender.send_to(request, server)
 
-    def _ask_to_wake(self) -> None:
+    def _request_wake_up(self) -> None:
         """Asks for the next call that is needed, unless one as early is already asked for."""
         state, periodic, scans = self._state, self._periodic, MAX_SCANS
         timers, now = state.timers, state.now
@@ -99,7 +99,7 @@
             heappop(timers)
             scans -= 1
         first_timer = timers[0][0] if timers else inf
-        moment = min(first_timer, now if periodic.pending else periodic.next_tick, self._membership.ask_at)
+        moment = min(first_timer, now if periodic.pending else periodic.next_tick, self._membership.watch_at)
         if moment < self._wake_at:
             self._wake_at = moment
             state.writer.wake_at(max(moment, now + state.settings.tick))
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -93,7 +93,7 @@
         except MalformedError:
             # it may have run; the server's other connections are not suspected
             holder.close_reason = CloseReason.MALFORMED
-            self._pool.note_surplus_input()
+            self._pool.suspect_surplus_input()
             return Outcome.UNKNOWN, None
         outcome = response.outcome
         if outcome == Outcome.SERVED:
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -10,7 +10,7 @@
 
 RESERVED_RATIO = 0.1  # of the connections are for rejecting clients beyond the limit
 MIN_RESERVED = 2
-MIN_SILENT_S = 0.25  # a client that has just connected is not closed to make room
+MIN_SILENT_S = 0.25  # a client that has just connected is not closed for others
 
 
 class ClientRegistry:
@@ -54,7 +54,7 @@
         """The client has begun a request, or is about to be closed."""
         self._idle.pop(client, None)
 
-    def make_room(self) -> None:
+    def close_idle_client(self) -> None:
         """Closes a client that has connected and sent nothing, else the one that is idle for longest.
 
         Hundreds of silent clients would otherwise push out those that send requests. Clients that have just
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -100,7 +100,7 @@
         """Whether a connection that had been idle was reset of late."""
         return now() < self._idle_suspect_until
 
-    def note_surplus_input(self) -> None:
+    def suspect_surplus_input(self) -> None:
         """Bytes were received that answer no request, or are no response: more of them may follow."""
         self._surplus_until = now() + self._idle_timeout_s
 
@@ -149,7 +149,7 @@
         if connection.has_unparsed_input:
             # bytes that answer no request would pass for the response to the next one
             holder.close_reason = CloseReason.MALFORMED
-            self.note_surplus_input()
+            self.suspect_surplus_input()
         elif connection.peer != format_address(self._servers.address(server)):
             # the server got another address while the connection was in use
             holder.close_reason = CloseReason.CLOSED_BY_NODE
@@ -242,7 +242,7 @@
     def _discard_idle(self, connection: Connection, idle_since: float) -> None:
         """Closes one that is idle for too long, that its server has closed, or that has surplus input."""
         if not connection.is_reusable() and not connection.is_closed_by_peer():
-            self.note_surplus_input()
+            self.suspect_surplus_input()
         is_expired = now() - idle_since >= MAX_IDLE_RATIO * self._idle_timeout_s
         self.discard(connection, CloseReason.IDLE_TIMEOUT if is_expired else CloseReason.PEER_CLOSED)
 
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -121,7 +121,7 @@
         clients = self._clients
         while True:
             if clients.open >= clients.max_clients:
-                clients.make_room()
+                clients.close_idle_client()
             if clients.open >= clients.max_open:
                 await clients.wait_for_close(ACCEPT_RETRY_S)  # by then a new client may be seen to be silent
                 continue
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -63,9 +63,9 @@
         except OSError:
             return  # an ICMP error about what was sent before
         if sender in self._others:
-            known = peer_messages.ShortNames()
+            short_names = peer_messages.ShortNames()
             for identity, server in self._servers.numbers.items():
-                known.add(identity, server)
-            loads = peer_messages.decode_loads(data.decode("latin-1"), known.numbers)
+                short_names.add(identity, server)
+            loads = peer_messages.decode_loads(data.decode("latin-1"), short_names.numbers)
             if loads:
                 self._driver.add_event(Event.PEER_REPORTED, loads)
