--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -1,6 +1,6 @@
 """The move from a pool of nodes to a node beside each client: both shapes before the same servers.
 
-All on loopback: whole nodes, and stand-ins for servers that queue and tell probes so.
+All on loopback: whole nodes, and stand-ins for servers that queue requests and report it to probes.
 """
 
 import re
@@ -22,14 +22,17 @@
 from wheatroute.__main__ import serve_node
 from wheatroute.net import node_settings
 
-CORES, WORK, GRACE = 2, 0.02, 0.25
+CORES = 2  # of a server
+SERVICE_TIME_S = 0.02
+DRAIN_GRACE_S = 0.25
 
 
-class Station:
-    """A server with few cores; it counts what it ran, when, and who probed it."""
+class QueueingServer:
+    """A server with few cores; it notes what it has run, and counts probes and waiting requests."""
 
     def __init__(self, name):
-        self.name, self.ran, self.came, self.probes, self.waiting = name, [], [], 0, 0
+        self.name, self.probe_count, self.queued = name, 0, 0
+        self.executions, self.arrival_times = [], []  # (request id, method); moments
         self.cores = trio.CapacityLimiter(CORES)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
@@ -37,38 +40,38 @@
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
-        await trio.serve_listeners(self.talk, [listener])
+        await trio.serve_listeners(self._serve_connection, [listener])
 
-    async def talk(self, stream):
+    async def _serve_connection(self, stream):
         try:
             while (request := await read_message(stream)) is not None:
                 body = b"ok"
                 if request.startswith(b"GET /metrics/load"):
-                    self.probes += 1
-                    body = b"TEXT qps=%d, queue=%d" % (CORES / WORK, self.waiting)
+                    self.probe_count += 1
+                    body = b"TEXT qps=%d, queue=%d" % (CORES / SERVICE_TIME_S, self.queued)
                 else:
-                    name = re.search(rb"(?i)request-id: (\S+)", request)[1]
-                    self.came.append(trio.current_time())
-                    self.waiting += 1
+                    request_id = re.search(rb"(?i)request-id: (\S+)", request)[1]
+                    self.arrival_times.append(trio.current_time())
+                    self.queued += 1
                     async with self.cores:
-                        self.waiting -= 1
-                        self.ran.append((name, request.split()[0]))
-                        await trio.sleep(WORK)
+                        self.queued -= 1
+                        self.executions.append((request_id, request.split()[0]))
+                        await trio.sleep(SERVICE_TIME_S)
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         except trio.BrokenResourceError:
-            pass  # the node has called it off
+            pass  # the node has cancelled it
 
 
-def free_place():
+def free_udp_address():
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
         one.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{one.getsockname()[1]}"
 
 
-def shaped(node, nodes, me, peers=None):
-    """A node of the old shape, or of the new one if it has peers."""
+def configure(node, nodes, number, peers=None):
+    """Makes a node one of a pool, or one beside a client if it has peers."""
     config = node.config
-    config["settings"] |= {"balancers": nodes, "me": me}
+    config["settings"] |= {"balancers": nodes, "me": number}
     if peers is not None:
         config["settings"]["allowed"] |= {"peers": True, "probes": True}
         config["settings"] |= {
@@ -85,58 +88,60 @@
 
 
 async def both_shapes(folder):
-    stations = [Station(f"s{n}") for n in range(4)]
-    places, ear = [free_place(), free_place()], socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    ear.bind(("127.0.0.1", 0))
-    ear.settimeout(2.0)
-    listens = f"127.0.0.1:{ear.getsockname()[1]}"
-    nodes, lists, served = [], [], {"old": 0, "new": 0}
+    servers = [QueueingServer(f"s{n}") for n in range(4)]
+    peer_addresses = [free_udp_address(), free_udp_address()]
+    listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    listener.bind(("127.0.0.1", 0))
+    listener.settimeout(2.0)
+    listener_address = f"127.0.0.1:{listener.getsockname()[1]}"
+    nodes, lists, served = [], [], {"pool": 0, "sidecar": 0}
     for n in range(4):
         (folder / str(n)).mkdir()
-        # the last server drains, and every node is told so at its first watch
-        lists.append(StandInServer(list_response(2, server_entry(stations[3], state="terminating")), None))
-        node = Node(folder / str(n), *stations, discovery=lists[n], deadline=2.0)
-        others = [one for i, one in enumerate(places) if i != n] + [listens]
-        nodes.append(shaped(node, 4, n, {"listen": places[n], "others": others} if n < 2 else None))
-    answers = []
-
-    async def call(node, kind):
-        status, _ = await node.send_request(
-            kind, body="" if EFFECT_BY_REQUEST_CLASS[kind] == "retryable" else "b", timeout="2000m"
+        # the last server drains, which every node receives with its first watch
+        lists.append(StandInServer(list_response(2, server_entry(servers[3], state="terminating")), None))
+        node = Node(folder / str(n), *servers, discovery=lists[n], deadline=2.0)
+        others = [one for i, one in enumerate(peer_addresses) if i != n] + [listener_address]
+        nodes.append(
+            configure(node, 4, n, {"listen": peer_addresses[n], "others": others} if n < 2 else None)
         )
-        answers.append(status)
-        served["new" if "peers" in node.config else "old"] += status == 200
+    statuses = []
+
+    async def call(node, request_class):
+        body = "" if EFFECT_BY_REQUEST_CLASS[request_class] == "retryable" else "b"
+        status, _ = await node.send_request(request_class, body=body, timeout="2000m")
+        statuses.append(status)
+        served["sidecar" if "peers" in node.config else "pool"] += status == 200
 
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
-            for one in (*stations, *lists):
+            for one in (*servers, *lists):
                 nursery.start_soon(one.run)
             for node in nodes:
                 nursery.start_soon(serve_node, node.settings, structlog.get_logger())
                 (await node.connect()).socket.close()
             while not all(one.requests for one in lists):
                 await trio.sleep(0.01)
-            told = trio.current_time()
+            drained_at = trio.current_time()
             async with trio.open_nursery() as calls:
                 for n in range(80):
                     for node in nodes:
                         calls.start_soon(call, node, ("view", "amend", "place")[n % 3])
                     await trio.sleep(0.02)  # 200 a second, of 300
             nursery.cancel_scope.cancel()
-    # rule one: one answer for each; rule two: nothing unsafe ran twice; rule three: the drain is kept
-    assert len(answers) == 320
-    ran = [name for one in stations for name, method in one.ran if method == b"POST"]
-    assert len(ran) == len(set(ran))
-    assert not [when for when in stations[3].came if when > told + GRACE]
+    # rule one: one answer for each; rule two: nothing non-idempotent ran twice; rule three: the drain is kept
+    assert len(statuses) == 320
+    posted = [request_id for one in servers for request_id, method in one.executions if method == b"POST"]
+    assert len(posted) == len(set(posted))
+    assert not [when for when in servers[3].arrival_times if when > drained_at + DRAIN_GRACE_S]
     # neither kind starves the other
     assert min(served.values()) > 0.8 * 160 and min(served.values()) > 0.8 * max(served.values())
-    # the new ones probe, and tell
-    assert all(one.probes for one in stations[:3])
-    heard = peer_messages.ShortNames()
-    for n, one in enumerate(stations):
-        heard.add(one.name, n)
-    assert peer_messages.decode_loads(ear.recv(512).decode(), heard.numbers)
-    ear.close()
+    # those beside clients probe, and send what they heard to the others
+    assert all(one.probe_count for one in servers[:3])
+    short_names = peer_messages.ShortNames()
+    for n, one in enumerate(servers):
+        short_names.add(one.name, n)
+    assert peer_messages.decode_loads(listener.recv(512).decode(), short_names.numbers)
+    listener.close()
 
 
 @pytest.mark.parametrize(
@@ -149,7 +154,7 @@
         (["127.0.0.1:9"], True, "peers"),
     ],
 )
-def test_peers_of_no_use_are_told_in_one_line(tmp_path, peers, allowed, line):
+def test_invalid_peers_are_reported_in_one_line(tmp_path, peers, allowed, line):
     node = Node(tmp_path, StandInServer(b""))
     node.config["settings"]["allowed"]["peers"] = allowed
     node.config["peers"] = peers
@@ -158,7 +163,7 @@
     assert "\n" not in str(found.value)
 
 
-def test_without_peers_a_node_has_no_such_socket_and_one_request_a_connection(tmp_path):
+def test_without_peers_a_node_has_no_peer_socket_and_one_request_a_connection(tmp_path):
     node = Node(tmp_path, StandInServer(b""))
     node.config["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
     node.read_config()
@@ -168,7 +173,7 @@
     assert not settings.decision_settings.has_peers  # allowed, but nobody is named: it probes for none
 
 
-def test_strangers_and_nonsense_are_nothing_told():
+def test_messages_of_strangers_and_malformed_ones_are_ignored():
     known = peer_messages.ShortNames()
     known.add("a", 0)
     for text in (
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -60,7 +60,7 @@
 
 
 @discovery_test
-async def test_a_whole_list_that_lands_behind_a_newer_change_undoes_nothing(start):
+async def test_a_full_list_that_arrives_after_a_newer_change_undoes_nothing(start):
     asked, answered = trio.Event(), trio.Event()
 
     async def answer(request):
@@ -88,7 +88,7 @@
 
 
 @discovery_test
-async def test_a_change_that_lands_behind_a_newer_whole_list_undoes_nothing(start):
+async def test_a_change_that_arrives_after_a_newer_full_list_undoes_nothing(start):
     late = trio.Event()
 
     async def answer(request):
@@ -114,7 +114,7 @@
 
 
 @discovery_test
-async def test_a_service_that_starts_anew_with_lower_versions_is_followed(start):
+async def test_a_restarted_service_with_lower_versions_is_followed(start):
     for full in (True, False):
         new = [False]
 
@@ -138,7 +138,7 @@
 
 
 @discovery_test
-async def test_the_old_services_last_answer_behind_a_move_is_not_taken(start):
+async def test_the_last_response_of_the_old_service_after_a_move_is_ignored(start):
     streams = []
 
     async def answer(request):
@@ -170,7 +170,7 @@
 
 
 @discovery_test
-async def test_a_watch_that_is_reset_just_before_a_drain_hears_of_it_at_once(start):
+async def test_a_watch_that_is_reset_just_before_a_drain_receives_it_at_once(start):
     reset_at = []
 
     async def answer(request):
@@ -191,7 +191,7 @@
 
 
 @discovery_test
-async def test_what_a_silent_watch_misses_is_told_anew_before_it_counts_as_told(start):
+async def test_what_an_unresponsive_watch_misses_is_fetched_within_the_maximum_age(start):
     """Silent from its longest wait's first byte; the first new connection is silent as well, and another."""
     silent_since, calls = [], []
 
@@ -219,7 +219,7 @@
 
 
 @discovery_test
-async def test_a_list_service_that_takes_no_connection_at_first_is_found_again_in_time(start):
+async def test_a_list_service_that_accepts_no_connection_at_first_is_reached_in_time(start):
     """Its queue is full, so that the first new connection never comes up; then it is there again."""
     state = {"silent": None}
 
@@ -260,7 +260,7 @@
 
 
 @discovery_test
-async def test_a_list_asked_for_that_is_never_answered_is_asked_for_again_in_time(start):
+async def test_a_list_request_without_a_response_is_repeated_in_time(start):
     discovery, recorder = await start(ListService(lambda request: None), on_request=True)
     await wait_until(lambda: hasattr(discovery, "_nursery"))
     began = time.monotonic()
@@ -270,7 +270,7 @@
 
 
 @discovery_test
-async def test_a_list_that_comes_indented_is_read(start):
+async def test_an_indented_list_is_read(start):
     import json
 
     body = json.dumps(
@@ -283,7 +283,7 @@
 
 
 @discovery_test
-async def test_bad_lists_end_in_a_line_each_and_lose_no_good_entry(start):
+async def test_malformed_lists_are_logged_in_a_line_each_and_lose_no_valid_entry(start):
     bad = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}",
         b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
@@ -300,7 +300,7 @@
 
 
 @scenario
-async def test_a_drain_heard_by_the_watch_stands_though_an_older_list_comes_after(start):
+async def test_a_drain_received_by_the_watch_stands_though_an_older_list_arrives_after_it(start):
     """The same through a whole node: nothing new goes to the server that drains."""
     older = trio.Event()
     servers = [Server(OK), Server(OK, name="t")]
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -35,7 +35,7 @@
 
 
 @scenario
-async def test_one_that_is_turned_away_reads_its_whole_answer_though_it_goes_on_sending(start):
+async def test_a_rejected_client_reads_its_whole_response_though_it_goes_on_sending(start):
     node = await start(Server())
     for bad in (
         message(node, "place", body="b")[0].replace(b"/place", b"/else"),
@@ -49,7 +49,7 @@
 
 
 @scenario
-async def test_a_client_that_leaves_while_it_is_told_to_continue_ends_nothing_else(start):
+async def test_a_client_that_leaves_during_its_100_continue_ends_nothing_else(start):
     server = Server()
     node = await start(server)
     head = message(node, "place", body="bb")[0][:-2].replace(b"Host:", b"Expect: 100-continue\r\nHost:")
@@ -63,7 +63,7 @@
 
 
 @scenario
-async def test_a_request_asked_ahead_is_not_taken_once_its_connection_has_ended(start):
+async def test_a_pipelined_request_is_not_taken_once_its_connection_has_ended(start):
     """The next request lies in the buffer, the connection ends, then its turn comes."""
     server = Server()
     node = await start(server)
@@ -94,7 +94,7 @@
 
 
 @scenario
-async def test_half_a_request_in_the_moment_of_a_shut_is_read_to_its_end(start):
+async def test_half_a_request_at_the_moment_of_a_close_is_read_to_its_end(start):
     server = Server()
     node = await start(server)
     found = []
@@ -126,7 +126,7 @@
 
 
 @scenario
-async def test_clients_that_send_much_and_go_leave_nothing_and_cost_usual_clients_nothing(start):
+async def test_clients_that_send_much_and_leave_cost_other_clients_nothing(start):
     server = Server()
     sides = []
     with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
@@ -154,7 +154,7 @@
 
 
 @scenario
-async def test_clients_that_come_again_at_once_after_a_refusal_are_refused_at_once_each_time(start):
+async def test_clients_that_reconnect_at_once_after_a_rejection_are_rejected_at_once_each_time(start):
     """The busy ones are taken up to the limit before the first of these comes."""
     sides = []
     with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
@@ -177,7 +177,7 @@
 
 
 @scenario
-async def test_a_class_named_like_the_question_for_readiness_is_a_class(start):
+async def test_a_request_class_named_like_the_readiness_path_is_a_request_class(start):
     for effect, method, headers in (
         ("retryable", "GET", {}),
         ("dedup", "POST", {"Idempotency_Key": "k"}),
@@ -198,7 +198,7 @@
 
 
 @scenario
-async def test_names_outside_ascii_and_with_signs_are_told_apart_in_paths_and_headers(start):
+async def test_names_outside_ascii_and_with_punctuation_differ_in_paths_and_headers(start):
     names = ("café", "cafe", "order view", "order", "50%", "a%20b", "日本")
     tenants = [{"name": name, "quota-rps": 100.0} for name in ("Zoë", "Zo", "日本", "a b")]
     server, seen = Server(), []
@@ -305,7 +305,7 @@
         '{"settings": {"traffic-types": [{"name": 5}]}}',
     ],
 )
-def test_bad_files_are_one_line_each(tmp_path, bad):
+def test_each_malformed_file_is_reported_in_one_line(tmp_path, bad):
     path = tmp_path / "config.json"
     path.write_text(bad)
     with pytest.raises(node_settings.NodeSettingsError) as trouble:
--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -125,7 +125,7 @@
 
 
 @in_trio
-def test_nothing_is_sent_for_a_client_that_has_gone_and_the_driver_hears_of_it():
+def test_nothing_is_sent_for_a_client_that_has_left_and_the_driver_is_notified():
     rules, _, gone = make_rules()
     exchange, attempt = make_exchange()
     exchange.is_client_gone = lambda: True
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -47,7 +47,7 @@
 
 
 @scenario
-async def test_a_request_goes_on_unchanged_and_its_answer_comes_back_on_kept_connections(start):
+async def test_a_request_is_forwarded_unchanged_and_its_response_returned_on_kept_connections(start):
     peer = StandInServer(OK)
     node = await start(peer)
     stream = await node.connect()
@@ -61,7 +61,7 @@
 
 
 @scenario
-async def test_an_answer_longer_than_the_protocol_says_goes_on_whole(start):
+async def test_a_response_longer_than_the_protocol_says_is_forwarded_whole(start):
     body = bytes(range(256)) * 2000
     node = await start(StandInServer(b"HTTP/1.1 200 OK\r\nContent-Length: 512000\r\n\r\n" + body))
     status, answer = await node.send_request("place", body="b")
@@ -69,7 +69,7 @@
 
 
 @scenario
-async def test_an_unsafe_request_goes_elsewhere_only_if_the_answer_proves_that_it_never_ran(start):
+async def test_a_non_idempotent_request_is_retried_only_if_the_response_proves_that_it_never_ran(start):
     for answer, attempts, status in (
         (FULL, 2, 200),
         (ERROR, 1, 502),
@@ -97,7 +97,7 @@
 
 
 @scenario
-async def test_a_kept_connection_that_its_server_has_shut_is_found_out_before_use(start):
+async def test_a_kept_connection_that_its_server_has_closed_is_detected_before_use(start):
     peer = StandInServer(OK)
     node = await start(peer)
     await node.send_request("place", body="b")
@@ -108,7 +108,7 @@
 
 
 @scenario
-async def test_unsafe_requests_go_on_new_connections_once_one_that_was_idle_is_reset(start):
+async def test_non_idempotent_requests_use_new_connections_once_an_idle_one_is_reset(start):
     peer = StandInServer(OK, RESET, OK)
     node = await start(peer)
     assert [(await node.send_request("place", body="b"))[0] for _ in range(3)] == [200, 502, 200]
@@ -122,7 +122,7 @@
 
 
 @scenario
-async def test_a_client_that_hangs_up_ends_its_attempt_at_once(start):
+async def test_a_client_that_disconnects_ends_its_attempt_at_once(start):
     peer = StandInServer(SILENT)
     node = await start(peer, deadline=10.0)
     stream = await node.connect()
@@ -135,7 +135,7 @@
 
 
 @scenario
-async def test_silent_servers_cost_no_answer_and_nothing_stays_out_after_it(start):
+async def test_unresponsive_servers_cost_no_response_and_leave_nothing_in_flight(start):
     peer = StandInServer(SILENT)
     node = await start(peer)
     before = trio.current_time()
@@ -155,7 +155,7 @@
 
 
 @scenario
-async def test_what_is_no_request_gets_a_short_reason_and_is_sent_nowhere(start):
+async def test_a_malformed_request_gets_a_short_reason_and_is_sent_nowhere(start):
     peer = StandInServer(OK)
     node = await start(peer)
     good = node.request_text("place", body="b")
@@ -187,7 +187,7 @@
 
 
 @scenario
-async def test_half_a_request_and_silence_ends_in_bounded_time(start):
+async def test_half_a_request_without_the_rest_ends_in_bounded_time(start):
     node = await start(StandInServer(OK), deadline=30.0)
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 0.3):
         silent, stream = await node.connect(), await node.connect()
@@ -202,7 +202,7 @@
 
 
 @scenario
-async def test_the_name_of_a_request_that_is_known_is_not_taken_again(start):
+async def test_the_id_of_a_known_request_is_not_accepted_again(start):
     peer = StandInServer(SILENT, OK)
     node = await start(peer)
     first, second, message = await node.connect(), await node.connect(), node.request_text("place", body="b")
@@ -217,7 +217,7 @@
 
 
 @scenario
-async def test_silent_clients_make_room_for_those_who_ask(start):
+async def test_unresponsive_clients_are_closed_for_those_that_send_requests(start):
     node = await start(StandInServer(OK), descriptors=40, deadline=30.0)
     silent = [await node.connect() for _ in range(30)]
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 30.0), trio.fail_after(5):
@@ -227,7 +227,7 @@
 
 
 @scenario
-async def test_what_a_client_goes_on_sending_after_its_last_answer_is_not_read_to_the_end(start):
+async def test_what_a_client_sends_after_its_last_response_is_not_read_to_the_end(start):
     node = await start(StandInServer(OK))
     stream = await node.connect()
     await stream.send_all(node.request_text("place", body="b").replace(b"Length: 1", b"Length: 60000000"))
@@ -238,7 +238,7 @@
             await trio.sleep(0)
 
 
-def test_the_number_of_a_server_that_is_gone_is_used_again_once_nothing_is_out_to_it():
+def test_the_number_of_a_removed_server_is_reused_once_nothing_is_in_flight_to_it():
     in_flight, driver, upstream = {0}, mock.Mock(), mock.Mock()
     upstream.release.side_effect = lambda server: server not in in_flight
     settings = DiscoverySettings(("127.0.0.1", 1), {"z": 0}, {"k": 0}, False, {})
@@ -284,7 +284,7 @@
 
 
 @scenario
-async def test_a_spoilt_answer_is_known_at_once_though_its_connection_stays_open(start):
+async def test_a_malformed_response_is_detected_at_once_though_its_connection_stays_open(start):
     for spoilt in (
         CUT_OFF,
         b"\x00\xff noise",
@@ -307,7 +307,7 @@
 
 
 @scenario
-async def test_a_stopping_node_serves_who_still_comes_and_answers_all_it_took(start):
+async def test_a_node_in_shutdown_serves_new_clients_and_answers_all_it_accepted(start):
     node = await start(
         StandInServer(CUT_OFF.replace(b": 10", b": 4")), StandInServer(SILENT, name="t"), nodes=2
     )
@@ -327,7 +327,7 @@
 
 
 @scenario
-async def test_a_stopping_node_that_is_alone_goes_on_and_says_in_the_end_when_to_come_back(start):
+async def test_the_only_node_in_shutdown_goes_on_serving_and_sends_retry_after_in_the_end(start):
     node = await start(StandInServer(OK), deadline=3.0)
     kept, stray = await node.connect(), await node.connect()
     os.kill(os.getpid(), signal.SIGTERM)
@@ -347,17 +347,17 @@
 async def test_no_attempt_goes_to_a_server_once_the_list_says_that_it_drains(start):
     draining, other = StandInServer(OK), StandInServer(OK, name="t")
     news = [5, {"id": "u", "addr": "nowhere"}, {"id": "s", "addr": draining.address, "state": "terminating"}]
-    told = StandInServer(list_response(2, *news), SILENT)
-    node = await start(draining, other, discovery=told)
+    discovery = StandInServer(list_response(2, *news), SILENT)
+    node = await start(draining, other, discovery=discovery)
     await trio.sleep(0.2)
     before = len(draining.requests)
     assert [(await node.send_request())[0] for _ in range(12)] == [200] * 12
     assert len(draining.requests) == before and len(other.requests) == 12
-    assert b"after=1&wait_ms=" in told.requests[0]
+    assert b"after=1&wait_ms=" in discovery.requests[0]
 
 
 @scenario
-async def test_at_the_descriptor_limit_the_client_idle_for_longest_makes_room(start):
+async def test_at_the_descriptor_limit_the_client_idle_for_longest_is_closed(start):
     node = await start(StandInServer(OK), descriptors=40)
     used = [await node.connect() for _ in range(12)]
     assert [(await node.send_request(stream=one))[0] for one in used] == [200] * 12
@@ -368,7 +368,7 @@
 
 
 @scenario
-async def test_a_mistake_in_the_module_ends_no_node_and_leaves_no_request_unanswered(start):
+async def test_an_exception_in_the_decisions_ends_no_node_and_leaves_no_request_unanswered(start):
     from wheatroute.balancing.request_admission import RequestAdmission
 
     node = await start(StandInServer(OK))
@@ -413,7 +413,7 @@
 )
 
 
-def test_nothing_goes_out_for_a_request_that_has_its_answer():
+def test_nothing_is_sent_for_a_request_that_has_its_response():
     async def tell():
         driver, given = make_driver(SETTINGS)
         exchange = request()
@@ -430,7 +430,7 @@
     trio.run(tell)
 
 
-def test_a_request_ended_as_overdue_may_still_be_named_by_the_module_in_that_round():
+def test_a_request_past_its_deadline_may_still_be_in_commands_of_that_batch():
     async def tell():
         driver, _ = make_driver(SETTINGS)
 
@@ -463,7 +463,7 @@
     assert lag.lag_s < 0.1
 
 
-def test_a_node_that_is_told_too_little_says_so_in_one_line_and_exits_with_2(tmp_path):
+def test_a_node_with_incomplete_settings_reports_it_in_one_line_and_exits_with_2(tmp_path):
     path = tmp_path / "config.json"
     for text in (
         "{",
@@ -485,16 +485,16 @@
 
 
 @scenario
-async def test_a_server_whose_address_changes_is_found_at_its_new_one(start):
+async def test_a_server_whose_address_changes_is_reached_at_its_new_one(start):
     old, new = StandInServer(OK), StandInServer(OK)
-    told = StandInServer(list_response(2, {"id": "s", "addr": new.address}), SILENT)
-    node = await start(new, old, discovery=told)  # of the same name: what is known at start is the last
+    discovery = StandInServer(list_response(2, {"id": "s", "addr": new.address}), SILENT)
+    node = await start(new, old, discovery=discovery)  # of the same name: what is known at start is the last
     await trio.sleep(0.2)
     assert (await node.send_request())[0] == 200 and len(new.requests) == 1
 
 
 @scenario
-async def test_a_client_that_asks_ahead_gets_one_answer_for_each_request(start):
+async def test_a_client_that_pipelines_gets_one_response_for_each_request(start):
     peer = StandInServer(OK)
     node = await start(peer)
     stream = await node.connect()
@@ -507,7 +507,7 @@
 
 
 @scenario
-async def test_bytes_that_nobody_asked_for_are_no_answer_to_the_next_request(start):
+async def test_surplus_bytes_are_no_response_to_the_next_request(start):
     peer = StandInServer(STRAY, OK)
     node = await start(peer)
     for _ in range(3):
@@ -516,7 +516,7 @@
 
 
 @scenario
-async def test_a_client_that_the_system_cannot_hand_over_is_tried_again(start):
+async def test_a_client_that_the_system_cannot_accept_is_accepted_later(start):
     node = await start(StandInServer(OK))
     right, Downstream._accept_one = Downstream._accept_one, refuse
     stream = await node.connect()
@@ -545,20 +545,20 @@
 
 
 @scenario
-async def test_a_list_service_that_fails_is_asked_again_and_its_news_is_heeded(start):
+async def test_a_list_service_that_fails_is_polled_again_and_its_updates_are_applied(start):
     draining, other = StandInServer(OK), StandInServer(OK, name="t")
-    told = StandInServer(
+    discovery = StandInServer(
         b"no list", ERROR, list_response(9, {"id": "t", "addr": other.address}, is_full=True), SILENT
     )
-    node = await start(draining, other, discovery=told)
-    while len(told.requests) < 4:
+    node = await start(draining, other, discovery=discovery)
+    while len(discovery.requests) < 4:
         await trio.sleep(0.05)
     assert [(await node.send_request())[0] for _ in range(8)] == [200] * 8 and not draining.requests
-    assert b"after=9&" in told.requests[3]
+    assert b"after=9&" in discovery.requests[3]
 
 
 @scenario
-async def test_a_malformed_load_report_spoils_no_answer(start):
+async def test_a_malformed_load_report_does_not_affect_the_response(start):
     for text in (b"TEXT active=3, =, x", b"nonsense", b"TEXT active=-1", b"TEXT active=nan", b"\xff"):
         peer = StandInServer(OK.replace(b"\r\n\r\n", b"\r\nServer-Load: " + text + b"\r\n\r\n"))
         node = await start(peer)
@@ -566,7 +566,7 @@
 
 
 @scenario
-async def test_clients_beyond_the_descriptors_are_refused_at_once_and_not_left_in_the_queue(start):
+async def test_clients_beyond_the_descriptor_limit_are_rejected_at_once_and_not_left_in_the_queue(start):
     node = await start(StandInServer(SILENT), descriptors=40, deadline=5.0)
     busy = [await node.connect() for _ in range(14)]
     for one in busy:
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -24,8 +24,8 @@
 import wheatroute.__main__ as program
 from wheatroute.net.downstream import Downstream
 from wheatroute.net.connection import Connection
-kept, told = [], json.load(open(os.environ["PROXY_CONFIG"])) if "PLACE" not in os.environ else {}
-place = tuple(told["listen"].split(":")) if told else os.environ["PLACE"].split(":")
+kept, config = [], json.load(open(os.environ["PROXY_CONFIG"])) if "PLACE" not in os.environ else {}
+place = tuple(config["listen"].split(":")) if config else os.environ["PLACE"].split(":")
 place = place[0], int(place[1])
 
 def ask(limit=5.0, name=b"c1"):
@@ -64,8 +64,8 @@
 ):
     """A node as a process of its own; its end is looked for, its output is kept."""
     node = Node(folder, *servers, discovery=discovery or ListService(lambda request: None), **how)
-    told_it = node.config if known else {key: value for key, value in node.config.items() if key != "known"}
-    node.config_path.write_text(json.dumps(told_it))
+    config = node.config if known else {key: value for key, value in node.config.items() if key != "known"}
+    node.config_path.write_text(json.dumps(config))
     env = os.environ | {"PROXY_CONFIG": str(node.config_path)}
     if fifo:
         node.config_path.unlink()
@@ -128,7 +128,7 @@
 
 
 @run
-async def test_sigterm_between_listening_and_heeding_signals_loses_nothing_that_was_taken(tmp_path):
+async def test_sigterm_between_listening_and_handling_signals_loses_nothing_that_was_accepted(tmp_path):
     code = (
         BEFORE
         + """
@@ -157,7 +157,7 @@
 
 
 @run
-async def test_a_second_sigterm_and_a_sighup_while_it_stops_end_nothing_early(tmp_path):
+async def test_a_second_sigterm_and_a_sighup_during_shutdown_end_nothing_early(tmp_path):
     server, go = Server(), trio.Event()
     server.on = {"read": lambda _: go.wait()}
     async with node_process(tmp_path, server, nodes=2) as node:
@@ -177,7 +177,7 @@
 
 
 @run
-async def test_a_signal_in_its_very_last_moment_does_not_spoil_the_exit_status(tmp_path):
+async def test_a_signal_at_the_very_end_does_not_change_the_exit_status(tmp_path):
     code = (
         BEFORE
         + """
@@ -198,7 +198,7 @@
 
 
 @run
-async def test_a_connection_that_comes_as_the_listener_closes_is_not_left_in_its_queue(tmp_path):
+async def test_a_connection_that_arrives_as_the_listener_closes_is_not_left_in_its_queue(tmp_path):
     """One comes in the last moment before the close, after the queue was emptied."""
     code = (
         BEFORE
@@ -226,7 +226,7 @@
 
 
 @run
-async def test_connections_taken_last_are_shut_with_the_others_or_answered(tmp_path):
+async def test_connections_accepted_last_are_closed_with_the_others_or_answered(tmp_path):
     """Two come before the queue is emptied for the last time, one silent. Their tasks begin after that."""
     code = (
         BEFORE
@@ -285,7 +285,7 @@
 
 
 @run
-async def test_resting_clients_are_ended_by_a_stop_and_half_requests_are_read_to_their_end(tmp_path):
+async def test_idle_clients_are_closed_by_a_shutdown_and_half_requests_are_read_to_their_end(tmp_path):
     server = Server()
     async with node_process(tmp_path, server, nodes=2) as node:
         resting, half = Client(node.port), Client(node.port)
@@ -304,7 +304,7 @@
 
 
 @run
-async def test_a_slow_reader_of_an_answer_that_was_begun_before_the_stop_is_let_go_after_it(tmp_path):
+async def test_a_slow_reader_of_a_response_begun_before_the_shutdown_is_closed_after_it(tmp_path):
     body = b"x" * 400_000
     server = Server(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     code = (
@@ -333,7 +333,7 @@
 
 
 @run
-async def test_after_sighup_the_new_list_counts_though_the_old_one_spoke_last(tmp_path):
+async def test_after_sighup_the_new_list_counts_though_the_old_service_answered_last(tmp_path):
     servers = [Server(), Server(name="t")]
     old = ListService(lambda request: None)
     new = ListService(
@@ -358,7 +358,7 @@
         nursery.cancel_scope.cancel()
 
 
-def test_a_restarted_node_is_ready_at_once_and_says_so(tmp_path):
+def test_a_restarted_node_is_ready_at_once_and_logs_it(tmp_path):
     """Nine in ten have to be ready within 10 s: here from the start of the process to the first answer."""
 
     async def tell():
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -119,7 +119,7 @@
 
 
 @scenario
-async def test_a_server_told_draining_while_its_connection_came_up_gets_nothing(start):
+async def test_a_server_that_begins_to_drain_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await changed(
         start, lambda one: [{"id": one.name, "addr": one.address, "state": "terminating"}]
     )
@@ -127,13 +127,13 @@
 
 
 @scenario
-async def test_a_server_told_gone_while_its_connection_came_up_gets_nothing(start):
+async def test_a_server_that_is_removed_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await changed(start, lambda one: [{"id": one.name, "state": "terminated"}])
     assert status == 200 and not first.heads and len(written(*servers)) == 1
 
 
 @scenario
-async def test_an_address_that_is_anothers_by_now_gets_nothing(start):
+async def test_an_address_that_belongs_to_another_server_by_now_gets_nothing(start):
     stranger = Server(name="u")
     servers, first, status = await changed(
         start, lambda one: [{"id": one.name, "addr": stranger.address}], others=[stranger]
@@ -142,7 +142,7 @@
 
 
 @scenario
-async def test_a_server_that_started_anew_gets_nothing_that_was_chosen_for_the_one_before(start):
+async def test_a_restarted_server_gets_nothing_that_was_chosen_for_its_earlier_incarnation(start):
     servers, first, status = await changed(
         start,
         lambda one: [
@@ -158,7 +158,7 @@
 
 
 @scenario
-async def test_a_keyed_request_is_not_repeated_once_its_window_has_closed(start):
+async def test_a_keyed_request_is_not_retried_once_its_retry_window_is_over(start):
     turn = [ERROR, OK]
     first, second = Server(), Server(name="t")
     first.responses = second.responses = turn
@@ -177,7 +177,7 @@
 
 
 @scenario
-async def test_a_cold_server_gets_nothing_that_was_decided_long_before(start):
+async def test_a_server_that_warms_up_gets_nothing_that_was_decided_long_before(start):
     server = Server()
 
     updates = []
@@ -237,7 +237,7 @@
 
 
 @scenario
-async def test_the_rest_of_a_request_is_not_written_to_a_server_told_draining(start):
+async def test_the_rest_of_a_request_is_not_written_to_a_server_that_begins_to_drain(start):
     async def drain(first, updates, client, found):
         updates.publish({"id": first.name, "addr": first.address, "state": "terminating"})
         await updates_applied(found)
@@ -247,7 +247,7 @@
 
 
 @scenario
-async def test_the_rest_of_a_request_is_not_written_after_its_time(start):
+async def test_the_rest_of_a_request_is_not_written_after_its_deadline(start):
     async def wait(first, updates, client, found):
         end = time.monotonic() + 0.65
         while time.monotonic() < end:  # the node's loop stands still, its server reads nothing
@@ -300,17 +300,17 @@
 
 
 @scenario
-async def test_nothing_goes_out_for_a_client_that_closed_while_the_connection_came_up(start):
+async def test_nothing_is_sent_for_a_client_that_closed_while_the_connection_was_opened(start):
     await left(start, Client.leave)
 
 
 @scenario
-async def test_nothing_goes_out_for_a_client_that_reset_while_the_connection_came_up(start):
+async def test_nothing_is_sent_for_a_client_that_reset_while_the_connection_was_opened(start):
     await left(start, Client.reset)
 
 
 @scenario
-async def test_nothing_goes_out_for_a_client_that_left_behind_a_further_request_unread(start):
+async def test_nothing_is_sent_for_a_client_that_left_a_further_request_unread(start):
     for leave in (Client.leave, Client.reset):
         seen = []
 
@@ -325,7 +325,7 @@
 
 
 @scenario
-async def test_nothing_goes_out_for_a_client_gone_right_behind_its_request(start):
+async def test_nothing_is_sent_for_a_client_that_left_right_after_its_request(start):
     server = Server()
     node = await start(server)
     assert (await node.send_request("view"))[0] == 200  # a connection is open: nothing has to come up
@@ -348,7 +348,7 @@
 
 
 @scenario
-async def test_nothing_goes_out_for_clients_that_leave_between_decision_and_write(start):
+async def test_nothing_is_sent_for_clients_that_leave_between_decision_and_write(start):
     server = Server()
     node = await start(server)
     assert (await node.send_request("view"))[0] == 200
@@ -375,7 +375,7 @@
 
 
 @scenario
-async def test_nothing_goes_out_for_a_burst_of_clients_that_leave_together(start):
+async def test_nothing_is_sent_for_a_burst_of_clients_that_leave_together(start):
     server = Server()
     ended = []
     with (
@@ -405,7 +405,7 @@
 
 
 @scenario
-async def test_an_answer_and_the_end_of_its_time_seen_in_one_pass_make_one_answer(start):
+async def test_a_response_and_its_timeout_in_one_iteration_make_one_response(start):
     for kind, body in (("view", ""), ("place", "b")):
         done = []
 
@@ -432,7 +432,7 @@
 
 
 @scenario
-async def test_a_losers_answer_behind_the_winners_reaches_nobody(start):
+async def test_the_response_of_a_losing_attempt_reaches_no_client(start):
     slow, go = Server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"), trio.Event()
     quick = Server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsoon", name="t")
     slow.on = quick.on = {"read": lambda _: go.wait()}
@@ -458,7 +458,7 @@
 
 
 @scenario
-async def test_an_unsafe_request_that_may_have_run_is_not_written_again_whoever_decides_it(start):
+async def test_a_non_idempotent_request_that_may_have_run_is_not_written_again_whoever_decides_it(start):
     servers = [Server(None), Server(None, name="t")]
     node = await start(*servers)
     exchanges = []
@@ -497,7 +497,7 @@
 
 
 @scenario
-async def test_a_second_answer_some_milliseconds_late_is_no_later_requests_answer(start):
+async def test_a_surplus_response_some_milliseconds_late_answers_no_later_request(start):
     stray = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
     ours, sent = [], []
 
@@ -520,7 +520,7 @@
 
 
 @scenario
-async def test_an_answer_without_a_length_that_is_reset_is_no_answer(start):
+async def test_a_response_without_a_length_that_is_reset_is_no_response(start):
     async def cut(stream):
         reset(stream.socket)
 
@@ -532,7 +532,7 @@
 
 
 @scenario
-async def test_connections_shut_as_they_are_taken_lose_nothing_that_may_be_repeated(start):
+async def test_connections_closed_as_they_are_acquired_lose_nothing_that_may_be_retried(start):
     """One is closed by its server the moment that the node writes on it, and so is the one in its stead."""
     servers = [Server(OK, name=name) for name in "stu"]
     node = await start(*servers, changes=types(group="all"))
@@ -556,7 +556,7 @@
 
 
 @scenario
-async def test_full_frees_a_request_for_another_server_and_a_reset_does_not(start):
+async def test_a_full_server_allows_a_retry_elsewhere_and_a_reset_does_not(start):
     for answer, status, count in ((FULL, 200, 2), (RESET, 502, 1)):
         turn = [answer, OK]
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -15,13 +15,13 @@
 from wheatroute.balancing.interface import Outcome, ServerState
 
 
-def test_each_way_in_which_a_snapshot_is_no_use_is_said():
+def test_each_reason_why_a_snapshot_is_unusable_is_reported():
     good = snapshot.encode({"revision": 4, "servers": ["a"] * 50}, 1000.0)
     assert snapshot.decode(good, 1010.0, 60.0)["revision"] == 4
-    chance = Random(1)
+    rng = Random(1)
     for _ in range(300):  # changed in one byte, anywhere
-        at = chance.randrange(len(good))
-        changed = good[:at] + bytes((good[at] ^ (1 << chance.randrange(8)),)) + good[at + 1 :]
+        at = rng.randrange(len(good))
+        changed = good[:at] + bytes((good[at] ^ (1 << rng.randrange(8)),)) + good[at + 1 :]
         with pytest.raises(snapshot.SnapshotError):
             snapshot.decode(changed, 1010.0, 60.0)
     for cut in range(0, len(good), 7):
@@ -49,21 +49,21 @@
 """
 
 
-def test_kill_9_while_writing_leaves_the_old_one_or_the_new_one(tmp_path):
-    path, chance, last = str(tmp_path / "snapshot"), Random(5), 0
+def test_kill_9_while_writing_leaves_the_old_snapshot_or_the_new_one(tmp_path):
+    path, rng, last = str(tmp_path / "snapshot"), Random(5), 0
     for _ in range(12):  # a hundred in the benchmark
         child = subprocess.Popen([sys.executable, "-c", WRITER, path, str(last)], stdout=subprocess.PIPE)
         child.stdout.readline()
-        time.sleep(chance.random() * 0.02)  # anywhere in a write: any moment will do
+        time.sleep(rng.random() * 0.02)  # anywhere in a write: any moment will do
         child.send_signal(signal.SIGKILL)
         written = [int(line) for line in child.stdout.read().split()]
         child.wait()
-        told = snapshot.read(path, 1e9, 1e9)
-        assert told["servers"] == [told["n"]] * 20000 and told["n"] >= max(written, default=last)
-        last = told["n"]
+        document = snapshot.read(path, 1e9, 1e9)
+        assert document["servers"] == [document["n"]] * 20000 and document["n"] >= max(written, default=last)
+        last = document["n"]
 
 
-def test_a_full_disk_or_a_folder_that_is_missing_leaves_the_old_one(tmp_path):
+def test_a_full_disk_or_a_missing_folder_leaves_the_old_snapshot(tmp_path):
     path = str(tmp_path / "snapshot")
     snapshot.write(path, snapshot.encode({"n": 1}, 0.0))
     os.mkdir(f"{path}.new")  # nothing can be written beside it
@@ -76,28 +76,29 @@
         snapshot.read(str(tmp_path / "none"), 1.0, 1.0)
 
 
-def test_what_was_learned_comes_back_with_its_age_and_nothing_that_is_no_figure():
+def test_statistics_are_restored_with_their_age_and_without_invalid_figures():
     names = {f"s{n}": n for n in range(4)}
     before = BalancerHost(answer=slow_servers(2)).run(6.0, 40)
-    told = stored_statistics.export_statistics(before.balancer, names, before.now)
-    assert told["s2"]["latency"] > 2 * told["s1"]["latency"]
+    statistics = stored_statistics.export_statistics(before.balancer, names, before.now)
+    assert statistics["s2"]["latency"] > 2 * statistics["s1"]["latency"]
     after = BalancerHost(answer=slow_servers(2)).step()
-    told["s1"] |= {"latency": float("nan")}
-    told["s0"] |= {"age": -5.0}
-    told["s9"] = told["s2"]
-    assert stored_statistics.restore_statistics(after.balancer, told, names, after.now, 3.0) == 2  # s2 and s3
+    statistics["s1"] |= {"latency": float("nan")}
+    statistics["s0"] |= {"age": -5.0}
+    statistics["s9"] = statistics["s2"]
+    restored = stored_statistics.restore_statistics(after.balancer, statistics, names, after.now, 3.0)
+    assert restored == 2  # s2 and s3
     after.run(0.9, 200)
     fresh = BalancerHost(answer=slow_servers(2)).run(0.9, 200)
     assert after.attempts_to(2) < 0.8 * fresh.attempts_to(2)
 
 
-def test_a_bar_holds_on_over_a_restart_until_its_trial():
+def test_an_ejection_outlasts_a_restart_until_its_trial():
     names = {f"s{n}": n for n in range(4)}
     before = BalancerHost(answer=lambda server, attempt: None if server == 0 else (0, 0.1)).run(4.0, 40)
     assert before.balancer.servers.ejected_until[0]
-    told = stored_statistics.export_statistics(before.balancer, names, before.now)
+    statistics = stored_statistics.export_statistics(before.balancer, names, before.now)
     after = BalancerHost().step()
-    stored_statistics.restore_statistics(after.balancer, told, names, after.now, 0.1)
+    stored_statistics.restore_statistics(after.balancer, statistics, names, after.now, 0.1)
     after.step(0.3)
     assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.selection.servers
     after.run(8.0, 40)
@@ -105,7 +106,7 @@
     after.list_servers([BalancerHost.list_entry(1, ServerState.REMOVED)])
 
 
-LEARNED = (  # as the version before the renaming of the decision module wrote it
+STORED_STATISTICS = (  # as an earlier version wrote it
     b'{"s0":{"latency":6.307638195705031,"weight":4.90992800745259,"age":0.024999999999977263,'
     b'"errors":0,"barred_for":0.0,"penalty":0},'
     b'"s1":{"latency":0.6300980515870442,"weight":4.999999999999998,"age":0.0,'
@@ -115,8 +116,9 @@
 )
 
 
-def test_what_was_learned_is_written_under_the_keys_of_earlier_versions():
+def test_statistics_are_stored_under_the_keys_of_earlier_versions():
     names = {f"s{n}": n for n in range(3)}
     answers = [None, (Outcome.SERVED, 0.1), (Outcome.SERVED, 0.4)]
     host = BalancerHost(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
-    assert orjson.dumps(stored_statistics.export_statistics(host.balancer, names, host.now)) == LEARNED
+    exported = stored_statistics.export_statistics(host.balancer, names, host.now)
+    assert orjson.dumps(exported) == STORED_STATISTICS
