--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -32,7 +32,7 @@
 sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "balancing")]
 
 from wheatroute import decide  # noqa: E402
-from wheatroute.balancing import queue_management, server_selection  # noqa: E402
+from wheatroute.balancing import queue_management, server_subset  # noqa: E402
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
@@ -397,8 +397,8 @@
     """
     earlier = module_at(commit)
     Twin.tally, Twin.first_differences = Counter(), []
-    usual = server_selection.MAX_SERVERS_PER_TICK, decide.MAX_SCANS
-    server_selection.MAX_SERVERS_PER_TICK = decide.MAX_SCANS = queue_management.MAX_SCANS = 10**9
+    usual = server_subset.MAX_SERVERS_PER_TICK, decide.MAX_SCANS
+    server_subset.MAX_SERVERS_PER_TICK = decide.MAX_SCANS = queue_management.MAX_SCANS = 10**9
     vars(earlier).update(LARGE=10**9, SORTED=10**9)  # its own, where it has them
 
     def twin(settings: Any, rng: random.Random) -> Twin:
@@ -419,7 +419,7 @@
             day.play(twin(decision_settings(nodes, **changes), random.Random(i)), requests)
     if with_scenarios:
         _play_scenarios(twin)
-    server_selection.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
+    server_subset.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
     queue_management.MAX_SCANS = decide.MAX_SCANS
     return Twin.tally
 
--- a/tests/balancing/test_server_selection.py
+++ b/tests/balancing/test_server_selection.py
@@ -21,13 +21,13 @@
 
 
 def subset_size(host):
-    return len(host.balancer._components.selection.servers)
+    return len(host.balancer._components.subset.servers)
 
 
 def test_the_subsets_of_many_nodes_cover_the_tier_evenly():
     entries = [(s, 0, s % 3 > 0, s // 2, ServerState.LIVE, 1.0, 0.0) for s in range(60)]
     hosts = [BalancerHost(entries=entries, nodes=120, node=i).step() for i in range(120)]
-    subsets = [host.balancer._components.selection for host in hosts]
+    subsets = [host.balancer._components.subset for host in hosts]
     assert all(8 <= len(subset.servers) <= 10 for subset in subsets)
     nodes_per_server = [
         sum(subset.weights.get(s, 0.0) / sum(subset.weights.values()) for subset in subsets)
@@ -56,7 +56,7 @@
     host.run(0.5, 20).step(0.5)
     host.list_servers([(8 + s, 0, s % 2, 8 + s, ServerState.LIVE, 1.0, 0.0) for s in range(2)])
     host.step(0.005)
-    weights = host.balancer._components.selection.weights
+    weights = host.balancer._components.subset.weights
     assert weights[8] > 1.4 * weights[9]
 
 
@@ -66,7 +66,7 @@
     host.run(4.0, 40)
     is_slow = True
     host.run(0.275, 40, request_class=NON_IDEMPOTENT)  # too short for it to hang, and none of them has ended
-    weights = host.balancer._components.selection.weights
+    weights = host.balancer._components.subset.weights
     assert 0.0 < weights[0] < 0.95 * weights[1]
 
 
@@ -100,9 +100,9 @@
     balancer, servers = host.balancer, host.balancer.servers
     assert len(servers.sent_at[0]) > 1
     # it answers nobody: that is not due to a class
-    assert not balancer._components.selection.stuck_classes(0)
+    assert not balancer._components.subset.stuck_classes(0)
     servers.answered_at[0] = host.now
-    assert len(balancer._components.selection.stuck_classes(0)) > 1
+    assert len(balancer._components.subset.stuck_classes(0)) > 1
 
 
 def test_a_heavy_request_goes_where_it_can_be_in_time():
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -100,7 +100,7 @@
     after = BalancerHost().step()
     stored_statistics.restore_statistics(after.balancer, statistics, names, after.now, 0.1)
     after.step(0.3)
-    assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.selection.servers
+    assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.subset.servers
     after.run(8.0, 40)
     assert not after.balancer.servers.ejected_until[0]  # it is well, as its trial shows
     after.list_servers([BalancerHost.list_entry(1, ServerState.REMOVED)])
--- a/wheatroute/balancing/attempt_sender.py
+++ b/wheatroute/balancing/attempt_sender.py
@@ -11,6 +11,7 @@
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
 from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 
 class AttemptSender:
@@ -21,13 +22,15 @@
         state: NodeState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
+        subset: ServerSubset,
         selection: ServerSelection,
         ejection: OutlierEjection,
         hedging: Hedging,
         idle: IdleConnectionStatistics,
     ) -> None:
         self._state, self._limiter, self._reports = state, limiter, reports
-        self._selection, self._ejection, self._hedging, self._idle = selection, ejection, hedging, idle
+        self._subset, self._selection, self._ejection = subset, selection, ejection
+        self._hedging, self._idle = hedging, idle
 
     def send(self, request: Request) -> bool:
         """Sends one attempt if there is capacity and a server for it."""
@@ -37,7 +40,7 @@
             is_over_limit = limiter.in_flight >= limiter.capacity * request.capacity_fraction
             if not is_over_limit or selection.has_lightly_loaded():
                 server = selection.pick(request, is_over_limit)
-        if server < 0 and not selection.servers:
+        if server < 0 and not self._subset.servers:
             server = selection.pick_last_resort(request)
         if server < 0:
             return False
@@ -60,7 +63,7 @@
         servers.in_flight[server] += 1
         self._reports.add_sent(server)
         servers.slow_start_credit[server] -= 1.0
-        self._limiter.in_flight += server in self._selection.weights
+        self._limiter.in_flight += server in self._subset.weights
         state.writer.attempt(request.number, server, request.give_up_at - now)
         self._hedging.attempt_sent(request, n)
 
--- a/wheatroute/balancing/components.py
+++ b/wheatroute/balancing/components.py
@@ -19,6 +19,7 @@
 from wheatroute.balancing.request_admission import RequestAdmission
 from wheatroute.balancing.request_lifecycle import RequestLifecycle
 from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.balancing.settings_updates import SettingsUpdates
 from wheatroute.balancing.slow_start import SlowStart
@@ -45,27 +46,42 @@
         self.quotas = TenantQuotas(state, self.limiter)
         self.slow_start = SlowStart(state)
         self.trials = HalfOpenTrials(state)
-        self.selection = ServerSelection(
+        self.subset = ServerSubset(
             state, self.ready, self.limiter, self.reports, self.slow_start, self.trials
         )
-        self.ejection = OutlierEjection(state, self.selection, self.trials, self.limiter)
+        self.selection = ServerSelection(state, self.limiter, self.reports, self.slow_start, self.subset)
+        self.ejection = OutlierEjection(state, self.subset, self.selection, self.trials, self.limiter)
         self.recorder = OutcomeRecorder(state, self.limiter, self.reports, self.ejection, self.idle)
 
         # requests and their attempts
         self.admission = RequestAdmission(state, self.reports, self.quotas)
         self.hedging = Hedging(state, self.limiter, self.selection)
         self.sender = AttemptSender(
-            state, self.limiter, self.reports, self.selection, self.ejection, self.hedging, self.idle
+            state,
+            self.limiter,
+            self.reports,
+            self.subset,
+            self.selection,
+            self.ejection,
+            self.hedging,
+            self.idle,
         )
         self.answers = make_final_answers(state, self.quotas)
         self.queue = QueueManager(
-            state, self.limiter, self.selection, self.trials, self.recorder, self.sender, self.answers
+            state,
+            self.limiter,
+            self.subset,
+            self.selection,
+            self.trials,
+            self.recorder,
+            self.sender,
+            self.answers,
         )
         self.lifecycle = RequestLifecycle(
             state,
             self.limiter,
             self.reports,
-            self.selection,
+            self.subset,
             self.recorder,
             self.admission,
             self.sender,
@@ -74,6 +90,6 @@
         )
 
         # what the node is told
-        self.membership = MembershipUpdates(state, self.ready, self.selection)
-        configurable = (self.selection, self.quotas, self.reports, self.admission, self.hedging)
-        self.settings_updates = SettingsUpdates(state, self.selection, self.slow_start, configurable)
+        self.membership = MembershipUpdates(state, self.ready, self.subset)
+        configurable = (self.subset, self.quotas, self.reports, self.admission, self.hedging)
+        self.settings_updates = SettingsUpdates(state, self.subset, self.slow_start, configurable)
--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -5,8 +5,6 @@
 falls where this time is well above the shortest of late, and grows where it is not.
 """
 
-from __future__ import annotations
-
 from math import inf, sqrt
 from random import Random
 
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -1,7 +1,5 @@
 """When an ejected server may get the one request that decides whether it comes back. No I/O."""
 
-from __future__ import annotations
-
 from math import inf
 
 from wheatroute.balancing.node_state import NodeState
--- a/wheatroute/balancing/hedging.py
+++ b/wheatroute/balancing/hedging.py
@@ -21,7 +21,6 @@
     def __init__(self, state: NodeState, limiter: ConcurrencyLimiter, selection: ServerSelection) -> None:
         self._state, self._limiter, self._selection = state, limiter, selection
         self._credit = 1.0
-        self._hedged_value = inf
 
     def apply_settings(self) -> None:
         """Takes over changed settings: only the most valuable idempotent requests are hedged."""
@@ -57,9 +56,8 @@
             again_at = state.now + latencies.hedge_after_s * state.rng.random()
             heappush(state.timers, (again_at, request.number, request))
             return -1
-        if latencies.is_all_slow or self._credit < 1.0 or state.now >= request.target:
-            return -1
-        if self._limiter.in_flight >= self._limiter.capacity:
+        has_capacity = self._limiter.in_flight < self._limiter.capacity
+        if latencies.is_all_slow or self._credit < 1.0 or not has_capacity or state.now >= request.target:
             return -1
         server = self._selection.pick(request)
         if server >= 0:
--- a/wheatroute/balancing/membership_updates.py
+++ b/wheatroute/balancing/membership_updates.py
@@ -5,14 +5,14 @@
 from wheatroute.balancing.interface import ListEntry, ServerState
 from wheatroute.balancing.node_state import NodeState
 from wheatroute.balancing.ready_servers import ReadyServers
-from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 
 class MembershipUpdates:
     """The servers by the list, which is pushed, or asked for by this node."""
 
-    def __init__(self, state: NodeState, ready: ReadyServers, selection: ServerSelection) -> None:
-        self._state, self._ready, self._selection = state, ready, selection
+    def __init__(self, state: NodeState, ready: ReadyServers, subset: ServerSubset) -> None:
+        self._state, self._ready, self._subset = state, ready, subset
         self.watch_at = -inf if state.settings.list_on_request else inf
         self._backoff_s = 0.0
 
@@ -38,7 +38,7 @@
                 servers.forget(server, started_at)
                 # other nodes hear of it too: a random first credit keeps them from all sending at once
                 servers.slow_start_credit[server] = self._state.rng.random()
-        (self._selection.update if is_full else self._selection.update_soon)()
+        (self._subset.update if is_full else self._subset.update_soon)()
 
     def list_failed(self) -> None:
         """Asks again after a random, growing backoff: a list service may fail under load."""
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -5,8 +5,6 @@
 is ejected for it: that is the tier's fault, and fewer servers would not help.
 """
 
-from __future__ import annotations
-
 from collections.abc import Iterator
 from math import inf
 
@@ -17,6 +15,7 @@
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, OUTLIER_LATENCY_RATIO, UPDATE_INTERVAL_S
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 HANG_RATIO = 3.0  # a server with no answer for this multiple of the p95, and an attempt in flight, hangs
 MAX_ERROR_RATE = 0.3  # of a server's answers
@@ -29,11 +28,13 @@
     def __init__(
         self,
         state: NodeState,
+        subset: ServerSubset,
         selection: ServerSelection,
         trials: HalfOpenTrials,
         limiter: ConcurrencyLimiter,
     ) -> None:
-        self._state, self._selection, self._trials, self._limiter = state, selection, trials, limiter
+        self._state, self._trials, self._limiter = state, trials, limiter
+        self._subset, self._selection = subset, selection
 
     def eject(self, server: int) -> None:
         """Ejects a server unless it is ejected."""
@@ -42,11 +43,11 @@
         self._prolong(server)
         self._trials.ejected.append(server)
         self._trials.reset_due_time()
-        self._selection.update_soon()
+        self._subset.update_soon()
 
     def eject_unless_many(self, server: int) -> None:
         """Ejects a server unless half of the subset would then be ejected."""
-        if 2 * (len(self._trials.ejected) + 1) <= self._selection.subset_size:
+        if 2 * (len(self._trials.ejected) + 1) <= self._subset.size:
             self.eject(server)
 
     def check_errors(self, server: int) -> None:
@@ -62,7 +63,7 @@
 
     def eject_slow(self) -> None:
         """Ejects servers that are far slower than others."""
-        for server in self._selection.slow_servers:
+        for server in self._subset.slow_servers:
             self.eject_unless_many(server)
 
     def eject_hanging(self) -> Iterator[int]:
@@ -130,7 +131,7 @@
             servers.ejected_until[server] = servers.ejection_s[server] = servers.error_rate[server] = 0.0
             if server in self._trials.ejected:
                 self._trials.ejected.remove(server)
-            self._selection.update_soon()
+            self._subset.update_soon()
 
     def fail_trial(self, server: int) -> None:
         """An attempt failed: an ejected server on trial stays ejected, for longer."""
--- a/wheatroute/balancing/periodic_tasks.py
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -25,7 +25,7 @@
             self.pending.popleft()()
 
     def _tick(self) -> None:
-        components, selection = self._components, self._components.selection
+        components, subset = self._components, self._components.subset
         now = components.state.now
         # after a stall answers may lie unread, so no server is blamed for having sent none
         is_stalled = now - self.next_tick > TICK_INTERVAL_S / 2
@@ -34,7 +34,7 @@
         components.recorder.tick(TICK_INTERVAL_S)
         components.quotas.refill(TICK_INTERVAL_S)
         tasks = self._tasks(now, is_stalled)
-        if selection.subset_size > selection.max_servers_at_once and components.limiter.limit < inf:
+        if subset.size > subset.max_servers_at_once and components.limiter.limit < inf:
             # One batch would take as long as the servers are many: each of the next batches, which come
             # within some ticks, does a part. Not the first time, when there is no limit yet.
             self.pending.extend(tasks)
@@ -53,7 +53,7 @@
             tasks.append(components.reports.probe_next)
         if not is_stalled:
             tasks.append(self._check_servers)
-        tasks += [self._refill_credit, self._update_limit, components.selection.update, components.queue.shed]
+        tasks += [self._refill_credit, self._update_limit, components.subset.update, components.queue.shed]
         return tasks
 
     def _check_servers(self) -> None:
@@ -65,9 +65,7 @@
 
     def _refill_credit(self) -> None:
         components = self._components
-        components.slow_start.refill(
-            components.trials.ejected + components.selection.servers, TICK_INTERVAL_S
-        )
+        components.slow_start.refill(components.trials.ejected + components.subset.servers, TICK_INTERVAL_S)
 
     def _update_limit(self) -> None:
         limiter, state = self._components.limiter, self._components.state
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -12,6 +12,7 @@
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.request_queue import RequestQueue
 from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 START_MARGIN = 1.25  # mean latencies that a queued request must have left when it starts
 
@@ -23,13 +24,15 @@
         self,
         state: NodeState,
         limiter: ConcurrencyLimiter,
+        subset: ServerSubset,
         selection: ServerSelection,
         trials: HalfOpenTrials,
         recorder: OutcomeRecorder,
         sender: AttemptSender,
         answers: FinalAnswers,
     ) -> None:
-        self._state, self._limiter, self._selection, self._trials = state, limiter, selection, trials
+        self._state, self._limiter, self._trials = state, limiter, trials
+        self._subset, self._selection = subset, selection
         self._recorder, self._sender, self._answers = recorder, sender, answers
         self._queue = RequestQueue()
         self._shed_at = -inf  # when requests were last shed
@@ -67,12 +70,12 @@
 
     def _has_no_capacity(self, fraction: float = 1.0) -> bool:
         """Whether no request that may use this fraction of the capacity can be sent, not even as a trial."""
-        selection, limiter = self._selection, self._limiter
+        limiter = self._limiter
         return (
-            bool(selection.servers)
+            bool(self._subset.servers)
             and limiter.in_flight >= limiter.capacity * fraction
             and not self._trials.is_due()
-            and not selection.has_lightly_loaded()
+            and not self._selection.has_lightly_loaded()
         )
 
     def drain(self) -> None:
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -16,7 +16,7 @@
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.request_admission import RequestAdmission
 from wheatroute.balancing.retry_rules import may_repeat
-from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 RETRY_FRACTION = 0.1  # of the requests taken may be sent again after an attempt that may have run
 MAX_RETRY_CREDIT = 1.0 + RETRY_FRACTION * MIN_SAMPLES * 2
@@ -30,14 +30,14 @@
         state: NodeState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
-        selection: ServerSelection,
+        subset: ServerSubset,
         recorder: OutcomeRecorder,
         admission: RequestAdmission,
         sender: AttemptSender,
         queue: QueueManager,
         answers: FinalAnswers,
     ) -> None:
-        self._state, self._limiter, self._reports, self._selection = state, limiter, reports, selection
+        self._state, self._limiter, self._reports, self._subset = state, limiter, reports, subset
         self._recorder, self._admission, self._sender = recorder, admission, sender
         self._queue, self._answers = queue, answers
         self._retry_credit = 1.0
@@ -83,7 +83,7 @@
         request.attempts_in_flight.discard(n)
         servers = self._state.servers
         servers.in_flight[server] -= 1
-        self._limiter.in_flight -= server in self._selection.weights
+        self._limiter.in_flight -= server in self._subset.weights
         servers.sent_at[server].pop((number, n), None)
         if report and outcome == Outcome.SERVED:
             self._reports.take_report(server, report, elapsed_s)
--- a/wheatroute/balancing/request_queue.py
+++ b/wheatroute/balancing/request_queue.py
@@ -3,8 +3,6 @@
 A request is in the queue once or not at all; both orders always hold the same requests.
 """
 
-from __future__ import annotations
-
 from bisect import bisect_left, insort
 from collections.abc import Callable
 from heapq import heappop, heappush
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -4,8 +4,6 @@
 servers drop the repeat: in the deduplication group of its first attempt, within the retry window.
 """
 
-from __future__ import annotations
-
 from math import inf
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -1,149 +1,42 @@
-"""Which server gets an attempt: the subset that a node sends to, weights, and the draw. No I/O."""
-
-from __future__ import annotations
+"""Which server gets an attempt: the draw among those of the subset. No I/O."""
 
 from bisect import bisect
-from math import ceil, inf, sqrt
+from math import inf
 
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
-from wheatroute.balancing.half_open_trials import HalfOpenTrials
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.load_reports import LoadReports
 from wheatroute.balancing.node_state import NodeState
-from wheatroute.balancing.parameters import (
-    LATENCY_WINDOW_S,
-    MIN_IN_FLIGHT_PER_SERVER,
-    MIN_SAMPLES,
-    OUTLIER_LATENCY_RATIO,
-)
-from wheatroute.balancing.ready_servers import ReadyServers
+from wheatroute.balancing.parameters import MIN_IN_FLIGHT_PER_SERVER
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
+from wheatroute.balancing.server_subset import ServerSubset
 from wheatroute.balancing.slow_start import SlowStart
-from wheatroute.split import clamped_weights
 
 MAX_DRAWS = 4
-MAX_SERVERS_PER_TICK = 64  # with more, a tick's work is spread over several batches
 BUSY_SERVER_RATIO = 1.0  # a server with this multiple of the mean in flight, and a bit, is drawn again
-MIN_SUBSET = 8.0  # servers that a node sends to; more where a server would have fewer nodes than that
-CONNECTION_PRICE_FACTOR = 3.0  # and to so many times fewer where open connections have a price
-SUBSET_STEP = (sqrt(5.0) - 1.0) / 2.0  # of the ring, between the places of one node's subset and the next's
-CROSSING_PRICE_FACTOR = 10.0  # a crossing of zones counts as so many times its price, in mean latencies
-STUCK_RATIO = 5.0  # an attempt in flight for this multiple of its class's mean may be stuck
 
 
 class ServerSelection:
-    """The servers that this node sends to, and the choice among them.
-
-    Weights are inverse to smoothed latency, clamped round the even share (`wheatroute/split.py`).
-    """
+    """The choice of a server for a request."""
 
     def __init__(
         self,
         state: NodeState,
-        ready: ReadyServers,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
         slow_start: SlowStart,
-        trials: HalfOpenTrials,
+        subset: ServerSubset,
     ) -> None:
-        self._state, self._ready, self._limiter = state, ready, limiter
-        self._reports, self._slow_start, self._trials = reports, slow_start, trials
-        self.servers: list[int] = []  # those of the subset that are not ejected
-        self.subset_size = 0  # ejected ones counted
-        self.max_servers_at_once = 0  # a larger subset is updated with ticks only
-        self.weights: dict[int, float] = {}
-        self._cumulative_weights: list[float] = []
-        self._expected_latency: dict[int, float] = {}  # in multiples of the class's mean
-        self.slow_servers: list[int] = []  # outliers by their latency
-
-    def apply_settings(self) -> None:
-        """Takes over changed settings."""
-        maximum = self._state.settings.max_servers_per_tick
-        self.max_servers_at_once = MAX_SERVERS_PER_TICK if maximum is None else maximum
-
-    # the subset and its weights
-
-    def update(self) -> None:
-        """Computes subset and weights anew."""
-        state, servers, limiter = self._state, self._state.servers, self._limiter
-        ring = self._ready.ring()
-        subset = self._subset(ring)
-        self.servers = [server for server in subset if not servers.ejected_until[server]]
-        self._trials.reset([server for server in subset if servers.ejected_until[server]])
-        limiter.healthy_fraction = max(1, len(self.servers)) / max(1, len(subset))
-        limiter.in_flight = sum(
-            servers.in_flight[server] - len(self.stuck_classes(server))
-            for server in self.servers
-            if servers.in_flight[server]
-        )
-        limiter.servers_per_node = max(1, len(ring)) / state.settings.nodes
-        self._update_weights()
-        self.subset_size = len(subset)
-
-    def update_soon(self) -> None:
-        """Updates at once, or a large subset with the next tick; until then draws pass by unfit servers.
-
-        With every ejection in a large tier, batches would else take as long as its servers are many.
-        """
-        if self.subset_size <= self.max_servers_at_once:
-            self.update()
-
-    def _subset(self, ring: list[int]) -> list[int]:
-        """The servers that this node sends to: a stretch of the ring at a place of its own.
-
-        With all of a large tier it would hear each server too seldom to tell the slow from the quick. All
-        nodes' stretches together cover the tier evenly. A node with more traffic sends to more servers, as
-        many as it hears often enough; else its servers would carry more than others.
-        """
-        settings, count = self._state.settings, len(ring)
-        price_factor = CONNECTION_PRICE_FACTOR if settings.connection_price > 0 else 1.0
-        by_traffic = self._limiter.peak_rate * LATENCY_WINDOW_S / MIN_SAMPLES / price_factor
-        by_nodes = MIN_SUBSET * price_factor * count / settings.nodes
-        size = min(count, ceil(max(MIN_SUBSET / price_factor, by_nodes, by_traffic)))
-        first = int(settings.node * SUBSET_STEP % 1.0 * count)
-        return ring[first : first + size] + ring[: max(0, first + size - count)]
-
-    def _update_weights(self) -> None:
-        state, settings, members = self._state, self._state.settings, self.servers
-        zone = state.servers.zone
-        mean_latency_s = sum(state.latencies.mean) / len(state.latencies.mean)
-        expected = state.servers.expected_latencies(members, state.now, mean_latency_s)
-        self._expected_latency = dict(zip(members, expected, strict=True))
-        # a server too slow for half the even share, where weights are clamped, is left to trials
-        median = sorted(expected)[len(expected) // 2] if expected else 1.0
-        self.slow_servers = [
-            server
-            for server, one in zip(members, expected, strict=True)
-            if one > OUTLIER_LATENCY_RATIO * median
-        ]
-        # Latency that is spent in the tiers below is the same for all servers and would hide how slow some
-        # are; each tier is taken to have an equal part of the shortest latency.
-        below = (1.0 - 1.0 / state.tiers_from_here) * min(expected, default=0.0)
-        # a server in another zone looks slower by what the crossing costs
-        crossing = CROSSING_PRICE_FACTOR * settings.crossing_price
-        weights = clamped_weights(
-            [
-                one - below + crossing * (zone[server] != settings.zone)
-                for server, one in zip(members, expected, strict=True)
-            ]
-        )
-        self._reports.update_mean(members)
-        self._cumulative_weights, self.weights, total = [], {}, 0.0
-        for server, weight in zip(members, weights, strict=True):
-            weight *= self._slow_start.warmth(server)
-            total += weight
-            self._cumulative_weights.append(total)
-            self.weights[server] = weight
-
-    # the choice for a request
+        self._state, self._limiter, self._reports = state, limiter, reports
+        self._slow_start, self._subset = slow_start, subset
 
     def pick(self, request: Request, only_light: bool = False) -> int:
         """A server drawn by weight, again where it is far busier than the mean; -1 if none will do.
 
         With `only_light`, one that reports little load.
         """
-        cumulative = self._cumulative_weights
+        subset, cumulative = self._subset, self._subset.cumulative_weights
         if not cumulative:
             return -1
         in_flight, rng = self._state.servers.in_flight, self._state.rng
@@ -151,13 +44,13 @@
         best, min_load = -1, inf
         for _ in range(MAX_DRAWS):
             position = bisect(cumulative, rng.random() * cumulative[-1])
-            server = self.servers[min(len(cumulative) - 1, position)]
+            server = subset.servers[min(len(cumulative) - 1, position)]
             if not self._can_take(request, server, only_light):
                 continue
-            is_unfit = request.class_number in self.stuck_classes(server) or self._is_late(request, server)
+            is_unfit = request.class_number in subset.stuck_classes(server) or self._is_late(request, server)
             if in_flight[server] < busy and not is_unfit and not self._reports.is_congested(server):
                 return server
-            load = (in_flight[server] + 1 + is_unfit * self._limiter.in_flight) / self.weights[server]
+            load = (in_flight[server] + 1 + is_unfit * self._limiter.in_flight) / subset.weights[server]
             if load < min_load:
                 best, min_load = server, load
         if best < 0 or self._is_late(request, best):
@@ -168,13 +61,13 @@
         return best
 
     def _least_loaded(self, request: Request, only_light: bool) -> int:
-        in_flight = self._state.servers.in_flight
+        in_flight, subset = self._state.servers.in_flight, self._subset
         return min(
-            (server for server in self.servers if self._can_take(request, server, only_light)),
+            (server for server in subset.servers if self._can_take(request, server, only_light)),
             default=-1,
             key=lambda server: (
-                self._is_late(request, server) and self._expected_latency[server],
-                (in_flight[server] + 1) / self.weights[server],
+                self._is_late(request, server) and subset.expected_latency[server],
+                (in_flight[server] + 1) / subset.weights[server],
             ),
         )
 
@@ -202,7 +95,7 @@
 
     def has_lightly_loaded(self) -> bool:
         """Whether any server of the subset reports little load."""
-        return any(map(self._reports.is_lightly_loaded, self.servers))
+        return any(map(self._reports.is_lightly_loaded, self._subset.servers))
 
     def _can_take(self, request: Request, server: int, only_light: bool = False) -> bool:
         servers, reports = self._state.servers, self._reports
@@ -233,25 +126,4 @@
         if request.relative_size <= 1.0:
             return False
         mean_s = self._state.latencies.mean[request.class_number] * request.relative_size
-        return self._state.now + mean_s * self._expected_latency[server] > request.target
-
-    def stuck_classes(self, server: int) -> list[int]:
-        """The request classes of attempts that last far too long on a server that goes on answering others.
-
-        Some classes hang at some servers only. Their attempts don't count against the limit, where they
-        would keep out all other classes, and no more of the class is sent there.
-        """
-        state, latencies = self._state, self._state.latencies
-        sent_at, stuck = state.servers.sent_at[server], list[int]()
-        if len(sent_at) < 2 or latencies.is_all_slow:
-            return stuck
-        # oldest first: the rest was sent too late for the shortest mean there is
-        latest, answered_at = state.now - STUCK_RATIO * latencies.min_mean, state.servers.answered_at[server]
-        for (number, _), sent in sent_at.items():
-            if sent >= latest:
-                break
-            class_number = state.requests[number].class_number
-            if sent < state.now - STUCK_RATIO * (latencies.mean[class_number] or inf) < answered_at:
-                stuck.append(class_number)
-        # one alone may be a long request
-        return [one for one in stuck if stuck.count(one) > 1]
+        return self._state.now + mean_s * self._subset.expected_latency[server] > request.target
--- a/wheatroute/balancing/settings_updates.py
+++ b/wheatroute/balancing/settings_updates.py
@@ -6,7 +6,7 @@
 
 from wheatroute.balancing.node_state import NodeState
 from wheatroute.balancing.retry_rules import rebind
-from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.balancing.slow_start import SlowStart
 
@@ -24,11 +24,11 @@
     def __init__(
         self,
         state: NodeState,
-        selection: ServerSelection,
+        subset: ServerSubset,
         slow_start: SlowStart,
         parts: Sequence[Configurable],
     ) -> None:
-        self._state, self._selection, self._slow_start, self._parts = state, selection, slow_start, parts
+        self._state, self._subset, self._slow_start, self._parts = state, subset, slow_start, parts
         self._apply()
 
     def _apply(self) -> None:
@@ -43,7 +43,7 @@
             rebind(request, settings.request_classes[request.class_number], state.servers)
         state.settings = settings
         self._apply()
-        self._selection.update()
+        self._subset.update()
 
     def nodes_counted(self, nodes: int, node: int, caution: float) -> None:
         """Quotas, the subset of servers and the pace of trials follow the number of nodes."""
--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -4,8 +4,6 @@
 warm servers of its model get.
 """
 
-from __future__ import annotations
-
 from wheatroute.balancing.node_state import NodeState
 from wheatroute.balancing.parameters import SMOOTHING, TICK_INTERVAL_S, UPDATE_INTERVAL_S
 
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -1,7 +1,5 @@
 """The tenants' quotas at this node, as token buckets. No I/O."""
 
-from __future__ import annotations
-
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.node_state import NodeState
 from wheatroute.balancing.parameters import MIN_SAMPLES, UPDATE_INTERVAL_S
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -70,8 +70,7 @@
             membership.watch_at = inf
             writer.watch(True)
         if periodic.pending or due_by >= periodic.next_tick:
-            is_idle = not events or events[0][0] == Event.TIMER_DUE
-            periodic.run(due_by, is_idle)
+            periodic.run(due_by, is_idle=not events or events[0][0] == Event.TIMER_DUE)
         self._run_timers(due_by)
         self._queue.drain()
         self._request_wake_up()
