--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -105,7 +105,7 @@
     trio.run(through_a_change, store, way)
 
 
-@scenario
+@story
 async def test_a_process_that_stood_still_over_a_change_looks_at_the_clock_first():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -136,7 +136,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_from_effects_to_none_nobody_repeats_before_all_are_at_joint():
     async with running_rig(
         RigOptions(
@@ -165,7 +165,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_what_can_be_used_at_one_place_only_never_comes_into_force_and_says_where():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.faults.kill("n1")
@@ -218,7 +218,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_two_of_three_members_gone_or_one_that_lies_behind_hold_nothing_up():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -229,7 +229,7 @@
         await it.versions.wait_until_agreed(number)
 
 
-@scenario
+@story
 async def test_a_store_put_back_to_an_older_backup_takes_nobody_back():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -251,7 +251,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_another_cluster_in_the_place_of_the_first_confirms_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -268,7 +268,7 @@
         )
 
 
-@scenario
+@story
 async def test_of_two_operators_at_once_one_is_told_and_neither_is_lost():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -294,7 +294,7 @@
         assert history.versions[2].state == "replaced by 3" and history.active == 3
 
 
-@scenario
+@story
 async def test_a_put_whose_answer_is_lost_is_put_once_and_its_operator_hears_of_it():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -318,7 +318,7 @@
         assert len((await it.versions.read_history()).versions) == 2
 
 
-@scenario
+@story
 async def test_a_program_that_dies_while_it_puts_leaves_a_whole_version_or_none():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -334,7 +334,7 @@
             await it.versions.wait_until_agreed((await it.versions.read_history()).active)
 
 
-@scenario
+@story
 async def test_a_hundred_puts_in_ten_seconds_end_with_the_last_one_everywhere():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -350,7 +350,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_a_node_that_starts_in_the_middle_of_a_change_counts_from_its_first_act_on():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -373,7 +373,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_a_node_that_starts_while_the_store_is_away_serves_carefully_and_repeats_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -396,7 +396,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_two_processes_of_one_name_both_count_and_are_told_of():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -410,7 +410,7 @@
         assert await it.versions.wait_for_outcome(number) == "in force" and "joint=2" in double.log
 
 
-@scenario
+@story
 async def test_a_version_that_all_can_use_and_that_is_wrong_is_taken_back_within_the_stated_time():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         it.start_load(40, {"look": 1.0})
@@ -445,7 +445,7 @@
         )
 
 
-@scenario
+@story
 async def test_a_machine_with_one_reader_agrees_like_the_others_and_is_careful_without_it():
     async with running_rig(RigOptions(nodes=3, store="relay", bound_s=WITHIN)) as it:
         rough(it)
@@ -483,7 +483,7 @@
         await kept(it, repeats=2)
 
 
-@scenario
+@story
 async def test_a_process_that_ends_holds_no_change_up():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -530,7 +530,7 @@
         os.kill(pids[0], 0)
 
 
-@scenario
+@story
 async def test_a_node_follows_its_servers_in_etcd_and_keeps_drains_through_its_faults():
     async with running_rig(RigOptions(nodes=2, store="etcd", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -558,7 +558,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_a_list_that_was_put_back_undoes_no_drain_and_is_followed_again_later():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -585,7 +585,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_another_cluster_with_lower_numbers_takes_no_server_from_a_node_that_agrees():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -613,7 +613,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_words_among_nodes_that_get_lost_repeated_late_and_out_of_order_break_nothing():
     told = with_changes(DEFAULT_SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
     told["allowed"]["peers"] = True
@@ -634,7 +634,7 @@
         await kept(it, served=100)
 
 
-@scenario
+@story
 async def test_a_group_that_narrows_is_kept_to_within_the_stated_time():
     async with running_rig(RigOptions(nodes=3, servers=6, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -651,7 +651,7 @@
         await kept(it, repeats=5)
 
 
-@scenario
+@story
 async def test_a_drain_is_not_undone_by_an_older_backup_of_the_store():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -691,7 +691,7 @@
     assert wrong.returncode == 2 and "steps.0.do" in wrong.stderr
 
 
-@scenario
+@story
 async def test_a_request_class_and_a_tenant_come_and_go_while_nodes_serve():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(30, {"look": 1.0})
@@ -716,7 +716,7 @@
         await kept(it)
 
 
-@scenario
+@story
 async def test_a_node_that_only_flaps_holds_no_change_up():
     async with running_rig(RigOptions(nodes=3, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -77,7 +77,7 @@
                 return isinstance(await opened.decision(), str)
 
 
-@scenario
+@story
 async def test_workers_take_a_version_while_they_serve_and_keep_to_what_they_said(workers):
     while len(await workers.rows()) < 2:
         await trio.sleep(0.02)
@@ -96,7 +96,7 @@
     assert not await workers.decided("place", PLACE, 2)
 
 
-@scenario
+@story
 async def test_a_worker_that_stood_still_over_a_change_repeats_nothing_when_it_goes_on(workers):
     while len(await workers.rows()) < 2:
         await trio.sleep(0.02)
--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -125,7 +125,7 @@
 
 
 @in_trio
-def test_nothing_is_sent_for_a_client_that_has_gone_and_the_driver_hears_of_it():
+def test_nothing_is_sent_for_a_client_that_has_left_and_the_driver_is_notified():
     rules, _, gone = make_rules()
     exchange, attempt = make_exchange()
     exchange.is_client_gone = lambda: True
@@ -212,9 +212,9 @@
     )
     for client in (idle, idle_later, new, silent):
         clients.add(client)
-    clients.make_room()
+    clients.close_idle_client()
     assert silent.is_close_requested and not idle.is_close_requested
-    clients.make_room()
+    clients.close_idle_client()
     assert idle.is_close_requested and not (idle_later.is_close_requested or new.is_close_requested)
 
 
--- a/wheatroute/balancing/membership_updates.py
+++ b/wheatroute/balancing/membership_updates.py
@@ -5,15 +5,15 @@
 from wheatroute.balancing.interface import ListEntry, ServerState
 from wheatroute.balancing.node_state import NodeState
 from wheatroute.balancing.ready_servers import ReadyServers
-from wheatroute.balancing.server_selection import ServerSelection
+from wheatroute.balancing.server_subset import ServerSubset
 
 
 class MembershipUpdates:
     """The servers by the list, which is pushed, or asked for by this node."""
 
-    def __init__(self, state: NodeState, ready: ReadyServers, selection: ServerSelection) -> None:
-        self._state, self._ready, self._selection = state, ready, selection
-        self.ask_at = -inf if state.settings.list_on_request else inf
+    def __init__(self, state: NodeState, ready: ReadyServers, subset: ServerSubset) -> None:
+        self._state, self._ready, self._subset = state, ready, subset
+        self.watch_at = -inf if state.settings.list_on_request else inf
         self._backoff_s = 0.0
 
     def servers_listed(self, entries: list[ListEntry], is_full: bool) -> None:
@@ -38,7 +38,7 @@
                 servers.forget(server, started_at)
                 # other nodes hear of it too: a random first credit keeps them from all sending at once
                 servers.slow_start_credit[server] = self._state.rng.random()
-        (self._selection.update if is_full else self._selection.update_soon)()
+        (self._subset.update if is_full else self._subset.update_soon)()
 
     def list_failed(self) -> None:
         """Asks again after a random, growing backoff: a list service may fail under load."""
@@ -46,4 +46,4 @@
         if settings.list_on_request:
             maximum = settings.list_max_age_s / 4  # a node is taken to know what is older than list_max_age_s
             self._backoff_s = min(maximum, max(maximum / 8, 2 * self._backoff_s))
-            self.ask_at = self._state.now + self._backoff_s * (0.5 + 0.5 * self._state.rng.random())
+            self.watch_at = self._state.now + self._backoff_s * (0.5 + 0.5 * self._state.rng.random())
