--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -3,7 +3,7 @@
 import tomllib
 from pathlib import Path
 
-from wheatroute.fleet import ledger, plan, results
+from wheatroute.fleet import loss_accounting, plan, results
 from wheatroute.fleet.rules import Rule
 from wheatroute.fleet.world import World
 
@@ -13,17 +13,19 @@
 def day(seed, **changes):
     told = tomllib.loads(FILE.read_text(encoding="utf-8"))
     told["callers"].update(changes)
-    noes = []
-    world = World(plan.parse_plan({**told, "length": 6.0}), seed, ledger.maker(noes)).play()
+    losses = []
+    world = World(
+        plan.parse_plan({**told, "length": 6.0}), seed, loss_accounting.loss_noting_factory(losses)
+    ).play()
     assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
-    return results.figures(world), noes
+    return results.figures(world), losses
 
 
 def test_nodes_that_see_little_do_not_say_no_while_servers_have_room():
     # 0.945 before servers' reports told of room
-    figures, noes = day(1)
+    figures, losses = day(1)
     assert figures["utility"] > 0.96
-    foretold = [no for no in noes if no.cause == "foretold wait"]
+    foretold = [loss for loss in losses if loss.cause == "foretold wait"]
     assert len(foretold) < 0.01 * figures["commands"]
 
 
