--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -11,36 +11,38 @@
 import time
 from pathlib import Path
 
-import orjson
-
 sys.path.insert(0, str(Path(__file__).parents[1]))
 
-from wheatroute.fleet import baselines, closed, experiment, plan, report, scenarios  # noqa: E402
+from wheatroute.fleet import baselines, closed_forms, plan, report, scenarios  # noqa: E402
+from wheatroute.fleet.experiment import Run  # noqa: E402
+from wheatroute.fleet.policies import DESIGN, decisions_factory  # noqa: E402
+from wheatroute.fleet.queue_simulation import simulate_queues  # noqa: E402
+from wheatroute.fleet.runner import play_run, play_runs  # noqa: E402
 from wheatroute.fleet.world import World  # noqa: E402
 
 TRUE_STATE = ("shortest_queue", "two_true_choices", "top")
 
 
-def closed_forms(jobs, seeds):
+def closed_form_errors(jobs, seeds):
     """The worst share by which a mean of runs misses its closed form."""
 
     def time_of(*told):
-        return sum(closed.queues(*told, jobs, seed).time for seed in range(seeds)) / seeds
+        return sum(simulate_queues(*told, jobs, seed).mean_time_s for seed in range(seeds)) / seeds
 
     missed = {
-        "M/M/1": time_of(1, 1, "in_turn", 0.5, "exponential", 1.0) / closed.mm1(0.5, 1.0),
-        "M/G/1, cv 1.5": time_of(1, 1, "in_turn", 0.5, "lognormal", 1.5) / closed.mg1(0.5, 1.0, 1.5),
-        "M/M/4": time_of(1, 4, "in_turn", 0.7, "exponential", 1.0) / closed.mmc(0.7, 1.0, 4),
-        "sharing, cv 2": time_of(1, 1, "sharing", 0.5, "bimodal", 2.0) / closed.mm1(0.5, 1.0),
+        "M/M/1": time_of(1, 1, "in_turn", 0.5, "exponential", 1.0) / closed_forms.mm1(0.5, 1.0),
+        "M/G/1, cv 1.5": time_of(1, 1, "in_turn", 0.5, "lognormal", 1.5) / closed_forms.mg1(0.5, 1.0, 1.5),
+        "M/M/4": time_of(1, 4, "in_turn", 0.7, "exponential", 1.0) / closed_forms.mmc(0.7, 1.0, 4),
+        "sharing, cv 2": time_of(1, 1, "sharing", 0.5, "bimodal", 2.0) / closed_forms.mm1(0.5, 1.0),
     }
     lost = (
         sum(
-            closed.queues(1, 2, "in_turn", 0.9, "exponential", 1.0, jobs, seed, room=3).lost
+            simulate_queues(1, 2, "in_turn", 0.9, "exponential", 1.0, jobs, seed, queue_capacity=3).rejected
             for seed in range(seeds)
         )
         / seeds
     )
-    missed["M/M/2/5 lost"] = lost / closed.mmck(0.9, 2, 5)
+    missed["M/M/2/5 lost"] = lost / closed_forms.mmck(0.9, 2, 5)
     return {name: share - 1.0 for name, share in missed.items()}
 
 
@@ -55,7 +57,7 @@
         "callers": {"load": 0.5},
     }
     began = time.perf_counter()
-    world = World(plan.parse_plan(told), 1, experiment.maker(experiment.DESIGN)).play()
+    world = World(plan.parse_plan(told), 1, decisions_factory(DESIGN)).play()
     took = time.perf_counter() - began
     return {
         "servers": servers,
@@ -70,27 +72,27 @@
 
 def same_bytes():
     """Whether two plays of a day with faults are one to the byte."""
-    run = {"run": "-", "point": {}, "policy": "design", "seed": 1, "fleet": scenarios.day("crash", 8)}
-    first, second = (hashlib.sha256(orjson.dumps(experiment.play(run))).hexdigest() for _ in range(2))
+    run = Run(run_id="-", point={}, policy=DESIGN, seed=1, fleet=scenarios.day("crash", 8))
+    first, second = (hashlib.sha256(play_run(run).encode()).hexdigest() for _ in range(2))
     return first == second
 
 
 def decisions(days, sizes, policies, seeds, workers):
     """Every policy on every day and size; the runs."""
     asked = [
-        {
-            "run": f"{day}/{size}/{policy}/{seed}",
-            "point": {"day": day, "size": size},
-            "policy": policy,
-            "seed": seed,
-            "fleet": scenarios.day(day, scenarios.SIZES[size]),
-        }
+        Run(
+            run_id=f"{day}/{size}/{policy}/{seed}",
+            point={"day": day, "size": size},
+            policy=policy,
+            seed=seed,
+            fleet=scenarios.day(day, scenarios.SIZES[size]),
+        )
         for size in sizes
         for day in days
         for policy in policies
         for seed in range(1, seeds + 1)
     ]
-    return list(experiment._played(asked, workers))
+    return list(play_runs(asked, workers))
 
 
 def main():
@@ -103,7 +105,7 @@
     args.add_argument("--into", default="", help="write the page of all runs into this file")
     told = args.parse_args()
     say = (lambda *words: None) if told.json else print
-    missed = closed_forms(40_000 if told.short else 400_000, 3 if told.short else 5)
+    missed = closed_form_errors(40_000 if told.short else 400_000, 3 if told.short else 5)
     say("closed forms, share missed:", {name: round(share, 4) for name, share in missed.items()})
     sizes = (
         [(64, 16, 1000.0, 5.0)]
@@ -125,12 +127,12 @@
         days, played_at, policies, seeds = (
             ["calm", "rush", "slow"],
             ["small"],
-            [experiment.DESIGN, "random", "two_choices", "shortest_queue", "top"],
+            [DESIGN, "random", "two_choices", "shortest_queue", "top"],
             3,
         )
     else:
         days, played_at = list(scenarios.DAYS), told.size.split(",")
-        policies, seeds = [experiment.DESIGN, *sorted(baselines.BASELINES)], told.seeds
+        policies, seeds = [DESIGN, *sorted(baselines.BASELINES)], told.seeds
     runs = decisions(days, played_at, policies, seeds, told.workers)
     page = report.page("The design beside every baseline", runs)
     say(page)
@@ -140,7 +142,7 @@
     def worth(names):
         best = {}
         for name in names:
-            mine = [run["figures"]["utility"] for run in runs if run["policy"] == name]
+            mine = [run.figures.value for run in runs if run.policy == name]
             if mine:
                 best[name] = sum(mine) / len(mine)
         return max(best.values())
@@ -150,10 +152,10 @@
         "closed_form_worst_error": max(abs(share) for share in missed.values()),
         "same_bytes": same,
         "rule_breaks": sum(one["breaks"] for one in speeds)
-        + sum(sum(run["figures"]["breaks"]) for run in runs if run["policy"] == experiment.DESIGN),
-        "design_utility": worth([experiment.DESIGN]),
+        + sum(sum(run.figures.violations) for run in runs if run.policy == DESIGN),
+        "design_utility": worth([DESIGN]),
         "best_baseline_utility": worth(
-            [name for name in policies if name != experiment.DESIGN and name not in TRUE_STATE]
+            [name for name in policies if name != DESIGN and name not in TRUE_STATE]
         ),
         "top_utility": worth(TRUE_STATE),
         "speeds": speeds,
--- a/tests/fleet/test_closed_forms.py
+++ b/tests/fleet/test_closed_forms.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from wheatroute.fleet import closed
+from wheatroute.fleet import closed_forms
+from wheatroute.fleet.queue_simulation import simulate_queues
 
 JOBS, SEEDS = 40_000, (1, 2, 3)
 
@@ -14,43 +15,48 @@
 
 
 @pytest.mark.parametrize(
-    "discipline, name, cv, wanted",
+    "discipline, distribution, cv, expected",
     [
-        ("in_turn", "exponential", 1.0, closed.mm1(0.5, 1.0)),
-        ("in_turn", "lognormal", 1.5, closed.mg1(0.5, 1.0, 1.5)),
-        ("in_turn", "none", 0.0, closed.mg1(0.5, 1.0, 0.0)),
-        ("sharing", "exponential", 1.0, closed.mm1(0.5, 1.0)),
-        ("sharing", "bimodal", 2.0, closed.mm1(0.5, 1.0)),
+        ("in_turn", "exponential", 1.0, closed_forms.mm1(0.5, 1.0)),
+        ("in_turn", "lognormal", 1.5, closed_forms.mg1(0.5, 1.0, 1.5)),
+        ("in_turn", "none", 0.0, closed_forms.mg1(0.5, 1.0, 0.0)),
+        ("sharing", "exponential", 1.0, closed_forms.mm1(0.5, 1.0)),
+        ("sharing", "bimodal", 2.0, closed_forms.mm1(0.5, 1.0)),
     ],
 )
-def test_one_core_has_the_mean_time_of_the_closed_form(discipline, name, cv, wanted):
-    seen = [closed.queues(1, 1, discipline, 0.5, name, cv, JOBS, seed).time for seed in SEEDS]
-    assert mean(seen) == pytest.approx(wanted, rel=0.03)
+def test_one_core_has_the_mean_time_of_the_closed_form(discipline, distribution, cv, expected):
+    measured = [
+        simulate_queues(1, 1, discipline, 0.5, distribution, cv, JOBS, seed).mean_time_s for seed in SEEDS
+    ]
+    assert mean(measured) == pytest.approx(expected, rel=0.03)
 
 
 def test_many_cores_have_the_mean_time_of_erlangs_second_formula():
-    seen = [closed.queues(1, 4, "in_turn", 0.7, "exponential", 1.0, JOBS, seed).time for seed in SEEDS]
-    assert mean(seen) == pytest.approx(closed.mmc(0.7, 1.0, 4), rel=0.02)
+    measured = [
+        simulate_queues(1, 4, "in_turn", 0.7, "exponential", 1.0, JOBS, seed).mean_time_s for seed in SEEDS
+    ]
+    assert mean(measured) == pytest.approx(closed_forms.mmc(0.7, 1.0, 4), rel=0.02)
 
 
 def test_a_full_queue_turns_away_the_share_of_the_closed_form():
-    seen = [
-        closed.queues(1, 2, "in_turn", 0.9, "exponential", 1.0, JOBS, seed, room=3).lost for seed in SEEDS
+    measured = [
+        simulate_queues(1, 2, "in_turn", 0.9, "exponential", 1.0, JOBS, seed, queue_capacity=3).rejected
+        for seed in SEEDS
     ]
-    assert mean(seen) == pytest.approx(closed.mmck(0.9, 2, 5), rel=0.05)
+    assert mean(measured) == pytest.approx(closed_forms.mmck(0.9, 2, 5), rel=0.05)
 
 
 def test_two_choices_have_the_tail_of_the_mean_field():
-    draw = Random(5)
+    rng = Random(5)
 
     def choose(servers):
-        a, b = (servers[int(draw.random() * len(servers))] for _ in range(2))
-        return a if a.held <= b.held else b
+        first, second = (servers[int(rng.random() * len(servers))] for _ in range(2))
+        return first if first.held <= second.held else second
 
     tails = [
-        closed.queues(100, 1, "in_turn", 0.8, "exponential", 1.0, JOBS, seed, choose=choose).tail
+        simulate_queues(100, 1, "in_turn", 0.8, "exponential", 1.0, JOBS, seed, choose=choose).tail
         for seed in SEEDS
     ]
     for length in (1, 2, 3):
-        wanted = closed.two_choices_tail(0.8, length)
-        assert mean([tail[length] for tail in tails]) == pytest.approx(wanted, rel=0.05)
+        expected = closed_forms.two_choices_tail(0.8, length)
+        assert mean([tail[length] for tail in tails]) == pytest.approx(expected, rel=0.05)
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -5,7 +5,11 @@
 from click.testing import CliRunner
 
 from wheatroute.cli import main
-from wheatroute.fleet import experiment, plan, report, scenarios
+from wheatroute.fleet import plan, report, scenarios
+from wheatroute.fleet.experiment import read_experiment
+from wheatroute.fleet.policies import decisions_factory
+from wheatroute.fleet.records import RUNS_FILE
+from wheatroute.fleet.runner import run_experiment
 from wheatroute.fleet.world import World
 
 FILE = """
@@ -30,22 +34,22 @@
 
 
 def test_any_number_of_workers_keeps_the_same_bytes(file, tmp_path):
-    told = experiment.read(str(file))
-    assert experiment.carry_out(told, tmp_path / "one", 1) == 8
-    assert experiment.carry_out(told, tmp_path / "three", 3) == 8
-    one, three = ((tmp_path / name / experiment.KEPT).read_bytes() for name in ("one", "three"))
+    experiment = read_experiment(str(file))
+    assert run_experiment(experiment, tmp_path / "one", 1) == 8
+    assert run_experiment(experiment, tmp_path / "three", 3) == 8
+    one, three = ((tmp_path / name / RUNS_FILE).read_bytes() for name in ("one", "three"))
     assert one == three and len(one.splitlines()) == 8
 
 
 def test_an_experiment_that_was_cut_off_goes_on_where_it_was(file, tmp_path):
-    told = experiment.read(str(file))
-    experiment.carry_out(told, tmp_path / "whole", 1)
-    whole = (tmp_path / "whole" / experiment.KEPT).read_bytes()
+    experiment = read_experiment(str(file))
+    run_experiment(experiment, tmp_path / "whole", 1)
+    whole = (tmp_path / "whole" / RUNS_FILE).read_bytes()
     cut = tmp_path / "cut"
     cut.mkdir()
-    (cut / experiment.KEPT).write_bytes(whole[: len(whole) // 2])  # in the middle of a line
-    played = experiment.carry_out(told, cut, 1)
-    assert 3 <= played <= 5 and (cut / experiment.KEPT).read_bytes() == whole
+    (cut / RUNS_FILE).write_bytes(whole[: len(whole) // 2])  # in the middle of a line
+    played = run_experiment(experiment, cut, 1)
+    assert 3 <= played <= 5 and (cut / RUNS_FILE).read_bytes() == whole
 
 
 def test_the_command_line_plays_reports_and_tells_a_story(file, tmp_path):
@@ -77,7 +81,7 @@
 def test_a_story_changes_nothing_of_its_run():
     told = scenarios.day("crash", 8)
     told["length"] = 8.0
-    plain, traced = (World(plan.parse_plan(told), 1, experiment.maker("design")) for _ in range(2))
+    plain, traced = (World(plan.parse_plan(told), 1, decisions_factory("design")) for _ in range(2))
     traced.trace.request_index = 40
     assert plain.play().engine.call_count == traced.play().engine.call_count and traced.trace.lines
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -12,6 +12,7 @@
 from wheatroute.fleet import baselines, plan, results
 from wheatroute.fleet.requests import RequestOutcome
 from wheatroute.fleet.rules import Rule
+from wheatroute.fleet.stored_keys import to_stored
 from wheatroute.fleet.world import World
 
 KINDS = [
@@ -46,10 +47,10 @@
 
 
 def test_the_same_file_and_seed_give_the_same_figures_in_any_process():
-    told = json.dumps(results.figures(played(faults=fault("crash"))))
+    expected = json.dumps(to_stored(results.figures(played(faults=fault("crash")))))
     text = (
         "import json, sys; sys.path[:0] = [%r, %r]; from fleet.test_fleet import *;"
-        "print(json.dumps(results.figures(played(faults=fault('crash')))))"
+        "print(json.dumps(to_stored(results.figures(played(faults=fault('crash'))))))"
     )
     here = Path(__file__).parent.parent
     for salt in ("1", "2"):
@@ -60,7 +61,7 @@
             text=True,
             env={**os.environ, "PYTHONHASHSEED": salt},
         )
-        assert again.stdout.strip() == told
+        assert again.stdout.strip() == expected
 
 
 def test_policies_that_are_compared_meet_the_same_requests():
@@ -92,7 +93,7 @@
 def test_the_design_keeps_its_rules_through_each_fault(kind, told):
     world = played(faults=fault(kind, **told))
     assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
-    assert results.figures(world)["handled"] > 0.8
+    assert results.figures(world).served > 0.8
 
 
 def test_a_hung_server_answers_nothing_and_a_crashed_one_comes_back_cold():
@@ -214,10 +215,10 @@
         "kinds": [{"name": "look", "work": 0.1, "target_time": 0.5}],
     }
     random, top = (
-        results.figures(played(baselines.BASELINES[name], **tight))["utility"]
+        results.figures(played(baselines.BASELINES[name], **tight)).value
         for name in ("random", "shortest_queue")
     )
-    assert random < top and results.figures(played(**tight))["utility"] > random - 0.02
+    assert random < top and results.figures(played(**tight)).value > random - 0.02
 
 
 def test_a_file_that_is_wrong_is_told_in_a_line_for_each_mistake():
--- a/tests/fleet/test_fleet_functions.py
+++ b/tests/fleet/test_fleet_functions.py
@@ -36,10 +36,10 @@
     assert (seen, one.now, one.call_count) == (["a", "b"], 3.0, 2)
 
 
-def test_experiment_put():
+def test_experiment_set_by_path():
     told = {"callers": {"load": 0.5}, "tiers": [{"servers": 3}]}
-    experiment.put(told, "callers.load", 0.7)
-    experiment.put(told, "tiers.0.servers", 9)
+    experiment.set_by_path(told, "callers.load", 0.7)
+    experiment.set_by_path(told, "tiers.0.servers", 9)
     assert told == {"callers": {"load": 0.7}, "tiers": [{"servers": 9}]}
 
 
--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -24,12 +24,12 @@
 def test_nodes_that_see_little_do_not_say_no_while_servers_have_room():
     # 0.945 before servers' reports told of room
     figures, losses = day(1)
-    assert figures["utility"] > 0.96
+    assert figures.value > 0.96
     foretold = [loss for loss in losses if loss.cause == "foretold wait"]
-    assert len(foretold) < 0.01 * figures["commands"]
+    assert len(foretold) < 0.01 * figures.requests
 
 
 def test_the_limit_still_holds_a_rush_off_the_servers():
     # without a limit every server of the entry turns slow; 0.37 and 80 of them on a longer day
     figures, _ = day(1, load=1.2)
-    assert figures["collapses"] < 40 and figures["utility"] > 0.55
+    assert figures.collapses < 40 and figures.value > 0.55
--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -1,13 +1,16 @@
-"""`wheatroute fleet`: fleets in virtual time."""
+"""`wheatroute fleet`: emulated fleets in virtual time."""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Callable
-from typing import Any
+from typing import TypeVar
 
 import click
 
+EXIT_INVALID = 2  # status for a file or folder that is of no use
+Result = TypeVar("Result")
+
 
 @click.group()
 def fleet() -> None:
@@ -23,18 +26,20 @@
     import os
     from pathlib import Path
 
-    from wheatroute.fleet import experiment
+    from wheatroute.fleet.experiment import read_experiment
+    from wheatroute.fleet.records import stored_lines
+    from wheatroute.fleet.runner import run_experiment
 
-    told = _plan(lambda: experiment.read(file))
+    experiment = _or_exit(lambda: read_experiment(file))
     into = Path(folder or Path(file).with_suffix(""))
-    with click.progressbar(length=1, label=told.name) as bar:
+    with click.progressbar(length=1, label=experiment.name) as progress_bar:
 
-        def tell(done: int, of: int) -> None:
-            bar.length = of
-            bar.update(1)
+        def show_progress(done: int, total: int) -> None:
+            progress_bar.length = total
+            progress_bar.update(1)
 
-        count = experiment.carry_out(told, into, workers or os.cpu_count() or 1, tell)
-    click.echo(f"{into}: {count} runs played, {len(experiment.kept(into))} kept")
+        count = run_experiment(experiment, into, workers or os.cpu_count() or 1, show_progress)
+    click.echo(f"{into}: {count} runs played, {len(stored_lines(into))} kept")
 
 
 @fleet.command("report")
@@ -44,18 +49,19 @@
     """Writes report.md in FOLDER: tables with intervals, paired by seed, and plots."""
     from pathlib import Path
 
-    from wheatroute.fleet import experiment, report
+    from wheatroute.fleet import report
+    from wheatroute.fleet.records import read_records
 
     into = Path(folder)
-    kept = list(experiment.kept(into).values())
-    if not kept:
+    records = read_records(into)
+    if not records:
         click.echo(f"{folder}: no runs are kept there", err=True)
-        sys.exit(2)
-    text = report.page(into.name, kept)
-    for name in report.plots(kept, into) if plots else ():
+        sys.exit(EXIT_INVALID)
+    text = report.page(into.name, records)
+    for name in report.draw_plots(records, into) if plots else ():
         text += f"\n![{name}]({name})\n"
     into.joinpath("report.md").write_text(text, encoding="utf-8")
-    click.echo(f"{into / 'report.md'}: {len(kept)} runs")
+    click.echo(f"{into / 'report.md'}: {len(records)} runs")
 
 
 @fleet.command("trace")
@@ -67,17 +73,18 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def fleet_trace(file: str, number: int, policy: str, seed: int) -> None:
     """Plays the first point of the experiment in FILE again and tells the story of one request."""
-    from wheatroute.fleet import traced_run
+    from wheatroute.fleet.traced_run import trace_request
 
-    for line in _plan(lambda: traced_run.trace_request(file, policy, seed, number)):
+    for line in _or_exit(lambda: trace_request(file, policy, seed, number)):
         click.echo(line)
 
 
-def _plan(do: Callable[[], Any]) -> Any:
-    from wheatroute.fleet import plan
+def _or_exit(function: Callable[[], Result]) -> Result:
+    """The function's result; writes the problems of a plan or experiment file and exits if it has any."""
+    from wheatroute.fleet.plan import PlanError
 
     try:
-        return do()
-    except plan.PlanError as trouble:
-        click.echo(str(trouble), err=True)
-        sys.exit(2)
+        return function()
+    except PlanError as error:
+        click.echo(str(error), err=True)
+        sys.exit(EXIT_INVALID)
--- /dev/null
+++ b/wheatroute/fleet/closed_forms.py
@@ -0,0 +1,49 @@
+"""Closed forms of queueing theory that the emulator is checked against. No I/O.
+
+`load` is the fraction of the cores that arrivals keep busy, `work_s` the mean service time; both are of each
+core. Poisson arrivals throughout.
+"""
+
+from __future__ import annotations
+
+from math import factorial
+
+
+def mm1(load: float, work_s: float) -> float:
+    """Mean time in M/M/1, in seconds; also in M/G/1 with processor sharing, for any distribution of work."""
+    return work_s / (1.0 - load)
+
+
+def mg1(load: float, work_s: float, cv: float) -> float:
+    """Mean time in M/G/1, first come first served, in seconds (Pollaczek-Khinchine formula)."""
+    return work_s + load * work_s * (1.0 + cv * cv) / 2 / (1.0 - load)
+
+
+def erlang_c(load: float, cores: int) -> float:
+    """The fraction of arrivals that wait in M/M/c (Erlang's C formula)."""
+    offered = load * cores
+    waiting = offered**cores / factorial(cores) / (1.0 - load)
+    return waiting / (sum(offered**k / factorial(k) for k in range(cores)) + waiting)
+
+
+def mmc(load: float, work_s: float, cores: int) -> float:
+    """Mean time in M/M/c, in seconds."""
+    return work_s + erlang_c(load, cores) * work_s / cores / (1.0 - load)
+
+
+def mmck(load: float, cores: int, capacity: int) -> float:
+    """The fraction of arrivals that M/M/c/K rejects; `capacity` is K, the most that it holds."""
+    offered = load * cores
+    weights = [
+        offered**k / factorial(k) if k <= cores else offered**k / factorial(cores) / cores ** (k - cores)
+        for k in range(capacity + 1)
+    ]
+    return weights[-1] / sum(weights)
+
+
+def two_choices_tail(load: float, length: int) -> float:
+    """The fraction of very many servers that hold at least `length` under power of two choices.
+
+    The mean-field limit of Vvedenskaya, Dobrushin and Karpelevich, 1996, and Mitzenmacher, 2001.
+    """
+    return load ** (2**length - 1)
--- a/wheatroute/fleet/traced_run.py
+++ b/wheatroute/fleet/traced_run.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from wheatroute.fleet import experiment, plan, results
+from wheatroute.fleet import results
+from wheatroute.fleet.experiment import expand_runs, read_experiment
+from wheatroute.fleet.plan import PlanError, parse_plan
+from wheatroute.fleet.policies import decisions_factory, is_policy
 from wheatroute.fleet.requests import ClientRequest
 from wheatroute.fleet.world import World
 
@@ -12,16 +15,16 @@
 
     Raises PlanError if the file is not valid, or has no such policy or request.
     """
-    told = experiment.read(path)
-    if policy != experiment.DESIGN and policy not in experiment.baselines.BASELINES:
-        raise plan.PlanError([f"{path}: no policy {policy!r}"])
-    run = next(experiment.runs(told))
-    world = World(plan.parse_plan(run["fleet"]), seed, experiment.maker(policy))
+    experiment = read_experiment(path)
+    if not is_policy(policy):
+        raise PlanError([f"{path}: no policy {policy!r}"])
+    run = next(expand_runs(experiment))
+    world = World(parse_plan(run.fleet), seed, decisions_factory(policy))
     world.trace.request_index = number
     world.play()
     requests = world.clients.requests
     if number >= len(requests):
-        raise plan.PlanError([f"{path}: the run has requests 0 to {len(requests) - 1}"])
+        raise PlanError([f"{path}: the run has requests 0 to {len(requests) - 1}"])
     request = requests[number]
     return [_beginning(world, request), *world.trace.lines, _end(world, request)]
 
