--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -78,7 +78,7 @@
         from processor import FILE, free_port
 
         self.store, self.members, self._processes, self._proxies = store, members, [], []  # type: ignore
-        endpoints = ", ".join('"{}:{}"'.format(*one.place) for one in members)
+        endpoints = ", ".join('"{}:{}"'.format(*one.address) for one in members)
         for node in range(nodes):
             port = free_port()
             path = os.path.join(folder, f"node{node}.toml")
@@ -173,18 +173,18 @@
     for _ in range(3):
         await drain("calm")
     await drain("streams cut", each(Member.drop_streams))
-    last = min(members, key=lambda one: len(one._streams))  # the other two have the nodes' streams
+    last = min(members, key=lambda one: one.open_stream_count)  # the other two have the nodes' streams
     others = [one for one in members if one is not last]
-    await drain("members silent", lambda: [setattr(one, "silent", True) for one in others])
+    await drain("members silent", lambda: [setattr(one.faults, "is_silent", True) for one in others])
     for one in others:
-        one.silent = False
+        one.faults.is_silent = False
     last.drop_streams()
     await trio.sleep(0.5)
-    last = min(members, key=lambda one: len(one._streams))
+    last = min(members, key=lambda one: one.open_stream_count)
     others = [one for one in members if one is not last]
-    await drain("members behind", lambda: [setattr(one, "behind", 1) for one in others])
+    await drain("members behind", lambda: [setattr(one.faults, "revision_lag", 1) for one in others])
     for one in others:
-        one.behind = 0
+        one.faults.revision_lag = 0
     away = 2.0 if short else 60.0
     await drain("etcd away", each(Member.stop), again, away)
 
@@ -266,7 +266,7 @@
             chance = random.Random(node)
             followers.append(
                 Follower(
-                    EtcdClient([member.place], chance),
+                    EtcdClient([member.address], chance),
                     PREFIX,
                     partial(take, node),
                     chance,
@@ -286,12 +286,12 @@
         member.stop()
         await trio.sleep(3.0)
         put(store, 1, "terminating")
-        before, watches = told[:], member.watches
+        before, watches = told[:], member.watch_stream_count
         nursery.start_soon(member.run)
         since = time.monotonic()
         while any(now == then for now, then in zip(told, before, strict=True)):
             await trio.sleep(0.005)
-        streams = member.watches - watches
+        streams = member.watch_stream_count - watches
         nursery.cancel_scope.cancel()
     lags.sort()
     after = sorted(moment - since for moment in back)
@@ -349,7 +349,7 @@
         member = Member(store)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(member.run)
-            places.append(member.place)
+            places.append(member.address)
             await trio.to_thread.run_sync(stop.wait)
             nursery.cancel_scope.cancel()
 
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -186,9 +186,9 @@
     member = Served(backend)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(member.run)
-        while member._server is None:
+        while not member.is_serving:
             await trio.testing.wait_all_tasks_blocked()
-        store = EtcdStore([member.place], "/v", random.Random(1))
+        store = EtcdStore([member.address], "/v", random.Random(1))
         nursery.start_soon(store.run)
         await store.write_drain_notices([notice("s1")], [])
         backend.put(wire.PutRequest(key=b"/v/words/bad", value=b"{"))
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -51,7 +51,7 @@
     store = store or Store()
     members = [Member(store, **options) for _ in range(member_count)]
     client = EtcdClient(
-        [member.place for member in members],
+        [member.address for member in members],
         random.Random(1),
         **({"user": "node", "password": "secret"} if options.get("users") else {}),
     )
@@ -112,18 +112,18 @@
     async with cluster(store=store) as (store, members, follower, servers, _):
         await until(lambda: servers.changes)
         cluster_id, revision = follower.min_position
-        assert (cluster_id, revision) == (store.cluster, store.revision)
+        assert (cluster_id, revision) == (store.cluster_id, store.revision)
     store = Store()  # an older backup of it: s0 is drained later, which the process before had applied
     put(store, "s0")
     later = FollowedServers()
     member = Member(store)
-    follower = Follower(EtcdClient([member.place], random.Random(1)), PREFIX, later, random.Random(2), LOG)
-    follower.resume_from(store.cluster, store.revision + 2)
+    follower = Follower(EtcdClient([member.address], random.Random(1)), PREFIX, later, random.Random(2), LOG)
+    follower.resume_from(store.cluster_id, store.revision + 2)
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(member.run)
             nursery.start_soon(follower.run)
-            await until(lambda: member.calls >= 3)
+            await until(lambda: member.call_count >= 3)
             assert not later.changes
             put(store, "s0", state="terminating")
             put(store, "s1", 7001)
@@ -134,7 +134,7 @@
 @story
 async def test_a_broken_watch_resumes_where_it_was_and_reports_nothing_twice():
     async with cluster() as (store, members, follower, servers, _):
-        await until(lambda: members[0].watches == 1)
+        await until(lambda: members[0].watch_stream_count == 1)
         for n in range(30):
             put(store, f"s{n}", 7000 + n)
             if n % 10 == 5:
@@ -148,8 +148,9 @@
 @story
 async def test_a_break_between_the_fragments_of_a_revision_applies_none_of_it_until_it_is_complete():
     async with cluster() as (store, members, follower, servers, _):
-        await until(lambda: members[0].watches == 1)
-        members[0].fragment_at, members[0].cut_after = 3, 1
+        await until(lambda: members[0].watch_stream_count == 1)
+        faults = members[0].faults
+        faults.max_fragment_events, faults.fragments_before_drop = 3, 1
         store.txn(
             wire.TxnRequest(
                 success=[
@@ -162,7 +163,7 @@
         )
         await until(lambda: servers.states)
         assert len(servers.states) == 10 and [len(change["servers"]) for change in servers.changes] == [0, 10]
-        assert members[0].watches == 2
+        assert members[0].watch_stream_count == 2
 
 
 @story
@@ -200,20 +201,20 @@
 @story
 async def test_a_member_that_accepts_and_says_nothing_is_left_for_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
-        await until(lambda: servers.changes and any(member.watches for member in members))
-        member = next(member for member in members if member.watches)
-        member.silent = True
+        await until(lambda: servers.changes and any(member.watch_stream_count for member in members))
+        member = next(member for member in members if member.watch_stream_count)
+        member.faults.is_silent = True
         await put_and_wait(store, servers, "a")
-        assert sum(member.watches for member in members) >= 2
+        assert sum(member.watch_stream_count for member in members) >= 2
 
 
 @story
 async def test_a_member_that_lags_behind_is_left_for_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         put(store, "a")
-        await until(lambda: servers.states and any(member.watches for member in members))
-        member = next(member for member in members if member.watches)
-        member.behind = 1  # it is partitioned just before the next change
+        await until(lambda: servers.states and any(member.watch_stream_count for member in members))
+        member = next(member for member in members if member.watch_stream_count)
+        member.faults.revision_lag = 1  # it is partitioned just before the next change
         await put_and_wait(store, servers, "a", "terminating")
 
 
@@ -225,7 +226,7 @@
         await until(lambda: len(servers.states) == 5)
         members[0].stop()
         await trio.sleep(0.05)
-        members[0].store = other = Store(cluster=2)
+        members[0].store = other = Store(cluster_id=2)
         put(other, "new", 7009)
         assert other.revision < store.revision
         nursery.start_soon(members[0].run)
@@ -270,7 +271,7 @@
         put(store, f"s{n:05}", 1 + n % 60000)
     async with cluster(store=store) as (_, members, follower, servers, _):
         await until(lambda: len(servers.states) == 10000)
-        assert members[0].calls >= 10 and follower.list_count == 1
+        assert members[0].call_count >= 10 and follower.list_count == 1
         await put_and_wait(store, servers, "s00007", "terminating", port=8)
 
 
@@ -292,7 +293,7 @@
         members[0].tokens.clear()
         members[0].drop_streams()
         await put_and_wait(store, servers, "b", port=7001)
-        wrong = EtcdClient([members[0].place], random.Random(1), "node", "guess")
+        wrong = EtcdClient([members[0].address], random.Random(1), "node", "guess")
         async with trio.open_nursery() as nursery:
             nursery.start_soon(wrong.run)
             with pytest.raises(CallError) as caught:
@@ -308,11 +309,11 @@
         await until(lambda: follower.stream_count)
         revision = store.revision
         for member in members:
-            member.silent = True
+            member.faults.is_silent = True
         with pytest.raises(CallError) as caught:
             await client.put(PREFIX + b"x", b"{}")
         assert caught.value.status == Status.DEADLINE_EXCEEDED and store.revision == revision
-        assert sum(member.calls for member in members) < 30
+        assert sum(member.call_count for member in members) < 30
 
 
 @story
--- a/tests/etcd/test_registrar.py
+++ b/tests/etcd/test_registrar.py
@@ -70,7 +70,7 @@
             def start(name, epoch=1, key=None):
                 key = key or name
                 rng = random.Random(key)
-                client = EtcdClient([member.place], rng)
+                client = EtcdClient([member.address], rng)
                 registrars[key] = Registrar(
                     client,
                     Membership(PREFIX, name, epoch),
@@ -126,6 +126,6 @@
     async with nodes("a", "b") as (store, member, reports, registrars, scopes, start):
         await until(lambda: len(store.keys) == 2 and reports.get("b", (0,))[0] == 2)
         lease = registrars["a"]._lease
-        store.revoke(lease)
+        store.revoke_lease(lease)
         await until(lambda: PREFIX + b"a" in store.keys and registrars["a"]._lease != lease)
         assert reports["b"][0] == 2
--- a/tests/etcd/test_watch.py
+++ b/tests/etcd/test_watch.py
@@ -78,7 +78,7 @@
 
     async def serve():
         member = Member(store)
-        addresses.append(member.place)
+        addresses.append(member.address)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(member.run)
             ready.set()
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -484,8 +484,8 @@
     member = Member(store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(member.run)
-        await until(lambda: member._server is not None)
-        yield store, member, ETCD.format(*member.place)
+        await until(lambda: member.is_serving)
+        yield store, member, ETCD.format(*member.address)
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -106,9 +106,9 @@
 
 def test_etcd_within():
     assert (
-        etcd_store.within(b"a", b"a", b""),
-        etcd_store.within(b"b", b"a", b"b"),
-        etcd_store.within(b"z", b"a", bytes(1)),
+        etcd_store.in_range(b"a", b"a", b""),
+        etcd_store.in_range(b"b", b"a", b"b"),
+        etcd_store.in_range(b"z", b"a", bytes(1)),
     ) == (True, False, True)
 
 
--- a/wheatroute/rig/etcd_cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -1,7 +1,7 @@
 """A stand-in etcd cluster in a process of its own: `python -m wheatroute.rig.etcd_cluster MEMBERS`.
 
-Owns one store with its members, and takes orders as JSON lines on standard input; it ends with its input.
-Prints the members' places first, then an answer a line.
+Takes commands as JSON lines on standard input, and ends with its input. Prints the members' addresses first,
+then an answer a line: an empty object, or one with `trouble`.
 """
 
 from __future__ import annotations
@@ -9,88 +9,108 @@
 import copy
 import json
 import sys
-from typing import Any
+from collections.abc import AsyncIterator
+from typing import Any, NamedTuple
 
 import structlog
 import trio
 
 from wheatroute.etcd import messages as wire
 from wheatroute.standin.etcd import Member
-from wheatroute.standin.etcd_store import Store
+from wheatroute.standin.etcd_store import HistoryEntry, Store
 
+ALL_MEMBERS = -1
+FAULTS = {  # fields of `MemberFaults` by the words of commands and scenario files
+    "silent": "is_silent",
+    "behind": "revision_lag",
+    "fragment_at": "max_fragment_events",
+    "cut_after": "fragments_before_drop",
+}
 
-class Orders:
-    """What can be asked of the cluster, by name."""
+
+class Backup(NamedTuple):
+    """The store at some time."""
+
+    keys: dict[bytes, Any]
+    history: list[HistoryEntry]
+    revision: int
+
+
+class Commands:
+    """What the cluster can be told to do: the public methods, with their parameters, are the commands."""
 
     def __init__(self, members: list[Member]) -> None:
-        self.members, self.store = members, members[0].store
-        self._kept: tuple[Any, ...] | None = None
-
-    def set(self, member: int, **attributes: Any) -> None:
-        """Faults of a member: `silent`, `behind`; -1 for all of them."""
-        for one in self.members if member < 0 else [self.members[member]]:
-            for name, value in attributes.items():
-                setattr(one, name, value)
-            if attributes.get("silent"):
+        self._members = members
+        self._store = members[0].store
+        self._backup: Backup | None = None
+
+    def set(self, member: int, **faults: Any) -> None:
+        """Sets faults of a member by the keys of `FAULTS`; -1 for all members."""
+        for one in self._members if member == ALL_MEMBERS else [self._members[member]]:
+            for word, value in faults.items():
+                setattr(one.faults, FAULTS[word], value)
+            if faults.get("silent"):
                 one.drop_streams()
 
     def put(self, key: str, value: str) -> None:
         """Puts a key."""
-        self.store.put(wire.PutRequest(key=key.encode(), value=value.encode()))
+        self._store.put(wire.PutRequest(key=key.encode(), value=value.encode()))
 
     def keep(self) -> None:
-        """A backup."""
-        self._kept = (copy.deepcopy(self.store.keys), list(self.store.history), self.store.revision)
+        """Makes a backup."""
+        keys = copy.deepcopy(self._store.keys)
+        self._backup = Backup(keys, list(self._store.history), self._store.revision)
 
     def restore(self, cluster: int = 0) -> None:
-        """The backup in the place of what is there; with another number, as another cluster."""
-        if self._kept is None:
+        """Restores the backup; with an id, as another cluster. Raises `ValueError` if there is none."""
+        if self._backup is None:
             raise ValueError("nothing was kept")
-        self.store.keys, self.store.history, self.store.revision = (
-            copy.deepcopy(self._kept[0]),
-            list(self._kept[1]),
-            self._kept[2],
-        )
+        self._replace(copy.deepcopy(self._backup.keys), list(self._backup.history), self._backup.revision)
         if cluster:
-            self.store.cluster = cluster
-        for one in self.members:
-            one.drop_streams()
+            self._store.cluster_id = cluster
 
     def clear(self, cluster: int) -> None:
-        """Another, empty cluster."""
-        self.store.keys, self.store.history, self.store.revision = {}, [], 1
-        self.store.cluster = cluster
-        for one in self.members:
-            one.drop_streams()
-
-
-async def main(count: int) -> None:
-    """Serves and follows orders from standard input; prints the members' addresses first."""
+        """Makes it another, empty cluster."""
+        self._replace({}, [], 1)
+        self._store.cluster_id = cluster
+
+    def _replace(self, keys: dict[bytes, Any], history: list[HistoryEntry], revision: int) -> None:
+        self._store.keys = keys
+        self._store.history = history
+        self._store.revision = revision
+        for member in self._members:
+            member.drop_streams()
+
+
+def run_command(commands: Commands, line: str) -> dict[str, str]:
+    """Runs the command of a line; returns the answer."""
+    arguments = json.loads(line)
+    try:
+        getattr(commands, arguments.pop("order"))(**arguments)
+    except (AttributeError, KeyError, TypeError, ValueError) as error:
+        return {"trouble": str(error)}
+    return {}
+
+
+async def main(member_count: int) -> None:
+    """Serves the members, and runs commands from standard input."""
     store = Store()
-    members = [Member(store) for _ in range(count)]
-    orders = Orders(members)
+    members = [Member(store) for _ in range(member_count)]
+    commands = Commands(members)
     async with trio.open_nursery() as nursery:
-        for one in members:
-            nursery.start_soon(one.run)
-        print(json.dumps([list(one.place) for one in members]), flush=True)
-        async for line in _lines():
-            told = json.loads(line)
-            try:
-                getattr(orders, told.pop("order"))(**told)
-                print("{}", flush=True)
-            except (AttributeError, TypeError, ValueError) as trouble:
-                print(json.dumps({"trouble": str(trouble)}), flush=True)
+        for member in members:
+            nursery.start_soon(member.run)
+        print(json.dumps([list(member.address) for member in members]), flush=True)
+        async for line in _input_lines():
+            print(json.dumps(run_command(commands, line)), flush=True)
         nursery.cancel_scope.cancel()
 
 
-async def _lines() -> Any:
-    while True:
-        line = await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
-        if not line:
-            return
+async def _input_lines() -> AsyncIterator[str]:
+    while line := await trio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True):
         yield line
 
 
 if __name__ == "__main__":
-    structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))  # the other is for answers
+    structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))  # stdout is for answers
     trio.run(main, int(sys.argv[1]))
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -1,7 +1,7 @@
-"""The store of a stand-in for etcd: keys by revision, leases and transactions, free of I/O.
+"""The store of a stand-in for etcd: keys by revision, leases and transactions. Free of I/O.
 
-Owns revisions, history and its compaction, and leases on a clock that a test moves. It keeps to the published
-v3 API for what it serves, and stores nothing beyond its process.
+It keeps to the published v3 API for what it serves, and stores nothing beyond its process. Leases are on a
+clock that a test can move.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import time
 from bisect import bisect_right
 from collections.abc import Callable
-from typing import Any
+from typing import Any, NamedTuple
 
 import trio
 
@@ -19,215 +19,261 @@
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 FUTURE = "etcdserver: mvcc: required revision is a future revision"
 NO_LEASE = "etcdserver: requested lease not found"
+COMPARE_TARGETS = ("version", "create_revision", "mod_revision", "value", "lease")  # by Compare.target
+FIRST_LEASE_ID = 7001
+
+
+class HistoryEntry(NamedTuple):
+    """An event and the revision that it belongs to."""
+
+    revision: int
+    event: Any
+
+
+class RevisionEvents(NamedTuple):
+    """Events of one revision."""
+
+    revision: int
+    events: list[Any]
+
+
+class Lease(NamedTuple):
+    """A lease; `expires_at` is of the store's clock."""
+
+    ttl_s: float
+    expires_at: float
+
+
+class _WriteResult(NamedTuple):
+    """The response of a write, and whether it changed anything, which takes a revision."""
+
+    response: Any
+    has_changed: bool
 
 
 class Store:
     """Keys by revision. `clock` gives seconds, for leases."""
 
-    def __init__(self, cluster: int = 1, clock: Callable[[], float] = time.monotonic) -> None:
-        self.cluster, self.clock = cluster, clock
-        self.revision, self.compacted = 1, 0
-        self.history: list[tuple[int, Any]] = []  # revision and event, in order
+    def __init__(self, cluster_id: int = 1, clock: Callable[[], float] = time.monotonic) -> None:
+        self.cluster_id = cluster_id
+        self.clock = clock
+        self.revision = 1
+        self.compact_revision = 0
+        self.history: list[HistoryEntry] = []  # in the order of revisions
         self.keys: dict[bytes, Any] = {}
-        self.leases: dict[int, tuple[float, float]] = {}  # how long it lasts, and until when
-        self.written: dict[int, float] = {}  # when each revision was written, on the clock of this process
-        self._next_lease = 7000
-        self.stirred: list[trio.Event] = []
+        self.leases: dict[int, Lease] = {}
+        self._last_lease_id = FIRST_LEASE_ID - 1
+        self._waiters: list[trio.Event] = []
+
+    def next_change(self) -> trio.Event:
+        """An event that is set at the next `notify`."""
+        event = trio.Event()
+        self._waiters.append(event)
+        return event
 
-    def stir(self) -> None:
+    def notify(self) -> None:
         """Wakes all that wait for a change."""
-        waiting, self.stirred = self.stirred, []
-        for event in waiting:
+        waiters, self._waiters = self._waiters, []
+        for event in waiters:
             event.set()
 
     # reading
 
-    def at(self, revision: int) -> dict[bytes, Any]:
-        """All keys as of a revision; 0 for now."""
+    def keys_at(self, revision: int) -> dict[bytes, Any]:
+        """All keys as of a revision, 0 for now; raises `CallError`."""
         if not revision or revision == self.revision:
             return self.keys
         if revision > self.revision:
             raise CallError(Status.OUT_OF_RANGE, FUTURE)
-        if revision < self.compacted:
+        if revision < self.compact_revision:
             raise CallError(Status.OUT_OF_RANGE, COMPACTED)
         keys: dict[bytes, Any] = {}
-        for when, event in self.history:
-            if when > revision:
+        for entry in self.history:
+            if entry.revision > revision:
                 break
-            if event.type == wire.PUT:
-                keys[event.kv.key] = event.kv
+            if entry.event.type == wire.PUT:
+                keys[entry.event.kv.key] = entry.event.kv
             else:
-                keys.pop(event.kv.key, None)
+                keys.pop(entry.event.kv.key, None)
         return keys
 
-    def range(self, asked: Any, behind: int = 0) -> Any:
-        """Answers a range request, `behind` revisions late."""
-        revision = asked.revision or (max(1, self.revision - behind) if behind else 0)
+    def range(self, request: Any, lag: int = 0) -> Any:
+        """Answers a range request, as a member that lags so many revisions; raises `CallError`."""
+        revision = request.revision or (max(1, self.revision - lag) if lag else 0)
         found = [
             kv
-            for key, kv in sorted(self.at(revision).items())
-            if within(key, asked.key, asked.range_end) and kv.mod_revision >= asked.min_mod_revision
+            for key, kv in sorted(self.keys_at(revision).items())
+            if in_range(key, request.key, request.range_end) and kv.mod_revision >= request.min_mod_revision
         ]
-        answer = wire.RangeResponse(header=self.header(behind), count=len(found))
-        if asked.limit and len(found) > asked.limit:
-            found, answer.more = found[: asked.limit], True
-        if not asked.count_only:
-            answer.kvs.extend(bare(kv) for kv in found) if asked.keys_only else answer.kvs.extend(found)
-        return answer
-
-    def since(self, revision: int, key: bytes, end: bytes) -> list[tuple[int, list[Any]]]:
-        """The events of a range from a revision on, by revision."""
-        start = bisect_right(self.history, revision - 1, key=lambda item: item[0])
-        out: list[tuple[int, list[Any]]] = []
-        for when, event in self.history[start:]:
-            if within(event.kv.key, key, end):
-                if not out or out[-1][0] != when:
-                    out.append((when, []))
-                out[-1][1].append(event)
-        return out
-
-    def header(self, behind: int = 0) -> Any:
-        """The header of a response, `behind` revisions late."""
+        response = wire.RangeResponse(header=self.header(lag), count=len(found))
+        if request.limit and len(found) > request.limit:
+            found, response.more = found[: request.limit], True
+        if not request.count_only:
+            response.kvs.extend(map(without_value, found) if request.keys_only else found)
+        return response
+
+    def events_since(self, revision: int, key: bytes, range_end: bytes) -> list[RevisionEvents]:
+        """The events of a range from a revision on."""
+        start = bisect_right(self.history, revision - 1, key=lambda entry: entry.revision)
+        found: list[RevisionEvents] = []
+        for entry in self.history[start:]:
+            if in_range(entry.event.kv.key, key, range_end):
+                if not found or found[-1].revision != entry.revision:
+                    found.append(RevisionEvents(entry.revision, []))
+                found[-1].events.append(entry.event)
+        return found
+
+    def header(self, lag: int = 0) -> Any:
+        """The header of a response of a member that lags so many revisions."""
         return wire.ResponseHeader(
-            cluster_id=self.cluster, member_id=1, raft_term=2, revision=max(1, self.revision - behind)
+            cluster_id=self.cluster_id, member_id=1, raft_term=2, revision=max(1, self.revision - lag)
         )
 
     # writing
 
-    def put(self, asked: Any) -> Any:
-        """Answers a put request."""
-        return self._write(lambda at: self._put(asked, at))
+    def put(self, request: Any) -> Any:
+        """Answers a put request; raises `CallError` if its lease is not known."""
+        return self._write(lambda revision: self._put(request, revision))
 
-    def delete(self, asked: Any) -> Any:
+    def delete(self, request: Any) -> Any:
         """Answers a delete request."""
-        return self._write(lambda at: self._delete(asked, at))
+        return self._write(lambda revision: self._delete(request, revision))
 
-    def _write(self, what: Callable[[int], tuple[Any, bool]]) -> Any:
-        answer, changed = what(self.revision + 1)
-        if changed:
+    def _write(self, apply: Callable[[int], _WriteResult]) -> Any:
+        """Applies a write at the next revision, which it takes if it changes anything."""
+        result = apply(self.revision + 1)
+        if result.has_changed:
             self.revision += 1
-            self.written[self.revision] = time.monotonic()
-            self.stir()
-        answer.header.CopyFrom(self.header())
-        return answer
+            self.notify()
+        result.response.header.CopyFrom(self.header())
+        return result.response
 
-    def _put(self, asked: Any, at: int) -> tuple[Any, bool]:
-        if asked.lease and asked.lease not in self.leases:
+    def _put(self, request: Any, revision: int) -> _WriteResult:
+        if request.lease and request.lease not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
-        old = self.keys.get(asked.key)
+        previous = self.keys.get(request.key)
         kv = wire.KeyValue(
-            key=asked.key,
-            value=asked.value,
-            lease=asked.lease,
-            mod_revision=at,
-            create_revision=old.create_revision if old else at,
-            version=old.version + 1 if old else 1,
+            key=request.key,
+            value=request.value,
+            lease=request.lease,
+            mod_revision=revision,
+            create_revision=previous.create_revision if previous else revision,
+            version=previous.version + 1 if previous else 1,
         )
-        self.keys[asked.key] = kv
-        self.history.append((at, wire.Event(type=wire.PUT, kv=kv, prev_kv=old)))
-        return wire.PutResponse(prev_kv=old if asked.prev_kv else None), True
-
-    def _delete(self, asked: Any, at: int) -> tuple[Any, bool]:
-        gone = [key for key in sorted(self.keys) if within(key, asked.key, asked.range_end)]
-        answer = wire.DeleteRangeResponse(deleted=len(gone))
-        for key in gone:
-            old = self.keys.pop(key)
-            self.history.append(
-                (at, wire.Event(type=wire.DELETE, prev_kv=old, kv=wire.KeyValue(key=key, mod_revision=at)))
-            )
-            if asked.prev_kv:
-                answer.prev_kvs.append(old)
-        return answer, bool(gone)
-
-    def txn(self, asked: Any) -> Any:
-        """All of it at one revision."""
-        holds = all(self._compare(one) for one in asked.compare)
-        answer = wire.TxnResponse(succeeded=holds)
-
-        def apply(at: int) -> tuple[Any, bool]:
-            changed = False
-            for one in asked.success if holds else asked.failure:
-                which = one.WhichOneof("choice")
-                response = answer.responses.add()
-                if which == "request_range":
-                    response.response_range.CopyFrom(self.range(one.request_range))
-                    continue
-                part, wrote = (
-                    self._put(one.request_put, at)
-                    if which == "request_put"
-                    else self._delete(one.request_delete_range, at)
-                )
-                getattr(response, which.replace("request", "response")).CopyFrom(part)
-                changed = changed or wrote
-            return answer, changed
+        self.keys[request.key] = kv
+        self.history.append(HistoryEntry(revision, wire.Event(type=wire.PUT, kv=kv, prev_kv=previous)))
+        return _WriteResult(wire.PutResponse(prev_kv=previous if request.prev_kv else None), True)
+
+    def _delete(self, request: Any, revision: int) -> _WriteResult:
+        deleted = [key for key in sorted(self.keys) if in_range(key, request.key, request.range_end)]
+        response = wire.DeleteRangeResponse(deleted=len(deleted))
+        for key in deleted:
+            previous = self.keys.pop(key)
+            kv = wire.KeyValue(key=key, mod_revision=revision)
+            event = wire.Event(type=wire.DELETE, prev_kv=previous, kv=kv)
+            self.history.append(HistoryEntry(revision, event))
+            if request.prev_kv:
+                response.prev_kvs.append(previous)
+        return _WriteResult(response, bool(deleted))
+
+    def txn(self, request: Any) -> Any:
+        """Applies a transaction at one revision; raises `CallError`."""
+        succeeded = all(self._compare(one) for one in request.compare)
+        operations = request.success if succeeded else request.failure
+        response = wire.TxnResponse(succeeded=succeeded)
+
+        def apply(revision: int) -> _WriteResult:
+            changes = [self._apply(one, response.responses.add(), revision) for one in operations]
+            return _WriteResult(response, any(changes))
 
         return self._write(apply)
 
-    def _compare(self, one: Any) -> bool:
-        kv = self.keys.get(one.key)
-        if kv is None and one.target == wire.VALUE:
+    def _apply(self, operation: Any, response: Any, revision: int) -> bool:
+        """Applies one operation of a transaction; returns whether it changed anything."""
+        kind = operation.WhichOneof("choice")
+        if kind == "request_range":
+            response.response_range.CopyFrom(self.range(operation.request_range))
+            return False
+        if kind == "request_put":
+            result = self._put(operation.request_put, revision)
+            response.response_put.CopyFrom(result.response)
+        else:
+            result = self._delete(operation.request_delete_range, revision)
+            response.response_delete_range.CopyFrom(result.response)
+        return result.has_changed
+
+    def _compare(self, comparison: Any) -> bool:
+        kv = self.keys.get(comparison.key)
+        if kv is None and comparison.target == wire.VALUE:
             return False
-        target = ("version", "create_revision", "mod_revision", "value", "lease")[one.target]
-        here, there = getattr(kv, target) if kv else 0, getattr(one, target)
-        return (here == there, here > there, here < there, here != there)[one.result]
+        target = COMPARE_TARGETS[comparison.target]
+        actual = getattr(kv, target) if kv else 0
+        expected = getattr(comparison, target)
+        # by Compare.result: EQUAL, GREATER, LESS, NOT_EQUAL
+        results = (actual == expected, actual > expected, actual < expected, actual != expected)
+        return results[comparison.result]
 
     def compact(self, revision: int) -> None:
-        """History before the revision is gone; what was put by then is kept as it stood."""
-        if revision <= self.compacted:
+        """Drops the history before a revision, except what its keys stand on; raises `CallError`."""
+        if revision <= self.compact_revision:
             raise CallError(Status.OUT_OF_RANGE, COMPACTED)
         if revision > self.revision:
             raise CallError(Status.OUT_OF_RANGE, FUTURE)
-        standing = sorted(self.at(revision).values(), key=lambda kv: kv.mod_revision)
-        self.history = [(kv.mod_revision, wire.Event(type=wire.PUT, kv=kv)) for kv in standing] + [
-            item for item in self.history if item[0] > revision
+        kept = sorted(self.keys_at(revision).values(), key=lambda kv: kv.mod_revision)
+        self.history = [
+            *(HistoryEntry(kv.mod_revision, wire.Event(type=wire.PUT, kv=kv)) for kv in kept),
+            *(entry for entry in self.history if entry.revision > revision),
         ]
-        self.compacted = revision
+        self.compact_revision = revision
 
     # leases
 
-    def grant(self, asked: Any) -> Any:
+    def grant_lease(self, request: Any) -> Any:
         """Answers a request for a lease."""
-        if not asked.ID:
-            self._next_lease += 1
-        number = asked.ID or self._next_lease
-        self.leases[number] = (float(asked.TTL), self.clock() + asked.TTL)
-        return wire.LeaseGrantResponse(header=self.header(), ID=number, TTL=asked.TTL)
-
-    def keep_alive(self, number: int) -> Any:
-        """Renews a lease; returns the response."""
-        lease = self.leases.get(number)
+        if not request.ID:
+            self._last_lease_id += 1
+        lease_id = request.ID or self._last_lease_id
+        self.leases[lease_id] = Lease(float(request.TTL), self.clock() + request.TTL)
+        return wire.LeaseGrantResponse(header=self.header(), ID=lease_id, TTL=request.TTL)
+
+    def keep_alive(self, lease_id: int) -> Any:
+        """Renews a lease; the response has a TTL of 0 for one that is not known."""
+        lease = self.leases.get(lease_id)
         if lease is not None:
-            self.leases[number] = (lease[0], self.clock() + lease[0])
-        return wire.LeaseKeepAliveResponse(header=self.header(), ID=number, TTL=int(lease[0]) if lease else 0)
+            self.leases[lease_id] = Lease(lease.ttl_s, self.clock() + lease.ttl_s)
+        ttl_s = int(lease.ttl_s) if lease is not None else 0
+        return wire.LeaseKeepAliveResponse(header=self.header(), ID=lease_id, TTL=ttl_s)
 
-    def revoke(self, number: int) -> Any:
-        """Revokes a lease and deletes its keys; raises `CallError`."""
-        if number not in self.leases:
+    def revoke_lease(self, lease_id: int) -> Any:
+        """Revokes a lease and deletes its keys; raises `CallError` if it is not known."""
+        if lease_id not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
-        del self.leases[number]
-        keys = [kv.key for kv in self.keys.values() if kv.lease == number]
+        del self.leases[lease_id]
+        keys = [kv.key for kv in self.keys.values() if kv.lease == lease_id]
 
-        def drop(at: int) -> tuple[Any, bool]:
+        def delete_keys(revision: int) -> _WriteResult:
             for key in keys:
-                self._delete(wire.DeleteRangeRequest(key=key), at)
-            return wire.LeaseRevokeResponse(), bool(keys)
+                self._delete(wire.DeleteRangeRequest(key=key), revision)
+            return _WriteResult(wire.LeaseRevokeResponse(), bool(keys))
 
-        return self._write(drop)
+        return self._write(delete_keys)
 
-    def expire(self) -> None:
-        """Revokes leases whose time is over."""
-        for number, (_, until) in list(self.leases.items()):
-            if until <= self.clock():
-                self.revoke(number)
+    def expire_leases(self) -> None:
+        """Revokes the leases whose time is over."""
+        for lease_id, lease in list(self.leases.items()):
+            if lease.expires_at <= self.clock():
+                self.revoke_lease(lease_id)
 
 
-def within(key: bytes, start: bytes, end: bytes) -> bool:
-    """Whether a key is in a range, by etcd's conventions."""
-    return key == start if not end else key >= start and (end == b"\0" or key < end)
+def in_range(key: bytes, start: bytes, end: bytes) -> bool:
+    """Whether a key is in a range of etcd: no end for one key, a zero byte for all from the start on."""
+    if not end:
+        return key == start
+    return key >= start and (end == b"\0" or key < end)
 
 
-def bare(kv: Any) -> Any:
-    """A key without its value."""
+def without_value(kv: Any) -> Any:
+    """A copy of a key without its value."""
     copy = wire.KeyValue()
     copy.CopyFrom(kv)
     copy.value = b""
--- /dev/null
+++ b/wheatroute/standin/etcd_watch.py
@@ -0,0 +1,149 @@
+"""One watch stream of a stand-in etcd member: any number of watches, notified in the order of revisions."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Any
+
+import trio
+
+from wheatroute.etcd import messages as wire
+from wheatroute.grpc.async_call import AsyncCall
+from wheatroute.grpc.messages import CallError, Status
+from wheatroute.standin.etcd_store import COMPACTED, Store
+
+UNLIMITED = 10**9
+NO_WATCH = -1  # the watch id of a response that is about none
+
+
+@dataclass
+class MemberFaults:
+    """What a test makes a member do."""
+
+    is_silent: bool = False  # it takes what comes and says nothing
+    revision_lag: int = 0  # revisions that the member does not have yet
+    max_fragment_events: int = UNLIMITED  # events of a revision beyond which a watch is sent fragments
+    fragments_before_drop: int = -1  # after which a stream is dropped, once; -1 for never
+
+
+class _Watch:
+    """A watch, and the revision that it is to be sent next."""
+
+    def __init__(self, request: Any, next_revision: int) -> None:
+        self.key: bytes = request.key
+        self.range_end: bytes = request.range_end
+        self.has_fragments: bool = request.fragment
+        self.next_revision = next_revision
+        self._wants_previous: bool = request.prev_kv
+        # a filter names the type of events that is left out, by the numbers of the types
+        self._filtered_types = set(request.filters)
+
+    def select(self, events: list[Any]) -> list[Any]:
+        """The events that the watch asked for, as it asked for them."""
+        return [self._project(event) for event in events if event.type not in self._filtered_types]
+
+    def _project(self, event: Any) -> Any:
+        if self._wants_previous or not event.HasField("prev_kv"):
+            return event
+        return wire.Event(type=event.type, kv=event.kv)
+
+
+class WatchStream:
+    """Serves one stream."""
+
+    def __init__(self, call: AsyncCall, store: Store, faults: MemberFaults) -> None:
+        self._call = call
+        self._store = store
+        self._faults = faults
+        self._watches: dict[int, _Watch] = {}
+
+    async def run(self) -> None:
+        """Serves the stream until the client ends it; raises `CallError` for a fault that ends it."""
+        async with trio.open_nursery() as nursery:
+            nursery.start_soon(self._notify)
+            while (message := await self._call.receive()) is not None:
+                if not self._faults.is_silent:
+                    await self._handle_request(wire.WatchRequest.FromString(message))
+            nursery.cancel_scope.cancel()
+
+    async def _send(self, response: Any) -> None:
+        await self._call.send(response.SerializeToString())
+
+    def _header(self) -> Any:
+        return self._store.header(self._faults.revision_lag)
+
+    async def _handle_request(self, request: Any) -> None:
+        kind = request.WhichOneof("choice")
+        if kind == "create_request":
+            response = self._create(request.create_request)
+        elif kind == "cancel_request":
+            response = self._cancel(request.cancel_request.watch_id)
+        else:
+            response = wire.WatchResponse(header=self._header(), watch_id=NO_WATCH)  # a progress notice
+        await self._send(response)
+        self._store.notify()  # a new watch may have events to be sent
+
+    def _create(self, request: Any) -> Any:
+        watch_id = request.watch_id or len(self._watches) + 1
+        response = wire.WatchResponse(header=self._header(), watch_id=watch_id, created=True)
+        if watch_id in self._watches:
+            response.watch_id = NO_WATCH
+            response.canceled = True
+            response.cancel_reason = "duplicate watch ID"
+            return response
+        newest = self._store.revision - self._faults.revision_lag
+        self._watches[watch_id] = _Watch(request, request.start_revision or newest + 1)
+        return response
+
+    def _cancel(self, watch_id: int) -> Any:
+        self._watches.pop(watch_id, None)
+        return wire.WatchResponse(header=self._header(), watch_id=watch_id, canceled=True)
+
+    async def _notify(self) -> None:
+        """Sends events to all watches, whenever the store has changed."""
+        while True:
+            change = self._store.next_change()
+            for watch_id, watch in list(self._watches.items()):
+                if not self._faults.is_silent:
+                    await self._notify_watch(watch_id, watch)
+            await change.wait()
+
+    async def _notify_watch(self, watch_id: int, watch: _Watch) -> None:
+        if watch.next_revision <= self._store.compact_revision:
+            await self._cancel_compacted(watch_id)
+            return
+        for revision, events in self._store.events_since(watch.next_revision, watch.key, watch.range_end):
+            if revision > self._store.revision - self._faults.revision_lag:
+                break
+            watch.next_revision = revision + 1
+            await self._send_events(watch_id, watch, watch.select(events))
+
+    async def _cancel_compacted(self, watch_id: int) -> None:
+        del self._watches[watch_id]
+        await self._send(
+            wire.WatchResponse(
+                header=self._header(),
+                watch_id=watch_id,
+                canceled=True,
+                cancel_reason=COMPACTED,
+                compact_revision=self._store.compact_revision,
+            )
+        )
+
+    async def _send_events(self, watch_id: int, watch: _Watch, events: list[Any]) -> None:
+        """Sends the events of one revision, in fragments if there are many."""
+        size = self._faults.max_fragment_events if watch.has_fragments else UNLIMITED
+        for start in range(0, len(events), size):
+            end = start + size
+            response = wire.WatchResponse(
+                header=self._header(), watch_id=watch_id, events=events[start:end], fragment=end < len(events)
+            )
+            await self._send(response)
+            self._count_fragment()
+
+    def _count_fragment(self) -> None:
+        if self._faults.fragments_before_drop < 0:
+            return
+        self._faults.fragments_before_drop -= 1
+        if self._faults.fragments_before_drop < 0:
+            raise CallError(Status.UNAVAILABLE, "the stand-in cut the stream inside a revision")
