--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -41,7 +41,7 @@
 from wheatroute.grpc.client import Channel, connected  # noqa: E402
 from wheatroute.standin.etcd import Member  # noqa: E402
 from wheatroute.standin.etcd_store import Store  # noqa: E402
-from wheatroute.standin.proxy import PATH, destination, request_headers  # noqa: E402
+from wheatroute.standin.ext_proc_messages import PATH, destination, request_headers  # noqa: E402
 
 SERVERS, DRAINED_WITHIN = 16, 2.0
 PREFIX = b"/servers/"
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -26,7 +26,8 @@
 
 import trio  # noqa: E402
 
-from wheatroute.standin.proxy import PATH, histogram  # noqa: E402
+from wheatroute.standin.ext_proc_messages import PATH  # noqa: E402
+from wheatroute.standin.proxy import histogram  # noqa: E402
 
 TICKS = os.sysconf("SC_CLK_TCK")
 FILE = """
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -29,7 +29,7 @@
 from wheatroute.processor.streams import PATH
 from wheatroute.standin.etcd import Member
 from wheatroute.standin.etcd_store import Store
-from wheatroute.standin.proxy import destination, request_headers, response_headers
+from wheatroute.standin.ext_proc_messages import destination, request_headers, response_headers
 
 VIEW, AMEND, PLACE = 0, 1, 2
 FILE = """
@@ -333,7 +333,7 @@
                 }
             )
             await one.respond(200)
-        assert await ask(channel, "r2", time_out=0.2) == 503  # all servers are gone: told, and in time
+        assert await ask(channel, "r2", timeout_s=0.2) == 503  # all servers are gone: told, and in time
         service.list._apply(
             {
                 "version": 3,
@@ -347,7 +347,7 @@
 @story
 async def test_a_refusal_says_when_to_come_back(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (_, channel):
-        async with asking(channel, "r", time_out=0.1) as one:
+        async with asking(channel, "r", timeout_s=0.1) as one:
             answer = (await one.answer()).immediate_response
             found = {item.header.key: item.header.raw_value for item in answer.headers.set_headers}
             assert (answer.status.code, answer.details) == (503, "wheatroute-refused")
@@ -358,7 +358,7 @@
 async def test_a_refused_id_may_be_asked_for_again_as_often_as_it_takes(tmp_path):
     async with processor(tmp_path, listed=servers(1, s0="terminating")) as (service, channel):
         for n in range(6):  # more than its tries
-            assert await ask(channel, "order", PLACE, n + 1, time_out=0.05) == 503
+            assert await ask(channel, "order", PLACE, n + 1, timeout_s=0.05) == 503
         service.list._apply(
             {
                 "version": 2,
@@ -528,5 +528,5 @@
     async with etcd() as (_, member, table):
         member.stop()
         async with processor(tmp_path, listed=table, **keep) as (service, channel):
-            assert await ask(channel, "a", time_out=0.1) == 503  # of another pool
+            assert await ask(channel, "a", timeout_s=0.1) == 503  # of another pool
         assert kept.read_bytes().startswith(snapshot.FORMAT)  # and nothing known does not replace it
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -8,7 +8,7 @@
 from wheatroute.benchlink import host
 from wheatroute.platform_settings import decision_settings
 from wheatroute.rig.settings import with_changes
-from wheatroute.standin import etcd_store, lean
+from wheatroute.standin import etcd_store, http2_client
 from wheatroute.wire_names import NameNumbering
 
 
@@ -112,5 +112,8 @@
     ) == (True, False, True)
 
 
-def test_lean_frame():
-    assert lean.frame(lean.PING, 0, 0, b"12345678").hex() == "0000080600000000003132333435363738"
+def test_http2_client_encode_frame():
+    assert (
+        http2_client.encode_frame(http2_client.PING, 0, 0, b"12345678").hex()
+        == "0000080600000000003132333435363738"
+    )
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -17,9 +17,9 @@
 from wheatroute.grpc.messages import CallError
 from wheatroute.rig.addresses import Address
 from wheatroute.rig.http_connection import CONNECTION_ERRORS, HttpConnection, HttpMessage
-from wheatroute.standin.proxy import PATH, destination, response_headers
+from wheatroute.rig.processor_file import MAX_ATTEMPTS
+from wheatroute.standin.ext_proc_messages import PATH, destination, response_headers
 
-MAX_ATTEMPTS = 4  # of a request, as the processor's settings file has it
 CONNECT_TIMEOUT_S = 0.2  # of a connection to a server
 MAX_BACKOFF_S = 0.2  # between two connections to the processor
 DEFAULT_TIMEOUT = "2000m"
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -1,8 +1,8 @@
 """A stand-in for a proxy that asks an external processor for each request, with the servers behind it.
 
-Owns an open loop of requests over a few connections, servers of unequal speed, and what it saw: how long
-each decision took, how many decisions a request got. It speaks the published protocol over the client of
-this repository, and never asks before the time that its pace gives, nor waits for an answer to ask again.
+An open loop of requests over a few connections, and simulated servers of unequal speed. It records how long
+each decision took, and how many decisions a request got. It speaks the published protocol over a client of
+its own, and never asks before the time that its rate gives, nor waits for a decision to ask again.
 
     python -m wheatroute.standin.proxy 127.0.0.1:9002 --rate 500 --seconds 10
 """
@@ -14,22 +14,29 @@
 import random
 import time
 from collections import Counter
+from collections.abc import Callable
+from dataclasses import dataclass
 from heapq import heappop, heappush
 from pathlib import Path
 from typing import Any
 
 import click
 import trio
-from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
+from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingResponse
 from hdrh.histogram import HdrHistogram
 
 from wheatroute.grpc.messages import Headers, Status
-from wheatroute.standin.lean import Lean
-
-PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-DESTINATION = "x-gateway-destination-endpoint"
-KINDS = (("view", "GET"), ("amend", "POST"), ("place", "POST"))
-HEAD: Headers = [
+from wheatroute.standin.ext_proc_messages import (
+    NON_IDEMPOTENT,
+    PATH,
+    REQUEST_CLASSES,
+    destination,
+    request_headers,
+    response_headers,
+)
+from wheatroute.standin.http2_client import Http2Client
+
+CALL_HEADERS: Headers = [
     (b":method", b"POST"),
     (b":scheme", b"http"),
     (b":path", PATH),
@@ -37,194 +44,203 @@
     (b"te", b"trailers"),
     (b"content-type", b"application/grpc"),
 ]
-FINE = 0.0015  # seconds before something is due in which the clock is watched and not slept by
-SETTLE = 0.1  # seconds between two connections
-HIGHEST = 60_000_000  # microseconds that the histogram holds
+SPIN_S = 0.0015  # before something is due in which the clock is watched in place of sleeping
+CONNECT_INTERVAL_S = 0.1  # so that processes that share a listener share the connections
+END_TIMEOUT_S = 5.0  # after the last request in which streams may still end
+IDLE_SLEEP_S = 0.01  # after the last request, while nothing is due
+MAX_DELAY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
+SERVICE_TIME_S = 0.01  # of the fastest servers, alone
+SPEEDS = 3  # of servers: ports in turn take this time once, twice, thrice
+CONGESTION_REQUESTS = 50  # at a server that double its time
+MAX_ATTEMPTS = 2
+MAX_RESPONSES = 2  # of the processor on a stream: a decision, and one for the response's headers
 
 
 def histogram() -> HdrHistogram:
     """A histogram of delays in microseconds."""
-    return HdrHistogram(1, HIGHEST, 3)
-
-
-def request_headers(name: str, kind: int, attempt: int, time_out: float = 2.0, **more: str) -> bytes:
-    """The first message of a stream."""
-    message = ProcessingRequest()
-    told = {
-        ":method": KINDS[kind][1],
-        ":path": f"/{KINDS[kind][0]}/7",
-        ":authority": "shop.local",
-        "x-request-id": name,
-        "request-timeout": f"{int(time_out * 1000)}m",
-        "user-agent": "stand-in",
-        "x-envoy-attempt-count": str(attempt),
-        "x-forwarded-proto": "http",
-        "accept": "*/*",
-    }
-    if kind == 1:
-        told["idempotency-key"] = name
-    for key, value in (told | more).items():
-        one = message.request_headers.headers.headers.add()
-        one.key, one.raw_value = key, value.encode()
-    message.request_headers.end_of_stream = kind == 0
-    return message.SerializeToString()
-
-
-def response_headers(status: int, **more: str) -> bytes:
-    """The message with a server's response headers."""
-    message = ProcessingRequest()
-    for key, value in ({":status": str(status), "content-type": "text/plain"} | more).items():
-        one = message.response_headers.headers.headers.add()
-        one.key, one.raw_value = key.replace("_", "-"), value.encode()
-    return message.SerializeToString()
-
-
-def destination(answer: Any) -> str:
-    """The server that a decision names; empty for none."""
-    for one in answer.request_headers.response.header_mutation.set_headers:
-        if one.header.key == DESTINATION:
-            return bytes(one.header.raw_value).decode()
-    return ""
-
-
-class Request:
-    """One stream: asked, decided, answered by its server, ended."""
-
-    __slots__ = ("proxy", "line", "number", "name", "kind", "attempt", "began", "answers", "place")
-
-    def __init__(self, proxy: Proxy, name: str, kind: int, attempt: int) -> None:
-        self.proxy, self.name, self.kind, self.attempt = proxy, name, kind, attempt
-        self.answers, self.place = 0, ""
-
-    def ask(self, line: Lean) -> None:
+    return HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS)
+
+
+class Attempt:
+    """One attempt of a request: a stream to the processor, and a response of the server that it names."""
+
+    __slots__ = (
+        "proxy",
+        "client",
+        "stream_id",
+        "request_id",
+        "request_class",
+        "number",
+        "started_at",
+        "response_count",
+        "server",
+    )
+
+    def __init__(self, proxy: Proxy, request_id: str, request_class: int, number: int) -> None:
+        self.proxy = proxy
+        self.request_id = request_id
+        self.request_class = request_class
+        self.number = number
+        self.response_count = 0
+        self.server = ""
+
+    def start(self, client: Http2Client) -> None:
         """Opens the stream with the request's headers."""
-        message = request_headers(self.name, self.kind, self.attempt)
-        self.line, self.began = line, time.perf_counter()
-        self.number = line.open(message, self)
-
-    def message(self, message: bytes) -> None:
-        """Handles a decision of the processor."""
-        if self.answers == 0:
-            self.proxy.delays.record_value(max(1, int((time.perf_counter() - self.began) * 1e6)))
-        self.answers += 1
-        answer = ProcessingResponse.FromString(message)
-        which = answer.WhichOneof("response")
-        if which == "immediate_response":
-            self.proxy.count[f"immediate_{answer.immediate_response.status.code}"] += 1
-        elif which == "request_headers":
-            self.place = destination(answer)
-            self.proxy.decided(self)
-        elif which == "response_headers":
-            self.line.half_close(self.number)
-        if self.answers > 2:
+        message = request_headers(self.request_id, self.request_class, self.number)
+        self.client = client
+        self.started_at = time.perf_counter()
+        self.stream_id = client.open_call(message, self)
+
+    def on_message(self, message: bytes) -> None:
+        """Handles a response of the processor."""
+        if self.response_count == 0:
+            self.proxy.record_delay(time.perf_counter() - self.started_at)
+        self.response_count += 1
+        response = ProcessingResponse.FromString(message)
+        kind = response.WhichOneof("response")
+        if kind == "immediate_response":
+            self.proxy.count[f"immediate_{response.immediate_response.status.code}"] += 1
+        elif kind == "request_headers":
+            self.server = destination(response)
+            self.proxy.on_decision(self)
+        elif kind == "response_headers":
+            self.client.half_close(self.stream_id)
+        if self.response_count > MAX_RESPONSES:
             self.proxy.count["answers_too_many"] += 1
 
-    def over(self, status: int) -> None:
+    def on_end(self, status: int) -> None:
         """The stream has ended."""
-        self.proxy.ended(self, status)
+        self.proxy.on_end(self, status)
+
+
+class Schedule:
+    """What is due later, in the order of its time."""
+
+    def __init__(self) -> None:
+        self._heap: list[tuple[float, int, Callable[[], None]]] = []
+        self._added_count = 0  # orders what is due at the same time
+
+    def add(self, due: float, action: Callable[[], None]) -> None:
+        """Has an action run at a time of trio's clock."""
+        self._added_count += 1
+        heappush(self._heap, (due, self._added_count, action))
+
+    def run_due(self, now: float) -> None:
+        """Runs what is due."""
+        while self._heap and self._heap[0][0] <= now:
+            heappop(self._heap)[2]()
+
+    @property
+    def next_due(self) -> float:
+        """When the next action is due; infinity for none."""
+        return self._heap[0][0] if self._heap else float("inf")
+
+
+@dataclass(frozen=True)
+class LoadOptions:
+    """The load of a proxy."""
+
+    rate: float  # requests a second
+    duration_s: float
+    connections: int
+    seed: int
+    vanish_share: float = 0.0  # of requests whose end the processor is never told
 
 
 class Proxy:
-    """Asks at an even pace, with a little chance, whatever becomes of what was asked before."""
-
-    def __init__(
-        self,
-        place: tuple[str, int],
-        rate: float,
-        seconds: float,
-        connections: int,
-        seed: int,
-        vanish: float = 0.0,
-    ) -> None:
-        self._rate, self._seconds, self._vanish = rate, seconds, vanish
-        self._chance, self._seed = random.Random(seed), seed
-        self.lines = [Lean(place, HEAD) for _ in range(connections)]
+    """Sends requests at random times of an even rate, whatever becomes of those before."""
+
+    def __init__(self, address: tuple[str, int], options: LoadOptions) -> None:
         self.delays = histogram()
         self.count: Counter[str] = Counter()
-        self._heap: list[tuple[float, int, Any]] = []  # what comes due: requests, and answers of servers
-        self._order = 0
-        self._decisions: dict[str, int] = {}  # of unsafe requests
-        self._crowd: Counter[str] = Counter()
-        self._open = 0
-        self.seen: dict[str, list[float]] = {}  # when each server was decided for, on the machine's clock
+        self.decided_at: dict[str, list[float]] = {}  # by server, of the machine's monotonic clock
+        self._options = options
+        self._rng = random.Random(options.seed)
+        self._clients = [Http2Client(address, CALL_HEADERS) for _ in range(options.connections)]
+        self._schedule = Schedule()
+        self._unsafe_decisions: Counter[str] = Counter()  # by request, of those that are not idempotent
+        self._in_flight: Counter[str] = Counter()  # by server
+        self._open_count = 0  # streams
 
     async def run(self) -> None:
-        """Sends requests for the given time, and waits for the answers."""
+        """Sends requests for the given time, and waits for their ends."""
         async with trio.open_nursery() as nursery:
-            for line in self.lines:
-                await line.connect()
-                nursery.start_soon(line.run)
-                await trio.sleep(SETTLE)  # so that processes that share a listener share the connections
-            await self._loop()
+            for client in self._clients:
+                await client.connect()
+                nursery.start_soon(client.run)
+                await trio.sleep(CONNECT_INTERVAL_S)
+            await self._send_requests()
             nursery.cancel_scope.cancel()
 
-    async def _loop(self) -> None:
-        begin, asked = trio.current_time(), 0
-        end = begin + self._seconds
-        next_at = begin
+    async def _send_requests(self) -> None:
+        next_at = trio.current_time()
+        end = next_at + self._options.duration_s
+        sent_count = 0
         while True:
-            moment = trio.current_time()
-            while next_at <= moment and next_at < end:
-                self._ask(f"{self._seed:x}-{asked:x}", self._chance.randrange(3), 1)
-                asked += 1
-                next_at += self._chance.expovariate(self._rate)
-            while self._heap and self._heap[0][0] <= moment:
-                heappop(self._heap)[2]()
-            if next_at >= end and not self._open or moment > end + 5.0:
+            now = trio.current_time()
+            while next_at <= now and next_at < end:
+                request_id = f"{self._options.seed:x}-{sent_count:x}"
+                self._start_attempt(request_id, self._rng.randrange(len(REQUEST_CLASSES)), 1)
+                sent_count += 1
+                next_at += self._rng.expovariate(self._options.rate)
+            self._schedule.run_due(now)
+            if next_at >= end and not self._open_count or now > end + END_TIMEOUT_S:
                 return
-            due = self._heap[0][0] if self._heap else end + 9.0
-            due = min(due, next_at if next_at < end else moment + 0.01)
-            if due - moment > FINE:
-                await trio.sleep_until(due - FINE)
-            else:
-                # guards against requests sent in clumps: the system's timer knows whole milliseconds only
-                await trio.lowlevel.checkpoint()
-
-    def _ask(self, name: str, kind: int, attempt: int) -> None:
-        one = Request(self, name, kind, attempt)
+            next_send = next_at if next_at < end else now + IDLE_SLEEP_S
+            await _sleep_until_shortly_before(min(self._schedule.next_due, next_send), now)
+
+    def _start_attempt(self, request_id: str, request_class: int, number: int) -> None:
         self.count["requests"] += 1
-        up = [line for line in self.lines if line.up]
-        if up:
-            self._open += 1
-            one.ask(up[self._chance.randrange(len(up))])
-        else:
+        clients = [client for client in self._clients if client.is_open]
+        if not clients:
             self.count["not_asked"] += 1
+            return
+        self._open_count += 1
+        client = clients[self._rng.randrange(len(clients))]
+        Attempt(self, request_id, request_class, number).start(client)
 
-    def _later(self, moment: float, what: Any) -> None:
-        self._order += 1
-        heappush(self._heap, (moment, self._order, what))
+    def record_delay(self, delay_s: float) -> None:
+        """Records how long a decision took."""
+        self.delays.record_value(max(1, int(delay_s * 1e6)))
 
-    def decided(self, one: Request) -> None:
-        """The server gets the request: those with higher ports are slower, and slower yet when crowded."""
+    def on_decision(self, attempt: Attempt) -> None:
+        """Sends an attempt to the server that was named, which responds, or vanishes, after a while."""
         self.count["decisions"] += 1
-        if one.kind == 2:
-            self._decisions[one.name] = self._decisions.get(one.name, 0) + 1
-        self.seen.setdefault(one.place, []).append(time.monotonic())
-        port = int(one.place.rsplit(":", 1)[1])
-        self._crowd[one.place] += 1
-        took = 0.01 * (1 + port % 3) * self._chance.uniform(0.5, 1.5) * (1 + self._crowd[one.place] / 50)
-        gone = self._chance.random() < self._vanish
-        self._later(trio.current_time() + took, lambda: self._vanished(one) if gone else self._respond(one))
-
-    def _respond(self, one: Request) -> None:
-        self._crowd[one.place] -= 1
-        load = f"TEXT named_metrics.inflight={self._crowd[one.place]}"
-        if one.line.up:
-            one.line.send(one.number, response_headers(200, endpoint_load_metrics=load))
-
-    def _vanished(self, one: Request) -> None:
-        """The stream ends without the response's headers; the proxy tries once more under the same id."""
-        self._crowd[one.place] -= 1
+        if attempt.request_class == NON_IDEMPOTENT:
+            self._unsafe_decisions[attempt.request_id] += 1
+        self.decided_at.setdefault(attempt.server, []).append(time.monotonic())
+        self._in_flight[attempt.server] += 1
+        service_time_s = self._draw_service_time(attempt.server)
+        has_vanished = self._rng.random() < self._options.vanish_share
+        action = self._vanish if has_vanished else self._respond
+        self._schedule.add(trio.current_time() + service_time_s, lambda: action(attempt))
+
+    def _draw_service_time(self, server: str) -> float:
+        """Seconds that a server takes: servers differ by their ports, and are slower the more they have."""
+        port = int(server.rsplit(":", 1)[1])
+        congestion = 1 + self._in_flight[server] / CONGESTION_REQUESTS
+        return SERVICE_TIME_S * (1 + port % SPEEDS) * self._rng.uniform(0.5, 1.5) * congestion
+
+    def _respond(self, attempt: Attempt) -> None:
+        self._in_flight[attempt.server] -= 1
+        load = f"TEXT named_metrics.inflight={self._in_flight[attempt.server]}"
+        if attempt.client.is_open:
+            attempt.client.send(attempt.stream_id, response_headers(200, endpoint_load_metrics=load))
+
+    def _vanish(self, attempt: Attempt) -> None:
+        """Ends the stream without a response's headers, and tries once more under the same request id."""
+        self._in_flight[attempt.server] -= 1
         self.count["vanished"] += 1
-        one.line.cancel(one.number)
-        self._open -= 1
-        if one.attempt == 1:
-            self._ask(one.name, one.kind, 2)
+        attempt.client.cancel(attempt.stream_id)
+        self._open_count -= 1
+        if attempt.number < MAX_ATTEMPTS:
+            self._start_attempt(attempt.request_id, attempt.request_class, attempt.number + 1)
 
-    def ended(self, one: Request, status: int) -> None:
+    def on_end(self, attempt: Attempt, status: int) -> None:
         """Counts how a stream ended."""
-        self._open -= 1
-        if one.answers == 0:
+        self._open_count -= 1
+        if attempt.response_count == 0:
             self.count["unanswered"] += 1
         if status != Status.OK:
             self.count[f"ended_{Status(status).name.lower() if status >= 0 else 'reset'}"] += 1
@@ -234,10 +250,35 @@
         return {
             "count": dict(self.count),
             "delays": self.delays.encode().decode(),
-            "unsafe_twice": sum(1 for n in self._decisions.values() if n > 1),
+            "unsafe_twice": sum(count > 1 for count in self._unsafe_decisions.values()),
         }
 
 
+async def _sleep_until_shortly_before(due: float, now: float) -> None:
+    """Sleeps, or where it is due soon only lets other tasks run.
+
+    The system's timer knows whole milliseconds only: requests would be sent in clumps.
+    """
+    if due - now > SPIN_S:
+        await trio.sleep_until(due - SPIN_S)
+    else:
+        await trio.lowlevel.checkpoint()
+
+
+def _tune_garbage_collection() -> None:
+    """Collects rarely, so that collections do not show as delays of the processor."""
+    gc.freeze()
+    gc.set_threshold(10000, 20, 50)
+
+
+def _print_report(proxy: Proxy) -> None:
+    for name, number in sorted(proxy.count.items()):
+        click.echo(f"{name} {number}")
+    for percentile in (50, 99, 99.9, 100):
+        delay_ms = proxy.delays.get_value_at_percentile(percentile) / 1000
+        click.echo(f"p{percentile:g} {delay_ms:.2f} ms")
+
+
 @click.command()
 @click.argument("place")
 @click.option("--rate", type=float, default=500.0, help="requests a second")
@@ -259,19 +300,15 @@
 ) -> None:
     """Asks the external processor at PLACE for decisions and says what it saw."""
     host, _, port = place.rpartition(":")
-    proxy = Proxy((host, int(port)), rate, seconds, connections, seed, vanish)
-    gc.freeze()
-    gc.set_threshold(10000, 20, 50)
+    proxy = Proxy((host, int(port)), LoadOptions(rate, seconds, connections, seed, vanish))
+    _tune_garbage_collection()
     trio.run(proxy.run)
     if seen is not None:
-        Path(seen).write_text(json.dumps(proxy.seen))
+        Path(seen).write_text(json.dumps(proxy.decided_at))
     if as_json:
         click.echo(json.dumps(proxy.report()))
-        return
-    for name, number in sorted(proxy.count.items()):
-        click.echo(f"{name} {number}")
-    for part in (50, 99, 99.9, 100):
-        click.echo(f"p{part:g} {proxy.delays.get_value_at_percentile(part) / 1000:.2f} ms")
+    else:
+        _print_report(proxy)
 
 
 if __name__ == "__main__":
