--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -175,9 +175,9 @@
     await drain("streams cut", each(Member.drop_streams))
     last = min(members, key=lambda one: one.open_stream_count)  # the other two have the nodes' streams
     others = [one for one in members if one is not last]
-    await drain("members silent", lambda: [setattr(one.faults, "is_silent", True) for one in others])
+    await drain("members silent", lambda: [setattr(one.faults, "is_unresponsive", True) for one in others])
     for one in others:
-        one.faults.is_silent = False
+        one.faults.is_unresponsive = False
     last.drop_streams()
     await trio.sleep(0.5)
     last = min(members, key=lambda one: one.open_stream_count)
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -119,7 +119,7 @@
     options = RigOptions(nodes=3, store=store, bound_s=WITHIN, seed=seed, timeout_s=300.0)
     async with running_rig(options) as it:
         for server in it.servers.values():
-            server.reset_share = 0.1
+            server.reset_ratio = 0.1
         it.start_load(RATE, MIX)
         first = await it.versions.put("as it was")
         await it.versions.wait_for_outcome(first)
@@ -201,7 +201,7 @@
     options = RigOptions(nodes=3, store="etcd", bound_s=WITHIN, seed=seed, timeout_s=seconds + 120.0)
     async with running_rig(options) as it:
         for server in it.servers.values():
-            server.reset_share = 0.1
+            server.reset_ratio = 0.1
         it.start_load(RATE, MIX)
         first = await it.versions.put("as it was")
         await it.versions.wait_for_outcome(first)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -32,7 +32,7 @@
 def rough(it):
     """Servers that end a tenth of what they have run without an answer: that is what repeats come of."""
     for server in it.servers.values():
-        server.reset_share = 0.1
+        server.reset_ratio = 0.1
 
 
 async def repeated(it, node, kind="look", since=None):
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -203,7 +203,7 @@
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         await until(lambda: servers.changes and any(member.watch_stream_count for member in members))
         member = next(member for member in members if member.watch_stream_count)
-        member.faults.is_silent = True
+        member.faults.is_unresponsive = True
         await put_and_wait(store, servers, "a")
         assert sum(member.watch_stream_count for member in members) >= 2
 
@@ -309,7 +309,7 @@
         await until(lambda: follower.stream_count)
         revision = store.revision
         for member in members:
-            member.faults.is_silent = True
+            member.faults.is_unresponsive = True
         with pytest.raises(CallError) as caught:
             await client.put(PREFIX + b"x", b"{}")
         assert caught.value.status == Status.DEADLINE_EXCEEDED and store.revision == revision
--- a/wheatroute/rig/client_load.py
+++ b/wheatroute/rig/client_load.py
@@ -21,9 +21,9 @@
 
 
 class ClassLoad(NamedTuple):
-    """A request class's share of the requests, and how its requests look."""
+    """How often a request class is drawn, and how its requests look."""
 
-    share: float
+    weight: float
     idempotency: Idempotency
 
 
@@ -41,9 +41,9 @@
         self._idle: list[HttpConnection] = []
         self._request_count = 0
 
-    def set_class(self, name: str, share: float, effect: str) -> None:
-        """Gives a request class its share; `effect` is the word of the settings for its idempotency."""
-        self._classes[name] = ClassLoad(share, IDEMPOTENCY[effect])
+    def set_class(self, name: str, weight: float, effect: str) -> None:
+        """Gives a request class its weight; `effect` is the word of the settings for its idempotency."""
+        self._classes[name] = ClassLoad(weight, IDEMPOTENCY[effect])
 
     def clear_classes(self) -> None:
         """Takes all request classes out."""
@@ -63,7 +63,7 @@
                 nursery.start_soon(self.send)
 
     async def send(self, request_class: str = "") -> ClientRequest:
-        """Sends one request and waits for its end; without a class, one is drawn by the shares."""
+        """Sends one request and waits for its end; without a class, one is drawn by the weights."""
         request_class = request_class or self._draw_class()
         self._request_count += 1
         request_id = f"{self._node}-{self._request_count:06x}"
@@ -77,7 +77,7 @@
 
     def _draw_class(self) -> str:
         names = sorted(self._classes)
-        return self._rng.choices(names, [self._classes[name].share for name in names])[0]
+        return self._rng.choices(names, [self._classes[name].weight for name in names])[0]
 
     def _message(self, request_class: str, request_id: str) -> bytes:
         idempotency = self._classes[request_class].idempotency
--- a/wheatroute/rig/rig_parts.py
+++ b/wheatroute/rig/components.py
@@ -1,4 +1,4 @@
-"""The parts of a rig, and how they are put together before any process serves."""
+"""The components of a rig, and how they are put together before any process serves."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 @dataclass
-class RigParts:
+class RigComponents:
     """What several modules of the rig work with. Processes, loads and links are added as it is built."""
 
     options: RigOptions
@@ -46,14 +46,14 @@
         self.network.close()
 
 
-def create_parts(options: RigOptions, folder: Path, nursery: trio.Nursery) -> RigParts:
-    """Creates the parts; no process runs yet."""
+def create_components(options: RigOptions, folder: Path, nursery: trio.Nursery) -> RigComponents:
+    """Creates the components; no process runs yet."""
     settings = deepcopy(options.settings or DEFAULT_SETTINGS) | {"dcs": options.zone_names}
     files = ProcessFiles(folder)
     records = RunRecords()
     network = Network(nursery)
     etcd = EtcdProcess(options.etcd_members, files.log("etcd")) if options.has_etcd else None
-    return RigParts(
+    return RigComponents(
         options=options,
         folder=folder,
         files=files,
--- a/wheatroute/rig/datagram_link.py
+++ b/wheatroute/rig/datagram_link.py
@@ -27,7 +27,7 @@
         self.reordered_count = 0
         self._ends = ends
         self._rng = random.Random(f"{seed}/{name}")
-        self._held_back: list[bytes] = [b"", b""]  # by direction: goes out after the next one
+        self._reorder_buffer: list[bytes] = [b"", b""]  # by direction: goes out after the next one
         self._sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in ends]
         for one in self._sockets:
             one.bind((LOOPBACK, 0))
@@ -56,14 +56,14 @@
         if fault.is_partitioned or self._rng.random() < fault.loss:
             self.lost_count += 1
             return []
-        if self._rng.random() < fault.reordering and not self._held_back[direction]:
-            self._held_back[direction] = data
+        if self._rng.random() < fault.reordering and not self._reorder_buffer[direction]:
+            self._reorder_buffer[direction] = data
             self.reordered_count += 1
             return []
         is_duplicated = self._rng.random() < fault.duplication
         self.duplicated_count += is_duplicated
-        held_back, self._held_back[direction] = self._held_back[direction], b""
-        return [data] * (1 + is_duplicated) + [held_back] * bool(held_back)
+        reordered, self._reorder_buffer[direction] = self._reorder_buffer[direction], b""
+        return [data] * (1 + is_duplicated) + [reordered] * bool(reordered)
 
     async def _send(self, sink: Any, data: bytes, destination: Address, delay_s: float) -> None:
         await trio.sleep(delay_s)
--- a/wheatroute/rig/etcd_cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -21,7 +21,7 @@
 
 ALL_MEMBERS = -1
 FAULTS = {  # fields of `MemberFaults` by the words of commands and scenario files
-    "silent": "is_silent",
+    "silent": "is_unresponsive",
     "behind": "revision_lag",
     "fragment_at": "max_fragment_events",
     "cut_after": "fragments_before_drop",
@@ -47,8 +47,8 @@
     def set(self, member: int, **faults: Any) -> None:
         """Sets faults of a member by the keys of `FAULTS`; -1 for all members."""
         for one in self._members if member == ALL_MEMBERS else [self._members[member]]:
-            for word, value in faults.items():
-                setattr(one.faults, FAULTS[word], value)
+            for name, value in faults.items():
+                setattr(one.faults, FAULTS[name], value)
             if faults.get("silent"):
                 one.drop_streams()
 
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -24,7 +24,7 @@
 
 
 class FaultInjector:
-    """Faults by the names of processes and servers. `way` is a key of `link_fault.DIRECTIONS`."""
+    """Faults by the names of processes and servers. `direction` is a key of `link_fault.DIRECTIONS`."""
 
     def __init__(
         self,
@@ -47,14 +47,14 @@
         """Records a fault with the time."""
         self._records.faults.append(InjectedFault(time.monotonic(), text))
 
-    def partition(self, one: str, other: str, way: str = "both") -> None:
+    def partition(self, one: str, other: str, direction: str = "both") -> None:
         """Cuts the links between two processes, or a process and the `store`."""
-        self.record(f"cut {one} {other} {way}")
+        self.record(f"cut {one} {other} {direction}")
         if other == STORE:
-            self._backend.partition(one, way)
+            self._backend.partition(one, direction)
             return
         for link in self._network.between(one, other):
-            link.faults.partition(way)
+            link.faults.partition(direction)
 
     def heal(self, one: str, other: str) -> None:
         """Ends all faults of the links between two processes, or a process and the `store`."""
@@ -65,11 +65,11 @@
         for link in self._network.between(one, other):
             link.faults.heal()
 
-    def impair(self, one: str, other: str, way: str = "both", **parameters: float) -> None:
+    def impair(self, one: str, other: str, direction: str = "both", **parameters: float) -> None:
         """Delays, throttles, loses, duplicates or reorders, by the keys of `link_fault.PARAMETERS`."""
-        self.record(f"spoil {one} {other} {way} {parameters}")
+        self.record(f"spoil {one} {other} {direction} {parameters}")
         for link in self._network.between(one, other):
-            link.faults.impair(way, **parameters)
+            link.faults.impair(direction, **parameters)
 
     def reset_connections(self, one: str, other: str) -> None:
         """Resets the connections between two processes."""
--- a/wheatroute/rig/launcher.py
+++ b/wheatroute/rig/launcher.py
@@ -3,20 +3,20 @@
 from __future__ import annotations
 
 from wheatroute.rig.addresses import host_port
+from wheatroute.rig.components import RigComponents
 from wheatroute.rig.processes import NODE_COMMAND, Process, cli_command
-from wheatroute.rig.rig_parts import RigParts
 from wheatroute.rig.supervisor import rollout_directory
 
 
 class Launcher:
     """Starts processes; the rig ends them with all others."""
 
-    def __init__(self, parts: RigParts) -> None:
-        self._parts = parts
+    def __init__(self, components: RigComponents) -> None:
+        self._components = components
 
     def _start(self, name: str, command: list[str], environment: dict[str, str] | None = None) -> Process:
-        process = Process(name, command, self._parts.files.log(name), environment)
-        self._parts.processes[name] = process
+        process = Process(name, command, self._components.files.log(name), environment)
+        self._components.processes[name] = process
         process.start()
         return process
 
@@ -25,21 +25,21 @@
 
         With `link_name` it reaches the store through links of that name, which can be cut.
         """
-        url = self._parts.backend.url(link_name)
+        url = self._components.backend.url(link_name)
         command = cli_command("settings", "--at", url, *words)
-        return self._start(f"operator{len(self._parts.processes)}", command)
+        return self._start(f"operator{len(self._components.processes)}", command)
 
     def start_controller(self) -> str:
         """Starts one more controller of rollouts; returns the process's name."""
-        number = sum(name.startswith("controller") for name in self._parts.processes)
-        directory = rollout_directory(self._parts.folder)
+        number = sum(name.startswith("controller") for name in self._components.processes)
+        directory = rollout_directory(self._components.folder)
         command = cli_command("rollout", "--at", directory, "control")
         return self._start(f"controller{number}", command).name
 
     def start_duplicate(self, node: str) -> Process:
         """Starts a second process under a node's name, at an address of its own."""
         name = f"{node}-double"
-        files = self._parts.files
-        own = {"listen": host_port(self._parts.network.reserve_address())}
+        files = self._components.files
+        own = {"listen": host_port(self._components.network.reserve_address())}
         files.write_node_file(name, files.read_node_file(node) | own)
         return self._start(name, NODE_COMMAND, {"PROXY_CONFIG": str(files.node_file(name))})
--- a/wheatroute/rig/link_fault.py
+++ b/wheatroute/rig/link_fault.py
@@ -63,16 +63,16 @@
         """The fault of a direction, as it is now."""
         return self._by_direction[direction]
 
-    def partition(self, way: str) -> None:
-        """Lets nothing pass, and tells nobody; `way` is a key of `DIRECTIONS`."""
-        for direction in DIRECTIONS[way]:
-            self._by_direction[direction].is_partitioned = True
+    def partition(self, direction: str) -> None:
+        """Lets nothing pass, and tells nobody; `direction` is a key of `DIRECTIONS`."""
+        for one in DIRECTIONS[direction]:
+            self._by_direction[one].is_partitioned = True
 
-    def impair(self, way: str, **parameters: float) -> None:
+    def impair(self, direction: str, **parameters: float) -> None:
         """Sets parameters of the faults, by the keys of `PARAMETERS`; other ones have no effect."""
-        for direction in DIRECTIONS[way]:
-            for word in PARAMETERS.keys() & parameters.keys():
-                setattr(self._by_direction[direction], PARAMETERS[word], parameters[word])
+        for one in DIRECTIONS[direction]:
+            for name in PARAMETERS.keys() & parameters.keys():
+                setattr(self._by_direction[one], PARAMETERS[name], parameters[name])
 
     def heal(self) -> None:
         """Ends all faults."""
@@ -90,7 +90,7 @@
         while not self.is_open:
             await self._healed.wait()
 
-    async def hold(self, direction: Direction) -> None:
+    async def wait_to_pass(self, direction: Direction) -> None:
         """Waits for a direction's delay, and until it is not partitioned."""
         if self[direction].delay_s:
             await trio.sleep(self[direction].delay_s)
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -16,12 +16,12 @@
 import trio
 
 from wheatroute.rig.builder import RigBuilder
+from wheatroute.rig.components import RigComponents, create_components
 from wheatroute.rig.etcd_process import EtcdProcess
 from wheatroute.rig.faults import FaultInjector
 from wheatroute.rig.launcher import Launcher
 from wheatroute.rig.loop_lateness import MAX_EXCUSED_S
 from wheatroute.rig.options import RigOptions
-from wheatroute.rig.rig_parts import RigParts, create_parts
 from wheatroute.rig.versions import VersionPublisher
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S, wait_until
 
@@ -33,25 +33,30 @@
     """Nodes, processors behind a proxy each, servers, a store for versions, clients of each node, and a link
     between any two processes."""
 
-    def __init__(self, parts: RigParts) -> None:
-        self.names = parts.options.names
-        self.folder = parts.folder
-        self.files = parts.files
-        self.settings = parts.settings
-        self.records = parts.records
-        self.links = parts.network.links
-        self.processes = parts.processes
-        self.servers = parts.servers
-        self.loads = parts.loads
-        self.discovery_services = parts.discovery.services
-        self.launcher = Launcher(parts)
+    def __init__(self, components: RigComponents) -> None:
+        self.names = components.options.names
+        self.folder = components.folder
+        self.files = components.files
+        self.settings = components.settings
+        self.records = components.records
+        self.links = components.network.links
+        self.processes = components.processes
+        self.servers = components.servers
+        self.loads = components.loads
+        self.discovery_services = components.discovery.services
+        self.launcher = Launcher(components)
         self.faults = FaultInjector(
-            parts.options, parts.records, parts.network, parts.processes, parts.discovery, parts.backend
+            components.options,
+            components.records,
+            components.network,
+            components.processes,
+            components.discovery,
+            components.backend,
         )
         self.versions = VersionPublisher(
-            parts.options, parts.settings, parts.records, parts.backend, parts.folder
+            components.options, components.settings, components.records, components.backend, components.folder
         )
-        self._etcd = parts.etcd
+        self._etcd = components.etcd
 
     @property
     def etcd(self) -> EtcdProcess:
@@ -70,13 +75,13 @@
         """See `waiting.wait_until`."""
         await wait_until(self.records.lateness, condition, description, timeout_s)
 
-    def start_load(self, rate: float, class_shares: dict[str, float], timeout_s: float = 2.0) -> None:
-        """Has the clients of each node send `rate` requests a second, by shares of the request classes."""
+    def start_load(self, rate: float, class_weights: dict[str, float], timeout_s: float = 2.0) -> None:
+        """Has the clients of each node send `rate` requests a second, of classes drawn by their weights."""
         effects = {table["name"]: table["effect"] for table in self.settings["traffic-types"]}
         for load in self.loads.values():
             load.clear_classes()
-            for name, share in class_shares.items():
-                load.set_class(name, share, effects[name])
+            for name, weight in class_weights.items():
+                load.set_class(name, weight, effects[name])
             load.rate = rate
             load.timeout_s = timeout_s
 
@@ -100,11 +105,11 @@
         folder = cleanup.enter_context(_run_folder(options.folder))
         with trio.fail_after(options.timeout_s):
             async with trio.open_nursery() as nursery:
-                parts = create_parts(options, folder, nursery)
-                cleanup.callback(parts.close)
-                nursery.start_soon(parts.records.lateness.run)
-                await RigBuilder(parts, nursery).build()
-                yield Rig(parts)
+                components = create_components(options, folder, nursery)
+                cleanup.callback(components.close)
+                nursery.start_soon(components.records.lateness.run)
+                await RigBuilder(components, nursery).build()
+                yield Rig(components)
                 nursery.cancel_scope.cancel()
 
 
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -35,7 +35,7 @@
     ANSWERED = "answered"
     ERROR = "error"
     RESET = "reset"
-    SILENT = "silent"
+    UNANSWERED = "silent"
 
 
 @dataclass(frozen=True, slots=True)
--- a/wheatroute/rig/scenario.py
+++ b/wheatroute/rig/scenario.py
@@ -28,21 +28,21 @@
 
 
 class ClientsTable(Table):
-    """The clients of each node: requests a second, shares of the request classes, time for a response."""
+    """The clients of each node: requests a second, weights of the request classes, time for a response."""
 
     rate: float = Field(default=50.0, ge=0.0, le=500.0)
-    class_shares: dict[str, float] = Field(default={"look": 0.6, "change": 0.2, "buy": 0.2}, alias="mix")
+    class_weights: dict[str, float] = Field(default={"look": 0.6, "change": 0.2, "buy": 0.2}, alias="mix")
     timeout_s: float = Field(default=2.0, gt=0.0, le=30.0, alias="left")
 
 
 class ServersTable(Table):
-    """How many servers there are, how long they run a request, and which shares of requests they fail."""
+    """How many servers there are, how long they run a request, and which part of the requests they fail."""
 
     count: int = Field(default=4, ge=1, le=64)
     mean_service_time_s: float = Field(default=0.01, gt=0.0, alias="takes")
-    reset_share: float = Field(default=0.0, ge=0.0, le=1.0, alias="reset")
-    error_share: float = Field(default=0.0, ge=0.0, le=1.0, alias="error")
-    silent_share: float = Field(default=0.0, ge=0.0, le=1.0, alias="silent")
+    reset_ratio: float = Field(default=0.0, ge=0.0, le=1.0, alias="reset")
+    error_ratio: float = Field(default=0.0, ge=0.0, le=1.0, alias="error")
+    unanswered_ratio: float = Field(default=0.0, ge=0.0, le=1.0, alias="silent")
 
 
 class Action(StrEnum):
@@ -72,7 +72,7 @@
     action: Action = Field(alias="do")
     target: str = Field(default="", alias="one")  # a process, or for a drain a server
     other: str = ""  # the process at the other end of a link, or `store`
-    way: Literal["both", "there", "back"] = "both"
+    direction: Literal["both", "there", "back"] = Field(default="both", alias="way")
     parameters: dict[str, Any] = Field(default={}, alias="how")  # of a link's fault, or a command to etcd
     changes: dict[str, Any] = Field(default={}, alias="change")  # of settings, see `with_changes`
     reason: str = Field(default="a step of the script", alias="why")
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -41,9 +41,9 @@
 def _configure_servers(rig: Rig, table: ServersTable) -> None:
     for server in rig.servers.values():
         server.mean_service_time_s = table.mean_service_time_s
-        server.reset_share = table.reset_share
-        server.error_share = table.error_share
-        server.silent_share = table.silent_share
+        server.reset_ratio = table.reset_ratio
+        server.error_ratio = table.error_ratio
+        server.unanswered_ratio = table.unanswered_ratio
 
 
 async def _publish_first_version(rig: Rig) -> None:
@@ -54,7 +54,7 @@
 
 async def _play_load(rig: Rig, scenario: Scenario, started_at: float, on_progress: ProgressCallback) -> None:
     clients = scenario.clients
-    rig.start_load(clients.rate, clients.class_shares, clients.timeout_s)
+    rig.start_load(clients.rate, clients.class_weights, clients.timeout_s)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_play_steps, rig, scenario.steps, started_at)
         while (elapsed_s := time.monotonic() - started_at) < scenario.duration_s:
@@ -84,11 +84,11 @@
 async def _perform(rig: Rig, step: Step) -> None:
     match step.action:
         case Action.PARTITION:
-            rig.faults.partition(step.target, step.other, step.way)
+            rig.faults.partition(step.target, step.other, step.direction)
         case Action.HEAL:
             rig.faults.heal(step.target, step.other)
         case Action.IMPAIR:
-            rig.faults.impair(step.target, step.other, step.way, **step.parameters)
+            rig.faults.impair(step.target, step.other, step.direction, **step.parameters)
         case Action.RESET_CONNECTIONS:
             rig.faults.reset_connections(step.target, step.other)
         case Action.STOP:
--- a/wheatroute/rig/server.py
+++ b/wheatroute/rig/server.py
@@ -17,16 +17,16 @@
 
 
 class Server:
-    """Runs each request for a random time, and then fails shares of them: 0 to 1, 1 in all at most."""
+    """Runs each request for a random time, and then fails some: ratios from 0 to 1, at most 1 in all."""
 
     def __init__(self, name: str, zone: str, cell: int, records: RunRecords, seed: int) -> None:
         self.name = name
         self.zone = zone
         self.cell = cell
         self.mean_service_time_s = MEAN_SERVICE_TIME_S
-        self.reset_share = 0.0  # of the requests: the connection is closed without a response
-        self.error_share = 0.0  # answered with status 500
-        self.silent_share = 0.0  # never answered, with the connection left open
+        self.reset_ratio = 0.0  # of the requests: the connection is closed without a response
+        self.error_ratio = 0.0  # answered with status 500
+        self.unanswered_ratio = 0.0  # never answered, with the connection left open
         self._in_flight = 0
         self._records = records
         self._rng = random.Random(f"{seed}/{name}")
@@ -49,19 +49,19 @@
             await self._run()
             if outcome is ExecutionOutcome.RESET:
                 return
-            if outcome is ExecutionOutcome.SILENT:
+            if outcome is ExecutionOutcome.UNANSWERED:
                 await trio.sleep_forever()
             status = 200 if outcome is ExecutionOutcome.ANSWERED else 500
             await connection.send_response(status, b"done", Server_Load=self._load_report())
 
     def _draw_outcome(self) -> ExecutionOutcome:
         draw = self._rng.random()
-        if draw < self.reset_share:
+        if draw < self.reset_ratio:
             return ExecutionOutcome.RESET
-        if draw < self.reset_share + self.error_share:
+        if draw < self.reset_ratio + self.error_ratio:
             return ExecutionOutcome.ERROR
-        if draw < self.reset_share + self.error_share + self.silent_share:
-            return ExecutionOutcome.SILENT
+        if draw < self.reset_ratio + self.error_ratio + self.unanswered_ratio:
+            return ExecutionOutcome.UNANSWERED
         return ExecutionOutcome.ANSWERED
 
     def _record(
--- a/wheatroute/rig/tcp_link.py
+++ b/wheatroute/rig/tcp_link.py
@@ -79,7 +79,7 @@
                     await self._pump(source, sink, direction, far_address)
                 except STREAM_ERRORS:
                     # one side is gone: so is the other, but not before the partition ends that hides it
-                    await self.faults.hold(direction)
+                    await self.faults.wait_to_pass(direction)
                     nursery.cancel_scope.cancel()
 
             nursery.start_soon(pump, near, far, Direction.FORWARD)
@@ -93,7 +93,7 @@
             data, sent_at = await _receive(source)
             if direction is Direction.FORWARD and data:
                 self.sent_at[far_address] = sent_at
-            await self.faults.hold(direction)
+            await self.faults.wait_to_pass(direction)
             if not data:
                 await sink.send_eof()
                 return
@@ -106,7 +106,7 @@
             return
         piece_bytes = max(1, int(rate * THROTTLE_INTERVAL_S))
         for start in range(0, len(data), piece_bytes):
-            await self.faults.hold(direction)
+            await self.faults.wait_to_pass(direction)
             await sink.send_all(data[start : start + piece_bytes])
             await trio.sleep(THROTTLE_INTERVAL_S)
 
--- a/wheatroute/rig/verdict.py
+++ b/wheatroute/rig/verdict.py
@@ -100,12 +100,12 @@
 ) -> list[RepeatPolicy]:
     """A class's policies in all versions that some process may act on between two moments."""
     published = [version for version in records.versions if version.published_at <= last]
-    settled = [
+    known_to_all = [
         i
         for i, version in enumerate(published)
         if version.state == IN_FORCE and 0.0 < version.ended_at <= first
     ]
-    possible = published[settled[-1] :] if settled else published
+    possible = published[known_to_all[-1] :] if known_to_all else published
     return [
         version.repeat_policies[request_class]
         for version in possible
--- a/wheatroute/rig/version_backend.py
+++ b/wheatroute/rig/version_backend.py
@@ -29,7 +29,7 @@
     def url(self, link_name: str = "") -> str:
         """The URL for the command line; with a name, through links of that name, which can be cut."""
 
-    def partition(self, name: str, way: str) -> None:
+    def partition(self, name: str, direction: str) -> None:
         """Cuts a process off."""
 
     def heal(self, name: str) -> None:
@@ -60,7 +60,7 @@
         """See `VersionBackend`; there are no links."""
         return str(self._directory)
 
-    def partition(self, name: str, way: str) -> None:
+    def partition(self, name: str, direction: str) -> None:
         """Takes a process's symbolic link away, which cuts both ways."""
         self._link(name).unlink()
 
@@ -101,10 +101,10 @@
             addresses = self._network.add_links(f"{link_name}-etcd", addresses)
         return etcd_url(addresses, PREFIX)
 
-    def partition(self, name: str, way: str) -> None:
-        """See `VersionBackend`; `way` is a key of `link_fault.DIRECTIONS`."""
+    def partition(self, name: str, direction: str) -> None:
+        """See `VersionBackend`; `direction` is a key of `link_fault.DIRECTIONS`."""
         for link in self._network.between(name, "etcd"):
-            link.faults.partition(way)
+            link.faults.partition(direction)
 
     def heal(self, name: str) -> None:
         """See `VersionBackend`."""
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -112,10 +112,10 @@
             self.store.expire_leases()
 
     async def _receive(self, call: AsyncCall, message_type: Any) -> Any:
-        """The request of a unary call; a silent member never gets so far. Raises `CallError`."""
+        """The request of a unary call; an unresponsive member never gets so far. Raises `CallError`."""
         self.call_count += 1
         message = await call.receive()
-        if self.faults.is_silent:
+        if self.faults.is_unresponsive:
             await trio.sleep_forever()
         self._check_token(call)
         return message_type.FromString(message or b"")
@@ -182,7 +182,7 @@
     async def _keep_alive(self, call: AsyncCall) -> None:
         async with self._stream():
             while (message := await call.receive()) is not None:
-                if self.faults.is_silent:
+                if self.faults.is_unresponsive:
                     await trio.sleep_forever()
                 request = wire.LeaseKeepAliveRequest.FromString(message)
                 await _send(call, self.store.keep_alive(request.ID))
--- a/wheatroute/standin/etcd_watch.py
+++ b/wheatroute/standin/etcd_watch.py
@@ -20,7 +20,7 @@
 class MemberFaults:
     """What a test makes a member do."""
 
-    is_silent: bool = False  # it takes what comes and says nothing
+    is_unresponsive: bool = False  # it takes what comes and says nothing
     revision_lag: int = 0  # revisions that the member does not have yet
     max_fragment_events: int = UNLIMITED  # events of a revision beyond which a watch is sent fragments
     fragments_before_drop: int = -1  # after which a stream is dropped, once; -1 for never
@@ -62,7 +62,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._notify)
             while (message := await self._call.receive()) is not None:
-                if not self._faults.is_silent:
+                if not self._faults.is_unresponsive:
                     await self._handle_request(wire.WatchRequest.FromString(message))
             nursery.cancel_scope.cancel()
 
@@ -104,7 +104,7 @@
         while True:
             change = self._store.next_change()
             for watch_id, watch in list(self._watches.items()):
-                if not self._faults.is_silent:
+                if not self._faults.is_unresponsive:
                     await self._notify_watch(watch_id, watch)
             await change.wait()
 
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -145,7 +145,7 @@
     duration_s: float
     connections: int
     seed: int
-    vanish_share: float = 0.0  # of requests whose end the processor is never told
+    vanish_ratio: float = 0.0  # of requests whose end the processor is never told
 
 
 class Proxy:
@@ -212,7 +212,7 @@
         self.decided_at.setdefault(attempt.server, []).append(time.monotonic())
         self._in_flight[attempt.server] += 1
         service_time_s = self._draw_service_time(attempt.server)
-        has_vanished = self._rng.random() < self._options.vanish_share
+        has_vanished = self._rng.random() < self._options.vanish_ratio
         action = self._vanish if has_vanished else self._respond
         self._schedule.add(trio.current_time() + service_time_s, lambda: action(attempt))
 
