--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -12,7 +12,7 @@
 from wheatroute.rig.network import Network
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.processes import Process
-from wheatroute.rig.run_records import Downtime, InjectedFault, RunRecords
+from wheatroute.rig.run_records import Downtime, RunRecords
 from wheatroute.rig.tcp_link import TcpLink
 from wheatroute.rig.version_backend import VersionBackend
 from wheatroute.rig.waiting import wait_until
@@ -45,7 +45,7 @@
 
     def record(self, text: str) -> None:
         """Records a fault with the time."""
-        self._records.faults.append(InjectedFault(time.monotonic(), text))
+        self._records.record_fault(time.monotonic(), text)
 
     def partition(self, one: str, other: str, direction: str = "both") -> None:
         """Cuts the links between two processes, or a process and the `store`."""
--- a/wheatroute/rig/launcher.py
+++ b/wheatroute/rig/launcher.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import time
+
 from wheatroute.rig.addresses import host_port
 from wheatroute.rig.components import RigComponents
 from wheatroute.rig.processes import NODE_COMMAND, Process, cli_command
@@ -38,6 +40,7 @@
 
     def start_duplicate(self, node: str) -> Process:
         """Starts a second process under a node's name, at an address of its own."""
+        self._components.records.record_fault(time.monotonic(), f"a second process is started as {node}")
         name = f"{node}-double"
         files = self._components.files
         own = {"listen": host_port(self._components.network.reserve_address())}
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -148,6 +148,10 @@
     drained_at: dict[str, float] = field(default_factory=dict)  # by server: since when nothing may reach it
     lateness: LoopLateness = field(default_factory=LoopLateness)  # of the rig that writes these records
 
+    def record_fault(self, now: float, text: str) -> None:
+        """Records a fault that the rig causes or ends now."""
+        self.faults.append(InjectedFault(now, text))
+
     def executions_by_request(self) -> dict[str, list[Execution]]:
         """Executions by request id, each request's in the order of time."""
         by_request: dict[str, list[Execution]] = {}
