--- a/tests/processor/test_retries.py
+++ b/tests/processor/test_proxy_retries.py
@@ -80,6 +80,6 @@
 async def test_a_refused_id_may_be_asked_for_again_as_often_as_it_takes(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (worker, channel):
         for n in range(6):  # more than its tries
-            assert await route(channel, "order", PLACE, n + 1, time_out=0.05) == 503
+            assert await route(channel, "order", PLACE, n + 1, timeout_s=0.05) == 503
         list_servers(worker, 2, server_entry())
         assert await route(channel, "order", PLACE, 7) == "127.0.0.1:7000"
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -24,7 +24,7 @@
 from wheatroute.grpc.session import Session
 from wheatroute.processor.dispatcher import Dispatcher
 from wheatroute.processor.processing_messages import METHOD_PATH
-from wheatroute.standin.proxy import request_headers, response_headers
+from wheatroute.standin.ext_proc_messages import request_headers, response_headers
 
 
 @scenario
@@ -129,7 +129,7 @@
 @scenario
 async def test_a_refusal_says_when_to_come_back(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (_, channel):
-        async with open_request(channel, "r", time_out=0.1) as request:
+        async with open_request(channel, "r", timeout_s=0.1) as request:
             answer = (await request.response()).immediate_response
             found = {item.header.key: item.header.raw_value for item in answer.headers.set_headers}
             assert (answer.status.code, answer.details) == (503, "wheatroute-refused")
--- a/tests/processor/test_worker_discovery.py
+++ b/tests/processor/test_worker_discovery.py
@@ -29,8 +29,8 @@
     member = Member(store)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(member.run)
-        await until(lambda: member._server is not None)
-        yield store, member, ETCD.format(*member.place)
+        await until(lambda: member.is_serving)
+        yield store, member, ETCD.format(*member.address)
         nursery.cancel_scope.cancel()
 
 
@@ -76,5 +76,5 @@
     async with etcd_with_servers() as (_, member, table):
         member.stop()
         async with running_worker(tmp_path, pool=table, **keep) as (worker, channel):
-            assert await route(channel, "a", time_out=0.1) == 503  # of another pool
+            assert await route(channel, "a", timeout_s=0.1) == 503  # of another pool
         assert kept.read_bytes().startswith(snapshot.FORMAT)  # and nothing known does not replace it
