--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -130,13 +130,13 @@
 
     # the command writer
 
-    def attempt(self, request, server, time_out):
+    def attempt(self, request, server, timeout_s):
         assert request not in self.final_answers, "nothing goes out after the final answer"
         n = len(self.attempts[request])
         self.attempts[request].append(server)
         self.in_flight.add((request, n))
         self.commands.append(("attempt", self.now, request, server))
-        outcome, elapsed_s = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, time_out)
+        outcome, elapsed_s = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, timeout_s)
         self.pending.append((self.now + elapsed_s, request, n, server, outcome, elapsed_s))
 
     def cancel(self, request, n):
@@ -145,16 +145,16 @@
             (self.now + self.settings.tick, request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
         )
 
-    def reject(self, request, stay_away):
-        self._end_request(request, "rejected", stay_away)
+    def reject(self, request, retry_after_s):
+        self._end_request(request, "rejected", retry_after_s)
 
     def fail(self, request):
         self._end_request(request, "failed", 0.0)
 
-    def _end_request(self, request, final_answer, stay_away):
+    def _end_request(self, request, final_answer, retry_after_s):
         assert request not in self.final_answers, "one final answer"
         self.final_answers[request] = final_answer
-        self.commands.append((final_answer, self.now, request, stay_away))
+        self.commands.append((final_answer, self.now, request, retry_after_s))
 
     def wake_at(self, moment):
         assert moment > self.now
@@ -162,8 +162,8 @@
     def probe(self, server):
         self.commands.append(("probe", self.now, server))
 
-    def send_loads(self, figures):
-        self.commands.append(("send_loads", self.now, dict(figures)))
+    def send_loads(self, loads):
+        self.commands.append(("send_loads", self.now, dict(loads)))
 
     def watch(self, enable):
         self.commands.append(("watch", self.now, enable))
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -94,14 +94,14 @@
 class CommandWriter(Protocol):
     """Takes the commands of a batch in the order in which they are to be carried out."""
 
-    def attempt(self, request: int, server: int, time_out: float) -> None:
-        """Send the request to the server; a time-out of 0 lasts until the client leaves."""
+    def attempt(self, request: int, server: int, timeout_s: float) -> None:
+        """Send the request to the server; with a timeout of 0 until the client leaves."""
 
     def cancel(self, request: int, n: int) -> None:
         """Cancel one attempt of a request."""
 
-    def reject(self, request: int, stay_away: float) -> None:
-        """Final answer: did not run and may be sent again, after `stay_away` seconds."""
+    def reject(self, request: int, retry_after_s: float) -> None:
+        """Final answer: did not run and may be sent again, after `retry_after_s`."""
 
     def fail(self, request: int) -> None:
         """Final answer: failed, may have run."""
@@ -112,7 +112,7 @@
     def probe(self, server: int) -> None:
         """Probe a server."""
 
-    def send_loads(self, figures: Mapping[int, float]) -> None:
+    def send_loads(self, loads: Mapping[int, float]) -> None:
         """Send to all other nodes what these servers hold."""
 
     def watch(self, enable: bool) -> None:
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -227,12 +227,12 @@
 
     # commands of the balancer
 
-    def attempt(self, request: int, server: int, time_out: float) -> None:
+    def attempt(self, request: int, server: int, timeout_s: float) -> None:
         """See `CommandWriter.attempt`; one that could not count any more is returned as moot."""
         exchange = self._exchanges[request]
         moment = now()
         max_timeout_s = exchange.deadline - moment
-        timeout_s = min(time_out, max_timeout_s) if time_out else max_timeout_s
+        timeout_s = min(timeout_s, max_timeout_s) if timeout_s else max_timeout_s
         attempt = Attempt(server, len(exchange.attempts), moment, timeout_s)
         exchange.attempts.append(attempt)
         exchange.attempts_in_flight += 1
@@ -248,9 +248,9 @@
             exchange.attempts[n].is_withdrawn = True
             exchange.attempts[n].scope.cancel()
 
-    def reject(self, request: int, stay_away: float) -> None:
+    def reject(self, request: int, retry_after_s: float) -> None:
         """See `CommandWriter.reject`."""
-        self._complete(request, Response(REJECTED_STATUS, retry_after_s=stay_away))
+        self._complete(request, Response(REJECTED_STATUS, retry_after_s=retry_after_s))
 
     def fail(self, request: int) -> None:
         """See `CommandWriter.fail`."""
