--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -2,7 +2,7 @@
 
 A host in virtual time (servers of unequal speed, scripted faults) plays the same requests to `Balancer` at
 several sizes of the tier, and to the present package and that of an earlier commit side by side. Only the
-time inside `Balancer.round` is measured by a real clock.
+time inside `Balancer.handle_events` is measured by a real clock.
 
     python benchmarks/decisions.py                       cost at 8, 64 and 512 servers
     python benchmarks/decisions.py --against a3a74a3     also the cost of that commit
--- a/tests/benchlink/test_benchlink_functions.py
+++ b/tests/benchlink/test_benchlink_functions.py
@@ -7,6 +7,6 @@
 
 def test_host_batch():
     assert host._batch(b'{"now":1.5,"nodes":[]}')["now"] == 1.5
-    with pytest.raises(host.MalformedError) as trouble:
+    with pytest.raises(host.MalformedError) as error:
         host._batch(b'{"nodes":[]}')
-    assert str(trouble.value) == 'no clock in "now"'
+    assert str(error.value) == 'no clock in "now"'
--- a/tests/benchlink/test_malformed_batches.py
+++ b/tests/benchlink/test_malformed_batches.py
@@ -6,9 +6,10 @@
 
 
 def test_the_link_names_what_is_malformed_and_answers_nothing(capsys):
-    for line, told in ((b"nope\n", "not JSON"), (b'{"now":1}\n', '"nodes"'), (b'{"nodes":[]}\n', '"now"')):
+    for line, reason in ((b"nope\n", "not JSON"), (b'{"now":1}\n', '"nodes"'), (b'{"nodes":[]}\n', '"now"')):
         sink = BytesIO()
         assert serve(BytesIO(b'{"now":1.0,"nodes":[]}\n' + line), sink) == 2
         assert sink.getvalue() == b'{"nodes":[]}\n'
-        said = capsys.readouterr().err
-        assert said.startswith("line 2: ") and told in said and said.count("\n") == 1
+        error_output = capsys.readouterr().err
+        assert error_output.startswith("line 2: ") and reason in error_output
+        assert error_output.count("\n") == 1
--- a/tests/net/race_harness.py
+++ b/tests/net/race_harness.py
@@ -46,13 +46,13 @@
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
-        await trio.serve_listeners(self._talk, [listener])
+        await trio.serve_listeners(self._serve_connection, [listener])
 
     async def _step(self, name, stream):
         if name in self.on:
             await self.on[name](stream)
 
-    async def _talk(self, stream):
+    async def _serve_connection(self, stream):
         self.connection_count += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             await self._step("accepted", stream)
@@ -90,9 +90,9 @@
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
-        await trio.serve_listeners(self._talk, [listener])
+        await trio.serve_listeners(self._serve_connection, [listener])
 
-    async def _talk(self, stream):
+    async def _serve_connection(self, stream):
         self.connection_count += 1
         with suppress(trio.BrokenResourceError, trio.ClosedResourceError):
             while (head := await read_until(stream, b"\r\n\r\n")) is not None:
--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -174,8 +174,8 @@
 
 
 def test_messages_of_strangers_and_malformed_ones_are_ignored():
-    known = peer_messages.ShortNames()
-    known.add("a", 0)
+    short_names = peer_messages.ShortNames()
+    short_names.add("a", 0)
     for text in (
         "",
         "h",
@@ -184,5 +184,5 @@
         "h" + peer_messages.short_name("b") + "!",
         "h" * 300,
     ):
-        assert peer_messages.decode_loads(text, known.numbers) == {}
+        assert peer_messages.decode_loads(text, short_names.numbers) == {}
     assert peer_messages.encode_loads([]) == []
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -61,19 +61,19 @@
 
 @discovery_test
 async def test_a_full_list_that_arrives_after_a_newer_change_undoes_nothing(start):
-    asked, answered = trio.Event(), trio.Event()
+    list_requested, answered = trio.Event(), trio.Event()
 
     async def answer(request):
         if b"after=1&wait_ms=1 " in request:
             return list_response(1)
         if b"after=1&" in request:
-            await asked.wait()
+            await list_requested.wait()
             # while the whole list, made before, is on its way
             return list_response(2, entry_in_state("terminating"))
         if b"after" in request:
             await trio.sleep_forever()
-        if not asked.is_set() and discovery._version >= 1:
-            asked.set()
+        if not list_requested.is_set() and discovery._version >= 1:
+            list_requested.set()
             await answered.wait()
         return list_response(1, entry_in_state("in_service"), is_full=True)
 
@@ -147,13 +147,13 @@
         await trio.sleep_forever()
 
     old = ListService(answer)
-    talk = old._talk
+    serve_connection = old._serve_connection
 
     async def noting(stream):
         streams.append(stream)
-        await talk(stream)
+        await serve_connection(stream)
 
-    old._talk = noting
+    old._serve_connection = noting
     first = list_response(3, entry_in_state("in_service", 7), is_full=True)
     new = ListService(lambda request: None if b"after" in request else first)
     discovery, recorder = await start(old, new)
@@ -212,10 +212,10 @@
 
     discovery, recorder = await start(ListService(answer))
     await wait_until(lambda: discovery._version == 2)
-    took = time.monotonic() - silent_since[0]
+    elapsed_s = time.monotonic() - silent_since[0]
     assert recorder.states == {0: ServerState.DRAINING} and len(calls) >= 3
     # 6 s after it fell silent, and 2 s after the wait it asked for is over, what it misses counts as told
-    assert took < min(6.0, WATCH_WAIT_S + 2.0), took
+    assert elapsed_s < min(6.0, WATCH_WAIT_S + 2.0), elapsed_s
 
 
 @discovery_test
@@ -240,20 +240,20 @@
     await wait_until(lambda: state["silent"] is not None)
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     fill = [socket.create_connection(full.getsockname())]
-    place, tries = discovery._address, []
+    address, attempt_times = discovery._address, []
     connect = discovery._connect
 
     async def dropped():
-        tries.append(time.monotonic())
-        discovery._address = full.getsockname() if len(tries) == 1 else place
+        attempt_times.append(time.monotonic())
+        discovery._address = full.getsockname() if len(attempt_times) == 1 else address
         try:
             return await connect()
         finally:
-            discovery._address = place
+            discovery._address = address
 
     discovery._connect = dropped
     await wait_until(lambda: discovery._version == 2)
-    assert len(tries) == 2 and time.monotonic() - state["silent"] < min(6.0, WATCH_WAIT_S + 2.0)
+    assert len(attempt_times) == 2 and time.monotonic() - state["silent"] < min(6.0, WATCH_WAIT_S + 2.0)
     assert recorder.states == {0: ServerState.DRAINING}
     for sock in (*fill, full):
         sock.close()
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -308,9 +308,9 @@
 def test_each_malformed_file_is_reported_in_one_line(tmp_path, bad):
     path = tmp_path / "config.json"
     path.write_text(bad)
-    with pytest.raises(node_settings.NodeSettingsError) as trouble:
+    with pytest.raises(node_settings.NodeSettingsError) as error:
         node_settings.read_node_settings({"PROXY_CONFIG": str(path)})
-    assert "\n" not in str(trouble.value)
+    assert "\n" not in str(error.value)
 
 
 @scenario
@@ -320,9 +320,9 @@
     fill = [socket.create_connection(full.getsockname())]
     good = Server(name="t")
     host, port = full.getsockname()
-    silent = mock.Mock(address=f"{host}:{port}", run=trio.sleep_forever)
-    silent.name = "s"
-    node = await start(silent, good)
+    unresponsive = mock.Mock(address=f"{host}:{port}", run=trio.sleep_forever)
+    unresponsive.name = "s"
+    node = await start(unresponsive, good)
     for _ in range(6):
         text, _ = message(node, "place", body="b", timeout="3000m")
         assert (await Client(node.port).send(text).answer())[0] == 200
--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -204,16 +204,16 @@
 
 def test_a_silent_client_is_closed_before_the_one_that_is_idle_for_longest():
     clients = ClientRegistry(20, ShutdownState())
-    idle, idle_later, silent, new = (
+    idle, idle_later, unresponsive, new = (
         make_client(1),
         make_client(1),
         make_client(0),
         make_client(0, opened_at=float("inf")),
     )
-    for client in (idle, idle_later, new, silent):
+    for client in (idle, idle_later, new, unresponsive):
         clients.add(client)
     clients.close_idle_client()
-    assert silent.is_close_requested and not idle.is_close_requested
+    assert unresponsive.is_close_requested and not idle.is_close_requested
     clients.close_idle_client()
     assert idle.is_close_requested and not (idle_later.is_close_requested or new.is_close_requested)
 
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -190,11 +190,11 @@
 async def test_half_a_request_without_the_rest_ends_in_bounded_time(start):
     node = await start(StandInServer(OK), deadline=30.0)
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 0.3):
-        silent, stream = await node.connect(), await node.connect()
+        unresponsive, stream = await node.connect(), await node.connect()
         await stream.send_all(node.request_text("place", body="body")[:-2])
         with trio.fail_after(5):
             assert (await read_message(stream)).startswith(b"HTTP/1.1 408 ")
-            assert await read_message(silent) is None
+            assert await read_message(unresponsive) is None
         kept = await node.connect()
         assert (await node.send_request(stream=kept))[0] == 200
         await trio.sleep(0.5)  # one who has asked may stay
@@ -219,11 +219,11 @@
 @scenario
 async def test_unresponsive_clients_are_closed_for_those_that_send_requests(start):
     node = await start(StandInServer(OK), descriptors=40, deadline=30.0)
-    silent = [await node.connect() for _ in range(30)]
+    unresponsive = [await node.connect() for _ in range(30)]
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 30.0), trio.fail_after(5):
         for _ in range(3):
             assert (await node.send_request(stream=await node.connect()))[0] == 200
-    assert await read_message(silent[0]) is None
+    assert await read_message(unresponsive[0]) is None
 
 
 @scenario
@@ -346,8 +346,12 @@
 @scenario
 async def test_no_attempt_goes_to_a_server_once_the_list_says_that_it_drains(start):
     draining, other = StandInServer(OK), StandInServer(OK, name="t")
-    news = [5, {"id": "u", "addr": "nowhere"}, {"id": "s", "addr": draining.address, "state": "terminating"}]
-    discovery = StandInServer(list_response(2, *news), SILENT)
+    entries = [
+        5,
+        {"id": "u", "addr": "nowhere"},
+        {"id": "s", "addr": draining.address, "state": "terminating"},
+    ]
+    discovery = StandInServer(list_response(2, *entries), SILENT)
     node = await start(draining, other, discovery=discovery)
     await trio.sleep(0.2)
     before = len(draining.requests)
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -152,8 +152,8 @@
         waiting = Client(node.port).send(message(node, "view", timeout="800m")[0])
         node.process.send_signal(signal.SIGTERM)
         assert (await waiting.answer())[0] == 503
-        status, took = await ended(node)
-        assert status == 0 and took < 1.0 + 0.7
+        status, elapsed_s = await ended(node)
+        assert status == 0 and elapsed_s < 1.0 + 0.7
 
 
 @run
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -216,18 +216,18 @@
     reads = trio.Event()
     servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: reads.wait()}) for name in "st"]
     updates, (found, watching) = ListUpdates(), watch_discoveries()
-    lines = []
+    connections = []
     with (
         HeldConnections(max_held=0, buffer=2048),
         watching,
-        at(Connection, "send", after=lambda line, *_: lines.append(line)),
+        at(Connection, "send", after=lambda connection, *_: connections.append(connection)),
     ):
         node = await start(*servers, discovery=updates.service, **how)
         client = Client(node.port)
         client.send(message(node, "place", body=BODY, timeout="600m")[0])
-        await wait_until(lambda: [line for line in lines if line._unsent])
-        place = next(line for line in lines if line._unsent).peer
-        first = next(one for one in servers if one.address == place)
+        await wait_until(lambda: [connection for connection in connections if connection._unsent])
+        address = next(connection for connection in connections if connection._unsent).peer
+        first = next(one for one in servers if one.address == address)
         await then(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
@@ -536,11 +536,11 @@
     """One is closed by its server the moment that the node writes on it, and so is the one in its stead."""
     servers = [Server(OK, name=name) for name in "stu"]
     node = await start(*servers, changes=types(group="all"))
-    asked = 0
+    request_count = 0
     # repeats are a share of what is taken
-    while not all(one.connection_count for one in servers) or asked < 30:
+    while not all(one.connection_count for one in servers) or request_count < 30:
         assert (await node.send_request("view"))[0] == 200
-        asked += 1
+        request_count += 1
 
     shut = []
 
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -21,16 +21,16 @@
 
 def test_snapshot_decode():
     assert snapshot.decode(snapshot.encode({"revision": 4}, 100.0), 130.0, 60.0)["revision"] == 4
-    with pytest.raises(snapshot.SnapshotError) as trouble:
+    with pytest.raises(snapshot.SnapshotError) as error:
         snapshot.decode(snapshot.encode({}, 100.0)[:-1], 130.0, 60.0)
-    assert str(trouble.value) == "is cut short: 16 bytes of 17"
+    assert str(error.value) == "is cut short: 16 bytes of 17"
 
 
 def test_peer_messages_short_names():
-    known = peer_messages.ShortNames()
-    known.add("a:1", 0)
-    known.add("a:1", 0)
-    assert known.numbers == {"0h@": 0}
+    short_names = peer_messages.ShortNames()
+    short_names.add("a:1", 0)
+    short_names.add("a:1", 0)
+    assert short_names.numbers == {"0h@": 0}
 
 
 def test_peer_messages_encode_loads():
@@ -65,8 +65,8 @@
 
 
 def test_rig_change():
-    told = {"balancers": 1, "traffic-types": [{"name": "look", "effect": "retryable"}], "zone": "a"}
-    assert change(told, {"look__effect": "fragile", "most-open": 3}, 2) == {
+    settings = {"balancers": 1, "traffic-types": [{"name": "look", "effect": "retryable"}], "zone": "a"}
+    assert change(settings, {"look__effect": "fragile", "most-open": 3}, 2) == {
         "balancers": 2,
         "traffic-types": [{"name": "look", "effect": "fragile"}],
         "most-open": 3,
