--- a/tests/agreement/test_core.py
+++ b/tests/agreement/test_core.py
@@ -14,7 +14,8 @@
 from wheatroute.agreement.join_rules import JoinRule
 from wheatroute.agreement.joint_settings import joined
 from wheatroute.agreement.member import EffectiveVersions, Member
-from wheatroute.agreement.model_checker import Bounds, ModelChecker
+from wheatroute.agreement.model_checker import ModelChecker
+from wheatroute.agreement.model_world import Bounds
 from wheatroute.agreement.node_content import node_deriver
 from wheatroute.agreement.records import RecordKind
 from wheatroute.agreement.setting_check import setting_errors
