--- a/wheatroute/rollout/canary_analysis.py
+++ b/wheatroute/rollout/canary_analysis.py
@@ -27,6 +27,8 @@
 MAX_BLOCK_INTERVALS = 10  # then a side with less is compared by what there is, if there is anything
 MIN_BLOCKS = 8  # before any verdict: the confidence sequence is asymptotic
 TIGHTEST_BLOCKS = 60.0  # number of blocks for which the confidence sequence is tightest
+# of a stage's risk: for the whole traffic and for its parts, each before and after the change
+RISK_PER_GROUP = 0.25
 DRIFT_ALLOWANCE = 0.5  # part of a margin, for drift between the sides that the change does not cause
 
 
@@ -57,6 +59,11 @@
 Tallies = Mapping[str, Tally]  # by metric and part of the traffic: "refused class=buy"
 
 
+def is_whole_traffic(metric: str) -> bool:
+    """Whether a metric is of the whole traffic, and not of a part of it."""
+    return " " not in metric
+
+
 def metric_name(metric: str) -> str:
     """Return the metric without the part of the traffic: "refused" of "refused class=buy"."""
     return metric.split(" ", 1)[0]
@@ -173,6 +180,11 @@
     old: float
     blocks: int
 
+    @property
+    def distance_to_margin(self) -> float:
+        """How much larger the change could be before it exceeds the margin for certain."""
+        return self.difference_before + self.margin + self.radius - self.difference_after
+
     @property
     def line(self) -> str:
         """The finding as text, as it is stored with a step."""
@@ -210,13 +222,14 @@
     def findings(self) -> list[Finding]:
         """Return the findings on all metrics, the worst first."""
         metrics = self.before.keys() | self.after.keys()
-        whole = sum(" " not in metric for metric in metrics)
-        # half the risk on the whole traffic, half on its parts; of each half one half before the change
-        risk_ratio = {True: 0.25 / max(1, whole), False: 0.25 / max(1, len(metrics) - whole)}
-        found = [self._finding(metric, self.risk * risk_ratio[" " not in metric]) for metric in self.after]
-        return sorted(
-            found, key=lambda one: one.difference_before + one.margin + one.radius - one.difference_after
-        )
+        whole_count = sum(map(is_whole_traffic, metrics))
+        whole_risk = self.risk * (RISK_PER_GROUP / max(1, whole_count))
+        part_risk = self.risk * (RISK_PER_GROUP / max(1, len(metrics) - whole_count))
+        findings = [
+            self._finding(metric, whole_risk if is_whole_traffic(metric) else part_risk)
+            for metric in self.after
+        ]
+        return sorted(findings, key=lambda finding: finding.distance_to_margin)
 
     def _finding(self, metric: str, risk: float) -> Finding:
         after, before = self.after[metric], self.before.get(metric, DifferenceSequence())
--- a/wheatroute/rollout/next_step.py
+++ b/wheatroute/rollout/next_step.py
@@ -7,7 +7,9 @@
 from wheatroute.rollout.canary_analysis import Verdict
 from wheatroute.rollout.plan import Plan
 from wheatroute.rollout.progress import Phase, RolloutProgress, SupervisorStatuses
-from wheatroute.rollout.records import EndStep, HoldStep, PassStep, RollBackStep, StageStep, Step
+from wheatroute.rollout.records import EndStep, HoldStep, PassStep, RollBackStep, StageStep, Step, StepKind
+
+FREE_CHANGE_TIMEOUTS = 2.0  # for a stage to change, besides one for each group of nodes
 
 
 @dataclass(frozen=True)
@@ -46,23 +48,24 @@
         return _while_changing(progress, plan, seen)
     if seen.verdict == Verdict.WORSE:
         return RollBackStep(reason=seen.evidence[0], evidence=seen.evidence)
-    if seen.watched_s < stage.least:
+    if seen.watched_s < stage.min_watched_s:
         return None
     if seen.verdict == Verdict.NOT_WORSE:
         return PassStep(stage=progress.stage, evidence=seen.evidence)
-    if seen.watched_s < stage.most:
+    if seen.watched_s < stage.max_watched_s:
         return None
-    if plan.unsure == "go":
+    if plan.step_when_unsure == StepKind.RESUME:
         return PassStep(stage=progress.stage, evidence=seen.evidence)
-    reason = f"not enough seen in {stage.most:g} s"
-    if plan.unsure == "hold":
+    reason = f"not enough seen in {stage.max_watched_s:g} s"
+    if plan.step_when_unsure == StepKind.HOLD:
         return HoldStep(reason=reason, evidence=seen.evidence)
     return RollBackStep(reason=reason, evidence=seen.evidence)
 
 
 def _while_changing(progress: RolloutProgress, plan: Plan, seen: Observations) -> Step | None:
     stage = plan.stages[progress.stage]
-    if seen.since_record_s <= plan.patience * (2.0 + len(stage.nodes) / plan.away):
+    groups = len(stage.nodes) / plan.max_changing
+    if seen.since_record_s <= plan.change_timeout_s * (FREE_CHANGE_TIMEOUTS + groups):
         return None
     late = [
         name
@@ -75,22 +78,22 @@
 
 def _before_stage(progress: RolloutProgress, plan: Plan, seen: Observations) -> Step | None:
     stage = progress.stage
-    if stage >= 0 and plan.stages[stage].ask and progress.resumed_after_stage < stage:
+    if stage >= 0 and plan.stages[stage].is_held_after and progress.resumed_after_stage < stage:
         reason = f"a person is asked after {plan.stages[stage].name}"
         return HoldStep(reason=reason, evidence=[])
     if stage + 1 == len(plan.stages):
         return EndStep(outcome="done")
-    if seen.watched_s < plan.before:
+    if seen.watched_s < plan.baseline_s:
         return None
     if seen.has_baseline or progress.resumed_without_baseline == stage:
         return StageStep(stage=stage + 1)
     # a stage that began without a baseline could never have a verdict, however long it were watched
-    max_watched_s = plan.before + plan.stages[stage + 1].most
+    max_watched_s = plan.baseline_s + plan.stages[stage + 1].max_watched_s
     if seen.watched_s < max_watched_s:
         return None
-    if plan.unsure == "go":
+    if plan.step_when_unsure == StepKind.RESUME:
         return StageStep(stage=stage + 1)
     reason = f"not enough seen before the stage in {max_watched_s:g} s"
-    if plan.unsure == "hold":
+    if plan.step_when_unsure == StepKind.HOLD:
         return HoldStep(reason=reason, evidence=[], is_baseline_missing=True)
     return RollBackStep(reason=reason, evidence=[], is_baseline_missing=True)
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -1,7 +1,7 @@
 """The plan of a rollout: what changes, in which stages, and what stops it. Does file I/O.
 
-A TOML file, checked as a whole; a plan never names a node twice. Field names are the keys of the file and of
-the stored record.
+A TOML file, checked as a whole; a plan never names a node twice. The keys of the file are those of the stored
+record too; a field whose name differs has its key as alias.
 """
 
 from __future__ import annotations
@@ -32,21 +32,21 @@
 class Table(BaseModel):
     """A table of the file; unknown keys are errors."""
 
-    model_config = ConfigDict(extra="forbid", frozen=True)
+    model_config = ConfigDict(extra="forbid", frozen=True, serialize_by_alias=True)
 
 
 class Stage(Table):
-    """Nodes that change together, at most `away` at a time, and how long they are watched afterwards."""
+    """Nodes that change together, at most `max_changing` at a time, and how long they are watched then."""
 
     name: str
     nodes: list[str] = Field(min_length=1)
-    least: Seconds = 60.0  # watched at least
-    most: Seconds = 600.0  # watched at most
-    ask: bool = False  # hold after it, until an operator resumes
+    min_watched_s: Seconds = Field(default=60.0, alias="least")
+    max_watched_s: Seconds = Field(default=600.0, alias="most")
+    is_held_after: bool = Field(default=False, alias="ask")  # until an operator resumes
 
     @model_validator(mode="after")
     def _check(self) -> Stage:
-        if self.most < self.least:
+        if self.max_watched_s < self.min_watched_s:
             raise ValueError("most is less than least")
         return self
 
@@ -58,14 +58,17 @@
     old: str
     new: str
     stages: list[Stage] = Field(min_length=1)
-    before: Seconds = 60.0  # how long both sides are watched before a stage
-    away: int = Field(default=1, ge=1)  # nodes that change at a time
-    patience: Seconds = 60.0  # for a new process to come up, confirm its settings and take over
+    # how long both sides are watched before a stage
+    baseline_s: Seconds = Field(default=60.0, alias="before")
+    max_changing: int = Field(default=1, ge=1, alias="away")  # nodes that change at a time
+    # for a new process to come up, confirm its settings and take over
+    change_timeout_s: Seconds = Field(default=60.0, alias="patience")
     risk: float = Field(default=0.01, gt=0.0, lt=0.5)  # of stopping a good version, over the whole rollout
-    unsure: Literal["hold", "go", "back"] = "hold"  # without a verdict at the end of a stage
+    # the step without a verdict at the end of a stage
+    step_when_unsure: Literal["hold", "go", "back"] = Field(default="hold", alias="unsure")
     margins: dict[str, float] = DEFAULT_MARGINS
     # metrics that must be known not to be worse before a stage passes
-    watched: list[str] = ["worth", "refused", "terminated"]
+    required_metrics: list[str] = Field(default=["worth", "refused", "terminated"], alias="watched")
 
     @model_validator(mode="after")
     def _check(self) -> Plan:
@@ -75,10 +78,10 @@
         twice = sorted({name for name in names if names.count(name) > 1})
         if twice:
             raise ValueError(f"in two stages: {', '.join(twice)}")
-        unknown = sorted((self.margins.keys() | set(self.watched)) - DEFAULT_MARGINS.keys())
+        unknown = sorted((self.margins.keys() | set(self.required_metrics)) - DEFAULT_MARGINS.keys())
         if unknown:
             raise ValueError(f"not looked at: {', '.join(unknown)}; there is {', '.join(DEFAULT_MARGINS)}")
-        without = sorted(set(self.watched) - self.margins.keys())
+        without = sorted(set(self.required_metrics) - self.margins.keys())
         if without:
             raise ValueError(f"watched without a margin: {', '.join(without)}")
         return self
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -179,7 +179,7 @@
         return [name for stage in self.plan.stages for name in stage.nodes] if self.plan else []
 
     def may_change(self, node: str, supervisors: SupervisorStatuses) -> bool:
-        """Whether a node may change now: at most `away` nodes of the plan change at a time.
+        """Whether a node may change now: at most `max_changing` nodes of the plan change at a time.
 
         A node that failed to change counts as done: it serves on with the program that it had.
         """
@@ -196,7 +196,7 @@
         changing = [
             name for name in nodes if name != node and name in supervisors and supervisors[name].is_changing
         ]
-        return len(ahead) < self.plan.away and len(changing) < self.plan.away
+        return len(ahead) < self.plan.max_changing and len(changing) < self.plan.max_changing
 
     def is_changed(self, supervisors: SupervisorStatuses) -> bool:
         """Whether every node runs its target alone."""
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -53,7 +53,7 @@
         self._progress = RolloutProgress()
         self._incarnation = secrets.token_hex(6)
         self._heartbeat = 0
-        self._last_program = settings.first  # the one that served last
+        self._last_program = settings.first_program  # the one that served last
         self._starting: list[str] = []  # program and incarnation of the process that is started next
         self._ended_keys: list[str] = []  # statuses of processes that have ended
         self.serving: NodeProcess | None = None
@@ -77,7 +77,7 @@
 
     def _read_state(self) -> None:
         """Find the processes that an earlier supervisor left running."""
-        state = read_state(self._settings.state)
+        state = read_state(self._settings.state_file)
         if state is None:
             return
         self._failed, self._crashes = list(state.failed), state.crashes
@@ -101,18 +101,18 @@
             starting=self._starting,
             crashes=self._crashes,
         )
-        write_state(self._settings.state, state)
+        write_state(self._settings.state_file, state)
 
     def _start(self, program: str) -> NodeProcess:
         incarnation = secrets.token_hex(6)
         self._starting = [program, incarnation]
         self._write_state()
         environment = os.environ | {
-            "PROXY_CONFIG": self._settings.file,
+            "PROXY_CONFIG": self._settings.node_file,
             "WHEATROUTE_PROGRAM": program,
             "WHEATROUTE_START": incarnation,
         }
-        with open(self._settings.log or f"{self._settings.state}.log", "ab") as log:
+        with open(self._settings.node_log or f"{self._settings.state_file}.log", "ab") as log:
             child = subprocess.Popen(
                 self._settings.programs[program],
                 env=environment,
@@ -235,8 +235,8 @@
             self.candidate = None
         elif is_process_ready(statuses, process.incarnation):
             self._take_over(process)
-        elif time.monotonic() - process.since > self._settings.patience:
-            self._report_error(f"{process.program} was not ready in {self._settings.patience:g} s")
+        elif time.monotonic() - process.since > self._settings.ready_timeout_s:
+            self._report_error(f"{process.program} was not ready in {self._settings.ready_timeout_s:g} s")
             self._add_failure(process.program)
             process.signal(signal.SIGKILL)
             self.candidate = None
@@ -255,8 +255,8 @@
         if not process.is_alive:
             self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
             return False
-        if time.monotonic() - process.since > self._settings.leaves:
-            self._report_error(f"{process.program} did not stop in {self._settings.leaves:g} s")
+        if time.monotonic() - process.since > self._settings.drain_timeout_s:
+            self._report_error(f"{process.program} did not stop in {self._settings.drain_timeout_s:g} s")
             process.signal(signal.SIGKILL)
         return True
 
--- a/wheatroute/rollout/supervisor_settings.py
+++ b/wheatroute/rollout/supervisor_settings.py
@@ -12,27 +12,27 @@
 
 
 class SupervisorSettings(BaseModel):
-    """The file of a supervisor; field names are its keys."""
+    """The file of a supervisor; a field whose name differs from its key has that as alias."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     name: str = Field(min_length=1)
     site: str = ""
-    file: str  # the node's own settings file, which PROXY_CONFIG names
+    node_file: str = Field(alias="file")  # the node's own settings file, which PROXY_CONFIG names
     programs: dict[str, list[str]] = Field(min_length=1)  # by name: the words of the command
-    first: str  # the program that runs where no rollout names one
-    state: str  # the file in which a supervisor keeps what runs
-    log: str = ""  # of the node; by default beside `state`
+    first_program: str = Field(alias="first")  # that runs where no rollout names one
+    state_file: str = Field(alias="state")  # in which a supervisor keeps what runs
+    node_log: str = Field(default="", alias="log")  # path; by default beside the state file
     directory: str = ""
     etcd: list[str] = []
     prefix: str = "/rollouts"
-    patience: float = Field(default=30.0, gt=0.0)  # seconds for a new process to become ready
-    leaves: float = Field(default=30.0, gt=0.0)  # seconds for an old one to end; then it is killed
+    ready_timeout_s: float = Field(default=30.0, gt=0.0, alias="patience")  # for a new process
+    drain_timeout_s: float = Field(default=30.0, gt=0.0, alias="leaves")  # for an old one; then it is killed
 
     @model_validator(mode="after")
     def _check(self) -> SupervisorSettings:
-        if self.first not in self.programs:
-            raise ValueError(f"first: no program {self.first!r}")
+        if self.first_program not in self.programs:
+            raise ValueError(f"first: no program {self.first_program!r}")
         if bool(self.directory) == bool(self.etcd):
             raise ValueError("one place: directory or etcd")
         for address in self.etcd:
