--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -29,14 +29,14 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
+sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "agreement")]
 
 from wheatroute import decide  # noqa: E402
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
-STORIES = ("test_stories", "test_shapes", "test_agreed")  # test modules that are played to both
+STORIES = ("test_stories", "test_shapes", "test_settings_changes")  # test modules that are played to both
 REQUEST_INTERVAL_S = 0.0005
 SERVICE_TIME_S = 0.02
 
--- /dev/null
+++ b/tests/agreement/agreement_helpers.py
@@ -0,0 +1,19 @@
+"""What tests of the agreement share: a version's content, and a history with given records."""
+
+from wheatroute.agreement.versions import History
+from wheatroute.rig.settings import SETTINGS, change
+
+CONTENT = {"settings": change(SETTINGS, {"dcs": ["a"]}, 2)}
+
+
+def history_of(*kinds):
+    """Return a history with records of these kinds, all of the version put last."""
+    history = History()
+    for kind in kinds:
+        record = (
+            history.put_record(CONTENT, f"p{history.head}", "me", 1.0, "why")
+            if kind == "put"
+            else history.next_record(kind, version=history.pending, by="n0", reason="r")
+        )
+        history.apply(record)
+    return history
--- /dev/null
+++ b/tests/agreement/test_version_adapter.py
@@ -0,0 +1,68 @@
+"""The versions of one process: numbers of names, forms, and versions that it cannot use."""
+
+from wheatroute.agreement.adapter import DerivedSettings, VersionAdapter
+from wheatroute.agreement.member import EffectiveVersions
+from wheatroute.agreement.node_content import node_deriver
+from wheatroute.balancing.interface import Idempotency
+from wheatroute.net import node_settings
+from wheatroute.rig.settings import SETTINGS, change
+
+
+def adapter_of(*changes):
+    """Return the adapter of a process that has checked versions with these changes."""
+    own_settings = SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
+    derived = DerivedSettings.from_dict(node_settings.derive_settings(SETTINGS))
+    adapter = VersionAdapter(derived, node_deriver(own_settings, derived))
+    for number, changed in enumerate(changes, 1):
+        content = {"settings": change(SETTINGS, {"dcs": ["a"]} | changed, 2)}
+        assert adapter.check(number, content) == ""
+    return adapter
+
+
+def test_request_classes_and_tenants_keep_their_numbers_in_any_order():
+    classes = list(reversed(SETTINGS["traffic-types"]))
+    adapter = adapter_of(
+        {"traffic-types": classes},
+        {"traffic-types": classes[1:]},
+        {"tenants": [{"name": "new", "portion": 1.0, "quota-rps": 5.0}]},
+    )
+    before = adapter.adapt(EffectiveVersions(0, 0, False)).request_classes
+    assert adapter.adapt(EffectiveVersions(1, 0, False)).request_classes == before
+    less = adapter.adapt(EffectiveVersions(2, 0, False))
+    assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
+    buy = less.settings.request_classes[before["buy"]]  # for requests that are still in flight
+    assert buy.idempotency == Idempotency.NON_IDEMPOTENT
+    assert buy.value == 0.0
+    new = adapter.adapt(EffectiveVersions(3, 0, False))
+    assert new.tenants == {"new": 1} and [tenant.quota for tenant in new.settings.tenants] == [0.0, 5.0]
+
+
+def test_a_request_that_has_no_key_is_not_repeated_for_its_class_having_them():
+    adapter = adapter_of({"look__effect": "dedup"})
+    adapted = adapter.adapt(EffectiveVersions(1, 0, False))
+    look = adapted.request_classes["look"]
+    forms, strict = adapted.forms[look]
+    assert forms == {Idempotency.IDEMPOTENT, Idempotency.KEYED}
+    assert adapted.settings.request_classes[look].idempotency == Idempotency.KEYED
+    assert adapted.settings.request_classes[strict].idempotency == Idempotency.NON_IDEMPOTENT
+
+
+def test_a_version_that_needs_a_restart_is_rejected_with_the_key():
+    for changes, line in (
+        ({"tick": 0.01}, "tick: changes with a restart only, and is 0.005 here"),
+        ({"look__streamed": True}, "look.streamed: changes with a restart only, and is False here"),
+        ({"allowed__novel": 1}, "settings.allowed.novel: is no key that this program knows"),
+        (
+            {"allowed__connect_timeout": "soon", "look__effect": "nice"},
+            "settings.traffic-types.look.effect: is none of retryable, dedup, fragile: 'nice' (and 1 more)",
+        ),
+    ):
+        assert adapter_of().check(9, {"settings": change(SETTINGS, {"dcs": ["a"]} | changes, 2)}) == line
+    assert adapter_of().check(9, {"other": {}}).startswith("a version has the parts settings and file")
+
+
+def test_a_conservative_node_takes_requests_in_the_forms_that_it_took_before():
+    adapted = adapter_of().adapt(EffectiveVersions(0, 0, True))
+    for name, idempotency in (("look", Idempotency.IDEMPOTENT), ("change", Idempotency.KEYED)):
+        forms, _ = adapted.forms[adapted.request_classes[name]]
+        assert idempotency in forms
