--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -27,7 +27,7 @@
 class TimeoutObserver(Protocol):
     """Hears of clients that got no answer in time."""
 
-    def client_timed_out(self, node: Node, request: NodeRequest) -> None:
+    def client_timed_out(self, request: NodeRequest) -> None:
         """A client has waited as long as it said it would."""
 
 
@@ -128,7 +128,7 @@
     def _time_out(self, request: ClientRequest, number: int, node: Node, node_request: NodeRequest) -> None:
         if node_request.is_answered or not node.is_alive:
             return
-        self._observer.client_timed_out(node, node_request)
+        self._observer.client_timed_out(node_request)
         node.client_left(node_request)
         if not request.is_over and request.tries == number:
             self._try_again(request, RequestOutcome.LEFT, 0.0)
--- a/wheatroute/fleet/policies.py
+++ b/wheatroute/fleet/policies.py
@@ -7,7 +7,8 @@
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.fleet.baselines import BASELINES
-from wheatroute.fleet.nodes import Decisions, DecisionsFactory, Node
+from wheatroute.fleet.event_batches import Decisions
+from wheatroute.fleet.nodes import DecisionsFactory, Node
 
 DESIGN = "design"  # the decision module as it is shipped
 
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -9,7 +9,7 @@
 from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.engine import ScheduledCall
 from wheatroute.fleet.jobs import Job
-from wheatroute.fleet.servers import Server
+from wheatroute.fleet.servers import Address, Server
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)  # outcomes that prove it of an attempt
 
@@ -69,6 +69,7 @@
     """One request at one node: a try of a client, or a call of a server."""
 
     __slots__ = (
+        "node_address",
         "number",
         "client_request",
         "call",
@@ -82,6 +83,7 @@
 
     def __init__(
         self,
+        node_address: Address,
         number: int,
         client_request: ClientRequest,
         call: int,
@@ -89,6 +91,7 @@
         tenant: int,
         on_answer: Callable[[RequestOutcome, float], None],
     ) -> None:
+        self.node_address = node_address
         self.number = number  # at its node
         self.client_request = client_request
         self.call = call  # tells the calls of one client request apart; 0 at the entry
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -73,13 +73,13 @@
 
     # attempts
 
-    def attempt_sent(self, node: Node, request: NodeRequest, attempt: Attempt) -> None:
+    def attempt_sent(self, request: NodeRequest, attempt: Attempt, drain_notified_at: float | None) -> None:
         """Checks an attempt that is not among the request's attempts yet."""
         server = attempt.server
-        story = f"node {node.address} request {request.number} attempt {attempt.number} to {server.address}"
+        story = f"{_story(request)} attempt {attempt.number} to {server.address}"
         self._check_unanswered(request, story)
         self._check_retry(request, attempt, story)
-        self._check_drain(node, server, story)
+        self._check_drain(drain_notified_at, story)
         if server.started_at and self._engine.now - server.started_at < server.tier.warmup_s:
             self._check_warmup(request, server, story)
 
@@ -116,8 +116,7 @@
             text = f"{story}: outside the group of {first.server.address}"
             self._add_violation(Rule.NO_UNSAFE_RETRY, text)
 
-    def _check_drain(self, node: Node, server: Server, story: str) -> None:
-        notified_at = node.drain_notices.get(server.number)
+    def _check_drain(self, notified_at: float | None, story: str) -> None:
         now = self._engine.now
         if notified_at is not None and now > notified_at + self._plan.rules.drain_grace_s:
             text = f"{story}: {now - notified_at:.3f} s after the node was told of its drain"
@@ -138,9 +137,9 @@
 
     # answers
 
-    def request_answered(self, node: Node, request: NodeRequest, outcome: RequestOutcome) -> None:
+    def request_answered(self, request: NodeRequest, outcome: RequestOutcome) -> None:
         """Checks a rejection or failure that is not the request's outcome yet."""
-        story = f"node {node.address} request {request.number}"
+        story = _story(request)
         if request.is_answered and request.outcome is not RequestOutcome.LEFT:
             text = f"{story}: {outcome.value!r} after {request.outcome.value!r}"
             self._add_violation(Rule.ONE_ANSWER, text)
@@ -161,9 +160,9 @@
             text = f"{story}: refused, attempt {may_have_run[0].number} may have run"
             self._add_violation(Rule.NO_UNSAFE_RETRY, text)
 
-    def client_timed_out(self, node: Node, request: NodeRequest) -> None:
+    def client_timed_out(self, request: NodeRequest) -> None:
         """A client has waited until its time was over, and the node owed it an answer."""
-        story = f"node {node.address} request {request.number}"
+        story = _story(request)
         self._add_violation(Rule.ONE_ANSWER, f"{story}: not answered by its deadline")
 
     def check_unanswered(self, node: Node) -> None:
@@ -171,9 +170,14 @@
         latest = self._engine.now - self._plan.rules.answer_slack_s
         for request in node.requests.values():
             if not request.is_answered and request.deadline_at < latest:
-                story = f"node {node.address} request {request.number}"
+                story = _story(request)
                 self._add_violation(Rule.ONE_ANSWER, f"{story}: never answered")
 
 
 def _group_number(group: str, server: Server) -> int:
     return {"all": 0, "zone": server.zone, "cell": server.cell}[group]
+
+
+def _story(request: NodeRequest) -> str:
+    """The beginning of a violation's story."""
+    return f"node {request.node_address} request {request.number}"
