--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,4 @@
-"""The emulator: how true, how fast, the same each time; and the design beside every baseline.
+"""The emulator: how close to closed forms, how fast, the same each time; the design beside every baseline.
 
 python benchmarks/fleet.py [--short] [--json] [--workers N] [--size small,middle,large] [--seeds N]
 """
@@ -24,48 +24,49 @@
 
 
 def closed_form_errors(jobs, seeds):
-    """The worst share by which a mean of runs misses its closed form."""
+    """By how much means of runs miss their closed forms, as fractions of these."""
 
-    def time_of(*told):
-        return sum(simulate_queues(*told, jobs, seed).mean_time_s for seed in range(seeds)) / seeds
+    def mean_time_s(*queue):
+        return sum(simulate_queues(*queue, jobs, seed).mean_time_s for seed in range(seeds)) / seeds
 
-    missed = {
-        "M/M/1": time_of(1, 1, "in_turn", 0.5, "exponential", 1.0) / closed_forms.mm1(0.5, 1.0),
-        "M/G/1, cv 1.5": time_of(1, 1, "in_turn", 0.5, "lognormal", 1.5) / closed_forms.mg1(0.5, 1.0, 1.5),
-        "M/M/4": time_of(1, 4, "in_turn", 0.7, "exponential", 1.0) / closed_forms.mmc(0.7, 1.0, 4),
-        "sharing, cv 2": time_of(1, 1, "sharing", 0.5, "bimodal", 2.0) / closed_forms.mm1(0.5, 1.0),
+    ratios = {
+        "M/M/1": mean_time_s(1, 1, "in_turn", 0.5, "exponential", 1.0) / closed_forms.mm1(0.5, 1.0),
+        "M/G/1, cv 1.5": mean_time_s(1, 1, "in_turn", 0.5, "lognormal", 1.5)
+        / closed_forms.mg1(0.5, 1.0, 1.5),
+        "M/M/4": mean_time_s(1, 4, "in_turn", 0.7, "exponential", 1.0) / closed_forms.mmc(0.7, 1.0, 4),
+        "sharing, cv 2": mean_time_s(1, 1, "sharing", 0.5, "bimodal", 2.0) / closed_forms.mm1(0.5, 1.0),
     }
-    lost = (
+    rejected = (
         sum(
             simulate_queues(1, 2, "in_turn", 0.9, "exponential", 1.0, jobs, seed, queue_capacity=3).rejected
             for seed in range(seeds)
         )
         / seeds
     )
-    missed["M/M/2/5 lost"] = lost / closed_forms.mmck(0.9, 2, 5)
-    return {name: share - 1.0 for name, share in missed.items()}
+    ratios["M/M/2/5 lost"] = rejected / closed_forms.mmck(0.9, 2, 5)
+    return {name: ratio - 1.0 for name, ratio in ratios.items()}
 
 
 def speed(servers, nodes, rate, seconds):
-    """One tier at a size; events and requests a second of real time."""
-    work = 2.0 * servers * 0.5 / rate
-    told = {
+    """Plays one tier of a size; events and requests per second of real time."""
+    work_s = 2.0 * servers * 0.5 / rate
+    fleet = {
         "length": seconds,
         "nodes": nodes,
         "tiers": [{"name": "only", "servers": servers}],
-        "kinds": [{"name": "look", "work": work}],
+        "kinds": [{"name": "look", "work": work_s}],
         "callers": {"load": 0.5},
     }
-    began = time.perf_counter()
-    world = World(plan.parse_plan(told), 1, decisions_factory(DESIGN)).play()
-    took = time.perf_counter() - began
+    started_at = time.perf_counter()
+    world = World(plan.parse_plan(fleet), 1, decisions_factory(DESIGN)).play()
+    elapsed_s = time.perf_counter() - started_at
     return {
         "servers": servers,
         "nodes": nodes,
         "commands": len(world.clients.requests),
-        "took_s": round(took, 2),
-        "events_per_s": round(world.engine.call_count / took),
-        "us_a_command": round(1e6 * took / len(world.clients.requests), 1),
+        "took_s": round(elapsed_s, 2),
+        "events_per_s": round(world.engine.call_count / elapsed_s),
+        "us_a_command": round(1e6 * elapsed_s / len(world.clients.requests), 1),
         "breaks": sum(world.rules.counts.values()),
     }
 
@@ -78,8 +79,8 @@
 
 
 def decisions(days, sizes, policies, seeds, workers):
-    """Every policy on every day and size; the runs."""
-    asked = [
+    """Plays every policy on every day and size; returns the records."""
+    runs = [
         Run(
             run_id=f"{day}/{size}/{policy}/{seed}",
             point={"day": day, "size": size},
@@ -92,24 +93,24 @@
         for policy in policies
         for seed in range(1, seeds + 1)
     ]
-    return list(play_runs(asked, workers))
+    return list(play_runs(runs, workers))
 
 
 def main():
-    args = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    args.add_argument("--short", action="store_true")
-    args.add_argument("--json", action="store_true")
-    args.add_argument("--workers", type=int, default=os.cpu_count())
-    args.add_argument("--size", default="small,middle")
-    args.add_argument("--seeds", type=int, default=5)
-    args.add_argument("--into", default="", help="write the page of all runs into this file")
-    told = args.parse_args()
-    say = (lambda *words: None) if told.json else print
-    missed = closed_form_errors(40_000 if told.short else 400_000, 3 if told.short else 5)
-    say("closed forms, share missed:", {name: round(share, 4) for name, share in missed.items()})
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--short", action="store_true")
+    parser.add_argument("--json", action="store_true")
+    parser.add_argument("--workers", type=int, default=os.cpu_count())
+    parser.add_argument("--size", default="small,middle")
+    parser.add_argument("--seeds", type=int, default=5)
+    parser.add_argument("--into", default="", help="write the page of all runs into this file")
+    args = parser.parse_args()
+    write = (lambda *values: None) if args.json else print
+    errors = closed_form_errors(40_000 if args.short else 400_000, 3 if args.short else 5)
+    write("closed forms, share missed:", {name: round(error, 4) for name, error in errors.items()})
     sizes = (
         [(64, 16, 1000.0, 5.0)]
-        if told.short
+        if args.short
         else [
             (10, 4, 1000.0, 20.0),
             (100, 20, 2000.0, 20.0),
@@ -120,10 +121,10 @@
     )
     speeds = [speed(*size) for size in sizes]
     for one in speeds:
-        say("speed:", one)
+        write("speed:", one)
     same = same_bytes()
-    say("same bytes:", same)
-    if told.short:
+    write("same bytes:", same)
+    if args.short:
         days, played_at, policies, seeds = (
             ["calm", "rush", "slow"],
             ["small"],
@@ -131,33 +132,33 @@
             3,
         )
     else:
-        days, played_at = list(scenarios.DAYS), told.size.split(",")
-        policies, seeds = [DESIGN, *sorted(baselines.BASELINES)], told.seeds
-    runs = decisions(days, played_at, policies, seeds, told.workers)
-    page = report.page("The design beside every baseline", runs)
-    say(page)
-    if told.into:
-        Path(told.into).write_text(page, encoding="utf-8")
-
-    def worth(names):
-        best = {}
+        days, played_at = list(scenarios.DAYS), args.size.split(",")
+        policies, seeds = [DESIGN, *sorted(baselines.BASELINES)], args.seeds
+    records = decisions(days, played_at, policies, seeds, args.workers)
+    page = report.page("The design beside every baseline", records)
+    write(page)
+    if args.into:
+        Path(args.into).write_text(page, encoding="utf-8")
+
+    def best_mean_value(names):
+        means = []
         for name in names:
-            mine = [run.figures.value for run in runs if run.policy == name]
-            if mine:
-                best[name] = sum(mine) / len(mine)
-        return max(best.values())
+            values = [record.figures.value for record in records if record.policy == name]
+            if values:
+                means.append(sum(values) / len(values))
+        return max(means)
 
     figures = {
         "events_per_s": speeds[0]["events_per_s"],
-        "closed_form_worst_error": max(abs(share) for share in missed.values()),
+        "closed_form_worst_error": max(abs(error) for error in errors.values()),
         "same_bytes": same,
         "rule_breaks": sum(one["breaks"] for one in speeds)
-        + sum(sum(run.figures.violations) for run in runs if run.policy == DESIGN),
-        "design_utility": worth([DESIGN]),
-        "best_baseline_utility": worth(
+        + sum(sum(record.figures.violations) for record in records if record.policy == DESIGN),
+        "design_utility": best_mean_value([DESIGN]),
+        "best_baseline_utility": best_mean_value(
             [name for name in policies if name != DESIGN and name not in TRUE_STATE]
         ),
-        "top_utility": worth(TRUE_STATE),
+        "top_utility": best_mean_value(TRUE_STATE),
         "speeds": speeds,
     }
     print(json.dumps(figures))
--- a/wheatroute/fleet/calls.py
+++ b/wheatroute/fleet/calls.py
@@ -8,10 +8,10 @@
 from wheatroute.fleet import distributions, random_streams
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job
+from wheatroute.fleet.network import Address
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import FleetPlan
 from wheatroute.fleet.requests import Attempt, NodeRequest, RequestOutcome
-from wheatroute.fleet.servers import Address
 from wheatroute.fleet.transport import AttemptTransport
 
 MAX_CALLS_PER_CALL = 16  # in the numbering of a request's calls
--- a/wheatroute/fleet/node_requests.py
+++ b/wheatroute/fleet/node_requests.py
@@ -12,8 +12,9 @@
 from wheatroute.balancing.interface import Event, Outcome, Report
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.event_batches import EventBatcher
+from wheatroute.fleet.network import Address
 from wheatroute.fleet.requests import Attempt, ClientRequest, NodeRequest, RequestOutcome
-from wheatroute.fleet.servers import Address, Server
+from wheatroute.fleet.servers import Server
 from wheatroute.fleet.trace import RequestTrace
 from wheatroute.fleet.transport import AttemptTransport
 
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -16,13 +16,13 @@
 from wheatroute.fleet.connections import ConnectionPool
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.event_batches import Decisions, EventBatcher
-from wheatroute.fleet.network import SimulatedNetwork
+from wheatroute.fleet.network import Address, SimulatedNetwork
 from wheatroute.fleet.node_commands import NodeCommandWriter
 from wheatroute.fleet.node_requests import NodeRequests, RuleObserver
 from wheatroute.fleet.plan import FleetPlan
 from wheatroute.fleet.probes import Prober
 from wheatroute.fleet.requests import ClientRequest, NodeRequest, RequestOutcome
-from wheatroute.fleet.servers import Address, Server
+from wheatroute.fleet.servers import Server
 from wheatroute.fleet.trace import RequestTrace
 from wheatroute.fleet.transport import AttemptTransport, JobSource
 
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -9,7 +9,8 @@
 from wheatroute.balancing.interface import Outcome
 from wheatroute.fleet.engine import ScheduledCall
 from wheatroute.fleet.jobs import Job
-from wheatroute.fleet.servers import Address, Server
+from wheatroute.fleet.network import Address
+from wheatroute.fleet.servers import Server
 
 NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)  # outcomes that prove it of an attempt
 
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -11,10 +11,11 @@
 from typing import NamedTuple
 
 from wheatroute.fleet.engine import Engine
+from wheatroute.fleet.network import Address
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import FleetPlan, RequestClassPlan
 from wheatroute.fleet.requests import Attempt, NodeRequest, RequestOutcome
-from wheatroute.fleet.servers import Address, Server
+from wheatroute.fleet.servers import Server
 
 MAX_VIOLATIONS_KEPT = 20  # with their stories; all are counted
 OVERLOAD_TOLERANCE = 1.1  # on a warming server's budget, for chance,
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -1,14 +1,16 @@
-"""Ten days at any size, for comparing policies: from calm to a zone lost and an overload that feeds itself.
+"""Scenarios: ten days at any size, to compare policies on, from a calm one to the loss of a zone. No I/O.
 
-Owns what each day is made of. Sizes are numbers of servers in the first tier; all else follows from it. It
-must never be fitted to a policy: each day is one line of what happens.
+A day is a plan under the keys of plan files. It is given by its name and by the number of servers in each
+tier; all else follows. Days are never fitted to a policy: each one changes one thing.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-SIZES = {"small": 8, "middle": 100, "large": 1000}
+SIZES = {"small": 8, "middle": 100, "large": 1000}  # servers in each tier
+MAX_NODES = 200
+SERVERS_PER_NODE = 5
 
 KINDS: list[dict[str, Any]] = [
     {
@@ -49,11 +51,11 @@
 ]
 
 
-def _fault(kind: str, **told: Any) -> dict[str, Any]:
-    return {"kind": kind, "at": 6.0, "length": 8.0, **told}
+def _fault(kind: str, **settings: Any) -> dict[str, Any]:
+    return {"kind": kind, "at": 6.0, "length": 8.0, **settings}
 
 
-# what each day changes: clients, faults and what is put elsewhere by its path
+# what each day changes of clients and faults
 DAYS: dict[str, dict[str, Any]] = {
     "calm": {"callers": {"load": 0.5, "swing": 0.2}},
     "rush": {"callers": {"load": 0.5, "waves": [{"at": 6.0, "length": 5.0, "times": 1.8, "rise": 0.5}]}},
@@ -80,20 +82,20 @@
 
 
 def day(name: str, servers: int) -> dict[str, Any]:
-    """One day before so many servers, as a fleet's file would tell it."""
-    told = DAYS[name]
+    """The tables of a plan for one day, with so many servers in each tier; KeyError for an unknown day."""
+    changes = DAYS[name]
     tier = {"servers": servers, "models": MODELS, "reports": {}, "slots": 24, "queue": 200, "thrash": 0.1}
     return {
         "name": f"{name} {servers}",
         "length": 24.0,
         "kinds": KINDS,
-        "nodes": max(2, min(200, servers // 5)),
+        "nodes": max(2, min(MAX_NODES, servers // SERVERS_PER_NODE)),
         "tiers": [
             {"name": "front", "work": 0.5, "collapse": {}, **tier},
             {"name": "back", "work": 0.5, "calls": 1.0, **tier},
         ],
         "customers": [{"name": "one", "portion": 0.6}, {"name": "two", "portion": 0.4}],
         "network": {"zones": ["a", "b", "c"]},
-        "callers": {"load": 0.5, "retries": 1, **told.get("callers", {})},
-        "faults": told.get("faults", []),
+        "callers": {"load": 0.5, "retries": 1, **changes.get("callers", {})},
+        "faults": changes.get("faults", []),
     }
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -16,6 +16,7 @@
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job, JobState
 from wheatroute.fleet.load_reports import LoadReporter
+from wheatroute.fleet.network import Address
 from wheatroute.fleet.plan import ServerModel, Tier
 from wheatroute.fleet.processor import Processor
 
@@ -24,16 +25,6 @@
 HANG_FAULT = "hang"  # name of the fault under which a server answers nothing, probes included
 
 
-class Address(NamedTuple):
-    """Address of a machine in the network: a tier's depth (-1 for entry nodes) and a number in it."""
-
-    depth: int
-    number: int
-
-    def __str__(self) -> str:
-        return f"({self.depth}, {self.number})"
-
-
 class Placement(NamedTuple):
     """Where a server stands, as numbers."""
 
--- a/wheatroute/fleet/transport.py
+++ b/wheatroute/fleet/transport.py
@@ -13,10 +13,10 @@
 from wheatroute.fleet.connections import ConnectionPool
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job
-from wheatroute.fleet.network import SimulatedNetwork
+from wheatroute.fleet.network import Address, SimulatedNetwork
 from wheatroute.fleet.plan import NetworkPlan
 from wheatroute.fleet.requests import Attempt
-from wheatroute.fleet.servers import Address, Server
+from wheatroute.fleet.servers import Server
 
 
 class JobSource(Protocol):
