--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -17,7 +17,8 @@
 from wheatroute.fleet.network import SimulatedNetwork
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import ALL_TIERS, FaultPlan, FleetPlan
-from wheatroute.fleet.servers import HANG_FAULT, Server
+from wheatroute.fleet.server_speed import HANG_FAULT
+from wheatroute.fleet.servers import Server
 
 DRAIN_TIMEOUT_S = 8.0  # that a drained server has to finish what it holds
 DRAIN_CHECK_DELAY_S = 1.0  # until it is first checked whether it has,
--- a/wheatroute/fleet/membership.py
+++ b/wheatroute/fleet/membership.py
@@ -6,9 +6,7 @@
 from wheatroute.fleet import random_streams
 from wheatroute.fleet.calls import CallGraph
 from wheatroute.fleet.decision_settings import decision_settings
-from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.nodes import DecisionsFactory, Node, NodeEnvironment
-from wheatroute.fleet.plan import FleetPlan
 from wheatroute.fleet.requests import RequestOutcome
 from wheatroute.fleet.server_factory import ServerFactory
 from wheatroute.fleet.server_list import ServerList
@@ -34,8 +32,8 @@
         self.entry_nodes: list[Node] = []
         self.server_list = server_list
         self._environment = environment
-        self._plan: FleetPlan = environment.plan
-        self._engine: Engine = environment.engine
+        self._plan = environment.plan
+        self._engine = environment.engine
         self._seed = seed
         self._make_decisions = make_decisions
         self._factory = ServerFactory(self._plan, seed, self._engine)
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -19,10 +19,10 @@
 from wheatroute.fleet.network import Address
 from wheatroute.fleet.plan import ServerModel, Tier
 from wheatroute.fleet.processor import Processor
+from wheatroute.fleet.server_speed import ServerSpeed
 
 UPDATE_INTERVAL_S = 0.25  # between updates of what changes by itself: warm-up, collapse and recovery
 ERROR_DELAY_S = 0.001  # until a job that fails at once has failed
-HANG_FAULT = "hang"  # name of the fault under which a server answers nothing, probes included
 
 
 class Placement(NamedTuple):
@@ -44,29 +44,27 @@
         placement: Placement,
         tier: Tier,
         model: ServerModel,
-        speed: float,
+        speed: float,  # of a core when warm and well
         rng: Random,
     ) -> None:
         self.depth, self.number, self.zone, self.model, self.cell = placement
         self.address = Address(self.depth, self.number)
         self.tier = tier
         self.cores = model.cores
-        self.speed = speed  # of a core when warm and well
         self.slots = model.cores if tier.discipline == "in_turn" else model.cores * tier.slots_per_core
         self.queue_capacity = model.cores * tier.queue_per_core
         self.max_connections = model.cores * tier.max_connections_per_core
         self.incarnation = 0
         self.is_alive = True
-        self.started_at = 0.0  # 0: long ago
         self.open_connections = 0
         self.held = 0  # jobs in service, queued or blocked on a call
         self.in_service = 0  # slots taken
         self.error_rate = 0.0  # fraction of jobs that fail at once, by a fault
-        self.fault_factors: dict[str, float] = {}  # by fault, on the speed
         self.collapse = CollapseMonitor(tier.collapse, model.cores, engine.now)
         self.reporter = LoadReporter(rng)
         self._engine = engine
         self._rng = rng
+        self._speed = ServerSpeed(tier, speed)
         self._processor = Processor(engine, model.cores, self._stage_ended)
         self._queue: deque[Job] = deque()
         self._jobs: dict[Job, None] = {}  # a set that keeps its order
@@ -170,39 +168,32 @@
 
     # speed
 
+    @property
+    def started_at(self) -> float:
+        """When its process started; 0: long ago."""
+        return self._speed.started_at
+
+    @property
+    def is_hanging(self) -> bool:
+        """Whether it answers nothing."""
+        return self._speed.is_hanging
+
     def current_speed(self) -> float:
         """Speed of a core at present, with warm-up, faults and collapse; 0 while it hangs."""
-        speed = self.speed * self.warmup_share()
-        for factor in self.fault_factors.values():
-            speed *= factor
-        return speed / self.collapse.slowdown
+        return self._speed.current(self._engine.now) / self.collapse.slowdown
 
     def warmup_share(self) -> float:
         """The fraction of its speed that it has, by the time since its start."""
-        if not self.started_at:
-            return 1.0
-        progress = (self._engine.now - self.started_at) / (self.tier.warmup_s or 1.0)
-        if progress >= 1.0:
-            return 1.0
-        initial = self.tier.warmup_initial_share
-        return initial + (1.0 - initial) * progress
+        return self._speed.warmup_share(self._engine.now)
 
     def capacity(self) -> float:
         """Seconds of work per second that it does when warm and well."""
-        return self.cores * self.speed
-
-    @property
-    def is_hanging(self) -> bool:
-        """Whether it answers nothing."""
-        return HANG_FAULT in self.fault_factors
+        return self.cores * self._speed.base
 
     def set_fault_factor(self, fault: str, factor: float) -> None:
         """A fault begins (a factor on the speed) or ends (1)."""
         self._processor.advance()
-        if factor == 1.0:
-            self.fault_factors.pop(fault, None)
-        else:
-            self.fault_factors[fault] = factor
+        self._speed.set_fault_factor(fault, factor)
         self._reschedule()
 
     def update(self) -> None:
@@ -250,13 +241,13 @@
         self.is_alive = False
         self.incarnation += 1
         self.collapse.process_ended()
-        self.fault_factors.clear()
+        self._speed.process_ended()
         self._reschedule()
         return lost
 
     def start(self) -> None:
         """Begins a new process, cold."""
         self.is_alive = True
-        self.started_at = self._engine.now
+        self._speed.process_started(self._engine.now)
         self._processor.restart()
         self.collapse.process_started(self._engine.now)
