--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -1,5 +1,6 @@
 """Each of the four rules is seen to be broken by a policy made for it."""
 
+from dataclasses import replace
 from functools import partial
 
 import pytest
@@ -19,6 +20,8 @@
             is_first = request.in_flight == 1 and len(request.servers) == 1
             if self.violation == "twice" and is_first and request.class_number == 2:
                 self._send(number, request, writer)
+            if self.violation == "too many" and is_first and request.class_number == 0:
+                self._send(number, request, writer)
             if self.violation == "two answers" and request.in_flight and self.rng.random() < 0.2:
                 writer.fail(number)
                 writer.fail(number)
@@ -42,6 +45,8 @@
 def rule_breaker(violation, *arguments):
     policy = RuleBreaker(*arguments)
     policy.violation = violation
+    if violation == "too many":
+        policy.settings = replace(policy.settings, max_attempts=2)
     return policy
 
 
@@ -49,6 +54,7 @@
     "violation, rule, changes",
     [
         ("twice", 2, {}),
+        ("too many", 2, {"most_relays": 1}),
         ("two answers", 1, {}),
         ("drained", 3, {"faults": fault("deploy", part=0.9, every=0.5), "rules": {"drain_grace": 0.2}}),
         (
