--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -320,8 +320,8 @@
     """The others' lists say that another server is at the address of s3 by now."""
     for name in ("n0", "n1"):
         known = it.discovery_services[name].entry("s3")
-        it.discovery_services[name].update(known | {"state": "terminated"})
-        it.discovery_services[name].update(known | {"id": "s9"})
+        it.discovery_services[name].update(known._replace(state="terminated"))
+        it.discovery_services[name].update(known._replace(id="s9"))
 
 
 @pytest.mark.parametrize(
--- a/wheatroute/rig/builder.py
+++ b/wheatroute/rig/builder.py
@@ -4,7 +4,6 @@
 
 import itertools
 from copy import deepcopy
-from typing import Any
 
 import trio
 
@@ -155,14 +154,16 @@
         self._components.files.write_node_file(name, document)
         self._add_load(name, listener)
 
-    def _node_document(self, number: int, name: str, listener: Address, discovery: Address) -> dict[str, Any]:
+    def _node_document(
+        self, number: int, name: str, listener: Address, discovery: Address
+    ) -> dict[str, object]:
         """The settings file of a node."""
         own_settings = {
             "me": number,
             "balancers": len(self._options.names),
             "zone": self._options.zone_of(number),
         }
-        document: dict[str, Any] = {
+        document: dict[str, object] = {
             "name": name,
             "listen": host_port(listener),
             "discovery": host_port(discovery),
--- a/wheatroute/rig/components.py
+++ b/wheatroute/rig/components.py
@@ -5,7 +5,6 @@
 from copy import deepcopy
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
 
 import trio
 
@@ -18,7 +17,7 @@
 from wheatroute.rig.processes import Process
 from wheatroute.rig.run_records import RunRecords
 from wheatroute.rig.server import Server
-from wheatroute.rig.settings import DEFAULT_SETTINGS
+from wheatroute.rig.settings import DEFAULT_SETTINGS, Settings
 from wheatroute.rig.version_backend import DirectoryBackend, EtcdBackend, RelayBackend, VersionBackend
 
 
@@ -29,7 +28,7 @@
     options: RigOptions
     folder: Path
     files: ProcessFiles
-    settings: dict[str, Any]  # of all nodes at the start
+    settings: Settings  # of all nodes at the start
     records: RunRecords
     network: Network
     servers: dict[str, Server]
--- a/wheatroute/rig/discovery.py
+++ b/wheatroute/rig/discovery.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 import json
-from typing import Any
 
 from wheatroute.rig.addresses import Address, host_port
-from wheatroute.rig.discovery_service import DiscoveryService
+from wheatroute.rig.discovery_service import DiscoveryService, ServerEntry
 from wheatroute.rig.etcd_process import EtcdProcess
 from wheatroute.rig.server import Server
 
-IN_SERVICE, TERMINATING = "in_service", "terminating"  # states of a server, as the service has them
 ETCD_SERVERS = "/servers"  # before a node's name, the keys of the servers that it is told
 ETCD_NODES = "/members/"
 
@@ -21,7 +19,7 @@
     def __init__(self, etcd: EtcdProcess | None) -> None:
         self.services: dict[str, DiscoveryService] = {}  # by process
         self._etcd = etcd  # if nodes read the servers there
-        self._entries: dict[tuple[str, str], dict[str, Any]] = {}  # by process and server
+        self._entries: dict[tuple[str, str], ServerEntry] = {}  # by process and server
 
     def add_process(self, name: str) -> DiscoveryService:
         """Adds a process; returns its service."""
@@ -30,31 +28,24 @@
 
     def add_server(self, process: str, server: Server, address: Address) -> None:
         """Tells a process of a server."""
-        entry = self._entries[process, server.name] = {
-            "id": server.name,
-            "addr": host_port(address),
-            "zone": server.zone,
-            "kind": "toy",
-            "cell": server.cell,
-            "state": IN_SERVICE,
-            "weight": 1.0,
-            "started_ms": 0,
-        }
+        entry = self._entries[process, server.name] = ServerEntry(
+            id=server.name, addr=host_port(address), zone=server.zone, cell=server.cell
+        )
         self._update(process, entry)
 
     def set_state(self, server: str, state: str) -> None:
         """Tells all processes of a server's state."""
         for process in self.services:
-            self._update(process, self._entries[process, server] | {"state": state})
+            self._update(process, self._entries[process, server]._replace(state=state))
 
-    def _update(self, process: str, entry: dict[str, Any]) -> None:
+    def _update(self, process: str, entry: ServerEntry) -> None:
         self.services[process].update(entry)
         if self._etcd is not None:
-            value = {key: value for key, value in entry.items() if key not in ("id", "weight")}
-            key = f"{ETCD_SERVERS}/{process}/{entry['id']}"
+            value = {key: value for key, value in entry._asdict().items() if key not in ("id", "weight")}
+            key = f"{ETCD_SERVERS}/{process}/{entry.id}"
             self._etcd.send_command("put", key=key, value=json.dumps(value))
 
 
-def etcd_servers_table(process: str, endpoints: list[str]) -> dict[str, Any]:
+def etcd_servers_table(process: str, endpoints: list[str]) -> dict[str, object]:
     """The table `servers` of a node's settings file, for a node that reads the servers in etcd."""
     return {"etcd": endpoints, "prefix": f"{ETCD_SERVERS}/{process}/", "nodes_prefix": ETCD_NODES}
--- a/wheatroute/rig/discovery_service.py
+++ b/wheatroute/rig/discovery_service.py
@@ -3,20 +3,34 @@
 from __future__ import annotations
 
 import json
-from typing import Any, NamedTuple
+from typing import NamedTuple
 from urllib.parse import parse_qsl, urlsplit
 
 import trio
 
 from wheatroute.rig.http_connection import HttpConnection
 
+IN_SERVICE, TERMINATING = "in_service", "terminating"  # states of a server
 FULL_LIST = -1  # the version after which a node asks that has no list yet
 
 
+class ServerEntry(NamedTuple):
+    """A server, by the keys of the service."""
+
+    id: str
+    addr: str
+    zone: str
+    cell: int
+    kind: str = "toy"
+    state: str = IN_SERVICE
+    weight: float = 1.0
+    started_ms: int = 0
+
+
 class _VersionedEntry(NamedTuple):
     """An entry of the list, and the version of the list since which it is so."""
 
-    entry: dict[str, Any]
+    entry: ServerEntry
     since: int
 
 
@@ -29,13 +43,13 @@
         self._previous: dict[str, _VersionedEntry] = {}  # what each entry was before its last change
         self._changed = trio.Event()
 
-    def entry(self, server: str) -> dict[str, Any]:
+    def entry(self, server: str) -> ServerEntry:
         """The entry of a server."""
         return self._entries[server].entry
 
-    def update(self, entry: dict[str, Any]) -> None:
-        """Sets an entry of the list; its `id` names the server."""
-        server = entry["id"]
+    def update(self, entry: ServerEntry) -> None:
+        """Sets the entry of a server."""
+        server = entry.id
         self._previous[server] = self._entries.get(server, _VersionedEntry(entry, 0))
         self._version += 1
         self._entries[server] = _VersionedEntry(entry, self._version)
@@ -70,5 +84,5 @@
     def _response(self, after: int) -> bytes:
         if after > self._version:
             after = FULL_LIST
-        servers = [one.entry for one in self._entries.values() if one.since > after]
+        servers = [one.entry._asdict() for one in self._entries.values() if one.since > after]
         return json.dumps({"version": self._version, "full": after < 0, "servers": servers}).encode()
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -8,7 +8,8 @@
 import signal
 import time
 
-from wheatroute.rig.discovery import IN_SERVICE, TERMINATING, Discovery
+from wheatroute.rig.discovery import Discovery
+from wheatroute.rig.discovery_service import IN_SERVICE, TERMINATING
 from wheatroute.rig.network import Network
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.processes import Process
--- a/wheatroute/rig/options.py
+++ b/wheatroute/rig/options.py
@@ -4,7 +4,9 @@
 
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any, Literal
+from typing import Literal
+
+from wheatroute.rig.settings import Settings
 
 SERVERS_PER_CELL = 2
 
@@ -26,7 +28,7 @@
     discovery: DiscoveryKind = "service"  # where nodes read the servers; processors always ask a service
     peers: bool = False  # whether nodes tell each other by datagrams what servers hold
     programs: dict[str, list[str]] | None = None  # with these, supervisors run the nodes; the first one first
-    settings: dict[str, Any] | None = None  # as the platform gives them; by default those of `settings`
+    settings: Settings | None = None  # as the platform gives them; by default those of `settings`
     bound_s: float = 2.0  # time in which a change of settings has to reach all processes
     seed: int = 1
     timeout_s: float = 120.0  # after which the whole rig is ended
--- a/wheatroute/rig/process_files.py
+++ b/wheatroute/rig/process_files.py
@@ -21,7 +21,7 @@
         """The settings file of a node (JSON)."""
         return self.folder / f"{name}.json"
 
-    def write_node_file(self, name: str, document: dict[str, Any]) -> None:
+    def write_node_file(self, name: str, document: dict[str, object]) -> None:
         """Writes a node's settings file."""
         self.node_file(name).write_text(json.dumps(document))
 
@@ -37,6 +37,6 @@
         return path
 
 
-def toml_entries(table: dict[str, Any]) -> list[str]:
+def toml_entries(table: dict[str, object]) -> list[str]:
     """The lines of a TOML table of strings, numbers and arrays, which are written as in JSON."""
     return [f"{key} = {json.dumps(value)}" for key, value in table.items()]
--- a/wheatroute/rig/processor_file.py
+++ b/wheatroute/rig/processor_file.py
@@ -4,7 +4,8 @@
 
 import json
 from dataclasses import dataclass
-from typing import Any
+
+from wheatroute.rig.settings import Settings
 
 EFFECTS = {"retryable": "pure", "dedup": "receipted", "fragile": "effectful"}  # platform's word: the file's
 POOL = "shop"
@@ -32,7 +33,7 @@
     list_service: str = NO_ADDRESS
 
 
-def processor_file(settings: dict[str, Any], node_count: int, instance: ProcessorInstance) -> str:
+def processor_file(settings: Settings, node_count: int, instance: ProcessorInstance) -> str:
     """The text of the file."""
     lines = [
         f"name = {json.dumps(instance.name)}",
@@ -48,7 +49,7 @@
     return "\n".join([*lines, ""])
 
 
-def _pool(settings: dict[str, Any], instance: ProcessorInstance) -> list[str]:
+def _pool(settings: Settings, instance: ProcessorInstance) -> list[str]:
     rules = settings["rules"]
     return [
         "[[pools]]",
@@ -60,7 +61,7 @@
     ]
 
 
-def _request_class(table: dict[str, Any]) -> list[str]:
+def _request_class(table: Settings) -> list[str]:
     return [
         "[[traffic_types]]",
         f'paths = ["/{table["name"]}"]',
@@ -70,7 +71,7 @@
     ]
 
 
-def _tenant(table: dict[str, Any]) -> list[str]:
+def _tenant(table: Settings) -> list[str]:
     return ["[[customers]]", f"name = {json.dumps(table['name'])}", f"rate = {table['quota-rps']}"]
 
 
--- a/wheatroute/rig/run_folder.py
+++ b/wheatroute/rig/run_folder.py
@@ -45,7 +45,7 @@
     until: float,
     records: RunRecords,
     violations: list[Violation],
-    summary: dict[str, Any],
+    summary: dict[str, object],
 ) -> None:
     """Stores a run that ended at `until`."""
     document = {
@@ -85,13 +85,13 @@
     return [Violation(*one) for one in json.loads((folder / RECORDS).read_text())["stories"]]
 
 
-def read_summary(folder: Path) -> dict[str, Any]:
+def read_summary(folder: Path) -> dict[str, object]:
     """The summary of a stored run; raises `FileNotFoundError` if the folder has none."""
-    summary: dict[str, Any] = json.loads((folder / SUMMARY).read_text())
+    summary: dict[str, object] = json.loads((folder / SUMMARY).read_text())
     return summary
 
 
-def _stored_execution(execution: Execution) -> dict[str, Any]:
+def _stored_execution(execution: Execution) -> dict[str, object]:
     return {
         "at": execution.started_at,
         "server": execution.server,
@@ -105,7 +105,7 @@
     }
 
 
-def _stored_request(request: ClientRequest) -> dict[str, Any]:
+def _stored_request(request: ClientRequest) -> dict[str, object]:
     return {
         "sent": request.sent_at,
         "node": request.node,
@@ -131,7 +131,7 @@
     )
 
 
-def _stored_version(version: PublishedVersion) -> dict[str, Any]:
+def _stored_version(version: PublishedVersion) -> dict[str, object]:
     return {
         "number": version.number,
         "kinds": {},
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -6,13 +6,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import StrEnum
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from wheatroute.balancing.interface import DeduplicationGroup, Idempotency
 from wheatroute.rig.loop_lateness import LoopLateness
+from wheatroute.rig.settings import Settings
 
 IDEMPOTENCY = {  # by the word of the settings
     "retryable": Idempotency.IDEMPOTENT,
@@ -75,7 +75,7 @@
     repeat_window_s: float
 
     @classmethod
-    def from_settings(cls, table: Mapping[str, Any]) -> RepeatPolicy:
+    def from_settings(cls, table: Settings) -> RepeatPolicy:
         """The policy of a class's table in the settings; an unknown value counts as the strictest."""
         return cls(
             IDEMPOTENCY.get(table.get("effect", ""), Idempotency.NON_IDEMPOTENT),
@@ -160,6 +160,6 @@
         return by_request
 
 
-def repeat_policies(settings: Mapping[str, Any]) -> dict[str, RepeatPolicy]:
+def repeat_policies(settings: Settings) -> dict[str, RepeatPolicy]:
     """The policies of all request classes of the settings, by class."""
     return {table["name"]: RepeatPolicy.from_settings(table) for table in settings["traffic-types"]}
--- a/wheatroute/rig/run_report.py
+++ b/wheatroute/rig/run_report.py
@@ -30,7 +30,7 @@
     version: int
 
 
-def summary_lines(summary: dict[str, Any], folder: Path) -> list[str]:
+def summary_lines(summary: dict[str, object], folder: Path) -> list[str]:
     """The table at the end of a run, and the timeline of the first violation."""
     shown = [[key, str(value)] for key, value in summary.items() if key not in ("name", "broken")]
     lines = [f"{summary['name']}: {folder}", *table(shown)]
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -25,7 +25,7 @@
 
 async def play(
     scenario: Scenario, folder: Path, on_progress: ProgressCallback = lambda part: None
-) -> dict[str, Any]:
+) -> dict[str, object]:
     """Plays a scenario and stores the run in a folder; returns its summary."""
     async with running_rig(scenario.rig_options(folder)) as rig:
         _configure_servers(rig, scenario.servers)
@@ -119,7 +119,7 @@
         pass  # the store was left partitioned: what was recorded by then stands
 
 
-def _store(rig: Rig, scenario: Scenario, folder: Path, clock: RunClock, until: float) -> dict[str, Any]:
+def _store(rig: Rig, scenario: Scenario, folder: Path, clock: RunClock, until: float) -> dict[str, object]:
     violations = verdict.find_violations(rig.records, until, scenario.bound_s)
     summary = verdict.summary(rig.records, until, scenario.bound_s) | {
         "name": scenario.name,
--- a/wheatroute/rig/settings.py
+++ b/wheatroute/rig/settings.py
@@ -2,10 +2,13 @@
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from copy import deepcopy
 from typing import Any
 
-DEFAULT_SETTINGS: dict[str, Any] = {
+Settings = dict[str, Any]  # a document of the settings, or a table of it, by the keys of the platform
+
+DEFAULT_SETTINGS: Settings = {
     "balancers": 1,
     "tick": 0.005,
     "tier": 0,
@@ -70,7 +73,7 @@
 }
 
 
-def with_changes(settings: dict[str, Any], changes: dict[str, Any], node_count: int) -> dict[str, Any]:
+def with_changes(settings: Settings, changes: Mapping[str, object], node_count: int) -> Settings:
     """Settings for all nodes, with changes by path.
 
     `look__effect` is the key `effect` of the request class, tenant or table `look`; a single underscore
@@ -88,12 +91,12 @@
     return changed
 
 
-def _table_of(settings: dict[str, Any], name: str) -> dict[str, Any]:
+def _table_of(settings: Settings, name: str) -> Settings:
     """The request class, the tenant or else the table of a name, added if there is none."""
     for key in ("traffic-types", "tenants"):
         for table in settings.get(key, []):
             if table["name"] == name:
-                found: dict[str, Any] = table
+                found: Settings = table
                 return found
-    added: dict[str, Any] = settings.setdefault(name, {})
+    added: Settings = settings.setdefault(name, {})
     return added
--- a/wheatroute/rig/version_backend.py
+++ b/wheatroute/rig/version_backend.py
@@ -5,7 +5,7 @@
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
 from pathlib import Path
-from typing import Any, Protocol
+from typing import Protocol
 
 from wheatroute.agreement import operator
 from wheatroute.agreement.directory_store import DirectoryStore
@@ -20,7 +20,7 @@
 class VersionBackend(Protocol):
     """A place for versions."""
 
-    def agreement_table(self, name: str) -> dict[str, Any]:
+    def agreement_table(self, name: str) -> dict[str, object]:
         """The table `agreement` of a process's settings file."""
 
     def operator_store(self) -> AbstractAsyncContextManager[VersionStore]:
@@ -46,7 +46,7 @@
         self._directory.mkdir()
         DirectoryStore(str(self._directory)).create()
 
-    def agreement_table(self, name: str) -> dict[str, Any]:
+    def agreement_table(self, name: str) -> dict[str, object]:
         """See `VersionBackend`."""
         self._add_link(name)
         return {"directory": str(self._link(name)), "within": self._bound_s}
@@ -83,7 +83,7 @@
         self._network = network
         self._bound_s = bound_s
 
-    def agreement_table(self, name: str) -> dict[str, Any]:
+    def agreement_table(self, name: str) -> dict[str, object]:
         """See `VersionBackend`."""
         addresses = self._network.add_links(f"{name}-etcd", self._etcd.addresses)
         return {"etcd": [*map(host_port, addresses)], "prefix": PREFIX, "within": self._bound_s}
@@ -119,6 +119,6 @@
         super().__init__(etcd, network, bound_s)
         self.directory = directory
 
-    def agreement_table(self, name: str) -> dict[str, Any]:
+    def agreement_table(self, name: str) -> dict[str, object]:
         """See `VersionBackend`."""
         return {"relay": str(self.directory), "within": self._bound_s}
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -17,11 +17,12 @@
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.processor_file import ProcessorInstance, processor_file
 from wheatroute.rig.run_records import IN_FORCE, PublishedVersion, RunRecords, repeat_policies
-from wheatroute.rig.settings import with_changes
+from wheatroute.rig.settings import Settings, with_changes
 from wheatroute.rig.version_backend import VersionBackend
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.02
+Status = dict[str, Any]  # as `operator.agreement_status` gives it
 STORE_ERRORS = (VersionStoreError, trio.TooSlowError)
 
 
@@ -31,7 +32,7 @@
     def __init__(
         self,
         options: RigOptions,
-        settings: dict[str, Any],
+        settings: Settings,
         records: RunRecords,
         backend: VersionBackend,
         folder: Path,
@@ -54,16 +55,16 @@
         self._record_outcomes(history)
         return history
 
-    def settings_file(self, **changes: Any) -> str:
+    def settings_file(self, **changes: object) -> str:
         """Writes a file for the command line with changed settings, see `with_changes`; returns its path."""
         path = self._folder / f"settings{len(list(self._folder.iterdir()))}.json"
         path.write_text(json.dumps({"settings": self._changed(changes)}))
         return str(path)
 
-    def _changed(self, changes: dict[str, Any]) -> dict[str, Any]:
+    def _changed(self, changes: dict[str, object]) -> Settings:
         return with_changes(self._settings, changes, len(self._options.names))
 
-    async def put(self, reason: str = "a change", over: int = 0, **changes: Any) -> int:
+    async def put(self, reason: str = "a change", over: int = 0, **changes: object) -> int:
         """Publishes changed settings, see `with_changes`; returns the version's number.
 
         `over` is a pending version that may be replaced.
@@ -77,9 +78,9 @@
         )
         return version.number
 
-    def _content(self, settings: dict[str, Any]) -> dict[str, Any]:
+    def _content(self, settings: Settings) -> Settings:
         """The content of a version: for nodes, and for processors if there are any."""
-        content: dict[str, Any] = {"settings": settings}
+        content: Settings = {"settings": settings}
         if self._options.processors:
             path = self._folder / "put.toml"
             path.write_text(processor_file(settings, len(self._options.names), ProcessorInstance()))
@@ -105,7 +106,7 @@
                 known.state = outcomes[-1]
                 known.ended_at = known.ended_at or time.monotonic()
 
-    async def status(self) -> dict[str, Any]:
+    async def status(self) -> Status:
         """The versions and the status of each process, as the command line prints them as JSON."""
         async with self._backend.operator_store() as store:
             return await operator.agreement_status(store)
@@ -122,7 +123,7 @@
             for name in names or self._options.names
             for status_name in self._options.status_names(name)
         ]
-        statuses: dict[str, dict[str, Any]] = {}
+        statuses: dict[str, Status] = {}
         with trio.move_on_after(timeout_s):
             while True:
                 with suppress(*STORE_ERRORS):
@@ -132,11 +133,11 @@
                 await trio.sleep(POLL_INTERVAL_S)
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
-    async def _newest_statuses(self) -> dict[str, dict[str, Any]]:
+    async def _newest_statuses(self) -> dict[str, Status]:
         """The status of each process by name; of several processes of a name the one confirmed last."""
         processes = (await self.status())["processes"]
         return {one["name"]: one for one in sorted(processes, key=lambda one: -one["confirmed_ago_s"])}
 
 
-def _acts_on(status: dict[str, Any] | None, number: int) -> bool:
+def _acts_on(status: Status | None, number: int) -> bool:
     return status is not None and status["phase"] == IN_FORCE and status["version"] == number
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -23,18 +23,21 @@
 FIRST_LEASE_ID = 7001
 
 
+Message = Any  # of `wire`, whose classes are made at import: requests, responses, keys and events
+
+
 class HistoryEntry(NamedTuple):
     """An event and the revision that it belongs to."""
 
     revision: int
-    event: Any
+    event: Message
 
 
 class RevisionEvents(NamedTuple):
     """Events of one revision."""
 
     revision: int
-    events: list[Any]
+    events: list[Message]
 
 
 class Lease(NamedTuple):
@@ -47,7 +50,7 @@
 class _WriteResult(NamedTuple):
     """The response of a write, and whether it changed anything, which takes a revision."""
 
-    response: Any
+    response: Message
     has_changed: bool
 
 
@@ -60,7 +63,7 @@
         self.revision = 1
         self.compact_revision = 0
         self.history: list[HistoryEntry] = []  # in the order of revisions
-        self.keys: dict[bytes, Any] = {}
+        self.keys: dict[bytes, Message] = {}
         self.leases: dict[int, Lease] = {}
         self._last_lease_id = FIRST_LEASE_ID - 1
         self._waiters: list[trio.Event] = []
@@ -79,7 +82,7 @@
 
     # reading
 
-    def keys_at(self, revision: int) -> dict[bytes, Any]:
+    def keys_at(self, revision: int) -> dict[bytes, Message]:
         """All keys as of a revision, 0 for now; raises `CallError`."""
         if not revision or revision == self.revision:
             return self.keys
@@ -87,7 +90,7 @@
             raise CallError(Status.OUT_OF_RANGE, FUTURE)
         if revision < self.compact_revision:
             raise CallError(Status.OUT_OF_RANGE, COMPACTED)
-        keys: dict[bytes, Any] = {}
+        keys: dict[bytes, Message] = {}
         for entry in self.history:
             if entry.revision > revision:
                 break
@@ -97,7 +100,7 @@
                 keys.pop(entry.event.kv.key, None)
         return keys
 
-    def range(self, request: Any, lag: int = 0) -> Any:
+    def range(self, request: Message, lag: int = 0) -> Message:
         """Answers a range request, as a member that lags so many revisions; raises `CallError`."""
         revision = request.revision or (max(1, self.revision - lag) if lag else 0)
         found = [
@@ -123,7 +126,7 @@
                 found[-1].events.append(entry.event)
         return found
 
-    def header(self, lag: int = 0) -> Any:
+    def header(self, lag: int = 0) -> Message:
         """The header of a response of a member that lags so many revisions."""
         return wire.ResponseHeader(
             cluster_id=self.cluster_id, member_id=1, raft_term=2, revision=max(1, self.revision - lag)
@@ -131,15 +134,15 @@
 
     # writing
 
-    def put(self, request: Any) -> Any:
+    def put(self, request: Message) -> Message:
         """Answers a put request; raises `CallError` if its lease is not known."""
         return self._write(lambda revision: self._put(request, revision))
 
-    def delete(self, request: Any) -> Any:
+    def delete(self, request: Message) -> Message:
         """Answers a delete request."""
         return self._write(lambda revision: self._delete(request, revision))
 
-    def _write(self, apply: Callable[[int], _WriteResult]) -> Any:
+    def _write(self, apply: Callable[[int], _WriteResult]) -> Message:
         """Applies a write at the next revision, which it takes if it changes anything."""
         result = apply(self.revision + 1)
         if result.has_changed:
@@ -148,7 +151,7 @@
         result.response.header.CopyFrom(self.header())
         return result.response
 
-    def _put(self, request: Any, revision: int) -> _WriteResult:
+    def _put(self, request: Message, revision: int) -> _WriteResult:
         if request.lease and request.lease not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
         previous = self.keys.get(request.key)
@@ -164,7 +167,7 @@
         self.history.append(HistoryEntry(revision, wire.Event(type=wire.PUT, kv=kv, prev_kv=previous)))
         return _WriteResult(wire.PutResponse(prev_kv=previous if request.prev_kv else None), True)
 
-    def _delete(self, request: Any, revision: int) -> _WriteResult:
+    def _delete(self, request: Message, revision: int) -> _WriteResult:
         deleted = [key for key in sorted(self.keys) if in_range(key, request.key, request.range_end)]
         response = wire.DeleteRangeResponse(deleted=len(deleted))
         for key in deleted:
@@ -176,7 +179,7 @@
                 response.prev_kvs.append(previous)
         return _WriteResult(response, bool(deleted))
 
-    def txn(self, request: Any) -> Any:
+    def txn(self, request: Message) -> Message:
         """Applies a transaction at one revision; raises `CallError`."""
         succeeded = all(self._compare(one) for one in request.compare)
         operations = request.success if succeeded else request.failure
@@ -188,7 +191,7 @@
 
         return self._write(apply)
 
-    def _apply(self, operation: Any, response: Any, revision: int) -> bool:
+    def _apply(self, operation: Message, response: Message, revision: int) -> bool:
         """Applies one operation of a transaction; returns whether it changed anything."""
         kind = operation.WhichOneof("choice")
         if kind == "request_range":
@@ -202,7 +205,7 @@
             response.response_delete_range.CopyFrom(result.response)
         return result.has_changed
 
-    def _compare(self, comparison: Any) -> bool:
+    def _compare(self, comparison: Message) -> bool:
         kv = self.keys.get(comparison.key)
         if kv is None and comparison.target == wire.VALUE:
             return False
@@ -228,7 +231,7 @@
 
     # leases
 
-    def grant_lease(self, request: Any) -> Any:
+    def grant_lease(self, request: Message) -> Message:
         """Answers a request for a lease."""
         if not request.ID:
             self._last_lease_id += 1
@@ -236,7 +239,7 @@
         self.leases[lease_id] = Lease(float(request.TTL), self.clock() + request.TTL)
         return wire.LeaseGrantResponse(header=self.header(), ID=lease_id, TTL=request.TTL)
 
-    def keep_alive(self, lease_id: int) -> Any:
+    def keep_alive(self, lease_id: int) -> Message:
         """Renews a lease; the response has a TTL of 0 for one that is not known."""
         lease = self.leases.get(lease_id)
         if lease is not None:
@@ -244,7 +247,7 @@
         ttl_s = int(lease.ttl_s) if lease is not None else 0
         return wire.LeaseKeepAliveResponse(header=self.header(), ID=lease_id, TTL=ttl_s)
 
-    def revoke_lease(self, lease_id: int) -> Any:
+    def revoke_lease(self, lease_id: int) -> Message:
         """Revokes a lease and deletes its keys; raises `CallError` if it is not known."""
         if lease_id not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
@@ -272,7 +275,7 @@
     return key >= start and (end == b"\0" or key < end)
 
 
-def without_value(kv: Any) -> Any:
+def without_value(kv: Message) -> Message:
     """A copy of a key without its value."""
     copy = wire.KeyValue()
     copy.CopyFrom(kv)
--- a/wheatroute/standin/etcd_watch.py
+++ b/wheatroute/standin/etcd_watch.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any
 
 import trio
 
 from wheatroute.etcd import messages as wire
 from wheatroute.grpc.async_call import AsyncCall
 from wheatroute.grpc.messages import CallError, Status
-from wheatroute.standin.etcd_store import COMPACTED, Store
+from wheatroute.standin.etcd_store import COMPACTED, Message, Store
 
 UNLIMITED = 10**9
 NO_WATCH = -1  # the watch id of a response that is about none
@@ -29,7 +28,7 @@
 class _Watch:
     """A watch, and the revision that it is to be sent next."""
 
-    def __init__(self, request: Any, next_revision: int) -> None:
+    def __init__(self, request: Message, next_revision: int) -> None:
         self.key: bytes = request.key
         self.range_end: bytes = request.range_end
         self.has_fragments: bool = request.fragment
@@ -38,11 +37,11 @@
         # a filter names the type of events that is left out, by the numbers of the types
         self._filtered_types = set(request.filters)
 
-    def select(self, events: list[Any]) -> list[Any]:
+    def select(self, events: list[Message]) -> list[Message]:
         """The events that the watch asked for, as it asked for them."""
         return [self._project(event) for event in events if event.type not in self._filtered_types]
 
-    def _project(self, event: Any) -> Any:
+    def _project(self, event: Message) -> Message:
         if self._wants_previous or not event.HasField("prev_kv"):
             return event
         return wire.Event(type=event.type, kv=event.kv)
@@ -66,13 +65,13 @@
                     await self._handle_request(wire.WatchRequest.FromString(message))
             nursery.cancel_scope.cancel()
 
-    async def _send(self, response: Any) -> None:
+    async def _send(self, response: Message) -> None:
         await self._call.send(response.SerializeToString())
 
-    def _header(self) -> Any:
+    def _header(self) -> Message:
         return self._store.header(self._faults.revision_lag)
 
-    async def _handle_request(self, request: Any) -> None:
+    async def _handle_request(self, request: Message) -> None:
         kind = request.WhichOneof("choice")
         if kind == "create_request":
             response = self._create(request.create_request)
@@ -83,7 +82,7 @@
         await self._send(response)
         self._store.notify()  # a new watch may have events to be sent
 
-    def _create(self, request: Any) -> Any:
+    def _create(self, request: Message) -> Message:
         watch_id = request.watch_id or len(self._watches) + 1
         response = wire.WatchResponse(header=self._header(), watch_id=watch_id, created=True)
         if watch_id in self._watches:
@@ -95,7 +94,7 @@
         self._watches[watch_id] = _Watch(request, request.start_revision or newest + 1)
         return response
 
-    def _cancel(self, watch_id: int) -> Any:
+    def _cancel(self, watch_id: int) -> Message:
         self._watches.pop(watch_id, None)
         return wire.WatchResponse(header=self._header(), watch_id=watch_id, canceled=True)
 
@@ -130,7 +129,7 @@
             )
         )
 
-    async def _send_events(self, watch_id: int, watch: _Watch, events: list[Any]) -> None:
+    async def _send_events(self, watch_id: int, watch: _Watch, events: list[Message]) -> None:
         """Sends the events of one revision, in fragments if there are many."""
         size = self._faults.max_fragment_events if watch.has_fragments else UNLIMITED
         for start in range(0, len(events), size):
