--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -55,16 +55,16 @@
         "callers": {"load": 0.5},
     }
     began = time.perf_counter()
-    world = World(plan.of(told), 1, experiment.maker(experiment.DESIGN)).play()
+    world = World(plan.parse_plan(told), 1, experiment.maker(experiment.DESIGN)).play()
     took = time.perf_counter() - began
     return {
         "servers": servers,
         "nodes": nodes,
-        "commands": len(world.crowd.roots),
+        "commands": len(world.clients.requests),
         "took_s": round(took, 2),
-        "events_per_s": round(world.engine.count / took),
-        "us_a_command": round(1e6 * took / len(world.crowd.roots), 1),
-        "breaks": sum(world.watch.breaks),
+        "events_per_s": round(world.engine.call_count / took),
+        "us_a_command": round(1e6 * took / len(world.clients.requests), 1),
+        "breaks": sum(world.rules.counts.values()),
     }
 
 
--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -9,18 +9,19 @@
 import structlog
 import trio
 import trio.testing
-from asynchronous import story
+from async_scenarios import scenario
 from test_processes import MIX, WITHIN, first_version, kept
 
 from wheatroute.agreement import relay
 from wheatroute.agreement.adapter import AdaptedVersion
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES, DrainNotices
+from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.etcd_store import EtcdStore
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.relay import RelayStore
 from wheatroute.agreement.version_follower import VersionFollower, clock
-from wheatroute.agreement.version_store import VersionStoreError, take_received_notices
+from wheatroute.agreement.version_store import take_received_notices
 from wheatroute.etcd import messages as wire
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.rig import running_rig
@@ -180,7 +181,7 @@
     assert store.unreadable_keys == {"empty", "half", "list"}
 
 
-@story
+@scenario
 async def test_an_unreadable_status_or_notice_in_etcd_fails_no_exchange():
     backend = Store()
     member = Served(backend)
@@ -200,7 +201,7 @@
         nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_notices_expire_from_a_store_that_only_relays_read(tmp_path):
     class Told(DirectoryStore):
         """What the relay removes."""
@@ -227,7 +228,7 @@
     assert DirectoryStore(store.path).changed_drain_notices_blocking() == []
 
 
-@story
+@scenario
 async def test_a_status_is_not_written_after_the_removal_of_a_process_that_ends(tmp_path):
     class Slow(DirectoryStore):
         """An exchange that stays in flight."""
--- a/tests/rig/test_links.py
+++ b/tests/rig/test_links.py
@@ -1,7 +1,7 @@
 """Links between processes: what passes, what a fault does, and that all of it comes after healing."""
 
 import trio
-from asynchronous import story, until
+from async_scenarios import scenario, until
 
 from wheatroute.rig.datagram_link import DatagramLink
 from wheatroute.rig.http_connection import listen
@@ -28,7 +28,7 @@
     assert faults.is_open and faults[Direction.BACKWARD].delay_s == 0.0
 
 
-@story
+@scenario
 async def test_a_partitioned_stream_goes_on_once_it_is_healed():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
@@ -54,7 +54,7 @@
             nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_a_reset_reaches_the_client():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
@@ -72,7 +72,7 @@
             nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_datagrams_are_duplicated_and_reordered():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
@@ -90,7 +90,7 @@
             nursery.cancel_scope.cancel()
 
 
-@story
+@scenario
 async def test_links_are_found_by_their_ends():
     async with trio.open_nursery() as nursery:
         network = Network(nursery)
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -8,70 +8,111 @@
 
 from pydantic import ValidationError
 
-from wheatroute import config
-from wheatroute.agreement import joint_terms
-from wheatroute.agreement.adapter import AdaptedVersion, DeriveSettings, VersionAdapter
+from wheatroute.agreement.adapter import (
+    AdaptedVersion,
+    DerivedSettings,
+    DeriveSettings,
+    VersionAdapter,
+)
 from wheatroute.agreement.drain_notices import DrainNotices
+from wheatroute.agreement.errors import ContentError
+from wheatroute.agreement.join_rules import FILE_KEYS, FILE_PART
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
-from wheatroute.agreement.versions import ContentError
-from wheatroute.processor.dispatcher import Dispatcher, Listed
-
-
-def shared(file: config.File, worker: int) -> DeriveSettings:
-    """Makes of a version what a worker acts on, whose file this is."""
-
-    def settle(content: dict[str, Any]) -> dict[str, Any]:
-        if "file" not in content:
-            return config.told_to_processor(file, worker)
-        told = content["file"]
-        if not isinstance(told, dict) or set(told) != set(joint_terms.FILE_KEYS):
-            return _wrong("file: has the tables " + ", ".join(joint_terms.FILE_KEYS) + ", and no others")
-        whole = file.model_dump(exclude_none=True)
-        whole |= {key: told[key] for key in joint_terms.FILE_KEYS if key != "rules"}
-        assert file.processor is not None
-        for pool in whole["pools"]:
-            if pool["name"] == file.processor.pool:
-                pool["rules"] = told["rules"]
+from wheatroute.config.processor import AgreementSettings
+from wheatroute.config.settings import Settings
+from wheatroute.config.settings_file import describe_error
+from wheatroute.net.addresses import parse_address
+from wheatroute.net.log import Logger
+from wheatroute.processor.discovery import WorkerDiscovery
+from wheatroute.processor.dispatcher import Dispatcher
+from wheatroute.processor.worker_settings import WorkerSettings, derive_worker_settings
+
+
+def processor_deriver(settings: Settings, worker: int) -> DeriveSettings:
+    """Return a function that derives what a worker acts on from a version's content.
+
+    `settings` are those of the processor's own file.
+    """
+
+    def derive(content: dict[str, Any]) -> DerivedSettings:
+        if FILE_PART not in content:
+            return _derived(derive_worker_settings(settings, worker))
+        document = _with_shared(settings, content[FILE_PART])
         try:
-            return config.told_to_processor(config.File.model_validate(whole), worker)
-        except ValidationError as trouble:
-            return _wrong(config._line("file", trouble.errors()[0]))
+            joined = Settings.model_validate(document)
+        except ValidationError as error:
+            raise ContentError(describe_error("file", error.errors()[0])) from error
+        return _derived(derive_worker_settings(joined, worker))
+
+    return derive
 
-    return settle
 
+def _with_shared(settings: Settings, shared: Any) -> dict[str, Any]:
+    """Return the document of a processor's file with a version's part in place of its own."""
+    if not isinstance(shared, dict) or set(shared) != set(FILE_KEYS):
+        raise ContentError("file: has the tables " + ", ".join(FILE_KEYS) + ", and no others")
+    document = settings.model_dump(by_alias=True, exclude_none=True)
+    document |= {key: shared[key] for key in FILE_KEYS if key != "rules"}
+    assert settings.processor is not None
+    for pool in document["pools"]:
+        if pool["name"] == settings.processor.pool:
+            pool["rules"] = shared["rules"]
+    return document
 
-def _wrong(line: str) -> dict[str, Any]:
-    raise ContentError(line)
+
+def _derived(own: WorkerSettings) -> DerivedSettings:
+    return DerivedSettings(dict(own.request_classes), dict(own.tenants), own.decision)
+
+
+def _store_settings(agreement: AgreementSettings) -> dict[str, Any]:
+    """Return the store of versions as `open_store` takes it."""
+    if agreement.etcd_endpoints:
+        endpoints = [parse_address(endpoint) for endpoint in agreement.etcd_endpoints]
+        return {"etcd": endpoints, "prefix": agreement.prefix}
+    return {"relay": agreement.relay} if agreement.relay else {"directory": agreement.directory}
 
 
 def follow(
-    file: config.File, worker: int, told: dict[str, Any], dispatcher: Dispatcher, discovery: Listed, log: Any
+    settings: Settings,
+    worker: int,
+    own: WorkerSettings,
+    dispatcher: Dispatcher,
+    discovery: WorkerDiscovery,
+    log: Logger,
 ) -> VersionFollower:
-    """Return a follower that applies versions to a worker; conservative until its first confirmation."""
+    """Return a follower that applies versions to a worker; conservative until its first confirmation.
+
+    `own` is what the worker acts on by its own file.
+    """
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
-        twins = {number: twin for number, (_, twin) in adapted.forms.items()}
-        terms = adapted.terms.with_node_count(discovery.node_counts)
-        dispatcher.agree(adapted.request_classes, adapted.tenants, terms, twins, is_binding)
+        dispatcher.update_settings(
+            adapted.settings.with_node_count(discovery.node_counts),
+            adapted.request_classes,
+            adapted.tenants,
+            {number: strict_variant for number, (_, strict_variant) in adapted.forms.items()},
+            is_binding,
+        )
 
+    assert own.agreement is not None
     incarnation = secrets.token_hex(6)
-    drain_notices = discovery.list_filter = DrainNotices(told["agreement"]["within"])
+    drain_notices = discovery.list_filter = DrainNotices(own.agreement.agreement_time_s)
     drain_notices.filter_message({"full": True, "servers": list(discovery.entries.values())})
-    member = Member(told["name"], incarnation, told["agreement"]["within"])
+    member = Member(own.name, incarnation, own.agreement.agreement_time_s)
     store = open_store(
-        told["agreement"],
+        _store_settings(own.agreement),
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
-    adapter = VersionAdapter(told, shared(file, worker))
+    adapter = VersionAdapter(_derived(own), processor_deriver(settings, worker))
     return VersionFollower(
         store,
         member,
         adapter,
         apply,
-        dispatcher.rounds.handle_events_now,
+        dispatcher.driver.handle_events_now,
         lambda: discovery.list_version,
         log,
         drain_notices,
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -6,8 +6,10 @@
 
 import click
 
+from wheatroute.commands.exit_status import exit_with_error
+
+PERCENT = 100
 EXIT_VIOLATION = 1
-EXIT_UNUSABLE = 2
 
 
 @click.group()
@@ -26,7 +28,7 @@
 
     import trio
 
-    from wheatroute.agreement.operator_errors import first_error
+    from wheatroute.agreement.errors import first_error
     from wheatroute.rig.processes import RigError
     from wheatroute.rig.run_report import summary_lines
     from wheatroute.rig.scenario import ScenarioError, read_scenario
@@ -37,18 +39,17 @@
         run_folder = Path(folder or Path(file).with_suffix(""))
         if run_folder.exists() and any(run_folder.iterdir()):
             raise ScenarioError(f"{run_folder}: holds something already, name another folder with --into")
-        with click.progressbar(length=100, label=scenario.name, file=sys.stderr) as bar:
+        with click.progressbar(length=PERCENT, label=scenario.name, file=sys.stderr) as progress_bar:
 
-            def show_progress(part: float) -> None:
-                bar.update(int(part * 100) - bar.pos)
+            def show_progress(done: float) -> None:
+                progress_bar.update(int(done * PERCENT) - progress_bar.pos)
 
             summary = trio.run(play, scenario, run_folder, show_progress)
     except (ScenarioError, RigError, BaseExceptionGroup) as error:
         cause = first_error(error)
         if not isinstance(cause, ScenarioError | RigError):
             raise
-        click.echo(str(cause), err=True)
-        sys.exit(EXIT_UNUSABLE)
+        exit_with_error(str(cause))
     click.echo(json.dumps(summary) if as_json else "\n".join(summary_lines(summary, run_folder)))
     sys.exit(EXIT_VIOLATION if summary["broken"] else 0)
 
@@ -64,5 +65,4 @@
     try:
         click.echo(str(write_report(Path(folder))))
     except FileNotFoundError as error:
-        click.echo(f"{folder}: keeps no run: {error.filename} is missing", err=True)
-        sys.exit(EXIT_UNUSABLE)
+        exit_with_error(f"{folder}: keeps no run: {error.filename} is missing")
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -9,8 +9,7 @@
 
 import trio
 
-from wheatroute.agreement.operator_errors import OperatorError
-from wheatroute.agreement.version_store import VersionStoreError
+from wheatroute.agreement.errors import OperatorError, VersionStoreError
 from wheatroute.rig import run_folder, verdict
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.rig import Rig, running_rig
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -11,7 +11,7 @@
 import trio
 
 from wheatroute.agreement import operator, version_content
-from wheatroute.agreement.version_store import VersionStoreError
+from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.versions import History
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.processes import RigError
