--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -1,7 +1,5 @@
 """When an ejected server may get the one request that decides whether it comes back. No I/O."""
 
-from __future__ import annotations
-
 from math import inf
 
 from wheatroute.balancing.node_state import NodeState
@@ -19,7 +17,7 @@
         """Takes over another list of ejected servers."""
         self.ejected, self._due_at = ejected, -inf
 
-    def look_again(self) -> None:
+    def reset_due_time(self) -> None:
         """Has the next moment looked up anew, as a server's state has changed."""
         self._due_at = -inf
 
--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`wheatroute fleet`: fleets in virtual time."""
+"""`wheatroute fleet`: emulated fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -26,18 +26,20 @@
     import os
     from pathlib import Path
 
-    from wheatroute.fleet import experiment
+    from wheatroute.fleet.experiment import read_experiment
+    from wheatroute.fleet.records import stored_lines
+    from wheatroute.fleet.runner import run_experiment
 
-    plan = _or_exit(lambda: experiment.read(file))
+    experiment = _or_exit(lambda: read_experiment(file))
     into = Path(folder or Path(file).with_suffix(""))
-    with click.progressbar(length=1, label=plan.name) as progress_bar:
+    with click.progressbar(length=1, label=experiment.name) as progress_bar:
 
         def show_progress(done: int, total: int) -> None:
             progress_bar.length = total
             progress_bar.update(1)
 
-        count = experiment.carry_out(plan, into, workers or os.cpu_count() or 1, show_progress)
-    click.echo(f"{into}: {count} runs played, {len(experiment.kept(into))} kept")
+        count = run_experiment(experiment, into, workers or os.cpu_count() or 1, show_progress)
+    click.echo(f"{into}: {count} runs played, {len(stored_lines(into))} kept")
 
 
 @fleet.command("report")
@@ -47,18 +49,18 @@
     """Writes report.md in FOLDER: tables with intervals, paired by seed, and plots."""
     from pathlib import Path
 
-    from wheatroute.fleet import experiment, report
+    from wheatroute.fleet import report
+    from wheatroute.fleet.records import read_records
 
     into = Path(folder)
-    runs = list(experiment.kept(into).values())
-    if not runs:
+    records = read_records(into)
+    if not records:
         exit_with_error(f"{folder}: no runs are kept there")
-    text = report.page(into.name, runs)
-    for name in report.plots(runs, into) if plots else ():
+    text = report.page(into.name, records)
+    for name in report.draw_plots(records, into) if plots else ():
         text += f"\n![{name}]({name})\n"
-    page = into / "report.md"
-    page.write_text(text, encoding="utf-8")
-    click.echo(f"{page}: {len(runs)} runs")
+    into.joinpath("report.md").write_text(text, encoding="utf-8")
+    click.echo(f"{into / 'report.md'}: {len(records)} runs")
 
 
 @fleet.command("trace")
@@ -70,17 +72,17 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def fleet_trace(file: str, number: int, policy: str, seed: int) -> None:
     """Plays the first point of the experiment in FILE again and tells the story of one request."""
-    from wheatroute.fleet import traced_run
+    from wheatroute.fleet.traced_run import trace_request
 
-    for line in _or_exit(lambda: traced_run.trace_request(file, policy, seed, number)):
+    for line in _or_exit(lambda: trace_request(file, policy, seed, number)):
         click.echo(line)
 
 
-def _or_exit(read: Callable[[], Result]) -> Result:
-    """Returns what `read` does; ends the process if a plan has errors."""
+def _or_exit(function: Callable[[], Result]) -> Result:
+    """The function's result; writes the problems of a plan or experiment file and exits if it has any."""
     from wheatroute.fleet.plan import PlanError
 
     try:
-        return read()
+        return function()
     except PlanError as error:
         exit_with_error(str(error))
