--- a/wheatroute/rig/builder.py
+++ b/wheatroute/rig/builder.py
@@ -111,14 +111,14 @@
     # processors
 
     async def _add_processor(self, number: int, name: str) -> None:
-        list_service = await self._add_discovery_service(name)
+        discovery = await self._add_discovery_service(name)
         listener = self._components.network.reserve_address()
         instance = ProcessorInstance(
             name=name,
             number=number,
             workers=self._options.workers,
             listen=host_port(listener),
-            list_service=host_port(list_service),
+            discovery_service=host_port(discovery),
         )
         text = processor_file(self._components.settings, len(self._options.names), instance)
         agreement = ["[agreement]", *toml_entries(self._components.backend.agreement_table(name)), ""]
--- a/wheatroute/rig/client_load.py
+++ b/wheatroute/rig/client_load.py
@@ -122,10 +122,10 @@
         if response is None:
             await connection.stream.aclose()
             return False
-        await self._take_response(connection, request, response)
+        await self._record_response(connection, request, response)
         return True
 
-    async def _take_response(
+    async def _record_response(
         self, connection: HttpConnection, request: ClientRequest, response: HttpMessage
     ) -> None:
         request.status = response.status
--- a/wheatroute/rig/discovery_service.py
+++ b/wheatroute/rig/discovery_service.py
@@ -11,7 +11,7 @@
 from wheatroute.rig.http_connection import HttpConnection
 
 IN_SERVICE, TERMINATING = "in_service", "terminating"  # states of a server
-FULL_LIST = -1  # the version after which a node asks that has no list yet
+NO_VERSION = -1  # the version that a node names which has no list yet
 
 
 class ServerEntry(NamedTuple):
@@ -75,7 +75,7 @@
         connection = HttpConnection(stream)
         while (request := await connection.read_message()) is not None:
             query = dict(parse_qsl(urlsplit(request.path).query))
-            after = int(query.get("after", FULL_LIST))
+            after = int(query.get("after", NO_VERSION))
             if after == self._version:
                 with trio.move_on_after(int(query.get("wait_ms", "0")) / 1000):
                     await self._changed.wait()
@@ -83,6 +83,6 @@
 
     def _response(self, after: int) -> bytes:
         if after > self._version:
-            after = FULL_LIST
+            after = NO_VERSION
         servers = [one.entry._asdict() for one in self._entries.values() if one.since > after]
         return json.dumps({"version": self._version, "full": after < 0, "servers": servers}).encode()
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -92,7 +92,7 @@
         return None
     async with stream:
         with suppress(*CONNECTION_ERRORS):
-            lines = [request.first_line, *(f"{name}: {value}" for name, value in request.headers.items())]
+            lines = [request.start_line, *(f"{name}: {value}" for name, value in request.headers.items())]
             await stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + request.body)
             return await HttpConnection(stream).read_message()
     return None
@@ -100,7 +100,7 @@
 
 def _request_headers(request: HttpMessage, attempt: int) -> bytes:
     """The first message of a stream to the processor."""
-    method, path, _ = request.first_line.split(" ")
+    method, path, _ = request.start_line.split(" ")
     message = ProcessingRequest()
     pseudo_headers = {
         ":method": method,
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -20,19 +20,19 @@
 class HttpMessage(NamedTuple):
     """A request or a response; the names of headers are in lower case."""
 
-    first_line: str
+    start_line: str
     headers: dict[str, str]
     body: bytes
 
     @property
     def path(self) -> str:
         """The path of a request, with its query."""
-        return self.first_line.split(" ")[1]
+        return self.start_line.split(" ")[1]
 
     @property
     def status(self) -> int:
         """The status of a response."""
-        return int(self.first_line.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
 
 class HttpConnection:
@@ -48,7 +48,7 @@
             if len(self._buffer) > MAX_HEAD_BYTES or not await self._read_more():
                 return None
         head, self._buffer = self._buffer.split(b"\r\n\r\n", 1)
-        first_line, *lines = head.decode("latin-1").split("\r\n")
+        start_line, *lines = head.decode("latin-1").split("\r\n")
         fields = (line.partition(":") for line in lines)
         headers = {name.strip().lower(): value.strip() for name, _, value in fields}
         length = int(headers.get("content-length", "0"))
@@ -56,7 +56,7 @@
             if not await self._read_more():
                 return None
         body, self._buffer = self._buffer[:length], self._buffer[length:]
-        return HttpMessage(first_line, headers, body)
+        return HttpMessage(start_line, headers, body)
 
     async def _read_more(self) -> bool:
         data = await self.stream.receive_some(RECEIVE_BYTES)
--- a/wheatroute/rig/launcher.py
+++ b/wheatroute/rig/launcher.py
@@ -22,13 +22,13 @@
         process.start()
         return process
 
-    def start_settings_command(self, *words: str, link_name: str = "") -> Process:
-        """Starts `wheatroute settings` with these words; its log is what it prints.
+    def start_settings_command(self, *arguments: str, link_name: str = "") -> Process:
+        """Starts `wheatroute settings` with these arguments; its log is what it prints.
 
         With `link_name` it reaches the store through links of that name, which can be cut.
         """
         url = self._components.backend.url(link_name)
-        command = cli_command("settings", "--at", url, *words)
+        command = cli_command("settings", "--at", url, *arguments)
         return self._start(f"operator{len(self._components.processes)}", command)
 
     def start_controller(self) -> str:
--- a/wheatroute/rig/processes.py
+++ b/wheatroute/rig/processes.py
@@ -17,9 +17,9 @@
     """The run cannot go on, with the reason."""
 
 
-def cli_command(*words: str) -> list[str]:
-    """The command `wheatroute` with these words."""
-    return [sys.executable, "-m", "wheatroute.cli", *words]
+def cli_command(*arguments: str) -> list[str]:
+    """The command `wheatroute` with these arguments."""
+    return [sys.executable, "-m", "wheatroute.cli", *arguments]
 
 
 class Process:
--- a/wheatroute/rig/processor_file.py
+++ b/wheatroute/rig/processor_file.py
@@ -30,7 +30,7 @@
     number: int = 0
     workers: int = 1
     listen: str = NO_ADDRESS
-    list_service: str = NO_ADDRESS
+    discovery_service: str = NO_ADDRESS
 
 
 def processor_file(settings: Settings, node_count: int, instance: ProcessorInstance) -> str:
@@ -54,7 +54,7 @@
     return [
         "[[pools]]",
         f"name = {json.dumps(POOL)}",
-        f"list_service = {json.dumps(instance.list_service)}",
+        f"list_service = {json.dumps(instance.discovery_service)}",
         f"zones = {json.dumps(settings.get('dcs', []))}",
         "[pools.rules]",
         *(f"{name} = {rules[key]}" for name, key in RULE_KEYS.items()),
--- a/wheatroute/rig/run_report.py
+++ b/wheatroute/rig/run_report.py
@@ -81,8 +81,8 @@
                 sent[second] += 1
                 served[second] += request.status == 200
         seconds = sorted(sent)
-        shares = [served[second] / sent[second] for second in seconds]
-        axis.plot(seconds, shares, drawstyle="steps-post", label=name)
+        ratios = [served[second] / sent[second] for second in seconds]
+        axis.plot(seconds, ratios, drawstyle="steps-post", label=name)
     axis.set_ylabel("share served, by second")
     axis.set_ylim(0.0, 1.05)
     axis.legend(loc="lower left")
--- a/wheatroute/rig/server.py
+++ b/wheatroute/rig/server.py
@@ -39,7 +39,7 @@
         connection = HttpConnection(stream)
         peer: Address = stream.socket.getpeername()
         while (request := await connection.read_message()) is not None:
-            if request.first_line.startswith(LOAD_PATH):
+            if request.start_line.startswith(LOAD_PATH):
                 await connection.send_response(200, self._load_report().encode())
                 continue
             # recorded in the moment in which the request is complete
--- a/wheatroute/rig/tcp_link.py
+++ b/wheatroute/rig/tcp_link.py
@@ -104,10 +104,10 @@
         if not rate:
             await sink.send_all(data)
             return
-        piece_bytes = max(1, int(rate * THROTTLE_INTERVAL_S))
-        for start in range(0, len(data), piece_bytes):
+        chunk_bytes = max(1, int(rate * THROTTLE_INTERVAL_S))
+        for start in range(0, len(data), chunk_bytes):
             await self.faults.wait_to_pass(direction)
-            await sink.send_all(data[start : start + piece_bytes])
+            await sink.send_all(data[start : start + chunk_bytes])
             await trio.sleep(THROTTLE_INTERVAL_S)
 
 
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -100,11 +100,13 @@
                     await trio.sleep(POLL_INTERVAL_S)
 
     def _record_outcomes(self, history: History) -> None:
-        for known in self._records.versions:
-            outcomes = history.versions[known.number].outcomes if known.number in history.versions else []
-            if outcomes and outcomes[-1] != known.state:
-                known.state = outcomes[-1]
-                known.ended_at = known.ended_at or time.monotonic()
+        for published in self._records.versions:
+            outcomes = (
+                history.versions[published.number].outcomes if published.number in history.versions else []
+            )
+            if outcomes and outcomes[-1] != published.state:
+                published.state = outcomes[-1]
+                published.ended_at = published.ended_at or time.monotonic()
 
     async def status(self) -> Status:
         """The versions and the status of each process, as the command line prints them as JSON."""
