--- a/wheatroute/rig/builder.py
+++ b/wheatroute/rig/builder.py
@@ -4,7 +4,6 @@
 
 import itertools
 from copy import deepcopy
-from typing import Any
 
 import trio
 
@@ -112,14 +111,14 @@
     # processors
 
     async def _add_processor(self, number: int, name: str) -> None:
-        list_service = await self._add_discovery_service(name)
+        discovery = await self._add_discovery_service(name)
         listener = self._components.network.reserve_address()
         instance = ProcessorInstance(
             name=name,
             number=number,
             workers=self._options.workers,
             listen=host_port(listener),
-            list_service=host_port(list_service),
+            discovery_service=host_port(discovery),
         )
         text = processor_file(self._components.settings, len(self._options.names), instance)
         agreement = ["[agreement]", *toml_entries(self._components.backend.agreement_table(name)), ""]
@@ -155,14 +154,16 @@
         self._components.files.write_node_file(name, document)
         self._add_load(name, listener)
 
-    def _node_document(self, number: int, name: str, listener: Address, discovery: Address) -> dict[str, Any]:
+    def _node_document(
+        self, number: int, name: str, listener: Address, discovery: Address
+    ) -> dict[str, object]:
         """The settings file of a node."""
         own_settings = {
             "me": number,
             "balancers": len(self._options.names),
             "zone": self._options.zone_of(number),
         }
-        document: dict[str, Any] = {
+        document: dict[str, object] = {
             "name": name,
             "listen": host_port(listener),
             "discovery": host_port(discovery),
