--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -47,16 +47,16 @@
 
     def exchange(self, *which, now=0.0):
         """Let processes exchange with the store, one after the other; returns what each learns, by server."""
-        told = []
+        learned = []
         for number in which:
             one = self.ones[number]
             heard = one.receive(list(self.store.values()), now)
-            told.append({server["id"]: server["state"] for server in heard})
+            learned.append({server["id"]: server["state"] for server in heard})
             notices, expired_ids = one.outgoing(now)
             self.store |= {notice["id"]: notice for notice in notices}
             for name in expired_ids:
                 self.store.pop(name, None)
-        return told
+        return learned
 
 
 def test_a_drain_and_a_return_reach_all_processes():
@@ -202,7 +202,7 @@
 
 @story
 async def test_notices_expire_from_a_store_that_only_relays_read(tmp_path):
-    class Told(DirectoryStore):
+    class RecordingStore(DirectoryStore):
         """What the relay removes."""
 
         removed: list = []
@@ -211,7 +211,7 @@
             self.removed.extend(expired_ids)
             await super().write_drain_notices(notices, expired_ids)
 
-    store = Told(str(tmp_path / "store"))
+    store = RecordingStore(str(tmp_path / "store"))
     store.create()
     store.write_drain_notices_blocking([notice("s1")], [])
     here = DirectoryStore(str(tmp_path / "here"))
@@ -286,16 +286,16 @@
             lambda: len({ran.server for ran in it.records.ran if ran.node == "n2"}) == 4, "n2 sends to all"
         )
         it.cut("n2", "list")
-        told = time.monotonic()
+        changed_at = time.monotonic()
         change(it)
         # from then on n2 sends nothing there: the stated time to be told in, and the grace
-        last = told + WITHIN + 2.0
+        last = changed_at + WITHIN + 2.0
         await it.until(
             lambda: sum(ran.node == "n2" and ran.at > last + 0.5 for ran in it.records.ran) > 20,
             "n2 goes on with the others",
         )
         late = [ran for ran in it.records.ran if ran.node == "n2" and ran.server == "s3" and ran.at > last]
-        assert not late, f"{len(late)} late, the last after {late[-1].at - told:.2f} s"
+        assert not late, f"{len(late)} late, the last after {late[-1].at - changed_at:.2f} s"
         assert "s3:terminating" in it.processes["n2"].log
         it.heal("n2", "list")
         if "s3" in it.records.drained:
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -3,7 +3,8 @@
 import time
 
 import trio
-from test_processes import MIX, WITHIN, first_version, kept, repeated, rough, story
+from asynchronous import story
+from test_processes import MIX, WITHIN, first_version, kept, repeated, rough
 
 from wheatroute.rig.rig import rig
 
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -1,6 +1,6 @@
 """Several nodes, each a process, with a fault between them that none is told of, judged from outside.
 
-Each story waits for what happens. A bound is looked up in the records, never waited out and hoped for.
+Each test waits for what happens. A bound is looked up in the records, never waited out and hoped for.
 """
 
 import os
@@ -10,6 +10,7 @@
 
 import pytest
 import trio
+from asynchronous import story
 
 from wheatroute.rig import records
 from wheatroute.rig.processes import RigError
@@ -20,14 +21,6 @@
 MIX = {"look": 0.6, "change": 0.2, "buy": 0.2}
 
 
-def story(tell):
-    def run():
-        trio.run(tell)
-
-    run.__name__ = tell.__name__
-    return run
-
-
 def rough(it):
     """Servers that end a tenth of what they have run without an answer: that is what repeats come of."""
     for server in it.servers.values():
@@ -153,15 +146,15 @@
 async def test_what_can_be_used_at_one_place_only_never_comes_into_force_and_says_where():
     async with rig(nodes=2, within=WITHIN) as it:
         it.kill("n1")
-        told = it.file("n1")
-        told["settings"]["tick"] = 0.01
-        it.write("n1", told)
+        document = it.file("n1")
+        document["settings"]["tick"] = 0.01
+        it.write("n1", document)
         await it.start("n1")
         number = await it.put("the first")
         state = await it.ended(number)
         assert state.startswith("withdrawn: n1: tick: changes with a restart only")
         it.kill("n1")
-        it.write("n1", told | {"settings": told["settings"] | {"tick": 0.005}})
+        it.write("n1", document | {"settings": document["settings"] | {"tick": 0.005}})
         await it.start("n1")
         await first_version(it)
 
@@ -457,10 +450,10 @@
 def test_without_the_table_a_node_loads_none_of_it_and_has_one_thread_and_no_child():
     async def run():
         async with rig(nodes=1, within=WITHIN) as it:
-            told = it.file("n0")
-            del told["agreement"]
+            document = it.file("n0")
+            del document["agreement"]
             it.kill("n0")
-            it.write("n0", told)
+            it.write("n0", document)
             await it.start("n0")
             pid = it.processes["n0"].pid
             assert len(os.listdir(f"/proc/{pid}/task")) == 1
@@ -472,8 +465,8 @@
         "import wheatroute.__main__, sys; print([one for one in sys.modules"
         " if any(part in one for part in ('agreement', 'rfc8785', 'wheatroute.rig', 'rollout'))])"
     )
-    told = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 def test_the_rig_says_what_it_waited_for_and_ends_what_it_started():
@@ -558,9 +551,9 @@
 
 @story
 async def test_words_among_nodes_that_get_lost_repeated_late_and_out_of_order_break_nothing():
-    told = change(SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
-    told["allowed"]["peers"] = True
-    async with rig(nodes=3, within=WITHIN, settings=told, peers=True) as it:
+    settings = change(SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
+    settings["allowed"]["peers"] = True
+    async with rig(nodes=3, within=WITHIN, settings=settings, peers=True) as it:
         it.call(40, MIX)
         for one, other in (("n0", "n1"), ("n0", "n2"), ("n1", "n2")):
             it.spoil(one, other, lose=0.3, repeat=0.3, reorder=0.3, delay=0.05)
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -17,7 +17,7 @@
 WITHIN = 1.5
 
 
-def story(tell):
+def with_workers(test):
     def run(tmp_path):
         async def within():
             with trio.fail_after(60):
@@ -29,11 +29,11 @@
                 )
                 path.write_text(text + f'[agreement]\ndirectory = "{store}"\nwithin = {WITHIN}\n')
                 DirectoryStore(str(store)).create()
-                told = [sys.executable, "-m", "wheatroute.cli", "processor", str(path)]
+                command = [sys.executable, "-m", "wheatroute.cli", "processor", str(path)]
                 with open(tmp_path / "log", "wb") as log:
-                    supervisor = subprocess.Popen(told, stdout=log, stderr=log)
+                    supervisor = subprocess.Popen(command, stdout=log, stderr=log)
                 try:
-                    await tell(Workers(path, store, place))
+                    await test(Workers(path, store, place))
                 finally:
                     supervisor.send_signal(signal.SIGTERM)
                     supervisor.wait(10)
@@ -41,7 +41,7 @@
 
         trio.run(within)
 
-    run.__name__ = tell.__name__
+    run.__name__ = test.__name__
     return run
 
 
@@ -77,7 +77,7 @@
                 return isinstance(await opened.decision(), str)
 
 
-@story
+@with_workers
 async def test_workers_take_a_version_while_they_serve_and_keep_to_what_they_said(workers):
     while len(await workers.rows()) < 2:
         await trio.sleep(0.02)
@@ -96,7 +96,7 @@
     assert not await workers.decided("place", PLACE, 2)
 
 
-@story
+@with_workers
 async def test_a_worker_that_stood_still_over_a_change_repeats_nothing_when_it_goes_on(workers):
     while len(await workers.rows()) < 2:
         await trio.sleep(0.02)
