--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -19,6 +19,7 @@
 from math import inf
 from typing import NamedTuple
 
+from wheatroute.agreement.heartbeat import SeenHeartbeat, seen_heartbeat
 from wheatroute.agreement.member_status import MemberStatus, StoredStatus, parse_heartbeat, parse_status
 from wheatroute.agreement.records import ActivateRecord, StoredRecord, VersionRecord, WithdrawRecord
 from wheatroute.agreement.versions import History
@@ -37,11 +38,10 @@
     is_conservative: bool = True
 
 
-class _Heartbeat(NamedTuple):
-    """The heartbeat of a status, when it was first seen, and the time to live of that process."""
+class _SeenStatus(NamedTuple):
+    """What is remembered of a status: its heartbeat, and the time to live of that process's confirmation."""
 
-    number: int
-    since: float
+    heartbeat: SeenHeartbeat
     ttl_s: float
 
 
@@ -62,7 +62,7 @@
         self.conservative_reason = "not confirmed yet"
         self.server_list = ("", 0)  # source and revision of the server list that it acts on
         self._heartbeat = 0
-        self._heartbeats: dict[str, _Heartbeat] = {}  # by status key; of the statuses read last
+        self._seen_statuses: dict[str, _SeenStatus] = {}  # by key; as read last
         self._pending_since = (0, inf)  # the pending version, and when it was first seen
 
     @property
@@ -195,15 +195,14 @@
         """
         return [
             key
-            for key, heartbeat in self._heartbeats.items()
-            if read_began - heartbeat.since > STATUS_EXPIRY_TTLS * heartbeat.ttl_s
+            for key, seen in self._seen_statuses.items()
+            if read_began - seen.heartbeat.since > STATUS_EXPIRY_TTLS * seen.ttl_s
         ]
 
     def _track_heartbeats(self, read_ended: float, statuses: list[MemberStatus]) -> None:
-        heartbeats = {}
+        seen_statuses = {}
         for status in statuses:
-            last = self._heartbeats.get(status.key)
-            has_stood_still = last is not None and last.number == status.heartbeat
-            since = last.since if last is not None and has_stood_still else read_ended
-            heartbeats[status.key] = _Heartbeat(status.heartbeat, since, status.confirmation_ttl_s)
-        self._heartbeats = heartbeats
+            last = self._seen_statuses.get(status.key)
+            heartbeat = seen_heartbeat(last.heartbeat if last else None, status.heartbeat, read_ended)
+            seen_statuses[status.key] = _SeenStatus(heartbeat, status.confirmation_ttl_s)
+        self._seen_statuses = seen_statuses
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -11,7 +11,7 @@
 import secrets
 import time
 from collections.abc import Awaitable, Callable
-from typing import Any, TypeVar
+from typing import Any, Protocol, TypeVar
 
 import trio
 
@@ -25,6 +25,7 @@
     first_error,
 )
 from wheatroute.agreement.member_status import parse_status
+from wheatroute.agreement.records import StoredRecord
 from wheatroute.agreement.version_store import VersionStore, running_store
 from wheatroute.agreement.versions import History, Version
 from wheatroute.net.addresses import parse_address
@@ -75,16 +76,32 @@
     return error
 
 
+class RecordChain(Protocol):
+    """A chain of records that continues after a number; a `History` or the progress of rollouts."""
+
+    head: int
+    head_digest: str
+
+    def apply(self, document: StoredRecord) -> object:
+        """Apply the next record; raises `HistoryError`."""
+
+
+async def read_records(store: VersionStore, chain: RecordChain) -> None:
+    """Apply all records of a store that follow those of a chain.
+
+    Raises `VersionStoreError`, `HistoryError` or `trio.TooSlowError`.
+    """
+    with trio.fail_after(STORE_TIMEOUT_S):
+        while documents := await store.exchange("", None, chain.head, chain.head_digest):
+            for document in documents:
+                chain.apply(document)
+
+
 async def read_history(store: VersionStore) -> History:
     """Read all records; a store without any has an empty history."""
     history = History()
-    with trio.fail_after(STORE_TIMEOUT_S):
-        while True:
-            records = await store.exchange("", None, history.head, history.head_digest)
-            for record in records:
-                history.apply(record)
-            if not records:
-                return history
+    await read_records(store, history)
+    return history
 
 
 async def put_version(store: VersionStore, content: dict[str, Any], reason: str, over: int = 0) -> Version:
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -24,6 +24,7 @@
 from wheatroute.agreement.documents import parse
 from wheatroute.agreement.drain_notices import RETENTION_AGREEMENT_TIMES
 from wheatroute.agreement.errors import MalformedDocumentError, VersionStoreError
+from wheatroute.agreement.heartbeat import SeenHeartbeat, seen_heartbeat
 from wheatroute.agreement.member import STATUS_EXPIRY_TTLS, EffectiveVersions, Member
 from wheatroute.agreement.member_status import StoredStatus, parse_heartbeat
 from wheatroute.agreement.notice import ForwardedNotice, StoredNotice, parse_notices
@@ -83,7 +84,7 @@
         self._store, self._directory = store, DirectoryStore(directory)
         self._confirmation_ttl_s = confirmation_ttl_s
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
-        self._heartbeats: dict[str, tuple[int, float]] = {}  # by status key: heartbeat, and when first seen
+        self._heartbeats: dict[str, SeenHeartbeat] = {}  # by key of the machine's statuses
         self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices that the store has
         # by server id: the machine's notices that it does not have yet
         self._unsent: dict[str, ForwardedNotice] = {}
@@ -156,11 +157,9 @@
         now, live, heartbeats = clock(), [], {}
         for document in self._directory.statuses_blocking():
             status = parse_heartbeat(document)
-            heartbeat, since = self._heartbeats.get(status.key, (-1, now))
-            if heartbeat != status.heartbeat:
-                heartbeat, since = status.heartbeat, now
-            heartbeats[status.key] = (heartbeat, since)
-            if now - since < STATUS_EXPIRY_TTLS * self._confirmation_ttl_s:
+            heartbeat = seen_heartbeat(self._heartbeats.get(status.key), status.heartbeat, now)
+            heartbeats[status.key] = heartbeat
+            if now - heartbeat.since < STATUS_EXPIRY_TTLS * self._confirmation_ttl_s:
                 live.append(document)
         self._heartbeats = heartbeats
         return live
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -15,7 +15,7 @@
 
 from wheatroute.agreement.errors import HistoryError, VersionStoreError
 from wheatroute.agreement.version_store import MAX_RECORDS_PER_READ, VersionStore
-from wheatroute.rollout.controller_order import ControllerOrder, status_key
+from wheatroute.rollout.controller_order import ControllerOrder
 from wheatroute.rollout.next_step import Observations, next_step
 from wheatroute.rollout.progress import Phase, RolloutProgress, SupervisorStatuses
 from wheatroute.rollout.records import StageStep, Step, step_fields
@@ -23,6 +23,7 @@
 from wheatroute.rollout.statuses import (
     ControllerStatus,
     FailedProgram,
+    controller_key,
     controller_statuses,
     node_figures,
     supervisor_statuses,
@@ -92,7 +93,7 @@
             applied_record=self.progress.head,
         )
         documents = await self._store.exchange(
-            status_key(self.incarnation),
+            controller_key(self.incarnation),
             status.to_stored(),
             self.progress.head,
             self.progress.head_digest,
--- a/wheatroute/rollout/controller_order.py
+++ b/wheatroute/rollout/controller_order.py
@@ -5,17 +5,12 @@
 
 from __future__ import annotations
 
-from wheatroute.rollout.statuses import ControllerStatus
+from wheatroute.rollout.statuses import ControllerStatus, controller_key
 
 EXPIRED_TURNS = 40  # without a heartbeat of a controller, after which its status is removed
 TAKEOVER_TURNS = 4  # without a heartbeat of the controllers before it, after which the next one acts
 
 
-def status_key(incarnation: str) -> str:
-    """Return the key of a controller's status in the store."""
-    return f"controller.{incarnation}"
-
-
 class ControllerOrder:
     """The controllers as one of them sees them, whose incarnation is given."""
 
@@ -33,7 +28,9 @@
             others[status.incarnation] = (heartbeat, turns + 1) if is_same else (status.heartbeat, 0)
         self._others = others
         self.expired_keys = [
-            status_key(incarnation) for incarnation, (_, turns) in others.items() if turns >= EXPIRED_TURNS
+            controller_key(incarnation)
+            for incarnation, (_, turns) in others.items()
+            if turns >= EXPIRED_TURNS
         ]
         live = [incarnation for incarnation, (_, turns) in others.items() if turns < TAKEOVER_TURNS]
         return self._incarnation <= min(live, default=self._incarnation)
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -26,7 +26,7 @@
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.upstream import Upstream
 from wheatroute.rollout.request_accounting import RequestAccounting
-from wheatroute.rollout.statuses import ProcessFigures
+from wheatroute.rollout.statuses import ProcessFigures, figures_key
 
 REPORT_INTERVAL_S = 0.5  # the finest resolution of the analysis
 STORE_TIMEOUT_S = 1.0
@@ -64,7 +64,7 @@
     @property
     def key(self) -> str:
         """The key of its status in the store."""
-        return f"figures.{self._name}.{self._incarnation}"
+        return figures_key(self._name, self._incarnation)
 
     def next_status(self) -> StoredStatus:
         """Return the status with the figures of this moment and the next heartbeat."""
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -10,6 +10,7 @@
 from collections import Counter, defaultdict, deque
 from collections.abc import Iterable, Mapping
 
+from wheatroute.agreement.heartbeat import SeenHeartbeat, seen_heartbeat
 from wheatroute.rollout import figures
 from wheatroute.rollout.canary_analysis import Tally
 from wheatroute.rollout.statuses import NodeFigures
@@ -25,7 +26,7 @@
     def __init__(self) -> None:
         self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)  # of the unchanged nodes
         self._before: dict[tuple[str, str], NodeFigures] = {}  # by node and incarnation
-        self._heartbeats: dict[tuple[str, str], tuple[int, float]] = {}
+        self._heartbeats: dict[tuple[str, str], SeenHeartbeat] = {}  # by node and incarnation
         self.thresholds: dict[str, tuple[int, int]] = {}
         self._totals_at_begin: figures.Durations | None = None
 
@@ -51,11 +52,9 @@
         for one in reported:
             process = one.process
             key = process.name, process.incarnation
-            heartbeat, since = self._heartbeats.get(key, (-1, now))
-            if heartbeat != process.heartbeat:
-                heartbeat, since = process.heartbeat, now
-            self._heartbeats[key] = heartbeat, since
-            if now - since < STALE_FIGURES_S and not process.is_stopping:
+            heartbeat = seen_heartbeat(self._heartbeats.get(key), process.heartbeat, now)
+            self._heartbeats[key] = heartbeat
+            if now - heartbeat.since < STALE_FIGURES_S and not process.is_stopping:
                 if process.name not in live or process.is_ready:
                     live[process.name] = one
         return live
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -19,7 +19,7 @@
     StoreUnavailableError,
     VersionStoreError,
 )
-from wheatroute.agreement.operator import MAX_APPEND_ATTEMPTS, STORE_TIMEOUT_S
+from wheatroute.agreement.operator import MAX_APPEND_ATTEMPTS, read_records
 from wheatroute.agreement.version_store import VersionStore
 from wheatroute.rollout import statuses
 from wheatroute.rollout.errors import StepNotAllowedError
@@ -34,13 +34,8 @@
 async def read_progress(store: VersionStore) -> RolloutProgress:
     """Read all records."""
     progress = RolloutProgress()
-    with trio.fail_after(STORE_TIMEOUT_S):
-        while True:
-            records = await store.exchange("", None, progress.head, progress.head_digest)
-            for record in records:
-                progress.apply(record)
-            if not records:
-                return progress
+    await read_records(store, progress)
+    return progress
 
 
 async def supervisor_statuses(store: VersionStore) -> dict[str, SupervisorStatus]:
--- a/wheatroute/rollout/statuses.py
+++ b/wheatroute/rollout/statuses.py
@@ -140,6 +140,21 @@
     is_ready: bool = msgspec.field(name="ready", default=False)
 
 
+def supervisor_key(node: str) -> str:
+    """Return the key of a supervisor's status in the store."""
+    return f"{SUPERVISOR_ROW}.{node}"
+
+
+def controller_key(incarnation: str) -> str:
+    """Return the key of a controller's status in the store."""
+    return f"{CONTROLLER_ROW}.{incarnation}"
+
+
+def figures_key(node: str, incarnation: str) -> str:
+    """Return the key of the figures of a node's process in the store."""
+    return f"{FIGURES_ROW}.{node}.{incarnation}"
+
+
 def supervisor_statuses(documents: Iterable[StoredStatus]) -> dict[str, SupervisorStatus]:
     """Return the supervisors' statuses by node; raises `MalformedDocumentError` for a malformed one."""
     statuses = [parse(one, SupervisorStatus) for one in _of_row(documents, SUPERVISOR_ROW)]
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -24,18 +24,19 @@
 from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.node_process import NodeProcess, find_process, start_ticks
 from wheatroute.rollout.progress import RolloutProgress
+from wheatroute.rollout.restart_backoff import RestartBackoff
 from wheatroute.rollout.statuses import (
     FailedProgram,
     SupervisorStatus,
+    figures_key,
     is_process_ready,
+    supervisor_key,
     supervisor_statuses,
 )
 from wheatroute.rollout.supervisor_settings import SupervisorSettings
 from wheatroute.rollout.supervisor_state import SupervisorState, read_state, write_state
 
 TURN_INTERVAL_S = 0.2
-MIN_RESTART_BACKOFF_S, MAX_RESTART_BACKOFF_S = 0.2, 30.0  # doubled with each crash
-STABLE_AFTER_S = 30.0  # a process that has lived so long resets the backoff
 STORE_TIMEOUT_S = 2.0
 
 
@@ -47,7 +48,7 @@
         if settings.directory:
             address: dict[str, Any] = {"directory": settings.directory}
         else:
-            endpoints = [parse_address(one) for one in settings.etcd]
+            endpoints = [parse_address(endpoint) for endpoint in settings.etcd]
             address = {"etcd": endpoints, "prefix": settings.prefix}
         self._store = open_store(address, random.Random(), STORE_TIMEOUT_S / 3)
         self._progress = RolloutProgress()
@@ -62,7 +63,7 @@
         self._failed: list[FailedProgram] = []
         self._last_error = ""  # what went wrong last; "" once a candidate has taken over
         self._crashes = 0
-        self._backoff_s, self._restart_at = MIN_RESTART_BACKOFF_S, 0.0
+        self._backoff = RestartBackoff()
         self._supervisors: dict[str, SupervisorStatus] = {}  # by node
 
     async def run(self) -> None:
@@ -145,7 +146,7 @@
         try:
             with trio.fail_after(STORE_TIMEOUT_S):
                 documents = await self._store.exchange(
-                    f"keeper.{status.name}",
+                    supervisor_key(status.name),
                     status.to_stored(),
                     self._progress.head,
                     self._progress.head_digest,
@@ -167,18 +168,21 @@
         self.draining = [process for process in self.draining if self._is_still_draining(process)]
         if self.serving is not None and not self.serving.is_alive:
             self._handle_crash(self.serving)
-        if self.serving is None and self.candidate is None and time.monotonic() >= self._restart_at:
+        if self.serving is None and self.candidate is None and self._backoff.is_over(time.monotonic()):
             self._last_program = self._wanted_program()
             self.serving = self._start(self._last_program)
         if self.candidate is not None:
             self._check_candidate(self.candidate, statuses or [])
         elif statuses is not None and self.serving is not None and not self.draining:
-            wanted = self._wanted_program()
-            may_change = wanted != self.serving.program and self._progress.may_change(
-                self._settings.name, self._supervisors
-            )
-            if may_change:
-                self.candidate = self._start(wanted)
+            self._begin_change(self.serving)
+
+    def _begin_change(self, serving: NodeProcess) -> None:
+        """Start a candidate, if the node is to run another program and may change now."""
+        wanted = self._wanted_program()
+        if wanted == serving.program:
+            return
+        if self._progress.may_change(self._settings.name, self._supervisors):
+            self.candidate = self._start(wanted)
 
     def _wanted_program(self) -> str:
         """Return the program that the rollout names, unless it failed here or is not known here."""
@@ -208,24 +212,17 @@
     def _handle_crash(self, process: NodeProcess) -> None:
         """The serving process has ended: the candidate takes over, or it is restarted after a backoff."""
         self._crashes += 1
-        self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
+        self._ended_keys.append(figures_key(self._settings.name, process.incarnation))
         self._report_error(f"{process.program} ended, {process.exit_text}")
-        self._back_off(lived_s=time.monotonic() - process.since)
+        now = time.monotonic()
+        self._backoff.process_ended(now, lived_s=now - process.since)
         plan = self._progress.plan
         target = self._progress.target(self._settings.name)
         if plan is not None and process.program == plan.new == target:
             self._add_failure(process.program)
-        has_candidate = self.candidate is not None and self.candidate.is_alive
-        self.serving = self.candidate if has_candidate else None
-        self.candidate = None if self.serving is not None else self.candidate
-
-    def _back_off(self, lived_s: float) -> None:
-        """Put off the restart of a process that has ended after `lived_s` seconds."""
-        if lived_s >= STABLE_AFTER_S:
-            self._backoff_s = MIN_RESTART_BACKOFF_S
-        else:
-            self._backoff_s = min(MAX_RESTART_BACKOFF_S, 2.0 * self._backoff_s)
-        self._restart_at = time.monotonic() + self._backoff_s
+        self.serving = None
+        if self.candidate is not None and self.candidate.is_alive:
+            self.serving, self.candidate = self.candidate, None
 
     def _check_candidate(self, process: NodeProcess, statuses: list[StoredStatus]) -> None:
         """Let the candidate take over once it is ready: then the serving process is told to stop."""
@@ -253,7 +250,7 @@
 
     def _is_still_draining(self, process: NodeProcess) -> bool:
         if not process.is_alive:
-            self._ended_keys.append(f"figures.{self._settings.name}.{process.incarnation}")
+            self._ended_keys.append(figures_key(self._settings.name, process.incarnation))
             return False
         if time.monotonic() - process.since > self._settings.drain_timeout_s:
             self._report_error(f"{process.program} did not stop in {self._settings.drain_timeout_s:g} s")
