--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -29,14 +29,15 @@
 from typing import Any
 
 ROOT = Path(__file__).resolve().parent.parent
-sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "agreement")]
+sys.path[:0] = [str(ROOT), str(ROOT / "tests"), str(ROOT / "tests" / "balancing")]
 
 from wheatroute import decide  # noqa: E402
+from wheatroute.balancing import queue_management, server_subset  # noqa: E402
 from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
-STORIES = ("test_stories", "test_shapes", "test_settings_changes")  # test modules that are played to both
+SCENARIOS = sorted((ROOT / "tests" / "balancing").glob("test_*.py"))  # test modules that are played to both
 REQUEST_INTERVAL_S = 0.0005
 SERVICE_TIME_S = 0.02
 
@@ -387,8 +388,8 @@
                 self.first_differences.append(f"{now:.4f}: {earlier.made[:4]} against {present.made[:4]}")
 
 
-def compare(commit: str, requests: int, stories: bool) -> Counter[str]:
-    """Both modules on generated days of many shapes, and on every story of the decisions.
+def compare(commit: str, requests: int, with_scenarios: bool) -> Counter[str]:
+    """Both modules on generated days of many shapes, and on every scenario of the decisions.
 
     The two departures that spread work over rounds are off here: they begin with `MAX_SERVERS_PER_TICK`
     servers in the subset and with `MAX_SCANS` requests that wait, and what they change is for the bench to
@@ -396,8 +397,8 @@
     """
     earlier = module_at(commit)
     Twin.tally, Twin.first_differences = Counter(), []
-    usual = decide.MAX_SERVERS_PER_TICK, decide.MAX_SCANS
-    decide.MAX_SERVERS_PER_TICK = decide.MAX_SCANS = 10**9
+    usual = server_subset.MAX_SERVERS_PER_TICK, decide.MAX_SCANS
+    server_subset.MAX_SERVERS_PER_TICK = decide.MAX_SCANS = queue_management.MAX_SCANS = 10**9
     vars(earlier).update(LARGE=10**9, SORTED=10**9)  # its own, where it has them
 
     def twin(settings: Any, rng: random.Random) -> Twin:
@@ -416,23 +417,24 @@
         for rough in (False, True):
             day = Day(servers, 7 + i, rough, apart, work, zones)
             day.play(twin(decision_settings(nodes, **changes), random.Random(i)), requests)
-    if stories:
-        _stories(twin)
-    decide.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
+    if with_scenarios:
+        _play_scenarios(twin)
+    server_subset.MAX_SERVERS_PER_TICK, decide.MAX_SCANS = usual
+    queue_management.MAX_SCANS = decide.MAX_SCANS
     return Twin.tally
 
 
-def _stories(twin: Callable[[Any, random.Random], Twin]) -> None:
+def _play_scenarios(twin: Callable[[Any, random.Random], Twin]) -> None:
     """The tests of the decisions, with both modules in the place of one."""
-    import fakehost
+    import balancer_host
 
-    fakehost.Balancer = twin
-    for name in STORIES:
-        for test_name, test in vars(importlib.import_module(name)).items():
+    balancer_host.Balancer = twin
+    for path in SCENARIOS:
+        for test_name, test in vars(importlib.import_module(path.stem)).items():
             if test_name.startswith("test_") and not test.__code__.co_argcount:
                 test()
-                Twin.tally["stories"] += 1
-    fakehost.Balancer = decide.Balancer
+                Twin.tally["scenarios"] += 1
+    balancer_host.Balancer = decide.Balancer
 
 
 def cost(
@@ -472,7 +474,7 @@
             print(f"      {told.against}  {cost(earlier, servers, requests, told.rough)}")
     commit = told.against or BASE
     try:
-        tally = compare(commit, 2500 if told.short else 8000, stories=True)
+        tally = compare(commit, 2500 if told.short else 8000, with_scenarios=True)
     except subprocess.CalledProcessError:
         print(f"no commit {commit}: nothing compared")
         tally = Counter()
--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -34,8 +34,9 @@
     MAX_EXCHANGE_INTERVAL_S,
     status_read_interval_s,
 )
-from wheatroute.rig import records  # noqa: E402
-from wheatroute.rig.rig import Rig, rig  # noqa: E402
+from wheatroute.rig import verdict  # noqa: E402
+from wheatroute.rig.options import RigOptions  # noqa: E402
+from wheatroute.rig.rig import Rig, running_rig  # noqa: E402
 
 WITHIN = 2.0  # seconds
 RATE = 40.0  # requests a second at each node
@@ -51,39 +52,37 @@
 
 
 async def cut_both(it: Rig) -> None:
-    it.cut("n2", "store")
+    it.faults.partition("n2", "store")
 
 
 async def cut_there(it: Rig) -> None:
-    it.cut("n2", "store", "there")
+    it.faults.partition("n2", "store", "there")
 
 
 async def cut_back(it: Rig) -> None:
-    it.cut("n2", "store", "back")
+    it.faults.partition("n2", "store", "back")
 
 
 async def stopped(it: Rig) -> None:
-    it.stop("n2")
+    it.faults.stop("n2")
 
 
 async def killed(it: Rig) -> None:
-    it.kill("n2")
+    it.faults.kill("n2")
 
 
 async def all_gone(it: Rig) -> None:
-    assert it.cluster is not None
-    it.cluster.order("set", member=-1, silent=True)
+    it.etcd.send_command("set", member=-1, silent=True)
 
 
 async def two_gone(it: Rig) -> None:
-    assert it.cluster is not None
-    it.cluster.order("set", member=0, silent=True)
-    it.cluster.order("set", member=1, behind=3)
+    it.etcd.send_command("set", member=0, silent=True)
+    it.etcd.send_command("set", member=1, behind=3)
 
 
 async def late(it: Rig) -> None:
     for name in it.names:
-        it.spoil(name, "etcd", delay=0.05)
+        it.faults.impair(name, "etcd", delay=0.05)
 
 
 FAULTS: list[tuple[str, str, Fault]] = [
@@ -106,25 +105,25 @@
 
 async def heal(it: Rig, fault: Fault) -> None:
     if fault is stopped:
-        it.go_on("n2")
+        it.faults.resume("n2")
     elif fault is killed:
-        await it.start("n2")
+        await it.faults.start("n2")
     elif fault in (cut_both, cut_there, cut_back):
-        it.heal("n2", "store")
+        it.faults.heal("n2", "store")
     elif fault in (all_gone, two_gone):
-        assert it.cluster is not None
-        it.cluster.order("set", member=-1, silent=False, behind=0)
+        it.etcd.send_command("set", member=-1, silent=False, behind=0)
 
 
 async def play(name: str, store: str, fault: Fault, rounds: int, seed: int) -> dict[str, Any]:
     """Two changes a round, the fault through both of them."""
-    async with rig(nodes=3, store=store, within=WITHIN, seed=seed, longest=300.0) as it:
+    options = RigOptions(nodes=3, store=store, bound_s=WITHIN, seed=seed, timeout_s=300.0)
+    async with running_rig(options) as it:
         for server in it.servers.values():
-            server.reset = 0.1
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+            server.reset_share = 0.1
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
         cut: list[tuple[float, float]] = []
         for _ in range(rounds):
             for effect in ("fragile", "retryable"):
@@ -132,32 +131,32 @@
                 since = time.monotonic()
                 number = -1
                 if fault is all_gone:  # put, and then the store is away: else it could not be put
-                    number = await it.put(f"{name} {effect}", look__effect=effect)
+                    number = await it.versions.put(f"{name} {effect}", look__effect=effect)
                 await fault(it)
                 if fault is all_gone:
                     await trio.sleep(1.5 * WITHIN)
                     await heal(it, fault)
                 else:
-                    number = await it.put(f"{name} {effect}", look__effect=effect)
-                await it.ended(number)
+                    number = await it.versions.put(f"{name} {effect}", look__effect=effect)
+                await it.versions.wait_for_outcome(number)
                 await trio.sleep(0.25 * WITHIN)
                 cut.append((since, time.monotonic()))
                 if fault is not all_gone:
                     await heal(it, fault)
-                await it.agreed(number)
-        until = await it.quiet()
-        await it.note()
-        told = records.summary(it.records, until, WITHIN)
+                await it.versions.wait_until_agreed(number)
+        until = await it.stop_load()
+        await it.versions.read_history()
+        told = verdict.summary(it.records, until, WITHIN)
         by_version: dict[int, float] = {}
-        for after, _, version in records.contradictions(it.records):
+        for after, _, version in verdict.contradictions(it.records):
             by_version[version.number] = max(by_version.get(version.number, 0.0), after)
         told["last_contradictions"] = [by_version.get(one.number, 0.0) for one in it.records.versions[1:]]
-        told["into_force"] = [one.ended - one.put for one in it.records.versions[1:]]
+        told["into_force"] = [one.ended_at - one.published_at for one in it.records.versions[1:]]
         told["went_back"] = sum(went_back(it.processes[one].log) for one in it.names)
         told["share"] = share(it, cut) if fault in (cut_both, cut_there, cut_back) else None
-        breaches = records.judge(it.records, until, WITHIN)
-        if breaches:
-            print("\n".join([f"BROKEN in {name} on {store}: {breaches[0].rule}", *breaches[0].story]))
+        violations = verdict.find_violations(it.records, until, WITHIN)
+        if violations:
+            print("\n".join([f"BROKEN in {name} on {store}: {violations[0].rule}", *violations[0].timeline]))
         return told
 
 
@@ -167,25 +166,30 @@
     What servers saw it begin there; the grace of 2 s may be used. It hears of each return, too.
     """
     out = []
-    async with rig(nodes=3, store=store, within=WITHIN, seed=seed, longest=60.0 + 10.0 * count) as it:
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+    options = RigOptions(nodes=3, store=store, bound_s=WITHIN, seed=seed, timeout_s=60.0 + 10.0 * count)
+    async with running_rig(options) as it:
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
 
         def last() -> float:
-            mine = (ran.at for ran in it.records.ran if (ran.node, ran.server) == ("n2", "s3"))
+            mine = (
+                execution.started_at
+                for execution in it.records.executions
+                if (execution.node, execution.server) == ("n2", "s3")
+            )
             return max(mine, default=0.0)
 
-        it.cut("n2", "list")
+        it.faults.partition("n2", "list")
         for _ in range(count):
             since = time.monotonic()
-            await it.until(lambda since=since: last() > since, "n2 sends there")
+            await it.wait_until(lambda since=since: last() > since, "n2 sends there")
             told = time.monotonic()
-            it.drain("s3")
+            it.faults.drain("s3")
             await trio.sleep(WITHIN + 2.5)
             out.append(max(0.0, last() - told))
-            it.take_back("s3")
+            it.faults.undrain("s3")
     return out
 
 
@@ -194,37 +198,37 @@
 
 async def away(phase: str, seconds: float, seed: int) -> None:
     """All members silent for so long, from a phase of a change on; prints what was served meanwhile."""
-    async with rig(nodes=3, store="etcd", within=WITHIN, seed=seed, longest=seconds + 120.0) as it:
-        assert it.cluster is not None
+    options = RigOptions(nodes=3, store="etcd", bound_s=WITHIN, seed=seed, timeout_s=seconds + 120.0)
+    async with running_rig(options) as it:
         for server in it.servers.values():
-            server.reset = 0.1
-        it.call(RATE, MIX)
-        first = await it.put("as it was")
-        await it.ended(first)
-        await it.agreed(first)
+            server.reset_share = 0.1
+        it.start_load(RATE, MIX)
+        first = await it.versions.put("as it was")
+        await it.versions.wait_for_outcome(first)
+        await it.versions.wait_until_agreed(first)
         await trio.sleep(2.0)
 
         def said() -> int:
             return sum(process.log.count(PHASES[phase]) for process in it.processes.values())
 
         heard, began = said(), time.monotonic()
-        number = await it.put("while it goes away", look__effect="fragile")
+        number = await it.versions.put("while it goes away", look__effect="fragile")
         if PHASES[phase]:
-            await it.until(lambda: said() > heard, phase)
-        it.cluster.order("set", member=-1, silent=True)
+            await it.wait_until(lambda: said() > heard, phase)
+        it.etcd.send_command("set", member=-1, silent=True)
         gone = time.monotonic()
         await trio.sleep(seconds)
-        it.cluster.order("set", member=-1, silent=False)
+        it.etcd.send_command("set", member=-1, silent=False)
         back = time.monotonic()
-        await it.ended(number)
-        await it.agreed(number)
+        await it.versions.wait_for_outcome(number)
+        await it.versions.wait_until_agreed(number)
         agreed = time.monotonic()
-        until = await it.quiet()
-        await it.note()
-        told = records.summary(it.records, until, WITHIN)
+        until = await it.stop_load()
+        await it.versions.read_history()
+        told = verdict.summary(it.records, until, WITHIN)
         parts = []
         for begin, end in ((0.0, began), (gone, back)):
-            asked = [one for one in it.records.asked.values() if begin <= one.sent < end]
+            asked = [one for one in it.records.requests.values() if begin <= one.sent_at < end]
             parts.append(sum(one.status == 200 for one in asked) / len(asked))
         print(
             f"etcd away for {seconds:g} s from {phase:8} served before {parts[0]:.3f}, then {parts[1]:.3f}"
@@ -252,8 +256,8 @@
     def served(mine: bool) -> float:
         found = [
             one
-            for one in it.records.asked.values()
-            if (one.node == "n2") == mine and any(begin <= one.sent <= end for begin, end in cut)
+            for one in it.records.requests.values()
+            if (one.node == "n2") == mine and any(begin <= one.sent_at <= end for begin, end in cut)
         ]
         return sum(one.status == 200 for one in found) / max(1, len(found))
 
@@ -265,14 +269,14 @@
 
     Two nodes with it off differ by some hundredths too, so it is taken with either of them off.
     """
-    async with rig(nodes=2, within=10.0, longest=120.0) as it:
-        told = it.file(off)
+    async with running_rig(RigOptions(nodes=2, bound_s=10.0, timeout_s=120.0)) as it:
+        told = it.files.read_node_file(off)
         del told["agreement"]
-        it.kill(off)
-        it.write(off, told)
-        await it.start(off)
-        await it.ended(await it.put("as it was"))
-        it.call(150.0, {"look": 1.0})
+        it.faults.kill(off)
+        it.files.write_node_file(off, told)
+        await it.faults.start(off)
+        await it.versions.wait_for_outcome(await it.versions.put("as it was"))
+        it.start_load(150.0, {"look": 1.0})
         await trio.sleep(1.0)
 
         def used(name: str) -> float:
@@ -280,11 +284,11 @@
             return (int(fields[11]) + int(fields[12])) / TICK
 
         before = {name: used(name) for name in it.names}
-        counts = {name: sum(one.node == name for one in it.records.asked.values()) for name in it.names}
+        counts = {name: sum(one.node == name for one in it.records.requests.values()) for name in it.names}
         await trio.sleep(seconds)
         each = {}
         for name in it.names:
-            count = sum(one.node == name for one in it.records.asked.values()) - counts[name]
+            count = sum(one.node == name for one in it.records.requests.values()) - counts[name]
             each[name] = (used(name) - before[name]) / count
         return each["n1" if off == "n0" else "n0"] / each[off]
 
--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -1,9 +1,9 @@
 """What tests of the agreement share: a version's content, and a history with given records."""
 
 from wheatroute.agreement.versions import History
-from wheatroute.rig.settings import SETTINGS, change
+from wheatroute.rig.settings import DEFAULT_SETTINGS, with_changes
 
-CONTENT = {"settings": change(SETTINGS, {"dcs": ["a"]}, 2)}
+CONTENT = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]}, 2)}
 
 
 def history_of(*kinds):
--- a/tests/agreement/test_joint_settings.py
+++ b/tests/agreement/test_joint_settings.py
@@ -13,19 +13,14 @@
 from wheatroute.balancing import settings
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings
-from wheatroute.config import (
-    File,
-    Pool,
-    Processor,
-    RequestClass,
-    Rules,
-    Server,
-    Tenant,
-    told_to_processor,
-)
+from wheatroute.config.pools import PoolRules, PoolSettings, ServerSettings
+from wheatroute.config.processor import ProcessorSettings
+from wheatroute.config.request_classes import RequestClassSettings, TenantSettings
+from wheatroute.config.settings import Settings
 from wheatroute.net import node_settings
 from wheatroute.platform_settings import SETTING_KEYS, decision_settings
-from wheatroute.rig.settings import SETTINGS
+from wheatroute.processor.worker_settings import derive_worker_settings
+from wheatroute.rig.settings import DEFAULT_SETTINGS
 
 
 def test_every_field_of_the_settings_has_a_rule():
@@ -34,13 +29,13 @@
     class_fields = {field.name for field in dataclasses.fields(settings.RequestClass)}
     assert class_fields == set(join_rules.REQUEST_CLASS_RULES) | {"can_trial"}
     assert {field.name for field in dataclasses.fields(settings.TenantQuota)} == set(join_rules.TENANT_RULES)
-    file = File(
-        pools=[Pool(name="p", servers=[Server(id="s", address="127.0.0.1:1")])],
-        traffic_types=[RequestClass(name="t", effect="pure", paths=["/"], hard_stop=1.0)],
-        customers=[Tenant(name="c")],
-        processor=Processor(listen="127.0.0.1:1", pool="p"),
+    file = Settings(
+        pools=[PoolSettings(name="p", servers=[ServerSettings(id="s", address="127.0.0.1:1")])],
+        traffic_types=[RequestClassSettings(name="t", effect="pure", paths=["/"], hard_stop=1.0)],
+        customers=[TenantSettings(name="c")],
+        processor=ProcessorSettings(listen="127.0.0.1:1", pool="p"),
     )
-    processor_settings = told_to_processor(file)["terms"]
+    processor_settings = derive_worker_settings(file).decision
     assert isinstance(processor_settings, DecisionSettings)
     assert isinstance(processor_settings.request_classes[0], settings.RequestClass)
     assert isinstance(processor_settings.tenants[0], settings.TenantQuota)
@@ -48,8 +43,15 @@
 
 
 def test_every_key_of_the_files_has_a_rule():
-    for table in (File, RequestClass, Tenant, Rules):
-        assert set(table.model_fields) == set(join_rules.FILE_RULES[table.__name__])
+    tables = {
+        "File": Settings,
+        "RequestClass": RequestClassSettings,
+        "Tenant": TenantSettings,
+        "Rules": PoolRules,
+    }
+    for name, table in tables.items():
+        keys = {field.alias or field_name for field_name, field in table.model_fields.items()}
+        assert keys == set(join_rules.FILE_RULES[name])
     text = inspect.getsource(node_settings)
     assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(join_rules.NODE_FILE_RULES)
     assert set(join_rules.FILE_KEYS) - {"rules"} <= {
@@ -87,7 +89,7 @@
 
 
 def test_joined_settings_are_never_looser_than_either_version():
-    loose = dataclasses.replace(decision_settings(SETTINGS, {}), tick=0.005)
+    loose = dataclasses.replace(decision_settings(DEFAULT_SETTINGS, {}), tick=0.005)
     for idempotencies in itertools.permutations(Idempotency, 2):
         one, other = (
             dataclasses.replace(
--- a/tests/agreement/test_version_adapter.py
+++ b/tests/agreement/test_version_adapter.py
@@ -5,22 +5,22 @@
 from wheatroute.agreement.node_content import node_deriver
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.net import node_settings
-from wheatroute.rig.settings import SETTINGS, change
+from wheatroute.rig.settings import DEFAULT_SETTINGS, with_changes
 
 
 def adapter_of(*changes):
     """Return the adapter of a process that has checked versions with these changes."""
-    own_settings = SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
-    derived = DerivedSettings.from_dict(node_settings.derive_settings(SETTINGS))
+    own_settings = DEFAULT_SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
+    derived = DerivedSettings.from_dict(node_settings.derive_settings(DEFAULT_SETTINGS))
     adapter = VersionAdapter(derived, node_deriver(own_settings, derived))
     for number, changed in enumerate(changes, 1):
-        content = {"settings": change(SETTINGS, {"dcs": ["a"]} | changed, 2)}
+        content = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changed, 2)}
         assert adapter.check(number, content) == ""
     return adapter
 
 
 def test_request_classes_and_tenants_keep_their_numbers_in_any_order():
-    classes = list(reversed(SETTINGS["traffic-types"]))
+    classes = list(reversed(DEFAULT_SETTINGS["traffic-types"]))
     adapter = adapter_of(
         {"traffic-types": classes},
         {"traffic-types": classes[1:]},
@@ -57,7 +57,8 @@
             "settings.traffic-types.look.effect: is none of retryable, dedup, fragile: 'nice' (and 1 more)",
         ),
     ):
-        assert adapter_of().check(9, {"settings": change(SETTINGS, {"dcs": ["a"]} | changes, 2)}) == line
+        content = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)}
+        assert adapter_of().check(9, content) == line
     assert adapter_of().check(9, {"other": {}}).startswith("a version has the parts settings and file")
 
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -14,8 +14,8 @@
 from contextlib import asynccontextmanager
 
 import trio
-from fakehost import OK, Node
-from race_harness import Client, ListService, Server, list_response, message, wait_until
+from node_harness import OK, Node, list_response
+from race_harness import Client, ListService, Server, message, wait_until
 
 PLAIN = "import sys; from wheatroute.__main__ import main; sys.exit(main())"
 # what the process's own client does at a step; `ask` sends a request into the listener's queue
@@ -24,8 +24,8 @@
 import wheatroute.__main__ as program
 from wheatroute.net.downstream import Downstream
 from wheatroute.net.connection import Connection
-kept, told = [], json.load(open(os.environ["PROXY_CONFIG"])) if "PLACE" not in os.environ else {}
-place = tuple(told["listen"].split(":")) if told else os.environ["PLACE"].split(":")
+kept, config = [], json.load(open(os.environ["PROXY_CONFIG"])) if "PLACE" not in os.environ else {}
+place = tuple(config["listen"].split(":")) if config else os.environ["PLACE"].split(":")
 place = place[0], int(place[1])
 
 def ask(limit=5.0, name=b"c1"):
@@ -64,12 +64,12 @@
 ):
     """A node as a process of its own; its end is looked for, its output is kept."""
     node = Node(folder, *servers, discovery=discovery or ListService(lambda request: None), **how)
-    told_it = node.told if known else {key: value for key, value in node.told.items() if key != "known"}
-    node.path.write_text(json.dumps(told_it))
-    env = os.environ | {"PROXY_CONFIG": str(node.path)}
+    config = node.config if known else {key: value for key, value in node.config.items() if key != "known"}
+    node.config_path.write_text(json.dumps(config))
+    env = os.environ | {"PROXY_CONFIG": str(node.config_path)}
     if fifo:
-        node.path.unlink()
-        os.mkfifo(node.path)
+        node.config_path.unlink()
+        os.mkfifo(node.config_path)
         env["PLACE"] = f"127.0.0.1:{node.port}"
     node.log = folder / "log"
     async with trio.open_nursery() as nursery:
@@ -111,11 +111,12 @@
 @run
 async def test_sigterm_while_the_file_is_read_ends_it_before_it_listens(tmp_path):
     async with node_process(tmp_path, Server(), fifo=True, wait=False) as node:
-        writer = await trio.to_thread.run_sync(lambda: open(node.path, "wb"))  # it is being read from here on
+        # it is being read from here on
+        writer = await trio.to_thread.run_sync(lambda: open(node.config_path, "wb"))
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: _pending_taken(node.process.pid))
         with writer:
-            writer.write(json.dumps(node.told).encode())
+            writer.write(json.dumps(node.config).encode())
         status, _ = await ended(node)
         assert status == 0 and b"listening" not in node.log.read_bytes()
 
@@ -127,7 +128,7 @@
 
 
 @run
-async def test_sigterm_between_listening_and_heeding_signals_loses_nothing_that_was_taken(tmp_path):
+async def test_sigterm_between_listening_and_handling_signals_loses_nothing_that_was_accepted(tmp_path):
     code = (
         BEFORE
         + """
@@ -148,7 +149,7 @@
     async with node_process(tmp_path, known=False) as node:
         client = Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n")
         assert (await client.answer())[0] == 503
-        waiting = Client(node.port).send(message(node, "view", time_out="800m")[0])
+        waiting = Client(node.port).send(message(node, "view", timeout="800m")[0])
         node.process.send_signal(signal.SIGTERM)
         assert (await waiting.answer())[0] == 503
         status, took = await ended(node)
@@ -156,12 +157,12 @@
 
 
 @run
-async def test_a_second_sigterm_and_a_sighup_while_it_stops_end_nothing_early(tmp_path):
+async def test_a_second_sigterm_and_a_sighup_during_shutdown_end_nothing_early(tmp_path):
     server, go = Server(), trio.Event()
     server.on = {"read": lambda _: go.wait()}
     async with node_process(tmp_path, server, nodes=2) as node:
-        client = Client(node.port).send(message(node, "place", body="b", time_out="900m")[0])
-        await wait_until(lambda: server.got)
+        client = Client(node.port).send(message(node, "place", body="b", timeout="900m")[0])
+        await wait_until(lambda: server.requests)
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
         node.process.send_signal(signal.SIGHUP)
@@ -176,7 +177,7 @@
 
 
 @run
-async def test_a_signal_in_its_very_last_moment_does_not_spoil_the_exit_status(tmp_path):
+async def test_a_signal_at_the_very_end_does_not_change_the_exit_status(tmp_path):
     code = (
         BEFORE
         + """
@@ -197,7 +198,7 @@
 
 
 @run
-async def test_a_connection_that_comes_as_the_listener_closes_is_not_left_in_its_queue(tmp_path):
+async def test_a_connection_that_arrives_as_the_listener_closes_is_not_left_in_its_queue(tmp_path):
     """One comes in the last moment before the close, after the queue was emptied."""
     code = (
         BEFORE
@@ -225,7 +226,7 @@
 
 
 @run
-async def test_connections_taken_last_are_shut_with_the_others_or_answered(tmp_path):
+async def test_connections_accepted_last_are_closed_with_the_others_or_answered(tmp_path):
     """Two come before the queue is emptied for the last time, one silent. Their tasks begin after that."""
     code = (
         BEFORE
@@ -284,7 +285,7 @@
 
 
 @run
-async def test_resting_clients_are_ended_by_a_stop_and_half_requests_are_read_to_their_end(tmp_path):
+async def test_idle_clients_are_closed_by_a_shutdown_and_half_requests_are_read_to_their_end(tmp_path):
     server = Server()
     async with node_process(tmp_path, server, nodes=2) as node:
         resting, half = Client(node.port), Client(node.port)
@@ -303,7 +304,7 @@
 
 
 @run
-async def test_a_slow_reader_of_an_answer_that_was_begun_before_the_stop_is_let_go_after_it(tmp_path):
+async def test_a_slow_reader_of_a_response_begun_before_the_shutdown_is_closed_after_it(tmp_path):
     body = b"x" * 400_000
     server = Server(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
     code = (
@@ -318,8 +319,8 @@
     async with node_process(tmp_path, server, code=code, nodes=2, deadline=2.0) as node:
         client = Client(node.port)
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
-        client.send(message(node, "place", body="b", time_out="2000m")[0])
-        await wait_until(lambda: server.got)
+        client.send(message(node, "place", body="b", timeout="2000m")[0])
+        await wait_until(lambda: server.requests)
         await trio.sleep(0.2)  # its answer fills what the client does not read
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
@@ -332,32 +333,32 @@
 
 
 @run
-async def test_after_sighup_the_new_list_counts_though_the_old_one_spoke_last(tmp_path):
+async def test_after_sighup_the_new_list_counts_though_the_old_service_answered_last(tmp_path):
     servers = [Server(), Server(name="t")]
     old = ListService(lambda request: None)
     new = ListService(
         lambda request: (
             None
             if b"after" in request
-            else list_response(3, {"id": "t", "addr": servers[1].place}, full=True)
+            else list_response(3, {"id": "t", "addr": servers[1].address}, is_full=True)
         )
     )
     async with node_process(tmp_path, *servers, discovery=old) as node, trio.open_nursery() as nursery:
         nursery.start_soon(new.run)
-        node.path.write_text("{")
+        node.config_path.write_text("{")
         node.process.send_signal(signal.SIGHUP)
         await wait_until(lambda: b"event=not-reloaded" in node.log.read_bytes())
-        node.path.write_text(json.dumps(node.told | {"discovery": new.place}))
+        node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         node.process.send_signal(signal.SIGHUP)
-        await wait_until(lambda: any(b"after=3&" in one for one in new.got))
-        before = len(servers[0].got)
+        await wait_until(lambda: any(b"after=3&" in one for one in new.requests))
+        before = len(servers[0].requests)
         for _ in range(10):
             assert (await Client(node.port).send(message(node, "view")[0]).answer())[0] == 200
-        assert len(servers[0].got) == before
+        assert len(servers[0].requests) == before
         nursery.cancel_scope.cancel()
 
 
-def test_a_restarted_node_is_ready_at_once_and_says_so(tmp_path):
+def test_a_restarted_node_is_ready_at_once_and_logs_it(tmp_path):
     """Nine in ten have to be ready within 10 s: here from the start of the process to the first answer."""
 
     async def tell():
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -3,16 +3,25 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
 from wheatroute import system
+from wheatroute.commands.exit_status import exit_with_error
 from wheatroute.commands.fleet import fleet
 from wheatroute.commands.rig import rig
 from wheatroute.commands.rollout import rollout
 from wheatroute.commands.settings import settings
 
+if TYPE_CHECKING:
+    from wheatroute.config.settings import Settings
+    from wheatroute.net.log import Logger
+    from wheatroute.processor.discovery import WorkerDiscovery
+    from wheatroute.processor.dispatcher import Dispatcher
+    from wheatroute.processor.worker import SettingsFollower
+    from wheatroute.processor.worker_settings import WorkerSettings
+
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(package_name="wheatroute")
@@ -38,35 +47,45 @@
 @click.option("--descriptor", type=int, default=-1, hidden=True, help="accept on this open listener")
 def processor(file: str, worker: int | None, descriptor: int) -> None:
     """The external processor that FILE describes: other proxies ask it where to send."""
-    from wheatroute.processor import service
+    from wheatroute.processor import program
+
+    if worker is None:
+        sys.exit(program.run(file, _follow_agreement))
+    sys.exit(program.run_worker(file, worker, descriptor, follow=_follow_agreement))
 
-    def follow(*parts: Any) -> Any:
-        from wheatroute.agreement import processor as agreement  # off unless the file names a place
 
-        return agreement.follow(*parts)
+def _follow_agreement(
+    settings: Settings,
+    worker: int,
+    own: WorkerSettings,
+    dispatcher: Dispatcher,
+    discovery: WorkerDiscovery,
+    log: Logger,
+) -> SettingsFollower:
+    # imported here: a file without [agreement] does not pay for it
+    from wheatroute.agreement import processor as agreement
 
-    if worker is None:
-        sys.exit(service.run(file, follow))
-    sys.exit(service.serve(file, worker, descriptor, follow=follow))
+    return agreement.follow(settings, worker, own, dispatcher, discovery, log)
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
     """Checks FILE whole and says what is wrong, a line each; exit status 2 if anything is."""
-    from wheatroute import config
+    from wheatroute.config import settings_file
     from wheatroute.tls import ServerContext, TlsError
 
     try:
-        told = config.read(file)
-        if told.processor is not None and (tls := told.processor.tls) is not None:
+        checked = settings_file.read(file)
+        if checked.processor is not None and (tls := checked.processor.tls) is not None:
             ServerContext(tls.certificate, tls.key, tls.client_authorities)
-    except (config.ConfigError, TlsError) as trouble:
-        told_by = "" if isinstance(trouble, config.ConfigError) else f"{file}: processor.tls: "
-        click.echo(f"{told_by}{trouble}", err=True)
-        sys.exit(2)
-    front = "processor" if told.processor is not None else "no front"
-    click.echo(f"{file}: good: {len(told.pools)} pools, {len(told.traffic_types)} request classes, {front}")
+    except settings_file.ConfigError as error:
+        exit_with_error(str(error))
+    except TlsError as error:
+        exit_with_error(f"{file}: processor.tls: {error}")
+    front = "processor" if checked.processor is not None else "no front"
+    counts = f"{len(checked.pools)} pools, {len(checked.request_classes)} request classes"
+    click.echo(f"{file}: good: {counts}, {front}")
 
 
 @main.command()
@@ -82,14 +101,13 @@
     from wheatroute.rollout.supervisor_settings import read_supervisor_settings
 
     try:
-        told = read_supervisor_settings(file)
-        trio.run(run_supervisor, told, open_log(f"supervisor-{told.name}"))
-    except (SupervisorSettingsError, BaseExceptionGroup) as trouble:
-        found = first_error(trouble)
+        own = read_supervisor_settings(file)
+        trio.run(run_supervisor, own, open_log(f"supervisor-{own.name}"))
+    except (SupervisorSettingsError, BaseExceptionGroup) as error:
+        found = first_error(error)
         if not isinstance(found, SupervisorSettingsError | VersionStoreError):
             raise
-        click.echo(str(found), err=True)
-        sys.exit(2)
+        exit_with_error(str(found))
 
 
 if __name__ == "__main__":
