--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -34,7 +34,7 @@
         )
         it.faults.heal("p1", "store")
         await it.versions.wait_until_agreed(number)
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {
+        assert {row.name for row in (await it.versions.status()).processes} == {
             "n0",
             "p0-0",
             "p0-1",
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -397,8 +397,8 @@
         await it.wait_until(
             lambda: 'phase="in force" version=1' in double.log, "the second one was confirmed"
         )
-        rows = [row for row in (await it.versions.status())["processes"] if row["name"] == "n1"]
-        assert len(rows) == 2 and all(row["doubled"] for row in rows)
+        rows = [row for row in (await it.versions.status()).processes if row.name == "n1"]
+        assert len(rows) == 2 and all(row.is_duplicate for row in rows)
         number = await it.versions.put("a change", look__effect="fragile")
         assert await it.versions.wait_for_outcome(number) == "in force" and "joint=2" in double.log
 
@@ -447,7 +447,7 @@
         await repeated(it, "n1")
         links = {name: link.connection_count for name, link in it.links.items() if "etcd" in name}
         assert links and all(name.startswith("relay-") for name in links)  # nobody else reads etcd
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {
+        assert {row.name for row in (await it.versions.status()).processes} == {
             "n0",
             "n1",
             "n2",
@@ -483,7 +483,7 @@
         it.processes["n2"].send_signal(15)
         await it.wait_until(lambda: not it.processes["n2"].is_alive, "it has ended")
         assert it.processes["n2"].exit_status == 0
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {"n0", "n1"}
+        assert {row.name for row in (await it.versions.status()).processes} == {"n0", "n1"}
 
 
 def test_without_the_table_a_node_loads_none_of_it_and_has_one_thread_and_no_child():
@@ -540,8 +540,8 @@
         )
         it.etcd.send_command("set", member=0, silent=False)
         assert all(
-            row["list_revision"] > 1 and row["list_source"] == "etcd 1"
-            for row in (await it.versions.status())["processes"]
+            row.list_revision > 1 and row.list_source == "etcd 1"
+            for row in (await it.versions.status()).processes
         )
         # counted by their keys, whatever number the settings have
         assert all(
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -50,7 +50,7 @@
         self.path, self.store, self.place = path, store, place
 
     async def rows(self):
-        return (await operator.agreement_status(DirectoryStore(str(self.store))))["processes"]
+        return (await operator.agreement_status(DirectoryStore(str(self.store)))).processes
 
     async def put(self, **effects):
         """Puts the file with other effects, as an operator does; waits until both workers act on it."""
@@ -66,7 +66,7 @@
         )
         assert done.returncode == 0, done.stdout + done.stderr
         number = int(done.stdout.split()[1])
-        while not [row["version"] for row in await self.rows() if row["phase"] == "in force"] == [number] * 2:
+        while not [row.version for row in await self.rows() if row.phase == "in force"] == [number] * 2:
             await trio.sleep(0.02)
 
     async def decided(self, *what, **how):
@@ -82,7 +82,7 @@
     while len(await workers.rows()) < 2:
         await trio.sleep(0.02)
     await workers.put()
-    assert {row["name"] for row in await workers.rows()} == {"wheatroute-0", "wheatroute-1"}
+    assert {row.name for row in await workers.rows()} == {"wheatroute-0", "wheatroute-1"}
     for n in range(6):  # on connections of their own, so at both workers
         assert await workers.decided(f"safe-{n}", VIEW)
         assert await workers.decided(f"safe-{n}", VIEW, 2)
--- /dev/null
+++ b/wheatroute/agreement/agreement_status.py
@@ -0,0 +1,77 @@
+"""What an operator sees of an agreement: its versions, and what each process acts on. No I/O."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any
+
+import msgspec
+
+from wheatroute.agreement.member_status import IN_FORCE, MemberStatus
+
+STALE_STATUS_S = 10.0  # the process of an older status may have ended
+
+
+class ProcessState(msgspec.Struct, frozen=True, kw_only=True):
+    """What one process acts on; the keys are those of `--json`."""
+
+    name: str
+    incarnation: str = msgspec.field(name="start")
+    version: int
+    joint_version: int = msgspec.field(name="joint")
+    phase: str
+    record: int  # the last one that it has applied
+    confirmed_ago_s: float
+    list_source: str
+    list_revision: int
+    unusable_version: int = msgspec.field(name="refuses")
+    reason: str
+    is_duplicate: bool = msgspec.field(name="doubled")  # another process has its name
+
+
+class AgreementStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """The active and the pending version, and all processes; the keys are those of `--json`."""
+
+    active: int = msgspec.field(name="in_force")
+    pending: int = msgspec.field(name="under_way")
+    record: int  # the last one in the store
+    processes: list[ProcessState]
+
+    @property
+    def is_settled(self) -> bool:
+        """Whether no version is pending and every live process acts on the active one."""
+        live = [process for process in self.processes if process.confirmed_ago_s < STALE_STATUS_S]
+        return not self.pending and all(
+            process.phase == IN_FORCE and process.version == self.active for process in live
+        )
+
+    def to_document(self) -> dict[str, Any]:
+        """Return what `--json` prints."""
+        document: dict[str, Any] = msgspec.to_builtins(self)
+        return document
+
+
+def process_states(statuses: Sequence[MemberStatus], unix_time: float) -> list[ProcessState]:
+    """Return the states of all processes by name and incarnation."""
+    names = [status.name for status in statuses]
+    states = [_process_state(status, unix_time, names.count(status.name) > 1) for status in statuses]
+    return sorted(states, key=lambda state: (state.name, state.incarnation))
+
+
+def _process_state(status: MemberStatus, unix_time: float, is_duplicate: bool) -> ProcessState:
+    version, joint_version = status.versions
+    list_source, list_revision = status.server_list
+    return ProcessState(
+        name=status.name,
+        incarnation=status.incarnation,
+        version=version,
+        joint_version=joint_version,
+        phase=status.phase,
+        record=status.applied_record,
+        confirmed_ago_s=round(max(0.0, unix_time - status.written_at), 3),
+        list_source=list_source,
+        list_revision=list_revision,
+        unusable_version=status.unusable_version,
+        reason=status.reason,
+        is_duplicate=is_duplicate,
+    )
--- a/wheatroute/agreement/member_status.py
+++ b/wheatroute/agreement/member_status.py
@@ -9,6 +9,7 @@
 from wheatroute.agreement.documents import parse
 
 StoredStatus = dict[str, Any]  # a status as a store keeps it
+CONSERVATIVE, JOINT, IN_FORCE = "careful", "joint", "in force"  # phases of a process, as printed
 
 
 class MemberStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -35,8 +36,8 @@
     def phase(self) -> str:
         """What the process acts on, as printed."""
         if self.is_conservative:
-            return "careful"
-        return "joint" if self.versions[1] else "in force"
+            return CONSERVATIVE
+        return JOINT if self.versions[1] else IN_FORCE
 
     def to_stored(self) -> StoredStatus:
         """Return the document for the store."""
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -15,6 +15,7 @@
 
 import trio
 
+from wheatroute.agreement.agreement_status import AgreementStatus, process_states
 from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.errors import (
     ConflictError,
@@ -34,7 +35,6 @@
 STORE_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
 MAX_APPEND_ATTEMPTS = 5  # at a store that does not say whether a record was appended
-STALE_STATUS_S = 10.0  # the process of an older status may have ended
 
 
 def store_from_url(url: str, timeout_s: float = 1.0) -> VersionStore:
@@ -160,39 +160,13 @@
     return (await read_history(store)).versions[number]
 
 
-async def agreement_status(store: VersionStore) -> dict[str, Any]:
-    """Return the active and the pending version, and the status of each process, as printed with `--json`."""
+async def agreement_status(store: VersionStore) -> AgreementStatus:
+    """Return the active and the pending version, and what each process acts on."""
     history = await read_history(store)
-    statuses, unix_time = [parse_status(one) for one in await store.statuses()], time.time()
-    names = [status.name for status in statuses]
-    processes = [
-        {
-            "name": status.name,
-            "start": status.incarnation,
-            "version": status.versions[0],
-            "joint": status.versions[1],
-            "phase": status.phase,
-            "record": status.applied_record,
-            "confirmed_ago_s": round(max(0.0, unix_time - status.written_at), 3),
-            "list_source": status.server_list[0],
-            "list_revision": status.server_list[1],
-            "refuses": status.unusable_version,
-            "reason": status.reason,
-            "doubled": names.count(status.name) > 1,
-        }
-        for status in statuses
-    ]
-    return {
-        "in_force": history.active,
-        "under_way": history.pending,
-        "record": history.head,
-        "processes": sorted(processes, key=lambda process: (process["name"], process["start"])),
-    }
-
-
-def is_settled(status: dict[str, Any]) -> bool:
-    """Whether no version is pending and every live process acts on the active one."""
-    live = [process for process in status["processes"] if process["confirmed_ago_s"] < STALE_STATUS_S]
-    return not status["under_way"] and all(
-        process["phase"] == "in force" and process["version"] == status["in_force"] for process in live
+    statuses, unix_time = [parse_status(document) for document in await store.statuses()], time.time()
+    return AgreementStatus(
+        active=history.active,
+        pending=history.pending,
+        record=history.head,
+        processes=process_states(statuses, unix_time),
     )
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -6,6 +6,7 @@
 import time
 from typing import Any
 
+from wheatroute.agreement.agreement_status import AgreementStatus
 from wheatroute.agreement.errors import InvalidInputError
 from wheatroute.agreement.join_rules import JoinRule
 from wheatroute.agreement.setting_differences import differences
@@ -22,23 +23,21 @@
     ]
 
 
-def status_lines(status: dict[str, Any]) -> list[str]:
+def status_lines(status: AgreementStatus) -> list[str]:
     """Format the result of `operator.agreement_status`."""
-    head = f"version {status['in_force']} in force" if status["in_force"] else "no version in force"
-    lines = [head + (f", {status['under_way']} under way" if status["under_way"] else "")]
+    head = f"version {status.active} in force" if status.active else "no version in force"
+    lines = [head + (f", {status.pending} under way" if status.pending else "")]
     rows = [["process", "phase", "version", "joint", "confirmed", "list", "reason"]]
-    for process in status["processes"]:
-        reason = process["reason"] + (" (two of this name)" if process["doubled"] else "")
-        server_list = (
-            f"{process['list_source']}@{process['list_revision']}" if process["list_source"] else "-"
-        )
+    for process in status.processes:
+        reason = process.reason + (" (two of this name)" if process.is_duplicate else "")
+        server_list = f"{process.list_source}@{process.list_revision}" if process.list_source else "-"
         rows.append(
             [
-                process["name"],
-                process["phase"],
-                str(process["version"]),
-                str(process["joint"] or "-"),
-                f"{process['confirmed_ago_s']:.1f} s ago",
+                process.name,
+                process.phase,
+                str(process.version),
+                str(process.joint_version or "-"),
+                f"{process.confirmed_ago_s:.1f} s ago",
                 server_list,
                 reason.strip(),
             ]
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import sys
-from typing import Any
+from typing import TYPE_CHECKING
 
 import click
 
@@ -16,6 +16,9 @@
 )
 from wheatroute.rollout.errors import PlanError
 
+if TYPE_CHECKING:
+    from wheatroute.rollout.rollout_status import RolloutStatus
+
 POLL_INTERVAL_S = 1.0
 NOT_ENDED_STATUS = 3  # it was taken back, or is not over
 PHASES_NOT_WAITED_FOR = ("ended", "none", "held")
@@ -56,11 +59,11 @@
     shows_progress = not as_json and sys.stdout.isatty()
     status = _wait_for_end(url, wait_s, shows_progress)
     _print_status(status, as_json)
-    has_succeeded = status["phase"] == "ended" and not status["reason"]
+    has_succeeded = status.phase == "ended" and not status.reason
     sys.exit(NOT_ENDED_STATUS if wait_s and not has_succeeded else 0)
 
 
-def _wait_for_end(url: str, wait_s: float, shows_progress: bool) -> dict[str, Any]:
+def _wait_for_end(url: str, wait_s: float, shows_progress: bool) -> RolloutStatus:
     """Returns the status of the rollout once it has ended or is held, or after the time."""
     import time
 
@@ -68,8 +71,8 @@
 
     deadline = time.monotonic() + wait_s
     while True:
-        status = run_with_store(url, operator.rollout_status)
-        if status["phase"] in PHASES_NOT_WAITED_FOR or time.monotonic() >= deadline:
+        status = run_with_store(url, operator.read_status)
+        if status.phase in PHASES_NOT_WAITED_FOR or time.monotonic() >= deadline:
             return status
         if shows_progress:
             click.clear()
@@ -77,12 +80,14 @@
         time.sleep(POLL_INTERVAL_S)
 
 
-def _print_status(status: dict[str, Any], as_json: bool) -> None:
+def _print_status(status: RolloutStatus, as_json: bool) -> None:
     import json
 
     from wheatroute.rollout import operator_output
 
-    click.echo(json.dumps(status) if as_json else "\n".join(operator_output.status_lines(status)))
+    click.echo(
+        json.dumps(status.to_document()) if as_json else "\n".join(operator_output.status_lines(status))
+    )
 
 
 @rollout.command("log")
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -18,6 +18,7 @@
 )
 
 if TYPE_CHECKING:
+    from wheatroute.agreement.agreement_status import AgreementStatus
     from wheatroute.agreement.version_store import VersionStore
     from wheatroute.agreement.versions import Version
 
@@ -123,14 +124,16 @@
     """A row a process: phase, version, confirmed how long ago, why it holds back."""
     import json
 
-    from wheatroute.agreement import operator, operator_output
+    from wheatroute.agreement import operator_output
 
     status = run_with_store(url, lambda store: _wait_until_settled(store, wait_s))
-    click.echo(json.dumps(status) if as_json else "\n".join(operator_output.status_lines(status)))
-    sys.exit(0 if operator.is_settled(status) or not wait_s else NOT_IN_FORCE_STATUS)
+    click.echo(
+        json.dumps(status.to_document()) if as_json else "\n".join(operator_output.status_lines(status))
+    )
+    sys.exit(0 if status.is_settled or not wait_s else NOT_IN_FORCE_STATUS)
 
 
-async def _wait_until_settled(store: VersionStore, wait_s: float) -> dict[str, Any]:
+async def _wait_until_settled(store: VersionStore, wait_s: float) -> AgreementStatus:
     """Returns the status once all processes act on the active version, or after the time."""
     import time
 
@@ -141,7 +144,7 @@
     deadline = time.monotonic() + wait_s
     while True:
         status = await operator.agreement_status(store)
-        if operator.is_settled(status) or time.monotonic() >= deadline:
+        if status.is_settled or time.monotonic() >= deadline:
             return status
         await trio.sleep(operator.POLL_INTERVAL_S)
 
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -11,6 +11,7 @@
 import trio
 
 from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.agreement_status import AgreementStatus, ProcessState
 from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.versions import History
 from wheatroute.rig.options import RigOptions
@@ -105,8 +106,8 @@
                 known.state = outcomes[-1]
                 known.ended_at = known.ended_at or time.monotonic()
 
-    async def status(self) -> dict[str, Any]:
-        """The versions and the status of each process, as the command line prints them as JSON."""
+    async def status(self) -> AgreementStatus:
+        """The versions and what each process acts on."""
         async with self._backend.operator_store() as store:
             return await operator.agreement_status(store)
 
@@ -122,7 +123,7 @@
             for name in names or self._options.names
             for status_name in self._options.status_names(name)
         ]
-        statuses: dict[str, dict[str, Any]] = {}
+        statuses: dict[str, ProcessState] = {}
         with trio.move_on_after(timeout_s):
             while True:
                 with suppress(*STORE_ERRORS):
@@ -132,11 +133,11 @@
                 await trio.sleep(POLL_INTERVAL_S)
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
-    async def _newest_statuses(self) -> dict[str, dict[str, Any]]:
+    async def _newest_statuses(self) -> dict[str, ProcessState]:
         """The status of each process by name; of several processes of a name the one confirmed last."""
-        processes = (await self.status())["processes"]
-        return {one["name"]: one for one in sorted(processes, key=lambda one: -one["confirmed_ago_s"])}
+        processes = (await self.status()).processes
+        return {one.name: one for one in sorted(processes, key=lambda one: -one.confirmed_ago_s)}
 
 
-def _acts_on(status: dict[str, Any] | None, number: int) -> bool:
-    return status is not None and status["phase"] == IN_FORCE and status["version"] == number
+def _acts_on(status: ProcessState | None, number: int) -> bool:
+    return status is not None and status.phase == IN_FORCE and status.version == number
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -8,7 +8,6 @@
 
 import getpass
 import time
-from typing import Any
 
 import trio
 
@@ -26,6 +25,7 @@
 from wheatroute.rollout.plan import Plan
 from wheatroute.rollout.progress import RolloutProgress
 from wheatroute.rollout.records import HoldStep, ResumeStep, RollBackStep, StartStep, Step
+from wheatroute.rollout.rollout_status import RolloutStatus, rollout_status
 from wheatroute.rollout.statuses import SupervisorStatus
 
 RETRY_INTERVAL_S = 0.1
@@ -115,41 +115,7 @@
     raise StoreUnavailableError("others were ahead")
 
 
-async def rollout_status(store: VersionStore) -> dict[str, Any]:
-    """Return the last rollout with its nodes and findings, as printed with `--json`."""
-    progress, documents = await read_progress(store), await store.statuses()
-    supervisors = statuses.supervisor_statuses(documents)
-    # a controller that died may have left findings on an earlier record
-    analysing = [
-        controller
-        for controller in statuses.controller_statuses(documents)
-        if controller.findings and controller.applied_record == progress.head
-    ]
-    plan = progress.plan
-    nodes = [
-        {"name": name, "stage": stage.name, "target": progress.target(name)}
-        | _supervisor_fields(supervisors.get(name))
-        for stage in (plan.stages if plan else ())
-        for name in stage.nodes
-    ]
-    return {
-        "rollout": progress.number,
-        "name": plan.name if plan else "",
-        "phase": str(progress.phase),
-        "stage": plan.stages[progress.stage].name if plan and progress.stage >= 0 else "",
-        "reason": progress.reason,
-        "nodes": nodes,
-        "findings": analysing[0].findings if analysing else [],
-    }
-
-
-def _supervisor_fields(supervisor: SupervisorStatus | None) -> dict[str, Any]:
-    """Return what a node's supervisor says, as printed with `--json`."""
-    if supervisor is None:
-        return {"runs": "", "changing": False, "trouble": "no supervisor", "crashes": 0}
-    return {
-        "runs": supervisor.program,
-        "changing": supervisor.is_changing,
-        "trouble": supervisor.trouble,
-        "crashes": supervisor.crashes,
-    }
+async def read_status(store: VersionStore) -> RolloutStatus:
+    """Return the last rollout with its nodes and findings."""
+    progress = await read_progress(store)
+    return rollout_status(progress, await store.statuses())
--- a/wheatroute/rollout/operator_output.py
+++ b/wheatroute/rollout/operator_output.py
@@ -2,35 +2,34 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from wheatroute.agreement.operator_output import table
 from wheatroute.rollout.progress import RolloutProgress
 from wheatroute.rollout.records import step_fields
+from wheatroute.rollout.rollout_status import RolloutStatus
 
 LOGGED_FIELDS = ("by", "how", "mixed", "reason", "stage", "why")  # by their stored keys, in this order
 
 
-def status_lines(status: dict[str, Any]) -> list[str]:
-    """Format the result of `operator.rollout_status`."""
-    if not status["rollout"]:
+def status_lines(status: RolloutStatus) -> list[str]:
+    """Format the result of `operator.read_status`."""
+    if not status.rollout:
         return ["no rollout yet"]
-    head = f"rollout {status['rollout']}, {status['name']}: {status['phase']}"
-    head += f" ({status['stage']})" if status["stage"] else ""
-    head += f": {status['reason']}" if status["reason"] else ""
+    head = f"rollout {status.rollout}, {status.name}: {status.phase}"
+    head += f" ({status.stage})" if status.stage else ""
+    head += f": {status.reason}" if status.reason else ""
     rows = [["node", "stage", "runs", "is to run", "", "trouble"]]
-    for node in status["nodes"]:
+    for node in status.nodes:
         rows.append(
             [
-                node["name"],
-                node["stage"],
-                node["runs"] or "-",
-                node["target"] or "-",
-                "changes" if node["changing"] else "",
-                node["trouble"],
+                node.name,
+                node.stage,
+                node.program or "-",
+                node.target or "-",
+                "changes" if node.is_changing else "",
+                node.trouble,
             ]
         )
-    return [head, *table(rows), *status["findings"]]
+    return [head, *table(rows), *status.findings]
 
 
 def log_lines(progress: RolloutProgress) -> list[str]:
