--- a/tests/processor/processor_harness.py
+++ b/tests/processor/processor_harness.py
@@ -11,7 +11,7 @@
 from wheatroute.grpc.server import listen
 from wheatroute.processor.processing_messages import METHOD_PATH
 from wheatroute.processor.worker import Worker
-from wheatroute.standin.proxy import destination, request_headers, response_headers
+from wheatroute.standin.ext_proc_messages import destination, request_headers, response_headers
 
 # the numbers of the settings' request classes
 VIEW, AMEND, PLACE = 0, 1, 2
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -34,7 +34,7 @@
             assert await request.decision() == "127.0.0.1:7000"
             list_servers(worker, 2, server_entry(state="terminating"), is_full=False)
             await request.respond(200)
-        assert await route(channel, "r2", time_out=0.2) == 503  # all servers are gone: told, and in time
+        assert await route(channel, "r2", timeout_s=0.2) == 503  # all servers are gone: told, and in time
         list_servers(worker, 3, server_entry(port=7009))
         assert await route(channel, "r3") == "127.0.0.1:7009"  # and at its new address
 
