--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -3,13 +3,14 @@
 import time
 
 import trio
-from test_processes import MIX, WITHIN, first_version, kept, repeated, rough, story
+from async_scenarios import scenario
+from test_processes import MIX, WITHIN, first_version, kept, repeated, rough
 
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.rig import running_rig
 
 
-@story
+@scenario
 async def test_nodes_and_processors_agree_though_a_processor_is_cut_off_through_a_change():
     async with running_rig(RigOptions(nodes=1, processors=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -33,7 +34,7 @@
         )
         it.faults.heal("p1", "store")
         await it.versions.wait_until_agreed(number)
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {
+        assert {row.name for row in (await it.versions.status()).processes} == {
             "n0",
             "p0-0",
             "p0-1",
@@ -43,7 +44,7 @@
         await kept(it, repeats=2, served=100)
 
 
-@story
+@scenario
 async def test_a_processor_and_its_workers_that_stood_still_over_a_change_repeat_nothing():
     async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
         rough(it)
@@ -73,7 +74,7 @@
         await kept(it, served=60)
 
 
-@story
+@scenario
 async def test_a_processor_that_is_killed_with_its_workers_holds_nothing_up_and_comes_back_into_line():
     async with running_rig(RigOptions(nodes=1, processors=2, bound_s=WITHIN)) as it:
         rough(it)
@@ -89,7 +90,7 @@
         await kept(it, served=60)
 
 
-@story
+@scenario
 async def test_a_drain_that_the_nodes_list_tells_is_kept_by_a_processor_whose_list_is_silent():
     async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -1,6 +1,6 @@
 """Several nodes, each a process, with a fault between them that none is told of, judged from outside.
 
-Each story waits for what happens. A bound is looked up in the records, never waited out and hoped for.
+Each test waits for what happens. A bound is looked up in the records, never waited out and hoped for.
 """
 
 import os
@@ -10,6 +10,7 @@
 
 import pytest
 import trio
+from async_scenarios import scenario
 
 from wheatroute.rig import verdict
 from wheatroute.rig.options import RigOptions
@@ -21,14 +22,6 @@
 MIX = {"look": 0.6, "change": 0.2, "buy": 0.2}
 
 
-def story(tell):
-    def run():
-        trio.run(tell)
-
-    run.__name__ = tell.__name__
-    return run
-
-
 def rough(it):
     """Servers that end a tenth of what they have run without an answer: that is what repeats come of."""
     for server in it.servers.values():
@@ -105,7 +98,7 @@
     trio.run(through_a_change, store, way)
 
 
-@story
+@scenario
 async def test_a_process_that_stood_still_over_a_change_looks_at_the_clock_first():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -136,7 +129,7 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_from_effects_to_none_nobody_repeats_before_all_are_at_joint():
     async with running_rig(
         RigOptions(
@@ -165,19 +158,19 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_what_can_be_used_at_one_place_only_never_comes_into_force_and_says_where():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.faults.kill("n1")
-        told = it.files.read_node_file("n1")
-        told["settings"]["tick"] = 0.01
-        it.files.write_node_file("n1", told)
+        document = it.files.read_node_file("n1")
+        document["settings"]["tick"] = 0.01
+        it.files.write_node_file("n1", document)
         await it.faults.start("n1")
         number = await it.versions.put("the first")
         state = await it.versions.wait_for_outcome(number)
         assert state.startswith("withdrawn: n1: tick: changes with a restart only")
         it.faults.kill("n1")
-        it.files.write_node_file("n1", told | {"settings": told["settings"] | {"tick": 0.005}})
+        it.files.write_node_file("n1", document | {"settings": document["settings"] | {"tick": 0.005}})
         await it.faults.start("n1")
         await first_version(it)
 
@@ -218,7 +211,7 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_two_of_three_members_gone_or_one_that_lies_behind_hold_nothing_up():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -229,7 +222,7 @@
         await it.versions.wait_until_agreed(number)
 
 
-@story
+@scenario
 async def test_a_store_put_back_to_an_older_backup_takes_nobody_back():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -251,7 +244,7 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_another_cluster_in_the_place_of_the_first_confirms_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -268,7 +261,7 @@
         )
 
 
-@story
+@scenario
 async def test_of_two_operators_at_once_one_is_told_and_neither_is_lost():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -294,7 +287,7 @@
         assert history.versions[2].state == "replaced by 3" and history.active == 3
 
 
-@story
+@scenario
 async def test_a_put_whose_answer_is_lost_is_put_once_and_its_operator_hears_of_it():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
@@ -318,7 +311,7 @@
         assert len((await it.versions.read_history()).versions) == 2
 
 
-@story
+@scenario
 async def test_a_program_that_dies_while_it_puts_leaves_a_whole_version_or_none():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -334,7 +327,7 @@
             await it.versions.wait_until_agreed((await it.versions.read_history()).active)
 
 
-@story
+@scenario
 async def test_a_hundred_puts_in_ten_seconds_end_with_the_last_one_everywhere():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -350,7 +343,7 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_a_node_that_starts_in_the_middle_of_a_change_counts_from_its_first_act_on():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
@@ -373,7 +366,7 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_a_node_that_starts_while_the_store_is_away_serves_carefully_and_repeats_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -396,7 +389,7 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_two_processes_of_one_name_both_count_and_are_told_of():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
@@ -404,13 +397,13 @@
         await it.wait_until(
             lambda: 'phase="in force" version=1' in double.log, "the second one was confirmed"
         )
-        rows = [row for row in (await it.versions.status())["processes"] if row["name"] == "n1"]
-        assert len(rows) == 2 and all(row["doubled"] for row in rows)
+        rows = [row for row in (await it.versions.status()).processes if row.name == "n1"]
+        assert len(rows) == 2 and all(row.is_duplicate for row in rows)
         number = await it.versions.put("a change", look__effect="fragile")
         assert await it.versions.wait_for_outcome(number) == "in force" and "joint=2" in double.log
 
 
-@story
+@scenario
 async def test_a_version_that_all_can_use_and_that_is_wrong_is_taken_back_within_the_stated_time():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         it.start_load(40, {"look": 1.0})
@@ -445,7 +438,7 @@
         )
 
 
-@story
+@scenario
 async def test_a_machine_with_one_reader_agrees_like_the_others_and_is_careful_without_it():
     async with running_rig(RigOptions(nodes=3, store="relay", bound_s=WITHIN)) as it:
         rough(it)
@@ -454,7 +447,7 @@
         await repeated(it, "n1")
         links = {name: link.connection_count for name, link in it.links.items() if "etcd" in name}
         assert links and all(name.startswith("relay-") for name in links)  # nobody else reads etcd
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {
+        assert {row.name for row in (await it.versions.status()).processes} == {
             "n0",
             "n1",
             "n2",
@@ -483,23 +476,23 @@
         await kept(it, repeats=2)
 
 
-@story
+@scenario
 async def test_a_process_that_ends_holds_no_change_up():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         await first_version(it)
         it.processes["n2"].send_signal(15)
         await it.wait_until(lambda: not it.processes["n2"].is_alive, "it has ended")
         assert it.processes["n2"].exit_status == 0
-        assert {row["name"] for row in (await it.versions.status())["processes"]} == {"n0", "n1"}
+        assert {row.name for row in (await it.versions.status()).processes} == {"n0", "n1"}
 
 
 def test_without_the_table_a_node_loads_none_of_it_and_has_one_thread_and_no_child():
     async def run():
         async with running_rig(RigOptions(nodes=1, bound_s=WITHIN)) as it:
-            told = it.files.read_node_file("n0")
-            del told["agreement"]
+            document = it.files.read_node_file("n0")
+            del document["agreement"]
             it.faults.kill("n0")
-            it.files.write_node_file("n0", told)
+            it.files.write_node_file("n0", document)
             await it.faults.start("n0")
             pid = it.processes["n0"].pid
             assert len(os.listdir(f"/proc/{pid}/task")) == 1
@@ -511,8 +504,8 @@
         "import wheatroute.__main__, sys; print([one for one in sys.modules"
         " if any(part in one for part in ('agreement', 'rfc8785', 'wheatroute.rig', 'rollout'))])"
     )
-    told = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
-    assert told.stdout.strip() == "[]"
+    result = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
+    assert result.stdout.strip() == "[]"
 
 
 def test_the_rig_says_what_it_waited_for_and_ends_what_it_started():
@@ -530,7 +523,7 @@
         os.kill(pids[0], 0)
 
 
-@story
+@scenario
 async def test_a_node_follows_its_servers_in_etcd_and_keeps_drains_through_its_faults():
     async with running_rig(RigOptions(nodes=2, store="etcd", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -547,8 +540,8 @@
         )
         it.etcd.send_command("set", member=0, silent=False)
         assert all(
-            row["list_revision"] > 1 and row["list_source"] == "etcd 1"
-            for row in (await it.versions.status())["processes"]
+            row.list_revision > 1 and row.list_source == "etcd 1"
+            for row in (await it.versions.status()).processes
         )
         # counted by their keys, whatever number the settings have
         assert all(
@@ -558,7 +551,7 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_a_list_that_was_put_back_undoes_no_drain_and_is_followed_again_later():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -585,7 +578,7 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_another_cluster_with_lower_numbers_takes_no_server_from_a_node_that_agrees():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -613,11 +606,11 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_words_among_nodes_that_get_lost_repeated_late_and_out_of_order_break_nothing():
-    told = with_changes(DEFAULT_SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
-    told["allowed"]["peers"] = True
-    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, settings=told, peers=True)) as it:
+    settings = with_changes(DEFAULT_SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
+    settings["allowed"]["peers"] = True
+    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, settings=settings, peers=True)) as it:
         it.start_load(40, MIX)
         for one, other in (("n0", "n1"), ("n0", "n2"), ("n1", "n2")):
             it.faults.impair(one, other, lose=0.3, repeat=0.3, reorder=0.3, delay=0.05)
@@ -634,7 +627,7 @@
         await kept(it, served=100)
 
 
-@story
+@scenario
 async def test_a_group_that_narrows_is_kept_to_within_the_stated_time():
     async with running_rig(RigOptions(nodes=3, servers=6, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
@@ -651,7 +644,7 @@
         await kept(it, repeats=5)
 
 
-@story
+@scenario
 async def test_a_drain_is_not_undone_by_an_older_backup_of_the_store():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
@@ -691,7 +684,7 @@
     assert wrong.returncode == 2 and "steps.0.do" in wrong.stderr
 
 
-@story
+@scenario
 async def test_a_request_class_and_a_tenant_come_and_go_while_nodes_serve():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(30, {"look": 1.0})
@@ -716,7 +709,7 @@
         await kept(it)
 
 
-@story
+@scenario
 async def test_a_node_that_only_flaps_holds_no_change_up():
     async with running_rig(RigOptions(nodes=3, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
