--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -28,12 +28,12 @@
 place = tuple(config["listen"].split(":")) if config else os.environ["PLACE"].split(":")
 place = place[0], int(place[1])
 
-def ask(limit=5.0, name=b"c1"):
+def ask(limit=5.0, name=b"c1", timeout=b"900m"):
     sock = socket.socket()
     sock.settimeout(limit)
     sock.connect(place)
     sock.sendall(b"GET /view/1 HTTP/1.1\\r\\nHost: b\\r\\nRequest-Id: " + name
-                 + b"\\r\\nRequest-Timeout: 900m\\r\\n\\r\\n")
+                 + b"\\r\\nRequest-Timeout: " + timeout + b"\\r\\n\\r\\n")
     kept.append(sock)
     return sock
 
@@ -84,6 +84,7 @@
         finally:
             node.process.kill()
             node.process.wait()
+            print(node.log.read_text())  # shown for a test that fails
             nursery.cancel_scope.cancel()
 
 
@@ -263,7 +264,7 @@
                         b"Request-Timeout: 900m\\r\\n\\r\\n")
 step(Connection, "is_reusable", after=asked)
 def listening(*_):
-    ask(name=b"c1")
+    ask(name=b"c1", timeout=b"4000m")  # on a laden machine the loop may begin late
 step(Downstream, "__init__", after=listening)
 first = Downstream._close_answered_clients
 def stop(self):
@@ -275,7 +276,7 @@
 """
     )
     server = Server()
-    async with node_process(tmp_path, server, code=code, nodes=2) as node:
+    async with node_process(tmp_path, server, code=code, nodes=2, deadline=4.0) as node:
         await wait_until(lambda: server.ids == [b"c1"])
         node.process.send_signal(signal.SIGTERM)
         status, _ = await ended(node)
