--- a/tests/agreement/test_version_adapter.py
+++ b/tests/agreement/test_version_adapter.py
@@ -57,10 +57,8 @@
             "settings.traffic-types.look.effect: is none of retryable, dedup, fragile: 'nice' (and 1 more)",
         ),
     ):
-        assert (
-            adapter_of().check(9, {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)})
-            == line
-        )
+        content = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)}
+        assert adapter_of().check(9, content) == line
     assert adapter_of().check(9, {"other": {}}).startswith("a version has the parts settings and file")
 
 
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -6,11 +6,11 @@
 import time
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import trio
 
 from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.agreement_status import AgreementStatus, ProcessState
 from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.versions import History
 from wheatroute.rig.options import RigOptions
@@ -22,7 +22,6 @@
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S
 
 POLL_INTERVAL_S = 0.02
-Status = dict[str, Any]  # as `operator.agreement_status` gives it
 STORE_ERRORS = (VersionStoreError, trio.TooSlowError)
 
 
@@ -108,8 +107,8 @@
                 published.state = outcomes[-1]
                 published.ended_at = published.ended_at or time.monotonic()
 
-    async def status(self) -> Status:
-        """The versions and the status of each process, as the command line prints them as JSON."""
+    async def status(self) -> AgreementStatus:
+        """The versions and what each process acts on."""
         async with self._backend.operator_store() as store:
             return await operator.agreement_status(store)
 
@@ -125,7 +124,7 @@
             for name in names or self._options.names
             for status_name in self._options.status_names(name)
         ]
-        statuses: dict[str, Status] = {}
+        statuses: dict[str, ProcessState] = {}
         with trio.move_on_after(timeout_s):
             while True:
                 with suppress(*STORE_ERRORS):
@@ -135,11 +134,11 @@
                 await trio.sleep(POLL_INTERVAL_S)
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
-    async def _newest_statuses(self) -> dict[str, Status]:
+    async def _newest_statuses(self) -> dict[str, ProcessState]:
         """The status of each process by name; of several processes of a name the one confirmed last."""
-        processes = (await self.status())["processes"]
-        return {one["name"]: one for one in sorted(processes, key=lambda one: -one["confirmed_ago_s"])}
+        processes = (await self.status()).processes
+        return {one.name: one for one in sorted(processes, key=lambda one: -one.confirmed_ago_s)}
 
 
-def _acts_on(status: Status | None, number: int) -> bool:
-    return status is not None and status["phase"] == IN_FORCE and status["version"] == number
+def _acts_on(status: ProcessState | None, number: int) -> bool:
+    return status is not None and status.phase == IN_FORCE and status.version == number
