--- a/wheatroute/cluster/errors.py
+++ b/wheatroute/cluster/errors.py
@@ -1,7 +1,16 @@
 """Error kinds, and the table from kind to HTTP response.
 
-A kind says whether the request can have run. Statuses 408, 421, 429 and 503 promise that it never ran and
-never will; 502 and 504 promise nothing. The values of `ErrorKind` are sent in response bodies and logged.
+A kind says whether the request can have run. What a status promises depends on who sends it:
+
+- An edge node promises by 408, 429 and 503 that a client's request never ran and never will, as it does by
+  400, 401, 404, 413 and 431, which reject the request itself. 500, 502 and 504 promise nothing. (421, which
+  has no kind here, makes the same promise in a server's response; see `edge.attempt`.)
+- A control node promises by `NOT_PRIMARY` and `STORAGE` that a change was not begun. `NO_QUORUM` (503) is
+  also sent for a change that was begun and may still be applied, and `CHANGE_FORGOTTEN` (503) for one that
+  may have been applied before. After `NO_QUORUM` a change may be sent again unchanged: one that was applied
+  is recognized as long as its digest is remembered (`control.changes`).
+
+The values of `ErrorKind` are sent in response bodies and logged.
 """
 
 from __future__ import annotations
@@ -38,7 +47,11 @@
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """The response to a kind; `retry_after_s` is the `Retry-After` header in seconds, 0 for none."""
+    """The response to a kind; `retry_after_s` is the `Retry-After` header in seconds, 0 for none.
+
+    `may_have_run` is for those who read or extend the table: whether a client's request may have run. No code
+    reads it; the edge role chooses the kind by `ClientRequest.may_have_run`.
+    """
 
     status: int
     reason: str
--- a/wheatroute/control/committed_configuration.py
+++ b/wheatroute/control/committed_configuration.py
@@ -15,6 +15,9 @@
 class CommittedConfiguration:
     """The newest committed state with its sequence, and the versions that edge nodes may have.
 
+    Only a leader commits, so this is current on a node that leads and serves alone (`Leadership`). On a
+    replica it is empty, or what the node committed when it last led, which may be stale.
+
     `sequence` is `NOT_COMMITTED` until the first commit, and again once this node has ceased to lead: the
     next commit of the same document then counts as a new one.
     """
@@ -56,7 +59,7 @@
         return True
 
     def end_term(self) -> None:
-        """This node doesn't lead any more."""
+        """Forgets the sequence, as this node leads no more; the state stays, and is stale from now on."""
         self.sequence = NOT_COMMITTED
 
     def is_newer_than(self, request: UpdateRequest) -> bool:
--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -1,9 +1,11 @@
 """Whether this control node leads, and what it tells callers if it doesn't.
 
-A primary has two grounds to act. By its lease (`can_acknowledge`) it may answer what nothing older can be
-taken by: heartbeats, quotas, updates for edge nodes that have a configuration. Every final response besides
-needs the confirmation of a majority that is asked from then on: a primary that was deposed without knowing it
-doesn't get that.
+A primary acts on one of two grounds:
+
+- Its lease (`can_acknowledge`) is enough for heartbeats of servers, quotas, and updates for edge nodes that
+  have a configuration: those take nothing older than what they have, even from a primary that was deposed.
+- Every other final response needs the confirmation of a majority that is asked from then on
+  (`require_confirmation`): a primary that was deposed without knowing it doesn't get that.
 """
 
 from __future__ import annotations
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -21,7 +21,9 @@
 
 SLACK_FRACTION = 0.35  # of the quota rule's slack, which is the capacity of the excess bucket
 EXCESS_FRACTION = 0.25  # of the excess rate that the quota rule allows beyond the limit
-MISSING_NODES = "missing nodes"  # key of the common reserve for nodes that have not reported to this primary
+# In place of a node's name, the key of the common reserve for nodes that have not reported to this primary:
+# their names are unknown.
+MISSING_NODES = "missing nodes"
 LEVELS_VALID_S = 2.0  # age of the levels of the primary before, up to which the rate since then is added
 INITIAL_LEVEL = 0.4  # of the limit's bucket, where nothing is known of recent grants
 
@@ -78,7 +80,11 @@
     # the beginning of a primary's term
 
     def begin_term(self, now: float, node_count: int, window_s: float) -> None:
-        """A primary begins to lead after one that counted so many edge nodes; usage is counted by window."""
+        """Begins a primary's term.
+
+        `node_count` is how many edge nodes the primary before counted; `window_s` is how far back the recent
+        usage goes that nodes report to this one, in seconds.
+        """
         self._term_began, self._expected_nodes, self._window_s = now, node_count, window_s
 
     def restore(self, levels: dict[str, BucketLevels], age_s: float = inf) -> None:
@@ -115,7 +121,9 @@
             return
         self._nodes_accounted.add(report.node)
         if report.recent_usage_span_s < self._window_s:
-            self._expected_nodes = 0  # what the node's process before that one used is unknown
+            # The process started within the window, and what the one before it used is unknown: the reports
+            # never become complete, so initial tokens are not raised (`_correct_initial_tokens`).
+            self._expected_nodes = 0
         for buckets in self._tenants.values():
             buckets.release(MISSING_NODES)  # reserved anew for the nodes that are still missing
         for name, demand in report.tenants.items():
@@ -169,7 +177,7 @@
         `known_fraction` is the fraction of all nodes whose demand is known.
         """
         buckets = self._tenants.get(tenant)
-        if buckets is None:
+        if buckets is None:  # the tenant has no limit here: the node may know an older configuration
             return QuotaGrant(demand.wanted)
         buckets.refill(now)
         buckets.charge(node, demand)
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -58,6 +58,7 @@
     # replication
 
     def _on_commit(self, document: Document) -> None:
+        """Takes over a committed document; only a leader's core emits `Committed`, so never on a replica."""
         if not self.configuration.commit(document):
             return
         self.state.quotas.configure(self.configuration.tenants, asyncio.get_running_loop().time())
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -49,7 +49,10 @@
 
 
 class Reserve:
-    """Tokens kept for a node that does not report, as it may be using them; up to when they are computed."""
+    """Tokens set aside for a node that does not report, as it may be using that many.
+
+    `updated_at` is the time up to which the tokens of its local rate are in them.
+    """
 
     __slots__ = ("tokens", "updated_at")
 
@@ -153,7 +156,10 @@
     # nodes that are isolated, or were
 
     def reserve(self, node: str, since: float, rate: float, burst: float, now: float) -> None:
-        """Reserves what a node without a report `since` then may be using: its local rate and burst."""
+        """Sets aside what a node that has not reported since `since` may be using, up to now.
+
+        That is `rate`, its local rate in tokens a second, and once `burst`, its local burst in tokens.
+        """
         reserve = self.reserves.get(node)
         if reserve is None:
             reserve = self.reserves[node] = Reserve(0.0, since)
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -143,6 +143,7 @@
             fields = dict(headers)
             if not self._is_own_response(fields, connection):
                 await self._skip_body(connection)
+                # h11 expects one response for each request, and needs the method to read the next one
                 connection.restart(request_head)
                 continue
             self.status, self.reason, self.headers = event.status_code, bytes(event.reason), headers
@@ -177,6 +178,7 @@
             raise MalformedError(0, "an answer without an end")
         outcome = self._classify(fields)
         if outcome != Outcome.ANSWERED or self.status >= MIN_SERVER_ERROR:
+            # the request may be sent again under its id, and a surplus copy of this response may follow here
             connection.answered_ids.add(self.request.id)
         self._pool.release(self.server, connection)
         self._connection = None
--- a/wheatroute/edge/delivery.py
+++ b/wheatroute/edge/delivery.py
@@ -45,7 +45,11 @@
 
     @property
     def has_retries_left(self) -> bool:
-        """Whether a request that may have run may be sent to one more server."""
+        """Whether a request that may have run may be sent to one more server.
+
+        `Route.retries` is the most servers that it may be sent to, the first included: with 1 it isn't sent
+        again.
+        """
         return self.route.idempotent and self.request.sent_attempts < self.route.retries
 
     @property
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -17,11 +17,17 @@
 QUEUE_TIMEOUT_FRACTION = 0.22  # of a route's latency target that a request may wait for a server
 MIN_QUEUE_TIMEOUT_S = 0.02
 QUEUE_POLL_INTERVAL_S = 0.02  # between two checks whether there is a server
-MAX_SENT_ATTEMPTS = 4  # of a request that waits, including those that provably never ran
+# Written attempts after which a request doesn't wait for a server any more. It is checked only when there is
+# no server to try, so it doesn't bound attempts while there is one. Those that servers rejected count;
+# connections that were never established don't.
+MAX_SENT_ATTEMPTS = 4
 
 
 class Dispatcher:
-    """All attempts of one node."""
+    """Finds servers for the requests of one node, and decides on hedges and retries.
+
+    The attempts themselves are run by `AttemptRunner`.
+    """
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
@@ -42,6 +48,8 @@
             if server is None:
                 self._check_queue_timeout(delivery, was_rejected)
                 await trio.sleep(QUEUE_POLL_INTERVAL_S)
+                # A server that has failed may be tried again: it may have recovered meanwhile. A request that
+                # must not be sent again doesn't come here (`_check_retry`).
                 delivery.attempted_ids.clear()
                 continue
             delivery.attempted_ids.add(server.id)
@@ -75,7 +83,7 @@
             return None
         service = request.table.services.get(request.service) if request.table is not None else None
         max_connections = service.max_conns if service is not None else 0
-        node.hedge_timer.delay_s(trio.current_time())  # updates the p95
+        node.hedge_timer.delay_s(trio.current_time())  # only to bring `p95_s` up to date
         node.selector.set_response_timeout(node.hedge_timer.p95_s)
         ranked = node.selector.rank(
             request.service, servers, request.prefix_key, request.prefix_blocks, delivery.target_s
--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -131,6 +131,8 @@
         """
         assert request.route is not None
         last_event_id = broken.splitter.last_event_id
+        # One server more than `Delivery.has_retries_left` allows: else no stream of a route with the default
+        # of 1 could be resumed.
         has_retries_left = request.sent_attempts <= request.route.retries
         may_resume = request.route.resume and last_event_id is not None and has_retries_left
         if not may_resume or not self._dispatcher.may_retry(request):
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -2,9 +2,9 @@
 
 Invariant: what the primary grants is taken out of the one bucket of the tenant, so the leases of all nodes
 sum to the rate limit. A node is isolated while it has no contact with a primary. It then uses the local rate
-and burst of its last grant, and an even share of what the operators' rule allows beyond the limit. It reports
-that usage to the next primary, which takes it out of the bucket. What is left of it can't be used while a
-primary answers.
+and burst of its last grant, and an even share of what the operators' rule allows beyond the limit: its local
+tokens. It reports their usage to the next primary, which takes it out of the bucket. Local tokens that are
+left over stay until the next isolation; they can't be used while a primary answers.
 """
 
 from __future__ import annotations
@@ -21,8 +21,9 @@
 DEMAND_WINDOW_S = 4.0  # over which the demand of a tenant's clients is measured
 MAX_LEASE_S = 0.4  # seconds of that demand that a lease may hold without returning it
 MAX_LOCAL_BURST_S = 2.0  # seconds of the local rate that an isolated node may save up
-LOCAL_RATE_TTL_S = 3.0  # after the last grant, for which its local rate is valid
-# of an even share of the rate limit, that a node uses which never had a grant
+LOCAL_RATE_TTL_S = 3.0  # greatest age of the last grant whose local rate is used; checked as isolation begins
+# of an even share of the rate limit, used while isolated without a valid local rate: there was no grant yet,
+# it was too old (LOCAL_RATE_TTL_S), or its local rate is 0
 DEFAULT_LOCAL_RATE_FRACTION = 0.5
 DEFAULT_LOCAL_BURST_S = 1.0  # seconds of that rate usable in advance, else a large request would never fit
 LOCAL_SLACK_FRACTION = 0.3  # of what the rule allows beyond the limit, that all isolated nodes use together
@@ -164,11 +165,17 @@
         lease.granted_tokens -= granted
         lease.local_tokens -= tokens - granted
         lease.isolated_usage += tokens - granted
+        # `record_demand` precedes each use: that was now, or just before a wait for a grant
         lease.usage.add(lease.demand_updated_at, tokens)
         return True
 
     def refund(self, tenant: str, tokens: float) -> None:
-        """Return tokens to the lease that a request used which never ran."""
+        """Return tokens to the lease that a request used which never ran.
+
+        Local tokens come back as granted ones too: they stay in `isolated_usage`, so the primary takes them
+        out of the bucket, as it does with a grant. The usage is taken back as of the tenant's last demand,
+        which is at or after the time of the charge.
+        """
         lease = self._lease(tenant)
         lease.granted_tokens += tokens
         lease.usage.add(lease.demand_updated_at, -tokens)
--- a/wheatroute/replication/commit.py
+++ b/wheatroute/replication/commit.py
@@ -12,9 +12,12 @@
 ) -> bool:
     """Whether the leader of `view` may commit a document that the nodes of `has_document` have on disk.
 
-    Every member has it, and so many that it outlives the loss of `tolerate` disks. `proposed` are the members
-    of the views that this leader has proposed, or is about to: one of those may be decided, now or by others
-    later, and any of its members may lead the view after it.
+    Every member has it, and so many that it outlives the loss of `tolerate` disks. Members are voters, so a
+    system with fewer than `tolerate + 1` voters (a single node, or one that others have yet to join) can't
+    have that many: there each voter must be a member, else it could never commit anything.
+
+    `proposed` are the members of the views that this leader has proposed, or is about to: one of those may be
+    decided, now or by others later, and any of its members may lead the view after it.
     """
     needed = min(tolerate + 1, len(view.voters))
     if len(view.members) < needed:
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -4,10 +4,11 @@
 has to carry out, in their order. `ReplicationCore` dispatches messages to the roles of the node: `Voter`
 (votes on the next view), `Proposer` (attempts to decide one), `Follower` and `Leader`.
 
-Invariants: a document is acknowledged once every member of the view has it on disk, and no fewer members than
-may be lost at once plus one. Only a majority of the voters changes a view, so a leader that was deposed can
-gather no acknowledgement: a member of the next view answers none for an older one. A process leads only the
-views that were decided for it (`View.incarnation`). `invariants` states what must hold after each input.
+Invariants: a document is acknowledged once every member of the view has it on disk, and there are at least
+`tolerate + 1` members (or as many as there are voters, if those are fewer; see `commit`). Only a majority of
+the voters changes a view, so a leader that was deposed can gather no acknowledgement: a member of the next
+view answers none for an older one. A process leads only the views that were decided for it
+(`View.incarnation`). `invariants` states what must hold after each input.
 
 Transitions: follower -> leader, when a view is decided whose primary this process is; leader -> follower,
 when another one is decided or no lease could be had for `timing.STEP_DOWN_TIMEOUT_S`.
@@ -112,7 +113,7 @@
         return self._leader.is_serving(now)
 
     def can_stop(self, now: float) -> bool:
-        """Whether nothing would be lost or without a majority by the end of this node, which is leaving."""
+        """Whether this node, which is leaving, may end without the loss of a document or of a majority."""
         if self.is_leading:
             return self._leader.can_stop
         has_role = self.identity in self.view.voters or self.identity in self.view.members
@@ -130,7 +131,7 @@
     # settings
 
     def add_hosts(self, hosts: tuple[str, ...]) -> None:
-        """There may be control nodes at these hosts."""
+        """Adds hosts at which there may be control nodes: the seeds of a changed settings file."""
         self._state.add_hosts(hosts)
 
     @property
@@ -145,7 +146,10 @@
     # inputs
 
     def tick(self, now: float) -> list[Effect]:
-        """Time has passed; called every few hundredths of a second."""
+        """Does the work that is due: saves, elections, and what the present role does periodically.
+
+        The replicator calls it every `replicator.TICK_INTERVAL_S`.
+        """
         self._state.now = now
         self._state.start_save()
         self._proposer.expire()
@@ -156,13 +160,13 @@
         return self._state.take_effects()
 
     def receive(self, now: float, sender: str, message: Message) -> list[Effect]:
-        """A message came from the node `sender`."""
+        """Handles a message of the node `sender`; the replicator calls it for each that a link receives."""
         self._state.now = now
         self._dispatch(sender, message)
         return self._state.take_effects()
 
     def saved(self, now: float) -> list[Effect]:
-        """The last `Save` is on disk."""
+        """Does what waited for the last `Save`, which is on disk now, and begins the next one."""
         self._state.now = now
         for action in self._state.record_writer.succeeded():
             action()
@@ -170,13 +174,13 @@
         return self._state.take_effects()
 
     def save_failed(self, now: float) -> list[Effect]:
-        """The last `Save` was rejected by the disk; what waited for it waits on."""
+        """Notes that the disk rejected the last `Save`: what waited for it waits for a later one."""
         self._state.now = now
         self._state.record_writer.failed(now)
         return self._state.take_effects()
 
     def rewrite_record(self, now: float) -> list[Effect]:
-        """The record on disk was found damaged: it is written anew from memory."""
+        """Writes the record anew from memory; called when the one on disk was found damaged."""
         self._state.now = now
         self._state.save()
         return self._state.take_effects()
@@ -197,7 +201,10 @@
         return self._state.take_effects()
 
     def leave(self, now: float) -> list[Effect]:
-        """This node is about to stop: a leader hands over, a follower notifies it at once; see `can_stop`."""
+        """Begins this node's departure: a leader hands over, a follower notifies the primary at once.
+
+        The replicator calls it before the process ends, and then waits for `can_stop`.
+        """
         self._state.now = now
         self._state.is_leaving = True
         if self.is_leading:
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -24,7 +24,10 @@
 
 
 class Follower:
-    """What one node does under the primary of the present view."""
+    """What one node does while it doesn't lead.
+
+    It exists beside the node's `Leader`, which may give its view up and follow again.
+    """
 
     def __init__(self, state: NodeState, proposer: Proposer, voter: Voter) -> None:
         self._state = state
@@ -34,6 +37,8 @@
         self._newest_heartbeat: Heartbeat | None = None  # of the present view's primary
         self._next_join_at = state.now
         self._next_lease_ended_at = state.now
+        # Shorter than later ones: when the whole system starts there is no primary to hear of. Where there is
+        # one it is safe too: not this timeout but the lease (`lease`) keeps others from being decided.
         self._election_timeout_s = (
             self._ranked_timeout_s() - timing.ELECTION_TIMEOUT_S + timing.STARTUP_ELECTION_TIMEOUT_S
         )
@@ -44,25 +49,34 @@
         return now - self._last_heartbeat_at
 
     def begin_view(self) -> None:
-        """A new view is known."""
+        """Awaits the primary of a view that was just learned; a release by the one before is void.
+
+        `core` calls it for each such view, also for one that this node leads.
+        """
         self.is_released = False
         self.await_heartbeat()
 
     def await_heartbeat(self) -> None:
-        """The election timeout begins anew, without a heartbeat so far."""
+        """Begins the election timeout anew, as if no heartbeat had come.
+
+        Called when a view begins, and by `core` when this node gives up the view that it led.
+        """
         self._last_heartbeat_at = self._state.now
         self._newest_heartbeat = None
         self._election_timeout_s = self._ranked_timeout_s()
 
     def tick(self) -> None:
-        """Time has passed."""
+        """Does what is due at a tick of `core`: join requests, the end of an own lease, an election."""
         state = self._state
         heartbeat_age_s = self.heartbeat_age_s(state.now)
+        # well before an election: an answer may name a newer view, whose primary this node then follows
         is_without_contact = self._newest_heartbeat is None or heartbeat_age_s > timing.ELECTION_TIMEOUT_S / 2
         if is_without_contact and state.now >= self._next_join_at:
             self._send_join_requests()
+        # this node has given up its lease, or the process before it led: voters wait for a lease that is void
         if state.view.primary == state.identity and state.now >= self._next_lease_ended_at:
             self._announce_lease_ended()
+        # while a lease binds this node's own vote, it most likely binds those of the others too
         if self._can_stand(heartbeat_age_s) and not self._voter.lease_remaining_s(state.view, state.identity):
             self._proposer.propose(self.choose_takeover)
 
@@ -77,16 +91,17 @@
         """Takes a document of the present view in, and acknowledges it once it is on disk."""
         state, document = self._state, message.document
         if document.version < state.document.version:
-            return
+            return  # overtaken by a newer one: the leader waits for that one alone
         ack = Replicated(message.view.epoch, document.version)
         if document == state.document and state.record_writer.version_on_disk == document.version:
+            # sent again, as the first acknowledgement was late or lost
             state.send(host_of(sender), ack)
             return
         state.document = document
         state.save(lambda: state.send(host_of(sender), ack))
 
     def announce_departure(self) -> None:
-        """Has the primary know at once that this node is leaving."""
+        """Tells the primary at once that this node is leaving, by one more answer to its last heartbeat."""
         heartbeat, view = self._newest_heartbeat, self._state.view
         if heartbeat is not None and heartbeat.view.epoch == view.epoch:
             self._state.send(host_of(view.primary), self._acknowledgement(heartbeat))
--- a/wheatroute/replication/leader.py
+++ b/wheatroute/replication/leader.py
@@ -1,8 +1,15 @@
 """A node while it leads: heartbeats, its lease, reads and writes, and changes of its view. No I/O.
 
-Invariants: a leader answers only while it has a lease (`lease`); a read is confirmed only by answers to a
-heartbeat that was sent after the read came; a write is acknowledged only once its document is committed. A
-leader without a lease for `timing.STEP_DOWN_TIMEOUT_S` gives its view up for good.
+Invariants:
+
+- A read or a write is begun only while this leader has a lease (`lease`) and a committed document.
+- A read is confirmed only by answers to a heartbeat that was sent after the read came.
+- A write is acknowledged by the commit of its document alone; the lease is not checked again. That is safe:
+  by then every member of the view, and of every view that attempts of this leader may have decided, has the
+  document on disk (`commit`), and only one of those members can lead next. A member that knows a later view
+  acknowledges nothing for this one (`core`).
+
+A leader without a lease for `timing.STEP_DOWN_TIMEOUT_S` gives its view up for good.
 """
 
 from __future__ import annotations
@@ -60,7 +67,7 @@
 
     @property
     def can_stop(self) -> bool:
-        """Whether nothing would be lost or without a majority by the end of this node."""
+        """Whether this node may end without the loss of a document or of the voters' majority."""
         others = [voter for voter in self._state.view.voters if voter != self._state.identity]
         return not others or self._state.identity in self._released
 
@@ -71,9 +78,10 @@
     # begin and end
 
     def start(self) -> None:
-        """Has every member take the present document over into this epoch, before anything else.
+        """Begins to lead the present view: every member first takes its document over into this epoch.
 
-        A leader that changed its own view goes on with the writes and reads that wait.
+        `core` calls it for each view that it learns whose primary is this process. A leader that changed its
+        own view goes on with the writes and reads that wait.
         """
         state = self._state
         if not state.is_leading:
@@ -87,7 +95,10 @@
         self._send_heartbeats()
 
     def stop(self) -> None:
-        """Another node leads, or none does: pending requests fail."""
+        """Ends the lead of this node, and fails the requests that wait.
+
+        `core` calls it for each view that it learns with another primary, and when it gives up its own view.
+        """
         self._state.is_leading = False
         self._documents.committed = None
         self._state.emit(*self._pending.fail_all())
@@ -102,7 +113,10 @@
     # inputs
 
     def tick(self) -> None:
-        """Time has passed."""
+        """Sends what is due: heartbeats, documents that are lacking, and a change of the view.
+
+        Called at each tick of `core`, and when this node begins to leave, while it leads.
+        """
         state = self._state
         if state.now >= self._next_heartbeat_at or self._pending.has_read_after(self._peers.newest_heartbeat):
             self._send_heartbeats()
@@ -134,7 +148,7 @@
             self._check_reads()
 
     def on_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
-        """A node has answered a heartbeat of the present view."""
+        """Notes a node's answer to a heartbeat of the present view: it may confirm reads, and commit."""
         state = self._state
         self._peers.on_heartbeat_ack(sender, ack, state.now)
         if ack.version == state.document.version and ack.digest not in (None, state.document_digest):
@@ -144,12 +158,15 @@
         self._documents.check_commit(state.document.version)
 
     def on_replicated(self, sender: str, ack: Replicated) -> None:
-        """A node has a document of the present view on disk."""
+        """Notes that a node has a document of the present view on disk, which may commit it."""
         self._peers.on_replicated(sender, ack, self._state.now)
         self._documents.check_commit(self._state.document.version)
 
     def on_join_request(self, sender: str) -> None:
-        """A node requests to join."""
+        """Notes that a node asks to join: from now on it is sent heartbeats and the document.
+
+        Once in sync it may become a voter and a member (`reconfiguration`).
+        """
         self._peers.get(sender).join_requested_at = self._state.now
 
     # heartbeats
@@ -178,7 +195,7 @@
     # changes of the view
 
     def _reconfigure(self) -> None:
-        """Proposes the view that this leader wants, if it is another one or the present one is in the way."""
+        """Proposes the view that this leader wants, or the present one again where that is needed."""
         wanted = self._wanted_view() or self._renewed_view()
         if wanted is not None:
             self._proposer.propose(lambda base, promised: wanted, frozenset(wanted.members))
@@ -191,7 +208,7 @@
         )
 
     def _renewed_view(self) -> View | None:
-        """The present view once more, where votes or attempts of before stand in this leader's way."""
+        """The present view once more, where earlier votes or attempts keep this leader from its work."""
         state = self._state
         others = [voter for voter in state.view.voters if voter != state.identity]
         is_any_withholding = any(not self._peers.get(voter).is_granting for voter in others)
--- a/wheatroute/replication/lease.py
+++ b/wheatroute/replication/lease.py
@@ -33,11 +33,11 @@
         self._ended: tuple[int, str] | None = None  # epoch and primary of the newest lease that was given up
 
     def renew(self, now: float) -> None:
-        """A heartbeat of the primary is answered."""
+        """Binds the vote for `GRANT_S` from now on; called when a heartbeat of the primary is answered."""
         self._bound_until = now + GRANT_S
 
     def end(self, epoch: int, primary: str) -> None:
-        """The primary of this epoch has given its lease up."""
+        """Frees the vote: the primary of this epoch has given its lease up."""
         self._ended = (epoch, primary)
 
     def remaining_s(self, now: float, base: View) -> float:
--- a/wheatroute/replication/node_state.py
+++ b/wheatroute/replication/node_state.py
@@ -85,7 +85,7 @@
     # other nodes
 
     def add_hosts(self, hosts: Iterable[str]) -> None:
-        """There may be control nodes at these hosts."""
+        """Adds hosts at which there may be control nodes."""
         self._hosts.update(hosts)
 
     def all_hosts(self) -> set[str]:
--- a/wheatroute/replication/peers.py
+++ b/wheatroute/replication/peers.py
@@ -66,15 +66,18 @@
         return self._peers[identity]
 
     def reset(self) -> None:
-        """A new leader knows nothing of anybody; its heartbeats go on being numbered."""
+        """Forgets all peers; a node that begins to lead calls it, as what it knew is of an earlier term.
+
+        The numbers of heartbeats go on, so that an answer to an earlier one grants no lease now.
+        """
         self._peers = {}
         self._heartbeat_sent_at = {}
 
     def assume_alive(self, view: View, now: float) -> None:
-        """Voters count as alive at first, so that none is replaced before it had time to answer.
+        """Adds the voters that are not known yet as alive, so that each has time to answer.
 
-        One that isn't even a member was unresponsive under an earlier leader, and has `RETURN_GRACE_S` to
-        answer.
+        The leader calls it as each of its views begins; without it voters would be replaced at once. One that
+        isn't even a member was unresponsive under an earlier leader, and has `RETURN_GRACE_S` to answer.
         """
         for voter in view.voters:
             if voter != self._own_identity and voter not in self._peers:
@@ -95,14 +98,14 @@
         return self._heartbeat_number
 
     def start_heartbeat(self, now: float) -> int:
-        """The number of a heartbeat that is sent now."""
+        """Returns the number of a heartbeat that is sent now, and notes the time: its lease begins then."""
         self._heartbeat_number += 1
         self._heartbeat_sent_at[self._heartbeat_number] = now
         self._heartbeat_sent_at.pop(self._heartbeat_number - MAX_HEARTBEATS_TRACKED, None)
         return self._heartbeat_number
 
     def on_heartbeat_ack(self, sender: str, ack: HeartbeatAck, now: float) -> None:
-        """An answer to a heartbeat of this leader's view has come."""
+        """Notes the state of the node that has answered a heartbeat of this leader's view, and its lease."""
         peer = self.get(sender)
         peer.last_answer_at = now
         peer.is_granting = ack.is_lease_granted
@@ -116,7 +119,7 @@
         peer.version = max(peer.version, ack.version)
 
     def on_replicated(self, sender: str, ack: Replicated, now: float) -> None:
-        """A document of this leader's view is on the sender's disk."""
+        """Notes that a document of this leader's view is on the sender's disk."""
         peer = self.get(sender)
         peer.version = max(peer.version, ack.version)
         peer.last_answer_at = now
--- a/wheatroute/replication/pending_requests.py
+++ b/wheatroute/replication/pending_requests.py
@@ -16,11 +16,11 @@
         self._reads: list[tuple[int, int]] = []
 
     def add_write(self, request: int, version: DocumentVersion) -> None:
-        """A write is done once the document of this version, or a later one, is committed."""
+        """Adds a write, which is done once the document of this version, or a later one, is committed."""
         self._writes.append((request, version))
 
     def add_read(self, request: int, heartbeat: int) -> None:
-        """A read is done once a majority has answered the heartbeat of this number, or a later one."""
+        """Adds a read, done once a majority has answered the heartbeat of this number, or a later one."""
         self._reads.append((request, heartbeat))
 
     def has_read_after(self, newest: int) -> bool:
@@ -28,19 +28,19 @@
         return any(heartbeat > newest for _, heartbeat in self._reads)
 
     def on_commit(self, committed: DocumentVersion) -> list[Effect]:
-        """A document is committed; returns the effects of the writes that are done by that."""
+        """Removes the writes that a commit of this version completes; returns their effects."""
         done = [request for request, version in self._writes if version <= committed]
         self._writes = [write for write in self._writes if write[1] > committed]
         return [WriteDone(request, True) for request in done]
 
     def on_answers(self, has_majority_answered: Callable[[int], bool]) -> list[Effect]:
-        """Heartbeats were answered; returns the effects of the reads that are done by that."""
+        """Removes the reads whose heartbeats a majority has answered; returns their effects."""
         done = [read for read in self._reads if has_majority_answered(read[1])]
         self._reads = [read for read in self._reads if read not in done]
         return [ReadDone(request, True) for request, _ in done]
 
     def fail_all(self) -> list[Effect]:
-        """This node no longer leads and will answer none of them; returns the effects that say so."""
+        """Removes all requests, as this node leads no more; returns the effects that fail them."""
         writes, self._writes = self._writes, []
         reads, self._reads = self._reads, []
         failed: list[Effect] = [WriteDone(request, False) for request, _ in writes]
--- a/wheatroute/replication/proposer.py
+++ b/wheatroute/replication/proposer.py
@@ -24,7 +24,10 @@
         self._proposal: Proposal | None = None
         self._next_attempt_at = state.now
         self._highest_number = state.acceptor.record.promised.number
+        # of each view that votes were requested for since the present one was decided; kept when an attempt
+        # is given up, since its view may have been decided, or may yet be by another node that completes it
         self._proposed_members: frozenset[str] = frozenset()
+        # of the view that the attempt under way will request votes for, unless a promise names another one
         self._planned_members: frozenset[str] = frozenset()
 
     @property
@@ -39,16 +42,23 @@
 
     @property
     def proposed_members(self) -> frozenset[str]:
-        """The members of all views for which votes were requested since the present one was decided."""
+        """The members of all views for which this node requested votes since the present one was decided."""
         return self._proposed_members
 
     @property
     def possible_members(self) -> frozenset[str]:
-        """The members of views that may be decided after the present one, by attempts of this node."""
+        """The proposed members and, during an attempt, the planned ones: a commit needs all of them.
+
+        A document that is committed during the attempt, before votes are requested, must be on the disks of
+        the planned ones too: any of them may lead once the view is decided.
+        """
         return self._proposed_members | self._planned_members if self.is_proposing else self._proposed_members
 
     def propose(self, choose: ChooseView, planned_members: frozenset[str] = frozenset()) -> None:
-        """Begins an attempt; `planned_members` are those of the view that `choose` will return, if known."""
+        """Begins an attempt; `planned_members` are those of the view that `choose` will return.
+
+        A leader gives them; a candidate has none to give, and commits nothing meanwhile.
+        """
         state = self._state
         self._highest_number += 1
         number = ProposalNumber(self._highest_number, state.identity, state.incarnation)
@@ -68,7 +78,10 @@
         self._proposal = None
 
     def on_view_decided(self, view: View) -> None:
-        """A view has been decided: attempts at an earlier one are over."""
+        """Ends an attempt at this view or an earlier one, and forgets the members proposed before.
+
+        `core` calls it for each view that it learns.
+        """
         if self._proposal is not None and self._proposal.base.epoch < view.epoch:
             self._proposal = None
         self._proposed_members = frozenset()
@@ -93,7 +106,7 @@
         return view
 
     def observe_number(self, number: ProposalNumber) -> None:
-        """Another node has used this number: the next one here is higher."""
+        """Notes a number that another node has used, so that the next one here is higher."""
         self._highest_number = max(self._highest_number, number.number)
 
     def on_rejected(self, sender: str, rejection: Rejected) -> None:
--- a/wheatroute/replication/record_writer.py
+++ b/wheatroute/replication/record_writer.py
@@ -30,7 +30,7 @@
         self._after_next: list[Action] = []
 
     def request(self, then: Action | None) -> None:
-        """The record has changed; `then` runs once it, or a later one, is on disk."""
+        """Asks for a write of the changed record; `then` runs once it, or a later one, is on disk."""
         if then is not None:
             self._after_next.append(then)
         self._has_changed = True
@@ -42,14 +42,14 @@
         return not self.has_failed or now >= self._retry_at
 
     def begin(self, now: float, version: DocumentVersion) -> None:
-        """A write begins, of a record whose document has this version."""
+        """Notes that a write begins, of a record whose document has this version."""
         self._has_changed = False
         self._after_this += self._after_next
         self._after_next = []
         self._write_started_at, self._version_in_write = now, version
 
     def succeeded(self) -> list[Action]:
-        """The write is on disk; returns the actions that waited for it."""
+        """Notes that the write is on disk; returns the actions that waited for it."""
         self._write_started_at = None
         self.has_failed = False
         self.version_on_disk = self._version_in_write
@@ -57,7 +57,7 @@
         return actions
 
     def failed(self, now: float) -> None:
-        """The disk rejected the write; the actions that waited for it wait for the next one."""
+        """Notes that the disk rejected the write; the actions that waited for it wait for the next one."""
         self._write_started_at = None
         self.has_failed = True
         self._retry_at = now + WRITE_RETRY_S
--- a/wheatroute/replication/replicator.py
+++ b/wheatroute/replication/replicator.py
@@ -115,7 +115,7 @@
         self._links.close()
 
     def apply_settings(self, settings: Settings) -> None:
-        """The settings file has changed: seeds, and how many nodes may be lost at once."""
+        """Applies a changed settings file: seeds, and how many nodes may be lost at once."""
         self._settings = settings
         self.core.add_hosts(settings.seed_hosts)
         self.core.tolerate = settings.tolerate.machines
--- a/wheatroute/replication/voter.py
+++ b/wheatroute/replication/voter.py
@@ -35,7 +35,7 @@
         self._answer(sender, request.base, lambda: self._state.acceptor.accept(request))
 
     def on_lease_ended(self, epoch: int, sender: str) -> None:
-        """The primary of this epoch has given its lease up."""
+        """Frees the vote of this node: the primary of this epoch has announced that its lease ended."""
         self._lease_grant.end(epoch, sender)
 
     def renew_lease(self, primary: str) -> bool:
