--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -17,11 +17,25 @@
     (Event.SETTINGS_CHANGED, settings, is_binding)
 
 Requests, servers, request classes, tenants and zones are small dense numbers that the host gives out;
-`tenant` is -1 where there is none. Attempts of a request are numbered from 0 in the order in which they are
-written. Times are in seconds. `report` is None or maps a name to a figure. Where a client of the host
-repeats a request by itself, `earlier` holds the attempts before this one (`EarlierAttempt`): they count as
-the request's first attempts. `work` is a hint of what the request costs, in any unit that is the same for all
-requests of its class; 0 without a hint.
+`tenant` is -1 where there is none. `attempt` numbers the attempts of a request from 0, in the order in which
+they are written. Durations are in seconds, moments in seconds on the clock of `now`. The other fields:
+
+- `time_left`: seconds until the request's deadline, as it arrives.
+- `is_repeated`: whether the client says that it has sent this request before.
+- `earlier`: where the host's client repeats a request by itself, the attempts before this one
+  (`EarlierAttempt`); they count as the request's first attempts.
+- `work`: a hint of what the request costs, in any unit that is the same for all requests of its class; 0
+  without a hint.
+- `elapsed`: seconds from the sending of the attempt or probe to its outcome.
+- `is_finished`: whether the request needs no further attempt: its client has a response, or is gone.
+- `report`: the server's load report, None or figures by name.
+- `entries`, `is_full`: a list of `ListEntry`; the full list, or else only what has changed in it.
+- `nodes`, `node`: how many nodes send to the same servers, and the index of this one, from 0.
+- `caution`: a divisor, 1 or more, of what this node sends to servers that warm up. It is above 1 while the
+  other nodes may not count this one.
+- `loads`: load by server, as in `CommandWriter.send_loads`.
+- `is_binding`: whether the new `settings` also rule requests that arrived before; else those keep the rules
+  under which they arrived.
 """
 
 from collections.abc import Mapping, Sequence
@@ -51,11 +65,13 @@
     SERVED = 0
     ERROR = 1  # the server answered with an error
     FULL = 2  # rejected by the server for want of capacity
-    TIMED_OUT = 3
-    UNCONNECTED = 4  # no connection could be opened
+    TIMED_OUT = 3  # after it was written completely; else MOOT
+    UNCONNECTED = 4  # no connection could be opened, or it broke before the request was written completely
     RESET = 5  # the connection broke
     WITHDRAWN = 6  # cancelled by this node
-    MOOT = 7  # never sent: the request had ended before
+    # Not written, or not completely, for a reason that says nothing of the server: the request had ended, the
+    # attempt was out of time or not allowed any more, or the host had no descriptor for a connection.
+    MOOT = 7
     UNKNOWN = 8
 
 
@@ -84,9 +100,10 @@
 
 
 EventFields = tuple[Any, ...]
-# server, zone, model, cell, state, size, start
+# server, zone, model, cell, state; size: the server's weight by the list, which no decision uses; start: when
+# its process started, 0 where that is unknown
 ListEntry = tuple[int, int, int, int, ServerState, float, float]
-EarlierAttempt = tuple[int, float, bool]  # server (-1: unknown), when it was sent, whether it may have run
+EarlierAttempt = tuple[int, float, bool]  # server (-1: unknown), moment of sending, whether it may have run
 Report = Mapping[str, float]
 EventBatch = Sequence[EventFields]
 
@@ -95,25 +112,35 @@
     """Takes the commands of a batch in the order in which they are to be carried out."""
 
     def attempt(self, request: int, server: int, time_out: float) -> None:
-        """Send the request to the server; a time-out of 0 lasts until the client leaves."""
+        """Send the request to the server, with a time-out in seconds; 0: until the client leaves.
+
+        It never lasts beyond the request's deadline.
+        """
 
     def cancel(self, request: int, n: int) -> None:
-        """Cancel one attempt of a request."""
+        """Cancel attempt number `n` of a request."""
 
     def reject(self, request: int, stay_away: float) -> None:
-        """Final answer: did not run and may be sent again, after `stay_away` seconds."""
+        """Final answer: the client may send it again unharmed, after `stay_away` seconds.
+
+        It did not run, or may run once more by the rules of its class (`retry_rules.may_reject`).
+        """
 
     def fail(self, request: int) -> None:
         """Final answer: failed, may have run."""
 
     def wake_at(self, moment: float) -> None:
-        """Call with `Event.TIMER_DUE` at this moment or later."""
+        """Call with `Event.TIMER_DUE` at this moment or later; in seconds on the clock of `now`."""
 
     def probe(self, server: int) -> None:
         """Probe a server."""
 
     def send_loads(self, figures: Mapping[int, float]) -> None:
-        """Send to all other nodes what these servers hold."""
+        """Send the load of these servers to all other nodes.
+
+        In requests that a server holds; where servers report what is queued and their rate, in seconds that a
+        request would wait (`LoadReports.take_report`).
+        """
 
     def watch(self, enable: bool) -> None:
         """Begin or end the stream of list changes."""
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -83,7 +83,7 @@
         self._state.servers.load[server] += self.load_of_request * weight
 
     def mark_full(self, server: int) -> None:
-        """A server that rejected an attempt as full is congested until its next report."""
+        """Counts a server that rejected an attempt as full as congested until its next report."""
         load = self._state.servers.load
         load[server] = max(load[server], CONGESTED_LOAD_RATIO * self.mean_load + 2 * self.load_of_request)
 
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -107,7 +107,10 @@
         servers.ejected_until[server] = self._state.now + servers.ejection_s[server]
 
     def pick_for_trial(self, request: Request) -> int:
-        """An ejected server whose time has come, for an idempotent request not sent before; -1 for none."""
+        """An ejected server that is due for a half-open trial with this request; -1 for none.
+
+        A request that was sent before is no trial, nor one that isn't idempotent unless its class allows it.
+        """
         can_trial = request.rules.can_trial
         if can_trial is None:
             can_trial = request.rules.idempotency == Idempotency.IDEMPOTENT
@@ -122,7 +125,7 @@
         return -1
 
     def pass_trial(self, server: int) -> None:
-        """A server was heard: an ejected one comes back unless it is far too slow."""
+        """Brings an ejected server back that has answered, unless it is far too slow."""
         servers = self._state.servers
         servers.is_on_trial[server] = False
         self._trials.reset_due_time()
@@ -134,7 +137,7 @@
             self._subset.update_soon()
 
     def fail_trial(self, server: int) -> None:
-        """An attempt failed: an ejected server on trial stays ejected, for longer."""
+        """Keeps a server ejected, for longer, whose half-open trial has failed."""
         servers = self._state.servers
         if servers.ejected_until[server] and servers.is_on_trial[server]:
             servers.is_on_trial[server] = False
--- a/wheatroute/balancing/request.py
+++ b/wheatroute/balancing/request.py
@@ -8,7 +8,13 @@
 
 
 class Request:
-    """A request that has no final answer yet, or attempts in flight. Moments are in seconds."""
+    """A request that has no final answer yet, or attempts in flight.
+
+    Moments are in seconds, on the clock of `Balancer.handle_events`. `target` is the moment up to which an
+    answer counts in full, `give_up_at` the one at which the request gets its final answer if it has none.
+    `value` is the class's, with the factors of `RequestAdmission.new_request`; unless answers count by their
+    work, it is divided by the mean latency of the class, so that it is a value a second.
+    """
 
     __slots__ = (
         "number",
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -54,7 +54,7 @@
         return request
 
     def add_earlier(self, request: Request, earlier: Sequence[EarlierAttempt]) -> None:
-        """What a client sent before, when it repeats a request by itself, counts as attempts."""
+        """Counts as attempts what a client sent before, where it repeats a request by itself."""
         for server, sent_at, may_have_run in earlier:
             if may_have_run and not request.may_have_run:
                 request.group = deduplication_group(request.rules, self._state.servers, server)
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -19,6 +19,8 @@
 from wheatroute.balancing.server_subset import ServerSubset
 
 RETRY_FRACTION = 0.1  # of the requests taken may be sent again after an attempt that may have run
+# Retries that may be saved up: one, and those for 2 * MIN_SAMPLES requests, as for hedges (`hedging`). The
+# cap keeps a long calm time from paying for a burst of retries.
 MAX_RETRY_CREDIT = 1.0 + RETRY_FRACTION * MIN_SAMPLES * 2
 
 
@@ -52,7 +54,7 @@
         earlier: Sequence[EarlierAttempt] = (),
         work: float = 0.0,
     ) -> None:
-        """A request came: it is sent, waits, or is ended at once."""
+        """Takes in a new request: sends it, has it wait, or ends it at once."""
         state = self._state
         request = self._admission.new_request(number, class_number, time_left, tenant, is_repeated, work)
         state.requests[number] = request
@@ -62,6 +64,7 @@
         if is_late or (earlier and not may_repeat(request, state.settings, state.now)):
             self._answers.finish(request)
             return
+        # a negative number tells this timer from that of a hedge (`Balancer._run_timers`)
         heappush(state.timers, (request.give_up_at, -number - 1, request))
         if not self._sender.send(request):
             (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
@@ -76,7 +79,7 @@
         is_finished: bool,
         report: Report | None,
     ) -> None:
-        """An attempt ended: its request ends with it, or is sent again."""
+        """Records how an attempt ended; its request ends with it, is sent again, or awaits other attempts."""
         request = self._state.requests.get(number)
         if request is None or n not in request.attempts_in_flight:
             return
@@ -111,7 +114,11 @@
             (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
 
     def resend_hanging(self, server: int, timeout_s: float) -> None:
-        """Sends again, elsewhere, what has been in flight for long at a server that hangs."""
+        """Sends again, elsewhere, what has been in flight for long at a server that hangs.
+
+        `PeriodicTasks` calls it for each server that it ejects as hanging; `timeout_s` is the time without an
+        answer after which one counts as such.
+        """
         state = self._state
         for (number, _), sent_at in list(state.servers.sent_at[server].items()):
             request = state.requests.get(number)
@@ -123,14 +130,17 @@
                 self._retry_credit -= 1.0
 
     def answer_started(self, number: int, n: int, server: int) -> None:
-        """A streamed answer belongs to the client from its first byte on: other attempts are cancelled."""
+        """Ends a request whose streamed answer has begun, and cancels its other attempts.
+
+        The client has the first byte of that answer, so no other can take its place.
+        """
         request = self._state.requests.get(number)
         if request is not None and n in request.attempts_in_flight:
             self._state.servers.answered_at[server] = self._state.now
             self._answers.close(request, n)
 
     def client_left(self, number: int) -> None:
-        """Nobody waits for the request any more."""
+        """Ends a request without an answer: nobody waits for it any more."""
         request = self._state.requests.get(number)
         if request is not None and not request.is_over:
             self._answers.close(request)
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -1,7 +1,8 @@
 """Whether a request may be sent again, and what its final answer may be. Pure functions; no I/O.
 
 A request that isn't idempotent runs at most once. One under a key may run again only where and while the
-servers drop the repeat: in the deduplication group of its first attempt, within the retry window.
+servers drop the repeat: in the deduplication group of its first attempt, within the retry window. The window
+is checked here, the group by `ServerSelection.may_send`, as each server is chosen.
 """
 
 from math import inf
@@ -21,7 +22,7 @@
 
 
 def may_repeat(request: Request, settings: DecisionSettings, now: float) -> bool:
-    """Whether any further attempt may be sent at all."""
+    """Whether any further attempt may be sent at all; `now` is in seconds."""
     if request.is_over or len(request.servers) >= settings.max_attempts:
         return False
     if request.attempts_in_flight and not settings.can_hedge:
@@ -34,12 +35,17 @@
 
 
 def rebind(request: Request, rules: RequestClass, servers: ServerStatistics) -> None:
-    """Binds a request to changed rules, also where it was sent under others."""
+    """Binds a request to changed rules, also where it was sent under others.
+
+    Called by `SettingsUpdates.settings_changed` for each request that binding settings find here.
+    """
     request.rules = rules
     groups = {deduplication_group(rules, servers, server) for server in request.servers}
     if len(groups) == 1:
         request.group = groups.pop()
-    elif groups:  # one group would take a repeat for new that another has run
+    elif groups:
+        # One group would run a repeat that another has run. With a first attempt infinitely long ago the
+        # retry window is over, so `may_repeat` allows no repeat under the key.
         request.first_sent_at = -inf
 
 
--- a/wheatroute/balancing/settings.py
+++ b/wheatroute/balancing/settings.py
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """Requests with common rules."""
+    """Requests with common rules; all durations are in seconds."""
 
-    target_latency: float = 0.0
-    stretch: float = 0.0
-    deadline: float = 0.0
+    target_latency: float = 0.0  # from the client's sending, up to which an answer has its full value
+    stretch: float = 0.0  # `aim-stretch` of the platform's settings; no decision uses it
+    deadline: float = 0.0  # from the client's sending, after which no answer counts
     value: float = 1.0  # of an answer within the target latency
     late_value: float = 0.0  # of one after it, as a fraction of `value`
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_group: DeduplicationGroup = DeduplicationGroup.CELL
-    retry_window: float = 0.0  # how long after a keyed request was first sent its repeat may come
+    retry_window: float = 0.0  # from the first sending of a keyed request, in which a repeat may come
     is_streamed: bool = False
     can_trial: bool | None = None  # whether its first attempt may be a half-open trial; None: if idempotent
     paths: Sequence[str] = ()
--- a/wheatroute/balancing/settings_updates.py
+++ b/wheatroute/balancing/settings_updates.py
@@ -37,7 +37,7 @@
             part.apply_settings()
 
     def settings_changed(self, settings: DecisionSettings, is_binding: bool) -> None:
-        """Requests taken before keep their own rules unless the new settings bind them too."""
+        """Puts other settings in force; requests taken before keep their rules unless `is_binding`."""
         state = self._state
         for request in state.requests.values() if is_binding else ():
             rebind(request, settings.request_classes[request.class_number], state.servers)
@@ -46,6 +46,6 @@
         self._subset.update()
 
     def nodes_counted(self, nodes: int, node: int, caution: float) -> None:
-        """Quotas, the subset of servers and the pace of trials follow the number of nodes."""
+        """Adapts quotas, the subset of servers and the pace of slow starts to the number of nodes."""
         self._slow_start.caution = caution
         self.settings_changed(replace(self._state.settings, nodes=nodes, node=node), False)
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -48,6 +48,7 @@
         }
 
     def _make_final_answers(self, state: NodeState, quotas: TenantQuotas) -> FinalAnswers:
+        """Makes the part that ends requests; a subclass in `fleet/loss_accounting.py` notes losses there."""
         return FinalAnswers(state, quotas)
 
     @property
@@ -64,6 +65,7 @@
             self._wake_at = inf
         handlers = self._handlers
         for event, *fields in events:
+            # `TIMER_DUE` has no handler, as timers run in every batch; events that aren't known are dropped
             if event in handlers:
                 handlers[event](*fields)
         if due_by >= membership.watch_at:
@@ -82,7 +84,7 @@
             moment, number, request = heappop(timers)
             if request.is_over:
                 continue
-            if number < 0:
+            if number < 0:  # the request's own time is up (`RequestLifecycle.arrived`); else a hedge is due
                 request.is_queued = False
                 components.answers.finish(request)
                 continue
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -1,8 +1,9 @@
 """Sends attempts to servers and finds their outcomes.
 
 Does I/O. An attempt is written at once on one connection, and checked by `SendRules` in the moment of the
-write and before each further piece. Its outcome says whether it may have run: never before its last byte
-was written, always after. Nothing is sent again here.
+write and before each further piece. Its outcome says whether it may have run: it can't have before its last
+byte was written, and may have after that, unless the server's response proves that it didn't
+(`Outcome.FULL`). Nothing is sent again here.
 """
 
 import h11
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -111,7 +111,7 @@
         )
 
     def abandon_request(self, exchange: Exchange) -> None:
-        """The client of an exchange has gone."""
+        """Ends an exchange whose client has gone, and adds that as an event."""
         if exchange.abandon():
             self._forget_if_finished(exchange)
             self.add_event(Event.CLIENT_LEFT, exchange.number)
@@ -119,7 +119,7 @@
     def finish_attempt(
         self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
     ) -> None:
-        """An attempt has its outcome, with the load report of its response if it had one."""
+        """Adds the outcome of an attempt as an event, with the load report of its response if it had one."""
         exchange.attempts_in_flight -= 1
         self._forget_if_finished(exchange)
         self.add_event(
--- a/wheatroute/net/client_connection.py
+++ b/wheatroute/net/client_connection.py
@@ -52,13 +52,13 @@
         self.scope.cancel()
 
     def begin_partial_request(self) -> None:
-        """Part of a request was received: sets the time for the rest; a first one counts from the accept."""
+        """Sets the time for the rest of a request of which part came; a first one counts from the accept."""
         self.has_partial_request = True
         if self.connection.message_count:
             self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S
         self.scope.deadline = self.request_deadline
 
     def finish_request(self) -> None:
-        """A complete request was received."""
+        """Ends the time for the rest of a request, which is complete."""
         self.has_partial_request = False
         self.scope.deadline = inf
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -47,11 +47,11 @@
         self._closed.set()
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """The client has no request open."""
+        """Notes that the client has no request open, as of now."""
         self._idle[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """The client has begun a request, or is about to be closed."""
+        """Notes that the client has begun a request, or is about to be closed."""
         self._idle.pop(client, None)
 
     def close_idle_client(self) -> None:
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -93,7 +93,7 @@
     # what was observed on connections
 
     def suspect_idle(self) -> None:
-        """A connection that had been idle was reset: others may be as dead, see `acquire_new`."""
+        """Notes that a connection was reset that had been idle: others may be dead too (`acquire_new`)."""
         self._idle_suspect_until = now() + self._idle_timeout_s
 
     def is_idle_suspected(self) -> bool:
@@ -101,7 +101,10 @@
         return now() < self._idle_suspect_until
 
     def suspect_surplus_input(self) -> None:
-        """Bytes were received that answer no request, or are no response: more of them may follow."""
+        """Notes that bytes came which answer no request, or are no response: more of them may follow.
+
+        Until that is unlikely, connections are reused after a delay (`REUSE_DELAY_S`).
+        """
         self._surplus_until = now() + self._idle_timeout_s
 
     # acquiring and releasing
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -33,21 +33,21 @@
     """Counts what becomes of requests, for rollouts."""
 
     def request_accepted(self, exchange: Exchange) -> None:
-        """A request was admitted."""
+        """Counts a request that was admitted."""
 
     def request_answered(self, exchange: Exchange, now: float) -> None:
-        """A request has its response."""
+        """Counts a request that has its response."""
 
     def request_rejected(self, exchange: Exchange) -> None:
-        """A request was rejected before it was admitted."""
+        """Counts a request that was rejected before it was admitted."""
 
     def client_left(self, exchange: Exchange, now: float) -> None:
-        """The client of a request has gone."""
+        """Counts a request whose client has gone."""
 
     def update_settings(
         self, names: dict[str, int], tenants: dict[str, int], kinds: Sequence[RequestClass]
     ) -> None:
-        """Other settings are in force."""
+        """Takes over other settings."""
 
 
 class Readiness(Protocol):
@@ -207,7 +207,7 @@
         return True
 
     def abandon(self, client: ClientConnection) -> None:
-        """The connection of a client is closed: its open request, if any, gets no response."""
+        """Drops the open request, if any, of a client whose connection is closed: it gets no response."""
         if client.exchange is None:
             return
         self._in_flight -= 1
--- a/wheatroute/net/server_entries.py
+++ b/wheatroute/net/server_entries.py
@@ -42,7 +42,7 @@
         self.numbers = ServerNumbers()
 
     def begin_list(self, is_full: bool) -> None:
-        """A list begins, or changes to it."""
+        """Prepares for the entries of a list, or of changes to it."""
         self.numbers.free_unused(self._servers.release)
         if is_full:
             self.numbers.mark_all_removed()
--- a/wheatroute/net/server_numbers.py
+++ b/wheatroute/net/server_numbers.py
@@ -41,15 +41,15 @@
         return number, is_reused
 
     def mark_removed(self, identity: str) -> None:
-        """A server is said to be removed."""
+        """Notes that the list says of a server that it is removed."""
         self._removed_since[identity] = now()
 
     def mark_present(self, identity: str) -> None:
-        """A server is on the list."""
+        """Notes that a server is on the list."""
         self._removed_since.pop(identity, None)
 
     def mark_all_removed(self) -> None:
-        """A full list begins: servers that it does not have are removed."""
+        """Marks all as removed, as a full list begins; those that it has are marked as present again."""
         self._removed_since = {
             identity: self._removed_since.get(identity, now()) for identity in self._numbers
         }
--- a/wheatroute/replication/soft_state.py
+++ b/wheatroute/replication/soft_state.py
@@ -51,14 +51,14 @@
         return [self._send(now, host, self._newest) for host in hosts if host != own_host]
 
     def receive(self, update: SoftStateUpdate) -> bool:
-        """A leader's soft state has come; true if it is newer than the one known here."""
+        """Takes over a leader's soft state if it is newer than the one known here; returns whether it is."""
         if (update.epoch, update.number) <= self.version:
             return False
         self._newest = update
         return True
 
     def on_ack(self, sender: str, ack: SoftStateAck) -> None:
-        """A node has acknowledged a soft state."""
+        """Notes that a node has acknowledged a soft state."""
         newest = self._acknowledged.get(sender, NO_SOFT_STATE)
         self._acknowledged[sender] = max(newest, SoftStateVersion(ack.epoch, ack.number))
 
--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -78,7 +78,7 @@
             return False
 
     def on_view_changed(self) -> None:
-        """A member whose acknowledgement is waited for may have left the view."""
+        """Wakes `wait_for_acks`, as a member whose acknowledgement it lacks may have left the view."""
         self._changed.set()
 
     # messages
@@ -97,7 +97,7 @@
             self._store_bucket_levels(update.payload)
 
     def on_ack(self, sender: str, ack: SoftStateAck) -> None:
-        """A node has acknowledged a soft state."""
+        """Notes an acknowledgement, and wakes what waits for it in `wait_for_acks`."""
         self._replicated.on_ack(sender, ack)
         self._changed.set()
 
