--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -42,8 +42,7 @@
             self.limit = initial
         # Rounded at random: many nodes that each round up would exceed what the servers can take. A node
         # with a small part of the traffic meets its requests in clusters and needs capacity for the deviation
-        # of their number, but not for good. What ejected servers would hold is not added to the load of the
-        # others.
+        # of their number, but not for good. What ejected servers would hold is not given to the others.
         limit = self.limit * self.healthy_fraction
         unused = max(0.0, 1.0 - self.mean_in_flight / limit)
         self.capacity = int(limit + 2.0 * unused * sqrt(limit) * fraction + rng.random())
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -49,8 +49,7 @@
         )
         self.reports_wait = {"queued", "rate"}.issubset(reported) and "held" not in reported
         self.reports_load = self.reports_wait or "held" in reported
-        # what one more request adds: at a lightly loaded server the class with the shortest target must be
-        # in time
+        # what one more request adds: at a lightly loaded server even the shortest target must be met
         self.load_of_request = 1.0
         if self.reports_wait:
             shortest = min(one.target_latency for one in settings.request_classes)
--- a/wheatroute/balancing/settings.py
+++ b/wheatroute/balancing/settings.py
@@ -77,8 +77,9 @@
     warmup_s: float = 0.0  # after its start a server is warming up for so long
     warmup_initial_share: float = 1.0  # of its capacity, at its start
     drain_grace_s: float = 0.0
-    overload_window_s: float = 0.0  # a server that warms up fails under `overload_multiple` times the usual
-    overload_multiple: float = 1.0  # rate for this long
+    # a server that warms up fails under `overload_multiple` times the usual rate for `overload_window_s`
+    overload_window_s: float = 0.0
+    overload_multiple: float = 1.0
     max_servers_per_tick: int | None = None  # with more servers a tick's work is spread over several batches
     request_classes: Sequence[RequestClass] = ()
     tenants: Sequence[TenantQuota] = ()
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -23,9 +23,8 @@
 from wheatroute.net.exchange import FAILED_STATUS, REJECTED_STATUS, Attempt, Exchange, Response
 from wheatroute.net.log import Logger
 
-RETRY_AFTER_FAULT_S = (
-    0.25  # until the next batch after an exception, in which the balancer may lose its timer
-)
+# until the next batch after an exception, in which the balancer may have lost its timer
+RETRY_AFTER_FAULT_S = 0.25
 
 
 class AttemptSender(Protocol):
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -19,9 +19,8 @@
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.server_table import ServerTable
 
-MAX_IDLE_RATIO = (
-    0.9  # of the time after which servers close idle connections, so that none is used at its end
-)
+# of the time after which servers close idle connections, so that none is used as its server closes it
+MAX_IDLE_RATIO = 0.9
 REUSE_DELAY_S = 0.02  # before a connection is reused while servers send surplus responses
 SWEEPS_PER_IDLE_TIME = 30.0
 MAX_SWEEP_INTERVAL_S = 1.0
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -22,8 +22,8 @@
 _TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])\Z")
 _UNITS_PER_SECOND = {b"m": 1e3, b"u": 1e6}
 
-# of a request class, while its form changes: the other forms that are accepted, and the class with strict
-# rules
+# By request class, while its form changes: the other forms that are accepted, and the number of the class
+# that has the strict rules.
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
@@ -133,7 +133,7 @@
         if form == effect or form not in forms:
             return request_class, effect
         # the rules of the class apply unless they rest on a key that the request lacks, or are looser than
-        # its form
+        # the form in which it came
         needs_strict = effect == Idempotency.KEYED or form == Idempotency.NON_IDEMPOTENT
         return (strict_class if needs_strict else request_class), form
 
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -15,9 +15,9 @@
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
 
-MAX_WARMUP_DECISION_AGE = (
-    0.25  # of the time in which a server warms up; what was decided earlier is not sent to it
-)
+# Fraction of `DecisionSettings.overload_window_s`: a server that is warming up is not sent what was decided
+# longer ago.
+MAX_WARMUP_DECISION_AGE = 0.25
 
 
 class SendRules:
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -75,8 +75,7 @@
     has_passed: bool = False  # that stage was passed
     reason: str = ""
     resumed_after_stage: int = -1  # the last stage after which an operator has resumed
-    # the last stage after which an operator has resumed though too little was seen; -1 is before the first
-    # one
+    # the last stage after which an operator has resumed though too little was seen; -1: before the first
     resumed_without_baseline: int = -2
     _is_baseline_missing: bool = False  # held as too little was seen before the next stage
 
