--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -10,12 +10,15 @@
 
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, MIN_IN_FLIGHT_PER_SERVER, MIN_SAMPLES
 
-UNEVENNESS = 2.0  # standard errors of the time in flight added to its bound: uneven work makes it rough
+UNEVENNESS = 2.0  # standard errors of the time in flight added to its bound: with uneven work it fluctuates
 CONGESTION_TOLERANCE = 0.9  # attempts may be this fraction above their shortest time in flight
-GROWTH = 0.2  # of the limit a tick while it binds, times how far attempts are from staying long
+GROWTH = 0.2  # of the limit a tick while it binds, times what congestion is below 1
 INITIAL_PER_SERVER = 3.0  # attempts in flight at first, for the node's part of a server
-MIN_OF_FULL_RATE = 1.0  # the limit is never less than this multiple of what the peak rate holds
-MAX_OF_FULL_RATE = 2.0  # nor, beyond its start, more than this multiple; among many nodes two thirds of it
+# The limit stays between these multiples of the attempts that the peak rate holds in flight for the shortest
+# time, but may always be as high as the initial limit. With as many nodes as servers, or more, two thirds of
+# the upper one count.
+MIN_OF_FULL_RATE = 1.0
+MAX_OF_FULL_RATE = 2.0
 PEAK_DECAY = 0.97  # of the peak rate, after a second without a higher one
 
 
@@ -34,7 +37,11 @@
         self.capacity = 0  # the limit as a whole number, rounded up or down at random
 
     def tick(self, interval_s: float, spread: float, tolerance: float, rng: Random) -> None:
-        """Adapts the limit; `tolerance` is how far above the shortest time in flight none is congested."""
+        """Adapts the limit to the last `interval_s` seconds.
+
+        `tolerance` is the fraction of the shortest time in flight that attempts may stay longer without
+        congestion, `spread` the standard deviation of latencies over their mean.
+        """
         per_node, fraction = self.servers_per_node, min(1.0, 1.0 / self.servers_per_node)
         initial = INITIAL_PER_SERVER * per_node * (1.0 + fraction)
         if self.limit == inf:
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -18,7 +18,7 @@
         self.ejected, self._due_at = ejected, -inf
 
     def reset_due_time(self) -> None:
-        """Has the next moment looked up anew, as a server's state has changed."""
+        """Has `is_due` look up the next moment again, as a server's state has changed."""
         self._due_at = -inf
 
     def is_due(self) -> bool:
--- a/wheatroute/balancing/idle_connections.py
+++ b/wheatroute/balancing/idle_connections.py
@@ -10,7 +10,7 @@
 
 from wheatroute.balancing.parameters import MIN_SAMPLES, UPDATE_INTERVAL_S
 
-IDLE_STEPS = 7  # lengths of idleness that are told apart: doublings of half a second
+IDLE_STEPS = 7  # idle times that are told apart: up to half a second, and its doublings
 MAX_LOSS_RATIO = 3.0  # loss above which idle connections aren't used, over that of busy ones
 DECAY = 0.97  # of the counts, each second
 
@@ -23,13 +23,13 @@
         self.max_idle_s = inf  # connections idle for this long are not used any more
 
     def step(self, idle_s: float) -> int:
-        """The class of idleness, from 0 for a busy connection to `IDLE_STEPS - 1`."""
+        """The step that an idle time falls into, from 0 for a busy connection to `IDLE_STEPS - 1`."""
         if idle_s < UPDATE_INTERVAL_S / 2:
             return 0
         return min(IDLE_STEPS - 1, int(log2(2 * idle_s / UPDATE_INTERVAL_S)) + 1)
 
     def update(self) -> None:
-        """Finds the shortest idleness from which on attempts get lost far more often than on busy ones."""
+        """Finds the shortest idle time from which on far more attempts get lost than on busy connections."""
         busy_loss = (self.lost[0] + 1.0) / (self.answered[0] + self.lost[0] + MIN_SAMPLES)
         self.max_idle_s = inf
         for i in range(1, IDLE_STEPS):
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -41,7 +41,11 @@
         return work / mean[class_number]
 
     def add(self, now: float, class_number: int, elapsed_s: float, is_served: bool, size: float) -> float:
-        """Adds one latency; returns it in multiples of its class's mean, for a request of mean size."""
+        """Adds one latency; returns it in multiples of its class's mean, for a request of mean size.
+
+        `size` is the request's `relative_size`. An attempt that timed out counts with its duration, but only
+        those that were served move the mean of the class.
+        """
         mean, raw = self.mean[class_number], elapsed_s
         elapsed_s /= size
         if is_served:
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -49,7 +49,7 @@
             self.shed()
 
     def shed(self) -> None:
-        """Rejects at once what can't all be served in time, the least valuable for its work first."""
+        """Rejects requests at once that can't all be served in time; see `RequestQueue.shed`."""
         latencies = self._state.latencies
         if not self._recorder.served_rate or self._state.settings.tier or not self._queue:
             self._queue.added_since_shed = 0
--- a/wheatroute/balancing/request_queue.py
+++ b/wheatroute/balancing/request_queue.py
@@ -33,7 +33,7 @@
         del self.by_value[bisect_left(self.by_value, (-request.value, start_by, request.number))]
 
     def shed(self, now: float, work_s: Callable[[Request], float]) -> list[Request]:
-        """Removes and returns what can't all be started in time, the least valuable for its work first.
+        """Removes and returns requests that can't all be started in time, those of least `value` first.
 
         `work_s` is the time that the tier needs for a request at its present rate. Requests start in the
         order in which they must; only where one would start too late, by the work before it, the least
--- a/wheatroute/balancing/server_statistics.py
+++ b/wheatroute/balancing/server_statistics.py
@@ -39,7 +39,8 @@
         self.error_rate: list[float] = []  # moving average of errors over answers
         self.answered_at: list[float] = []  # last answer that shows that it works
         self.used_at: list[float] = []  # last answer: since then its connection is idle
-        self.ejected_until: list[float] = []  # no ordinary attempts before a trial after it succeeds; 0: none
+        # when a half-open trial may be sent, for whose success ordinary attempts wait; 0: not ejected
+        self.ejected_until: list[float] = []
         self.ejection_s: list[float] = []  # how long the last ejection lasts
         self.is_on_trial: list[bool] = []  # the half-open trial is in flight
         self.spare_calls: list[int] = []  # attempts that fit on connections already open
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -13,7 +13,9 @@
 
 MAX_SERVERS_PER_TICK = 64  # with more, a tick's work is spread over several batches
 MIN_SUBSET = 8.0  # servers that a node sends to; more where a server would have fewer nodes than that
-CONNECTION_PRICE_FACTOR = 3.0  # and to so many times fewer where open connections have a price
+# Where open connections have a price, MIN_SUBSET and the number of servers by a node's traffic are divided by
+# this, and the number of nodes that a server must have is multiplied by it.
+CONNECTION_PRICE_FACTOR = 3.0
 SUBSET_STEP = (sqrt(5.0) - 1.0) / 2.0  # of the ring, between the places of one node's subset and the next's
 CROSSING_PRICE_FACTOR = 10.0  # a crossing of zones counts as so many times its price, in mean latencies
 STUCK_RATIO = 5.0  # an attempt in flight for this multiple of its class's mean may be stuck
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -31,7 +31,10 @@
 
     @staticmethod
     def _capacity(rate: float) -> float:
-        """Tokens in a full bucket: never so few that none of many nodes would ever use a small quota."""
+        """The capacity of a bucket, in tokens.
+
+        It has a minimum, as with many nodes a node's part of a small quota might never hold a whole token.
+        """
         return max(MIN_SAMPLES / 4 if rate else 0.0, 2.0 * rate * UPDATE_INTERVAL_S)
 
     def refill(self, interval_s: float) -> None:
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -17,7 +17,7 @@
 from wheatroute.cluster.messages import Instance, InstanceState, RegistryVersion
 
 UNRESPONSIVE_HEARTBEATS = 2.3  # heartbeat intervals without a heartbeat until a server is unresponsive
-REMOVED_HEARTBEATS = 8.0  # and until it is removed
+REMOVED_HEARTBEATS = 8.0  # heartbeat intervals without a heartbeat until a server is removed
 # heartbeat intervals that a new primary listens before it calls unknown servers removed
 SETTLING_HEARTBEATS = 3.0
 REMOVED_KEPT_S = 120.0  # for which a removed server is remembered
--- a/wheatroute/edge/attempt_runner.py
+++ b/wheatroute/edge/attempt_runner.py
@@ -71,7 +71,7 @@
     def _learn_latency(
         self, delivery: Delivery, finished: FinishedAttempt, latency_s: float, queued_tokens: float
     ) -> None:
-        """Count a time to first token; an attempt that ended late without one counts at its length."""
+        """Count a time to first token; an attempt that ended late without one counts with its duration."""
         attempt = finished.attempt
         is_late = latency_s > delivery.target_s
         is_measured = finished.has_succeeded and not finished.is_server_error
--- a/wheatroute/edge/hedge_timer.py
+++ b/wheatroute/edge/hedge_timer.py
@@ -17,7 +17,10 @@
 
 
 class HedgeTimer:
-    """Sliding window of times to first token; one that timed out counts at its length."""
+    """Sliding window of times to first token.
+
+    An attempt that ended late without a first token counts with its duration (`AttemptRunner`).
+    """
 
     def __init__(self) -> None:
         self._window = SlidingWindow(WINDOW_S)
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -57,7 +57,10 @@
         return True
 
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
-        """Whether a server that is warming up would get it beside all that was decided since."""
+        """Whether it was decided too long ago for a server that is warming up.
+
+        The server would get it in addition to what was decided since, and fail under that.
+        """
         started_at = self._servers.started_at(attempt.server)
         if not started_at or now() >= started_at + self._settings.warmup_s:
             return False
