--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -2,8 +2,9 @@
 
 A primary acts on one of two grounds:
 
-- Its lease (`can_acknowledge`) is enough for heartbeats of servers, quotas, and updates for edge nodes that
-  have a configuration: those take nothing older than what they have, even from a primary that was deposed.
+- Its lease (`can_acknowledge`) is enough for heartbeats of servers and for quotas, which the next primary
+  learns of by later messages, and for updates of edge nodes that have a configuration, as they take no older
+  one.
 - Every other final response needs the confirmation of a majority that is asked from then on
   (`require_confirmation`): a primary that was deposed without knowing it doesn't get that.
 """
