--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -111,8 +111,8 @@
 class CommandWriter(Protocol):
     """Takes the commands of a batch in the order in which they are to be carried out."""
 
-    def attempt(self, request: int, server: int, time_out: float) -> None:
-        """Send the request to the server, with a time-out in seconds; 0: until the client leaves.
+    def attempt(self, request: int, server: int, timeout_s: float) -> None:
+        """Send the request to the server, with a timeout; 0: until the client leaves.
 
         It never lasts beyond the request's deadline.
         """
@@ -120,8 +120,8 @@
     def cancel(self, request: int, n: int) -> None:
         """Cancel attempt number `n` of a request."""
 
-    def reject(self, request: int, stay_away: float) -> None:
-        """Final answer: the client may send it again unharmed, after `stay_away` seconds.
+    def reject(self, request: int, retry_after_s: float) -> None:
+        """Final answer: the client may send it again unharmed, after `retry_after_s`.
 
         It did not run, or may run once more by the rules of its class (`retry_rules.may_reject`).
         """
@@ -135,7 +135,7 @@
     def probe(self, server: int) -> None:
         """Probe a server."""
 
-    def send_loads(self, figures: Mapping[int, float]) -> None:
+    def send_loads(self, loads: Mapping[int, float]) -> None:
         """Send the load of these servers to all other nodes.
 
         In requests that a server holds; where servers report what is queued and their rate, in seconds that a
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -6,18 +6,18 @@
 import time
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 import trio
 
 from wheatroute.agreement import operator, version_content
+from wheatroute.agreement.agreement_status import AgreementStatus, ProcessState
 from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.versions import History
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.processes import RigError
 from wheatroute.rig.processor_file import ProcessorInstance, processor_file
 from wheatroute.rig.run_records import IN_FORCE, PublishedVersion, RunRecords, repeat_policies
-from wheatroute.rig.settings import with_changes
+from wheatroute.rig.settings import Settings, with_changes
 from wheatroute.rig.version_backend import VersionBackend
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         options: RigOptions,
-        settings: dict[str, Any],
+        settings: Settings,
         records: RunRecords,
         backend: VersionBackend,
         folder: Path,
@@ -54,16 +54,16 @@
         self._record_outcomes(history)
         return history
 
-    def settings_file(self, **changes: Any) -> str:
+    def settings_file(self, **changes: object) -> str:
         """Writes a file for the command line with changed settings, see `with_changes`; returns its path."""
         path = self._folder / f"settings{len(list(self._folder.iterdir()))}.json"
         path.write_text(json.dumps({"settings": self._changed(changes)}))
         return str(path)
 
-    def _changed(self, changes: dict[str, Any]) -> dict[str, Any]:
+    def _changed(self, changes: dict[str, object]) -> Settings:
         return with_changes(self._settings, changes, len(self._options.names))
 
-    async def put(self, reason: str = "a change", over: int = 0, **changes: Any) -> int:
+    async def put(self, reason: str = "a change", over: int = 0, **changes: object) -> int:
         """Publishes changed settings, see `with_changes`; returns the version's number.
 
         `over` is a pending version that may be replaced.
@@ -77,9 +77,9 @@
         )
         return version.number
 
-    def _content(self, settings: dict[str, Any]) -> dict[str, Any]:
+    def _content(self, settings: Settings) -> Settings:
         """The content of a version: for nodes, and for processors if there are any."""
-        content: dict[str, Any] = {"settings": settings}
+        content: Settings = {"settings": settings}
         if self._options.processors:
             path = self._folder / "put.toml"
             path.write_text(processor_file(settings, len(self._options.names), ProcessorInstance()))
@@ -99,14 +99,16 @@
                     await trio.sleep(POLL_INTERVAL_S)
 
     def _record_outcomes(self, history: History) -> None:
-        for known in self._records.versions:
-            outcomes = history.versions[known.number].outcomes if known.number in history.versions else []
-            if outcomes and outcomes[-1] != known.state:
-                known.state = outcomes[-1]
-                known.ended_at = known.ended_at or time.monotonic()
-
-    async def status(self) -> dict[str, Any]:
-        """The versions and the status of each process, as the command line prints them as JSON."""
+        for published in self._records.versions:
+            outcomes = (
+                history.versions[published.number].outcomes if published.number in history.versions else []
+            )
+            if outcomes and outcomes[-1] != published.state:
+                published.state = outcomes[-1]
+                published.ended_at = published.ended_at or time.monotonic()
+
+    async def status(self) -> AgreementStatus:
+        """The versions and what each process acts on."""
         async with self._backend.operator_store() as store:
             return await operator.agreement_status(store)
 
@@ -122,7 +124,7 @@
             for name in names or self._options.names
             for status_name in self._options.status_names(name)
         ]
-        statuses: dict[str, dict[str, Any]] = {}
+        statuses: dict[str, ProcessState] = {}
         with trio.move_on_after(timeout_s):
             while True:
                 with suppress(*STORE_ERRORS):
@@ -132,11 +134,11 @@
                 await trio.sleep(POLL_INTERVAL_S)
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
-    async def _newest_statuses(self) -> dict[str, dict[str, Any]]:
+    async def _newest_statuses(self) -> dict[str, ProcessState]:
         """The status of each process by name; of several processes of a name the one confirmed last."""
-        processes = (await self.status())["processes"]
-        return {one["name"]: one for one in sorted(processes, key=lambda one: -one["confirmed_ago_s"])}
+        processes = (await self.status()).processes
+        return {one.name: one for one in sorted(processes, key=lambda one: -one.confirmed_ago_s)}
 
 
-def _acts_on(status: dict[str, Any] | None, number: int) -> bool:
-    return status is not None and status["phase"] == IN_FORCE and status["version"] == number
+def _acts_on(status: ProcessState | None, number: int) -> bool:
+    return status is not None and status.phase == IN_FORCE and status.version == number
