--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -49,8 +49,7 @@
         )
         self.reports_wait = {"queued", "rate"}.issubset(reported) and "held" not in reported
         self.reports_load = self.reports_wait or "held" in reported
-        # what one more request adds: at a lightly loaded server the class with the shortest target must be
-        # in time
+        # what one more request adds: at a lightly loaded server even the shortest target must be met
         self.load_of_request = 1.0
         if self.reports_wait:
             shortest = min(one.target_latency for one in settings.request_classes)
@@ -83,7 +82,7 @@
         self._state.servers.load[server] += self.load_of_request * weight
 
     def mark_full(self, server: int) -> None:
-        """A server that rejected an attempt as full is congested until its next report."""
+        """Counts a server that rejected an attempt as full as congested until its next report."""
         load = self._state.servers.load
         load[server] = max(load[server], CONGESTED_LOAD_RATIO * self.mean_load + 2 * self.load_of_request)
 
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -23,9 +23,8 @@
 from wheatroute.net.exchange import FAILED_STATUS, REJECTED_STATUS, Attempt, Exchange, Response
 from wheatroute.net.log import Logger
 
-RETRY_AFTER_FAULT_S = (
-    0.25  # until the next batch after an exception, in which the balancer may lose its timer
-)
+# until the next batch after an exception, in which the balancer may have lost its timer
+RETRY_AFTER_FAULT_S = 0.25
 
 
 class AttemptSender(Protocol):
@@ -111,7 +110,7 @@
         )
 
     def abandon_request(self, exchange: Exchange) -> None:
-        """The client of an exchange has gone."""
+        """Ends an exchange whose client has gone, and adds that as an event."""
         if exchange.abandon():
             self._forget_if_finished(exchange)
             self.add_event(Event.CLIENT_LEFT, exchange.number)
@@ -119,7 +118,7 @@
     def finish_attempt(
         self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
     ) -> None:
-        """An attempt has its outcome, with the load report of its response if it had one."""
+        """Adds the outcome of an attempt as an event, with the load report of its response if it had one."""
         exchange.attempts_in_flight -= 1
         self._forget_if_finished(exchange)
         self.add_event(
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -19,9 +19,8 @@
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.server_table import ServerTable
 
-MAX_IDLE_RATIO = (
-    0.9  # of the time after which servers close idle connections, so that none is used at its end
-)
+# of the time after which servers close idle connections, so that none is used as its server closes it
+MAX_IDLE_RATIO = 0.9
 REUSE_DELAY_S = 0.02  # before a connection is reused while servers send surplus responses
 SWEEPS_PER_IDLE_TIME = 30.0
 MAX_SWEEP_INTERVAL_S = 1.0
@@ -93,7 +92,7 @@
     # what was observed on connections
 
     def suspect_idle(self) -> None:
-        """A connection that had been idle was reset: others may be as dead, see `acquire_new`."""
+        """Notes that a connection was reset that had been idle: others may be dead too (`acquire_new`)."""
         self._idle_suspect_until = now() + self._idle_timeout_s
 
     def is_idle_suspected(self) -> bool:
@@ -101,7 +100,10 @@
         return now() < self._idle_suspect_until
 
     def suspect_surplus_input(self) -> None:
-        """Bytes were received that answer no request, or are no response: more of them may follow."""
+        """Notes that bytes came which answer no request, or are no response: more of them may follow.
+
+        Until that is unlikely, connections are reused after a delay (`REUSE_DELAY_S`).
+        """
         self._surplus_until = now() + self._idle_timeout_s
 
     # acquiring and releasing
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -15,9 +15,9 @@
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
 
-MAX_WARMUP_DECISION_AGE = (
-    0.25  # of the time in which a server warms up; what was decided earlier is not sent to it
-)
+# Fraction of `DecisionSettings.overload_window_s`: a server that is warming up is not sent what was decided
+# longer ago.
+MAX_WARMUP_DECISION_AGE = 0.25
 
 
 class SendRules:
@@ -57,7 +57,10 @@
         return True
 
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
-        """Whether a server that is warming up would get it beside all that was decided since."""
+        """Whether it was decided too long ago for a server that is warming up.
+
+        The server would get it in addition to what was decided since, and fail under that.
+        """
         started_at = self._servers.started_at(attempt.server)
         if not started_at or now() >= started_at + self._settings.warmup_s:
             return False
