--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -7,12 +7,11 @@
 from typing import Any
 
 from wheatroute.agreement.adapter import AdaptedVersion, DerivedSettings, VersionAdapter
-from wheatroute.agreement.directory_store import DirectoryStore
 from wheatroute.agreement.drain_notices import DrainNotices
 from wheatroute.agreement.member import Member
 from wheatroute.agreement.node_content import node_deriver
+from wheatroute.agreement.store_address import StoreAddress, open_store
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
-from wheatroute.agreement.version_store import VersionStore
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.downstream import Downstream
@@ -22,19 +21,6 @@
 MAX_ENDPOINTS_PER_EXCHANGE = 3.0  # tried one after the other within the time of one exchange
 
 
-def open_store(address: dict[str, Any], rng: random.Random, timeout_s: float) -> VersionStore:
-    """Return the store at the address in a node's file; `timeout_s` is for one call at one endpoint."""
-    if "relay" in address:
-        from wheatroute.agreement.relay import RelayedDirectoryStore
-
-        return RelayedDirectoryStore(address["relay"])
-    if "directory" in address:
-        return DirectoryStore(address["directory"])
-    from wheatroute.agreement.etcd_store import EtcdStore
-
-    return EtcdStore(address["etcd"], address["prefix"], rng, timeout_s)
-
-
 def follow(
     settings: NodeSettings,
     driver: BalancerDriver,
@@ -59,7 +45,7 @@
     member = Member(settings.name, incarnation, agreement["within"])
     own = DerivedSettings.from_dict(settings.derived)
     store = open_store(
-        agreement,
+        StoreAddress.from_node_file(agreement),
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -27,9 +27,9 @@
 )
 from wheatroute.agreement.member_status import parse_status
 from wheatroute.agreement.records import StoredRecord
+from wheatroute.agreement.store_address import StoreAddress, open_store
 from wheatroute.agreement.version_store import VersionStore, running_store
 from wheatroute.agreement.versions import History, Version
-from wheatroute.net.addresses import parse_address
 
 Result = TypeVar("Result")
 STORE_TIMEOUT_S = 5.0
@@ -42,16 +42,11 @@
 
     `timeout_s` is for one call at one endpoint. Raises `InvalidInputError`.
     """
-    if not url.startswith("etcd://"):
-        return DirectoryStore(url)
-    addresses, _, prefix = url.removeprefix("etcd://").partition("/")
     try:
-        endpoints = [parse_address(address) for address in addresses.split(",")]
+        address = StoreAddress.from_url(url)
     except ValueError as error:
         raise InvalidInputError(f"{url}: {error}") from error
-    from wheatroute.agreement.etcd_store import EtcdStore
-
-    return EtcdStore(endpoints, f"/{prefix}" if prefix else "/wheatroute", random.Random(), timeout_s)
+    return open_store(address, random.Random(), timeout_s)
 
 
 def run_with_store(url: str, action: Callable[[VersionStore], Awaitable[Result]]) -> Result:
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -18,7 +18,8 @@
 from wheatroute.agreement.errors import ContentError
 from wheatroute.agreement.join_rules import FILE_KEYS, FILE_PART
 from wheatroute.agreement.member import Member
-from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE, open_store
+from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE
+from wheatroute.agreement.store_address import StoreAddress, open_store
 from wheatroute.agreement.version_follower import EXCHANGE_TIMEOUT_FRACTION, VersionFollower
 from wheatroute.config.processor import AgreementSettings
 from wheatroute.config.settings import Settings
@@ -66,12 +67,13 @@
     return DerivedSettings(dict(own.request_classes), dict(own.tenants), own.decision)
 
 
-def _store_settings(agreement: AgreementSettings) -> dict[str, Any]:
-    """Return the store of versions as `open_store` takes it."""
-    if agreement.etcd_endpoints:
-        endpoints = [parse_address(endpoint) for endpoint in agreement.etcd_endpoints]
-        return {"etcd": endpoints, "prefix": agreement.prefix}
-    return {"relay": agreement.relay} if agreement.relay else {"directory": agreement.directory}
+def _store_address(agreement: AgreementSettings) -> StoreAddress:
+    return StoreAddress(
+        directory=agreement.directory,
+        relay=agreement.relay,
+        etcd_endpoints=tuple(parse_address(endpoint) for endpoint in agreement.etcd_endpoints),
+        prefix=agreement.prefix,
+    )
 
 
 def follow(
@@ -102,7 +104,7 @@
     drain_notices.filter_message({"full": True, "servers": list(discovery.entries.values())})
     member = Member(own.name, incarnation, own.agreement.agreement_time_s)
     store = open_store(
-        _store_settings(own.agreement),
+        _store_address(own.agreement),
         random.Random(incarnation),
         EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s / MAX_ENDPOINTS_PER_EXCHANGE,
     )
--- /dev/null
+++ b/wheatroute/agreement/store_address.py
@@ -0,0 +1,59 @@
+"""Where a version store is, and the store that is there. Opening one does no I/O yet."""
+
+from __future__ import annotations
+
+import random
+from dataclasses import dataclass
+from typing import Any
+
+from wheatroute.agreement.directory_store import DirectoryStore
+from wheatroute.agreement.version_store import VersionStore
+from wheatroute.net.addresses import parse_address
+
+ETCD_SCHEME = "etcd://"
+DEFAULT_URL_PREFIX = "/wheatroute"  # of keys in etcd, where a URL has none
+
+
+@dataclass(frozen=True)
+class StoreAddress:
+    """A directory, one that a relay keeps up to date, or a key prefix in etcd."""
+
+    directory: str = ""
+    relay: str = ""  # directory
+    etcd_endpoints: tuple[tuple[str, int], ...] = ()  # host and port
+    prefix: str = ""  # of keys in etcd
+
+    @staticmethod
+    def from_node_file(table: dict[str, Any]) -> StoreAddress:
+        """Return the address in a table of a node's file, as `NodeSettings` has it."""
+        return StoreAddress(
+            directory=table.get("directory", ""),
+            relay=table.get("relay", ""),
+            etcd_endpoints=tuple(table.get("etcd", ())),
+            prefix=table.get("prefix", ""),
+        )
+
+    @staticmethod
+    def from_url(url: str) -> StoreAddress:
+        """Return the address in `/a/directory`, or in `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
+
+        Raises `ValueError`.
+        """
+        if not url.startswith(ETCD_SCHEME):
+            return StoreAddress(directory=url)
+        addresses, _, prefix = url.removeprefix(ETCD_SCHEME).partition("/")
+        endpoints = tuple(parse_address(address) for address in addresses.split(","))
+        return StoreAddress(etcd_endpoints=endpoints, prefix=f"/{prefix}" if prefix else DEFAULT_URL_PREFIX)
+
+
+def open_store(address: StoreAddress, rng: random.Random, timeout_s: float) -> VersionStore:
+    """Return the store at an address; `timeout_s` is for one call at one endpoint."""
+    if address.etcd_endpoints:
+        from wheatroute.agreement.etcd_store import EtcdStore
+
+        return EtcdStore(list(address.etcd_endpoints), address.prefix, rng, timeout_s)
+    if address.relay:
+        from wheatroute.agreement.relay import RelayedDirectoryStore
+
+        return RelayedDirectoryStore(address.relay)
+    return DirectoryStore(address.directory)
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -18,7 +18,7 @@
 
 from wheatroute.agreement.errors import VersionStoreError
 from wheatroute.agreement.member_status import StoredStatus
-from wheatroute.agreement.node import open_store
+from wheatroute.agreement.store_address import StoreAddress, open_store
 from wheatroute.agreement.version_store import running_store
 from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
@@ -54,7 +54,8 @@
         assert settings.rollout is not None
         self._program = os.environ.get("WHEATROUTE_PROGRAM", "")
         self._incarnation = os.environ.get("WHEATROUTE_START") or secrets.token_hex(6)
-        self._store = open_store(settings.rollout, random.Random(self._incarnation), STORE_TIMEOUT_S / 2.0)
+        address = StoreAddress.from_node_file(settings.rollout)
+        self._store = open_store(address, random.Random(self._incarnation), STORE_TIMEOUT_S / 2.0)
         self.accounting = RequestAccounting(
             settings.request_classes, settings.tenants, settings.decision_settings.request_classes
         )
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -19,7 +19,7 @@
 
 from wheatroute.agreement.errors import HistoryError, VersionStoreError
 from wheatroute.agreement.member_status import StoredStatus
-from wheatroute.agreement.node import open_store
+from wheatroute.agreement.store_address import StoreAddress, open_store
 from wheatroute.agreement.version_store import running_store
 from wheatroute.net.addresses import parse_address
 from wheatroute.rollout.node_process import NodeProcess, find_process, start_ticks
@@ -45,11 +45,11 @@
 
     def __init__(self, settings: SupervisorSettings, log: Any) -> None:
         self._settings, self._log = settings, log
-        if settings.directory:
-            address: dict[str, Any] = {"directory": settings.directory}
-        else:
-            endpoints = [parse_address(endpoint) for endpoint in settings.etcd]
-            address = {"etcd": endpoints, "prefix": settings.prefix}
+        address = StoreAddress(
+            directory=settings.directory,
+            etcd_endpoints=tuple(parse_address(endpoint) for endpoint in settings.etcd),
+            prefix=settings.prefix,
+        )
         self._store = open_store(address, random.Random(), STORE_TIMEOUT_S / 3)
         self._progress = RolloutProgress()
         self._incarnation = secrets.token_hex(6)
