--- /dev/null
+++ b/tests/test_dependencies.py
@@ -0,0 +1,100 @@
+"""Each part of the package can be imported with the packages alone that its extra in pyproject.toml names."""
+
+import ast
+import re
+import sys
+import tomllib
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).resolve().parents[1]
+PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
+# by extra, "" for none: modules that have to come up with it
+ENTRY_MODULES = {
+    "": ["__main__", "benchlink.__main__"],
+    "cli": ["cli"],
+    "agreement": [
+        "agreement.node",
+        "agreement.monotonic_discovery",
+        "agreement.operator",
+        "agreement.relay",
+        "commands.settings",
+        "commands.rollout",
+        "rollout.controller",
+        "rollout.figures_reporter",
+        "rollout.operator",
+        "rollout.supervisor",
+    ],
+    "processor": ["processor.program", "processor.worker"],
+    "etcd": ["etcd.discovery", "etcd.services", "agreement.etcd_store", "agreement.processor"],
+    "fleet": ["fleet.runner", "fleet.report", "fleet.traced_run", "commands.fleet"],
+    "standin": ["standin.etcd", "standin.proxy", "rig.rig", "rig.scenario_player", "rig.run_report"],
+    "system": ["system"],
+}
+DISTRIBUTIONS = {"envoy": "xds-protos", "google": "protobuf", "hdrh": "hdrhistogram", "yaml": "PyYAML"}
+
+
+def source_of(module):
+    path = ROOT.joinpath(*module.split("."))
+    return next((one for one in (path.with_suffix(".py"), path / "__init__.py") if one.exists()), None)
+
+
+def loaded_with(source):
+    """Names of what a file imports as it is imported itself: not within functions, nor for types alone."""
+    pending = [ast.parse(source.read_text())]
+    while pending:
+        node = pending.pop()
+        if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef | ast.Lambda):
+            continue
+        if isinstance(node, ast.If) and getattr(node.test, "id", "") == "TYPE_CHECKING":
+            continue
+        if isinstance(node, ast.Import):
+            yield from (alias.name for alias in node.names)
+        elif isinstance(node, ast.ImportFrom):
+            yield node.module
+            yield from (f"{node.module}.{alias.name}" for alias in node.names)
+        pending += ast.iter_child_nodes(node)
+
+
+def packages_for(module):
+    """Packages of others that are loaded with a module."""
+    seen, pending, packages = set(), [module], set()
+    while pending:
+        name = pending.pop()
+        if name in seen:
+            continue
+        seen.add(name)
+        top = name.split(".")[0]
+        if top != "wheatroute":
+            packages |= {DISTRIBUTIONS.get(top, top)} - sys.stdlib_module_names
+        elif (source := source_of(name)) is not None:
+            pending += loaded_with(source)
+    return packages
+
+
+def installed_by(requirements):
+    """Names of the packages that requirements bring, with those of the extras of our own that they name."""
+    out = set()
+    for requirement in requirements:
+        name, _, extras = re.fullmatch(r"([\w-]+)(\[([\w,]+)\])?.*", requirement).groups()
+        out |= {name} if name != PROJECT["name"] else set()
+        for extra in extras.split(",") if extras and name == PROJECT["name"] else ():
+            out |= installed_by(PROJECT["optional-dependencies"][extra])
+    return out
+
+
+@pytest.mark.parametrize("extra", ENTRY_MODULES)
+def test_an_extra_brings_all_that_its_modules_load(extra):
+    optional = PROJECT["optional-dependencies"][extra] if extra else []
+    installed = installed_by(PROJECT["dependencies"]) | installed_by(optional)
+    for entry in ENTRY_MODULES[extra]:
+        module = f"{PROJECT['name']}.{entry}"
+        assert source_of(module) is not None, module
+        missing = packages_for(module) - installed
+        assert not missing, f"{module} loads {sorted(missing)}"
+
+
+def test_the_nodes_build_installs_what_the_package_requires():
+    build = (ROOT / "requirements.txt").read_text().split()
+    assert sorted(build) == sorted(PROJECT["dependencies"])
