--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -56,7 +56,7 @@
     ),
     "steady band of the split": Substitution(
         LATENCY_WEIGHTS,
-        "return 1.0 if MIN_STEADY_RATIO < expected < MAX_STEADY_RATIO else expected",
+        "return 1.0 if DEAD_BAND_MIN_RATIO < expected < DEAD_BAND_MAX_RATIO else expected",
         "return expected",
     ),
     "warmup weight": Substitution(SELECTION, "WARMUP_WEIGHT_FACTOR = 0.5 ", "WARMUP_WEIGHT_FACTOR = 1.0 "),
--- a/tests/edge/test_latency_weights.py
+++ b/tests/edge/test_latency_weights.py
@@ -3,7 +3,7 @@
 import pytest
 
 from wheatroute.cluster.messages import ServerLoad
-from wheatroute.edge.latency_weights import MAX_STEADY_RATIO, LatencyWeights
+from wheatroute.edge.latency_weights import DEAD_BAND_MAX_RATIO, LatencyWeights
 from wheatroute.edge.server_load import LoadTracker
 
 SERVERS = ("fast", "mean", "slow")
@@ -30,7 +30,7 @@
     assert learned(samples=20).relative_latency("slow", 0.0) > learned(samples=1).relative_latency(
         "slow", 0.0
     )
-    assert learned(samples=20).relative_latency("slow", 0.0) > MAX_STEADY_RATIO
+    assert learned(samples=20).relative_latency("slow", 0.0) > DEAD_BAND_MAX_RATIO
     assert learned(samples=20).relative_latency("slow", 10_000.0) == 1.0
 
 
--- a/wheatroute/edge/latency_weights.py
+++ b/wheatroute/edge/latency_weights.py
@@ -15,7 +15,7 @@
 PRIOR_SAMPLES = 3.0  # samples that the mean stands for beside a server's own
 SAMPLE_HALF_LIFE_S = 10.0  # seconds after which a server's own samples count half
 # latencies within these multiples of the mean count as the mean
-MIN_STEADY_RATIO, MAX_STEADY_RATIO = 0.75, 1.35
+DEAD_BAND_MIN_RATIO, DEAD_BAND_MAX_RATIO = 0.75, 1.35
 
 
 class _LatencySample:
@@ -65,7 +65,7 @@
             return 1.0
         weight = sample.weight / (1.0 + (now - sample.updated_at) / SAMPLE_HALF_LIFE_S)
         expected = (PRIOR_SAMPLES + weight * sample.ratio) / (PRIOR_SAMPLES + weight)
-        return 1.0 if MIN_STEADY_RATIO < expected < MAX_STEADY_RATIO else expected
+        return 1.0 if DEAD_BAND_MIN_RATIO < expected < DEAD_BAND_MAX_RATIO else expected
 
     def update(self, service: str, server_ids: tuple[str, ...], now: float) -> None:
         """Compute the weights of a service anew, once a second or if its servers have changed."""
