--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -68,7 +68,7 @@
 
 
 async def read_message(stream, rest):
-    """Return the head and body of the next message, and the bytes after it; None at the connection's end."""
+    """Returns the head and body of the next message, and the bytes after it; None at the connection's end."""
     while b"\r\n\r\n" not in rest:
         data = await stream.receive_some(65536)
         if not data:
@@ -87,7 +87,7 @@
 
 
 async def serve_on_free_port(nursery, serve):
-    """Call `serve` for each connection from now on; return the port."""
+    """Calls `serve` for each connection from now on; return the port."""
     opened = await nursery.start(partial(trio.serve_tcp, ignoring_disconnects(serve), 0, host="127.0.0.1"))
     return opened[0].socket.getsockname()[1]
 
@@ -167,7 +167,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-END = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
 class Edge:
@@ -193,21 +193,21 @@
         self.configure(configuration)
 
     def configure(self, configuration, sequence=1):
-        """Set the configuration that `register` applies."""
+        """Sets the configuration that `register` applies."""
         self.table = RoutingTable(make_version(decode_configuration(json.dumps(configuration)), sequence))
 
     async def lease(self, tenant, tokens):
-        """Stand in for the primary: record the request, and apply the grant that the test has set."""
+        """Stands in for the primary: record the request, and apply the grant that the test has set."""
         self.requested_leases.append((tenant, tokens))
         if tenant in self.grants:
             self.node.quotas.apply_grant(tenant, self.grants[tenant], trio.current_time())
 
     def grant(self, tenant, tokens, wait_s=0.0):
-        """Set what a tenant's next lease requests get."""
+        """Sets what a tenant's next lease requests get."""
         self.grants[tenant] = QuotaGrant(tokens, wait_s)
 
     def register(self, *servers, number=1, states=()):
-        """Apply an update with these servers; `states` are those that aren't ready, by id."""
+        """Applies an update with these servers; `states` are those that aren't ready, by id."""
         states = dict(states)
         instances = tuple(
             Instance(
@@ -227,7 +227,7 @@
         self.node.apply(update, self.table)
 
     async def exchange(self, data):
-        """Send bytes on a new connection; return all that comes until the node closes it."""
+        """Sends bytes on a new connection; return all that comes until the node closes it."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         async with stream:
             await stream.send_all(data)
@@ -235,7 +235,7 @@
 
 
 async def read_all(stream):
-    """Return all bytes up to the connection's end, and a mark if it was reset."""
+    """Returns all bytes up to the connection's end, and a mark if it was reset."""
     received = b""
     try:
         while data := await stream.receive_some(65536):
@@ -262,7 +262,7 @@
 
 @asynccontextmanager
 async def running_edge(*servers, configuration=CONFIGURATION):
-    """Run a node with these servers and this configuration."""
+    """Runs a node with these servers and this configuration."""
     with trio.fail_after(TIME_LIMIT_S):
         async with trio.open_nursery() as nursery:
             for server in servers:
--- a/tests/edge/primary.py
+++ b/tests/edge/primary.py
@@ -34,7 +34,7 @@
         self.release_polls = trio.Event()  # polls without anything new wait for it
 
     def update(self, request):
-        """Return all that this primary has, as the response to a poll."""
+        """Returns all that this primary has, as the response to a poll."""
         newer = request.configuration < self.sequence
         instances = tuple(
             Instance(one.identity, one.service, f"127.0.0.1:{one.port}", "z", 4, InstanceState.READY, 1)
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -7,7 +7,7 @@
 import trio
 from async_scenarios import scenario, until
 from edge.harness import (
-    END,
+    LAST_CHUNK,
     STREAM_HEAD,
     ScriptedServer,
     chunk,
@@ -26,10 +26,10 @@
 )
 
 
-NO_ID = b"HTTP/1.1 200 OK\r\nServer-Signature: s1\r\nContent-Length: 2\r\n\r\nno"
+RESPONSE_WITHOUT_ID = b"HTTP/1.1 200 OK\r\nServer-Signature: s1\r\nContent-Length: 2\r\n\r\nno"
 
 
-LONG = b"x" * 3_000_000  # more than the socket buffers of both sides hold
+LARGE_BODY = b"x" * 3_000_000  # more than the socket buffers of both sides hold
 
 
 def request_ids(*servers):
@@ -97,7 +97,7 @@
     server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
     async with running_edge(server) as edge:
         await edge.exchange(request("/plain/0", identity="r0"))
-        edge.node.selector.rank = by_id
+        edge.node.selector.rank = rank_by_id
         kept = edge.node.pool._idle["i-1"][0].connection
         await edge.exchange(request("/plain/1", identity="r1"))
         assert b"r1" in kept.answered_ids and b"r0" not in kept.answered_ids
@@ -108,10 +108,10 @@
 
 @scenario
 async def test_a_response_without_an_id_counts_only_on_a_connection_without_other_requests():
-    fresh = ScriptedServer("i-1", respond_raw(NO_ID, keep=True))
+    fresh = ScriptedServer("i-1", respond_raw(RESPONSE_WITHOUT_ID, keep=True))
     async with running_edge(fresh) as edge:
         assert status(await edge.exchange(request("/plain/1"))) == 200
-    kept = ScriptedServer("i-1", respond(b"one"), respond_raw(NO_ID, keep=True))
+    kept = ScriptedServer("i-1", respond(b"one"), respond_raw(RESPONSE_WITHOUT_ID, keep=True))
     async with running_edge(kept) as edge:
         assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 200
         # it may be a surplus response to r1: r2 may have run, and is neither answered with it nor retried
@@ -130,12 +130,12 @@
     assert status(response) == 200 and response.endswith(b"new") and b"server-signature: new" in response
 
 
-def by_id(service, servers, *rest):
+def rank_by_id(service, servers, *rest):
     """Replaces the ranking of servers: by id."""
     return sorted(servers, key=lambda one: one.id)
 
 
-def reset(stream):
+def reset_on_close(stream):
     stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
 
 
@@ -145,7 +145,7 @@
     async def script(stream, fields):
         await stream.send_all(part.replace(b"{id}", fields["request-id"].encode()))
         if how == "reset":
-            reset(stream)
+            reset_on_close(stream)
         return False
 
     return script
@@ -171,7 +171,7 @@
             before = [respond(b"warm")] if kept else []
             first, second = ScriptedServer("i-1", *before, break_off_after(part, how)), ScriptedServer("i-2")
             async with running_edge(first, second) as edge:
-                edge.node.selector.rank = by_id
+                edge.node.selector.rank = rank_by_id
                 for _ in before:
                     assert status(await edge.exchange(request("/plain/0", identity="r0"))) == 200
                 assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 502
@@ -215,13 +215,13 @@
             self.ended.set()
 
 
-async def break_off(server, stream, due):
-    reset(stream)
+async def reset_connection(server, stream, due):
+    reset_on_close(stream)
     await stream.aclose()
 
 
-async def read_on(server, stream, due):
-    """Keep the connection, and check that the rest of the body comes and nothing else."""
+async def read_rest(server, stream, due):
+    """Keeps the connection, and check that the rest of the body comes and nothing else."""
     while due > 0:
         data = await stream.receive_some(65536)
         assert data and data == b"x" * min(len(data), due)
@@ -233,22 +233,22 @@
 
 @scenario
 async def test_a_long_body_that_is_rejected_early_by_a_reset_never_ran_and_is_retried():
-    first = EarlyServer("i-1", REJECTION, break_off)
+    first = EarlyServer("i-1", REJECTION, reset_connection)
     second = ScriptedServer("i-2", respond(b"taken"))
     async with running_edge(first, second) as edge:
-        edge.node.selector.rank = by_id
-        response = await edge.exchange(request("/plain/1", body=LONG))
+        edge.node.selector.rank = rank_by_id
+        response = await edge.exchange(request("/plain/1", body=LARGE_BODY))
     assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
-    assert second.requests[0][2] == LONG
+    assert second.requests[0][2] == LARGE_BODY
 
 
 @scenario
 async def test_a_server_that_rejects_early_and_reads_on_gets_the_rest_of_that_body():
-    first = EarlyServer("i-1", REJECTION, read_on)
+    first = EarlyServer("i-1", REJECTION, read_rest)
     second = ScriptedServer("i-2", respond(b"taken"))
     async with running_edge(first, second) as edge:
-        edge.node.selector.rank = by_id
-        response = await edge.exchange(request("/plain/1", body=LONG))
+        edge.node.selector.rank = rank_by_id
+        response = await edge.exchange(request("/plain/1", body=LARGE_BODY))
         await until(lambda: first.read == 1)
         assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
 
@@ -264,9 +264,9 @@
 
     first, second = EarlyServer("i-1", b"", never_read), ScriptedServer("i-2")
     async with running_edge(first, second) as edge:
-        edge.node.selector.rank = by_id
+        edge.node.selector.rank = rank_by_id
         client = await trio.open_tcp_stream("127.0.0.1", edge.port)
-        await client.send_all(request("/plain/1", body=LONG))
+        await client.send_all(request("/plain/1", body=LARGE_BODY))
         await is_waiting.wait()
         await client.aclose()
         await until(lambda: not edge.clients.busy_count)
@@ -278,19 +278,21 @@
 async def test_a_resumed_stream_uses_another_connection():
     """At the same server too: surplus bytes of the first response would be read as the second one's."""
     begun = STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n")
-    rest = STREAM_HEAD + chunk(b"id: 2\ndata: b\n\n") + END
+    rest = STREAM_HEAD + chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK
     server = ScriptedServer("i-1", respond_raw(begun), respond_raw(rest, keep=True))
     async with running_edge(server) as edge:
         response = await edge.exchange(request("/resume/1"))
     assert request_ids(server) == ["r1", "r1"] and server.connections == 2
-    assert response.count(b"data: a") == 1 and response.count(b"data: b") == 1 and response.endswith(END)
+    assert (
+        response.count(b"data: a") == 1 and response.count(b"data: b") == 1 and response.endswith(LAST_CHUNK)
+    )
 
 
 def test_only_outcomes_with_a_proof_count_as_never_ran():
     """Only these let a non-idempotent request go to another server."""
     assert attempt.NEVER_RAN == {
-        attempt.Outcome.NOT_SENT,
-        attempt.Outcome.CANCELLED,
-        attempt.Outcome.NOT_EXECUTED,
-        attempt.Outcome.MISDIRECTED,
+        attempt.EdgeAttemptOutcome.NOT_SENT,
+        attempt.EdgeAttemptOutcome.CANCELLED,
+        attempt.EdgeAttemptOutcome.NOT_EXECUTED,
+        attempt.EdgeAttemptOutcome.MISDIRECTED,
     }
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -3,7 +3,7 @@
 import trio
 from async_scenarios import scenario, until
 from edge.harness import (
-    END,
+    LAST_CHUNK,
     STREAM_HEAD,
     ScriptedServer,
     chunk,
@@ -20,7 +20,7 @@
     server = ScriptedServer("i-1")
     message = request("/plain/1").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     async with running_edge(server) as edge:
-        assert status(await edge.exchange(message + chunk(b"abc") + chunk(b"defg") + END)) == 200
+        assert status(await edge.exchange(message + chunk(b"abc") + chunk(b"defg") + LAST_CHUNK)) == 200
     _, headers, body = server.requests[0]
     assert body == b"abcdefg" and headers["content-length"] == "7" and "transfer-encoding" not in headers
 
--- a/tests/edge/test_dispatch.py
+++ b/tests/edge/test_dispatch.py
@@ -5,7 +5,7 @@
 import trio
 from async_scenarios import scenario, until
 from edge.harness import (
-    END,
+    LAST_CHUNK,
     STREAM_HEAD,
     TIME_LIMIT_S,
     ScriptedServer,
@@ -19,9 +19,9 @@
 )
 
 from wheatroute.cluster.messages import InstanceState
-from wheatroute.edge.attempt import Attempt
+from wheatroute.edge.attempt import EdgeAttempt
 
-RUN_ATTEMPT = Attempt.run
+RUN_ATTEMPT = EdgeAttempt.run
 
 
 @scenario
@@ -111,7 +111,7 @@
 @scenario
 async def test_a_late_stream_is_hedged_once_and_the_loser_is_cancelled():
     box = []
-    complete = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n") + END, keep=True)
+    complete = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n") + LAST_CHUNK, keep=True)
     taken = []
 
     async def script(stream, fields):
@@ -127,7 +127,7 @@
         box.append(servers[0])
         response = await edge.exchange(request("/resume/1"))
         await servers[0].cancelled.wait()
-    assert response.endswith(END) and len(taken) == 2 and len(set(taken)) == 2
+    assert response.endswith(LAST_CHUNK) and len(taken) == 2 and len(set(taken)) == 2
 
 
 @scenario
@@ -164,7 +164,7 @@
             await both.wait()
         return outcome
 
-    Attempt.run = run
+    EdgeAttempt.run = run
     try:
         async with running_edge(*servers) as edge:
             for _ in range(30):
@@ -177,7 +177,7 @@
             await until(lambda: not any(edge.node.pool.connection_count(attempt.server) for attempt in ended))
             assert not any(edge.node.selector.load.running_requests(attempt.server.id) for attempt in ended)
     finally:
-        Attempt.run = RUN_ATTEMPT
+        EdgeAttempt.run = RUN_ATTEMPT
 
 
 @scenario
--- a/tests/edge/test_edge_role.py
+++ b/tests/edge/test_edge_role.py
@@ -11,7 +11,7 @@
 import trio.testing
 from async_scenarios import scenario, until
 from edge.harness import (
-    END,
+    LAST_CHUNK,
     STREAM_HEAD,
     ScriptedServer,
     chunk,
@@ -66,7 +66,7 @@
         head = STREAM_HEAD.replace(b"{id}", fields["request-id"].encode())
         await stream.send_all(head + chunk(b"id: 1\ndata: a\n\n"))
         await last.wait()
-        await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + END)
+        await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK)
         return True
 
     async with running(ScriptedServer("i-1", script, respond(b"late"))) as edge:
@@ -85,7 +85,7 @@
         last.set()
         response += await read_all(stream)
         await edge.ended.wait()
-    assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + END)
+    assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK)
 
 
 @scenario
@@ -105,7 +105,7 @@
         await edge.ended.wait()
         assert trio.current_time() - begun < 4.0  # `grace_s`
         response += await read_all(stream)
-    assert END not in response
+    assert LAST_CHUNK not in response
 
 
 @scenario
@@ -128,7 +128,7 @@
         head = STREAM_HEAD.replace(b"{id}", fields["request-id"].encode())
         await stream.send_all(head + chunk(b"id: 1\ndata: a\n\n"))
         await go_on.wait()
-        await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + END)
+        await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(edge_main, "CHECK_INTERVAL_S", 0.01)
@@ -154,7 +154,7 @@
         await until(lambda: edge.node.settings.bounds.grace_s == 4.5)
         go_on.set()
         response += await read_all(stream)
-        assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + END) and not edge.ended.is_set()
+        assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK) and not edge.ended.is_set()
 
 
 @scenario
--- a/tests/edge/test_forwarding.py
+++ b/tests/edge/test_forwarding.py
@@ -3,7 +3,7 @@
 import trio
 from async_scenarios import scenario
 from edge.harness import (
-    END,
+    LAST_CHUNK,
     STREAM_HEAD,
     ScriptedServer,
     chunk,
@@ -64,7 +64,7 @@
         # an event longer than a read, and one in two pieces
         await stream.send_all(chunk(b"id: 1\ndata: " + b"x" * 200_000 + b"\n\n") + chunk(b"id: 2\nda"))
         await first.wait()
-        await stream.send_all(chunk(b"ta: b\n\n") + END)
+        await stream.send_all(chunk(b"ta: b\n\n") + LAST_CHUNK)
         return True
 
     server = ScriptedServer("i-1", script)
@@ -76,7 +76,7 @@
             response += await stream.receive_some(65536)
         assert b"id: 2" not in response
         first.set()
-        while not response.endswith(END):
+        while not response.endswith(LAST_CHUNK):
             response += await stream.receive_some(65536)
     assert response.startswith(b"HTTP/1.1 200 OK\r\n") and b"id: 2\ndata: b\n\n" in response
 
@@ -87,14 +87,16 @@
     server = ScriptedServer("i-1", broken)
     async with running_edge(server) as edge:
         response = await edge.exchange(request("/stream/1"))
-    assert b"id: 1\ndata: a\n\n" in response and b"id: 2" not in response and END not in response
+    assert b"id: 1\ndata: a\n\n" in response and b"id: 2" not in response and LAST_CHUNK not in response
     assert len(server.requests) == 1
 
 
 @scenario
 async def test_a_broken_stream_is_resumed_at_another_server():
     broken = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\nid: 2\ndata: ha"))
-    rest = respond_raw(STREAM_HEAD.replace(b"s1", b"s2") + chunk(b"id: 2\ndata: b\n\n") + END, keep=True)
+    rest = respond_raw(
+        STREAM_HEAD.replace(b"s1", b"s2") + chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK, keep=True
+    )
 
     async def script(stream, fields):
         return await (rest if "last-event-id" in fields else broken)(stream, fields)
@@ -103,7 +105,7 @@
     async with running_edge(*servers) as edge:
         response = await edge.exchange(request("/resume/1"))
     body = response.split(b"\r\n\r\n", 1)[1]
-    assert body == chunk(b"id: 1\ndata: a\n\n") + chunk(b"id: 2\ndata: b\n\n") + END
+    assert body == chunk(b"id: 1\ndata: a\n\n") + chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK
     assert b"server-signature: s1" in response and b"s2" not in response
     assert [headers.get("last-event-id") for one in servers for _, headers, _ in one.requests] in (
         [None, "1"],
--- a/wheatroute/edge/__init__.py
+++ b/wheatroute/edge/__init__.py
@@ -1,1 +1,1 @@
-"""The edge role: takes clients' requests and carries them to model servers."""
+"""The edge role: accepts clients' requests and forwards them to model servers."""
--- a/wheatroute/edge/admission.py
+++ b/wheatroute/edge/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests before any server gets them: route, tenant, deadline, quota and service."""
+"""Admits requests before dispatch: finds their route, tenant, deadline and service, and charges quotas."""
 
 from __future__ import annotations
 
@@ -13,24 +13,28 @@
 from wheatroute.edge.quota_leases import request_cost
 from wheatroute.edge.request import ClientRequest
 
-RequestLease = Callable[[str, float], Awaitable[None]]  # by tenant and tokens
+# Requests a quota lease for a tenant and a number of tokens from the primary.
+LeaseRequester = Callable[[str, float], Awaitable[None]]
 
-CONFIGURATION_TIMEOUT_S = 0.4  # that a request may wait for this node's first configuration
-POLL_INTERVAL_S = 0.02  # between two checks for it
+CONFIGURATION_TIMEOUT_S = 0.4  # seconds that a request may wait for this node's first configuration
+POLL_INTERVAL_S = 0.02  # seconds between two checks for that configuration
 
 
 class Admission:
-    """Admits requests by the configuration in force and the tenants' quotas.
+    """Admits requests according to the configuration in force and the tenants' quotas.
 
-    `request_lease` gets more tokens of a tenant from the primary, if it can.
+    `request_lease` tries to lease more tokens of a tenant from the primary.
     """
 
-    def __init__(self, node: EdgeNode, request_lease: RequestLease) -> None:
+    def __init__(self, node: EdgeNode, request_lease: LeaseRequester) -> None:
         self._node = node
         self._request_lease = request_lease
 
     async def admit(self, request: ClientRequest) -> None:
-        """Fill in what the configuration says of a request, and charge its tenant; raises RequestError."""
+        """Fills in the fields of a request that the configuration determines, and charges its tenant.
+
+        Raises RequestError if the request is rejected.
+        """
         node = self._node
         if not node.is_configured:
             await self._wait_for_configuration()
@@ -48,10 +52,10 @@
             while not self._node.is_configured:
                 await trio.sleep(POLL_INTERVAL_S)
         if not self._node.is_configured:
-            raise RequestError(ErrorKind.NOT_CONFIGURED, "no configuration yet")
+            raise RequestError(ErrorKind.NOT_CONFIGURED, "this node has no configuration yet")
 
     def _choose_service(self, route: Route) -> str:
-        """Return one of the route's services, drawn by their weights."""
+        """Returns one of the route's services, drawn at random by weight."""
         if len(route.services) == 1:
             return route.services[0][0]
         names = [name for name, _ in route.services]
@@ -59,6 +63,7 @@
         return self._node.rng.choices(names, weights)[0]
 
     async def _charge(self, request: ClientRequest) -> None:
+        """Charges a request to its tenant's quota; requests a lease if too few tokens are left."""
         tenant = request.tenant
         if tenant is None or tenant.rate_per_s <= 0:
             return
@@ -68,18 +73,18 @@
         if not quotas.try_use(tenant.name, tokens):
             await self._request_lease(tenant.name, tokens)
             if not quotas.try_use(tenant.name, tokens):
-                raise RequestError(ErrorKind.OVER_QUOTA, f"tenant {tenant.name} is over its limit")
+                raise RequestError(ErrorKind.OVER_QUOTA, f"tenant {tenant.name} has exceeded its rate limit")
         request.charged_tokens = tokens
 
     def refund(self, request: ClientRequest) -> None:
-        """Return the tokens of a request that provably never ran."""
+        """Refunds the tokens of a request that provably never ran."""
         if request.charged_tokens and not request.may_have_run and request.tenant is not None:
             self._node.quotas.refund(request.tenant.name, request.charged_tokens)
             request.charged_tokens = 0.0
 
 
 def _timeout_s(request: ClientRequest, route: Route) -> float:
-    """Return the seconds in which a request must be answered: its own bound or the route's."""
+    """Returns a request's timeout in seconds, the smaller of its `Timeout-Ms` header and the route's."""
     header = request.header(b"timeout-ms").strip()
     client_timeout_ms = float(header) if header.isdigit() else inf
     return min(client_timeout_ms, route.timeout_ms) / 1000.0
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -1,8 +1,8 @@
-"""One attempt of a request at one server, from its connection to the last event of its response.
+"""Sends a request to one server and reads the response, up to the last event of a stream.
 
-The decision to send is checked once more at the moment of the write: the server may have left, the client may
-be gone or the deadline past. Before its last byte is written a request can't have run; after it, only a
-response with `Not-Executed`, or status 421, proves that it did not.
+The decision to send is checked again right before each write, since meanwhile the server may have left, the
+client may have disconnected, or the deadline may have passed. A request cannot have run before its last byte
+is written; after that, only a response with `Not-Executed`, or with status 421, proves that it did not.
 """
 
 from __future__ import annotations
@@ -16,73 +16,82 @@
 from wheatroute.edge.connection import StreamConnection, unacknowledged_bytes
 from wheatroute.edge.event_stream import EventSplitter
 from wheatroute.edge.instances import Server
-from wheatroute.edge.pool import ConnectError, ConnectionPool
+from wheatroute.edge.pool import ConnectError, StreamConnectionPool
 from wheatroute.edge.request import ClientRequest, Headers, request_headers
 from wheatroute.net.connection import MalformedError
 
 MISDIRECTED_REQUEST = 421  # RFC 9110, 15.5.20
-MIN_SERVER_ERROR = 500  # status from which a response is a server's failure (RFC 9110, 15.6)
+MIN_SERVER_ERROR = 500  # lowest status that reports a failure of the server (RFC 9110, 15.6)
 STATUSES_WITHOUT_BODY = (204, 304)  # RFC 9112, 6.3
-MAX_RESPONSE_BYTES = 64 << 20  # of a response that isn't a stream
-WRITE_CHECK_INTERVAL_S = 0.1  # between two checks of a write that the server's side holds up
+MAX_RESPONSE_BYTES = 64 << 20  # largest body of a response that is not a stream
+WRITE_CHECK_INTERVAL_S = 0.1  # seconds between two checks of a write that is blocked by the server's side
 
 
-class Outcome(Enum):
-    """The result of an attempt up to its first event, or to the end of its response."""
+class EdgeAttemptOutcome(Enum):
+    """Result of an attempt, known at the first event of a stream or at the end of another response."""
 
-    STREAM_STARTED = "stream-started"  # the first event of a stream is here
-    ANSWERED = "answered"  # the complete response is here
-    NOT_SENT = "not-sent"  # no connection, or it broke before the last byte was written
-    CANCELLED = "cancelled"  # not sent, as server, client or deadline were gone by then
-    NOT_EXECUTED = "not-executed"  # the server says that it didn't run it
-    MISDIRECTED = "misdirected"  # another server responded
-    FAILED = "failed"  # it may have run
+    STREAM_STARTED = "stream-started"  # the first event of a stream was received
+    ANSWERED = "answered"  # the complete response was received
+    NOT_SENT = "not-sent"  # connecting failed, or the connection broke before the last byte was written
+    # Given up before the last byte was written: the server or client left, or the deadline passed.
+    CANCELLED = "cancelled"
+    NOT_EXECUTED = "not-executed"  # the server reports that it did not run the request
+    MISDIRECTED = "misdirected"  # another server has this address now (status 421)
+    FAILED = "failed"  # there is no usable response, and the request may have run
 
 
-SUCCEEDED = frozenset((Outcome.STREAM_STARTED, Outcome.ANSWERED))
-NEVER_RAN = frozenset((Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.NOT_EXECUTED, Outcome.MISDIRECTED))
+SUCCEEDED = frozenset((EdgeAttemptOutcome.STREAM_STARTED, EdgeAttemptOutcome.ANSWERED))
+NEVER_RAN = frozenset(
+    (
+        EdgeAttemptOutcome.NOT_SENT,
+        EdgeAttemptOutcome.CANCELLED,
+        EdgeAttemptOutcome.NOT_EXECUTED,
+        EdgeAttemptOutcome.MISDIRECTED,
+    )
+)
 
 
-class Attempt:
-    """One attempt; `run` is called once, then `next_events` for the rest of a stream.
+class EdgeAttempt:
+    """One attempt to get a response from a server, on a connection that it uses exclusively.
 
-    `is_wanted` tells whether the client still waits; `prefill_tokens` is what the server is expected to read;
-    `last_event_id` the event after which a broken stream is resumed.
+    `run` is called once, then `next_events` for the rest of a stream. `is_client_waiting` returns whether the
+    client still waits for the response, `prefill_tokens` is the number of prompt tokens that the server is
+    expected to prefill, and `last_event_id` is the event after which a broken stream is resumed.
     """
 
     def __init__(
         self,
         request: ClientRequest,
         server: Server,
-        pool: ConnectionPool,
-        is_wanted: Callable[[], bool],
+        pool: StreamConnectionPool,
+        is_client_waiting: Callable[[], bool],
         prefill_tokens: float = 0.0,
         last_event_id: bytes | None = None,
     ) -> None:
         self.request, self.server = request, server
         self.prefill_tokens = prefill_tokens
-        self.is_written = False  # to the last byte
+        self.is_written = False  # whether the last byte of the request was written
         self.is_streaming = False
         self.status = 0
         self.reason = b""
         self.headers: Headers = []
-        self.body = b""  # the complete response, or the first events of a stream
+        self.body = b""  # body of a complete response, or the first events of a stream
         self.splitter = EventSplitter()
         self.error_detail = ""
-        self.is_local_failure = False  # this machine was the reason that there was no connection
+        self.is_local_failure = False  # whether connecting failed for a reason on this machine
         self._pool = pool
-        self._is_wanted = is_wanted
+        self._is_client_waiting = is_client_waiting
         self._last_event_id = last_event_id
         self._connection: StreamConnection | None = None
-        self._is_complete = False
+        self._is_complete = False  # whether a stream was read to its end
 
-    async def run(self) -> Outcome:
-        """Send the request and wait for the first event or the complete response."""
+    async def run(self) -> EdgeAttemptOutcome:
+        """Sends the request and waits for the first event of a stream or the complete response."""
         try:
             self._connection = await self._pool.acquire(self.server, self.request.id)
         except ConnectError as error:
             self.error_detail, self.is_local_failure = str(error), error.is_local
-            return Outcome.NOT_SENT
+            return EdgeAttemptOutcome.NOT_SENT
         try:
             return await self._exchange(self._connection)
         except (OSError, MalformedError) as error:
@@ -90,31 +99,35 @@
         finally:
             if not self.is_streaming:
                 self.close()
-        return Outcome.FAILED if self.is_written else Outcome.NOT_SENT
+        return EdgeAttemptOutcome.FAILED if self.is_written else EdgeAttemptOutcome.NOT_SENT
 
     def has_unacknowledged_bytes(self) -> bool:
-        """Return whether the server's host has not acknowledged all of the request that was written."""
+        """Returns whether the server's host has yet to acknowledge part of a completely written request."""
         connection = self._connection
         return self.is_written and connection is not None and unacknowledged_bytes(connection.sock) > 0
 
     def _may_write(self) -> bool:
-        return not self.server.has_left and self._is_wanted() and trio.current_time() < self.request.deadline
+        return (
+            not self.server.has_left
+            and self._is_client_waiting()
+            and trio.current_time() < self.request.deadline
+        )
 
-    async def _exchange(self, connection: StreamConnection) -> Outcome:
+    async def _exchange(self, connection: StreamConnection) -> EdgeAttemptOutcome:
         head = self._request_head()
         if not self._may_write():
             self._pool.release(self.server, connection)
             self._connection = None
-            return Outcome.CANCELLED
+            return EdgeAttemptOutcome.CANCELLED
         if not await self._write(connection, head):
-            return Outcome.CANCELLED
+            return EdgeAttemptOutcome.CANCELLED
         self.is_written = True
         self.request.sent_attempts += 1
         await self._read_head(connection, head)
         return await self._read_response(connection)
 
     async def _write(self, connection: StreamConnection, head: h11.Request) -> bool:
-        """Write the request; return False if it was given up before its last byte, so that it never runs."""
+        """Writes the request; returns False if it was given up before its last byte, so it never runs."""
         is_done = connection.send(head, self.request.body)
         while not is_done:
             with trio.move_on_after(WRITE_CHECK_INTERVAL_S):
@@ -132,34 +145,34 @@
         return h11.Request(method=self.request.method, target=self.request.target, headers=headers)
 
     async def _read_head(self, connection: StreamConnection, request_head: h11.Request) -> None:
-        """Read the head of this request's response; surplus responses to earlier requests are skipped."""
+        """Reads the head of the response to this request; skips surplus responses to earlier requests."""
         while True:
             event = await connection.next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise MalformedError(0, "no answer")
+                raise MalformedError(0, "no response head was received")
             headers: Headers = [(bytes(key), bytes(value)) for key, value in event.headers]
             fields = dict(headers)
             if not self._is_own_response(fields, connection):
                 await self._skip_body(connection)
-                # h11 expects one response for each request, and needs the method to read the next one
-                connection.restart(request_head)
+                # h11 accepts one response per request, and needs the request's method to parse another one.
+                connection.expect_next_response(request_head)
                 continue
             self.status, self.reason, self.headers = event.status_code, bytes(event.reason), headers
             self._pool.record_keep_alive(self.server, fields.get(b"keep-alive", b""))
             return
 
     def _is_own_response(self, fields: dict[bytes, bytes], connection: StreamConnection) -> bool:
-        """Return whether a response is to this request.
+        """Returns whether a response belongs to this request, by its `Request-Id`.
 
-        A response without an id is, if no other request was ever written on its connection; else it can't be
-        told, and MalformedError is raised.
+        A response without an id does if no other request was ever written on its connection. Otherwise it
+        cannot be attributed, and MalformedError is raised.
         """
         response_id = fields.get(b"request-id", b"")
         if not response_id:
             if connection.message_count > 1:
-                raise MalformedError(0, "an answer without an id on a kept connection")
+                raise MalformedError(0, "a response without a Request-Id on a reused connection")
             return True
         return response_id == self.request.id
 
@@ -168,17 +181,18 @@
         while not isinstance(await connection.next_event(), h11.EndOfMessage):
             pass
 
-    async def _read_response(self, connection: StreamConnection) -> Outcome:
+    async def _read_response(self, connection: StreamConnection) -> EdgeAttemptOutcome:
         fields = dict(self.headers)
         is_stream = fields.get(b"content-type", b"").startswith(b"text/event-stream")
         if is_stream and 200 <= self.status < 300:
             return await self._read_first_event(connection)
         self.body = await self._read_body(connection)
         if not _has_framing(fields) and self.status not in STATUSES_WITHOUT_BODY:
-            raise MalformedError(0, "an answer without an end")
+            raise MalformedError(0, "a response with neither Content-Length nor Transfer-Encoding")
         outcome = self._classify(fields)
-        if outcome != Outcome.ANSWERED or self.status >= MIN_SERVER_ERROR:
-            # the request may be sent again under its id, and a surplus copy of this response may follow here
+        if outcome != EdgeAttemptOutcome.ANSWERED or self.status >= MIN_SERVER_ERROR:
+            # The request may be sent again under the same id, and a surplus copy of this response may follow
+            # on this connection.
             connection.answered_ids.add(self.request.id)
         self._pool.release(self.server, connection)
         self._connection = None
@@ -191,18 +205,18 @@
         while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
             length += len(event.data)
             if length > MAX_RESPONSE_BYTES:
-                raise MalformedError(0, "an answer too long")
+                raise MalformedError(0, "the response body is too large")
             chunks.append(bytes(event.data))
         return b"".join(chunks)
 
-    def _classify(self, fields: dict[bytes, bytes]) -> Outcome:
+    def _classify(self, fields: dict[bytes, bytes]) -> EdgeAttemptOutcome:
         if self.status == MISDIRECTED_REQUEST:
-            return Outcome.MISDIRECTED
+            return EdgeAttemptOutcome.MISDIRECTED
         if fields.get(b"not-executed", b"").strip() not in (b"", b"0"):
-            return Outcome.NOT_EXECUTED
-        return Outcome.ANSWERED
+            return EdgeAttemptOutcome.NOT_EXECUTED
+        return EdgeAttemptOutcome.ANSWERED
 
-    async def _read_first_event(self, connection: StreamConnection) -> Outcome:
+    async def _read_first_event(self, connection: StreamConnection) -> EdgeAttemptOutcome:
         while True:
             event = await connection.next_event()
             if isinstance(event, h11.EndOfMessage):
@@ -213,12 +227,12 @@
             if self.body:
                 break
         self.is_streaming = True
-        return Outcome.STREAM_STARTED
+        return EdgeAttemptOutcome.STREAM_STARTED
 
     async def next_events(self) -> bytes | None:
-        """Return the bytes of the next complete events, None at the end of the stream.
+        """Returns the bytes of the next complete events, None at the end of the stream.
 
-        Raises OSError or MalformedError where the stream breaks off; an incomplete event is dropped then.
+        Raises OSError or MalformedError if the stream breaks off; an incomplete event is dropped then.
         """
         connection = self._connection
         if self._is_complete or connection is None:
@@ -234,17 +248,17 @@
                 return events
 
     def _check_end_of_stream(self) -> None:
-        """Raise MalformedError unless the stream's end proves that it is complete.
+        """Raises MalformedError unless the stream's end proves that it is complete.
 
-        A response without framing ends with its connection, as a broken one does (RFC 9112, 8).
+        A response without framing ends when its connection closes, as a truncated one does (RFC 9112, 8).
         """
         if not _has_framing(dict(self.headers)):
-            raise MalformedError(0, "a stream without an end")
+            raise MalformedError(0, "a stream with neither Content-Length nor Transfer-Encoding")
         if self.splitter.incomplete:
-            raise MalformedError(0, "a stream that ends inside an event")
+            raise MalformedError(0, "the stream ended inside an event")
 
     def close(self) -> None:
-        """Give the connection back after a complete response, else close it, which cancels the request."""
+        """Releases the connection after a complete stream, else closes it, which cancels the request."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
@@ -255,5 +269,5 @@
 
 
 def _has_framing(fields: dict[bytes, bytes]) -> bool:
-    """Return whether a response's length is known from its head (RFC 9112, 6.3)."""
+    """Returns whether the head of a response determines where its body ends (RFC 9112, 6.3)."""
     return b"content-length" in fields or b"transfer-encoding" in fields
--- a/wheatroute/edge/attempt_runner.py
+++ b/wheatroute/edge/attempt_runner.py
@@ -1,35 +1,40 @@
-"""Runs single attempts, keeps the servers' load by them, and learns from their results."""
+"""Runs single attempts, counts them in their servers' load, and updates server health and latency."""
 
 from __future__ import annotations
 
 import trio
 
-from wheatroute.edge.attempt import NEVER_RAN, SUCCEEDED, Attempt, Outcome
+from wheatroute.edge.attempt import NEVER_RAN, SUCCEEDED, EdgeAttempt, EdgeAttemptOutcome
 from wheatroute.edge.delivery import Delivery, FinishedAttempt
 from wheatroute.edge.instances import PendingAttempt, Server
 from wheatroute.edge.node import EdgeNode
 
 
-class AttemptRunner:
+class EdgeAttemptRunner:
     """Runs the attempts of one node.
 
-    Invariant: an attempt counts in its server's load from its start until it fails, or is released.
+    Invariant: an attempt counts in its server's load from its start until it fails or is released.
     """
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
 
     async def run(self, delivery: Delivery, server: Server) -> FinishedAttempt:
-        """Run one attempt; if it succeeds, the caller releases it."""
+        """Runs one attempt; if it succeeds, the caller must release it."""
         request = delivery.request
         selector = self._node.selector
         started_at = trio.current_time()
         prefill_tokens = selector.expected_prefill_tokens(server, request.prefix_key, request.prefix_blocks)
-        attempt = Attempt(
-            request, server, self._node.pool, delivery.is_wanted, prefill_tokens, delivery.last_event_id
+        attempt = EdgeAttempt(
+            request,
+            server,
+            self._node.pool,
+            delivery.is_client_waiting,
+            prefill_tokens,
+            delivery.last_event_id,
         )
         queued_tokens = selector.load.start(server.id, prefill_tokens)
-        outcome = Outcome.FAILED  # where an exception ends the attempt
+        outcome = EdgeAttemptOutcome.FAILED  # stays if an exception ends the attempt
         server.pending[id(attempt)] = PendingAttempt(started_at, attempt.has_unacknowledged_bytes)
         try:
             outcome = await attempt.run()
@@ -41,37 +46,37 @@
             if attempt.is_written and outcome not in NEVER_RAN:
                 request.may_have_run = True
             finished = FinishedAttempt(attempt, outcome)
-            self._learn_latency(delivery, finished, trio.current_time() - started_at, queued_tokens)
+            self._record_latency(delivery, finished, trio.current_time() - started_at, queued_tokens)
         if finished.has_succeeded:
             now = trio.current_time()
             server.record_response(now, finished.is_server_error)
             selector.prefix_cache.record_use(server.id, request.prefix_blocks, now)
         return finished
 
-    def release(self, attempt: Attempt) -> None:
-        """End an attempt that succeeded: take it off its server's load and close what is open."""
+    def release(self, attempt: EdgeAttempt) -> None:
+        """Releases an attempt that succeeded: removes it from its server's load and frees its connection."""
         self._node.selector.load.end(attempt.server.id)
         attempt.close()
 
-    def learn_failure(self, finished: FinishedAttempt) -> None:
-        """Avoid a server after an attempt that failed, for as long as its outcome suggests."""
+    def record_failure(self, finished: FinishedAttempt) -> None:
+        """Ejects, backs off from or excludes the server of a failed attempt, depending on the outcome."""
         server, outcome = finished.attempt.server, finished.outcome
         now = trio.current_time()
-        if outcome == Outcome.MISDIRECTED:
+        if outcome == EdgeAttemptOutcome.MISDIRECTED:
             self._node.instances.mark_left(server)
             self._node.pool.close_idle(server)
-        elif outcome == Outcome.NOT_SENT and not finished.attempt.is_local_failure:
+        elif outcome == EdgeAttemptOutcome.NOT_SENT and not finished.attempt.is_local_failure:
             server.record_failure(now)
             self._node.pool.close_idle(server)
-        elif outcome == Outcome.FAILED:
+        elif outcome == EdgeAttemptOutcome.FAILED:
             server.record_failure(now)
-        elif outcome == Outcome.NOT_EXECUTED:
+        elif outcome == EdgeAttemptOutcome.NOT_EXECUTED:
             server.record_rejection(now)
 
-    def _learn_latency(
+    def _record_latency(
         self, delivery: Delivery, finished: FinishedAttempt, latency_s: float, queued_tokens: float
     ) -> None:
-        """Count a time to first token; an attempt that ended late without one counts with its duration."""
+        """Records a time to first token; an attempt that ended late without one counts with its duration."""
         attempt = finished.attempt
         is_late = latency_s > delivery.target_s
         is_measured = finished.has_succeeded and not finished.is_server_error
@@ -81,7 +86,7 @@
         if finished.has_succeeded and is_late:
             self._log_late(delivery, attempt, latency_s)
 
-    def _log_late(self, delivery: Delivery, attempt: Attempt, latency_s: float) -> None:
+    def _log_late(self, delivery: Delivery, attempt: EdgeAttempt, latency_s: float) -> None:
         self._node.log.info(
             "request-late",
             extra={
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -1,6 +1,6 @@
-"""Accepts clients' connections, reads their requests, and has each answered.
+"""Accepts clients' connections, reads their requests, and passes each to the forwarder.
 
-Does the accepting itself; reading and writing is done by `wheatroute.edge.connection`.
+Connections are accepted here; `wheatroute.edge.connection` reads and writes.
 """
 
 from __future__ import annotations
@@ -15,16 +15,18 @@
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
 from wheatroute.edge.client_response import ClientDisconnectedError, ClientResponse
-from wheatroute.edge.connection import OUT_OF_DESCRIPTORS, StreamConnection, tune
+from wheatroute.edge.connection import OUT_OF_DESCRIPTORS, StreamConnection, set_socket_options
 from wheatroute.edge.forwarding import Forwarder
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.request import ClientRequest
 from wheatroute.net.connection import MalformedError
 
-BODY_TIMEOUT_S = 20.0  # for a body, on top of the head's
-LINGER_TIMEOUT_S = 0.5  # for a client to read its last response, while what it still sends is discarded
-MAX_PIPELINED_BYTES = 65536  # that a client may send before its response is complete
-ACCEPT_BACKOFF_S = 0.05  # while this process has no descriptors left
+BODY_TIMEOUT_S = 20.0  # time for the body of a request, in addition to the timeout of its head
+# Time for a client to read the last response, while its further input is discarded.
+LINGER_TIMEOUT_S = 0.5
+# Bytes that a client may send before its response is complete; its connection is not read beyond them.
+MAX_PIPELINED_BYTES = 65536
+ACCEPT_BACKOFF_S = 0.05  # pause in accepting while no file descriptors are left
 ERRORS_BY_STATUS = {413: ErrorKind.BODY_TOO_LARGE, 431: ErrorKind.HEAD_TOO_LARGE}
 
 
@@ -33,12 +35,12 @@
 
     def __init__(self, connection: StreamConnection) -> None:
         self.connection = connection
-        self.is_busy = False  # a request is being read or answered
-        self.idle_scope = trio.CancelScope()  # of its wait for the next request
+        self.is_busy = False  # whether a request is being read or answered
+        self.idle_scope = trio.CancelScope()  # scope of the wait for the next request
 
 
 class Clients:
-    """All clients of this node."""
+    """Serves all client connections of this node."""
 
     def __init__(self, node: EdgeNode, forwarder: Forwarder, log: logging.Logger) -> None:
         self._node = node
@@ -52,10 +54,10 @@
         """Number of clients with a request that is being read or answered."""
         return sum(1 for client in self._clients if client.is_busy)
 
-    # connections
+    # Accepting and closing connections
 
     async def run(self, listener: socket.socket) -> None:
-        """Accept connections until `close_listener`."""
+        """Accepts and serves connections until `close_listener` is called."""
         self._listener = listener
         async with trio.open_nursery() as nursery:
             while True:
@@ -77,20 +79,20 @@
                 nursery.start_soon(self._serve, sock, f"{peer[0]}:{peer[1]}")
 
     def close_listener(self) -> None:
-        """Accept no more connections."""
+        """Closes the listener, so that no more connections are accepted."""
         listener, self._listener = self._listener, None
         if listener is not None:
             trio.lowlevel.notify_closing(listener)
             listener.close()
 
     def close_idle(self) -> None:
-        """Close the connections that have no request in progress."""
+        """Closes the connections that have no request in progress."""
         for client in self._clients:
             if not client.is_busy:
                 client.idle_scope.cancel()
 
     async def _serve(self, sock: socket.socket, peer: str) -> None:
-        tune(sock)
+        set_socket_options(sock)
         connection = StreamConnection(sock, h11.SERVER, peer)
         client = _Client(connection)
         self._clients.add(client)
@@ -101,15 +103,15 @@
         except (OSError, ClientDisconnectedError):
             pass
         except Exception:
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
         finally:
             self._clients.discard(client)
             connection.close()
 
-    # requests
+    # Reading and answering requests
 
     async def _serve_request(self, client: _Client) -> bool:
-        """Read and answer one request; return False if the connection is to end."""
+        """Reads and answers one request; returns False if the connection is to be closed."""
         limits = self._node.table.limits
         client.connection.max_body_bytes = limits.max_body_bytes
         idle_timeout_s, head_timeout_s = limits.idle_timeout_ms / 1000, limits.header_timeout_ms / 1000
@@ -122,17 +124,19 @@
             await self._reject(client, RequestError(kind, str(error)))
             return False
         except trio.TooSlowError:
-            await self._reject(client, RequestError(ErrorKind.REQUEST_TIMEOUT, "the request came too slowly"))
+            await self._reject(
+                client, RequestError(ErrorKind.REQUEST_TIMEOUT, "the request was not received in time")
+            )
             return False
         if request is None:
             return False
         return await self._answer(client, request)
 
     async def _reject(self, client: _Client, error: RequestError) -> None:
-        """Answer what is not a complete request, and end the connection.
+        """Sends an error response to a malformed or incomplete request, and ends the connection.
 
-        What the client still sends is read and discarded: closing a socket with unread bytes resets the
-        connection, by which the client could lose the response (RFC 9112, 9.6).
+        Further input is read and discarded, because closing a socket with unread bytes resets the connection,
+        and the client could lose the response (RFC 9112, 9.6).
         """
         connection = client.connection
         if connection.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
@@ -148,9 +152,9 @@
     async def _read_request(
         self, client: _Client, idle_timeout_s: float, head_timeout_s: float
     ) -> ClientRequest | None:
-        """Return the next complete request; None if the client was idle for too long, or is gone.
+        """Returns the next complete request, None if the client was idle for too long or has disconnected.
 
-        Raises MalformedError, and trio.TooSlowError if the request takes too long after its first byte.
+        Raises MalformedError, or trio.TooSlowError if the request takes too long after its first byte.
         """
         if not await self._wait_for_first_byte(client, idle_timeout_s):
             return None
@@ -166,7 +170,7 @@
 
     @staticmethod
     async def _wait_for_first_byte(client: _Client, idle_timeout_s: float) -> bool:
-        """Wait until part of a request is here; return False at the idle timeout or the connection's end."""
+        """Waits for the start of a request; returns False after the idle timeout or a disconnect."""
         connection = client.connection
         with client.idle_scope, trio.move_on_after(idle_timeout_s):
             while not connection.has_partial_message:
@@ -180,9 +184,9 @@
 
     @staticmethod
     async def _read_message(connection: StreamConnection, head_deadline: float) -> bool:
-        """Read until a request is complete; return False if the client has closed the connection before.
+        """Reads until a request is complete; returns False if the client closes the connection before.
 
-        Raises MalformedError, and trio.TooSlowError if its head isn't complete at the deadline.
+        Raises MalformedError, or trio.TooSlowError if the head is not complete at the deadline.
         """
         has_sent_continue = False
         while not connection.parse():
@@ -201,19 +205,23 @@
         return True
 
     async def _answer(self, client: _Client, request: ClientRequest) -> bool:
-        """Have a request answered, while its client is watched; return True if the connection can go on."""
+        """Handles a request while watching for a disconnect; returns whether the connection can be reused."""
         response = ClientResponse(client.connection, is_closing=self._node.is_stopping)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_disconnect, client, response, nursery.cancel_scope)
             with suppress(ClientDisconnectedError):
                 await self._forwarder.handle(request, response)
             nursery.cancel_scope.cancel()
-        # without `Connection: close` the client may be about to send: its connection ends once it is idle
+        # A client that got no `Connection: close` may be about to send another request. If this node is
+        # stopping, its connection is closed once it is idle.
         return response.is_complete and not response.is_closing
 
     @staticmethod
     async def _watch_disconnect(client: _Client, response: ClientResponse, scope: trio.CancelScope) -> None:
-        """Cancel a request when its client disconnects."""
+        """Cancels a request when its client disconnects.
+
+        The watch ends without effect once the client has pipelined too many bytes.
+        """
         connection = client.connection
         try:
             while len(connection.http.trailing_data[0]) < MAX_PIPELINED_BYTES:
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -1,6 +1,6 @@
-"""This node's side of distribution: long polls of the primary for configuration and servers.
+"""Keeps this node's configuration and servers up to date by long polls of the primary.
 
-A poll names the versions in force here, and is answered once there is something newer.
+A poll carries the versions in force on this node, and is answered once the primary has newer ones.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from wheatroute.edge.routing import RoutingTable
 from wheatroute.edge.usage_reporter import UsageReporter
 
-POLL_WAIT_S = 0.7  # that the primary may hold a poll
-FIRST_POLL_WAIT_S = 0.3  # the same until a configuration is in force here
-POLL_MARGIN_S = 0.45  # after it, until the primary counts as lost
-HOST_BACKOFF_S = 0.06  # mean pause between two hosts that gave no answer
+POLL_WAIT_S = 0.7  # seconds for which the primary may hold a poll
+FIRST_POLL_WAIT_S = 0.3  # the same, while this node has no configuration
+POLL_MARGIN_S = 0.45  # seconds beyond that after which a poll has failed
+HOST_BACKOFF_S = 0.06  # mean pause after a failed poll, before the next host is polled
 
 
 class ControlClient:
-    """Polls for updates, and owns the reports of usage."""
+    """Polls the primary for updates, and runs the usage reports."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
         self._primary_client = PrimaryClient(node)
         self._usage_reporter = UsageReporter(node, self._primary_client)
-        self._epoch = -1  # newest epoch of an update
-        self._wants_full = False  # the last difference could not be applied
+        self._epoch = -1  # highest epoch of all updates received
+        self._wants_full = False  # whether the last difference could not be applied
 
     async def run(self) -> None:
-        """Poll and report until cancelled."""
+        """Polls for updates and reports usage until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._usage_reporter.run)
             await self._poll_forever()
 
     async def request_lease(self, tenant: str, tokens: float) -> None:
-        """Request tokens of a tenant from the primary; without a response the node uses local tokens."""
+        """Requests tokens of a tenant from the primary; switches to local tokens if there is no response."""
         await self._usage_reporter.request_lease(tenant, tokens)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the control nodes that are known from the settings."""
+        """Replaces the seed hosts, which are the control nodes named in the settings."""
         self._primary_client.set_seeds(seeds)
 
     async def _poll_forever(self) -> None:
@@ -53,13 +53,14 @@
             if await self._poll():
                 is_redirected = False
                 continue
-            # a primary that was named is asked at once, unless it was named by one that was named itself
+            # A redirect to another primary is followed at once, unless it came from a host that was itself
+            # reached by a redirect.
             is_redirected = not is_redirected and client.was_redirected and client.primary != host
             if not is_redirected:
                 await trio.sleep(HOST_BACKOFF_S * (0.5 + self._node.rng.random()))
 
     async def _poll(self) -> bool:
-        """Do one long poll and apply its update; return False if there is none or it can't be applied."""
+        """Does one long poll and applies the update; returns False if there is none or applying it fails."""
         node, client = self._node, self._primary_client
         request = UpdateRequest(
             node.settings.node,
@@ -74,18 +75,18 @@
             return False
         update = msgspec.msgpack.decode(body, type=Update)
         if update.epoch < self._epoch:
-            client.move_on()
+            client.switch_host()
             return False
         self._epoch, client.updated_at = update.epoch, trio.current_time()
-        self._usage_reporter.report_soon()
+        self._usage_reporter.report_if_primary_changed()
         client.set_hosts(update.control_hosts)
         node.apply(update, self._updated_table(update))
         return not self._wants_full
 
     def _updated_table(self, update: Update) -> RoutingTable | None:
-        """Return the table of a newer configuration, None if there is none.
+        """Returns the routing table of a newer configuration, None if there is none.
 
-        Where a difference can't be applied, the next poll asks for the full configuration.
+        If the difference cannot be applied, the next poll requests the full configuration.
         """
         if update.configuration_change is None:
             return None
--- a/wheatroute/edge/delivery.py
+++ b/wheatroute/edge/delivery.py
@@ -1,4 +1,4 @@
-"""Records of a request on its way to a server. No I/O."""
+"""State of one request while it is dispatched to servers. No I/O."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 
 from wheatroute.cluster.configuration import Route
-from wheatroute.edge.attempt import MIN_SERVER_ERROR, SUCCEEDED, Attempt, Outcome
+from wheatroute.edge.attempt import MIN_SERVER_ERROR, SUCCEEDED, EdgeAttempt, EdgeAttemptOutcome
 from wheatroute.edge.request import ClientRequest
 
 
 @dataclass(frozen=True)
 class FinishedAttempt:
-    """An attempt whose first event or complete response is here, or that failed before."""
+    """An attempt that has received its first event or complete response, or has failed, with its outcome."""
 
-    attempt: Attempt
-    outcome: Outcome
+    attempt: EdgeAttempt
+    outcome: EdgeAttemptOutcome
 
     @property
     def has_succeeded(self) -> bool:
@@ -24,37 +24,37 @@
 
     @property
     def is_server_error(self) -> bool:
-        """Whether a complete response is a server's own failure."""
-        return self.outcome == Outcome.ANSWERED and self.attempt.status >= MIN_SERVER_ERROR
+        """Whether a complete response reports a failure of the server (status 500 and above)."""
+        return self.outcome == EdgeAttemptOutcome.ANSWERED and self.attempt.status >= MIN_SERVER_ERROR
 
 
 @dataclass
 class Delivery:
-    """One request on its way to a server."""
+    """One dispatch of a request, which may take several attempts."""
 
     request: ClientRequest
     route: Route
-    is_wanted: Callable[[], bool]  # whether its client still waits
-    last_event_id: bytes | None  # after which a stream is resumed
-    attempted_ids: set[str]  # servers that have had an attempt since the last wait
+    is_client_waiting: Callable[[], bool]  # whether the client still waits for the response
+    last_event_id: bytes | None  # event after which a stream is resumed, None for a new request
+    attempted_ids: set[str]  # ids of servers attempted since the request last waited for one
 
     @property
     def target_s(self) -> float:
-        """The route's latency target."""
+        """Latency target of the route, in seconds."""
         return self.route.target_ms / 1000.0
 
     @property
     def has_retries_left(self) -> bool:
         """Whether a request that may have run may be sent to one more server.
 
-        `Route.retries` is the most servers that it may be sent to, the first included: with 1 it isn't sent
-        again.
+        `Route.retries` is the maximum number of servers that a request may be sent to, including the first:
+        with 1 it is not sent again.
         """
         return self.route.idempotent and self.request.sent_attempts < self.route.retries
 
     @property
     def is_hedgeable(self) -> bool:
-        """Whether a hedge may be sent beside the next attempt: only the first of a hedged route."""
+        """Whether the next attempt may be hedged: only the first one of a new request on a hedged route."""
         request = self.request
         if self.last_event_id is not None or request.sent_attempts or request.table is None:
             return False
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -1,4 +1,4 @@
-"""Brings a request to a server that begins to answer it: waits for one, sends, hedges and retries."""
+"""Dispatches requests to servers: waits for an available server, sends attempts, hedges and retries."""
 
 from __future__ import annotations
 
@@ -7,49 +7,53 @@
 import trio
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
-from wheatroute.edge.attempt import Attempt, Outcome
-from wheatroute.edge.attempt_runner import AttemptRunner
+from wheatroute.edge.attempt import EdgeAttempt, EdgeAttemptOutcome
+from wheatroute.edge.attempt_runner import EdgeAttemptRunner
 from wheatroute.edge.delivery import Delivery, FinishedAttempt
 from wheatroute.edge.instances import Server
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.request import ClientRequest
 
-QUEUE_TIMEOUT_FRACTION = 0.22  # of a route's latency target that a request may wait for a server
+QUEUE_TIMEOUT_FRACTION = 0.22  # fraction of a route's latency target that a request may wait for a server
 MIN_QUEUE_TIMEOUT_S = 0.02
-QUEUE_POLL_INTERVAL_S = 0.02  # between two checks whether there is a server
-# Written attempts after which a request doesn't wait for a server any more. It is checked only when there is
-# no server to try, so it doesn't bound attempts while there is one. Those that servers rejected count;
-# connections that were never established don't.
+QUEUE_POLL_INTERVAL_S = 0.02  # seconds between two checks whether a server is available
+# Number of written attempts from which a request no longer waits for a server. It is checked only when no
+# server is left to try, so it does not bound the attempts while there is one. Attempts that a server rejected
+# count; connections that were never established do not.
 MAX_SENT_ATTEMPTS = 4
 
 
 class Dispatcher:
-    """Finds servers for the requests of one node, and decides on hedges and retries.
+    """Chooses servers for the requests of one node, and decides on hedges and retries.
 
-    The attempts themselves are run by `AttemptRunner`.
+    `EdgeAttemptRunner` runs the attempts themselves.
     """
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
-        self._attempts = AttemptRunner(node)
+        self._attempts = EdgeAttemptRunner(node)
 
     async def dispatch(
-        self, request: ClientRequest, is_wanted: Callable[[], bool], last_event_id: bytes | None = None
-    ) -> Attempt:
-        """Return an attempt that has its first event or complete response; the caller releases it.
-
-        `is_wanted` tells whether the client still waits. Raises RequestError if there will be no response.
+        self,
+        request: ClientRequest,
+        is_client_waiting: Callable[[], bool],
+        last_event_id: bytes | None = None,
+    ) -> EdgeAttempt:
+        """Returns an attempt that has its first event or complete response; the caller must release it.
+
+        `is_client_waiting` returns whether the client still waits for the response; `last_event_id` is the
+        event after which a stream is resumed. Raises RequestError if there will be no response.
         """
         assert request.route is not None
-        delivery = Delivery(request, request.route, is_wanted, last_event_id, set())
-        was_rejected = False  # by a server, for want of capacity
+        delivery = Delivery(request, request.route, is_client_waiting, last_event_id, set())
+        was_rejected = False  # whether a server has rejected the request for lack of capacity
         while True:
             server = self._choose_server(delivery)
             if server is None:
                 self._check_queue_timeout(delivery, was_rejected)
                 await trio.sleep(QUEUE_POLL_INTERVAL_S)
-                # A server that has failed may be tried again: it may have recovered meanwhile. A request that
-                # must not be sent again doesn't come here (`_check_retry`).
+                # Servers that have failed may be tried again, as they may have recovered by now. A request
+                # that must not be sent again does not get here (`_check_retry` raises).
                 delivery.attempted_ids.clear()
                 continue
             delivery.attempted_ids.add(server.id)
@@ -59,23 +63,23 @@
                     return finished.attempt
                 self.release(finished.attempt)
                 continue
-            self._attempts.learn_failure(finished)
-            was_rejected = was_rejected or finished.outcome == Outcome.NOT_EXECUTED
+            self._attempts.record_failure(finished)
+            was_rejected = was_rejected or finished.outcome == EdgeAttemptOutcome.NOT_EXECUTED
             self._check_retry(delivery, finished)
 
-    def release(self, attempt: Attempt) -> None:
-        """End an attempt that `dispatch` has returned."""
+    def release(self, attempt: EdgeAttempt) -> None:
+        """Releases an attempt that `dispatch` has returned."""
         self._attempts.release(attempt)
 
     def may_retry(self, request: ClientRequest) -> bool:
-        """Return whether the service's retry budget allows one more attempt; counts it if so."""
+        """Returns whether the service's retry budget allows one more attempt; if so, charges the budget."""
         budget = self._node.retry_budget(request.service)
         return budget.try_retry(trio.current_time(), self._node.edge_node_count)
 
-    # queue
+    # Choosing a server
 
     def _choose_server(self, delivery: Delivery) -> Server | None:
-        """Return the best server that hasn't been tried and has a connection to spare."""
+        """Returns the best untried server that may get another connection, None if there is none."""
         node, request = self._node, delivery.request
         available = node.instances.available(request.service)
         servers = [server for server in available if server.id not in delivery.attempted_ids]
@@ -83,7 +87,7 @@
             return None
         service = request.table.services.get(request.service) if request.table is not None else None
         max_connections = service.max_conns if service is not None else 0
-        node.hedge_timer.delay_s(trio.current_time())  # only to bring `p95_s` up to date
+        node.hedge_timer.delay_s(trio.current_time())  # called only to update `p95_s`
         node.selector.set_response_timeout(node.hedge_timer.p95_s)
         ranked = node.selector.rank(
             request.service, servers, request.prefix_key, request.prefix_blocks, delivery.target_s
@@ -95,7 +99,10 @@
 
     @staticmethod
     def _check_queue_timeout(delivery: Delivery, was_rejected: bool) -> None:
-        """Raise RequestError once a request has waited for a server as long as its target allows."""
+        """Raises RequestError if a request without a server must not wait for one any longer.
+
+        That is when a server has rejected it, its queue timeout has passed, or too many attempts were sent.
+        """
         request = delivery.request
         queue_timeout_s = max(MIN_QUEUE_TIMEOUT_S, QUEUE_TIMEOUT_FRACTION * delivery.target_s)
         waited_s = trio.current_time() - request.received_at
@@ -105,30 +112,33 @@
         kind = ErrorKind.NO_CAPACITY if was_rejected else ErrorKind.NO_SERVER
         if request.may_have_run:
             kind = ErrorKind.SERVER_FAILED
-        raise RequestError(kind, f"no server of {request.service} takes it")
+        raise RequestError(kind, f"no server of service {request.service} accepts the request")
 
-    # retries
+    # Retries
 
     def _may_retry_error(self, delivery: Delivery, finished: FinishedAttempt) -> bool:
-        """Return whether a server's error response is dropped for another attempt; counts it if so."""
+        """Returns whether to drop a server's error response and retry; if so, charges the retry budget."""
         if not finished.is_server_error:
             return False
         return delivery.has_retries_left and self.may_retry(delivery.request)
 
     def _check_retry(self, delivery: Delivery, finished: FinishedAttempt) -> None:
-        """Raise RequestError unless a request whose attempt failed may go to another server."""
+        """Raises RequestError unless a request whose attempt failed may be sent to another server."""
         request, outcome = delivery.request, finished.outcome
-        if outcome == Outcome.FAILED:
+        if outcome == EdgeAttemptOutcome.FAILED:
             if not delivery.has_retries_left or not self.may_retry(request):
                 raise RequestError(ErrorKind.SERVER_FAILED, finished.attempt.error_detail)
-        elif outcome in (Outcome.NOT_EXECUTED, Outcome.MISDIRECTED) and not self.may_retry(request):
+        elif outcome in (
+            EdgeAttemptOutcome.NOT_EXECUTED,
+            EdgeAttemptOutcome.MISDIRECTED,
+        ) and not self.may_retry(request):
             kind = ErrorKind.SERVER_FAILED if request.may_have_run else ErrorKind.NO_CAPACITY
-            raise RequestError(kind, "the retry budget is used up")
+            raise RequestError(kind, "the retry budget is exhausted")
 
-    # hedging
+    # Hedging
 
     async def _send(self, delivery: Delivery, server: Server) -> FinishedAttempt:
-        """Run one attempt, and a hedge where it is allowed; the attempt that loses is cancelled."""
+        """Runs one attempt, and a hedge if one is allowed; the losing attempt is cancelled."""
         if not delivery.is_hedgeable:
             return await self._attempts.run(delivery, server)
         finished: list[FinishedAttempt] = []
@@ -141,7 +151,7 @@
             winner = None
             raise
         finally:
-            # a loser may have succeeded before it was cancelled, and so may both if the request ends
+            # The loser may have succeeded before it was cancelled. If the request itself ends, both may have.
             for other in finished:
                 if other.has_succeeded and other is not winner:
                     self.release(other.attempt)
@@ -151,9 +161,9 @@
     async def _send_hedged(
         self, delivery: Delivery, server: Server, nursery: trio.Nursery, finished: list[FinishedAttempt]
     ) -> FinishedAttempt:
-        """Return the first of one or two attempts that succeeds, else the last one.
+        """Returns the first of one or two attempts that succeeds, or the last to fail if none does.
 
-        All attempts that finish are added to `finished`.
+        Adds each attempt that finishes to `finished`.
         """
         send, receive = trio.open_memory_channel[FinishedAttempt](2)
 
@@ -173,11 +183,11 @@
         first = await receive.receive()
         if first.has_succeeded:
             return first
-        self._attempts.learn_failure(first)
+        self._attempts.record_failure(first)
         return await receive.receive()
 
     def _choose_hedge_server(self, delivery: Delivery) -> Server | None:
-        """Return another server for a hedge, if there is one and the retry budget allows it."""
+        """Returns a server for the hedge, None if there is none or the retry budget does not allow it."""
         server = self._choose_server(delivery)
         if server is None or server.is_degraded(trio.current_time()):
             return None
--- a/wheatroute/edge/event_stream.py
+++ b/wheatroute/edge/event_stream.py
@@ -9,14 +9,14 @@
 
 
 class EventSplitter:
-    """Buffers the bytes of an event until it is complete."""
+    """Splits a byte stream into complete events, and buffers an incomplete one."""
 
     def __init__(self) -> None:
         self._incomplete = b""
-        self.last_event_id: bytes | None = None  # of the events that were complete
+        self.last_event_id: bytes | None = None  # last id among the complete events
 
     def feed(self, data: bytes) -> bytes:
-        """Return the unchanged bytes of all events that these bytes complete."""
+        """Adds bytes; returns the unchanged bytes of all events that are complete now."""
         self._incomplete += data
         end = 0
         for match in _EVENT_END.finditer(self._incomplete):
@@ -28,5 +28,5 @@
 
     @property
     def incomplete(self) -> bytes:
-        """The beginning of an event whose end has not come."""
+        """Buffered bytes of an event whose end was not received yet."""
         return self._incomplete
--- a/wheatroute/edge/hedge_timer.py
+++ b/wheatroute/edge/hedge_timer.py
@@ -1,4 +1,6 @@
-"""Delay of the hedge: the p95 of this node's time to first token over a window, plus a margin. No I/O.
+"""Computes the delay after which a request is hedged. No I/O.
+
+The delay is the p95 of this node's times to first token over a sliding window, plus a margin.
 
 Source: J. Dean, L. A. Barroso, "The Tail at Scale", CACM 2013.
 """
@@ -10,16 +12,16 @@
 from wheatroute.quantiles import SlidingWindow
 
 WINDOW_S = 10.0
-MARGIN = 0.1  # of the p95
-MIN_SAMPLES = 20  # there is no hedge before
+MARGIN = 0.1  # fraction of the p95 that is added to it
+MIN_SAMPLES = 20  # no request is hedged while the window holds fewer
 UPDATE_INTERVAL_S = 0.5
 QUANTILE = 0.95
 
 
 class HedgeTimer:
-    """Sliding window of times to first token.
+    """Keeps a sliding window of times to first token, and the hedge delay that follows from it.
 
-    An attempt that ended late without a first token counts with its duration (`AttemptRunner`).
+    An attempt that ended late without a first token counts with its duration (see `EdgeAttemptRunner`).
     """
 
     def __init__(self) -> None:
@@ -28,16 +30,16 @@
         self._delay_s = inf
 
     def record(self, now: float, latency_s: float) -> None:
-        """Add a time to first token."""
+        """Adds a time to first token, in seconds."""
         self._window.add(now, latency_s, 1.0)
 
     @property
     def p95_s(self) -> float:
-        """The p95 as of the last update; 0 while there are too few samples."""
+        """The p95 in seconds as of the last call of `delay_s`, 0 while there are too few samples."""
         return self._delay_s / (1.0 + MARGIN) if self._delay_s < inf else 0.0
 
     def delay_s(self, now: float) -> float:
-        """Return the seconds after which a hedge may be sent; infinite while there are too few samples."""
+        """Returns the seconds after which a hedge may be sent, infinity while there are too few samples."""
         if now - self._updated_at >= UPDATE_INTERVAL_S:
             self._updated_at = now
             self._window.update(now)
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -1,6 +1,6 @@
-"""The servers that this node knows: the registry's view of them, and what this node's attempts met there.
+"""Tracks the servers that this node knows: their registry state, and their health as seen by its attempts.
 
-No I/O of its own; whether bytes are unacknowledged is asked of the kernel through a callback.
+Does no I/O itself; callbacks query the kernel for unacknowledged bytes.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from wheatroute.cluster.settings import split_address
 
 ERROR_SMOOTHING = 0.25  # weight of the newest response in a server's error rate
-MAX_ERROR_RATE = 0.3  # from which a server is ejected
+MAX_ERROR_RATE = 0.3  # error rate above which a server is ejected
 ERROR_EJECTION_S = 2.0
-REJECTION_BACKOFF_S = 0.25  # after a request that the server rejected
-FAILURE_BACKOFF_S = 0.5  # after the first failed connection; doubles with each further one
+REJECTION_BACKOFF_S = 0.25  # backoff after a request that the server rejected
+FAILURE_BACKOFF_S = 0.5  # backoff after the first failure; doubles with each further one
 MAX_BACKOFF_S = 4.0
-ACKNOWLEDGE_TIMEOUT_S = 0.25  # in which a host that is up acknowledges what was written to it
-ACKNOWLEDGE_CHECK_INTERVAL_S = 0.1  # between two queries of the kernel about that
+ACKNOWLEDGE_TIMEOUT_S = 0.25  # time within which a running host acknowledges bytes written to it
+ACKNOWLEDGE_CHECK_INTERVAL_S = 0.1  # seconds between two queries of the kernel for unacknowledged bytes
 
 
 @dataclass(frozen=True)
 class PendingAttempt:
-    """An attempt that has no first token yet."""
+    """An attempt that has received neither its first event nor a complete response."""
 
     started_at: float
-    has_unacknowledged_bytes: Callable[[], bool]  # whether the host lacks some of what was written
+    has_unacknowledged_bytes: Callable[[], bool]  # whether the server's host has yet to acknowledge bytes
 
 
 class Server:
-    """One incarnation of a server. Times are those of the node's steady clock, in seconds."""
+    """One incarnation of a server. Times are seconds of the node's monotonic clock."""
 
     __slots__ = (
         "instance",
@@ -53,13 +53,13 @@
         self.warmup_until = 0.0
         self.error_rate = 0.0
         self.last_response_at = now
-        self.pending: dict[int, PendingAttempt] = {}  # the oldest first
+        self.pending: dict[int, PendingAttempt] = {}  # oldest first
         self._has_unacknowledged_bytes = False
         self._acknowledge_checked_at = 0.0
         self.update(instance, now)
 
     def update(self, instance: Instance, now: float) -> None:
-        """Apply the registry's newest state; a server that was leaving never comes back under its id."""
+        """Applies the registry's newest state; a server that has left never returns under the same id."""
         self.instance = instance
         self.has_left = self.has_left or instance.state in (InstanceState.DRAINING, InstanceState.REMOVED)
         self.warmup_until = max(self.warmup_until, now + instance.warmup_remaining_ms / 1000.0)
@@ -68,25 +68,25 @@
 
     @property
     def id(self) -> str:
-        """The id of this incarnation."""
+        """Id of this incarnation."""
         return self.instance.id
 
     def is_warming_up(self, now: float) -> bool:
-        """Return whether it is still slower than usual after its start."""
+        """Returns whether the server is still slower than usual after its start."""
         return self.warmup_until > now
 
     def is_degraded(self, now: float) -> bool:
-        """Return whether other servers should be tried first."""
+        """Returns whether other servers should be tried first."""
         return self.ejected_until > now or self.instance.state == InstanceState.UNRESPONSIVE
 
     def record_failure(self, now: float) -> None:
-        """Eject it after a connection that was refused, reset or never established."""
+        """Ejects the server after a connection was refused, reset or not established."""
         backoff_s = min(MAX_BACKOFF_S, FAILURE_BACKOFF_S * 2 ** min(self.consecutive_failures, 4))
         self.consecutive_failures += 1
         self.ejected_until = now + backoff_s
 
     def record_response(self, now: float, is_error: bool) -> None:
-        """Count a response; a server that often fails is ejected, however fast it does."""
+        """Records a response; ejects a server whose error rate is too high, however fast it responds."""
         self.last_response_at = now
         self.consecutive_failures = 0
         self.error_rate += ERROR_SMOOTHING * (is_error - self.error_rate)
@@ -94,20 +94,20 @@
         self.ejected_until = now + ERROR_EJECTION_S if is_failing else 0.0
 
     def record_rejection(self, now: float) -> None:
-        """Back off for a moment after it rejected a request for want of capacity."""
+        """Backs off from the server briefly after it rejected a request for lack of capacity."""
         self.last_response_at = now
         self.ejected_until = max(self.ejected_until, now + REJECTION_BACKOFF_S)
 
     def unresponsive_for(self, now: float) -> float:
-        """Return the seconds for which attempts were pending and none got a response."""
+        """Returns the seconds for which attempts have been pending without any response."""
         if not self.pending:
             return 0.0
         return now - max(self.last_response_at, next(iter(self.pending.values())).started_at)
 
     def has_unacknowledged_bytes(self, now: float) -> bool:
-        """Return whether its host seems down: it has not acknowledged what was written a while ago.
+        """Returns whether the server's host seems down, as it has not acknowledged bytes written a while ago.
 
-        The kernel of a host that is up acknowledges at once, however busy the server is.
+        The kernel of a running host acknowledges at once, however busy the server is.
         """
         if not self.pending:
             return False
@@ -123,28 +123,28 @@
 
 
 class InstanceTable:
-    """All servers, by id and by service."""
+    """Holds all servers, by id and by service."""
 
     def __init__(self) -> None:
         self.version = RegistryVersion()
         self._servers: dict[str, Server] = {}
-        self._by_service: dict[str, list[Server]] = {}  # those that may get new requests
+        self._by_service: dict[str, list[Server]] = {}  # only servers that may get new requests
 
     def __len__(self) -> int:
         return len(self._servers)
 
     def get(self, server_id: str) -> Server | None:
-        """Return the server with this id, None if it is unknown."""
+        """Returns the server with this id, None if it is unknown."""
         return self._servers.get(server_id)
 
     def available(self, service: str) -> list[Server]:
-        """Return the servers of a service that may get new requests."""
+        """Returns the servers of a service that may get new requests."""
         return self._by_service.get(service, [])
 
     def unresponsive_for(self, now: float, response_timeout_s: float) -> dict[str, float]:
-        """Return the seconds without a response of each server that seems to be down.
+        """Returns the seconds without a response of each server that seems to be down, by id.
 
-        It does if that is longer than the timeout, or its host doesn't acknowledge bytes.
+        A server seems down if that time exceeds the timeout, or if its host does not acknowledge bytes.
         """
         available = (server for servers in self._by_service.values() for server in servers)
         return {
@@ -154,7 +154,7 @@
         }
 
     def apply(self, update: Update, now: float) -> list[Server]:
-        """Apply an update of the registry; return the servers that have left by it."""
+        """Applies a registry update; returns the servers that have left with it. Ignores outdated updates."""
         if update.registry < self.version:
             return []
         self.version = update.registry
@@ -167,7 +167,7 @@
         return departed
 
     def _update(self, instance: Instance, now: float) -> Server | None:
-        """Add or change a server; return it if it has left by this."""
+        """Adds or updates a server; returns it if it has left with this update."""
         server = self._servers.get(instance.id)
         if server is None:
             if instance.state != InstanceState.REMOVED:
@@ -191,6 +191,6 @@
                 self._by_service.setdefault(server.instance.service, []).append(server)
 
     def mark_left(self, server: Server) -> None:
-        """Exclude a server whose address has been taken over by another one."""
+        """Excludes a server whose address now belongs to another one."""
         server.has_left = True
         self._group_by_service()
--- a/wheatroute/edge/listeners.py
+++ b/wheatroute/edge/listeners.py
@@ -1,7 +1,7 @@
-"""The edge role's listening sockets, opened before anything heavy is loaded.
+"""Opens the edge role's listening sockets, before large libraries are imported.
 
-A process that starts takes a third of a second of processor time to load its libraries. Connections that
-arrive meanwhile wait in the listener's backlog instead of being refused.
+A starting process needs a third of a second of processor time to import its libraries. Connections that
+arrive during that time wait in the listener's backlog instead of being refused.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True)
 class Listeners:
-    """Open sockets for clients and for the platform's readiness probe."""
+    """Listening sockets for clients and for the platform's readiness probe."""
 
     clients: socket.socket
     readiness: socket.socket
 
 
 def listen(address: tuple[str, int]) -> socket.socket:
-    """Open a listening, non-blocking socket; raises OSError."""
+    """Opens a non-blocking listening socket; raises OSError."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setblocking(False)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -33,5 +33,5 @@
 
 
 def open_listeners(settings: Settings) -> Listeners:
-    """Open both listeners; raises OSError."""
+    """Opens both listeners at the addresses of the settings; raises OSError."""
     return Listeners(listen(settings.address("front")), listen(settings.address("ready")))
--- a/wheatroute/edge/main.py
+++ b/wheatroute/edge/main.py
@@ -16,16 +16,16 @@
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.readiness import ReadinessProbe
 
-POOL_CHECK_INTERVAL_S = 0.5  # between two checks of idle connections to servers
-MAX_FAILED_PROBES = 2  # after which the platform sends no new clients
-PROBE_TIMEOUT_S = 2.4  # that the platform may take for those probes
-DRAIN_DELAY_S = 0.3  # for connections that were on their way
-SHUTDOWN_MARGIN_S = 0.5  # before the platform kills the process, by which everything has ended
-POLL_INTERVAL_S = 0.05  # between two checks of a condition of the shutdown
+POOL_CHECK_INTERVAL_S = 0.5  # seconds between two checks of idle connections to servers
+MAX_FAILED_PROBES = 2  # failed readiness probes after which the platform sends no new clients
+PROBE_TIMEOUT_S = 2.4  # maximum time that the platform takes for those probes
+DRAIN_DELAY_S = 0.3  # time for connections that clients were already opening
+SHUTDOWN_MARGIN_S = 0.5  # time between the end of the shutdown and the platform's kill of the process
+POLL_INTERVAL_S = 0.05  # seconds between two checks of a shutdown condition
 
 
 class EdgeRole:
-    """One edge node with all its tasks."""
+    """Runs one edge node with all its tasks."""
 
     def __init__(self, settings: Settings, listeners: Listeners, log: logging.Logger) -> None:
         self._settings_file = SettingsFile(settings, log)
@@ -38,7 +38,7 @@
         self._readiness = ReadinessProbe(self._node)
 
     async def run(self) -> None:
-        """Run until SIGTERM or SIGINT, and then until all accepted requests are answered."""
+        """Runs until SIGTERM or SIGINT, and then until all accepted requests are answered."""
         with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._control_client.run)
@@ -71,7 +71,7 @@
             self._node.pool.close_expired()
 
     async def _shut_down(self) -> None:
-        """Serve on until the platform sends no new clients, close idle connections, and await the rest."""
+        """Serves until the platform sends no new clients, closes idle connections, and awaits the others."""
         self._node.is_stopping = True
         started_at = trio.current_time()
         deadline = started_at + self._node.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
@@ -86,11 +86,11 @@
             await trio.sleep(POLL_INTERVAL_S)
 
     async def _wait_for_failed_probes(self, deadline: float) -> None:
-        """Wait until the platform must have noticed that this node isn't ready."""
+        """Waits until the platform must have noticed that this node is not ready, or until the deadline."""
         while self._readiness.failed_while_stopping < MAX_FAILED_PROBES and trio.current_time() < deadline:
             await trio.sleep(POLL_INTERVAL_S)
 
 
 async def serve(settings: Settings, listeners: Listeners, log: logging.Logger) -> None:
-    """Run the edge role until it is stopped by a signal."""
+    """Runs the edge role until it is stopped by a signal."""
     await EdgeRole(settings, listeners, log).run()
--- a/wheatroute/edge/node.py
+++ b/wheatroute/edge/node.py
@@ -1,4 +1,4 @@
-"""State that all requests of one edge node share. Does no I/O of its own; times are those of trio's clock."""
+"""State that all requests of one edge node share. Does no I/O itself; times are those of trio's clock."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 from wheatroute.cluster.settings import Settings
 from wheatroute.edge.hedge_timer import HedgeTimer
 from wheatroute.edge.instances import InstanceTable
-from wheatroute.edge.pool import ConnectionPool
+from wheatroute.edge.pool import StreamConnectionPool
 from wheatroute.edge.quota_leases import QuotaLeases
 from wheatroute.edge.retry_budget import RetryBudget
 from wheatroute.edge.routing import EMPTY_TABLE, RoutingTable
 from wheatroute.edge.selection import ServerSelector
 
-RESERVED_DESCRIPTORS = 200  # that aren't for connections
+RESERVED_DESCRIPTORS = 200  # file descriptors kept for other uses than connections
 MIN_CONNECTIONS = 64
-SERVER_CONNECTIONS_FRACTION = 0.45  # of all connections, for those to servers
-DEFAULT_EDGE_NODE_COUNT = 8  # assumed until the primary tells the count
+SERVER_CONNECTIONS_FRACTION = 0.45  # fraction of all connections that may go to servers
+DEFAULT_EDGE_NODE_COUNT = 8  # assumed until the primary sends the count
 
 
 class EdgeNode:
-    """The configuration in force, the servers, and what was learned and leased."""
+    """Holds the configuration in force, the servers with their learned state, and quota leases."""
 
     def __init__(self, settings: Settings, log: logging.Logger) -> None:
         self.settings = settings
@@ -32,7 +32,7 @@
         self.table: RoutingTable = EMPTY_TABLE
         self.instances = InstanceTable()
         connections = max(MIN_CONNECTIONS, settings.limits.max_fds - RESERVED_DESCRIPTORS)
-        self.pool = ConnectionPool(int(connections * SERVER_CONNECTIONS_FRACTION))
+        self.pool = StreamConnectionPool(int(connections * SERVER_CONNECTIONS_FRACTION))
         self.rng = Random()
         self.selector = ServerSelector(settings.bounds.again_s, self.rng, trio.current_time)
         self.hedge_timer = HedgeTimer()
@@ -42,7 +42,7 @@
         self._retry_budgets: dict[str, RetryBudget] = {}  # by service
 
     def apply_settings(self, settings: Settings) -> None:
-        """Apply a changed settings file; connections and what is known of servers stay as they are."""
+        """Applies changed settings; connections and the learned state of servers are kept."""
         self.settings = settings
         bounds = settings.bounds
         self.selector.set_cache_ttl(bounds.again_s)
@@ -61,7 +61,7 @@
         return self.is_configured and len(self.instances) > 0 and not self.is_stopping
 
     def retry_budget(self, service: str) -> RetryBudget:
-        """Return the retry budget of a service."""
+        """Returns the retry budget of a service."""
         if service not in self._retry_budgets:
             bounds = self.settings.bounds
             self._retry_budgets[service] = RetryBudget(
@@ -70,12 +70,12 @@
         return self._retry_budgets[service]
 
     def apply(self, update: Update, table: RoutingTable | None) -> None:
-        """Apply the primary's update: a newer configuration, if `table` is one, and changes of servers."""
+        """Applies an update of the primary: changes of servers, and `table` if its configuration is newer."""
         self.edge_node_count = update.edge_node_count
         if table is not None and table.sequence > self.table.sequence:
             self.table = table
             self.log.info(
-                "configuration",
+                "configuration-applied",
                 extra={"version": table.generation, "sequence": table.sequence, "epoch": update.epoch},
             )
         for server in self.instances.apply(update, trio.current_time()):
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -1,6 +1,6 @@
-"""Pool of connections to servers: opens them, and keeps idle ones for the next request.
+"""Pools connections to servers: opens them, and keeps idle ones for later requests.
 
-Invariant: `connection_count` counts each open connection, idle or in use, until it is closed here.
+Invariant: `connection_count` counts each open connection, idle or in use, until this module closes it.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 from wheatroute.edge.instances import Server
 
 CONNECT_TIMEOUT_S = 0.4
-IDLE_TIMEOUT_FRACTION = 0.9  # of the time after which a server closes an idle connection
-DEFAULT_IDLE_TIMEOUT_S = 60.0  # where a server doesn't say how long it keeps one
-MIN_IDLE_TIMEOUT_S = 0.5  # a connection that was closed sooner counts as broken
-CAPACITY_FRACTION = 0.9  # of a service's connections that is used, divided evenly among the nodes
-MIN_CAPACITY = 2
-MAX_ANSWERED_IDS = 200  # ids that a connection remembers; one that would need more is closed
+IDLE_TIMEOUT_FRACTION = 0.9  # fraction of a server's idle timeout for which connections are reused
+DEFAULT_IDLE_TIMEOUT_S = 60.0  # idle timeout assumed for servers that do not announce one
+MIN_IDLE_TIMEOUT_S = 0.5  # a connection closed after a shorter idle time counts as broken
+# Fraction of the connections that a service's servers accept that is used, divided evenly among the nodes.
+CAPACITY_FRACTION = 0.9
+MIN_CAPACITY = 2  # connections to each server that a node may always open
+MAX_ANSWERED_IDS = 200  # number of ids that a connection remembers; it is closed if it needs more
 
 
 class ConnectError(Exception):
-    """No connection could be opened; `is_local` is set where this machine is the reason."""
+    """No connection could be opened; `is_local` is True if the reason lies on this machine."""
 
     def __init__(self, detail: str, is_local: bool = False) -> None:
         super().__init__(detail)
@@ -31,29 +32,29 @@
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A connection without a request, and since when."""
+    """A connection without a request, and the time since when it is idle."""
 
     since: float
     connection: StreamConnection
 
 
-class ConnectionPool:
-    """Connections by server; of the idle ones, the one used last is taken first.
+class StreamConnectionPool:
+    """Pools the connections of one node by server, and reuses the most recently used idle one first.
 
-    `max_connections` bounds the connections to all servers, beyond which idle ones are closed.
+    At `max_connections` open connections to all servers, an idle one is closed for each new one.
     """
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
-        self._idle: dict[str, list[IdleConnection]] = {}  # by server, the one used last at the end
+        self._idle: dict[str, list[IdleConnection]] = {}  # by server id, most recently used last
         self._idle_timeout_s: dict[str, float] = {}  # by service
-        self._services: dict[str, str] = {}  # by server
-        self._counts: dict[str, int] = {}  # open connections by server
+        self._services: dict[str, str] = {}  # service by server id
+        self._counts: dict[str, int] = {}  # number of open connections by server id
 
     def has_capacity(self, server: Server, max_connections: int, edge_node_count: int) -> bool:
-        """Return whether another request may have a connection to a server.
+        """Returns whether another request may have a connection to a server.
 
-        `max_connections` is what the service's servers accept from all nodes, 0 for no limit.
+        `max_connections` is what each server of the service accepts from all nodes, 0 for no limit.
         """
         if self._idle.get(server.id):
             return True
@@ -63,13 +64,13 @@
         return self.connection_count(server) < max(MIN_CAPACITY, capacity)
 
     def connection_count(self, server: Server) -> int:
-        """Return the number of open connections to a server, idle ones included."""
+        """Returns the number of open connections to a server, including idle ones."""
         return self._counts.get(server.id, 0)
 
     async def acquire(self, server: Server, request_id: bytes) -> StreamConnection:
-        """Return the idle connection that was used last, or a new one; raises ConnectError.
+        """Returns the most recently used idle connection, or a new one; raises ConnectError.
 
-        One that has answered a request of this id before is passed over.
+        Connections that have answered a request with this id before are skipped.
         """
         idle = self._idle.get(server.id, [])
         passed_over = [entry for entry in idle if request_id in entry.connection.answered_ids]
@@ -85,9 +86,10 @@
         return await self._connect(server)
 
     def _is_reusable(self, server_id: str, entry: IdleConnection) -> bool:
-        """Return whether an idle connection is open and not about to be closed by its server.
+        """Returns whether an idle connection is open and not about to be closed by its server.
 
-        Learns from a closed one how long the servers of its service keep idle connections.
+        If the server has closed it before the known idle timeout of its service, its idle time becomes the
+        new idle timeout.
         """
         service = self._services[server_id]
         idle_timeout_s = self._idle_timeout_s.get(service, DEFAULT_IDLE_TIMEOUT_S)
@@ -107,20 +109,20 @@
         except (OSError, trio.TooSlowError) as error:
             self._uncount(server.id)
             is_local = isinstance(error, OSError) and error.errno in OUT_OF_DESCRIPTORS
-            raise ConnectError(str(error) or "timeout", is_local) from error
+            raise ConnectError(str(error) or "connect timed out", is_local) from error
         except BaseException:
             self._uncount(server.id)
             raise
 
     def record_keep_alive(self, server: Server, header: bytes) -> None:
-        """Learn from a `Keep-Alive` header (`timeout=SECONDS`) how long a server keeps idle connections."""
+        """Takes the idle timeout of a server's service from a `Keep-Alive` header (`timeout=SECONDS`)."""
         for parameter in header.decode("latin-1").split(","):
             name, _, value = parameter.strip().partition("=")
             if name.strip().lower() == "timeout" and value.strip().isdigit():
                 self._idle_timeout_s[server.instance.service] = float(value)
 
     def release(self, server: Server, connection: StreamConnection) -> None:
-        """Take a connection back: it becomes idle if it can carry another request, else it is closed."""
+        """Returns a connection to the pool: it becomes idle if it can be reused, else it is closed."""
         has_surplus_bytes = bool(connection.http.trailing_data[0])
         if server.has_left or has_surplus_bytes or not connection.start_next_message():
             self.discard(server, connection)
@@ -132,7 +134,7 @@
         self._services[server.id] = server.instance.service
 
     def discard(self, server: Server, connection: StreamConnection) -> None:
-        """Close a connection that was acquired."""
+        """Closes a connection that `acquire` has returned."""
         connection.close()
         self._uncount(server.id)
 
@@ -142,14 +144,14 @@
             del self._counts[server_id]
 
     def close_idle(self, server: Server) -> None:
-        """Close the idle connections to a server that has left."""
+        """Closes the idle connections to a server that has left."""
         for entry in self._idle.pop(server.id, []):
             self.discard(server, entry.connection)
         if server.id not in self._counts:
             self._services.pop(server.id, None)
 
     def close_expired(self) -> None:
-        """Close connections that were idle for too long, or that their servers have closed."""
+        """Closes connections that were idle for too long or that their servers have closed."""
         for server_id, idle in list(self._idle.items()):
             for entry in idle[:]:
                 if not self._is_reusable(server_id, entry):
@@ -160,7 +162,7 @@
                 del self._idle[server_id]
 
     def _close_longest_idle(self) -> None:
-        """Close the connection that has been idle for longest, of any server."""
+        """Closes the connection that has been idle for longest, among those of all servers."""
         oldest = [(idle[0].since, server_id) for server_id, idle in self._idle.items() if idle]
         if oldest:
             server_id = min(oldest)[1]
--- a/wheatroute/edge/prefill.py
+++ b/wheatroute/edge/prefill.py
@@ -1,23 +1,23 @@
-"""Model of the time to first token, fitted to this node's own requests. No I/O.
+"""Predicts the time to first token by a linear model that is fitted to this node's own requests. No I/O.
 
-The model is `base + slope * tokens`, fitted by least squares with exponential forgetting, where `tokens` are
-the prompt tokens that the server had to read before: those of the request, and those queued ahead of it.
+The model is `base + slope * tokens`, fitted by least squares with exponential forgetting. `tokens` is the
+number of prompt tokens that the server has to prefill before: the request's own and those queued before it.
 """
 
 from __future__ import annotations
 
-FORGETTING_FACTOR = 0.98  # weight of all earlier samples at each new one
+FORGETTING_FACTOR = 0.98  # multiplies the weight of all earlier samples at each new one
 PRIOR_BASE_S = 0.1
-PRIOR_SLOPE_S = 1 / 50_000  # seconds a token
-PRIOR_WEIGHT = 4.0  # samples that the prior stands for
-PRIOR_TOKENS = 10_000.0  # mean of the prior's samples
-MIN_SLOPE_RATIO, MAX_SLOPE_RATIO = 0.2, 5.0  # multiples of the prior slope that the fit stays within
+PRIOR_SLOPE_S = 1 / 50_000  # seconds per token
+PRIOR_WEIGHT = 4.0  # number of samples that the prior counts as
+PRIOR_TOKENS = 10_000.0  # mean number of tokens in the prior's samples
+MIN_SLOPE_RATIO, MAX_SLOPE_RATIO = 0.2, 5.0  # bounds of the fitted slope, as multiples of the prior slope
 
 
 class PrefillModel:
     """Linear model of the time to first token of one service.
 
-    `base` is in seconds, `slope` in seconds a token.
+    `base` is in seconds, `slope` in seconds per token.
     """
 
     def __init__(self) -> None:
@@ -45,11 +45,11 @@
         self._sum_xy *= FORGETTING_FACTOR
 
     def predict(self, tokens: float) -> float:
-        """Return the expected time to first token, in seconds."""
+        """Returns the expected time to first token, in seconds."""
         return self.base + self.slope * tokens
 
     def learn(self, tokens: float, latency_s: float) -> None:
-        """Fit the model to one more time to first token."""
+        """Refits the model with one more time to first token, in seconds."""
         self._discount_samples()
         self._add_sample(tokens, latency_s, 1.0)
         determinant = self._weight * self._sum_xx - self._sum_x * self._sum_x
--- a/wheatroute/edge/primary_client.py
+++ b/wheatroute/edge/primary_client.py
@@ -1,6 +1,6 @@
-"""HTTP client of an edge node for the control nodes: finds the primary, and posts messages to it.
+"""HTTP client of an edge node for the control nodes: finds the primary and posts messages to it.
 
-A host that gives no answer, or is not the primary, is replaced by another one for the next message.
+If a host does not answer or is not the primary, the next message goes to another host.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 from wheatroute.edge.node import EdgeNode
 
 CONNECT_TIMEOUT_S = 0.3
-ISOLATED_AFTER_S = 1.5  # without an update from a primary
+PRIMARY_LOST_AFTER_S = 1.5  # time without an update after which the primary counts as lost
 MAX_CONNECTIONS, MAX_IDLE_CONNECTIONS = 32, 4
 IDLE_TIMEOUT_S = 20.0
-BROKEN_CONNECTION = (httpx.ReadError, httpx.WriteError, httpx.CloseError, httpx.RemoteProtocolError)
+BROKEN_CONNECTION_ERRORS = (httpx.ReadError, httpx.WriteError, httpx.CloseError, httpx.RemoteProtocolError)
 
 
 class PrimaryClient:
-    """The control nodes as one edge node knows them; `primary` is the host that gets the next message."""
+    """Posts messages to the control nodes; `primary` is the host that gets the next message."""
 
     def __init__(self, node: EdgeNode) -> None:
         self.primary = ""
-        self.was_redirected = False  # the last response named `primary` as the primary
-        self.failed_at = -inf  # when a host last gave no answer, or accepted no connection
-        self.updated_at = -inf  # when the last update of a primary came
+        self.was_redirected = False  # whether the last response named `primary` as the primary
+        self.failed_at = -inf  # last time when a host did not answer or did not accept a connection
+        self.updated_at = -inf  # time of the last update from a primary
         self._rng = node.rng
         self._port = node.settings.internal_port
         self._seeds = node.settings.seed_hosts
@@ -46,37 +46,40 @@
         )
 
     @property
-    def is_isolated(self) -> bool:
-        """Whether there was no contact with a primary for a while."""
-        return trio.current_time() - self.updated_at > ISOLATED_AFTER_S
+    def has_lost_primary(self) -> bool:
+        """Whether no primary has sent an update for `PRIMARY_LOST_AFTER_S` seconds."""
+        return trio.current_time() - self.updated_at > PRIMARY_LOST_AFTER_S
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Replace the seeds, which are always among the known hosts."""
+        """Replaces the seed hosts, which are always among the known hosts."""
         self._seeds = seeds
         self.set_hosts(tuple(self._hosts))
 
     def set_hosts(self, hosts: tuple[str, ...]) -> None:
-        """Replace the known control nodes, by what a control node told."""
+        """Replaces the known control nodes by those that a control node has listed."""
         self._hosts = list(dict.fromkeys([*hosts, *self._seeds]))
 
-    def move_on(self) -> None:
-        """Choose another host as the next primary.
+    def switch_host(self) -> None:
+        """Chooses another host for the next message.
 
-        At random: the next one in order would be the same for all nodes.
+        The choice is random, because the next host in order would be the same for all edge nodes.
         """
         others = [host for host in self._hosts if host != self.primary]
         if others:
             self.primary = self._rng.choice(others)
 
-    def _move_on_from(self, host: str) -> None:
-        # another message may have moved on meanwhile
+    def _switch_host_from(self, host: str) -> None:
+        # A concurrent message may have switched hosts already.
         if host == self.primary:
-            self.move_on()
+            self.switch_host()
 
     async def post(
         self, path: str, message: msgspec.Struct, read_timeout_s: float, connect_timeout_s: float
     ) -> bytes | None:
-        """Post a message to the primary; return its response, or None, after which another host is next."""
+        """Posts a message to the primary; returns its response, or None if there is none.
+
+        In the latter case the next message goes to another host.
+        """
         host = self.primary
         self.was_redirected = False
         try:
@@ -87,20 +90,20 @@
                     timeout=httpx.Timeout(read_timeout_s, connect=connect_timeout_s),
                 )
         except (httpx.HTTPError, trio.TooSlowError, OSError) as error:
-            # a connection that breaks says nothing of its host: the next message may be answered at once
-            if not isinstance(error, BROKEN_CONNECTION):
+            # A broken connection does not mean that the host is down, which may answer the next message.
+            if not isinstance(error, BROKEN_CONNECTION_ERRORS):
                 self.failed_at = trio.current_time()
-            self._move_on_from(host)
+            self._switch_host_from(host)
             return None
         if response.status_code == 200:
             return response.content
         if response.status_code == 503 and self._follow_redirect(host, response.content):
             return None
-        self._move_on_from(host)
+        self._switch_host_from(host)
         return None
 
     def _follow_redirect(self, host: str, body: bytes) -> bool:
-        """Take the primary that a control node names which isn't; return False if it names none."""
+        """Follows a redirect of a control node that is not the primary; returns False if none is named."""
         redirect = msgspec.msgpack.decode(body, type=NotPrimary)
         self.set_hosts(redirect.control_hosts)
         if not redirect.primary or redirect.primary == host:
--- a/wheatroute/edge/prompt_headers.py
+++ b/wheatroute/edge/prompt_headers.py
@@ -1,4 +1,4 @@
-"""Request headers that describe a prompt: its prefix blocks and its size in tokens. No I/O."""
+"""Parses the request headers that describe a prompt: its prefix blocks and its size in tokens. No I/O."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 
 
 class PrefixBlock(msgspec.Struct, frozen=True):
-    """One block of a prompt's prefix: the hash that identifies it, and its size in tokens."""
+    """One block of a prompt's prefix; `id` is its hash, `tokens` its size."""
 
     id: str
     tokens: int
 
 
 class TokenCount(msgspec.Struct, frozen=True):
-    """The size of a request in tokens."""
+    """Tokens of a request: those of the prompt, and the maximum that it may generate."""
 
     prompt: int
     max_generated: int
 
     @property
     def total(self) -> int:
-        """All tokens that the request may use."""
+        """Maximum number of tokens that the request may use."""
         return self.prompt + self.max_generated
 
 
 def parse_prefix_blocks(header: str) -> tuple[PrefixBlock, ...]:
-    """Return the blocks of a `Prefix-Hash` header (`HASH:TOKENS,...`) up to the first malformed one."""
+    """Returns the blocks of a `Prefix-Hash` header (`HASH:TOKENS,...`) up to the first malformed one."""
     blocks: list[PrefixBlock] = []
     for text in header.split(",") if header else ():
         name, _, tokens = text.strip().partition(":")
@@ -36,7 +36,7 @@
 
 
 def parse_token_count(header: str) -> TokenCount | None:
-    """Return the value of a `Token-Count` header (`PROMPT,MAX_GENERATED`), None if there is no valid one."""
+    """Returns the value of a `Token-Count` header (`PROMPT,MAX_GENERATED`), None if there is no valid one."""
     prompt, comma, generated = header.partition(",")
     if not comma or not prompt.strip().isdigit() or not generated.strip().isdigit():
         return None
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -1,10 +1,11 @@
-"""Tokens of tenants that this node has leased from the primary. A state machine without I/O.
-
-Invariant: what the primary grants is taken out of the one bucket of the tenant, so the leases of all nodes
-sum to the rate limit. A node is isolated while it has no contact with a primary. It then uses the local rate
-and burst of its last grant, and an even share of what the operators' rule allows beyond the limit: its local
-tokens. It reports their usage to the next primary, which takes it out of the bucket. Local tokens that are
-left over stay until the next isolation; they can't be used while a primary answers.
+"""Leases of tenants' quota tokens from the primary, and local tokens for times without one. No I/O.
+
+Invariant: every grant of the primary is taken out of the tenant's single token bucket, so the leases of all
+nodes add up to the rate limit. A node is isolated while it has no contact with a primary. For a tenant,
+isolation begins when a lease request gets no response, and ends with the next grant. An isolated node uses
+local tokens: the local rate and burst of its last grant, and an even share of what the operators' rule allows
+beyond the limit. It reports their usage to the next primary, which takes it out of the bucket. Unused local
+tokens are kept until the next isolation; they cannot be used while a primary answers.
 """
 
 from __future__ import annotations
@@ -18,28 +19,30 @@
 from wheatroute.edge.prompt_headers import TokenCount
 from wheatroute.edge.usage_history import UsageHistory
 
-DEMAND_WINDOW_S = 4.0  # over which the demand of a tenant's clients is measured
-MAX_LEASE_S = 0.4  # seconds of that demand that a lease may hold without returning it
-MAX_LOCAL_BURST_S = 2.0  # seconds of the local rate that an isolated node may save up
-LOCAL_RATE_TTL_S = 3.0  # greatest age of the last grant whose local rate is used; checked as isolation begins
-# of an even share of the rate limit, used while isolated without a valid local rate: there was no grant yet,
-# it was too old (LOCAL_RATE_TTL_S), or its local rate is 0
+DEMAND_WINDOW_S = 4.0  # window over which the demand of a tenant's clients is measured
+MAX_LEASE_S = 0.4  # tokens for this many seconds of that demand stay leased; surplus is returned
+MAX_LOCAL_BURST_S = 2.0  # an isolated node saves up at most the local rate times this
+LOCAL_RATE_TTL_S = 3.0  # maximum age, when isolation begins, of a grant whose local rate is used
+# Fraction of an even share of the rate limit. It is the local rate of an isolated node without a valid one:
+# no grant was received yet, the last one was too old (LOCAL_RATE_TTL_S), or its local rate is 0.
 DEFAULT_LOCAL_RATE_FRACTION = 0.5
-DEFAULT_LOCAL_BURST_S = 1.0  # seconds of that rate usable in advance, else a large request would never fit
-LOCAL_SLACK_FRACTION = 0.3  # of what the rule allows beyond the limit, that all isolated nodes use together
+# Tokens for this many seconds of that rate may be used in advance, else a large request would never fit.
+DEFAULT_LOCAL_BURST_S = 1.0
+# Fraction of what the rule allows beyond the limit that all isolated nodes together may use.
+LOCAL_SLACK_FRACTION = 0.3
 
 
 class IsolationPeriod(msgspec.Struct, frozen=True):
-    """A time without contact to a primary, and the tokens of a tenant used meanwhile without a grant."""
+    """A completed isolation of one tenant's lease, and the tokens that were used in it without a grant."""
 
     tenant: str
     duration_s: float
     tokens: float
-    edge_node_count: int  # by which the node's share was computed
+    edge_node_count: int  # number of edge nodes from which this node's share was computed
 
 
 class QuotaLease:
-    """Tokens of one tenant that this node may use. Times are those of a steady clock, in seconds."""
+    """Tokens of one tenant that this node may use. Times are seconds of a monotonic clock."""
 
     __slots__ = (
         "granted_tokens",
@@ -52,7 +55,7 @@
         "local_tokens",
         "isolated_usage",
         "isolated_usage_acknowledged",
-        "is_isolated",
+        "uses_local_tokens",
         "isolated_since",
         "isolated_usage_before",
         "edge_node_count",
@@ -63,45 +66,45 @@
 
     def __init__(self, window_s: float) -> None:
         self.granted_tokens = 0.0
-        self.demand_rate = 0.0  # tokens a second that clients asked for, as of `demand_updated_at`
+        self.demand_rate = 0.0  # tokens per second that clients requested, as of `demand_updated_at`
         self.demand_updated_at = 0.0
-        self.retry_after_s = 0.0  # until the bucket holds tokens, by the last grant
-        # of the last grant, for the time of isolation: tokens a second, and tokens
+        self.retry_after_s = 0.0  # seconds until the bucket holds tokens again, according to the last grant
+        # Rate (tokens per second) and burst (tokens) of the last grant, for use in isolation.
         self.local_rate = 0.0
         self.local_burst = 0.0
-        self.granted_at = -inf  # when the last grant came
-        self.local_tokens = 0.0  # usable while isolated; no primary has granted them
+        self.granted_at = -inf  # time of the last grant
+        self.local_tokens = 0.0  # tokens without a grant, usable in isolation only
         self.isolated_usage = 0.0  # local tokens used since the process started
-        self.isolated_usage_acknowledged = 0.0  # the part of it that a primary knows
-        self.is_isolated = False
+        self.isolated_usage_acknowledged = 0.0  # part of `isolated_usage` that a primary knows
+        self.uses_local_tokens = False  # whether isolation has begun and no grant has ended it
         self.isolated_since = 0.0
-        self.isolated_usage_before = 0.0  # `isolated_usage` at that time
-        self.edge_node_count = 0  # by which the local rate was computed at that time
+        self.isolated_usage_before = 0.0  # `isolated_usage` when isolation began
+        self.edge_node_count = 0  # number of edge nodes when isolation began, for the local rate
         self.refilled_at = 0.0
-        self.burst_credited_at = -inf  # when an isolation last began with the local burst
+        self.burst_credited_at = -inf  # last time when the local burst was credited
         self.usage = UsageHistory(window_s)
 
     def begin_isolation(self, now: float, edge_node_count: int) -> None:
-        """Enter isolation; the local rate counts from the last grant on, as nothing was granted since."""
-        self.is_isolated = True
+        """Enters isolation; the local rate accrues from the last grant on, as nothing was granted since."""
+        self.uses_local_tokens = True
         self.isolated_since = now
         self.isolated_usage_before = self.isolated_usage
         self.edge_node_count = edge_node_count
         if now - self.granted_at > LOCAL_RATE_TTL_S:
-            # the demand has changed since, that of other nodes too
+            # The demand has changed since, also that of other nodes.
             self.local_rate, self.local_burst, self.granted_at = 0.0, 0.0, now
         self.refilled_at = self.granted_at
 
 
 class QuotaLeases:
-    """Leases by tenant; `window_s` is the window of the operators' rule, in seconds."""
+    """Holds the leases of all tenants; `window_s` is the window of the operators' rule, in seconds."""
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
         self._leases: dict[str, QuotaLease] = {}
 
     def set_window(self, window_s: float) -> None:
-        """Change the window of the rule, in seconds."""
+        """Changes the window of the operators' rule, in seconds."""
         self.window_s = window_s
         for lease in self._leases.values():
             lease.usage.set_span(window_s)
@@ -112,27 +115,27 @@
         return self._leases[tenant]
 
     def tenants(self) -> list[str]:
-        """Return all tenants with a lease."""
+        """Returns the names of all tenants with a lease."""
         return list(self._leases)
 
-    # demand
+    # Demand of clients
 
     def record_demand(self, tenant: str, tokens: float, now: float) -> None:
-        """Count tokens that a client asks for."""
+        """Counts tokens that a client requests."""
         lease = self._lease(tenant)
         remaining = max(0.0, 1.0 - (now - lease.demand_updated_at) / DEMAND_WINDOW_S)
         lease.demand_rate = lease.demand_rate * remaining + tokens / DEMAND_WINDOW_S
         lease.demand_updated_at = now
 
     def demand_rate(self, tenant: str, now: float) -> float:
-        """Return the tokens a second that clients asked for lately."""
+        """Returns the recent demand of a tenant's clients, in tokens per second."""
         lease = self._lease(tenant)
         return lease.demand_rate * max(0.0, 1.0 - (now - lease.demand_updated_at) / DEMAND_WINDOW_S)
 
     def demand(
         self, tenant: str, wanted: float, returned: float, now: float, with_recent_usage: bool = False
     ) -> QuotaDemand:
-        """Return a tenant's part of a usage report, with tokens wanted and returned."""
+        """Returns a tenant's part of a usage report; `wanted` and `returned` are in tokens."""
         lease = self._lease(tenant)
         return QuotaDemand(
             wanted,
@@ -144,85 +147,85 @@
         )
 
     def has_unacknowledged_usage(self, tenant: str) -> bool:
-        """Return whether there is isolated usage that no primary knows."""
+        """Returns whether there is isolated usage that no primary has acknowledged."""
         lease = self._lease(tenant)
         return lease.isolated_usage > lease.isolated_usage_acknowledged
 
     def _recent_usage(self, lease: QuotaLease, now: float) -> tuple[int, ...]:
-        """Return the usage by slots, the newest first; leased tokens count as used in the newest."""
+        """Returns the usage by time slot, newest first; leased tokens count as used in the newest slot."""
         slots = lease.usage.by_age(now) or [0.0]
         slots[0] += lease.granted_tokens
         return tuple(round(tokens) for tokens in slots)
 
-    # use
+    # Use and refund of tokens
 
     def try_use(self, tenant: str, tokens: float) -> bool:
-        """Use tokens of the lease; return False if it doesn't hold as many."""
+        """Takes tokens from the lease; returns False and takes none if it holds too few."""
         lease = self._lease(tenant)
-        if lease.granted_tokens + (lease.local_tokens if lease.is_isolated else 0.0) < tokens:
+        if lease.granted_tokens + (lease.local_tokens if lease.uses_local_tokens else 0.0) < tokens:
             return False
         granted = min(lease.granted_tokens, tokens)
         lease.granted_tokens -= granted
         lease.local_tokens -= tokens - granted
         lease.isolated_usage += tokens - granted
-        # `record_demand` precedes each use: that was now, or just before a wait for a grant
+        # `record_demand` precedes each use, either just now or right before a wait for a grant.
         lease.usage.add(lease.demand_updated_at, tokens)
         return True
 
     def refund(self, tenant: str, tokens: float) -> None:
-        """Return tokens to the lease that a request used which never ran.
+        """Returns the tokens of a request that never ran to the lease.
 
-        Local tokens come back as granted ones too: they stay in `isolated_usage`, so the primary takes them
-        out of the bucket, as it does with a grant. The usage is taken back as of the tenant's last demand,
-        which is at or after the time of the charge.
+        Local tokens are returned as granted ones: they stay in `isolated_usage`, so the primary takes them
+        out of the bucket as it does with a grant. The usage is subtracted at the time of the tenant's last
+        demand, which is at or after the time of the charge.
         """
         lease = self._lease(tenant)
         lease.granted_tokens += tokens
         lease.usage.add(lease.demand_updated_at, -tokens)
 
-    # grants
+    # Grants of the primary
 
     def apply_grant(
         self, tenant: str, grant: QuotaGrant, now: float, isolated_usage: float = 0.0
     ) -> IsolationPeriod | None:
-        """Apply the primary's grant, in response to a report with this isolated usage.
+        """Applies a grant that the primary sent in response to a report with this isolated usage.
 
-        Returns the period of isolation that it ends, if there was one.
+        Returns the isolation period that the grant ends, None if there was none.
         """
         lease = self._lease(tenant)
         period = None
-        if lease.is_isolated:
+        if lease.uses_local_tokens:
             used = lease.isolated_usage - lease.isolated_usage_before
             period = IsolationPeriod(tenant, now - lease.isolated_since, used, lease.edge_node_count)
         lease.granted_tokens += grant.tokens
         lease.isolated_usage_acknowledged = max(lease.isolated_usage_acknowledged, isolated_usage)
         lease.retry_after_s = grant.wait_s
         lease.local_rate, lease.local_burst = grant.local_rate, grant.local_burst
-        lease.granted_at, lease.is_isolated = now, False
+        lease.granted_at, lease.uses_local_tokens = now, False
         return period
 
     def retry_after_s(self, tenant: str) -> float:
-        """Return the seconds after which a rejected client should retry."""
+        """Returns the seconds after which a client over its quota should retry."""
         return self._lease(tenant).retry_after_s
 
     def take_surplus(self, tenant: str, now: float) -> float:
-        """Take out the tokens that a lease holds beyond its demand, to be returned to the primary."""
+        """Takes the tokens beyond the tenant's demand out of its lease, to be returned to the primary."""
         lease = self._lease(tenant)
         surplus = max(0.0, lease.granted_tokens - MAX_LEASE_S * self.demand_rate(tenant, now))
         lease.granted_tokens -= surplus
         return surplus
 
-    # isolation
+    # Local tokens in isolation
 
     def refill_isolated(self, tenant: Tenant, now: float, edge_node_count: int, slack: float) -> None:
-        """Refill the local tokens of an isolated node; `slack` is the rule's allowance beyond the limit.
+        """Refills the local tokens of an isolated node; `slack` is the rule's allowance beyond the limit.
 
-        The local rate counts from the last grant on. The local burst and the share of the slack are there at
-        once, but only once in a window.
+        The local rate accrues from the last grant on. The local burst and the share of the slack are credited
+        as isolation begins, but at most once per window.
         """
         lease = self._lease(tenant.name)
         slack_share = LOCAL_SLACK_FRACTION * slack / max(1, edge_node_count)
-        is_beginning = not lease.is_isolated
+        is_beginning = not lease.uses_local_tokens
         if is_beginning:
             lease.begin_isolation(now, edge_node_count)
         default_rate = DEFAULT_LOCAL_RATE_FRACTION * tenant.rate_per_s / max(1, edge_node_count)
@@ -237,7 +240,7 @@
 
 
 def request_cost(tenant: Tenant, token_count: TokenCount | None) -> float:
-    """Return what a request is charged, in the unit of its tenant's limit: tokens or requests."""
+    """Returns the charge for a request in the unit of its tenant's limit, which is tokens or requests."""
     if tenant.unit != "token_usage":
         return 1.0
     return float(token_count.total) if token_count is not None else tenant.uncached_tokens
--- a/wheatroute/edge/readiness.py
+++ b/wheatroute/edge/readiness.py
@@ -1,6 +1,6 @@
-"""Answers the platform's readiness probe: whether this node should get new clients.
+"""Answers the platform's readiness probe, which asks whether this node should get new clients.
 
-Does its own socket I/O. Each probe has a connection of its own.
+Does its own socket I/O. Each probe uses a separate connection.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 
 
 class ReadinessProbe:
-    """Answers probes, and counts those that it failed since the node began to stop."""
+    """Answers readiness probes, and counts those that fail because the node is stopping."""
 
     def __init__(self, node: EdgeNode) -> None:
         self._node = node
         self.failed_while_stopping = 0
 
     async def run(self, sock: socket.socket) -> None:
-        """Answer probes on a listening socket until cancelled."""
+        """Answers probes on a listening socket until cancelled."""
         listener = trio.socket.from_stdlib_socket(sock)
         async with trio.open_nursery() as nursery:
             while True:
--- a/wheatroute/edge/recent_usage.py
+++ b/wheatroute/edge/recent_usage.py
@@ -1,6 +1,7 @@
-"""Whether the primary knows what this node's tenants used in the last window. A state machine without I/O.
+"""Sends the recent usage of this node's tenants to each new primary. No I/O.
 
-Each new primary is sent once, with a usage report, all that was used within a window, and what is leased.
+The recent usage is everything that was used within the last window, and what is leased. Each new primary gets
+it once, as part of a usage report.
 """
 
 from __future__ import annotations
@@ -10,29 +11,29 @@
 
 
 class RecentUsageReporter:
-    """Adds the recent usage to the first report that each primary gets.
+    """Adds the recent usage to the first report to each primary.
 
-    `started_at` is when this process started: it knows of no usage before.
+    `started_at` is the time when this process started; it knows no earlier usage.
     """
 
     def __init__(self, quotas: QuotaLeases, started_at: float) -> None:
         self._quotas = quotas
         self._started_at = started_at
         self._reported_to = ""  # the primary that knows the recent usage
-        self._leadership_epoch = -1  # of that primary
+        self._leadership_epoch = -1  # epoch in which that primary began to lead
 
     def is_due(self, primary: str) -> bool:
-        """Return whether this primary lacks the recent usage."""
+        """Returns whether this primary lacks the recent usage."""
         return primary != self._reported_to
 
     def has_primary_changed(self, primary: str) -> bool:
-        """Return whether an earlier primary knew the recent usage and this one, new to it, doesn't."""
+        """Returns whether an earlier primary knows the recent usage and this one does not."""
         return self.is_due(primary) and bool(self._reported_to)
 
     def make_report(
         self, node: str, primary: str, demands: dict[str, QuotaDemand], now: float
     ) -> UsageReport:
-        """Return a report with these demands, and with the recent usage of all tenants if it is due."""
+        """Returns a report with these demands, and with all tenants' recent usage if the primary lacks it."""
         if not self.is_due(primary):
             return UsageReport(node, demands)
         reported = {
@@ -45,9 +46,9 @@
         return UsageReport(node, reported, recent_usage_span_s=span_s)
 
     def record_response(self, primary: str, report: UsageReport, response: UsageResponse) -> None:
-        """Record a primary's response to a report."""
+        """Records a primary's response to a report."""
         if report.recent_usage_span_s is not None:
             self._reported_to, self._leadership_epoch = primary, response.leadership_epoch
         elif response.leadership_epoch != self._leadership_epoch:
-            # it was deposed, leads again, and has lost the recent usage
+            # The primary was deposed, leads again, and has lost the recent usage.
             self._reported_to = ""
--- a/wheatroute/edge/request.py
+++ b/wheatroute/edge/request.py
@@ -1,6 +1,6 @@
-"""One request of a client: what it sent, where it may go, and what became of its attempts.
+"""A client's request with its route, tenant and the state of its attempts. No I/O.
 
-Also the headers that pass between client and server. No I/O.
+Also selects the headers that are forwarded between client and server.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# fields that concern one connection only (RFC 9110, 7.6.1), beside those that Connection names
+# Header fields that apply to one connection only (RFC 9110, 7.6.1), besides those that Connection lists.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -28,7 +28,7 @@
         b"upgrade",
     )
 )
-# fields that each attempt sets anew, or that servers must not see
+# Request header fields that each attempt sets itself, or that servers must not see.
 REPLACED = frozenset(
     (
         b"authorization",
@@ -44,7 +44,7 @@
 
 
 class ClientRequest(msgspec.Struct):
-    """A complete request; times are those of the node's steady clock, in seconds."""
+    """A complete request. Times are seconds of the node's monotonic clock."""
 
     method: bytes
     target: bytes
@@ -60,11 +60,11 @@
     prefix_blocks: tuple[PrefixBlock, ...] = ()
     token_count: TokenCount | None = None
     charged_tokens: float = 0.0
-    sent_attempts: int = 0  # attempts that were written to a server
+    sent_attempts: int = 0  # number of attempts that were completely written to a server
     may_have_run: bool = False
 
     def header(self, name: bytes) -> str:
-        """Return the first value of a header field, the empty string if it is missing."""
+        """Returns the first value of a header field, an empty string if it is missing."""
         for key, value in self.headers:
             if key == name:
                 return value.decode("latin-1")
@@ -72,16 +72,17 @@
 
     @property
     def prefix_key(self) -> str | None:
-        """The last prefix block that other requests may share; None without prefix blocks.
+        """Id of the last prefix block that other requests may share, None without prefix blocks.
 
-        The last block of all belongs to the request or its session alone, unless it is the only one.
+        This is the last but one block, because the last one belongs to this request or its session alone,
+        unless it is the only one.
         """
         if not self.prefix_blocks:
             return None
         return self.prefix_blocks[-2].id if len(self.prefix_blocks) > 1 else self.prefix_blocks[-1].id
 
     def parse_headers(self) -> None:
-        """Fill in the fields that header fields carry: the id, the prefix blocks and the token count."""
+        """Sets the id, the prefix blocks and the token count from the headers."""
         self.id = self.header(b"request-id").encode("latin-1")
         self.prefix_blocks = parse_prefix_blocks(self.header(b"prefix-hash"))
         self.token_count = parse_token_count(self.header(b"token-count"))
@@ -94,10 +95,10 @@
     prefill_tokens: float,
     last_event_id: bytes | None,
 ) -> Headers:
-    """Return the header fields of an attempt.
+    """Returns the header fields of an attempt.
 
-    `remaining_s` is the time until the request's deadline, `prefill_tokens` what the server is expected to
-    read, and `last_event_id` the event after which a broken stream is resumed.
+    `remaining_s` is the time until the request's deadline, `prefill_tokens` the number of prompt tokens that
+    the server is expected to prefill, and `last_event_id` the event after which a broken stream is resumed.
     """
     headers = _end_to_end_headers(request.headers, REPLACED)
     if last_event_id is not None:
@@ -116,12 +117,12 @@
 
 
 def response_headers(headers: Headers) -> Headers:
-    """Return the header fields of a server's response that its client gets."""
+    """Returns the header fields of a server's response that are forwarded to the client."""
     return _end_to_end_headers(headers, RESPONSE_REPLACED)
 
 
 def _end_to_end_headers(headers: Headers, excluded: frozenset[bytes]) -> Headers:
-    """Return the fields that are neither hop-by-hop nor excluded (RFC 9110, 7.6.1)."""
+    """Returns the fields that are neither hop-by-hop nor excluded (RFC 9110, 7.6.1)."""
     connection_options = {
         name.strip().lower() for key, value in headers if key == b"connection" for name in value.split(b",")
     }
--- a/wheatroute/edge/retry_budget.py
+++ b/wheatroute/edge/retry_budget.py
@@ -1,18 +1,19 @@
-"""This node's share of a service's retry budget. A state machine without I/O."""
+"""Limits retries to this node's share of a service's retry budget. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
 
-RATIO_FRACTION = 0.7  # of the ratio that is used: the requests that allow a retry may lie in another window
-SLACK_FRACTION = 0.7  # of the slack that is used, divided evenly among the nodes
+# Fraction of the configured ratio that is used: the requests that allow a retry may fall into another window.
+RATIO_FRACTION = 0.7
+SLACK_FRACTION = 0.7  # fraction of the configured slack that is used, divided evenly among the nodes
 
 
 class RetryBudget:
-    """Attempts beyond the first of each request to one service, within a sliding window.
+    """Limits the retries and hedges of requests to one service within a sliding window.
 
-    The ratio is of this node's own requests, so the budgets of all nodes sum to the ratio of all requests;
-    the slack is divided by the number of nodes.
+    The ratio applies to this node's own requests, so the budgets of all nodes add up to the ratio of all
+    requests. The slack, a number of retries beyond that, is divided by the number of nodes.
     """
 
     def __init__(self, ratio: float, slack: float, window_s: float) -> None:
@@ -21,17 +22,21 @@
         self.configure(ratio, slack, window_s)
 
     def configure(self, ratio: float, slack: float, window_s: float) -> None:
-        """Change the bounds: retries a request, retries beyond that, and the window; the counts stay."""
+        """Changes the limits and keeps the counts.
+
+        `ratio` is the number of retries per request, `slack` the number of retries beyond that, and
+        `window_s` the window in seconds.
+        """
         self._ratio = ratio * RATIO_FRACTION
         self._slack = slack * SLACK_FRACTION
         self._window_s = window_s
 
     def record_request(self, now: float) -> None:
-        """Count a client's request for the service."""
+        """Counts a client's request to the service."""
         self._request_times.append(now)
 
     def try_retry(self, now: float, edge_node_count: int) -> bool:
-        """Return whether one more retry may be sent; counts it if so."""
+        """Returns whether one more retry may be sent; if so, counts it."""
         oldest = now - self._window_s
         for times in (self._request_times, self._retry_times):
             while times and times[0] < oldest:
--- a/wheatroute/edge/routing.py
+++ b/wheatroute/edge/routing.py
@@ -1,4 +1,7 @@
-"""Lookup of a request's route, tenant and rank in one version of the configuration. Immutable; no I/O."""
+"""Looks up a request's route, tenant and server rank in one version of the configuration.
+
+A table is immutable and does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,14 @@
 )
 from wheatroute.cluster.errors import ErrorKind, RequestError
 
-AUTHORIZATION_SCHEME = "token "  # compared without case (RFC 9110, 11.1)
-SERVER_RANKS = 10  # ranks that servers distinguish
-PROMPT_SIZE_BOUNDS = (2_000, 10_000)  # uncached prompt tokens from which a request ranks behind shorter ones
+AUTHORIZATION_SCHEME = "token "  # case-insensitive (RFC 9110, 11.1)
+SERVER_RANKS = 10  # number of priority ranks that servers distinguish
+# Numbers of uncached prompt tokens from which a request ranks behind those with shorter prompts.
+PROMPT_SIZE_BOUNDS = (2_000, 10_000)
 
 
 class RoutingTable:
-    """Indexes over one version of the configuration."""
+    """Indexes of one version of the configuration: routes by host, tenants by API key, priority ranks."""
 
     def __init__(self, version: ConfigurationVersion) -> None:
         self.version = version
@@ -29,32 +33,36 @@
         self._build_indexes()
 
     def _build_indexes(self) -> None:
-        """Build what is made anew for each version: a pass over every item, but no sorting."""
+        """Builds the indexes that no version shares with its predecessor.
+
+        This takes one pass over all items, without sorting them.
+        """
         version = self.version
         self._by_api_key = {key: tenant for tenant in version.tenants.values() for key in tenant.api_keys}
         self._priority_ranks = priority_ranks(version)
         ranks_by_size = SERVER_RANKS // max(1, len(self._priority_ranks))
         self._size_classes = max(1, min(len(PROMPT_SIZE_BOUNDS) + 1, ranks_by_size))
-        # only the most valuable class of idempotent requests is hedged
+        # Only the idempotent routes with the most urgent priority are hedged.
         self._hedged_priority = min(
             (route.priority for route in version.routes.values() if route.idempotent), default=None
         )
 
     def apply_difference(self, difference: Difference) -> RoutingTable:
-        """Return the table of the version that a difference leads to.
+        """Returns a new table for the version that results from a difference.
 
         Hosts without a changed route share their entries with this table. Raises DifferenceError if the
-        difference isn't based on this table's version.
+        difference is not based on this table's version.
         """
         if difference.base == NO_SEQUENCE:
             return RoutingTable(apply_difference(EMPTY_VERSION, difference))
         table = copy(self)
         table.version = apply_difference(self.version, difference)
-        table._by_host = self._changed_hosts(difference)
+        table._by_host = self._updated_hosts(difference)
         table._build_indexes()
         return table
 
-    def _changed_hosts(self, difference: Difference) -> dict[str, list[Route]]:
+    def _updated_hosts(self, difference: Difference) -> dict[str, list[Route]]:
+        """Returns the routes by host after a difference; only the hosts of changed routes are rebuilt."""
         old = self.version.routes
         names = {*difference.items.removed_routes, *(route.name for route in difference.items.routes)}
         replaced = [old[name] for name in names if name in old]
@@ -68,17 +76,17 @@
 
     @property
     def sequence(self) -> int:
-        """Sequence number of the replicated document."""
+        """Sequence number of the replicated configuration document."""
         return self.version.sequence
 
     @property
     def generation(self) -> int:
-        """Generation number that the operator gave the configuration."""
+        """Generation number that the operator assigned to the configuration."""
         return self.version.generation
 
     @property
     def limits(self) -> ClientLimits:
-        """Limits of what clients may send."""
+        """Limits on the size and timing of clients' requests."""
         return self.version.limits
 
     @property
@@ -92,10 +100,10 @@
         return self.version.tenants
 
     def route(self, host: str, target: str) -> Route:
-        """Return the route with the longest matching path prefix.
+        """Returns the route with the longest matching path prefix.
 
-        `host` is a Host header, whose port is ignored; `target` a request target in origin form. Raises
-        RequestError if there is no route.
+        `host` is the value of a Host header, whose port is ignored; `target` is a request target in origin
+        form. Raises RequestError if no route matches.
         """
         hostname = host.strip().lower()
         if hostname.rpartition(":")[2].isdigit() and ":" in hostname:
@@ -104,26 +112,27 @@
         for route in self._by_host.get(hostname, ()):
             if path.startswith(route.path_prefix):
                 return route
-        raise RequestError(ErrorKind.NO_ROUTE, f"no route for {hostname}")
+        raise RequestError(ErrorKind.NO_ROUTE, f"no route for host {hostname}")
 
     def tenant(self, route: Route, authorization: str) -> Tenant | None:
-        """Return the tenant of an Authorization header, None where none is needed.
+        """Returns the tenant whose API key an Authorization header holds, None if there is none.
 
-        Raises RequestError if the route needs a tenant and the key is unknown.
+        Raises RequestError if the route needs a tenant and the key is missing or unknown.
         """
         credentials = authorization.strip()
         has_key = credentials.lower().startswith(AUTHORIZATION_SCHEME)
         api_key = credentials[len(AUTHORIZATION_SCHEME) :].strip() if has_key else ""
         tenant = self._by_api_key.get(api_key)
         if tenant is None and self.tenants and not route.public:
-            raise RequestError(ErrorKind.UNKNOWN_API_KEY, "the key is not known")
+            raise RequestError(ErrorKind.UNKNOWN_API_KEY, "the API key is missing or unknown")
         return tenant
 
     def server_rank(self, route: Route, tenant: Tenant | None, prefill_tokens: float) -> int:
-        """Return the rank sent to servers, 0 first: by prompt size, then by the tenant's or route's priority.
+        """Returns the rank that is sent to servers; a server runs rank 0 first.
 
-        A short prompt costs those behind it a few hundredths of a second; a long one costs a short one behind
-        it its latency target.
+        Requests are ranked by prompt size, then by the priority of the tenant, or else of the route. Size
+        comes first because a short prompt delays the requests behind it by a few hundredths of a second,
+        while a long one makes a short request behind it miss its latency target.
         """
         priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
         size_class = sum(prefill_tokens >= bound for bound in PROMPT_SIZE_BOUNDS)
@@ -132,12 +141,12 @@
         return min(SERVER_RANKS - 1, rank)
 
     def may_hedge(self, route: Route) -> bool:
-        """Return whether requests of a route may be hedged."""
+        """Returns whether requests of a route may be hedged."""
         return route.idempotent and route.retries > 1 and route.priority == self._hedged_priority
 
 
 def priority_ranks(version: ConfigurationVersion) -> dict[int, int]:
-    """Return the priorities in use with their ranks, the most urgent first."""
+    """Maps each priority in use to its rank; rank 0 is the most urgent."""
     priorities = {route.priority for route in version.routes.values()}
     priorities |= {tenant.priority for tenant in version.tenants.values() if tenant.priority is not None}
     return {priority: rank for rank, priority in enumerate(sorted(priorities))}
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -1,13 +1,14 @@
-"""Choice of a server for a request: weighted rendezvous hashing, corrected by expected wait. No I/O.
+"""Ranks servers for a request by weighted rendezvous hashing, corrected by the expected wait. No I/O.
 
-A server is drawn with a probability in proportion to its weight (`latency_weights.py`). The draw is keyed by
+A server is drawn with a probability proportional to its weight (`latency_weights.py`). The draw is keyed by
 the last shared prefix block of the prompt, so that all nodes draw the same server for the same prefix without
-any coordination; a request without prefix blocks is drawn at random. A draw that lands on a congested server
-is overruled: on one whose first token is expected later than the best server's by more than a fraction of
-the latency target, counting the prompt tokens queued there and those that this server would have to prefill
-again.
+coordination; for a request without prefix blocks the draw is random. Congested servers are moved behind the
+others. A server is congested if its first token is expected later than that of the best server by more than
+a fraction of the latency target. The expected wait counts the prompt tokens that are queued at the server and
+those that it would have to prefill again.
 
-Source of the weighted form: C. Schindelhauer, G. Schomaker, "Weighted distributed hash tables", SPAA 2005.
+Source of weighted rendezvous hashing: C. Schindelhauer, G. Schomaker, "Weighted distributed hash tables",
+SPAA 2005.
 """
 
 from __future__ import annotations
@@ -24,29 +25,32 @@
 from wheatroute.edge.prompt_headers import PrefixBlock
 from wheatroute.edge.server_load import LoadTracker
 
-WARMUP_WEIGHT_FACTOR = 0.5  # of its weight, for a server that is warming up
-CONGESTION_THRESHOLD = 0.15  # of the latency target by which the first token may come later than elsewhere
-# expected cost of a shared token that this node hasn't sent to a server lately; at the preferred server other
-# nodes' requests have mostly filled the cache, elsewhere a prefill evicts what that server has cached
+WARMUP_WEIGHT_FACTOR = 0.5  # multiplies the weight of a server that is warming up
+# Fraction of the latency target by which the first token may be later than at the best server.
+CONGESTION_THRESHOLD = 0.15
+# Expected prefill cost, in tokens, of one shared prefix token that this node has not sent to a server lately.
+# At the preferred server, other nodes' requests have mostly filled the cache already. At other servers, a
+# prefill also evicts what they have cached.
 PREFERRED_MISS_COST = 0.15
 OTHER_MISS_COST = 3.0
-CACHE_TTL_FACTOR = 6.0  # of the time in which a repeated prefill has a price; servers cache for longer
+CACHE_TTL_FACTOR = 6.0  # multiple of `cache_ttl_s`, as servers keep blocks for longer than that
 MIN_RESPONSE_TIMEOUT_S = 0.8
-RESPONSE_TIMEOUT_FACTOR = 2.0  # of the p95 of the time to first token
-MIN_LATENCY_S = 0.001  # lower bound of an expected time to first token
+RESPONSE_TIMEOUT_FACTOR = 2.0  # multiple of the p95 of the time to first token
+MIN_LATENCY_S = 0.001  # lower bound of the expected time to first token, for divisions by it
 HASH_RANGE = 2.0**64
 
 
 class ServerSelector:
-    """Ranks the servers of all services, by what this node knows of them.
+    """Ranks the servers of all services by their latency, load, health and cached prefixes, as known here.
 
-    `cache_ttl_s` is the time in which a repeated prefill has a price.
+    `cache_ttl_s` is the time in seconds within which a repeated prefill of the same prompt has a price.
     """
 
     def __init__(self, cache_ttl_s: float, rng: Random, clock: Callable[[], float]) -> None:
         self.prefix_cache = PrefixCacheIndex(CACHE_TTL_FACTOR * cache_ttl_s)
         self.load = LoadTracker()
-        self.response_timeout_s = MIN_RESPONSE_TIMEOUT_S  # without a response, a server is avoided after it
+        # A server whose pending attempts get no response for longer than this is avoided.
+        self.response_timeout_s = MIN_RESPONSE_TIMEOUT_S
         self._weights = LatencyWeights()
         self._preferred = PreferredServers()
         self._prefill_models: dict[str, PrefillModel] = {}  # by service
@@ -54,17 +58,18 @@
         self._clock = clock
 
     def set_cache_ttl(self, cache_ttl_s: float) -> None:
-        """Change the time in which a repeated prefill has a price; the index of what is cached stays."""
+        """Changes the time within which a repeated prefill has a price; the prefix index is kept."""
         self.prefix_cache.set_ttl(CACHE_TTL_FACTOR * cache_ttl_s)
 
     def set_response_timeout(self, p95_s: float) -> None:
-        """Set the response timeout by the p95 of the time to first token; 0 while that is unknown."""
+        """Derives the response timeout from the p95 of the time to first token, 0 while that is unknown."""
         self.response_timeout_s = max(MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_FACTOR * p95_s)
 
     def record_latency(self, server: Server, tokens: float, latency_s: float) -> None:
-        """Learn from a time to first token, with this many tokens to read before.
+        """Updates the prefill model and the weights by one time to first token.
 
-        It counts in multiples of the expected time: else a server would look slow for one long prompt.
+        `tokens` is the number of prompt tokens that the server had to prefill before. The weights use the
+        latency in multiples of the expected one, else one long prompt would make a server look slow.
         """
         model = self._prefill_model(server.instance.service)
         expected_s = model.predict(tokens)
@@ -72,7 +77,7 @@
         self._weights.record(server.id, latency_s / max(MIN_LATENCY_S, expected_s), self._clock())
 
     def forget(self, server: Server) -> None:
-        """Drop what is known of a server that has left."""
+        """Drops the latency and load of a server that has left."""
         self._weights.forget(server.id)
         self.load.forget(server.id)
 
@@ -84,10 +89,10 @@
         blocks: tuple[PrefixBlock, ...],
         target_s: float,
     ) -> list[Server]:
-        """Return the servers of a service in the order in which to try them.
+        """Returns the servers of a service in the order in which to try them.
 
-        `key` is the prefix key of the prompt (see `ClientRequest.prefix_key`), None for a random draw;
-        `target_s` the latency target.
+        `key` is the prefix key of the prompt (see `ClientRequest.prefix_key`), None for a random draw.
+        `target_s` is the latency target in seconds.
         """
         now = self._clock()
         self._weights.update(service, tuple(server.id for server in servers), now)
@@ -107,7 +112,7 @@
         target_s: float,
         now: float,
     ) -> list[Server]:
-        """Return the servers in the order of the draw, the congested ones behind the others by their wait."""
+        """Returns the drawn order with congested servers moved behind the others, sorted by expected wait."""
         waits = {server.id: self._expected_wait(server, blocks, server is drawn[0], now) for server in drawn}
         accepted_waits = [waits[server.id] for server in drawn if server.id not in avoided]
         max_wait = min(accepted_waits or waits.values()) + CONGESTION_THRESHOLD * target_s
@@ -122,19 +127,19 @@
     def expected_prefill_tokens(
         self, server: Server, key: str | None, blocks: tuple[PrefixBlock, ...]
     ) -> float:
-        """Return how many prompt tokens a server will read if it gets a request."""
+        """Returns the number of prompt tokens that a server is expected to prefill for a request."""
         is_preferred = self._preferred.is_preferred(key, server.id)
         return self._prefill_cost(server, blocks, PREFERRED_MISS_COST if is_preferred else 1.0, self._clock())
 
     def _is_avoided(self, server: Server, now: float) -> bool:
-        """Return whether a server is tried only after all others."""
+        """Returns whether a server is to be tried only after all others."""
         has_timed_out = server.unresponsive_for(now) > self.response_timeout_s
         return has_timed_out or server.has_unacknowledged_bytes(now) or server.is_degraded(now)
 
     def _expected_wait(
         self, server: Server, blocks: tuple[PrefixBlock, ...], is_preferred: bool, now: float
     ) -> float:
-        """Return the seconds until the first token at a server, less what is the same at all of them."""
+        """Returns the expected seconds until the first token, less the part that is equal at all servers."""
         model = self._prefill_model(server.instance.service)
         miss_cost = PREFERRED_MISS_COST if is_preferred else OTHER_MISS_COST
         tokens = self.load.queued_tokens(server.id) + self._prefill_cost(server, blocks, miss_cost, now)
@@ -144,7 +149,7 @@
     def _prefill_cost(
         self, server: Server, blocks: tuple[PrefixBlock, ...], miss_cost: float, now: float
     ) -> float:
-        """Return the tokens that a server would have to read, the shared ones counted `miss_cost` times."""
+        """Returns the tokens that a server would have to prefill, shared ones weighted by `miss_cost`."""
         uncached = self.prefix_cache.uncached_tokens(server.id, blocks, now)
         unshared = blocks[-1].tokens if blocks else 0
         if uncached <= unshared:
@@ -157,7 +162,7 @@
         return self._prefill_models[service]
 
     def _score(self, server: Server, key: str | None, now: float) -> float:
-        """Return the server's score in weighted rendezvous hashing; the highest score wins the draw."""
+        """Returns the server's score in weighted rendezvous hashing; the highest score wins the draw."""
         weight = self._weights.weight(server.id)
         if server.is_warming_up(now):
             weight *= WARMUP_WEIGHT_FACTOR
@@ -166,6 +171,6 @@
 
 
 def _hash_fraction(key: str, server_id: str) -> float:
-    """Return a number between 0 and 1 for a key and a server, the same on all nodes."""
+    """Returns a number between 0 and 1 for a key and a server, the same on all nodes."""
     digest = hashlib.blake2b(f"{key}\n{server_id}".encode(), digest_size=8).digest()
     return (int.from_bytes(digest, "big") + 0.5) / HASH_RANGE
--- a/wheatroute/edge/usage_reporter.py
+++ b/wheatroute/edge/usage_reporter.py
@@ -1,7 +1,7 @@
-"""Reports of this node's usage to the primary: demand for tokens, load of the servers, unresponsive servers.
+"""Reports this node's demand for quota tokens, server load and unresponsive servers to the primary.
 
-A report is sent at once when a request needs tokens, and regularly otherwise; its response brings grants and
-the load of other nodes.
+A report is sent at once when a request needs tokens, and periodically otherwise. The response contains grants
+and the load that other nodes have at the servers.
 """
 
 from __future__ import annotations
@@ -16,11 +16,12 @@
 from wheatroute.edge.recent_usage import RecentUsageReporter
 
 REPORT_TIMEOUT_S = 0.25
-REPORT_INTERVAL_S = 0.3  # between two reports of one node
-REPORT_SPACING_S = 0.01  # between two reports of all nodes, as the primary's load depends on it
-MIN_INTERVAL_JITTER, INTERVAL_JITTER_RANGE = 0.8, 0.4  # factors of the interval
-MAX_LEASE_ATTEMPTS = 2  # a host that isn't the primary names the next
-LEASE_BACKOFF_S = 0.3  # after a host gave no answer, in which no request waits for a lease
+REPORT_INTERVAL_S = 0.3  # minimum mean interval between two reports of one node
+# Mean interval between two reports of any nodes, since the rate of all reports determines the primary's load.
+REPORT_SPACING_S = 0.01
+MIN_INTERVAL_JITTER, INTERVAL_JITTER_RANGE = 0.8, 0.4  # the interval is multiplied by 0.8 to 1.2
+MAX_LEASE_ATTEMPTS = 2  # the second goes to the primary that another host has named
+LEASE_BACKOFF_S = 0.3  # time after a host did not answer in which no request waits for a lease
 
 
 class UsageReporter:
@@ -32,23 +33,24 @@
         self._recent_usage = RecentUsageReporter(node.quotas, trio.current_time())
         self._report_due = trio.Event()
         self._reported_loads: dict[str, ServerLoad] = {}
-        self._has_reported_unresponsive = False  # whether the last report named an unresponsive server
+        # Whether the last periodic report named an unresponsive server.
+        self._has_reported_unresponsive = False
 
     async def run(self) -> None:
-        """Report regularly until cancelled."""
+        """Sends periodic reports until cancelled."""
         while True:
             await self._wait_for_next_report()
             await self._report()
 
-    def report_soon(self) -> None:
-        """Send the next report at once if a new primary lacks the recent usage."""
+    def report_if_primary_changed(self) -> None:
+        """Sends the next report at once if a new primary lacks the recent usage."""
         if self._recent_usage.has_primary_changed(self._primary_client.primary):
             self._report_due.set()
 
-    # leases
+    # Quota leases
 
     async def request_lease(self, tenant: str, tokens: float) -> None:
-        """Request tokens of a tenant; without a response the node uses local tokens."""
+        """Requests tokens of a tenant; without a response, refills the tenant's local tokens."""
         if await self._send_lease_request(tenant, tokens):
             return
         node = self._node
@@ -57,10 +59,14 @@
             node.quotas.refill_isolated(limits, trio.current_time(), node.edge_node_count, slack)
 
     async def _send_lease_request(self, tenant: str, tokens: float) -> bool:
-        """Ask the primary, or the one that it names; return False at once if none has answered lately."""
+        """Requests a lease from the primary, and after a redirect from the host that was named.
+
+        Returns False if there is no response, and at once if the primary counts as lost or a host did not
+        answer lately.
+        """
         client = self._primary_client
         for _ in range(MAX_LEASE_ATTEMPTS):
-            if client.is_isolated or trio.current_time() - client.failed_at < LEASE_BACKOFF_S:
+            if client.has_lost_primary or trio.current_time() - client.failed_at < LEASE_BACKOFF_S:
                 return False
             now = trio.current_time()
             demands = {tenant: self._node.quotas.demand(tenant, tokens, 0.0, now)}
@@ -68,14 +74,14 @@
                 return True
         return False
 
-    # reports
+    # Reports to the primary
 
     def _make_report(self, demands: dict[str, QuotaDemand], now: float) -> UsageReport:
         primary = self._primary_client.primary
         return self._recent_usage.make_report(self._node.settings.node, primary, demands, now)
 
     async def _send(self, report: UsageReport) -> bool:
-        """Send a report and apply the response; return False if there is none."""
+        """Sends a report and applies the response; returns False if there is none."""
         primary = self._primary_client.primary
         body = await self._primary_client.post(USAGE_PATH, report, REPORT_TIMEOUT_S, REPORT_TIMEOUT_S)
         if body is None:
@@ -111,25 +117,29 @@
         self._report_due = trio.Event()
 
     async def _report(self) -> None:
-        """Report the load and unresponsive servers, and return tokens that aren't needed."""
+        """Reports the load and unresponsive servers, and returns surplus tokens.
+
+        Sends nothing while the primary counts as lost, or if there is no load, neither now nor in the last
+        report, and no new primary lacks the recent usage.
+        """
         node, primary = self._node, self._primary_client.primary
         now = trio.current_time()
         loads = node.selector.load.local()
         has_changes = loads or self._reported_loads or self._recent_usage.has_primary_changed(primary)
-        if self._primary_client.is_isolated or not has_changes:
+        if self._primary_client.has_lost_primary or not has_changes:
             return
         self._reported_loads = dict(loads)
         unresponsive = node.instances.unresponsive_for(now, node.selector.response_timeout_s)
-        # an empty map says once that those named before have answered
+        # After a report with unresponsive servers, one with an empty map reports that they have answered.
         reported = unresponsive if unresponsive or self._has_reported_unresponsive else None
         self._has_reported_unresponsive = bool(unresponsive)
-        # leased tokens are part of the recent usage, so none are returned in the same report
+        # The recent usage includes leased tokens, so none are returned in the same report.
         demands = {} if self._recent_usage.is_due(primary) else self._demands(now)
         report = self._make_report(demands, now)
         await self._send(msgspec.structs.replace(report, servers=loads, unresponsive_for=reported))
 
     def _demands(self, now: float) -> dict[str, QuotaDemand]:
-        """Return each tenant's demand, with the tokens that this node returns as it doesn't need them."""
+        """Returns each tenant's demand, including the surplus tokens that this node returns."""
         quotas = self._node.quotas
         return {
             tenant: quotas.demand(tenant, 0.0, quotas.take_surplus(tenant, now), now)
--- a/wheatroute/system.py
+++ b/wheatroute/system.py
@@ -1,6 +1,7 @@
-"""The roles of the router set: `python3 -m wheatroute.system ROLE`, or `wheatroute ROLE`.
+"""Starts a role of the router set: `python3 -m wheatroute.system ROLE`, or `wheatroute ROLE`.
 
-Exit status: 0 after SIGTERM or SIGINT, 1 if an address can't be listened on, 2 for a bad settings file.
+Exit status: 0 after SIGTERM or SIGINT, 1 if an address cannot be listened on, 2 if the settings file is
+invalid.
 """
 
 from __future__ import annotations
@@ -16,31 +17,34 @@
 
     from wheatroute.cluster.settings import Settings
 
-BAD_SETTINGS = 2
-CANNOT_LISTEN = 1
-REQUIRED_ADDRESSES = {"edge": ("front", "ready"), "control": ("control",)}  # keys of `listen` by role
+BAD_SETTINGS_STATUS = 2
+LISTEN_FAILED_STATUS = 1
+REQUIRED_ADDRESSES = {
+    "edge": ("front", "ready"),
+    "control": ("control",),
+}  # required keys of `listen` by role
 
 
 def _read_settings(role: str) -> tuple[Settings, Logger]:
-    """Read the settings and open the log; exits with a message if the settings are invalid."""
-    # imported here: a role loads only what it needs, as memory and the time to start count
+    """Reads the settings and opens the log; exits with a message if the settings are invalid."""
+    # Imported here, so that a role loads only what it needs: this saves memory and startup time.
     from wheatroute.cluster.logs import open_log
     from wheatroute.cluster.settings import SettingsError, read_settings
 
-    # until the role handles it: by default SIGHUP would end a process that has just started
+    # By default SIGHUP would end a process that has just started. It is ignored until the role handles it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         settings = read_settings()
         settings.require(REQUIRED_ADDRESSES[role])
     except SettingsError as error:
         click.echo(f"wheatroute: {error}", err=True)
-        sys.exit(BAD_SETTINGS)
+        sys.exit(BAD_SETTINGS_STATUS)
     return settings, open_log(settings.node, role)
 
 
 def _exit_without_address(log: Logger, error: OSError) -> NoReturn:
     log.error("listen-failed", extra={"error": str(error)})
-    sys.exit(CANNOT_LISTEN)
+    sys.exit(LISTEN_FAILED_STATUS)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -50,7 +54,7 @@
 
 @system.command()
 def edge() -> None:
-    """Takes clients' requests and carries them to model servers."""
+    """Accepts clients' requests and forwards them to model servers."""
     settings, log = _read_settings("edge")
     from wheatroute.edge.listeners import open_listeners
 
@@ -58,7 +62,7 @@
         listeners = open_listeners(settings)
     except OSError as error:
         _exit_without_address(log, error)
-    # imported while clients can already wait in the listener's backlog
+    # Imported after listening has begun, so that clients can wait in the listener's backlog meanwhile.
     import trio
 
     from wheatroute.edge.main import serve
@@ -68,7 +72,7 @@
 
 @system.command()
 def control() -> None:
-    """Keeps the configuration and the registry of servers, and hands both to edge nodes."""
+    """Keeps the configuration and the registry of servers, and distributes both to edge nodes."""
     settings, log = _read_settings("control")
     import asyncio
 
