--- a/tests/edge/harness.py
+++ b/tests/edge/harness.py
@@ -1,7 +1,7 @@
-"""A complete edge node on loopback, between scripted servers and a raw client.
+"""Test harness: a complete edge node on loopback, between scripted servers and a raw client.
 
-Nothing sleeps: a test goes on when bytes arrive. There are no control nodes: the test applies configuration
-and servers as an update of the primary would.
+Nothing sleeps: a test continues when bytes arrive. There are no control nodes: the test applies the
+configuration and the servers as an update of the primary would.
 """
 
 import json
@@ -21,12 +21,12 @@
 from wheatroute.edge.node import EdgeNode
 from wheatroute.edge.routing import RoutingTable
 
-TIME_LIMIT_S = 10.0  # after which a test counts as hung
+TIME_LIMIT_S = 10.0  # time after which a test counts as hung
 HOST = "shop.example"
 
 
 def route(name, prefix, **fields):
-    """A route of the configuration, with defaults for all fields that aren't given."""
+    """Returns a route of the configuration, with defaults for all fields that are not given."""
     defaults = {
         "name": name,
         "hostname": HOST,
@@ -68,7 +68,10 @@
 
 
 async def read_message(stream, rest):
-    """Returns the head and body of the next message, and the bytes after it; None at the connection's end."""
+    """Returns the start line, headers and body of the next message, and the bytes after it.
+
+    `rest` are bytes that were read before. Returns None at the end of the connection.
+    """
     while b"\r\n\r\n" not in rest:
         data = await stream.receive_some(65536)
         if not data:
@@ -81,27 +84,31 @@
     while len(rest) < length:
         data = await stream.receive_some(65536)
         if not data:
-            raise trio.BrokenResourceError("the message breaks off")
+            raise trio.BrokenResourceError("the connection ended inside a message")
         rest += data
     return lines[0], headers, rest[:length], rest[length:]
 
 
 async def serve_on_free_port(nursery, serve):
-    """Calls `serve` for each connection from now on; return the port."""
+    """Calls `serve` for each connection to a free port until cancelled; returns the port."""
     opened = await nursery.start(partial(trio.serve_tcp, ignoring_disconnects(serve), 0, host="127.0.0.1"))
     return opened[0].socket.getsockname()[1]
 
 
 class ScriptedServer:
-    """Plays one script for each request that arrives, and records the requests."""
+    """Runs the next script for each request that arrives, and records the requests.
+
+    A script writes a response and returns whether to keep the connection. Without a script left, the response
+    is `ok`.
+    """
 
     def __init__(self, identity, *scripts, service="llm"):
         self.identity, self.service = identity, service
         self.scripts = list(scripts)
         self.requests = []
         self.connections = 0
-        self.cancelled = trio.Event()  # a connection was closed while its request was out
-        self.arrived = trio.Event()
+        self.cancelled = trio.Event()  # set when a connection is closed before its request is answered
+        self.arrived = trio.Event()  # set when a request has arrived
 
     async def serve(self, stream):
         self.connections += 1
@@ -117,7 +124,7 @@
 
 
 def respond(body, status="200 OK", headers=(), request_id=None, after=b""):
-    """A complete response with its length; `after` are surplus bytes that follow it."""
+    """Returns a script that sends a complete response; `after` are surplus bytes that follow it."""
 
     async def script(stream, fields):
         identity = request_id or fields.get("request-id", "")
@@ -135,7 +142,10 @@
 
 
 def respond_raw(data, keep=False):
-    """Unchanged bytes, and then the end of the connection unless `keep` is set."""
+    """Returns a script that sends these bytes, and then closes the connection unless `keep` is set.
+
+    `{id}` in the bytes is replaced by the id of the request.
+    """
 
     async def script(stream, fields):
         await stream.send_all(data.replace(b"{id}", fields.get("request-id", "").encode()))
@@ -145,7 +155,10 @@
 
 
 def never_respond(server_box):
-    """No response until the connection is closed, which is recorded at the server in the box."""
+    """Returns a script that sends nothing, and sets `cancelled` once the connection is closed.
+
+    `server_box` is a list whose first item is the server, which usually exists only after its script.
+    """
 
     async def script(stream, fields):
         while await stream.receive_some(1024):
@@ -163,7 +176,7 @@
 
 
 def chunk(data):
-    """One chunk of the chunked transfer coding (RFC 9112, 7.1)."""
+    """Returns one chunk of the chunked transfer coding (RFC 9112, 7.1)."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
@@ -171,7 +184,7 @@
 
 
 class Edge:
-    """The node, and how a test acts as its primary and its client."""
+    """An edge node, with methods by which a test acts as its primary and its client."""
 
     def __init__(self, configuration):
         log = logging.getLogger("test-edge")
@@ -193,33 +206,33 @@
         self.configure(configuration)
 
     def configure(self, configuration, sequence=1):
-        """Sets the configuration that `register` applies."""
+        """Sets the configuration that the next call of `register` applies."""
         self.table = RoutingTable(make_version(decode_configuration(json.dumps(configuration)), sequence))
 
     async def lease(self, tenant, tokens):
-        """Stands in for the primary: record the request, and apply the grant that the test has set."""
+        """Replaces lease requests to the primary: records them, and applies the grant set by the test."""
         self.requested_leases.append((tenant, tokens))
         if tenant in self.grants:
             self.node.quotas.apply_grant(tenant, self.grants[tenant], trio.current_time())
 
     def grant(self, tenant, tokens, wait_s=0.0):
-        """Sets what a tenant's next lease requests get."""
+        """Sets the grant for all further lease requests of a tenant."""
         self.grants[tenant] = QuotaGrant(tokens, wait_s)
 
     def register(self, *servers, number=1, states=()):
-        """Applies an update with these servers; `states` are those that aren't ready, by id."""
+        """Applies an update with these servers; `states` maps ids to states other than ready."""
         states = dict(states)
         instances = tuple(
             Instance(
-                one.identity,
-                one.service,
-                f"127.0.0.1:{one.port}",
+                server.identity,
+                server.service,
+                f"127.0.0.1:{server.port}",
                 "z",
                 4,
-                states.get(one.identity, InstanceState.READY),
+                states.get(server.identity, InstanceState.READY),
                 number,
             )
-            for one in servers
+            for server in servers
         )
         update = Update(
             1, self.table.sequence, None, RegistryVersion(1, number), instances, True, True, (), 1
@@ -227,7 +240,7 @@
         self.node.apply(update, self.table)
 
     async def exchange(self, data):
-        """Sends bytes on a new connection; return all that comes until the node closes it."""
+        """Sends bytes on a new connection; returns all bytes received until the node closes it."""
         stream = await trio.open_tcp_stream("127.0.0.1", self.port)
         async with stream:
             await stream.send_all(data)
@@ -235,7 +248,7 @@
 
 
 async def read_all(stream):
-    """Returns all bytes up to the connection's end, and a mark if it was reset."""
+    """Returns all bytes up to the end of the connection, followed by `<reset>` if it was reset."""
     received = b""
     try:
         while data := await stream.receive_some(65536):
@@ -246,7 +259,7 @@
 
 
 def request(path, key="k1", headers=(), body=b"", close=True, identity="r1"):
-    """The bytes of a POST request."""
+    """Returns the bytes of a POST request."""
     lines = [
         f"POST {path} HTTP/1.1",
         f"Host: {HOST}",
@@ -278,7 +291,7 @@
 
 
 def ignoring_disconnects(serve):
-    """`serve`, but a connection that is closed or reset by the other side just ends it."""
+    """Wraps `serve` so that it ends silently when the other side closes or resets the connection."""
 
     async def run(stream):
         try:
@@ -290,5 +303,5 @@
 
 
 def status(response):
-    """The status of a response, None if it isn't one."""
+    """Returns the status of a response, None if the bytes are no response."""
     return int(response.split(b" ", 2)[1]) if response.startswith(b"HTTP/1.1 ") else None
--- a/tests/edge/primary.py
+++ b/tests/edge/primary.py
@@ -1,4 +1,4 @@
-"""A stand-in for the primary: each long poll and report of an edge node gets a scripted response."""
+"""A scripted primary that answers the long polls and usage reports of an edge node."""
 
 import json
 
@@ -20,7 +20,7 @@
 
 
 class ScriptedPrimary:
-    """Answers long polls by `scripted_polls` in order, then with all it has; records what arrived."""
+    """Answers long polls by `scripted_polls` in order, then with its full state; records all messages."""
 
     def __init__(self, configuration, *servers):
         self.configuration = configuration
@@ -31,14 +31,16 @@
         self.sequence = 1
         self.epoch = 4
         self.hosts = ("127.0.0.1",)
-        self.release_polls = trio.Event()  # polls without anything new wait for it
+        self.release_polls = trio.Event()  # ends the wait of polls for which there is nothing new
 
     def update(self, request):
-        """Returns all that this primary has, as the response to a poll."""
+        """Returns the full state of this primary as the response to a poll."""
         newer = request.configuration < self.sequence
         instances = tuple(
-            Instance(one.identity, one.service, f"127.0.0.1:{one.port}", "z", 4, InstanceState.READY, 1)
-            for one in self.servers
+            Instance(
+                server.identity, server.service, f"127.0.0.1:{server.port}", "z", 4, InstanceState.READY, 1
+            )
+            for server in self.servers
         )
         return Update(
             self.epoch,
@@ -53,7 +55,7 @@
         )
 
     def full_configuration(self):
-        """The configuration as a difference from nothing."""
+        """Returns the configuration as an encoded difference from the empty version."""
         configuration = decode_configuration(json.dumps(self.configuration))
         return encode_difference(make_difference(EMPTY_VERSION, make_version(configuration, self.sequence)))
 
--- a/tests/edge/role.py
+++ b/tests/edge/role.py
@@ -1,4 +1,4 @@
-"""A running edge role with a scripted primary, for tests."""
+"""Runs an edge role with a scripted primary, for tests."""
 
 import logging
 import os
@@ -20,7 +20,7 @@
 
 
 class Role:
-    """The running role, its scripted primary, and how a test acts as client and platform."""
+    """A running edge role and its scripted primary; a test acts as client and platform by its methods."""
 
     def __init__(self, role, listeners, primary):
         self.role, self.node, self.primary = role, role._node, primary
@@ -39,7 +39,10 @@
 
 @asynccontextmanager
 async def running(*servers, seeds=None, seeds_file=None):
-    """A role whose only control node is scripted; `seeds_file` is where it looks for seeds later."""
+    """Runs a role whose only control node is scripted.
+
+    `seeds` are its initial seeds, `seeds_file` is the settings file that it reloads.
+    """
     previous = os.environ.pop(SETTINGS_VARIABLE, None)
     if seeds_file is not None:
         os.environ[SETTINGS_VARIABLE] = str(seeds_file)
--- a/tests/edge/test_admission.py
+++ b/tests/edge/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: routes, tenants, deadlines and quotas."""
+"""Tests admission: routes, tenants, deadlines and quotas."""
 
 import json
 
@@ -80,14 +80,14 @@
     server = ScriptedServer("i-1")
     async with running_edge(server) as edge:
         newer = json.loads(json.dumps(CONFIGURATION))
-        newer["routes"] = [one for one in newer["routes"] if one["name"] != "plain"]
+        newer["routes"] = [route for route in newer["routes"] if route["name"] != "plain"]
         newer["tenants"][0]["api_keys"] = ["k9"]
         edge.configure(newer, sequence=2)
         edge.register(server, number=2)
         assert status(await edge.exchange(request("/plain/1"))) == 404
         assert status(await edge.exchange(request("/safe/1"))) == 401
         assert status(await edge.exchange(request("/safe/1", key="k9"))) == 200
-        # an older configuration is ignored
+        # An older configuration is ignored.
         edge.configure(CONFIGURATION, sequence=1)
         edge.register(server, number=3)
         assert status(await edge.exchange(request("/plain/1"))) == 404
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -1,6 +1,6 @@
-"""Attempts: resets, closes, surplus and early responses, at each stage of a request.
+"""Tests attempts against resets, closes, surplus and early responses at each stage of a request.
 
-See docs/control-state.md. The servers are scripted on real sockets, and each order of events is forced.
+See docs/control-state.md. The servers are scripted on real sockets, and each test forces its order of events.
 """
 
 import pytest
@@ -29,7 +29,7 @@
 RESPONSE_WITHOUT_ID = b"HTTP/1.1 200 OK\r\nServer-Signature: s1\r\nContent-Length: 2\r\n\r\nno"
 
 
-LARGE_BODY = b"x" * 3_000_000  # more than the socket buffers of both sides hold
+LARGE_BODY = b"x" * 3_000_000  # larger than the socket buffers of both sides together
 
 
 def request_ids(*servers):
@@ -68,13 +68,13 @@
 
 @scenario
 async def test_a_truncated_response_does_not_look_complete():
-    for cut in (
+    for truncated in (
         b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nContent-Length: 9\r\n\r\nhal",
         b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
         b"HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n\r\nno end at all",
         b"no answer at all\r\n\r\n",
     ):
-        server = ScriptedServer("i-1", respond_raw(cut))
+        server = ScriptedServer("i-1", respond_raw(truncated))
         async with running_edge(server) as edge:
             response = await edge.exchange(request("/plain/1"))
         assert status(response) == 502 and b"half" not in response and len(server.requests) == 1
@@ -82,7 +82,7 @@
 
 @scenario
 async def test_a_rejection_that_comes_twice_is_not_taken_for_the_response_to_a_second_attempt():
-    """A server that rejected a request doesn't get it again, and the copy belongs to no other request."""
+    """A server that rejected a request does not get it again, and the copy answers no other request."""
     server = ScriptedServer("i-1", respond_raw(REJECTION + REJECTION, keep=True))
     async with running_edge(server) as edge:
         assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 503
@@ -93,7 +93,7 @@
 
 @scenario
 async def test_a_connection_on_which_a_request_was_rejected_never_carries_it_again():
-    """A late copy of the rejection would be taken for the response to the second attempt, by its id."""
+    """By its id, a late copy of the rejection would be taken for the response to the second attempt."""
     server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
     async with running_edge(server) as edge:
         await edge.exchange(request("/plain/0", identity="r0"))
@@ -114,7 +114,8 @@
     kept = ScriptedServer("i-1", respond(b"one"), respond_raw(RESPONSE_WITHOUT_ID, keep=True))
     async with running_edge(kept) as edge:
         assert status(await edge.exchange(request("/plain/1", identity="r1"))) == 200
-        # it may be a surplus response to r1: r2 may have run, and is neither answered with it nor retried
+        # The response may be a surplus one to r1. As r2 may have run, it is neither answered with it nor
+        # retried.
         assert status(await edge.exchange(request("/plain/2", identity="r2"))) == 502
     assert request_ids(kept) == ["r1", "r2"] and kept.connections == 1
 
@@ -131,16 +132,17 @@
 
 
 def rank_by_id(service, servers, *rest):
-    """Replaces the ranking of servers: by id."""
-    return sorted(servers, key=lambda one: one.id)
+    """Ranks servers by id; replaces `ServerSelector.rank`."""
+    return sorted(servers, key=lambda server: server.id)
 
 
 def reset_on_close(stream):
+    """Sets SO_LINGER with a timeout of 0, so that closing the socket resets the connection."""
     stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
 
 
 def break_off_after(part, how):
-    """A script that sends a part of the response, and then closes or resets the connection."""
+    """Returns a script that sends part of a response, and then closes or resets the connection."""
 
     async def script(stream, fields):
         await stream.send_all(part.replace(b"{id}", fields["request-id"].encode()))
@@ -178,7 +180,7 @@
             assert request_ids(first) == ["r0", "r1"][-1 - kept :]
             assert first.connections == 1
             assert request_ids(second) == []
-        # an idempotent one is retried at the other server, once
+        # An idempotent request is retried once, at the other server.
         first, second = (
             ScriptedServer("i-1", break_off_after(part, how)),
             ScriptedServer("i-2", break_off_after(part, how)),
@@ -193,12 +195,12 @@
 
 
 class EarlyServer(ScriptedServer):
-    """Responds once it has a request's head, whatever is still to come of its body."""
+    """Responds as soon as it has the head of a request; `then` handles the rest of the body."""
 
     def __init__(self, identity, data, then):
         super().__init__(identity)
         self.data, self.then = data, then
-        self.heads, self.read = [], 0
+        self.request_ids_seen, self.bodies_read = [], 0
         self.ended = trio.Event()
 
     async def serve(self, stream):
@@ -207,7 +209,7 @@
         while b"\r\n\r\n" not in head:
             head += await stream.receive_some(1000)
         fields = dict(line.lower().split(b": ", 1) for line in head.split(b"\r\n\r\n")[0].split(b"\r\n")[1:])
-        self.heads.append(fields[b"request-id"].decode())
+        self.request_ids_seen.append(fields[b"request-id"].decode())
         await stream.send_all(self.data.replace(b"{id}", fields[b"request-id"]))
         try:
             await self.then(self, stream, int(fields[b"content-length"]) - len(head.split(b"\r\n\r\n", 1)[1]))
@@ -215,20 +217,20 @@
             self.ended.set()
 
 
-async def reset_connection(server, stream, due):
+async def reset_connection(server, stream, remaining):
     reset_on_close(stream)
     await stream.aclose()
 
 
-async def read_rest(server, stream, due):
-    """Keeps the connection, and check that the rest of the body comes and nothing else."""
-    while due > 0:
+async def read_rest(server, stream, remaining):
+    """Keeps the connection open, and checks that exactly the rest of the body arrives."""
+    while remaining > 0:
         data = await stream.receive_some(65536)
-        assert data and data == b"x" * min(len(data), due)
-        due -= len(data)
-    server.read += 1
+        assert data and data == b"x" * min(len(data), remaining)
+        remaining -= len(data)
+    server.bodies_read += 1
     while rest := await stream.receive_some(65536):
-        server.heads.append(rest)
+        server.request_ids_seen.append(rest)
 
 
 @scenario
@@ -238,7 +240,7 @@
     async with running_edge(first, second) as edge:
         edge.node.selector.rank = rank_by_id
         response = await edge.exchange(request("/plain/1", body=LARGE_BODY))
-    assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
+    assert status(response) == 200 and first.request_ids_seen == ["r1"] and request_ids(second) == ["r1"]
     assert second.requests[0][2] == LARGE_BODY
 
 
@@ -249,16 +251,16 @@
     async with running_edge(first, second) as edge:
         edge.node.selector.rank = rank_by_id
         response = await edge.exchange(request("/plain/1", body=LARGE_BODY))
-        await until(lambda: first.read == 1)
-        assert status(response) == 200 and first.heads == ["r1"] and request_ids(second) == ["r1"]
+        await until(lambda: first.bodies_read == 1)
+        assert status(response) == 200 and first.request_ids_seen == ["r1"] and request_ids(second) == ["r1"]
 
 
 @scenario
 async def test_a_request_cancelled_inside_its_body_is_never_completed():
-    """Its client disconnects while the server doesn't read: it can't run, and isn't retried."""
+    """The client disconnects while the server does not read: the request cannot run, and is not retried."""
     is_waiting = trio.Event()
 
-    async def never_read(server, stream, due):
+    async def never_read(server, stream, remaining):
         is_waiting.set()
         await trio.sleep_forever()
 
@@ -276,7 +278,7 @@
 
 @scenario
 async def test_a_resumed_stream_uses_another_connection():
-    """At the same server too: surplus bytes of the first response would be read as the second one's."""
+    """Even at the same server: surplus bytes of the first response would be read as the second one."""
     begun = STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n")
     rest = STREAM_HEAD + chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK
     server = ScriptedServer("i-1", respond_raw(begun), respond_raw(rest, keep=True))
@@ -289,7 +291,7 @@
 
 
 def test_only_outcomes_with_a_proof_count_as_never_ran():
-    """Only these let a non-idempotent request go to another server."""
+    """Only these outcomes allow a non-idempotent request to be sent to another server."""
     assert attempt.NEVER_RAN == {
         attempt.EdgeAttemptOutcome.NOT_SENT,
         attempt.EdgeAttemptOutcome.CANCELLED,
--- a/tests/edge/test_changes_while_waiting.py
+++ b/tests/edge/test_changes_while_waiting.py
@@ -1,4 +1,4 @@
-"""Requests that meet a change of configuration, of servers or of clients while they wait in the node."""
+"""Tests requests that wait in the node while the configuration, the servers or their client change."""
 
 from copy import deepcopy
 
@@ -18,13 +18,13 @@
 from wheatroute.cluster.messages import InstanceState
 
 LONG_TARGETS = deepcopy(CONFIGURATION)
-for one in LONG_TARGETS["routes"]:
-    one["target_ms"] = 20_000  # so that a request waits for a server for seconds
+for route_fields in LONG_TARGETS["routes"]:
+    route_fields["target_ms"] = 20_000  # so that a request may wait for a server for seconds
 
 
 @scenario
 async def test_a_waiting_request_keeps_a_route_that_is_removed():
-    """Its version of the configuration stays in force for it; the next request gets the new one."""
+    """A request keeps the configuration version that admitted it; the next request gets the new one."""
     server = ScriptedServer("i-1")
     without = deepcopy(LONG_TARGETS)
     without["generation"] = 4
@@ -65,10 +65,10 @@
     server = ScriptedServer("i-1")
     async with running_edge(server, configuration=LONG_TARGETS) as edge:
         edge.register(number=2)
-        gone = await trio.open_tcp_stream("127.0.0.1", edge.port)
-        await gone.send_all(request("/plain/1"))
+        disconnecting = await trio.open_tcp_stream("127.0.0.1", edge.port)
+        await disconnecting.send_all(request("/plain/1"))
         await until(lambda: edge.clients.busy_count)
-        await gone.aclose()
+        await disconnecting.aclose()
         await until(lambda: not edge.clients.busy_count)
         edge.register(server, number=3)
         assert status(await edge.exchange(request("/plain/1", identity="r2"))) == 200
@@ -93,18 +93,18 @@
 
 @scenario
 async def test_a_server_that_leaves_while_it_accepts_no_bytes_delays_no_request():
-    """The socket never becomes writable again, and the request still goes to another server."""
+    """The socket never becomes writable again, but the request is still sent to another server."""
     body = b"x" * (24 << 20)  # more than the socket buffers hold
     large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
     begun, other = trio.Event(), ScriptedServer("i-2")
 
-    class Stuck(ScriptedServer):
+    class NeverReadingServer(ScriptedServer):
         async def serve(self, stream):
             await stream.receive_some(1024)
             begun.set()
             await trio.sleep_forever()
 
-    leaving = Stuck("i-1")
+    leaving = NeverReadingServer("i-1")
     async with running_edge(leaving, configuration=large) as edge:
         client = await trio.open_tcp_stream("127.0.0.1", edge.port)
         async with trio.open_nursery() as nursery:
@@ -119,21 +119,21 @@
 
 @scenario
 async def test_a_server_that_leaves_before_the_last_byte_never_gets_a_complete_request():
-    """An incomplete request never runs there, so a non-idempotent one may go to another server."""
+    """An incomplete request never runs, so a non-idempotent one may be sent to another server."""
     body = b"x" * (24 << 20)  # more than the socket buffers hold
     large = CONFIGURATION | {"limits": {"max_body_bytes": 32 << 20}}
     begun, drained, other = trio.Event(), trio.Event(), ScriptedServer("i-2")
-    halves = []
+    received_parts = []
 
-    class Reluctant(ScriptedServer):
+    class LateReadingServer(ScriptedServer):
         async def serve(self, stream):
-            halves.append(await stream.receive_some(1024))
+            received_parts.append(await stream.receive_some(1024))
             begun.set()
             await drained.wait()
             while data := await stream.receive_some(1 << 16):
-                halves.append(data)
+                received_parts.append(data)
 
-    leaving = Reluctant("i-1")
+    leaving = LateReadingServer("i-1")
     async with running_edge(leaving, configuration=large) as edge:
         client = await trio.open_tcp_stream("127.0.0.1", edge.port)
         async with trio.open_nursery() as nursery:
@@ -145,4 +145,4 @@
             response = await read_all(client)
             nursery.cancel_scope.cancel()
     assert status(response) == 200 and len(other.requests) == 1
-    assert sum(map(len, halves)) < len(body)
+    assert sum(map(len, received_parts)) < len(body)
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -1,4 +1,4 @@
-"""Clients' connections: framing, disconnection, backpressure and shutdown."""
+"""Tests client connections: framing, disconnection, backpressure and shutdown."""
 
 import trio
 from async_scenarios import scenario, until
@@ -16,7 +16,7 @@
 
 
 @scenario
-async def test_a_chunked_body_is_sent_on_complete_with_its_length():
+async def test_a_chunked_body_is_forwarded_complete_with_its_length():
     server = ScriptedServer("i-1")
     message = request("/plain/1").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
     async with running_edge(server) as edge:
@@ -51,14 +51,14 @@
 
 
 @scenario
-async def test_a_client_that_reads_nothing_delays_no_other_and_fills_no_memory():
-    offered, size = 3000, 1 << 16
+async def test_a_client_that_reads_nothing_delays_no_other_client_and_fills_no_memory():
+    event_count, size = 3000, 1 << 16
     sent = []
 
     async def script(stream, fields):
         await stream.send_all(STREAM_HEAD.replace(b"{id}", fields["request-id"].encode()))
         event = chunk(b"data: " + b"x" * size + b"\n\n")
-        for number in range(offered):
+        for number in range(event_count):
             await stream.send_all(event)
             sent.append(number)
         return False
@@ -68,13 +68,14 @@
         slow = await trio.open_tcp_stream("127.0.0.1", edge.port)
         await slow.send_all(request("/stream/1"))
         await until(lambda: sent)
-        seen, still = 0, 0
-        while still < 30:  # requests of other clients during which the slow client's stream made no progress
-            seen, still = (len(sent), 0) if len(sent) > seen else (seen, still + 1)
-            assert status(await edge.exchange(request("/plain/1", identity=f"r{seen}-{still}"))) == 200
-        assert len(sent) < offered / 2
-        (one,) = [client for client in edge.clients._clients if client.is_busy]
-        assert len(one.connection._unsent) <= 4 * size
+        seen, stalled = 0, 0
+        # until 30 requests of other clients in a row have passed without progress of the slow client's stream
+        while stalled < 30:
+            seen, stalled = (len(sent), 0) if len(sent) > seen else (seen, stalled + 1)
+            assert status(await edge.exchange(request("/plain/1", identity=f"r{seen}-{stalled}"))) == 200
+        assert len(sent) < event_count / 2
+        (slow_client,) = [client for client in edge.clients._clients if client.is_busy]
+        assert len(slow_client.connection._unsent) <= 4 * size
         await slow.aclose()
         await until(lambda: not edge.clients._clients)
 
--- a/tests/edge/test_control_client.py
+++ b/tests/edge/test_control_client.py
@@ -1,4 +1,4 @@
-"""Distribution to an edge node: long polls, usage reports and leases."""
+"""Tests the messages between an edge node and the primary: long polls, usage reports and leases."""
 
 import json
 from functools import partial
@@ -42,13 +42,13 @@
 
 
 def with_change(primary, body, poll):
-    """The primary's update, with this body as the difference to a newer version."""
+    """Returns the primary's update, with this body as the difference to a newer version."""
     return 200, msgspec.structs.replace(primary.update(poll), configuration=8, configuration_change=body)
 
 
 @scenario
 async def test_a_difference_that_cannot_be_applied_is_dropped_and_the_full_configuration_requested():
-    """One is based on a version that this node doesn't have, the other can't be decoded."""
+    """One difference is based on a version that this node does not have, the other cannot be decoded."""
     first = make_version(decode_configuration(json.dumps(CONFIGURATION)), 7)
     second = make_version(decode_configuration(json.dumps(CONFIGURATION | {"generation": 4})), 8)
     async with running(ScriptedServer("i-1")) as edge:
@@ -115,8 +115,10 @@
             await until(lambda: edge.node.is_ready)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(edge.exchange, request("/plain/1"))
-                await until(lambda: any(one.unresponsive_for for one in edge.primary.reports))
-                (named,) = [one.unresponsive_for for one in edge.primary.reports if one.unresponsive_for][:1]
+                await until(lambda: any(report.unresponsive_for for report in edge.primary.reports))
+                (named,) = [
+                    report.unresponsive_for for report in edge.primary.reports if report.unresponsive_for
+                ][:1]
                 assert list(named) == ["i-1"] and named["i-1"] > 0.05
                 may_respond.set()
             await until(lambda: edge.primary.reports[-1].unresponsive_for == {})
@@ -127,77 +129,77 @@
 @scenario
 async def test_an_isolated_node_uses_local_tokens_and_at_most_one_request_waits_for_a_lease():
     backoff_s = usage_reporter.LEASE_BACKOFF_S
-    usage_reporter.LEASE_BACKOFF_S = TIME_LIMIT_S  # however slow this machine is
+    usage_reporter.LEASE_BACKOFF_S = TIME_LIMIT_S  # covers the whole test, however slow this machine is
     try:
-        await isolated_node()
+        await check_isolated_node()
     finally:
         usage_reporter.LEASE_BACKOFF_S = backoff_s
 
 
-async def isolated_node():
+async def check_isolated_node():
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
-        waited = []
-        plain = edge.primary.respond
+        lease_requests = []
+        respond_normally = edge.primary.respond
 
         async def answer_nothing(path, body):
             if path != b"/usage":
-                return await plain(path, body)
+                return await respond_normally(path, body)
             report = msgspec.msgpack.decode(body, type=UsageReport)
-            if any(need.wanted for need in report.tenants.values()):  # else it is a regular report
-                waited.append(report)
+            if any(demand.wanted for demand in report.tenants.values()):  # otherwise it is a periodic report
+                lease_requests.append(report)
             await trio.sleep_forever()
 
-        # its local rate: 100 tokens a second, granted just now
+        # The local rate is 100 tokens per second, granted a second ago.
         edge.node.quotas.apply_grant("small", QuotaGrant(0.0, 0.0, 100.0), trio.current_time() - 1.0)
         edge.primary.respond = answer_nothing
         assert status(await edge.exchange(body)) == 200
         answered = [status(await edge.exchange(body)) for _ in range(10)]
         assert 200 in answered and 429 in answered
-        assert len(waited) <= 1  # none, if a regular report got no response before
+        assert len(lease_requests) <= 1  # none if a periodic report got no response before
 
 
 @scenario
 async def test_a_poll_whose_connection_breaks_delays_no_lease():
-    """A connection that was reset doesn't mean that the primary is down: tokens are requested at once."""
+    """A reset connection does not mean that the primary is down, so tokens are requested at once."""
     body = request("/plain/1", key="k2", headers=("Token-Count: 10,10",))
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
-        plain, leased, broken = edge.primary.respond, [], trio.Event()
+        respond_normally, lease_requests, broken = edge.primary.respond, [], trio.Event()
 
         async def break_polls(path, body):
             if path != b"/usage":
                 broken.set()
                 raise trio.BrokenResourceError  # the harness ends the connection
             report = msgspec.msgpack.decode(body, type=UsageReport)
-            if any(need.wanted for need in report.tenants.values()):
-                leased.append(report)
+            if any(demand.wanted for demand in report.tenants.values()):
+                lease_requests.append(report)
                 return 200, UsageResponse({"small": QuotaGrant(20.0)}, {}, 1)
-            return await plain(path, body)
+            return await respond_normally(path, body)
 
         edge.primary.respond = break_polls
         edge.primary.release_polls.set()
         await broken.wait()
         assert status(await edge.exchange(body)) == 200
-        assert len(leased) == 1
+        assert len(lease_requests) == 1
 
 
 @scenario
 async def test_a_primary_that_another_node_names_is_used_at_once():
     backoff_s = control_client.HOST_BACKOFF_S
-    control_client.HOST_BACKOFF_S = 9 * TIME_LIMIT_S  # after a backoff it would hang
+    control_client.HOST_BACKOFF_S = 9 * TIME_LIMIT_S  # with a backoff, the test would hang
     try:
         async with running(ScriptedServer("i-1"), seeds=("127.0.0.1:1", "127.0.0.2:1")) as edge:
-            there = ScriptedPrimary(CONFIGURATION, *edge.primary.servers)
-            there.hosts = ("127.0.0.2", "127.0.0.1")
+            other_primary = ScriptedPrimary(CONFIGURATION, *edge.primary.servers)
+            other_primary.hosts = ("127.0.0.2", "127.0.0.1")
             port = edge.node.settings.internal_port
             async with trio.open_nursery() as nursery:
                 await nursery.start(
-                    partial(trio.serve_tcp, ignoring_disconnects(there.serve), port, host="127.0.0.2")
+                    partial(trio.serve_tcp, ignoring_disconnects(other_primary.serve), port, host="127.0.0.2")
                 )
                 edge.primary.respond = name_another_primary
-                await until(lambda: there.update_requests)
+                await until(lambda: other_primary.update_requests)
                 await until(lambda: edge.node.is_ready)
                 assert status(await edge.exchange(request("/plain/1"))) == 200
                 nursery.cancel_scope.cancel()
--- a/tests/edge/test_dispatch.py
+++ b/tests/edge/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: retries, rejections and hedges."""
+"""Tests dispatch: retries, rejections and hedges."""
 
 from contextlib import asynccontextmanager
 
@@ -37,11 +37,14 @@
     servers = [ScriptedServer(f"i-{n}", respond_raw(b""), respond_raw(b"")) for n in range(3)]
     async with running_edge(*servers) as edge:
         assert status(await edge.exchange(request("/safe/1"))) == 502
-    assert sum(len(one.requests) for one in servers) == 2
+    assert sum(len(server.requests) for server in servers) == 2
 
 
 def first_then_ok(first):
-    """Two servers: the first request, wherever it arrives, plays `first`; all others get a response."""
+    """Returns two servers and the list of server ids in the order of requests.
+
+    The script `first` answers the first request that arrives at either server; all others get a response.
+    """
     arrivals = []
 
     async def script(stream, fields):
@@ -53,8 +56,8 @@
 
 @scenario
 async def test_a_request_that_a_server_did_not_execute_is_retried_even_if_not_idempotent():
-    shed = respond(b"", status="503 Service Unavailable", headers=("Not-Executed: 1",))
-    servers, arrivals = first_then_ok(shed)
+    rejection = respond(b"", status="503 Service Unavailable", headers=("Not-Executed: 1",))
+    servers, arrivals = first_then_ok(rejection)
     async with running_edge(*servers) as edge:
         response = await edge.exchange(request("/plain/1"))
     assert status(response) == 200 and response.endswith(b"ok") and len(set(arrivals)) == 2
@@ -62,8 +65,10 @@
 
 @scenario
 async def test_a_request_rejected_by_all_servers_gets_a_retry_after():
-    shed = respond(b"", status="503 Service Unavailable", headers=("Not-Executed: 1", "Server-Signature: s2"))
-    server = ScriptedServer("i-1", shed)
+    rejection = respond(
+        b"", status="503 Service Unavailable", headers=("Not-Executed: 1", "Server-Signature: s2")
+    )
+    server = ScriptedServer("i-1", rejection)
     async with running_edge(server) as edge:
         response = await edge.exchange(request("/plain/1"))
     assert status(response) == 503
@@ -77,13 +82,13 @@
     async with running_edge(leaving, staying) as edge:
         acquire = edge.node.pool.acquire
 
-        async def late(server, request_id):
+        async def acquire_then_drain(server, request_id):
             connection = await acquire(server, request_id)
             if server.id == "i-1":
                 edge.register(leaving, staying, number=2, states={"i-1": InstanceState.DRAINING})
             return connection
 
-        edge.node.pool.acquire = late
+        edge.node.pool.acquire = acquire_then_drain
         for n in range(6):
             assert status(await edge.exchange(request("/plain/1", identity=f"r{n}"))) == 200
     assert not leaving.requests and len(staying.requests) == 6
@@ -105,18 +110,18 @@
         response = await edge.exchange(request("/plain/1"))
     assert status(response) == 500
     assert response.endswith(b"broken")
-    assert sum(len(one.requests) for one in servers) == 1
+    assert sum(len(server.requests) for server in servers) == 1
 
 
 @scenario
 async def test_a_late_stream_is_hedged_once_and_the_loser_is_cancelled():
     box = []
     complete = respond_raw(STREAM_HEAD + chunk(b"id: 1\ndata: a\n\n") + LAST_CHUNK, keep=True)
-    taken = []
+    target_ids = []
 
     async def script(stream, fields):
-        taken.append(fields["target-instance"])
-        if len(taken) == 1:
+        target_ids.append(fields["target-instance"])
+        if len(target_ids) == 1:
             return await never_respond(box)(stream, fields)
         return await complete(stream, fields)
 
@@ -127,7 +132,7 @@
         box.append(servers[0])
         response = await edge.exchange(request("/resume/1"))
         await servers[0].cancelled.wait()
-    assert response.endswith(LAST_CHUNK) and len(taken) == 2 and len(set(taken)) == 2
+    assert response.endswith(LAST_CHUNK) and len(target_ids) == 2 and len(set(target_ids)) == 2
 
 
 @scenario
@@ -140,7 +145,7 @@
             for _ in range(times):
                 edge.node.hedge_timer.record(trio.current_time(), 0.001)
             await edge.exchange(request(path, headers=("Timeout-Ms: 60",)))
-        assert sum(len(one.requests) for one in servers) == 1
+        assert sum(len(server.requests) for server in servers) == 1
 
 
 @asynccontextmanager
--- a/tests/edge/test_edge_role.py
+++ b/tests/edge/test_edge_role.py
@@ -1,4 +1,4 @@
-"""The edge role as the platform sees it: signals, readiness, settings."""
+"""Tests the edge role as the platform sees it: signals, readiness and settings."""
 
 import json
 import os
@@ -27,7 +27,7 @@
 
 
 @scenario
-async def test_it_is_ready_once_it_has_a_configuration_and_servers():
+async def test_the_node_is_ready_once_it_has_a_configuration_and_servers():
     async with running(ScriptedServer("i-1")) as edge:
         await until(lambda: edge.node.is_ready)
         assert await edge.ready() == 200
@@ -38,11 +38,11 @@
 async def test_a_request_before_the_first_configuration_waits_for_it():
     late = trio.Event()
     async with running(ScriptedServer("i-1")) as edge:
-        plain = edge.primary.respond
+        respond_normally = edge.primary.respond
 
         async def answer_late(path, body):
             await late.wait()
-            return await plain(path, body)
+            return await respond_normally(path, body)
 
         edge.primary.respond = answer_late
         async with trio.open_nursery() as nursery:
@@ -59,7 +59,7 @@
 
 
 @scenario
-async def test_on_sigterm_it_answers_accepted_and_late_requests_and_then_ends():
+async def test_on_sigterm_the_node_answers_accepted_and_late_requests_and_then_ends():
     last = trio.Event()
 
     async def script(stream, fields):
@@ -77,7 +77,7 @@
         response = await stream.receive_some(65536)
         os.kill(os.getpid(), signal.SIGTERM)
         await until(lambda: edge.node.is_stopping)
-        # until two probes have failed, the platform may still send clients here
+        # Until two probes have failed, the platform may still send clients to this node.
         assert status(await edge.exchange(request("/plain/1", identity="r2"))) == 200
         assert [await edge.ready(), await edge.ready()] == [503, 503]
         assert await idle.receive_some(1) == b""  # closed by the node
@@ -132,10 +132,10 @@
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(edge_main, "CHECK_INTERVAL_S", 0.01)
-        await changes_during_a_stream(path, script, go_on)
+        await check_changes_during_a_stream(path, script, go_on)
 
 
-async def changes_during_a_stream(path, script, go_on):
+async def check_changes_during_a_stream(path, script, go_on):
     async with running(ScriptedServer("i-1", script), seeds_file=path) as edge:
         await until(lambda: edge.node.is_ready)
         stream = await trio.open_tcp_stream("127.0.0.1", edge.port)
@@ -161,7 +161,7 @@
 async def test_seeds_that_change_in_the_file_without_a_signal_are_used(tmp_path):
     path = tmp_path / "boot.yaml"
     async with running(ScriptedServer("i-1"), seeds=("127.0.0.9:1",), seeds_file=path) as edge:
-        # no control node is at the seeds that the node knows
+        # There is no control node at the seed that the node knows.
         await trio.testing.wait_all_tasks_blocked()
         assert not edge.node.is_configured
         settings = {
--- a/tests/edge/test_event_stream.py
+++ b/tests/edge/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Splitting a stream into complete events."""
+"""Tests that a stream is split into complete events."""
 
 import pytest
 
@@ -16,7 +16,7 @@
     assert (splitter.incomplete, splitter.last_event_id) == (b"", b"2")
 
 
-def test_bytes_pass_unchanged_however_they_are_cut():
+def test_bytes_pass_unchanged_however_they_are_split():
     stream = b"id: 1\r\ndata: a\r\n\r\n: comment\n\ndata: b\n\n"
     splitter = EventSplitter()
     assert b"".join(splitter.feed(bytes([byte])) for byte in stream) == stream
--- a/tests/edge/test_forwarding.py
+++ b/tests/edge/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: what a server gets of a request, and a client of a response or stream."""
+"""Tests forwarding: what a server receives of a request, and a client of a response or stream."""
 
 import trio
 from async_scenarios import scenario
@@ -61,7 +61,7 @@
 
     async def script(stream, fields):
         await stream.send_all(STREAM_HEAD.replace(b"{id}", fields["request-id"].encode()))
-        # an event longer than a read, and one in two pieces
+        # The first event is longer than a read, the second arrives in two parts.
         await stream.send_all(chunk(b"id: 1\ndata: " + b"x" * 200_000 + b"\n\n") + chunk(b"id: 2\nda"))
         await first.wait()
         await stream.send_all(chunk(b"ta: b\n\n") + LAST_CHUNK)
@@ -107,7 +107,7 @@
     body = response.split(b"\r\n\r\n", 1)[1]
     assert body == chunk(b"id: 1\ndata: a\n\n") + chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK
     assert b"server-signature: s1" in response and b"s2" not in response
-    assert [headers.get("last-event-id") for one in servers for _, headers, _ in one.requests] in (
+    assert [headers.get("last-event-id") for server in servers for _, headers, _ in server.requests] in (
         [None, "1"],
         ["1", None],
     )
--- a/tests/edge/test_instances.py
+++ b/tests/edge/test_instances.py
@@ -1,4 +1,4 @@
-"""Servers that are ejected or unresponsive."""
+"""Tests that servers which fail, are unresponsive or have been replaced are avoided."""
 
 import socket
 
@@ -20,8 +20,8 @@
 
 @scenario
 async def test_a_server_whose_address_was_taken_over_is_excluded():
-    elsewhere = respond(b"", status="421 Misdirected Request", headers=("Instance-Id: i-9",))
-    server = ScriptedServer("i-1", elsewhere)
+    misdirected = respond(b"", status="421 Misdirected Request", headers=("Instance-Id: i-9",))
+    server = ScriptedServer("i-1", misdirected)
     async with running_edge(server) as edge:
         assert status(await edge.exchange(request("/plain/1"))) == 503
         assert not edge.node.instances.available("llm")
@@ -41,16 +41,16 @@
 async def test_a_server_whose_host_acknowledges_nothing_is_avoided_at_once():
     previous = instances.ACKNOWLEDGE_TIMEOUT_S, instances.ACKNOWLEDGE_CHECK_INTERVAL_S
     instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
-    good, gone = ScriptedServer("i-2"), ScriptedServer("i-1")
+    good, unreachable = ScriptedServer("i-2"), ScriptedServer("i-1")
     try:
-        # nobody reads: bytes beyond the receive buffer are never acknowledged
-        with socket.socket() as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen()
-            gone.port = deaf.getsockname()[1]
+        # Nobody reads from this socket, so bytes beyond its receive buffer are never acknowledged.
+        with socket.socket() as unread_socket:
+            unread_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            unread_socket.bind(("127.0.0.1", 0))
+            unread_socket.listen()
+            unreachable.port = unread_socket.getsockname()[1]
             async with running_edge(good) as edge:
-                edge.register(gone, number=2)
+                edge.register(unreachable, number=2)
                 server = edge.node.instances.get("i-1")
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(edge.exchange, request("/plain/1", body=b"x" * 65536))
@@ -58,7 +58,7 @@
                     now = trio.current_time()
                     assert server.unresponsive_for(now) < edge.node.selector.response_timeout_s
                     assert list(edge.node.instances.unresponsive_for(now, TIME_LIMIT_S)) == ["i-1"]
-                    edge.register(good, gone, number=3)
+                    edge.register(good, unreachable, number=3)
                     for n in range(20):
                         assert status(await edge.exchange(request("/plain/1", identity=f"s{n}"))) == 200
                     nursery.cancel_scope.cancel()
@@ -70,13 +70,13 @@
 @scenario
 async def test_an_unresponsive_server_is_avoided():
     box = []
-    dark, good = ScriptedServer("i-1", never_respond(box)), ScriptedServer("i-2")
-    box.append(dark)
-    async with running_edge(dark, good) as edge:
+    unresponsive, good = ScriptedServer("i-1", never_respond(box)), ScriptedServer("i-2")
+    box.append(unresponsive)
+    async with running_edge(unresponsive, good) as edge:
         server = edge.node.instances.get("i-1")
-        # a request has been pending for longer than the response timeout
+        # A request has been pending for longer than the response timeout.
         server.last_response_at = trio.current_time() - 1.0
         server.pending[0] = PendingAttempt(server.last_response_at, lambda: False)
         for n in range(20):
             assert status(await edge.exchange(request("/plain/1", identity=f"r{n}"))) == 200
-    assert not dark.requests
+    assert not unresponsive.requests
--- a/tests/edge/test_latency_weights.py
+++ b/tests/edge/test_latency_weights.py
@@ -1,4 +1,4 @@
-"""Weights of servers by their latency, and the load of servers."""
+"""Tests the weights of servers by their latency, and the tracking of server load."""
 
 import pytest
 
@@ -61,7 +61,7 @@
     assert load.start("s", 100.0) == 150.0
     assert (load.running_requests("s"), load.local()) == (3, {"s": ServerLoad(100, 1)})
     load.end_prefill("s", 100.0)
-    load.forget("s")  # still running there
+    load.forget("s")  # no effect, as a request still runs there
     assert (load.queued_tokens("s"), load.running_requests("s")) == (50.0, 3)
     load.end("s")
     assert (load.running_requests("s"), load.local()) == (2, {})
--- a/tests/edge/test_prefix_cache.py
+++ b/tests/edge/test_prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache index and the header that names prefix blocks."""
+"""Tests the prefix cache index and the parsing of prompt headers."""
 
 import pytest
 
--- a/tests/edge/test_recent_usage.py
+++ b/tests/edge/test_recent_usage.py
@@ -1,4 +1,4 @@
-"""The recent usage that each new primary is sent once."""
+"""Tests the recent usage that is sent once to each new primary."""
 
 from wheatroute.cluster.messages import UsageResponse
 from wheatroute.edge.quota_leases import QuotaLeases
@@ -23,7 +23,9 @@
     assert not recent.has_primary_changed("a")
     report = recent.make_report("edge-1", "a", {}, 1.0)
     assert report.recent_usage_span_s == 1.0
-    assert sum(report.tenants["t"].recent_usage) == 0  # 60 of 100 used, 40 leased, and 100 refunded before
+    assert (
+        sum(report.tenants["t"].recent_usage) == 0
+    )  # 60 of 100 tokens used, 40 still leased, 100 refunded before
     recent.record_response("a", report, response(epoch=1))
     assert not recent.is_due("a")
     later = recent.make_report("edge-1", "a", {"t": quotas.demand("t", 5.0, 0.0, 1.0)}, 1.0)
@@ -31,7 +33,7 @@
     assert later.tenants["t"].recent_usage == ()
 
 
-def test_another_primary_or_leadership_is_sent_it_again():
+def test_another_primary_or_a_new_leadership_gets_the_recent_usage_again():
     _, recent = reporter()
     report = recent.make_report("edge-1", "a", {}, 1.0)
     recent.record_response("a", report, response(epoch=1))
--- a/tests/edge/test_routing.py
+++ b/tests/edge/test_routing.py
@@ -1,4 +1,4 @@
-"""Ranks of requests by the routing table."""
+"""Tests the ranks that the routing table gives requests."""
 
 import pytest
 
--- a/tests/edge/test_selection.py
+++ b/tests/edge/test_selection.py
@@ -1,4 +1,4 @@
-"""Ranking of servers: the keyed draw, congestion, and servers to avoid."""
+"""Tests the ranking of servers: the keyed draw, congestion, and servers to avoid."""
 
 from random import Random
 
