--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -60,6 +60,7 @@
         await response.send_error(request.id, error, self._retry_after_s(request, error))
 
     def _log_failure(self, request: ClientRequest, error: RequestError) -> None:
+        """Logs a failed request with its error and the versions in force."""
         self._node.log.info(
             "request-failed",
             extra={
--- a/wheatroute/edge/latency_weights.py
+++ b/wheatroute/edge/latency_weights.py
@@ -44,7 +44,7 @@
     def __init__(self) -> None:
         self._latencies: dict[str, _SmoothedLatency] = {}
         self._weights: dict[str, float] = {}
-        self._last_updates: dict[str, _WeightUpdate] = {}  # by service
+        self._last_updates: dict[str, _WeightUpdate] = {}  # last update of each service's weights
 
     def record(self, server_id: str, ratio: float, now: float) -> None:
         """Adds a sample; `ratio` is a latency in multiples of the expected one."""
--- a/wheatroute/edge/node.py
+++ b/wheatroute/edge/node.py
@@ -39,7 +39,7 @@
         self.quotas = QuotaLeases(settings.bounds.quota_window_s)
         self.edge_node_count = DEFAULT_EDGE_NODE_COUNT
         self.is_stopping = False
-        self._retry_budgets: dict[str, RetryBudget] = {}  # by service
+        self._retry_budgets: dict[str, RetryBudget] = {}  # keyed by service name
 
     def apply_settings(self, settings: Settings) -> None:
         """Applies changed settings; connections and the learned state of servers are kept."""
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -46,10 +46,10 @@
 
     def __init__(self, max_connections: int) -> None:
         self._max_connections = max_connections
-        self._idle: dict[str, list[IdleConnection]] = {}  # by server id, most recently used last
-        self._idle_timeout_s: dict[str, float] = {}  # by service
-        self._services: dict[str, str] = {}  # service by server id
-        self._counts: dict[str, int] = {}  # number of open connections by server id
+        self._idle: dict[str, list[IdleConnection]] = {}  # keyed by server id, most recently used last
+        self._idle_timeout_s: dict[str, float] = {}  # idle timeout of each service's servers
+        self._services: dict[str, str] = {}  # service name of each server id
+        self._counts: dict[str, int] = {}  # number of open connections of each server id
 
     def has_capacity(self, server: Server, max_connections: int, edge_node_count: int) -> bool:
         """Returns whether another request may have a connection to a server.
--- a/wheatroute/edge/prefix_cache.py
+++ b/wheatroute/edge/prefix_cache.py
@@ -22,7 +22,8 @@
 
     def __init__(self, ttl_s: float) -> None:
         self._ttl_s = ttl_s
-        self._last_used: OrderedDict[tuple[str, str], float] = OrderedDict()  # by server id and block id
+        # Time of the last use, keyed by server id and block id, least recently used first.
+        self._last_used: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def set_ttl(self, ttl_s: float) -> None:
         """Changes the time in seconds for which a block counts as cached after its last use."""
@@ -50,7 +51,7 @@
     """Remembers which server was ranked first when a prefix key was last drawn."""
 
     def __init__(self) -> None:
-        self._server_ids: OrderedDict[str, str] = OrderedDict()  # by prefix key
+        self._server_ids: OrderedDict[str, str] = OrderedDict()  # keyed by prefix key
 
     def record(self, key: str, server_id: str) -> None:
         """Records the server that ranks first for a key."""
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -53,7 +53,7 @@
         self.response_timeout_s = MIN_RESPONSE_TIMEOUT_S
         self._weights = LatencyWeights()
         self._preferred = PreferredServers()
-        self._prefill_models: dict[str, PrefillModel] = {}  # by service
+        self._prefill_models: dict[str, PrefillModel] = {}  # keyed by service name
         self._rng = rng
         self._clock = clock
 
--- a/wheatroute/system.py
+++ b/wheatroute/system.py
@@ -49,7 +49,7 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def system() -> None:
-    """The roles of the router set; each reads the settings file that WHEATROUTE_SETTINGS names."""
+    """Starts a role of the router set; each reads the settings file that WHEATROUTE_SETTINGS names."""
 
 
 @system.command()
