--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -15,7 +15,7 @@
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.downstream import Downstream
 from wheatroute.net.request_handler import RequestHandler
-from wheatroute.wire_names import in_header, in_path
+from wheatroute.wire_names import numbers_by_header_value, numbers_by_path_segment
 
 
 def types(*names, **changes):
@@ -230,9 +230,11 @@
 
 
 def test_a_spelling_of_one_name_is_never_anothers_own():
-    assert in_header({"é": 0, "Ã©": 1})["é".encode()] == 0  # in Latin-1 the second is spelt like the first
-    assert in_path({"a b": 0, "a%20b": 1}) == {b"a%20b": 0, b"a%2520b": 1, b"a b": 0}
-    assert b"" not in in_header({"日本": 0})
+    assert (
+        numbers_by_header_value({"é": 0, "Ã©": 1})["é".encode()] == 0
+    )  # in Latin-1 the second is spelt like the first
+    assert numbers_by_path_segment({"a b": 0, "a%20b": 1}) == {b"a%20b": 0, b"a%2520b": 1, b"a b": 0}
+    assert b"" not in numbers_by_header_value({"日本": 0})
 
 
 @scenario
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -34,7 +34,7 @@
     @staticmethod
     def from_dict(derived: dict[str, Any]) -> DerivedSettings:
         """Return the settings that were derived from a process's file."""
-        return DerivedSettings(derived["request_classes"], derived["tenants"], derived["terms"])
+        return DerivedSettings(derived["request_classes"], derived["tenants"], derived["decision_settings"])
 
     def request_class(self, name: str) -> RequestClass:
         """Return the settings of a request class; raises `KeyError` if the version does not have it."""
--- a/wheatroute/cluster/http_client.py
+++ b/wheatroute/cluster/http_client.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from wheatroute.imports import without
+from wheatroute.imports import without_package
 
-with without("pygments"):  # httpx goes on without its command line where this can't be imported
+with without_package("pygments"):  # httpx goes on without its command line where this can't be imported
     import httpx
 
 __all__ = ["httpx"]
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -159,7 +159,7 @@
             self._open -= 1
             self._connection_closed.set()
             self._log.info(
-                "connection",
+                "connection-closed",
                 side="proxy",
                 peer=peer,
                 reason=reason,
--- a/wheatroute/imports.py
+++ b/wheatroute/imports.py
@@ -6,7 +6,7 @@
 
 
 @contextmanager
-def without(name: str) -> Iterator[None]:
+def without_package(name: str) -> Iterator[None]:
     """What is imported inside finds no library `name`, unless that is loaded already."""
     if name in sys.modules:
         yield
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -18,7 +18,7 @@
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.node_settings import DiscoverySettings
-from wheatroute.net.server_entries import ServerEntryReader, ServerStates
+from wheatroute.net.server_entries import ServerEntryReader, ServerRegistry
 
 PATH = b"/discovery/hosts"
 # A watch that falls silent is noticed WATCH_WAIT_S and RESPONSE_MARGIN_S after it was sent. It is then sent
@@ -52,7 +52,7 @@
     """The list of servers as the list service has it."""
 
     def __init__(
-        self, settings: DiscoverySettings, driver: EventSink, servers: ServerStates, log: Logger
+        self, settings: DiscoverySettings, driver: EventSink, servers: ServerRegistry, log: Logger
     ) -> None:
         self._address = settings.address
         self._driver, self._log = driver, log
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -11,9 +11,9 @@
 from enum import StrEnum
 from typing import Protocol
 
-from wheatroute.imports import without
+from wheatroute.imports import without_package
 
-with without("rich"):
+with without_package("rich"):
     # it makes tracebacks for terminals, at 3 MB and a seventh of a node's start
     import structlog
 
@@ -98,7 +98,7 @@
 ) -> None:
     """Logs the end of a connection; `opened_at` is on the monotonic clock."""
     log.info(
-        "connection",
+        "connection-closed",
         side=side,
         peer=peer,
         reason=reason.value,
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -85,7 +85,7 @@
     @property
     def decision_settings(self) -> DecisionSettings:
         """Settings of the decision module."""
-        settings: DecisionSettings = self.derived["terms"]
+        settings: DecisionSettings = self.derived["decision_settings"]
         return settings
 
     @property
@@ -147,9 +147,9 @@
     agreement = _parse_version_store(document.get("agreement"), "agreement")
     rollout = _parse_version_store(document.get("rollout"), "rollout")
     has_successor = _parse_has_successor(document.get("beside", False))
-    peers = _parse_peers(document.get("peers"), derived["terms"].has_peers)
+    peers = _parse_peers(document.get("peers"), derived["decision_settings"].has_peers)
     # without peers no server is probed on their behalf
-    derived["terms"] = replace(derived["terms"], has_peers=peers is not None)
+    derived["decision_settings"] = replace(derived["decision_settings"], has_peers=peers is not None)
     initial_list = document.get("known")
     return NodeSettings(
         name=environment.get("PROXY_NAME") or document.get("name") or "node",
@@ -181,7 +181,7 @@
     """Translates and checks "settings"; raises NodeSettingsError.
 
     Returns numbers by name in "zones", "models", "tenants" and "request_classes", and the settings of the
-    decision module in "terms".
+    decision module in "decision_settings".
     """
     zones = _numbered_names(settings, "dcs")
     models = _numbered_names(settings, "skus")
@@ -206,7 +206,7 @@
         "models": models,
         "tenants": tenants,
         "request_classes": {one["name"]: number for number, one in enumerate(request_classes)},
-        "terms": decisions,
+        "decision_settings": decisions,
     }
 
 
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -15,7 +15,7 @@
 from wheatroute.balancing.settings import RequestClass
 from wheatroute.net.connection import MalformedError
 from wheatroute.net.exchange import Exchange, parse_work_hint
-from wheatroute.wire_names import in_header, in_path
+from wheatroute.wire_names import numbers_by_header_value, numbers_by_path_segment
 
 REQUEST_ID_MEMORY_DEADLINES = 2.0  # a request id is remembered for this multiple of the longest deadline
 SINGLE_HEADERS = (b"request-id", b"idempotency-key", b"request-timeout", b"tenant")
@@ -48,8 +48,8 @@
         class_rules: Sequence[RequestClass],
         work_header: bytes,
     ) -> None:
-        self._request_classes = in_path(request_classes)
-        self._tenants = in_header(tenants)
+        self._request_classes = numbers_by_path_segment(request_classes)
+        self._tenants = numbers_by_header_value(tenants)
         self._work_header = work_header
         self._class_rules = class_rules
         self.max_deadline_s = max(rules.deadline for rules in class_rules) or 1.0
@@ -69,8 +69,8 @@
         A class's form follows from its effect. Clients learn of a change earlier or later than this node,
         so a class that changes is accepted in `other_forms` too.
         """
-        self._request_classes = in_path(request_classes)
-        self._tenants = in_header(tenants)
+        self._request_classes = numbers_by_path_segment(request_classes)
+        self._tenants = numbers_by_header_value(tenants)
         self._other_forms = other_forms
         self._class_rules = class_rules
         # never shorter: request ids are remembered for as long as was in force when they were accepted
--- a/wheatroute/net/server_entries.py
+++ b/wheatroute/net/server_entries.py
@@ -18,7 +18,7 @@
 }
 
 
-class ServerStates(Protocol):
+class ServerRegistry(Protocol):
     """What has to know addresses and states of servers, by number."""
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
@@ -37,7 +37,7 @@
 class ServerEntryReader:
     """Reads entries; `zones` and `models` are numbers by name, and number names that they don't know."""
 
-    def __init__(self, zones: Mapping[str, int], models: Mapping[str, int], servers: ServerStates) -> None:
+    def __init__(self, zones: Mapping[str, int], models: Mapping[str, int], servers: ServerRegistry) -> None:
         self._zones, self._models, self._servers = zones, models, servers
         self.numbers = ServerNumbers()
 
--- a/wheatroute/processor/discovery.py
+++ b/wheatroute/processor/discovery.py
@@ -14,7 +14,7 @@
 from wheatroute.net.clock import now
 from wheatroute.net.discovery import Discovery
 from wheatroute.net.log import Logger
-from wheatroute.net.server_entries import ServerStates
+from wheatroute.net.server_entries import ServerRegistry
 from wheatroute.processor.worker_settings import WorkerSettings
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     """The list of servers of one worker."""
 
     def __init__(
-        self, settings: WorkerSettings, driver: BalancerDriver, servers: ServerStates, log: Logger
+        self, settings: WorkerSettings, driver: BalancerDriver, servers: ServerRegistry, log: Logger
     ) -> None:
         self._has_list_service = settings.list_service is not None
         self._etcd_settings = settings.etcd
--- a/wheatroute/processor/routing_request.py
+++ b/wheatroute/processor/routing_request.py
@@ -16,7 +16,7 @@
 from wheatroute.balancing.settings import RequestClass
 from wheatroute.config.processor import HeaderNames
 from wheatroute.net.exchange import parse_work_hint
-from wheatroute.wire_names import in_header
+from wheatroute.wire_names import numbers_by_header_value
 
 MAX_ATTEMPT_DIGITS = 6  # a longer attempt number can't be meant
 NO_TENANT = -1
@@ -86,7 +86,7 @@
     ) -> None:
         self._meanings = _meanings(headers)
         self._request_classes = request_classes
-        self._tenants = in_header(tenants)
+        self._tenants = numbers_by_header_value(tenants)
         self._match_order = range(len(request_classes)) if match_order is None else match_order
         self._strict_variants = strict_variants or {}
 
--- a/wheatroute/wire_names.py
+++ b/wheatroute/wire_names.py
@@ -48,7 +48,7 @@
         return number
 
 
-def by_spelling(numbers: Mapping[str, int], *spellings: Callable[[str], bytes]) -> dict[bytes, int]:
+def numbers_by_spelling(numbers: Mapping[str, int], *spellings: Callable[[str], bytes]) -> dict[bytes, int]:
     """Numbers by the bytes that a name may come in on the wire.
 
     Clients spell names that are not ASCII in several ways; without all of them a tenant's requests would be
@@ -62,9 +62,9 @@
     return found
 
 
-def in_path(numbers: Mapping[str, int]) -> dict[bytes, int]:
+def numbers_by_path_segment(numbers: Mapping[str, int]) -> dict[bytes, int]:
     """Numbers by each spelling of a name as a segment of a path."""
-    return by_spelling(
+    return numbers_by_spelling(
         numbers,
         lambda name: quote(name, safe="").encode(),
         lambda name: quote(name, safe=UNRESERVED_IN_PATH).encode(),
@@ -72,8 +72,8 @@
     )
 
 
-def in_header(numbers: Mapping[str, int]) -> dict[bytes, int]:
+def numbers_by_header_value(numbers: Mapping[str, int]) -> dict[bytes, int]:
     """Numbers by each spelling of a name as the value of a header."""
-    return by_spelling(
+    return numbers_by_spelling(
         numbers, str.encode, lambda name: quote(name, safe="").encode(), lambda name: name.encode("latin-1")
     )
