--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -148,8 +148,8 @@
     ("peers", "allowed", "line"),
     [
         ({"listen": "127.0.0.1:9", "others": ["127.0.0.1:10"]}, False, "do not allow"),
-        ({"listen": "here", "others": []}, True, "no IPv4 address"),
-        ({"listen": "127.0.0.1:9", "others": ["127.0.0.1:9"]}, True, "its own"),
+        ({"listen": "here", "others": []}, True, "must be an IPv4 address"),
+        ({"listen": "127.0.0.1:9", "others": ["127.0.0.1:9"]}, True, "own address"),
         ({"listen": "127.0.0.1:9", "others": ["127.0.0.1:8", "127.0.0.1:8"]}, True, "twice"),
         (["127.0.0.1:9"], True, "peers"),
     ],
--- a/tests/net/test_net_functions.py
+++ b/tests/net/test_net_functions.py
@@ -10,7 +10,7 @@
     assert addresses.parse_address("10.0.0.4:8443") == ("10.0.0.4", 8443)
     with pytest.raises(ValueError) as error:
         addresses.parse_address("somewhere:80")
-    assert str(error.value) == "no IPv4 address and port in 'somewhere:80'"
+    assert str(error.value) == "must be an IPv4 address and port, got 'somewhere:80'"
 
 
 def test_parse_timeout():
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -348,7 +348,7 @@
         nursery.start_soon(new.run)
         node.config_path.write_text("{")
         node.process.send_signal(signal.SIGHUP)
-        await wait_until(lambda: b"event=not-reloaded" in node.log.read_bytes())
+        await wait_until(lambda: b"event=reload-failed" in node.log.read_bytes())
         node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         node.process.send_signal(signal.SIGHUP)
         await wait_until(lambda: any(b"after=3&" in one for one in new.requests))
--- a/wheatroute/__init__.py
+++ b/wheatroute/__init__.py
@@ -1,1 +1,1 @@
-"""wheatroute: a load balancer for services that call services."""
+"""wheatroute: a load balancer for calls between services."""
--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m wheatroute`: one node. Its start, its signals and its exit status.
+"""`python -m wheatroute`: runs one node; handles its startup, signals and exit status.
 
-SIGTERM and SIGINT stop it once everything that was accepted is answered; SIGHUP reloads its settings, also
-while it stops. A stop signal that comes before anything listens, or a second one, has the same effect as
-the first.
+SIGTERM and SIGINT stop the node once every accepted request is answered; SIGHUP reloads its settings, even
+while it stops. A stop signal that arrives before the node listens also stops it; a second one has no further
+effect.
 
-Exit status: 0 after SIGTERM or SIGINT, 1 if it cannot listen, 2 if its settings cannot be used.
+Exit status: 0 after SIGTERM or SIGINT, 1 if the node cannot listen, 2 if its settings are invalid.
 """
 
 import gc
@@ -35,16 +35,20 @@
     from wheatroute.agreement.version_follower import VersionFollower
     from wheatroute.rollout.figures_reporter import FiguresReporter
 
-CLIENT_CONNECTIONS_RATIO = 0.55  # a request has its client's connection, and while it is sent a server's
-GC_THRESHOLDS = (10000, 20, 50)  # little that is allocated for a request is in a reference cycle
+# Fraction of the connections that is for clients: every request occupies its client's connection, but a
+# connection to a server only while it is being sent.
+CLIENT_CONNECTIONS_RATIO = 0.55
+# Higher than the defaults, as few objects that are allocated for a request are in reference cycles.
+GC_THRESHOLDS = (10000, 20, 50)
 
 
 async def serve_node(settings: NodeSettings, log: Logger, early_signals: Sequence[int] = ()) -> None:
-    """Runs a node until SIGTERM or SIGINT, and until everything that was accepted is answered.
+    """Runs a node until SIGTERM or SIGINT has arrived and every accepted request is answered.
 
-    `early_signals` are stop signals that came before.
+    `early_signals` are stop signals that arrived before this call.
     """
-    # open before anything listens: a signal in between would end the process with clients in its queue
+    # Opened before anything listens: a signal in between would terminate the process with clients in its
+    # queue.
     with open_signal_receiver() as signals:
         if early_signals:
             log.info("stopped", signal=signal.Signals(early_signals[0]).name)
@@ -53,7 +57,7 @@
 
 
 class Node:
-    """The parts of a node, and the order in which they start and stop."""
+    """Creates the parts of a node, and starts and stops them in order."""
 
     def __init__(self, settings: NodeSettings, log: Logger) -> None:
         self._settings, self._log = settings, log
@@ -72,9 +76,9 @@
             self._peers = driver.peers = Peers(settings.peers, driver, self._discovery, log)
         self._downstream = Downstream(settings, max_clients, driver, self._discovery, log)
         self._follower = self._make_follower()
-        self._status = self._make_status()
+        self._figures_reporter = self._make_figures_reporter()
 
-    # the modules of these three are imported only where the settings need them
+    # These three import their modules only if the settings need them.
 
     def _make_discovery(self) -> Discovery:
         settings = self._settings
@@ -97,7 +101,7 @@
             self._settings, self._driver, self._upstream, self._downstream, self._discovery, self._log
         )
 
-    def _make_status(self) -> "FiguresReporter | None":
+    def _make_figures_reporter(self) -> "FiguresReporter | None":
         if not self._settings.rollout:
             return None
         from wheatroute.rollout.figures_reporter import FiguresReporter
@@ -107,9 +111,16 @@
         )
 
     async def run(self, signals: AsyncIterator[int]) -> None:
-        """Serves until a stop signal, and until everything that was accepted is answered."""
+        """Serves until a stop signal has arrived and every accepted request is answered."""
         trio.lowlevel.add_instrument(self._driver.event_loop_lag)
-        parts = (self._upstream, self._discovery, self._driver, self._peers, self._follower, self._status)
+        parts = (
+            self._upstream,
+            self._discovery,
+            self._driver,
+            self._peers,
+            self._follower,
+            self._figures_reporter,
+        )
         async with trio.open_nursery() as nursery:
             for part in parts:
                 if part is not None:
@@ -125,11 +136,11 @@
             nursery.cancel_scope.cancel()
 
     def _reload(self) -> None:
-        """Takes from the file what a running node can change; a file that cannot be used changes nothing."""
+        """Reloads the settings that a running node can change; an invalid file changes nothing."""
         try:
             settings = reload_node_settings(os.environ)
         except NodeSettingsError as error:
-            self._log.warning("not-reloaded", error=str(error))
+            self._log.warning("reload-failed", error=str(error))
             return
         unchanged = ",".join(self._settings.restart_required(settings))
         self._log.info(
@@ -149,7 +160,7 @@
         print(f"wheatroute: {error}", file=sys.stderr)
         return 2
     log = open_log(settings.name)
-    gc.freeze()  # what is loaded by now is never collected
+    gc.freeze()  # excludes the objects loaded so far from garbage collection
     gc.set_threshold(*GC_THRESHOLDS)
     try:
         trio.run(serve_node, settings, log, early_signals)
--- a/wheatroute/imports.py
+++ b/wheatroute/imports.py
@@ -1,4 +1,4 @@
-"""Importing a library without the optional ones that it would load besides."""
+"""Imports a library without loading its optional dependencies."""
 
 import sys
 from collections.abc import Iterator
@@ -7,7 +7,7 @@
 
 @contextmanager
 def without_package(name: str) -> Iterator[None]:
-    """What is imported inside finds no library `name`, unless that is loaded already."""
+    """Makes `import name` fail within the context, unless that package is loaded already."""
     if name in sys.modules:
         yield
         return
--- a/wheatroute/net/__init__.py
+++ b/wheatroute/net/__init__.py
@@ -1,6 +1,6 @@
-"""The platform's node on sockets: clients downstream, servers upstream, the list of servers, peers.
+"""Network side of the platform's node: clients (downstream), servers (upstream), discovery, peer nodes.
 
-`balancer_driver` calls the decision module with what happens on the sockets and executes its commands;
-nothing in this package selects a server. Import order, from below: connections and exchanges, the driver,
-both sides.
+`balancer_driver` passes network events to the decision module and executes its commands; nothing in this
+package selects a server. Modules import only from lower layers, which are from the bottom: connections and
+exchanges, the driver, the downstream and upstream sides.
 """
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -1,9 +1,9 @@
-"""Sends attempts to servers and finds their outcomes.
+"""Sends attempts to servers and determines their outcomes.
 
-Does I/O. An attempt is written at once on one connection, and checked by `SendRules` in the moment of the
-write and before each further piece. Its outcome says whether it may have run: it can't have before its last
-byte was written, and may have after that, unless the server's response proves that it didn't
-(`Outcome.FULL`). Nothing is sent again here.
+Does I/O. An attempt is written to one connection without delay; `SendRules` is checked immediately before the
+first write and before each further one. The outcome tells whether the request may have run: it cannot have
+run before its last byte was written, and may have run after that unless the server's response proves the
+contrary (`Outcome.FULL`). Nothing is retried here.
 """
 
 import h11
@@ -23,7 +23,7 @@
 
 
 class AttemptRunner:
-    """Runs attempts, each in a task of its own."""
+    """Runs attempts; each call of `run` is a separate task."""
 
     def __init__(
         self,
@@ -42,7 +42,10 @@
         self._log = log
 
     async def run(self, exchange: Exchange, attempt: Attempt) -> None:
-        """Runs an attempt to its outcome, which the driver gets once the connection is released or closed."""
+        """Runs an attempt and passes its outcome to the driver.
+
+        By then its connection has been released to the pool or closed.
+        """
         outcome, report = Outcome.WITHDRAWN, None
         holder = ConnectionHolder()
         try:
@@ -74,7 +77,7 @@
         try:
             holder.connection = connection = await self._acquire(exchange, attempt.server)
         except ConnectFailedError as error:
-            # without a descriptor the attempt never began, which says nothing of the server
+            # If this node lacks a descriptor, the attempt never began, which says nothing about the server.
             is_own_fault = error.reason == CloseReason.NO_CAPACITY
             return Outcome.MOOT if is_own_fault else Outcome.UNCONNECTED, None
         if not self._rules.may_send(exchange, attempt):
@@ -82,7 +85,7 @@
             return Outcome.MOOT, None
         try:
             if not await self._write(connection, exchange, attempt):
-                # part of it was written, and without the remainder it never runs
+                # Part of the request was written; without the remainder the server never runs it.
                 holder.close_reason = CloseReason.WITHDRAWN
                 return Outcome.MOOT, None
             attempt.may_have_run = True
@@ -92,7 +95,7 @@
         except PeerClosedError:
             return self._outcome_of_lost_connection(connection, holder, CloseReason.PEER_CLOSED), None
         except MalformedError:
-            # it may have run; the server's other connections are not suspected
+            # The request may have run. Idle connections to the server are not suspected of being dead.
             holder.close_reason = CloseReason.MALFORMED
             self._pool.suspect_surplus_input()
             return Outcome.UNKNOWN, None
@@ -108,7 +111,7 @@
         return await self._pool.acquire(server)
 
     async def _write(self, connection: Connection, exchange: Exchange, attempt: Attempt) -> bool:
-        """Writes the request; returns False if the rest of it may not be sent any more."""
+        """Writes the request; returns False if `SendRules` forbids sending the rest of it."""
         is_written = connection.send(self._request_head(exchange, attempt), exchange.body)
         while not is_written:
             await trio.lowlevel.wait_writable(connection.sock)
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -1,10 +1,10 @@
-"""Drives the decision module: collects events, calls the balancer with them, executes its commands.
+"""Drives the decision module: collects events, passes them to the balancer and executes its commands.
 
 Holds the balancer, the open exchanges and the timers. Invariants: only the driver calls the balancer, and
-never from within a call; every event is handled once, in the order in which it was added. It decides
-nothing, with one exception: an exchange that the balancer has not completed by its deadline and some slack
-is failed and logged. Sockets belong to the sides that it is given (`AttemptSender`, `ServerList`,
-`PeerSender`).
+never reentrantly; every event is handled once, in the order in which it was added. The driver makes no
+decisions, with one exception: if the balancer has not completed an exchange by its deadline plus
+`answer_slack_s`, the driver fails and logs it. All socket I/O is done by the objects that the driver is given
+(`AttemptSender`, `DiscoveryClient`, `PeerSender`).
 """
 
 import random
@@ -23,42 +23,42 @@
 from wheatroute.net.exchange import FAILED_STATUS, REJECTED_STATUS, Attempt, Exchange, Response
 from wheatroute.net.log import Logger
 
-# until the next batch after an exception, in which the balancer may have lost its timer
+# Delay until the next event batch after the balancer has raised an exception: its timer may have been lost.
 RETRY_AFTER_FAULT_S = 0.25
 
 
 class AttemptSender(Protocol):
-    """What the driver needs of the side that talks to servers."""
+    """The interface to the servers that the driver needs."""
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
-        """Sends an attempt; its outcome goes to `BalancerDriver.finish_attempt`."""
+        """Sends an attempt; its outcome must be passed to `BalancerDriver.finish_attempt`."""
 
     def probe(self, server: int) -> None:
-        """Checks a server's health; the outcome is added as an event."""
+        """Checks a server's health; the outcome must be added as a `PROBE_ENDED` event."""
 
     def close_idle(self, server: int) -> None:
-        """Closes idle connections to a server."""
+        """Closes all idle connections to a server."""
 
 
-class ServerList(Protocol):
-    """What the driver needs of the side that knows the list of servers."""
+class DiscoveryClient(Protocol):
+    """The interface to service discovery that the driver needs."""
 
     def watch(self, enable: bool) -> None:
-        """Starts or ends the watch for changes."""
+        """Starts or stops watching the list of servers for changes."""
 
     def fetch(self) -> None:
-        """Asks for the full list once."""
+        """Requests the full list of servers once."""
 
 
 class PeerSender(Protocol):
-    """What the driver needs of the side that talks to the other nodes."""
+    """The interface to the other nodes that the driver needs."""
 
     def send_loads(self, loads: Mapping[int, float]) -> None:
-        """Sends the loads of servers to all other nodes."""
+        """Sends the loads of servers, by server number, to all other nodes."""
 
 
 class BalancerDriver:
-    """The balancer's only caller, and the `CommandWriter` of its commands."""
+    """Calls the balancer with events and, as its `CommandWriter`, executes the commands that it issues."""
 
     def __init__(self, settings: DecisionSettings, seed: str, log: Logger) -> None:
         self.event_loop_lag = EventLoopLag()
@@ -66,17 +66,22 @@
         self._max_attempts = settings.max_attempts
         self._answer_slack_s = settings.answer_slack_s
         self._log = log
-        self._exchanges: dict[int, Exchange] = {}  # by number, until complete with no attempt in flight
+        # By exchange number. An exchange stays until it is complete and has no attempt in flight.
+        self._exchanges: dict[int, Exchange] = {}
         self._next_number = 0
         self._events: list[tuple[Any, ...]] = []
-        self._finished: list[int] = []  # exchanges to be forgotten after the current batch
+        # Numbers of exchanges that are removed after the current batch.
+        self._finished: list[int] = []
+        # Heap of the times at which the balancer wants to be called.
         self._wakeups: list[float] = []
-        self._overdue_times: list[tuple[float, int]] = []  # by exchange
+        # Heap of (time at which an exchange is failed, exchange number).
+        self._overdue_times: list[tuple[float, int]] = []
         self._has_events = trio.Event()
         self._timer, self._timer_at = trio.CancelScope(), inf
         self.upstream: AttemptSender
-        self.discovery: ServerList
-        self.peers: PeerSender | None = None  # None unless the settings name other nodes
+        self.discovery: DiscoveryClient
+        # None unless the settings name other nodes.
+        self.peers: PeerSender | None = None
 
     # events
 
@@ -86,9 +91,9 @@
         self._has_events.set()
 
     def add_request(self, exchange: Exchange, earlier: Sequence[EarlierAttempt] = ()) -> None:
-        """Numbers a new exchange, sets its deadline and adds it as an event.
+        """Assigns a number and a deadline to a new exchange and adds an `ARRIVED` event for it.
 
-        `earlier` are attempts that the client made by itself: they count as the first of the exchange.
+        `earlier` are attempts that the client made itself: they count as the first attempts of the exchange.
         """
         exchange.number, self._next_number = self._next_number, self._next_number + 1
         exchange.deadline = now() + exchange.time_left_s
@@ -110,7 +115,7 @@
         )
 
     def abandon_request(self, exchange: Exchange) -> None:
-        """Ends an exchange whose client has gone, and adds that as an event."""
+        """Ends an exchange whose client has disconnected and adds a `CLIENT_LEFT` event for it."""
         if exchange.abandon():
             self._forget_if_finished(exchange)
             self.add_event(Event.CLIENT_LEFT, exchange.number)
@@ -118,7 +123,7 @@
     def finish_attempt(
         self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
     ) -> None:
-        """Adds the outcome of an attempt as an event, with the load report of its response if it had one."""
+        """Adds an `ATTEMPT_ENDED` event, with the load report of the response if it had one."""
         exchange.attempts_in_flight -= 1
         self._forget_if_finished(exchange)
         self.add_event(
@@ -133,16 +138,16 @@
         )
 
     def update_settings(self, settings: DecisionSettings, is_binding: bool) -> None:
-        """Puts other settings before all events not handled yet.
+        """Applies new settings before any pending event is handled.
 
-        Where they are binding, further attempts that have not been written are withdrawn.
+        If they are binding, retries and hedges that have not been written yet are withdrawn.
         """
         for exchange in self._exchanges.values() if is_binding else ():
             for attempt in exchange.attempts[1:]:
                 attempt.is_withdrawn = True
         self._max_attempts = settings.max_attempts
         self._answer_slack_s = settings.answer_slack_s
-        # of several updates in one batch the balancer must end with the last one
+        # Several updates in one batch keep their order, so that the balancer ends with the last one.
         earlier_updates = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
         self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, is_binding))
         self._has_events.set()
@@ -150,7 +155,7 @@
     # event batches
 
     async def run(self) -> None:
-        """Handles events as they are added, and timers as they expire."""
+        """Handles events as they are added and timers as they expire, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._run_timer)
             while True:
@@ -160,12 +165,12 @@
                 self._set_timer()
 
     def handle_events_now(self) -> None:
-        """Handles all events at once, so that the balancer decides by new settings from here on."""
+        """Handles all pending events immediately, so that new settings apply to every later decision."""
         self.handle_events(now())
         self._set_timer()
 
     async def _run_timer(self) -> None:
-        """Starts a batch when something is due. A task of its own, as most batches need no timer."""
+        """Starts a batch when a timer expires. Runs in a separate task, as most batches need no timer."""
         while True:
             with self._timer:
                 await trio.sleep_forever()
@@ -189,7 +194,10 @@
         return exchange is None or exchange.is_complete
 
     def handle_events(self, moment: float) -> None:
-        """Calls the balancer with all events that were added since the last call."""
+        """Calls the balancer with all events that were added since the last call.
+
+        `moment` is the current time on the clock of `clock.now`.
+        """
         self._fail_overdue(moment)
         events, self._events = self._events, []
         while self._wakeups and self._wakeups[0] <= moment:
@@ -199,7 +207,7 @@
             try:
                 self._balancer.handle_events(moment, events, self)
             except Exception:
-                # a fault of the balancer must not end the node or the exchanges that it holds
+                # An error in the balancer must not terminate the node or the exchanges that it holds.
                 self._log.exception("fault")
                 heappush(self._wakeups, moment + RETRY_AFTER_FAULT_S)
         for number in self._finished:
@@ -209,25 +217,31 @@
     def _fail_overdue(self, moment: float) -> None:
         """Fails exchanges that the balancer has not completed in time, so that every client gets a response.
 
-        This comes before the batch: the balancer hears of it in the batch after which the exchange is
-        forgotten.
+        Runs before the batch, so that the `CLIENT_LEFT` event reaches the balancer in the same batch after
+        which the exchange is removed.
         """
         while self._overdue_times and self._overdue_times[0][0] <= moment:
             exchange = self._exchanges.get(heappop(self._overdue_times)[1])
             if exchange is not None and exchange.complete(Response(FAILED_STATUS)):
-                self._log.warning("overdue", request=exchange.number, attempts=len(exchange.attempts))
+                self._log.warning("request-overdue", request=exchange.number, attempts=len(exchange.attempts))
                 self._forget_if_finished(exchange)
                 self.add_event(Event.CLIENT_LEFT, exchange.number)
 
     def _forget_if_finished(self, exchange: Exchange) -> None:
-        """Marks a complete exchange without attempts in flight; the current batch may still name it."""
+        """Schedules an exchange for removal after the batch if it is complete and has no attempt in flight.
+
+        It is not removed at once because commands of the current batch may still refer to it.
+        """
         if exchange.is_complete and exchange.attempts_in_flight <= 0:
             self._finished.append(exchange.number)
 
     # commands of the balancer
 
     def attempt(self, request: int, server: int, timeout_s: float) -> None:
-        """See `CommandWriter.attempt`; one that could not count any more is returned as moot."""
+        """See `CommandWriter.attempt`.
+
+        An attempt that can no longer contribute to the response is not sent: its outcome is `Outcome.MOOT`.
+        """
         exchange = self._exchanges[request]
         moment = now()
         max_timeout_s = exchange.deadline - moment
@@ -287,4 +301,4 @@
 
     def log(self, text: str) -> None:
         """See `CommandWriter.log`."""
-        self._log.info("decisions", text=text)
+        self._log.info("balancer-notice", text=text)
--- a/wheatroute/net/client_connection.py
+++ b/wheatroute/net/client_connection.py
@@ -1,7 +1,7 @@
-"""The state of one client's connection. No I/O of its own.
+"""State of one client's connection. Does no I/O itself.
 
-A client has one request open at a time. Each connection has a task that reads within `scope`; whoever wants
-the task to look at the state again cancels that scope.
+A client has one request open at a time. Each connection has a task that reads within `scope`; cancelling the
+scope makes the task check the state again.
 """
 
 from math import inf
@@ -12,11 +12,15 @@
 from wheatroute.net.exchange import Exchange
 from wheatroute.net.log import CloseReason
 
-REQUEST_TIMEOUT_S = 2.0  # for a complete request; the protocol has clients wait 3 s for an error or a close
+# Time to receive a complete request: below the 3 s that clients wait for an error or a close by the protocol.
+REQUEST_TIMEOUT_S = 2.0
 
 
 class ClientConnection:
-    """One client's connection; it may have lain unaccepted for `lag_s`."""
+    """State of one client's connection.
+
+    `lag_s` is the longest time for which the connection may have been waiting to be accepted.
+    """
 
     __slots__ = (
         "connection",
@@ -32,33 +36,34 @@
 
     def __init__(self, connection: Connection, lag_s: float) -> None:
         self.connection = connection
-        self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S - lag_s  # for the first request
+        # Deadline for receiving a complete request, at first the first one, on trio's clock.
+        self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S - lag_s
         self.scope = trio.CancelScope(deadline=self.request_deadline)
-        self.exchange: Exchange | None = None  # the open request
-        self.close_reason: CloseReason | None = None  # set once no more requests are taken
+        self.exchange: Exchange | None = None  # exchange of the open request
+        self.close_reason: CloseReason | None = None  # set once no more requests are handled
         self.has_partial_request = False
-        self.is_close_requested = False  # to be closed if nothing more has been received
-        self.is_paused = False  # it pipelines so many requests that it is not read
-        self.discarded_reads = 0  # since its last response
+        self.is_close_requested = False  # close it unless more data has been received
+        self.is_paused = False  # reading is paused as the client has pipelined too much
+        self.discarded_reads = 0  # number of reads since its last response
 
     def request_close(self) -> None:
-        """Has the connection closed unless a request has been received by now."""
+        """Has the reading task close the connection unless a request has been received."""
         self.is_close_requested = True
         self.scope.cancel()
 
     def end(self, reason: CloseReason) -> None:
-        """Has the connection closed."""
+        """Has the reading task close the connection, with a reason for the log."""
         self.close_reason = reason
         self.scope.cancel()
 
     def begin_partial_request(self) -> None:
-        """Sets the time for the rest of a request of which part came; a first one counts from the accept."""
+        """Starts the timeout for a partly received request; the first one counts from the accept."""
         self.has_partial_request = True
         if self.connection.message_count:
             self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S
         self.scope.deadline = self.request_deadline
 
     def finish_request(self) -> None:
-        """Ends the time for the rest of a request, which is complete."""
+        """Stops the timeout, as the request was completely received."""
         self.has_partial_request = False
         self.scope.deadline = inf
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -1,4 +1,4 @@
-"""The open connections of clients, and their limit. No I/O besides cancelling tasks."""
+"""Registry of clients' open connections, with their limit. No I/O, but cancels tasks."""
 
 import time
 
@@ -8,26 +8,30 @@
 from wheatroute.net.log import CloseReason
 from wheatroute.net.shutdown import ShutdownState
 
-RESERVED_RATIO = 0.1  # of the connections are for rejecting clients beyond the limit
+RESERVED_RATIO = 0.1  # fraction of the connections reserved for clients that can only be rejected
 MIN_RESERVED = 2
-MIN_SILENT_S = 0.25  # a client that has just connected is not closed for others
+MIN_SILENT_S = 0.25  # minimum age of a silent connection before it is closed in favour of others
 
 
 class ClientRegistry:
-    """Counts the open connections, and orders the idle ones by how long they are idle."""
+    """Counts the open connections and keeps the idle ones ordered by idle time.
+
+    `max_connections` includes the connections reserved for rejecting clients.
+    """
 
     def __init__(self, max_connections: int, shutdown: ShutdownState) -> None:
         self.max_open = max_connections
-        # the others are for clients that can only be rejected
+        # Connections beyond this limit are reserved for clients that can only be rejected.
         self.max_clients = max_connections - max(MIN_RESERVED, int(max_connections * RESERVED_RATIO))
         self.open = 0
-        self._idle: dict[ClientConnection, None] = {}  # between two requests, idle for longest first
+        # Connections without an open request, the longest idle one first.
+        self._idle: dict[ClientConnection, None] = {}
         self._shutdown = shutdown
         self._closed = trio.Event()
 
     @property
     def idle(self) -> list[ClientConnection]:
-        """The idle clients."""
+        """The idle clients, the longest idle one first."""
         return list(self._idle)
 
     @property
@@ -36,30 +40,30 @@
         return self._shutdown.is_stopping or self.open > self.max_clients
 
     def add(self, client: ClientConnection) -> None:
-        """Adds a new connection, which is idle."""
+        """Adds a new connection as idle."""
         self.open += 1
         self._idle[client] = None
 
     def remove(self, client: ClientConnection) -> None:
-        """Removes a connection that was closed."""
+        """Removes a closed connection."""
         self._idle.pop(client, None)
         self.open -= 1
         self._closed.set()
 
     def mark_idle(self, client: ClientConnection) -> None:
-        """Notes that the client has no request open, as of now."""
+        """Marks a client as idle from now on: it has no open request."""
         self._idle[client] = None
 
     def mark_busy(self, client: ClientConnection) -> None:
-        """Notes that the client has begun a request, or is about to be closed."""
+        """Marks a client as not idle: it has begun a request or is about to be closed."""
         self._idle.pop(client, None)
 
     def close_idle_client(self) -> None:
-        """Closes a client that has connected and sent nothing, else the one that is idle for longest.
+        """Closes a client that has sent nothing since it connected; if there is none, the longest idle one.
 
-        Hundreds of silent clients would otherwise push out those that send requests. Clients that have just
-        connected stay: a client that sees its connection closed before its request was read sends the
-        request once more on a new connection, but not a third time.
+        Otherwise hundreds of silent clients would displace those that send requests. Clients that have just
+        connected are kept: a client whose connection is closed before its request was read sends the request
+        once more on a new connection, but not a third time.
         """
         longest_idle = None
         for client in self._idle:
@@ -75,13 +79,13 @@
             longest_idle.request_close()
 
     async def wait_for_close(self, timeout_s: float) -> None:
-        """Waits until a connection is closed, `timeout_s` at most."""
+        """Waits until a connection is closed, at most `timeout_s`."""
         with trio.move_on_after(timeout_s):
             self._closed = trio.Event()
             await self._closed.wait()
 
     def close_reason(self) -> CloseReason:
-        """Returns why a connection without an open request is closed by the node."""
+        """Returns the reason to log when the node closes a connection without an open request."""
         if self._shutdown.is_stopping:
             return CloseReason.STOPPING
         if self.open >= self.max_clients:
--- a/wheatroute/net/clock.py
+++ b/wheatroute/net/clock.py
@@ -1,4 +1,4 @@
-"""The node's clock. Reads the system's clocks, no other I/O."""
+"""The node's clock. Reads the system clocks; no other I/O."""
 
 import time
 
@@ -6,5 +6,8 @@
 
 
 def now() -> float:
-    """Unix time in seconds that never goes back, as start times in the list of servers are Unix times."""
+    """Returns the Unix time in seconds, but monotonic.
+
+    It is Unix time because start times in the list of servers are.
+    """
     return time.monotonic() + _UNIX_OFFSET_S
--- a/wheatroute/net/connection.py
+++ b/wheatroute/net/connection.py
@@ -1,8 +1,8 @@
-"""One HTTP/1.1 connection of either side: its socket, its protocol state and its one buffer.
+"""An HTTP/1.1 connection to a client or a server: its socket, protocol state and buffer.
 
-The buffer is h11's own: it grows as a message needs, up to a whole body, and is compacted in place as
-messages are taken out of it. Does I/O on its socket; it has no timers and knows neither requests nor
-servers, so that when to send, wait or give up is decided by its callers.
+The buffer is h11's own: it grows with the message, up to a whole body, and is compacted in place as messages
+are consumed. Does I/O on its socket. It has no timers and knows neither requests nor servers: its callers
+decide when to send, wait or give up.
 """
 
 import select
@@ -13,13 +13,17 @@
 import h11
 import trio
 
-RECEIVE_BYTES = 65536  # read at once, at most
+RECEIVE_BYTES = 65536  # maximum for a single read
 MAX_HEAD_BYTES = 16384
-MAX_BODY_BYTES = 65536  # the protocol's bound on every body, which clients keep to
+MAX_BODY_BYTES = 65536  # limit of the protocol for any body; clients observe it
 
 
 class MalformedError(Exception):
-    """A message that the protocol does not allow; `status` answers a client, 0 where nobody is answered."""
+    """A message violates the protocol.
+
+    `status` is the HTTP status to answer a client with, 0 if the peer gets no answer. `reason` is sent to the
+    client as the body.
+    """
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -27,14 +31,17 @@
 
 
 class PeerClosedError(MalformedError):
-    """The peer closed the connection where a message was expected."""
+    """The peer closed the connection while a message was expected."""
 
     def __init__(self) -> None:
         super().__init__(400, "closed")
 
 
 class Connection:
-    """A socket with its h11 state; `role` is h11.SERVER towards clients, h11.CLIENT towards servers."""
+    """A socket with its h11 state.
+
+    `role` is this side's role: h11.SERVER on connections of clients, h11.CLIENT on connections to servers.
+    """
 
     __slots__ = (
         "sock",
@@ -56,20 +63,20 @@
         self.sock, self.peer = sock, peer
         self.http = h11.Connection(role, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.opened_at = time.monotonic()
-        self.message_count = 0  # completely written
-        self.accepted_iteration = 0  # of the event loop, when it was accepted
-        self.is_written = False  # the last message sent was written to its last byte
-        self.discards_input = False  # what is still received is not parsed
-        self.head: Any = None  # of the message that is being read
+        self.message_count = 0  # messages that were completely written
+        self.accepted_iteration = 0  # iteration of the event loop in which it was accepted
+        self.is_written = False  # whether the last message was completely written
+        self.discards_input = False  # whether received data is discarded instead of parsed
+        self.head: Any = None  # head of the message that is being read
         self.max_body_bytes = MAX_BODY_BYTES
-        self._parts: list[bytes] = []  # of its body
-        self._length = 0
-        self._unsent = b""  # of the message that is being sent
+        self._parts: list[bytes] = []  # body of the message that is being read
+        self._length = 0  # its length so far
+        self._unsent = b""  # rest of the message that is being sent
 
     async def receive(self) -> bool:
-        """Waits for bytes and gives them to the parser; returns False once the peer has ended its stream."""
+        """Waits for data and passes it to the parser; returns False once the peer has closed its side."""
         while True:
-            # no try before the wait: there is seldom anything yet, and a call in vain costs as much
+            # Waits before the first recv: data is rarely available yet, and a failing recv costs as much.
             await trio.lowlevel.wait_readable(self.sock)
             try:
                 data = self.sock.recv(RECEIVE_BYTES)
@@ -80,9 +87,9 @@
             return bool(data)
 
     def parse(self) -> bool:
-        """Parses what was received of the next message; returns whether it is complete.
+        """Parses the received part of the next message; returns whether the message is complete.
 
-        Raises MalformedError for one that is cut off or breaks the protocol.
+        Raises MalformedError if it is truncated or violates the protocol.
         """
         while True:
             try:
@@ -105,7 +112,10 @@
                 raise PeerClosedError
 
     def _check_length(self, headers: Any) -> None:
-        """Rejects a body that is too long, and two lengths, which could hide a message (RFC 9112, 6.3)."""
+        """Rejects a body that is too long, and a message with both length headers.
+
+        Content-Length together with Transfer-Encoding could smuggle in a hidden message (RFC 9112, 6.3).
+        """
         lengths = [value for name, value in headers if name == b"content-length"]
         if lengths and any(name == b"transfer-encoding" for name, _ in headers):
             raise MalformedError(400, "two lengths")
@@ -114,7 +124,7 @@
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether part of a message was received, interim (1xx) responses apart."""
+        """Whether part of a message was received; interim (1xx) responses do not count."""
         return self.http.their_state is h11.SEND_BODY or bool(self.http.trailing_data[0])
 
     @property
@@ -123,20 +133,20 @@
         return bool(self.http.trailing_data[0])
 
     async def read_message(self) -> None:
-        """Reads until `head` and `body` are those of a complete message."""
+        """Reads a complete message into `head` and `body`; raises MalformedError."""
         while not self.parse():
             await self.receive()
 
     @property
     def body(self) -> bytes:
-        """The body of the message that was parsed."""
+        """The body of the last complete message."""
         return self._parts[0] if len(self._parts) == 1 else b"".join(self._parts)
 
     def send(self, head: h11.Request | h11.Response, body: bytes = b"") -> bool:
-        """Writes one message at once, as far as the socket takes it now; returns whether that was all of it.
+        """Starts to write a message, without blocking; returns whether it was completely written.
 
-        `is_written` tells from here on whether its last byte was taken; the remainder is for `flush` or
-        `write`.
+        From now on `is_written` tells whether the last byte of this message was written. The remainder is
+        written by `flush` or `write`.
         """
         self.is_written = False
         data = self.http.send(head) or b""
@@ -146,12 +156,12 @@
         return self.write()
 
     async def flush(self) -> None:
-        """Writes the remainder of a message, waiting for the socket."""
+        """Writes the remainder of a message, waiting until the socket accepts it."""
         while not self.write():
             await trio.lowlevel.wait_writable(self.sock)
 
     def write(self) -> bool:
-        """Writes the remainder as far as the socket takes it now; returns whether that was all of it."""
+        """Writes as much of the remainder as possible without blocking; returns whether it is complete."""
         try:
             self._unsent = self._unsent[self.sock.send(self._unsent) :]
         except BlockingIOError:
@@ -163,7 +173,7 @@
         return True
 
     def start_next_message(self) -> bool:
-        """Prepares for another message; returns False if this connection takes no more."""
+        """Prepares for another message; returns False if the connection cannot carry any more."""
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
             self.is_written = False
@@ -171,7 +181,7 @@
         return False
 
     def is_reusable(self) -> bool:
-        """Whether it is open with nothing to read, as an idle connection must be."""
+        """Returns whether the connection is open with nothing to read, as an idle connection must be."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -181,7 +191,7 @@
         return False
 
     def is_closed_by_peer(self) -> bool:
-        """Whether the peer closed or reset it, also behind bytes that have not been read."""
+        """Returns whether the peer has closed or reset the connection, even behind data not read yet."""
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
                 return True
@@ -194,6 +204,6 @@
         return bool(poll.poll(0))
 
     def close(self) -> None:
-        """Closes the socket and wakes tasks that wait for it with trio.ClosedResourceError."""
+        """Closes the socket; tasks that wait for it get trio.ClosedResourceError."""
         trio.lowlevel.notify_closing(self.sock)
         self.sock.close()
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to servers: opened, kept while idle, reused and closed, within a limit of descriptors.
+"""Pool of connections to servers: opens, keeps, reuses and closes them within a limit of descriptors.
 
-Does I/O. A connection is either idle, and then in the pool, or in use, and then in one `ConnectionHolder`.
-It sends and reads no messages.
+Does I/O, but sends and reads no messages. A connection is either idle and in the pool, or in use and in
+exactly one `ConnectionHolder`.
 """
 
 import errno
@@ -19,16 +19,18 @@
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.server_table import ServerTable
 
-# of the time after which servers close idle connections, so that none is used as its server closes it
+# Fraction of the servers' idle timeout after which idle connections are closed, so that none is used just as
+# its server closes it.
 MAX_IDLE_RATIO = 0.9
-REUSE_DELAY_S = 0.02  # before a connection is reused while servers send surplus responses
-SWEEPS_PER_IDLE_TIME = 30.0
+# Delay before a connection is reused while servers send surplus responses (see `ConnectionPool.acquire`).
+REUSE_DELAY_S = 0.02
+SWEEPS_PER_IDLE_TIMEOUT = 30.0
 MAX_SWEEP_INTERVAL_S = 1.0
 _IN_PROGRESS = (errno.EINPROGRESS, errno.EWOULDBLOCK)
 
 
 class ConnectFailedError(Exception):
-    """No connection to a server could be had; `reason` is NO_CAPACITY where this node was the cause."""
+    """No connection to a server was available; `reason` is NO_CAPACITY if this node was the cause."""
 
     def __init__(self, reason: CloseReason) -> None:
         super().__init__(reason.value)
@@ -36,7 +38,10 @@
 
 
 class ConnectionHolder:
-    """The connection of an attempt or probe while it is in use, and why it is closed unless released."""
+    """Holds the connection of an attempt or probe while it is in use.
+
+    `close_reason` is logged if the connection is closed instead of being released to the pool.
+    """
 
     __slots__ = ("connection", "close_reason")
 
@@ -46,14 +51,15 @@
 
     @property
     def is_written(self) -> bool:
-        """Whether a message was completely written on the connection."""
+        """Whether the last message was completely written to the connection."""
         return self.connection is not None and self.connection.is_written
 
 
 class ConnectionPool:
-    """The connections to all servers.
+    """Holds the idle connections to all servers and counts all open ones.
 
-    `max_connections` bounds them all, `max_response_bytes` a response on one of them.
+    `max_connections` limits the open connections to all servers together, `max_response_bytes` the size of a
+    single response.
     """
 
     def __init__(
@@ -68,16 +74,18 @@
         self._max_response_bytes = max_response_bytes
         self._servers = servers
         self._log = log
-        self._idle: dict[int, list[tuple[float, Connection]]] = {}  # by server, since when, latest at the end
+        # By server: (time since when it has been idle, connection), the most recently used one last.
+        self._idle: dict[int, list[tuple[float, Connection]]] = {}
         self._idle_suspect_until = -inf
         self._surplus_until = -inf
         self._open = 0
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Puts other settings in force."""
+        """Applies new settings."""
         self.connect_timeout_s: float = settings.connect_timeout_s or inf
-        self._idle_timeout_s: float = settings.idle_timeout_s  # after which servers close idle connections
+        # The time after which servers close idle connections.
+        self._idle_timeout_s: float = settings.idle_timeout_s
 
     @property
     def open(self) -> int:
@@ -86,34 +94,34 @@
 
     @property
     def sweep_interval_s(self) -> float:
-        """The time between two calls of `close_expired`."""
-        return min(MAX_SWEEP_INTERVAL_S, self._idle_timeout_s / SWEEPS_PER_IDLE_TIME)
+        """The time between two calls of `close_expired`, in seconds."""
+        return min(MAX_SWEEP_INTERVAL_S, self._idle_timeout_s / SWEEPS_PER_IDLE_TIMEOUT)
 
-    # what was observed on connections
+    # faults observed on connections
 
     def suspect_idle(self) -> None:
-        """Notes that a connection was reset that had been idle: others may be dead too (`acquire_new`)."""
+        """Records that a reused connection was reset: other idle ones may be dead too (see `acquire_new`)."""
         self._idle_suspect_until = now() + self._idle_timeout_s
 
     def is_idle_suspected(self) -> bool:
-        """Whether a connection that had been idle was reset of late."""
+        """Returns whether a reused connection was reset within the last idle timeout."""
         return now() < self._idle_suspect_until
 
     def suspect_surplus_input(self) -> None:
-        """Notes that bytes came which answer no request, or are no response: more of them may follow.
+        """Records that a server sent an unsolicited or malformed response: more of them may follow.
 
-        Until that is unlikely, connections are reused after a delay (`REUSE_DELAY_S`).
+        For the length of an idle timeout connections are reused only after a delay (`REUSE_DELAY_S`).
         """
         self._surplus_until = now() + self._idle_timeout_s
 
     # acquiring and releasing
 
     async def acquire(self, server: int) -> Connection:
-        """Returns the connection to a server that was used last, or a new one; raises ConnectFailedError.
+        """Returns the most recently used idle connection, or a new one; raises ConnectFailedError.
 
-        A surplus response may arrive some milliseconds after the first one. On a connection that is used
-        again by then it would pass for the response to the next request, so while servers send such
-        responses a connection waits for `REUSE_DELAY_S` before it is reused.
+        A surplus response may arrive some milliseconds after the first one. On a connection that is already
+        in use again it would be taken for the response to the next request. While servers send such
+        responses, a connection is therefore reused only after `REUSE_DELAY_S`.
         """
         idle = self._idle.get(server, [])
         moment = now()
@@ -127,11 +135,11 @@
         return await self._connect(server)
 
     async def acquire_new(self, server: int) -> Connection:
-        """Returns a new connection instead of the one that is idle for longest, or an idle one if it fails.
+        """Returns a new connection, which replaces the longest idle one; an idle one if connecting fails.
 
-        Servers and networks may drop idle connections without notice. What was written to such a connection
-        may have run, so a request that is not idempotent would be lost; others are retried and use idle
-        connections.
+        Servers and networks may drop idle connections without notice. A request written to such a connection
+        may have run, so it would be lost unless it is idempotent; idempotent requests are retried and use
+        idle connections.
         """
         if not self._idle.get(server):
             return await self._connect(server)
@@ -144,16 +152,16 @@
         return connection
 
     def release(self, server: int, holder: ConnectionHolder) -> None:
-        """Takes a connection back if it can carry another message, else sets the reason to close it."""
+        """Returns a connection to the pool if it can carry another message; else sets its close reason."""
         connection = holder.connection
         if connection is None:
             return
         if connection.has_unparsed_input:
-            # bytes that answer no request would pass for the response to the next one
+            # Unsolicited bytes would be taken for the response to the next request.
             holder.close_reason = CloseReason.MALFORMED
             self.suspect_surplus_input()
         elif connection.peer != format_address(self._servers.address(server)):
-            # the server got another address while the connection was in use
+            # The server's address changed while the connection was in use.
             holder.close_reason = CloseReason.CLOSED_BY_NODE
         elif not connection.message_count or connection.start_next_message():
             self._idle.setdefault(server, []).append((now(), connection))
@@ -162,7 +170,7 @@
             holder.close_reason = CloseReason.CLOSE_REQUESTED
 
     def discard(self, connection: Connection | None, reason: CloseReason) -> None:
-        """Closes a connection, if there is one."""
+        """Closes and logs a connection that is not in the pool; does nothing for None."""
         if connection is not None:
             self._open -= 1
             connection.close()
@@ -183,7 +191,7 @@
         address, began_at = self._servers.address(server), time.monotonic()
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        except OSError as error:  # no descriptor left
+        except OSError as error:  # out of file descriptors
             raise ConnectFailedError(CloseReason.NO_CAPACITY) from error
         sock.setblocking(False)
         self._open += 1
@@ -208,7 +216,7 @@
                 log_closed_connection(self._log, "server", format_address(address), failure, began_at, 0)
 
     async def _establish(self, sock: socket.socket, address: tuple[str, int]) -> int:
-        """Connects a socket; returns 0 or the error number, EINPROGRESS if the time was over."""
+        """Connects a socket; returns 0 or the error number, EINPROGRESS or EWOULDBLOCK after a timeout."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
         if code in _IN_PROGRESS:
@@ -232,7 +240,7 @@
         self._idle.clear()
 
     def close_expired(self) -> None:
-        """Closes connections that are idle for nearly too long, or that their servers have closed."""
+        """Closes connections that are close to the servers' idle timeout or were closed by their servers."""
         expired_before = now() - MAX_IDLE_RATIO * self._idle_timeout_s
         for idle in self._idle.values():
             for entry in idle[:]:
@@ -242,14 +250,14 @@
                     self._discard_idle(connection, idle_since)
 
     def _discard_idle(self, connection: Connection, idle_since: float) -> None:
-        """Closes one that is idle for too long, that its server has closed, or that has surplus input."""
+        """Closes a connection that was idle for too long, was closed by its server or has surplus input."""
         if not connection.is_reusable() and not connection.is_closed_by_peer():
             self.suspect_surplus_input()
         is_expired = now() - idle_since >= MAX_IDLE_RATIO * self._idle_timeout_s
         self.discard(connection, CloseReason.IDLE_TIMEOUT if is_expired else CloseReason.PEER_CLOSED)
 
     def _close_longest_idle(self) -> bool:
-        """Closes the connection that is idle for longest, to any server; returns whether there was one."""
+        """Closes the longest idle connection of all servers; returns whether there was one."""
         idle = min((idle for idle in self._idle.values() if idle), key=lambda idle: idle[0][0], default=None)
         if idle is None:
             return False
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -1,7 +1,7 @@
-"""The client of the list service: the list of servers from the settings, then by fetches and a watch.
+"""Client of the list service: starts with the list of servers in the settings, then fetches and watches it.
 
-Does I/O on one connection for each watch and fetch. Invariants: a malformed entry costs no other entry, and
-what an older response says undoes nothing that a newer one said.
+Does I/O; each watch and each fetch has its own connection. Invariants: a malformed entry never causes other
+entries to be dropped, and an older response never reverts changes from a newer one.
 """
 
 import errno
@@ -21,35 +21,38 @@
 from wheatroute.net.server_entries import ServerEntryReader, ServerRegistry
 
 PATH = b"/discovery/hosts"
-# A watch that falls silent is noticed WATCH_WAIT_S and RESPONSE_MARGIN_S after it was sent. It is then sent
-# three more times, each on a connection that may not be established, before 6 s are over since it fell
-# silent: from then on the protocol counts what it missed as known.
-WATCH_WAIT_S = 3.0  # for which the list service may wait for changes
-RESPONSE_MARGIN_S = 0.5  # after that wait in which it must answer, and for a connection to be established
-FIRST_WATCH_WAIT_MS = 1  # of the first watch on a connection, so that a silent connection is noticed soon
-FETCH_TIMEOUT_S = 2.0  # after 6 s the protocol counts a list as known
-RETRY_INTERVAL_S = 0.1  # within the 200 ms in which a watch has to go on
+# An unresponsive watch is detected WATCH_WAIT_S plus RESPONSE_MARGIN_S after its request was sent. The
+# request is then sent three more times, each on a connection that may fail to be established, within 6 s of
+# the watch becoming unresponsive: after 6 s the protocol considers missed changes as known to the node.
+WATCH_WAIT_S = 3.0  # time for which the list service may wait for changes
+RESPONSE_MARGIN_S = 0.5  # time to answer after that wait, and time to establish a connection
+FIRST_WATCH_WAIT_MS = 1  # wait of a connection's first watch: short, to detect an unresponsive service soon
+FETCH_TIMEOUT_S = 2.0  # the protocol considers a list as known to the node after 6 s
+RETRY_INTERVAL_S = 0.1  # below the 200 ms within which the protocol requires a watch to be resumed
 MAX_LIST_BYTES = 1 << 24
 MAX_LOGGED_CHARACTERS = 120
 UNKNOWN_VERSION = -1
 
 
 class ListFilter(Protocol):
-    """Corrects lists by what other processes say of servers."""
+    """Corrects lists by the states of servers that other processes report."""
 
     def filter_message(self, document: object) -> object:
-        """Returns a list, or changes to it, with corrections."""
+        """Returns a full list, or changes to a list, with corrections."""
 
 
 class EventSink(Protocol):
-    """Takes events for the decision module."""
+    """Accepts events for the decision module."""
 
     def add_event(self, *event: object) -> None:
         """Adds an event."""
 
 
 class Discovery:
-    """The list of servers as the list service has it."""
+    """Keeps the node's list of servers up to date with a list service.
+
+    Passes changes to the driver as events, and addresses and states to `servers`.
+    """
 
     def __init__(
         self, settings: DiscoverySettings, driver: EventSink, servers: ServerRegistry, log: Logger
@@ -58,11 +61,13 @@
         self._driver, self._log = driver, log
         self._entries = ServerEntryReader(settings.zones, settings.models, servers)
         self._version = UNKNOWN_VERSION
-        self._responses_taken = 0
+        self._responses_applied = 0
         self.has_full_list = False
-        self.node_counts: dict[str, int] = {}  # "nodes" and "node": how many there are, and which one this is
+        # "nodes": the number of nodes; "node": the number of this one.
+        self.node_counts: dict[str, int] = {}
         self._is_on_request = settings.is_on_request
-        self.list_filter: ListFilter | None = None  # set where processes agree
+        # Set only if processes agree on settings.
+        self.list_filter: ListFilter | None = None
         self._watch_scope: trio.CancelScope | None = None
         self._fetches: set[trio.CancelScope] = set()
         self._nursery: trio.Nursery
@@ -70,26 +75,26 @@
 
     @property
     def numbers(self) -> Mapping[str, int]:
-        """The numbers of servers by the ids that are the same at every node."""
+        """The numbers of servers by id; ids are the same on every node."""
         return self._entries.numbers.by_id
 
     @property
     def list_version(self) -> tuple[str, int]:
-        """The source of the list that this node uses, and its version."""
+        """The source of the list that this node uses, and the list's version (0 if unknown)."""
         return format_address(self._address), max(0, self._version)
 
     async def run(self) -> None:
-        """Holds the tasks of watches and fetches."""
+        """Runs the tasks of watches and fetches until cancelled."""
         async with trio.open_nursery() as self._nursery:
             if not self._is_on_request:
                 self.watch(True)
             await trio.sleep_forever()
 
     async def leave(self) -> None:
-        """Ends what others know of this node as it stops; nothing with a list service."""
+        """Deregisters this node as it stops; with a list service there is nothing to do."""
 
     def watch(self, enable: bool) -> None:
-        """Ends the watch, and starts another one if `enable` is set."""
+        """Stops the current watch, and starts a new one if `enable` is set."""
         if self._watch_scope is not None:
             self._watch_scope.cancel()
             self._watch_scope = None
@@ -98,15 +103,18 @@
             self._nursery.start_soon(self._watch, self._watch_scope)
 
     def fetch(self) -> None:
-        """Asks for the full list once."""
+        """Requests the full list once."""
         self._nursery.start_soon(self._fetch)
 
     def switch_service(self, address: tuple[str, int]) -> None:
-        """Uses another list service, which has versions of its own, and asks for its list at once."""
+        """Switches to another list service and requests its list immediately.
+
+        Each list service has its own version numbers.
+        """
         if address == self._address:
             return
         self._address, self._version = address, UNKNOWN_VERSION
-        self._responses_taken += 1
+        self._responses_applied += 1
         for scope in list(self._fetches):
             scope.cancel()
             self.fetch()
@@ -116,7 +124,7 @@
     # watch and fetch
 
     async def _watch(self, scope: trio.CancelScope) -> None:
-        """Watches until it fails; where lists are not only given on request it goes on after a failure."""
+        """Watches until a failure; retries after a failure unless lists are only sent on request."""
         with scope:
             while True:
                 await self._with_connection(self._watch_on)
@@ -126,7 +134,7 @@
                 await trio.sleep(RETRY_INTERVAL_S)
 
     async def _watch_on(self, connection: Connection) -> CloseReason:
-        """Sends one watch after the other, until one is not answered in time."""
+        """Sends one watch request after another until one times out."""
         wait_ms = FIRST_WATCH_WAIT_MS
         while True:
             query = b""
@@ -156,7 +164,7 @@
     # connections
 
     async def _with_connection(self, use: Callable[[Connection], Awaitable[CloseReason]]) -> CloseReason:
-        """Calls `use` with a connection to the list service; returns why that was closed."""
+        """Calls `use` with a connection to the list service; returns why the connection was closed."""
         connection, reason, address = None, CloseReason.STOPPING, self._address
         try:
             connection = await self._connect()
@@ -187,7 +195,7 @@
             if sock.connect_ex(self._address) == errno.EINPROGRESS:
                 with trio.move_on_after(RESPONSE_MARGIN_S):
                     await trio.lowlevel.wait_writable(sock)
-            sock.getpeername()  # an error unless it is connected
+            sock.getpeername()  # raises OSError unless the socket is connected
             connection = Connection(sock, h11.CLIENT, format_address(self._address))
             connection.max_body_bytes = MAX_LIST_BYTES
             return connection
@@ -196,59 +204,60 @@
             raise
 
     async def _request_list(self, connection: Connection, target: bytes) -> None:
-        responses_taken = self._responses_taken
-        self._handle_response(await self._get(connection, target), responses_taken)
+        responses_applied = self._responses_applied
+        self._handle_response(await self._get(connection, target), responses_applied)
 
     async def _get(self, connection: Connection, target: bytes) -> object:
-        """Returns the JSON of a response; raises MalformedError for any other."""
+        """Returns the decoded JSON of a response; raises MalformedError for a response without a list."""
         headers = [(b"Host", format_address(self._address).encode())]
         connection.send(h11.Request(method=b"GET", target=target, headers=headers))
         await connection.read_message()
         if connection.peer != format_address(self._address):
-            # the list service was switched: this is the last response of the one before
-            raise MalformedError(0, "moved")
+            # The list service was switched meanwhile: this is the last response of the previous one.
+            raise MalformedError(0, "the response is from the previous list service")
         body = connection.body
         if connection.head.status_code != 200:
-            raise MalformedError(0, "no list")
+            raise MalformedError(0, "the list service returned no list: the status is not 200")
         if not connection.start_next_message():
-            raise MalformedError(0, "closed")
+            raise MalformedError(0, "the list service closes the connection after this response")
         try:
             return orjson.loads(body)
         except orjson.JSONDecodeError as error:
-            raise MalformedError(0, "list is not JSON") from error
+            raise MalformedError(0, "the list of servers is not valid JSON") from error
 
     # lists
 
-    def _handle_response(self, document: object, responses_taken: int) -> None:
-        """Applies a response, unless it is older than one that was taken since its request was sent.
+    def _handle_response(self, document: object, responses_applied: int) -> None:
+        """Applies a response, unless it is older than one that was applied since its request was sent.
 
-        `responses_taken` is how many had been taken by then.
+        `responses_applied` is the number of responses that had been applied when the request was sent.
 
-        A full list may arrive behind a newer change, and would make a draining server live again. Where no
-        response came between and the version still is lower, the list service has restarted: its list is
-        applied as it is, and further requests count from its own versions.
+        A full list may arrive after a newer change, and would make a draining server live again. If no other
+        response was applied meanwhile and the version is lower all the same, the list service has restarted:
+        its list is applied, and further requests use the service's new versions.
         """
         fields = document if isinstance(document, dict) else {}
         version = fields.get("version")
         is_older = isinstance(version, int) and version < self._version
-        if is_older and responses_taken != self._responses_taken:
+        if is_older and responses_applied != self._responses_applied:
             return
         if is_older:
             self._log.warning("list-service-restarted", version=version, previous_version=self._version)
-        self._responses_taken += 1
+        self._responses_applied += 1
         if not is_older or fields.get("full"):
             self._apply(document)
         else:
-            self._version = UNKNOWN_VERSION  # changes to a list that this node lacks: it asks for all
+            # These are changes to a list that this node does not have, so it requests the full list.
+            self._version = UNKNOWN_VERSION
         if is_older and self._watch_scope is not None:
             self.watch(True)
 
     def apply_reported_states(self, servers: list[dict[str, Any]]) -> None:
-        """Applies the states that other processes say servers of this list have."""
+        """Applies states of this list's servers that other processes have reported."""
         self._apply({"heard": True, "full": False, "servers": servers})
 
     def _apply(self, document: object) -> None:
-        """Passes a list, or changes to it, to the decision module; what is malformed is left out."""
+        """Passes a list, or changes to it, to the decision module; malformed entries are skipped."""
         if self.list_filter is not None:
             document = self.list_filter.filter_message(document)
         if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -1,6 +1,7 @@
-"""The side of the node that talks to clients: accepts connections, reads them, shuts down.
+"""The downstream side of the node: accepts clients' connections, reads from them and shuts them down.
 
-Does I/O. Each connection has a task that reads; responses are written by whoever completes an exchange.
+Does I/O. Each connection has a task that reads from it; a response is written by the task that completes the
+exchange.
 """
 
 import h11
@@ -16,15 +17,18 @@
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.request_handler import Readiness, RequestAccount, RequestHandler
-from wheatroute.net.request_parser import Forms, RequestParser
+from wheatroute.net.request_parser import AlternativeForms, RequestParser
 from wheatroute.net.shutdown import SERVING_RATIO, ShutdownState
 
-ACCEPT_RETRY_S = 0.1  # until a client that could not be accepted is tried again
-MAX_DISCARDED_READS = 16  # of what a client goes on sending after its last response
+ACCEPT_RETRY_S = 0.1  # delay before accepting is tried again after it failed or the limit was reached
+MAX_DISCARDED_READS = 16  # reads of data that a client keeps sending after its last response
 
 
 class Downstream:
-    """All clients of the node."""
+    """Serves all clients of the node.
+
+    `max_connections` limits the connections of clients.
+    """
 
     def __init__(
         self,
@@ -55,11 +59,11 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether idle connections are closed, as the node stops."""
+        """Whether the node is stopping and closes idle connections."""
         return self._shutdown.is_stopping
 
     def set_account(self, account: RequestAccount) -> None:
-        """Has requests counted by an account from here on."""
+        """Sets the object that counts requests from now on."""
         self._handler.account = account
 
     def update_settings(
@@ -67,9 +71,9 @@
         request_classes: dict[str, int],
         tenants: dict[str, int],
         decision_settings: DecisionSettings,
-        other_forms: Forms,
+        other_forms: AlternativeForms,
     ) -> None:
-        """Puts other settings in force; see `RequestParser.update_settings`."""
+        """Applies new settings; see `RequestParser.update_settings`."""
         class_rules = decision_settings.request_classes
         self._parser.update_settings(request_classes, tenants, class_rules, other_forms)
         self._handler.update_settings(decision_settings)
@@ -78,7 +82,7 @@
             self._handler.account.update_settings(request_classes, tenants, class_rules)
 
     async def run(self) -> None:
-        """Accepts clients until the node stops and every client has its response."""
+        """Accepts clients until `stop` ends accepting, then waits until every client has its response."""
         async with trio.open_nursery() as self._nursery:
             self._handler.writer.nursery = self._nursery
             with self._accepting:
@@ -90,9 +94,9 @@
     # shutdown
 
     async def stop(self) -> None:
-        """Shuts down gracefully, see `shutdown`."""
+        """Shuts down gracefully; see the module `shutdown` for the phases."""
         remaining_s = self._shutdown.begin(self._parser.max_deadline_s)
-        if self._has_successor:  # clients find it at the same address
+        if self._has_successor:  # clients reconnect to the successor at the same address
             self._close_answered_clients()
             self._accepting.cancel()
             return
@@ -106,7 +110,7 @@
         self._accepting.cancel()
 
     def _close_answered_clients(self) -> None:
-        """Closes idle connections that have had a response; others announce the end with their next one."""
+        """Closes idle connections that have had a response; others announce it with their next response."""
         self._shutdown.is_stopping = True
         for client in self._clients.idle:
             if client.connection.message_count:
@@ -123,13 +127,14 @@
             if clients.open >= clients.max_clients:
                 clients.close_idle_client()
             if clients.open >= clients.max_open:
-                await clients.wait_for_close(ACCEPT_RETRY_S)  # by then a new client may be seen to be silent
+                # After the timeout a client that has connected and sent nothing may be closed.
+                await clients.wait_for_close(ACCEPT_RETRY_S)
                 continue
             try:
                 if not self._accept_one():
                     await self._listener.wait()
             except OSError as error:
-                # without a descriptor the loop must neither end nor spin
+                # When descriptors are exhausted, the loop must neither end nor busy-wait.
                 self._log.warning("accept-failed", error=str(error), open=clients.open)
                 await clients.wait_for_close(ACCEPT_RETRY_S)
 
@@ -143,7 +148,7 @@
         connection.opened_at -= lag_s
         connection.accepted_iteration = self._driver.event_loop_lag.iterations
         client = ClientConnection(connection, lag_s)
-        # at once, so that it is closed with the others also before its task has begun
+        # Registered immediately, so that a shutdown closes it even before its task has started.
         self._clients.add(client)
         self._nursery.start_soon(self._serve, client)
         return True
@@ -157,7 +162,7 @@
         except Exception:
             self._log.exception("fault")
         finally:
-            client.close_reason = reason  # so that a pipelined request is not taken after this
+            client.close_reason = reason  # no pipelined request may be handled after this
             self._clients.mark_busy(client)
             self._handler.abandon(client)
             connection.close()
@@ -176,7 +181,10 @@
         return reason if client.exchange is None else CloseReason.CLIENT_LEFT
 
     async def _read(self, client: ClientConnection) -> CloseReason:
-        """Reads as long as anything may be received, so that a client's close is noticed at once."""
+        """Reads as long as data may be received, so that a client's close is noticed immediately.
+
+        Returns the reason to close the connection.
+        """
         connection = client.connection
         while True:
             with client.scope:
@@ -197,15 +205,15 @@
         return len(connection.http.trailing_data[0]) > MAX_BODY_BYTES
 
     def _reason_to_close(self, client: ClientConnection) -> CloseReason | None:
-        """Looks at a client whose scope was cancelled; None if it is to be read on."""
+        """Returns why to close a connection whose scope was cancelled; None to continue reading from it."""
         if client.close_reason is not None:
             return client.close_reason
         if client.has_partial_request:
             if trio.current_time() >= client.request_deadline:
                 self._handler.writer.write_error(client, MalformedError(408, "half a request"))
-            else:  # part of it was received as the connection was to be closed: it is read to its end
+            else:  # part of a request arrived before a requested close: the rest is read first
                 client.scope.deadline = client.request_deadline
-        # a request that was received as the connection was to be closed is read all the same
+        # A request that arrived before a requested close is still read.
         elif client.exchange is None and client.connection.is_reusable():
             if client.is_close_requested:
                 return self._clients.close_reason()
--- a/wheatroute/net/event_loop_lag.py
+++ b/wheatroute/net/event_loop_lag.py
@@ -1,17 +1,18 @@
-"""How late the event loop sees what has arrived on its sockets. A trio instrument; no I/O of its own."""
+"""Measures how late the event loop reads data from its sockets. A trio instrument; does no I/O itself."""
 
 import time
 
 import trio
 
-MIN_REAL_WAIT_S = 0.0005  # a wait for sockets that took less found them ready
+MIN_REAL_WAIT_S = 0.0005  # a shorter wait for sockets means that one was ready already
 
 
 class EventLoopLag(trio.abc.Instrument):
-    """Upper bound of how long ago something that is read now may have arrived.
+    """Computes an upper bound of the time since data that is read now has arrived.
 
-    A client's time counts from the last byte of its request, which may have lain unread since the previous
-    iteration of the event loop. Without this bound a node that was held up would answer after deadlines.
+    A client's timeout counts from the last byte of its request, which may have been waiting since the
+    previous iteration of the event loop. Without this bound, a node whose event loop was blocked would answer
+    after deadlines.
     """
 
     def __init__(self) -> None:
@@ -26,12 +27,12 @@
         """Called by trio after it has waited for sockets."""
         self.iterations += 1
         moment = time.monotonic()
-        # it arrived during the wait if there was one, else after the wait before it
+        # Data arrived during this wait if there was one, else at the earliest after the previous wait.
         has_waited = moment - self._wait_began > MIN_REAL_WAIT_S
         self._unread_since = moment if has_waited else self._iteration_began
         self._iteration_began = moment
 
     @property
     def lag_s(self) -> float:
-        """Seconds for which something that is read now may have lain unread, at most."""
+        """The longest time in seconds for which data that is read now may have been waiting."""
         return time.monotonic() - self._unread_since
--- a/wheatroute/net/exchange.py
+++ b/wheatroute/net/exchange.py
@@ -1,8 +1,8 @@
-"""One request of a client, its attempts and its one final response: what both sides of the node share.
+"""The exchange: one request of a client with its attempts and its final response.
 
 The downstream side creates an exchange and writes its response; the upstream side completes it. Neither
-holds a reference to the other. Invariant: an exchange takes one final response, and none after its client
-has gone. No I/O: nothing here sends, retries or waits.
+holds a reference to the other. Invariant: an exchange accepts one final response, and none after its client
+has disconnected. No I/O: nothing here sends, retries or waits.
 """
 
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 
 import trio
 
-REJECTED_STATUS = 503  # Service Unavailable: the request did not run, sending it again is harmless
+REJECTED_STATUS = 503  # Service Unavailable: the request did not run and may safely be sent again
 FAILED_STATUS = 502  # Bad Gateway: the request may have run
 
 
 class Response:
-    """The final response: served with a server's body, rejected or failed.
+    """The final response to a client: a server's response, a rejection or a failure.
 
-    `retry_after_s` is for the Retry-After header; 0 sends none.
+    `retry_after_s` is the value of the Retry-After header; 0 omits the header.
     """
 
     __slots__ = ("status", "body", "content_type", "retry_after_s")
@@ -32,7 +32,7 @@
 
 
 def parse_work_hint(text: bytes | str) -> float:
-    """Returns the hinted cost of a request, or 0.0 where the hint is no positive finite number."""
+    """Returns the cost of a request from its hint; 0.0 unless the hint is a positive finite number."""
     try:
         work = float(text)
     except ValueError:
@@ -41,10 +41,10 @@
 
 
 class Attempt:
-    """One sending of a request to a server.
+    """One attempt to have a request served by a server.
 
-    `sent_at` is on the clock of `clock.now`; the scope is cancelled after `timeout_s` or when it is
-    withdrawn.
+    `sent_at` is a time on the clock of `clock.now`. The cancel scope expires after `timeout_s`, and is
+    cancelled when the attempt is withdrawn.
     """
 
     __slots__ = (
@@ -63,12 +63,14 @@
         self.sent_at = sent_at
         self.scope = trio.CancelScope(deadline=trio.current_time() + timeout_s)
         self.is_withdrawn = False
-        self.server_generation = 0  # of the server when it was selected, see `ServerTable`
-        self.may_have_run = False  # completely written, and no response proves that it never ran
+        # The server's generation when it was selected, see `ServerTable`.
+        self.server_generation = 0
+        # Whether the request was completely written and no response proves that it never ran.
+        self.may_have_run = False
 
 
 class Exchange:
-    """One request, its attempts and its final response."""
+    """One request of a client, its attempts and its final response."""
 
     __slots__ = (
         "number",
@@ -99,22 +101,23 @@
         self.request_id = request_id
         self.idempotency_key = idempotency_key
         self.body = body
-        self.number = -1  # given by `BalancerDriver.add_request`
+        self.number = -1  # set by `BalancerDriver.add_request`
         self.request_class = 0
-        self.time_left_s = 0.0  # when it was received
-        self.tenant = -1
+        self.time_left_s = 0.0  # time to the deadline when the request was received
+        self.tenant = -1  # -1 for an unknown tenant
         self.is_client_retry = False
-        self.work_hint = 0.0  # 0 without a hint
-        self.deadline = 0.0  # on the clock of `clock.now`
-        self.is_complete = False  # it has its response, or its client has gone
+        self.work_hint = 0.0  # expected cost, 0 if the client gave no hint
+        self.deadline = 0.0  # time on the clock of `clock.now`
+        self.is_complete = False  # whether it has its response, or its client has disconnected
         self.response: Response | None = None
         self.attempts: list[Attempt] = []
-        self.attempts_in_flight = 0  # without an outcome
-        self.on_response: Callable[[], None] | None = None  # set by the side that writes the response
-        self.is_client_gone: Callable[[], bool] | None = None  # set by the side that knows the client
+        self.attempts_in_flight = 0  # attempts without an outcome
+        # Both callbacks are set by the downstream side, which owns the client's connection.
+        self.on_response: Callable[[], None] | None = None
+        self.is_client_gone: Callable[[], bool] | None = None
 
     def complete(self, response: Response) -> bool:
-        """Takes the final response unless the exchange is complete; returns whether it was taken."""
+        """Sets the final response unless the exchange is complete; returns whether it was set."""
         if self.is_complete:
             return False
         self.is_complete, self.response = True, response
@@ -123,6 +126,9 @@
         return True
 
     def abandon(self) -> bool:
-        """Completes the exchange without a response, as its client has gone; returns whether it was open."""
+        """Completes the exchange without a response, for a client that has disconnected.
+
+        Returns whether the exchange was incomplete before.
+        """
         was_open, self.is_complete = not self.is_complete, True
         return was_open
--- a/wheatroute/net/listener.py
+++ b/wheatroute/net/listener.py
@@ -1,4 +1,4 @@
-"""The socket on which the node accepts clients. Does I/O on it, and on nothing else."""
+"""The socket on which the node accepts clients. Does I/O on this socket only."""
 
 import socket
 import struct
@@ -10,7 +10,7 @@
 
 BACKLOG = 1024
 SO_ATTACH_FILTER = 26  # Linux, asm-generic/socket.h
-# a classic BPF program that drops TCP segments with SYN: load the byte with the flags, test SYN, drop or keep
+# A classic BPF program that drops TCP segments with SYN set: loads the flags byte, tests SYN, drops or keeps.
 _DROP_SYN = array(
     "B",
     b"".join(
@@ -22,7 +22,7 @@
 
 
 class Listener:
-    """A listening socket; `is_shared` lets another process listen on the same address."""
+    """A listening socket; `is_shared` lets another process listen on the same address (SO_REUSEPORT)."""
 
     def __init__(self, address: tuple[str, int], is_shared: bool) -> None:
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -38,9 +38,9 @@
         await trio.lowlevel.wait_readable(self._sock)
 
     def accept(self) -> tuple[socket.socket, tuple[str, int]] | None:
-        """Returns a socket and its peer's address, None if no client waits.
+        """Returns a client's socket and address; None if no client is waiting.
 
-        Raises OSError if the system has no descriptor left.
+        Raises OSError if file descriptors are exhausted.
         """
         try:
             sock, address = self._sock.accept()
@@ -51,12 +51,13 @@
         return sock, address
 
     def close(self, accept_one: Callable[[], bool]) -> None:
-        """Accepts what is in the queue by `accept_one`, until this returns False, and closes the socket.
+        """Accepts queued connections by calling `accept_one` until it returns False, then closes the socket.
 
-        The system resets connections that are in the queue of a listener as it is closed. New ones are kept
-        out of it from before the last call of `accept_one` on.
+        The kernel resets connections that are queued on a listener when it is closed. A filter keeps new ones
+        out of the queue before the last call of `accept_one`.
         """
-        with suppress(OSError):  # without support for filters a connection may come between the two
+        # Without support for filters, a connection may arrive between the last accept and the close.
+        with suppress(OSError):
             program = struct.pack("HP", len(_DROP_SYN) // _BPF_INSTRUCTION_BYTES, _DROP_SYN.buffer_info()[0])
             self._sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
         with suppress(OSError):
--- a/wheatroute/net/load_reports.py
+++ b/wheatroute/net/load_reports.py
@@ -1,14 +1,14 @@
-"""Load reports of servers: the text after "TEXT " in a response header or body. No I/O."""
+"""Parses load reports of servers: the text after "TEXT " in a response header or body. No I/O."""
 
 from wheatroute.wire_names import REPORT_FIGURES
 
-MAX_LOAD_FIGURE = 1e9  # a larger figure cannot be meant
+MAX_LOAD_FIGURE = 1e9  # a larger value must be an error
 
 
 def parse_load_report(text: str) -> tuple[dict[str, float] | None, str]:
-    """Returns the figures under our names (None if there are none), and the last malformed part.
+    """Returns the metrics by internal name (None if there are none), and the last malformed part.
 
-    Malformed parts are left out of the figures.
+    Malformed parts are not included in the metrics.
     """
     report: dict[str, float] = {}
     malformed = ""
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -1,7 +1,7 @@
-"""The node's log: logfmt lines on standard output, one for each connection that ends and few others.
+"""The node's log: logfmt lines on standard output, one for each closed connection and few others.
 
-No line is written for a single request, and none on the ordinary path, as a line costs as much as a request.
-Writing never blocks the node. `docs/oncall.md` explains each event and reason. I/O: standard output.
+No line is written per request or otherwise in normal operation, as a line costs as much as a request. Writing
+never blocks the node. `docs/oncall.md` explains each event and reason. I/O: standard output.
 """
 
 import os
@@ -14,48 +14,48 @@
 from wheatroute.imports import without_package
 
 with without_package("rich"):
-    # it makes tracebacks for terminals, at 3 MB and a seventh of a node's start
+    # structlog uses rich for tracebacks on terminals, at 3 MB and a seventh of a node's startup time.
     import structlog
 
 
 class CloseReason(StrEnum):
-    """Why a connection ended, as the log has it."""
+    """Why a connection was closed; the values are written to the log."""
 
     PEER_CLOSED = "peer-closed"  # the peer closed it between requests
     CLOSE_REQUESTED = "close-requested"  # the peer sent "Connection: close" with its last message
     CLIENT_LEFT = "client-left"  # a client closed it with its request open
     MALFORMED = "malformed"  # what was received is not HTTP or breaks the protocol
-    NO_REQUEST = "no-request"  # a client that connected and sent nothing
-    SLOW = "slow"  # part of a message, then nothing
-    RESET = "reset"  # a reset or another error of the socket
+    NO_REQUEST = "no-request"  # a client connected and sent nothing
+    SLOW = "slow"  # a client sent part of a request and no more, or did not read its response in time
+    RESET = "reset"  # a reset or another socket error
     CONNECTION_REFUSED = "connection-refused"  # a server refused the connection
     UNREACHABLE = "unreachable"  # a connection to a server was not established in time
     WITHDRAWN = "withdrawn"  # the attempt on it was withdrawn
     TIMED_OUT = "timed-out"  # the attempt on it ran out of time
-    IDLE_TIMEOUT = "idle-timeout"  # idle for nearly as long as its server keeps it
+    IDLE_TIMEOUT = "idle-timeout"  # idle for nearly as long as its server keeps idle connections
     NO_CAPACITY = "no-capacity"  # closed to stay within the limit of descriptors
     CLOSED_BY_NODE = "closed-by-node"  # on a command of the balancer, or as a server's address changed
-    STOPPING = "stopping"  # the node stops
-    FAULT = "fault"  # a fault of the node
+    STOPPING = "stopping"  # the node is stopping
+    FAULT = "fault"  # an internal error of the node
 
 
 class Logger(Protocol):
-    """What the node needs of a logger; fields are written as `name=value`."""
+    """The logger interface that the node needs; fields are written as `name=value`."""
 
     def info(self, event: str, **fields: object) -> None:
         """Logs an event."""
 
     def warning(self, event: str, **fields: object) -> None:
-        """Logs an event that should be looked at."""
+        """Logs an event that an operator should look into."""
 
     def exception(self, event: str, **fields: object) -> None:
         """Logs the exception that is being handled."""
 
 
 class LogWriter:
-    """Writes lines to standard output; where a pipe is full they are dropped and counted.
+    """Writes lines to standard output; while a pipe is full, lines are dropped and counted.
 
-    A reader of the log that stands still would otherwise hold up the whole node.
+    Otherwise a log reader that stalls would block the whole node.
     """
 
     def __init__(self) -> None:
@@ -65,7 +65,7 @@
             os.set_blocking(self._descriptor, False)
 
     def msg(self, line: str) -> None:
-        """Writes a line, with the number of those dropped before it; called by structlog."""
+        """Writes a line, with the number of lines dropped before it; called by structlog."""
         if self._dropped:
             line = f"{line} dropped_before={self._dropped}"
         try:
@@ -78,7 +78,7 @@
 
 
 def open_log(name: str) -> Logger:
-    """Configures structlog and returns the logger; every line has the node's name."""
+    """Configures structlog and returns the logger; every line contains the node's name."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -96,7 +96,7 @@
 def log_closed_connection(
     log: Logger, side: str, peer: str, reason: CloseReason, opened_at: float, messages: int
 ) -> None:
-    """Logs the end of a connection; `opened_at` is on the monotonic clock."""
+    """Logs that a connection was closed; `opened_at` is a time on the monotonic clock."""
     log.info(
         "connection-closed",
         side=side,
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -1,7 +1,7 @@
-"""The settings of a node: read from the environment and the JSON file that it names, checked and translated.
+"""The settings of a node, read from environment variables and the JSON file that PROXY_CONFIG names.
 
-Invariant: a `NodeSettings` is complete and valid; whatever is missing or malformed raises a
-`NodeSettingsError` of one plain line. I/O: reads the file, opens no socket.
+Invariant: a `NodeSettings` is complete and valid; anything missing or malformed raises a `NodeSettingsError`
+with a message of one line. I/O: reads the file, opens no socket.
 """
 
 import os
@@ -19,13 +19,17 @@
 from wheatroute.platform_settings import decision_settings
 from wheatroute.wire_names import NameNumbering
 
-RESERVED_DESCRIPTORS = 32  # for files, the listener, the list service and the event loop
-RESERVED_DESCRIPTORS_RATIO = 0.125  # the same where very few descriptors are allowed
+# File descriptors that are not available for connections: they are for files, the listener, the list service
+# and the event loop. Where few descriptors are allowed, it is RESERVED_DESCRIPTORS_RATIO of them plus
+# MIN_RESERVED_DESCRIPTORS instead.
+RESERVED_DESCRIPTORS = 32
+RESERVED_DESCRIPTORS_RATIO = 0.125
 MIN_RESERVED_DESCRIPTORS = 6
 MIN_SOCKETS = 16
-RESPONSES_IN_MEMORY = 32  # a single response may take up this fraction of the node's memory
-DEFAULT_AGREEMENT_TIME_S = 10.0  # within which processes agree
+RESPONSES_IN_MEMORY = 32  # a single response may use 1 / RESPONSES_IN_MEMORY of the node's memory
+DEFAULT_AGREEMENT_TIMEOUT_S = 10.0  # time within which processes have to agree on a version
 DEFAULT_MEMORY_MB = 64.0
+# Headers with another meaning, which cannot be the header with the work hint.
 RESERVED_HEADERS = (
     "request-id",
     "request-timeout",
@@ -34,18 +38,18 @@
     "client-retry",
     "content-length",
     "host",
-)  # headers that mean something else than a hint of work
+)
 _HEADER_NAME = re.compile(r"[A-Za-z0-9-]{1,100}\Z")
 Address = tuple[str, int]
 
 
 class NodeSettingsError(Exception):
-    """The settings cannot be used; the message is one line."""
+    """The settings are missing or invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerAddresses:
-    """Where a node receives from other nodes, and where these are."""
+    """The UDP address on which a node receives from other nodes, and the addresses of those nodes."""
 
     listen: Address
     others: tuple[Address, ...]
@@ -53,38 +57,38 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoverySettings:
-    """Of the client of the list service; `zones` and `models` are numbers by name."""
+    """Settings of the list service's client; `zones` and `models` map names to numbers."""
 
     address: Address
     zones: Mapping[str, int]
     models: Mapping[str, int]
-    is_on_request: bool  # lists are only given on request
+    is_on_request: bool  # the list service sends lists only on request
     initial_list: dict[str, Any]  # in the format of the list service
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSettings:
-    """All settings of one node. `derived` is what `derive_settings` makes of `settings`."""
+    """All settings of one node; `derived` is the result of `derive_settings` for `settings`."""
 
     name: str
     listen: Address
-    discovery: Address  # of the list service; `NO_ADDRESS` where servers are followed in etcd
-    etcd_servers: dict[str, Any] | None  # "endpoints", "prefix" and "nodes_prefix", as `config.Etcd` has them
+    discovery: Address  # address of the list service; `NO_ADDRESS` if servers are discovered through etcd
+    etcd_servers: dict[str, Any] | None  # "endpoints", "prefix" and "nodes_prefix", as in `EtcdSettings`
     seed: str
-    work_header: bytes  # in lower case, empty for none
-    initial_list: dict[str, Any]  # of servers, in the format of the list service
-    max_connections: int  # to clients and servers
+    work_header: bytes  # name of the header with the work hint in lower case; empty for none
+    initial_list: dict[str, Any]  # list of servers in the format of the list service
+    max_connections: int  # limit for connections to clients and servers together
     max_response_bytes: int
-    settings: dict[str, Any]  # as the file has them
+    settings: dict[str, Any]  # the object "settings" of the file, unchanged
     derived: dict[str, Any]
-    agreement: dict[str, Any] | None  # the store of versions, and "within" seconds
-    rollout: dict[str, Any] | None  # the same for rollouts
-    has_successor: bool  # another process of this node listens on the same address while this one stops
+    agreement: dict[str, Any] | None  # the version store, and the timeout in seconds as "within"
+    rollout: dict[str, Any] | None  # the same for the store of rollouts
+    has_successor: bool  # while this process stops, another one of this node listens on the same address
     peers: PeerAddresses | None
 
     @property
     def decision_settings(self) -> DecisionSettings:
-        """Settings of the decision module."""
+        """The settings of the decision module."""
         settings: DecisionSettings = self.derived["decision_settings"]
         return settings
 
@@ -102,7 +106,7 @@
 
     @property
     def discovery_settings(self) -> DiscoverySettings:
-        """Settings of the client of the list service."""
+        """The settings of the list service's client."""
         return DiscoverySettings(
             self.discovery,
             self.derived["zones"],
@@ -112,7 +116,7 @@
         )
 
     def restart_required(self, other: "NodeSettings") -> list[str]:
-        """Returns the names of settings that differ in `other` and that a running node does not take over."""
+        """Returns the names of settings that differ in `other` and take effect only after a restart."""
         pairs = {
             "listen": (self.listen, other.listen),
             "descriptors": (self.max_connections, other.max_connections),
@@ -128,18 +132,21 @@
 
 
 def read_node_settings(environment: Mapping[str, str]) -> NodeSettings:
-    """Reads the settings at start; the environment takes precedence over the file."""
+    """Reads the settings at startup; environment variables take precedence over the file.
+
+    Raises NodeSettingsError.
+    """
     document = _read_document(environment.get("PROXY_CONFIG", ""))
     settings = document.get("settings")
     if not isinstance(settings, dict):
-        raise NodeSettingsError('no object "settings" in the file that PROXY_CONFIG names')
+        raise NodeSettingsError('the file that PROXY_CONFIG names must have an object "settings"')
     try:
         listen = parse_address(environment.get("PROXY_LISTEN") or document.get("listen"))
         etcd_servers = _parse_etcd_servers(document.get("servers"))
         list_service = environment.get("PROXY_DISCOVERY") or document.get("discovery")
         discovery = NO_ADDRESS if etcd_servers else parse_address(list_service)
     except ValueError as error:
-        raise NodeSettingsError(f"where to listen or where the list is: {error}") from error
+        raise NodeSettingsError(f"invalid address to listen on or of the list service: {error}") from error
     work_header = _parse_work_header(document.get("work_header"))
     max_connections = _max_connections(document.get("limits"))
     max_response_bytes = _max_response_bytes(document.get("limits"))
@@ -148,7 +155,7 @@
     rollout = _parse_version_store(document.get("rollout"), "rollout")
     has_successor = _parse_has_successor(document.get("beside", False))
     peers = _parse_peers(document.get("peers"), derived["decision_settings"].has_peers)
-    # without peers no server is probed on their behalf
+    # Without peers, no server is probed on their behalf.
     derived["decision_settings"] = replace(derived["decision_settings"], has_peers=peers is not None)
     initial_list = document.get("known")
     return NodeSettings(
@@ -171,14 +178,17 @@
 
 
 def reload_node_settings(environment: Mapping[str, str]) -> NodeSettings:
-    """Reads the settings of a running node; its environment is old, so the file names the list service."""
+    """Reads the settings of a running node again; raises NodeSettingsError.
+
+    The list service is taken from the file, because the environment dates from the start of the process.
+    """
     return read_node_settings(
         {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"}
     )
 
 
 def derive_settings(settings: dict[str, Any]) -> dict[str, Any]:
-    """Translates and checks "settings"; raises NodeSettingsError.
+    """Validates and translates the object "settings"; raises NodeSettingsError.
 
     Returns numbers by name in "zones", "models", "tenants" and "request_classes", and the settings of the
     decision module in "decision_settings".
@@ -188,18 +198,18 @@
     tenants = {one["name"]: number for number, one in enumerate(_named_objects(settings, "tenants"))}
     request_classes = _named_objects(settings, "traffic-types")
     if not request_classes:
-        raise NodeSettingsError("the settings hold no request classes")
+        raise NodeSettingsError("the settings must define at least one request class")
     try:
         decisions = decision_settings(settings, zones)
     except (TypeError, ValueError, AttributeError) as error:
-        raise NodeSettingsError(f"the settings are malformed: {error}") from error
-    # an HTTP/1.1 connection carries one request at a time, whatever the settings say
+        raise NodeSettingsError(f"invalid settings: {error}") from error
+    # An HTTP/1.1 connection carries one request at a time, regardless of the settings.
     decisions = replace(decisions, calls_per_connection=1)
     for name in ("connection_price", "crossing_price"):
         price = getattr(decisions, name)
         if not isinstance(price, int | float) or not 0.0 <= price < inf:
             raise NodeSettingsError(
-                f"the settings' {name.replace('_', ' ')} is no number from 0 on: {price!r}"
+                f"the settings' {name.replace('_', ' ')} must be a number of at least 0, got {price!r}"
             )
     return {
         "zones": zones,
@@ -219,20 +229,20 @@
     except OSError as error:
         raise NodeSettingsError(f"cannot read {path}: {os.strerror(error.errno or 0)}") from error
     except orjson.JSONDecodeError as error:
-        raise NodeSettingsError(f"{path} is not JSON: {error}") from error
+        raise NodeSettingsError(f"{path} is not valid JSON: {error}") from error
     if not isinstance(document, dict):
-        raise NodeSettingsError(f"{path} does not hold an object")
+        raise NodeSettingsError(f"{path} must contain a JSON object")
     return document
 
 
 def _parse_has_successor(value: object) -> bool:
     if not isinstance(value, bool):
-        raise NodeSettingsError(f'"beside" is neither true nor false: {value!r}')
+        raise NodeSettingsError(f'"beside" must be true or false, got {value!r}')
     return value
 
 
 def _parse_peers(table: object, is_allowed: bool) -> PeerAddresses | None:
-    """Returns the addresses of "peers", None where the file has none."""
+    """Returns the addresses in "peers"; None if the file has no "peers"."""
     if table is None:
         return None
     if (
@@ -240,23 +250,26 @@
         or not isinstance(table.get("others"), list)
         or table.keys() - {"listen", "others"}
     ):
-        raise NodeSettingsError('"peers" is no object of "listen" and a list "others"')
+        raise NodeSettingsError('"peers" must be an object with only "listen" and a list "others"')
     if not is_allowed:
-        raise NodeSettingsError('"peers" are named, but the settings do not allow them')
+        raise NodeSettingsError('the file has "peers", but the settings do not allow them')
     try:
         listen = parse_address(table.get("listen"))
         others = tuple(parse_address(one) for one in table["others"])
     except ValueError as error:
         raise NodeSettingsError(f'"peers": {error}') from error
     if listen in others:
-        raise NodeSettingsError('"peers": its own place is among the others')
+        raise NodeSettingsError('"peers": "others" must not contain the node\'s own address')
     if len(set(others)) < len(others):
-        raise NodeSettingsError('"peers": one of the others is named twice')
+        raise NodeSettingsError('"peers": "others" contains an address twice')
     return PeerAddresses(listen, others)
 
 
 def _parse_etcd_servers(table: object) -> dict[str, Any] | None:
-    """Returns where servers are followed in etcd, None for a list service; raises ValueError too."""
+    """Returns the etcd endpoints and prefixes for discovery; None if a list service is used.
+
+    Raises NodeSettingsError, or ValueError for an invalid endpoint.
+    """
     if table is None:
         return None
     if (
@@ -267,11 +280,13 @@
         or not isinstance(table["prefix"], str)
         or not isinstance(table.get("nodes_prefix", ""), str)
     ):
-        raise NodeSettingsError('"servers" is no object of "etcd" endpoints, "prefix" and "nodes_prefix"')
+        raise NodeSettingsError(
+            '"servers" must be an object with only a list "etcd", "prefix" and "nodes_prefix"'
+        )
     for endpoint in table["etcd"]:
         parse_address(endpoint)
     if not table["etcd"]:
-        raise NodeSettingsError('"servers" names no endpoint of etcd')
+        raise NodeSettingsError('"servers": "etcd" must contain at least one endpoint')
     return {
         "endpoints": table["etcd"],
         "prefix": table["prefix"],
@@ -280,19 +295,23 @@
 
 
 def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
-    """Returns the store of versions that a table names, and the time to agree; None without the table."""
+    """Returns the version store of a table and the timeout in seconds; None without the table."""
     if table is None:
         return None
     if not isinstance(table, dict) or table.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
-        raise NodeSettingsError(f'"{name}" is no object of "directory", "relay", or "etcd" and "prefix"')
-    within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIME_S), table.get("etcd")
+        raise NodeSettingsError(
+            f'"{name}" must be an object with "directory", "relay", or "etcd" and "prefix"'
+        )
+    within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIMEOUT_S), table.get("etcd")
     if not isinstance(within_s, int | float) or not 0.0 < within_s < inf:
-        raise NodeSettingsError(f'"{name}": "within" is no number of seconds: {within_s!r}')
+        raise NodeSettingsError(f'"{name}": "within" must be a positive number of seconds, got {within_s!r}')
     paths = [key for key in ("directory", "relay") if isinstance(table.get(key), str) and table[key]]
     if len(paths) == 1 and endpoints is None:
         return {paths[0]: table[paths[0]], "within": float(within_s)}
     if not isinstance(endpoints, list) or not endpoints or not isinstance(table.get("prefix"), str):
-        raise NodeSettingsError(f'"{name}" names no "directory", nor "etcd" endpoints with a "prefix"')
+        raise NodeSettingsError(
+            f'"{name}" must have either "directory" or "relay", or "etcd" endpoints and a "prefix"'
+        )
     try:
         addresses = [parse_address(one) for one in endpoints]
     except ValueError as error:
@@ -301,11 +320,13 @@
 
 
 def _parse_work_header(name: object) -> bytes:
-    """Returns the name of the header that hints at a request's work, in lower case; empty for none."""
+    """Returns the name of the header with a request's work hint in lower case; empty for none."""
     if name is None:
         return b""
     if not isinstance(name, str) or not _HEADER_NAME.match(name) or name.lower() in RESERVED_HEADERS:
-        raise NodeSettingsError(f'"work_header" is no header of its own: {name!r}')
+        raise NodeSettingsError(
+            f'"work_header" must be the name of a header without another meaning, got {name!r}'
+        )
     return name.lower().encode()
 
 
@@ -314,31 +335,31 @@
     if not isinstance(objects, list) or not all(
         isinstance(one, dict) and isinstance(one.get("name"), str) for one in objects
     ):
-        raise NodeSettingsError(f'the settings\' "{key}" is not a list of objects with names')
+        raise NodeSettingsError(f'the settings\' "{key}" must be a list of objects with a "name"')
     return objects
 
 
 def _numbered_names(settings: dict[str, Any], key: str) -> NameNumbering:
     names = settings.get(key) or []
     if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
-        raise NodeSettingsError(f'the settings\' "{key}" is not a list of names')
+        raise NodeSettingsError(f'the settings\' "{key}" must be a list of names')
     return NameNumbering({name: number for number, name in enumerate(names)})
 
 
 def _max_connections(limits: object) -> int:
-    """Returns how many connections the node may hold: its descriptors less a reserve."""
+    """Returns how many connections the node may hold: its limit of descriptors minus a reserve."""
     sockets = limits.get("sockets") if isinstance(limits, dict) else None
     if not isinstance(sockets, int) or sockets < MIN_SOCKETS:
-        raise NodeSettingsError('no usable "limits.sockets"')
+        raise NodeSettingsError('"limits.sockets" must be an integer of at least 16')
     reserved = int(sockets * RESERVED_DESCRIPTORS_RATIO) + MIN_RESERVED_DESCRIPTORS
     return sockets - min(RESERVED_DESCRIPTORS, reserved)
 
 
 def _max_response_bytes(limits: object) -> int:
-    """Returns how long a server's response may be, in bytes.
+    """Returns the maximum size of a server's response in bytes.
 
-    Servers send longer bodies than the 64 KiB that the protocol allows to clients, so that bound would turn
-    good responses into errors; without any bound one response could take all memory.
+    Servers send longer bodies than the 64 KiB that the protocol allows clients, so that limit would turn good
+    responses into errors; without any limit a single response could use up all memory.
     """
     memory_mb = limits.get("memory_mb") if isinstance(limits, dict) else None
     if not isinstance(memory_mb, int | float) or not 0 < memory_mb < inf:
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -1,7 +1,7 @@
-"""Datagrams (UDP) among nodes: the loads of servers, sent to the nodes that the settings name.
+"""Exchanges the loads of servers with the other nodes in the settings, by UDP datagrams.
 
-Does I/O on one socket. A message that is lost, late, too long or of an unknown sender is ignored; sending
-never waits. What is received is not passed on to further nodes, and not judged here.
+Does I/O on one socket. Messages are best effort: one that is lost, late, too long or from an unknown sender
+is ignored, and sending never blocks. Received loads are not forwarded to other nodes and not evaluated here.
 """
 
 import socket
@@ -18,15 +18,15 @@
 
 
 class NumberedServers(Protocol):
-    """The numbers of servers by the ids that all nodes know."""
+    """Provides the numbers of servers by id; ids are the same on every node."""
 
     @property
     def numbers(self) -> Mapping[str, int]:
-        """The numbers by id."""
+        """The numbers of servers by id."""
 
 
 class Peers:
-    """The socket to the other nodes."""
+    """Sends and receives loads on a UDP socket."""
 
     def __init__(
         self, addresses: PeerAddresses, driver: BalancerDriver, servers: NumberedServers, log: Logger
@@ -45,7 +45,7 @@
                 try:
                     self._socket.sendto(text.encode(), address)
                 except OSError:
-                    # a full buffer or a peer that is away must not hold up the node
+                    # A full buffer or an unreachable peer must not delay the node.
                     continue
 
     async def run(self) -> None:
@@ -61,7 +61,7 @@
         try:
             data, sender = self._socket.recvfrom(peer_messages.MAX_MESSAGE_BYTES + 1)
         except OSError:
-            return  # an ICMP error about what was sent before
+            return  # an ICMP error about a datagram sent earlier
         if sender in self._others:
             short_names = peer_messages.ShortNames()
             for identity, server in self._servers.numbers.items():
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes: health checks of servers by their load reports, or by their liveness where these are not read.
+"""Probes servers: requests their load reports, or a liveness check if load reports are not used.
 
 Does I/O.
 """
@@ -16,13 +16,14 @@
 from wheatroute.net.response_reader import LoadReportReader, read_response
 from wheatroute.net.server_table import ServerTable
 
-PROBE_CONNECT_TIMEOUTS = 2  # the protocol names no timeout for a probe: it has that of a connection twice
+# Timeout of a probe as a multiple of the connect timeout; the protocol does not define one.
+PROBE_CONNECT_TIMEOUTS = 2
 LOAD_PATH = b"/metrics/load"
 LIVENESS_PATH = b"/alive"
 
 
 class Prober:
-    """Runs probes, each in a task of its own."""
+    """Runs probes; each call of `run` is a separate task."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         self._log = log
 
     async def run(self, server: int) -> None:
-        """Probes a server; outcome, time and load report are added as an event."""
+        """Probes a server and adds a `PROBE_ENDED` event with outcome, duration and load report."""
         sent_at, outcome, report, holder = now(), Outcome.TIMED_OUT, None, ConnectionHolder()
         try:
             with trio.move_on_after(PROBE_CONNECT_TIMEOUTS * self._pool.connect_timeout_s):
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -1,7 +1,7 @@
-"""Takes requests off clients' connections, admits them and has their responses written.
+"""Handles the requests of clients: parses, admits or rejects them, and has their responses written.
 
-Does I/O on clients' connections. Invariant: a request that was admitted gets exactly one complete response,
-that of its exchange, unless its client goes first.
+Does I/O on clients' connections. Invariant: an admitted request gets exactly one complete response, that of
+its exchange, unless its client disconnects first.
 """
 
 import time
@@ -25,39 +25,40 @@
 from wheatroute.net.shutdown import ShutdownState
 
 READINESS_PATH = b"/up"
-MAX_ITERATIONS_TO_FIRST_READ = 3  # of the event loop, from accepting a connection to reading what lay on it
+# Event loop iterations from accepting a connection until data that was already waiting on it has been read.
+MAX_ITERATIONS_TO_FIRST_READ = 3
 REJECTION_LOG_INTERVAL_S = 1.0
 
 
 class RequestAccount(Protocol):
-    """Counts what becomes of requests, for rollouts."""
+    """Counts requests by their result; rollouts are evaluated by these counts."""
 
     def request_accepted(self, exchange: Exchange) -> None:
         """Counts a request that was admitted."""
 
     def request_answered(self, exchange: Exchange, now: float) -> None:
-        """Counts a request that has its response."""
+        """Counts a request whose response is available; `now` is the time on the clock of `clock.now`."""
 
     def request_rejected(self, exchange: Exchange) -> None:
-        """Counts a request that was rejected before it was admitted."""
+        """Counts a request that was rejected without being admitted."""
 
     def client_left(self, exchange: Exchange, now: float) -> None:
-        """Counts a request whose client has gone."""
+        """Counts a request whose client has disconnected; `now` as in `request_answered`."""
 
     def update_settings(
         self, names: dict[str, int], tenants: dict[str, int], kinds: Sequence[RequestClass]
     ) -> None:
-        """Takes over other settings."""
+        """Applies new settings: numbers of request classes and tenants by name, and the classes' rules."""
 
 
 class Readiness(Protocol):
-    """Whether the node knows the list of servers."""
+    """Tells whether the node has received a full list of servers."""
 
     has_full_list: bool
 
 
 class RequestHandler:
-    """Handles the requests of all clients."""
+    """Handles the requests of all clients; limits how many are in flight at once."""
 
     def __init__(
         self,
@@ -75,15 +76,16 @@
         self._driver = driver
         self._readiness = readiness
         self._log = log
-        self.account: RequestAccount | None = None  # set where rollouts are judged by it
+        # Set only if the settings enable rollouts.
+        self.account: RequestAccount | None = None
         self.writer = ResponseWriter(clients, shutdown, lambda: parser.max_deadline_s, self._on_ready)
         self._in_flight = 0
-        self._rejected = 0  # since that was logged
+        self._rejected = 0  # rejections since the last one was logged
         self._rejections_logged_at = -inf
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Puts other settings in force."""
+        """Applies new settings."""
         self._max_in_flight = min(
             self._clients.max_clients, settings.max_open_connections or self._clients.max_clients
         )
@@ -92,13 +94,13 @@
     # requests
 
     def handle(self, client: ClientConnection) -> None:
-        """Takes the next request if it is complete and none is open; else its bytes stay in the buffer."""
+        """Handles the next request if it is complete and no other is open; else its bytes stay buffered."""
         client.discarded_reads += client.connection.discards_input
         if client.close_reason is not None or client.exchange is not None:
             return
         try:
             if client.connection.parse():
-                self._take(client)
+                self._handle_complete(client)
             else:
                 self._wait_for_rest(client)
         except MalformedError as error:
@@ -110,13 +112,13 @@
             self.writer.nursery.start_soon(self._handle_pipelined, client)
 
     async def _handle_pipelined(self, client: ClientConnection) -> None:
-        """Handles a request that was received before the response to the one before (RFC 9112, 9.3.2)."""
+        """Handles a request that was received before the previous one was answered (RFC 9112, 9.3.2)."""
         self.handle(client)
         if client.is_paused:
             client.scope.cancel()
 
     def _wait_for_rest(self, client: ClientConnection) -> None:
-        """Part of a request was received: the rest of it has to come in time."""
+        """Starts the timeout for the rest of a partly received request; sends 100 (Continue) if expected."""
         http = client.connection.http
         if not client.has_partial_request:
             self._clients.mark_busy(client)
@@ -125,7 +127,8 @@
             interim = h11.InformationalResponse(status_code=100, headers=[])
             client.connection.sock.send(http.send(interim) or b"")
 
-    def _take(self, client: ClientConnection) -> None:
+    def _handle_complete(self, client: ClientConnection) -> None:
+        """Answers a readiness check; admits or rejects any other request that was completely received."""
         connection = client.connection
         client.finish_request()
         self._clients.mark_busy(client)
@@ -143,9 +146,9 @@
 
     @staticmethod
     def _is_readiness_check(head: h11.Request) -> bool:
-        """Whether a request for the path asks whether the node is ready.
+        """Returns whether a request for the readiness path is a readiness check.
 
-        A request class may have the same path; its requests have one of their headers.
+        A request class may have the same path; its requests carry at least one of `SINGLE_HEADERS`.
         """
         return head.method == b"GET" and not any(name in SINGLE_HEADERS for name, _ in head.headers)
 
@@ -161,8 +164,8 @@
     def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
         """Rejects a request before it reaches the balancer.
 
-        The simulator does so at the limit of the settings; here descriptors may be the tighter limit, and
-        without a descriptor left requests would be lost unread in the listener's queue.
+        The simulator rejects at the limit in the settings. Here the limit of file descriptors may be lower:
+        with no descriptor left, requests would be lost unread in the listener's queue.
         """
         if self.account is not None:
             self.account.request_rejected(exchange)
@@ -177,17 +180,20 @@
             self._rejections_logged_at, self._rejected = trio.current_time(), 0
 
     def _lag_s(self, connection: Connection) -> float:
-        """Returns how long a message may have lain unread; a first one since before the accept."""
+        """Returns the longest time in seconds for which the current message may have been waiting unread.
+
+        A first message may have arrived before its connection was accepted.
+        """
         event_loop_lag = self._driver.event_loop_lag
         iterations = event_loop_lag.iterations - connection.accepted_iteration
         if not connection.message_count and iterations <= MAX_ITERATIONS_TO_FIRST_READ:
             return time.monotonic() - connection.opened_at
         return event_loop_lag.lag_s
 
-    # ends of requests
+    # completing requests
 
     def _respond(self, client: ClientConnection) -> None:
-        """The exchange of a client has its response."""
+        """Writes the response of a client's exchange, which has just been completed."""
         exchange, client.exchange = client.exchange, None
         assert exchange is not None and exchange.response is not None
         self._in_flight -= 1
@@ -195,19 +201,19 @@
             self.account.request_answered(exchange, now())
         try:
             self.writer.write(client, exchange.response)
-        except Exception:  # it must not reach the one who completed the exchange
+        except Exception:  # must not propagate to the code that completed the exchange
             self._log.exception("fault")
             client.end(CloseReason.FAULT)
 
     def _is_client_gone(self, client: ClientConnection) -> bool:
-        """Whether a client has closed its connection, also where its task has not seen that yet."""
+        """Returns whether a client has closed its connection, even if its task has not noticed that yet."""
         if not client.connection.is_closed_by_peer():
             return False
         client.end(CloseReason.CLIENT_LEFT)
         return True
 
     def abandon(self, client: ClientConnection) -> None:
-        """Drops the open request, if any, of a client whose connection is closed: it gets no response."""
+        """Abandons the open request, if any, of a client whose connection is closed: it gets no response."""
         if client.exchange is None:
             return
         self._in_flight -= 1
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -1,7 +1,7 @@
-"""Makes an exchange of a client's message, by the settings in force. No I/O.
+"""Parses a client's message into an exchange according to the current settings. No I/O.
 
-Holds the request ids of late. Invariants: no request id is accepted twice within its time, and no request
-whose form lacks what would make a retry of it safe (a method without effects, or an idempotency key).
+Remembers recent request ids. Invariants: no request id is accepted twice while it is remembered, and no
+request is accepted without what makes a retry safe in its class (a safe method or an idempotency key).
 """
 
 import re
@@ -17,14 +17,16 @@
 from wheatroute.net.exchange import Exchange, parse_work_hint
 from wheatroute.wire_names import numbers_by_header_value, numbers_by_path_segment
 
-REQUEST_ID_MEMORY_DEADLINES = 2.0  # a request id is remembered for this multiple of the longest deadline
+# How long a request id is remembered, as a multiple of the longest deadline.
+REQUEST_ID_MEMORY_DEADLINES = 2.0
+# Headers that may occur only once in a request.
 SINGLE_HEADERS = (b"request-id", b"idempotency-key", b"request-timeout", b"tenant")
 _TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])\Z")
 _UNITS_PER_SECOND = {b"m": 1e3, b"u": 1e6}
 
 # By request class, while its form changes: the other forms that are accepted, and the number of the class
-# that has the strict rules.
-Forms = dict[int, tuple[frozenset[Idempotency], int]]
+# that has the strict rules. The form of a request is its method and whether it has an idempotency key.
+AlternativeForms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
 def parse_timeout(text: bytes) -> float:
@@ -36,9 +38,10 @@
 
 
 class RequestParser:
-    """Request classes, tenants, and the request ids that were accepted.
+    """Parses requests by their request classes and tenants, and rejects ids that were used before.
 
-    `request_classes` and `tenants` are numbers by name, `class_rules` the rules of each class by number.
+    `request_classes` and `tenants` map names to numbers; `class_rules` has the rules of each class at its
+    number. `work_header` is the lower-case name of the header with the work hint, empty for none.
     """
 
     def __init__(
@@ -53,7 +56,7 @@
         self._work_header = work_header
         self._class_rules = class_rules
         self.max_deadline_s = max(rules.deadline for rules in class_rules) or 1.0
-        self._other_forms: Forms = {}
+        self._other_forms: AlternativeForms = {}
         self._request_ids: set[bytes] = set()
         self._request_id_expiries: deque[tuple[float, bytes]] = deque()
 
@@ -62,25 +65,25 @@
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
         class_rules: Sequence[RequestClass],
-        other_forms: Forms,
+        other_forms: AlternativeForms,
     ) -> None:
-        """Puts other settings in force.
+        """Applies new settings.
 
-        A class's form follows from its effect. Clients learn of a change earlier or later than this node,
-        so a class that changes is accepted in `other_forms` too.
+        The form of a class follows from its idempotency. Clients learn of a change earlier or later than this
+        node, so requests of a class that changes are accepted in `other_forms` too.
         """
         self._request_classes = numbers_by_path_segment(request_classes)
         self._tenants = numbers_by_header_value(tenants)
         self._other_forms = other_forms
         self._class_rules = class_rules
-        # never shorter: request ids are remembered for as long as was in force when they were accepted
+        # Never decreases: request ids are remembered by the deadline that applied when they were accepted.
         self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_rules))
 
     def parse(self, request: h11.Request, path: bytes, body: bytes, lag_s: float, until: float) -> Exchange:
-        """Returns the exchange that a client asks for; raises MalformedError with the status to answer.
+        """Returns an exchange for a client's request; raises MalformedError with the status to answer.
 
-        `lag_s` is how long the message may have lain unread, `until` the time on trio's clock by which the
-        node has to answer.
+        `lag_s` is the longest time for which the message may have been waiting unread, `until` the time on
+        trio's clock by which the node must have answered.
         """
         request_class = self._request_classes.get(path.lstrip(b"/").split(b"/", 1)[0])
         if request_class is None:
@@ -90,12 +93,12 @@
             raise MalformedError(400, "a header twice that means one thing")
         request_id = headers.get(b"request-id", b"")
         idempotency_key = headers.get(b"idempotency-key", b"")
-        effect = self._class_rules[request_class].idempotency
+        idempotency = self._class_rules[request_class].idempotency
         if self._other_forms:
-            request_class, effect = self._match_form(
-                request_class, effect, request.method, bool(idempotency_key)
+            request_class, idempotency = self._match_form(
+                request_class, idempotency, request.method, bool(idempotency_key)
             )
-        self._check_form(effect, request.method, request_id, idempotency_key, body)
+        self._check_form(idempotency, request.method, request_id, idempotency_key, body)
         exchange = Exchange(request.method, request.target, request_id, idempotency_key, body)
         exchange.request_class = request_class
         time_left_s = parse_timeout(headers.get(b"request-timeout", b"")) - lag_s
@@ -109,36 +112,39 @@
 
     @staticmethod
     def _check_form(
-        effect: Idempotency, method: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
+        idempotency: Idempotency, method: bytes, request_id: bytes, idempotency_key: bytes, body: bytes
     ) -> None:
-        """Raises MalformedError where a request has not the form of its class."""
-        if method != (b"GET" if effect == Idempotency.IDEMPOTENT else b"POST"):
+        """Raises MalformedError unless a request has the form that its class requires."""
+        if method != (b"GET" if idempotency == Idempotency.IDEMPOTENT else b"POST"):
             raise MalformedError(405, "not the method of this request class")
-        if body and effect == Idempotency.IDEMPOTENT:
+        if body and idempotency == Idempotency.IDEMPOTENT:
             raise MalformedError(400, "a body that this request class has not")
         if not request_id:
             raise MalformedError(400, "no Request-Id")
-        if bool(idempotency_key) != (effect == Idempotency.KEYED):
+        if bool(idempotency_key) != (idempotency == Idempotency.KEYED):
             raise MalformedError(400, "Idempotency-Key does not suit this request class")
 
     def _match_form(
-        self, request_class: int, effect: Idempotency, method: bytes, has_key: bool
+        self, request_class: int, idempotency: Idempotency, method: bytes, has_key: bool
     ) -> tuple[int, Idempotency]:
-        """Returns class and effect by which a request is handled, so that no retry of it is unsafe."""
+        """Returns the class and idempotency to handle a request by, so that no retry of it is unsafe."""
         if method == b"GET":
             form = Idempotency.IDEMPOTENT
         else:
             form = Idempotency.KEYED if has_key else Idempotency.NON_IDEMPOTENT
         forms, strict_class = self._other_forms.get(request_class, (frozenset(), request_class))
-        if form == effect or form not in forms:
-            return request_class, effect
-        # the rules of the class apply unless they rest on a key that the request lacks, or are looser than
-        # the form in which it came
-        needs_strict = effect == Idempotency.KEYED or form == Idempotency.NON_IDEMPOTENT
+        if form == idempotency or form not in forms:
+            return request_class, idempotency
+        # The rules of the class apply unless they require a key that the request lacks, or are less strict
+        # than the form of the request.
+        needs_strict = idempotency == Idempotency.KEYED or form == Idempotency.NON_IDEMPOTENT
         return (strict_class if needs_strict else request_class), form
 
     def _remember(self, request_id: bytes) -> None:
-        """Raises MalformedError for an id that is in use: a server would take the request for a retry."""
+        """Remembers a request id; raises MalformedError if it is known already.
+
+        A server would take the request for a retry of the earlier one.
+        """
         moment = trio.current_time()
         while self._request_id_expiries and self._request_id_expiries[0][0] <= moment:
             self._request_ids.discard(self._request_id_expiries.popleft()[1])
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -1,4 +1,4 @@
-"""Reads responses of servers and finds their outcomes. Does I/O on the connections that it is given."""
+"""Reads servers' responses and determines their outcomes. Does I/O on the connections that it is given."""
 
 from dataclasses import dataclass
 from math import inf
@@ -11,13 +11,14 @@
 from wheatroute.net.log import Logger
 from wheatroute.net.server_table import ServerTable
 
-MAX_STALL_CONNECT_TIMEOUTS = 2.0  # for which a response that has begun may make no progress
+# The longest time without progress in a response that has begun, as a multiple of the connect timeout.
+MAX_STALL_CONNECT_TIMEOUTS = 2.0
 MAX_LOGGED_CHARACTERS = 80
 
 
 @dataclass(slots=True)
 class ServerResponse:
-    """A complete response of a server; names of headers are in lower case."""
+    """A complete response of a server; header names are in lower case."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -25,7 +26,7 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What the response says of its attempt; only one that is marked so proves that it never ran."""
+        """The outcome of the attempt; only the header "Not-Started: 1" proves that it never ran."""
         if self.status == 200:
             return Outcome.SERVED
         if self.status in (503, 504) and self.headers.get(b"not-started", b"").strip() == b"1":
@@ -34,35 +35,36 @@
 
 
 async def read_response(connection: Connection, connect_timeout_s: float) -> ServerResponse:
-    """Reads a complete response; raises MalformedError for one that is cut off, malformed or stalled."""
+    """Reads a complete response; raises MalformedError if it is truncated, malformed or stalled."""
     while not connection.parse():
-        # a response that has begun and never ends would keep the attempt, as its connection may stay open
+        # Without this timeout a response that never ends would block the attempt, as its connection may stay
+        # open.
         stall_timeout_s = inf
         if connection.has_partial_message:
             stall_timeout_s = MAX_STALL_CONNECT_TIMEOUTS * connect_timeout_s
         with trio.move_on_after(stall_timeout_s) as limit:
             await connection.receive()
         if limit.cancelled_caught:
-            raise MalformedError(0, "a response that makes no progress")
+            raise MalformedError(0, "the response made no progress")
     headers = dict(connection.head.headers)
     if b"content-length" not in headers and b"transfer-encoding" not in headers:
-        # its end is the end of the connection (RFC 9112, 6.3), so one that is cut off would look complete
-        raise MalformedError(0, "a response without a length")
+        # Such a response ends with its connection (RFC 9112, 6.3), so a truncated one would look complete.
+        raise MalformedError(0, "the response has neither Content-Length nor Transfer-Encoding")
     return ServerResponse(connection.head.status_code, headers, connection.body)
 
 
 class LoadReportReader:
-    """Parses load reports, and logs the first malformed one of each server.
+    """Parses load reports and logs only the first malformed one of each server.
 
-    A line for each malformed report would cost more than the responses.
+    A log line for each malformed report would cost more than handling the responses.
     """
 
     def __init__(self, servers: ServerTable, log: Logger) -> None:
         self._servers, self._log = servers, log
-        self._malformed: set[int] = set()  # servers whose malformed reports were logged
+        self._malformed: set[int] = set()  # servers whose first malformed report was logged
 
     def read(self, server: int, load: bytes | None) -> dict[str, float] | None:
-        """Returns the figures of a report, None where there is none or part of it is malformed."""
+        """Returns the metrics of a report; None if there is no report or part of it is malformed."""
         if not load:
             return None
         report, malformed = parse_load_report(load.decode("latin-1"))
@@ -73,5 +75,5 @@
         return None if malformed else report
 
     def forget(self, server: int) -> None:
-        """Forgets a server, so that another can have its number."""
+        """Removes a server, so that another one can use its number."""
         self._malformed.discard(server)
--- a/wheatroute/net/response_writer.py
+++ b/wheatroute/net/response_writer.py
@@ -1,6 +1,6 @@
 """Writes responses to clients. Does I/O on their connections.
 
-A response is written as far as the socket takes it; the rest is written by a task of its own.
+Writes as much of a response as possible without blocking; a separate task writes the rest.
 """
 
 import socket
@@ -16,7 +16,7 @@
 from wheatroute.net.log import CloseReason
 from wheatroute.net.shutdown import ShutdownState
 
-LINGER_S = 0.5  # for a client to read its last response and close
+LINGER_S = 0.5  # time for a client to read its last response and close the connection
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -33,9 +33,10 @@
 
 
 class ResponseWriter:
-    """Writes responses; `on_ready` is called for a client that may send another request.
+    """Writes responses and prepares their connections for the next request or the close.
 
-    `flush_timeout_s` returns how long a client may take to read a response.
+    `flush_timeout_s` returns how long a client may take to read a response. `on_ready` is called for a client
+    that may send another request.
     """
 
     def __init__(
@@ -52,11 +53,11 @@
         self.nursery: trio.Nursery
 
     def write(self, client: ClientConnection, response: Response) -> None:
-        """Writes a response."""
+        """Writes a response; returns without waiting for the client to read it."""
         self._send(client, self._head(response), response.body)
 
     def write_error(self, client: ClientConnection, error: MalformedError) -> None:
-        """Answers a malformed message with a short reason, and ends the connection."""
+        """Answers a malformed message with a short reason and closes the connection."""
         reason = CloseReason.SLOW if error.status == 408 else CloseReason.MALFORMED
         client.close_reason = reason
         self._clients.mark_busy(client)
@@ -106,9 +107,9 @@
             client.end(CloseReason.RESET)
 
     def _finish(self, client: ClientConnection) -> None:
-        """The response is written: prepares for another request, or for the end."""
+        """Prepares the connection for another request, or closes it, after a response was written."""
         is_last = client.close_reason is not None or not client.connection.start_next_message()
-        # a response that took long to write may not have announced that the node stops
+        # A response that took long to write may not have announced that the node is stopping.
         if is_last or self._shutdown.is_stopping:
             self._half_close(client, client.close_reason or self._clients.close_reason())
             return
@@ -116,9 +117,9 @@
 
     @staticmethod
     def _half_close(client: ClientConnection, reason: CloseReason) -> None:
-        """Closes the sending direction and goes on reading for `LINGER_S` (RFC 9112, 9.6).
+        """Closes the sending direction and continues reading for `LINGER_S` (RFC 9112, 9.6).
 
-        Bytes that are unread at a close turn it into a reset, which may destroy the response on its way.
+        Unread bytes turn a close into a reset, which may destroy the response in transit.
         """
         client.close_reason = reason
         client.connection.discards_input = True
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -1,9 +1,9 @@
-"""Whether an attempt may still be sent: the last check before bytes go to a server.
+"""Decides whether an attempt may still be sent: the last check before bytes are written to a server.
 
-No I/O, besides a look at the socket of the client.
+No I/O, except that the client's socket is checked for a disconnect.
 
-Between the decision for an attempt and its first byte time passes: its connection is established, or its
-server reads slowly. An attempt that is rejected here never ran.
+Time passes between the decision to send an attempt and its first byte, as its connection is established or
+its server reads slowly. An attempt that is rejected here never ran.
 """
 
 from collections.abc import Callable
@@ -15,13 +15,16 @@
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
 
-# Fraction of `DecisionSettings.overload_window_s`: a server that is warming up is not sent what was decided
-# longer ago.
+# Fraction of `DecisionSettings.overload_window_s`: an attempt to a server that is warming up is not sent if
+# it was decided longer ago than this.
 MAX_WARMUP_DECISION_AGE = 0.25
 
 
 class SendRules:
-    """The rules for sending attempts; `on_client_gone` is called for an exchange whose client has gone."""
+    """Checks attempts before they are written.
+
+    `on_client_gone` is called with an exchange whose client turns out to have disconnected.
+    """
 
     def __init__(
         self, settings: DecisionSettings, servers: ServerTable, on_client_gone: Callable[[Exchange], None]
@@ -31,15 +34,20 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Puts other settings in force."""
+        """Applies new settings."""
         self._settings, self._class_rules = settings, settings.request_classes
 
     def may_send(self, exchange: Exchange, attempt: Attempt) -> bool:
-        """Whether an attempt may be written now.
+        """Returns whether an attempt may be written now.
+
+        It may not if any of these holds:
 
-        It may not once the exchange is complete or past its deadline, the attempt is withdrawn or out of
-        time, the server has changed its state, start or address, a server that is warming up was selected
-        long ago, another attempt forbids it, or the client has gone.
+        - the exchange is complete or past its deadline;
+        - the attempt was withdrawn or has timed out;
+        - the server's state, start time or address has changed since it was selected;
+        - the server is warming up and was selected too long ago;
+        - another attempt, which may have run, forbids a retry;
+        - the client has disconnected.
         """
         if exchange.is_complete or attempt.is_withdrawn or attempt.scope.cancel_called:
             return False
@@ -57,9 +65,9 @@
         return True
 
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
-        """Whether it was decided too long ago for a server that is warming up.
+        """Returns whether the attempt was decided too long ago for a server that is warming up.
 
-        The server would get it in addition to what was decided since, and fail under that.
+        The server would receive it on top of everything decided since, and fail under that load.
         """
         started_at = self._servers.started_at(attempt.server)
         if not started_at or now() >= started_at + self._settings.warmup_s:
@@ -67,7 +75,7 @@
         return 0.0 < MAX_WARMUP_DECISION_AGE * self._settings.overload_window_s < now() - attempt.sent_at
 
     def _is_forbidden(self, exchange: Exchange, attempt: Attempt) -> bool:
-        """Whether another attempt that may have run forbids this one."""
+        """Returns whether another attempt that may have run forbids this one."""
         rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.IDEMPOTENT:
             return False
@@ -78,7 +86,7 @@
         return now() >= first_sent_at + rules.retry_window - self._settings.tick
 
     def can_strand(self, exchange: Exchange) -> bool:
-        """Whether an attempt that may have run can leave the exchange without any attempt that is allowed."""
+        """Returns whether an attempt that may have run can rule out every further attempt."""
         rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.KEYED:
             return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
--- a/wheatroute/net/server_entries.py
+++ b/wheatroute/net/server_entries.py
@@ -1,6 +1,6 @@
-"""Translates entries of the list of servers into those of the decision module, and updates the upstream side.
+"""Translates entries of the list of servers for the decision module and updates the server registry.
 
-No I/O. It judges no server: what the list says is passed on as it is.
+No I/O. Servers are not evaluated here: the contents of the list are passed on unchanged.
 """
 
 from collections.abc import Mapping
@@ -19,52 +19,56 @@
 
 
 class ServerRegistry(Protocol):
-    """What has to know addresses and states of servers, by number."""
+    """Keeps addresses and states of servers by number."""
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
         """Sets a server's address."""
 
     def set_state(self, server: int, state: ServerState, started_at: float) -> None:
-        """Sets a server's state, and its start, Unix time in seconds."""
+        """Sets a server's state and its start time (Unix time in seconds)."""
 
     def close_idle(self, server: int) -> None:
         """Closes idle connections to a server."""
 
     def release(self, server: int) -> bool:
-        """Forgets a server; returns False while it is in use."""
+        """Removes a server; returns False, and keeps it, while it is in use."""
 
 
 class ServerEntryReader:
-    """Reads entries; `zones` and `models` are numbers by name, and number names that they don't know."""
+    """Reads entries of the list of servers.
+
+    `zones` and `models` map names to numbers; they must assign a number to an unknown name.
+    """
 
     def __init__(self, zones: Mapping[str, int], models: Mapping[str, int], servers: ServerRegistry) -> None:
         self._zones, self._models, self._servers = zones, models, servers
         self.numbers = ServerNumbers()
 
     def begin_list(self, is_full: bool) -> None:
-        """Prepares for the entries of a list, or of changes to it."""
+        """Prepares for the entries of a full list, or of changes to a list."""
         self.numbers.free_unused(self._servers.release)
         if is_full:
             self.numbers.mark_all_removed()
 
     def finish_full_list(self) -> None:
-        """Sets the state of servers that a full list did not have."""
+        """Marks servers that the full list did not contain as removed."""
         for server in self.numbers.removed:
             self._servers.set_state(server, ServerState.REMOVED, 0.0)
 
     def read(self, fields: Any) -> list[ListEntry]:
-        """Returns an entry, after one that removes the server which had the number before, if there was one.
+        """Returns the entry of a server.
 
-        Raises TypeError, ValueError, KeyError or AttributeError for a malformed one.
+        If another server had the same number before, an entry that removes that server comes first. Raises
+        TypeError, ValueError, KeyError or AttributeError for a malformed entry.
         """
         identity = fields["id"]
         if not isinstance(identity, str):
-            raise ValueError("no id")
+            raise ValueError('"id" must be a string')
         state = STATES.get(fields.get("state", "in_service"), ServerState.DRAINING)
         weight, cell = float(fields.get("weight", 1.0)), int(fields.get("cell", 0))
         started_at = float(fields.get("started_ms", 0)) / 1000.0
         if not (isfinite(weight) and isfinite(started_at)):
-            raise ValueError("a figure that is none")
+            raise ValueError('"weight" and "started_ms" must be finite numbers')
         zone, model = str(fields.get("zone", "")), str(fields.get("kind", ""))
         has_address = state != ServerState.REMOVED or "addr" in fields
         address = parse_address(fields["addr"]) if has_address else None
--- a/wheatroute/net/signals.py
+++ b/wheatroute/net/signals.py
@@ -1,8 +1,8 @@
-"""Signals of every process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
+"""Signal handling of every process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 
-Signals are handled from before anything listens until after everything has ended, so that one that comes too
-early, twice or in the last moment neither ends the process at once nor changes its exit status. How a process
-stops is up to the callbacks. I/O: installs signal handlers.
+Signals are handled from before anything listens until everything has ended, so that a signal that arrives too
+early, twice or at the last moment neither terminates the process at once nor changes its exit status. How a
+process stops is up to the callbacks. I/O: installs signal handlers.
 """
 
 import signal
@@ -17,7 +17,7 @@
 
 
 def record_early_signals() -> list[int]:
-    """Records stop signals while no receiver is open, in the list that is returned; ignores SIGHUP."""
+    """Records stop signals in the returned list until a receiver is opened; ignores SIGHUP."""
     early: list[int] = []
     for number in STOP_SIGNALS:
         signal.signal(number, lambda number, _: early.append(number))
@@ -26,14 +26,14 @@
 
 
 def open_signal_receiver() -> AbstractContextManager[AsyncIterator[int]]:
-    """Returns a context manager for the signals, to be entered before anything listens."""
+    """Returns a context manager that receives the signals; enter it before anything listens."""
     return trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP)
 
 
 async def handle_signals(
     signals: AsyncIterator[int], stop: Callable[[], Awaitable[None]], reload: Callable[[], None], log: Logger
 ) -> None:
-    """Runs `stop` at the first stop signal, and `reload` at each SIGHUP, also while the process stops."""
+    """Runs `stop` on the first stop signal and `reload` on each SIGHUP, even while the process stops."""
     async with trio.open_nursery() as nursery:
         is_stopping = False
         async for number in signals:
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -1,6 +1,6 @@
-"""The side of the node that talks to servers: attempts, probes and the connections for both.
+"""The upstream side of the node: attempts and probes to servers, and the connections for both.
 
-Brings the parts together and holds their tasks; the I/O is theirs.
+Composes these parts and runs their tasks; does no I/O itself.
 """
 
 import trio
@@ -19,7 +19,7 @@
 
 
 class Upstream:
-    """The servers of the node; an `AttemptSender` for the driver."""
+    """Runs attempts and probes; the `AttemptSender` of the driver and the `ServerRegistry` of discovery."""
 
     def __init__(
         self,
@@ -39,11 +39,11 @@
 
     @property
     def open_connections(self) -> int:
-        """The number of connections to servers."""
+        """The number of open connections to servers."""
         return self._pool.open
 
     async def run(self) -> None:
-        """Holds the tasks of attempts and probes, and closes connections that are idle for too long."""
+        """Runs the tasks of attempts and probes, and closes expired idle connections, until cancelled."""
         interval_s = self._pool.sweep_interval_s
         async with trio.open_nursery() as self._nursery:
             while True:
@@ -51,23 +51,23 @@
                 self._pool.close_expired()
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Puts other settings in force."""
+        """Applies new settings."""
         self._pool.update_settings(settings)
         self._rules.update_settings(settings)
 
-    # what the list says
+    # updates from discovery
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
-        """Sets a server's address; idle connections to another one are closed."""
+        """Sets a server's address; closes its idle connections if the address has changed."""
         if self._servers.set_address(server, address):
             self._pool.close_idle(server)
 
     def set_state(self, server: int, state: ServerState, started_at: float) -> None:
-        """Sets what the list says of a server; attempts decided before a change are not sent any more."""
+        """Sets a server's state and start time; attempts decided before a change are no longer sent."""
         self._servers.set_state(server, state, started_at)
 
     def release(self, server: int) -> bool:
-        """Forgets a removed server, so that another can have its number; returns False while it is in use."""
+        """Removes a server, so that another one can use its number; returns False while it is in use."""
         if self._servers.is_in_use(server):
             return False
         self._pool.close_idle(server)
--- a/wheatroute/peer_messages.py
+++ b/wheatroute/peer_messages.py
@@ -1,8 +1,8 @@
-"""Messages between nodes about the load of servers, as text. No I/O.
+"""Encodes and decodes the text messages with loads of servers that nodes exchange. No I/O.
 
-A message is a prefix and four characters for each server: three for a short name, which every node makes
-from the server's address by itself, and one for the load, in hundredths up to 92 of them. A message is
-never longer than what the network of nodes takes, and one that can't be decoded counts as empty.
+A message is a prefix followed by four characters for each server: three for a short name, which every node
+derives from the server's address, and one for the load, from 0 to 92 hundredths. A message is never longer
+than the nodes' network allows. A message that cannot be decoded is treated as empty.
 """
 
 from collections.abc import Iterable, Mapping
@@ -10,13 +10,16 @@
 
 PREFIX = "h"
 MAX_MESSAGE_BYTES = 256
-ENTRY_LENGTH = 4  # characters for a server
+ENTRY_LENGTH = 4  # characters per server
 LOAD_UNIT = 0.01
-_FIRST_CHARACTER, _BASE = 33, 93  # printable characters of one byte, but for the last two
+_FIRST_CHARACTER, _BASE = 33, 93  # printable single-byte characters except the last two
 
 
 def short_name(address: str) -> str:
-    """Three characters that stand for a server's address at every node: its CRC-32 to the base 93."""
+    """Returns the short name of a server's address: the last three base-93 digits of its CRC-32.
+
+    The result is the same on every node.
+    """
     rest, name = crc32(address.encode()), ""
     for _ in range(ENTRY_LENGTH - 1):
         rest, digit = divmod(rest, _BASE)
@@ -25,7 +28,7 @@
 
 
 def encode_loads(loads: Iterable[tuple[str, float]]) -> list[str]:
-    """As few messages as hold the loads by address."""
+    """Returns the messages, as few as possible, for pairs of server address and load."""
     entries = []
     for address, load in loads:
         digit = min(_BASE - 1, max(0, round(load / LOAD_UNIT)))
@@ -35,7 +38,7 @@
 
 
 def decode_loads(text: str, numbers: Mapping[str, int]) -> dict[int, float]:
-    """The loads in a message by server number; `numbers` has the known servers by short name."""
+    """Returns the loads in a message by server number; `numbers` maps short names to known servers."""
     body = text[len(PREFIX) :]
     if not text.startswith(PREFIX) or len(body) % ENTRY_LENGTH or len(text) > MAX_MESSAGE_BYTES:
         return {}
@@ -49,14 +52,14 @@
 
 
 class ShortNames:
-    """Server numbers by short name; servers that share one are in no message."""
+    """Maps short names to server numbers; a name that several servers share is left out."""
 
     def __init__(self) -> None:
         self.numbers: dict[str, int] = {}
         self._ambiguous: set[str] = set()
 
     def add(self, address: str, server: int) -> None:
-        """Adds a server; the same one may be added again."""
+        """Adds a server; adding the same one again has no effect."""
         name = short_name(address)
         if self.numbers.get(name, server) != server:
             self._ambiguous.add(name)
--- a/wheatroute/platform_settings.py
+++ b/wheatroute/platform_settings.py
@@ -1,7 +1,7 @@
-"""Makes decision settings of the platform's settings, a tree of JSON with its own names. No I/O.
+"""Translates the platform's settings, a JSON tree with its own key names, to decision settings. No I/O.
 
-Keys that are absent get a default; keys that are not known are passed over. Types are not checked here:
-that is for the caller (`wheatroute/net/node_settings.py`, `wheatroute/agreement/join_rules.py`).
+Missing keys get a default; unknown keys are ignored. Types are not checked here but by the callers
+(`wheatroute/net/node_settings.py`, `wheatroute/agreement/join_rules.py`).
 """
 
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.wire_names import DEDUPLICATION_GROUP_NAMES, IDEMPOTENCY_NAMES, REPORT_FIGURES
 
-# field of `DecisionSettings`: (path of the key, value where it is absent)
+# Maps each field of `DecisionSettings` to the path of its key and the default for a missing key.
 SETTING_KEYS: dict[str, tuple[str, Any]] = {
     "nodes": ("balancers", 1),
     "node": ("me", 0),
@@ -46,7 +46,7 @@
 
 
 def decision_settings(info: Mapping[str, Any], zones: Mapping[str, int]) -> DecisionSettings:
-    """Decision settings from the platform's; `zones` numbers the zones by name."""
+    """Returns the decision settings for the platform's settings; `zones` maps zone names to numbers."""
     values = {field: _at_path(info, path, default) for field, (path, default) in SETTING_KEYS.items()}
     return DecisionSettings(
         **values,
@@ -65,7 +65,7 @@
 
 
 def _at_path(info: Mapping[str, Any], path: str, default: Any) -> Any:
-    """The value at a path of keys with dots between; `default` where a key is absent or its value null."""
+    """Returns the value at a path of dot-separated keys; `default` if a key is missing or its value null."""
     here: Any = info
     for key in path.split("."):
         here = here.get(key) if isinstance(here, dict) else None
@@ -80,7 +80,7 @@
         deadline=deadline,
         value=info.get("utility", 1.0),
         late_value=info.get("overdue-utility", 0.0),
-        # a word not known here is taken for the strictest
+        # An unknown value is treated as the strictest one.
         idempotency=IDEMPOTENCY_NAMES.get(info.get("effect", ""), Idempotency.NON_IDEMPOTENT),
         deduplication_group=DEDUPLICATION_GROUP_NAMES.get(info.get("group", "all"), DeduplicationGroup.CELL),
         retry_window=info.get("repeat-window", 0.0),
--- a/wheatroute/wire_names.py
+++ b/wheatroute/wire_names.py
@@ -1,7 +1,7 @@
-"""Names on the wire and in settings files, mapped to ours, and names mapped to dense numbers. No I/O.
+"""Maps names on the wire and in settings files to internal ones, and names to dense numbers. No I/O.
 
-Only what the bench's link, the node on sockets and the processor share; outcomes and server states as one of
-them spells them stay with it.
+Contains only what the simulator's link, the node and the processor share. Names of outcomes and of server
+states differ between them and are defined in their own packages.
 """
 
 from collections.abc import Callable, Mapping
@@ -20,7 +20,7 @@
     "zone": DeduplicationGroup.ZONE,
     "cell": DeduplicationGroup.CELL,
 }
-# figures of load reports: the simulator's names and those on the sockets, and ours
+# Metrics of load reports: maps the names that the simulator and real servers use to internal names.
 REPORT_FIGURES = {
     "active": "held",
     "waiting": "queued",
@@ -37,11 +37,11 @@
 }
 
 
-UNRESERVED_IN_PATH = "!$&'()*+,;=:@"  # a path may hold them percent-encoded or as they are
+UNRESERVED_IN_PATH = "!$&'()*+,;=:@"  # characters that a path may contain percent-encoded or literally
 
 
 class NameNumbering(dict[str, int]):
-    """Numbers by name; a name that is looked up for the first time gets the next number."""
+    """Maps names to numbers; a name that is looked up for the first time gets the next number."""
 
     def __missing__(self, name: str) -> int:
         self[name] = number = len(self)
@@ -49,10 +49,10 @@
 
 
 def numbers_by_spelling(numbers: Mapping[str, int], *spellings: Callable[[str], bytes]) -> dict[bytes, int]:
-    """Numbers by the bytes that a name may come in on the wire.
+    """Returns numbers by each byte string that may represent a name on the wire.
 
-    Clients spell names that are not ASCII in several ways; without all of them a tenant's requests would be
-    counted as nobody's. Where two names have a spelling in common, the earlier spelling decides.
+    Clients encode non-ASCII names in several ways; if one were missing, a tenant's requests would be counted
+    for no tenant. If two names share a spelling, the function that comes first in `spellings` decides.
     """
     found: dict[bytes, int] = {}
     for spelling in spellings:
@@ -63,7 +63,7 @@
 
 
 def numbers_by_path_segment(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    """Numbers by each spelling of a name as a segment of a path."""
+    """Returns numbers by each spelling of a name as a path segment."""
     return numbers_by_spelling(
         numbers,
         lambda name: quote(name, safe="").encode(),
@@ -73,7 +73,7 @@
 
 
 def numbers_by_header_value(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    """Numbers by each spelling of a name as the value of a header."""
+    """Returns numbers by each spelling of a name as a header value."""
     return numbers_by_spelling(
         numbers, str.encode, lambda name: quote(name, safe="").encode(), lambda name: name.encode("latin-1")
     )
