--- a/tests/async_scenarios.py
+++ b/tests/async_scenarios.py
@@ -1,10 +1,10 @@
-"""What asynchronous tests share: a scenario that runs in trio, and waiting for something to be so."""
+"""Helpers for asynchronous tests: running a test in trio, and waiting for a condition."""
 
 import trio
 
 
 def scenario(test):
-    """Runs an async test; fixtures are passed on by position."""
+    """Runs an async test in trio; the fixture `tmp_path` is passed if the test has a parameter."""
     if test.__code__.co_argcount:
 
         def run(tmp_path):
@@ -19,6 +19,6 @@
 
 
 async def until(condition):
-    """Waits until `condition()` holds; the test's own time limit ends it if it never does."""
+    """Waits until `condition()` holds; relies on the test's own timeout if it never does."""
     while not condition():
         await trio.sleep(0.002)
--- a/tests/net/race_harness.py
+++ b/tests/net/race_harness.py
@@ -1,9 +1,10 @@
-"""Servers, list services and clients around a node. They act at named steps, by which tests force races.
+"""Servers, list services and clients around a node, with hooks at named steps by which tests force races.
 
-Steps of a server: `accepted`, `head` (a request's head is read), `read` (all of it), `half` (half of the
-answer is written), `last` (all of it), `closing`. Of a node in this process: a connection to a server is up
-and nothing written (`HeldConnections`), and any method that `at` is given. What waits here waits for the
-step itself; a limit only turns a hang into a failure.
+Steps of a server: `accepted`, `head` (the head of a request was read), `read` (the whole request was read),
+`half` (half of the response was written), `last` (the whole response was written) and `closing`. Steps of a
+node in this process: a connection to a server is established and nothing was written (`HeldConnections`),
+and any method that `hook` is given. Tests wait for the step itself; a timeout only turns a hang into a
+failure.
 """
 
 import os
@@ -22,10 +23,10 @@
 
 
 class Server:
-    """A server; `on` maps steps to async functions of its stream.
+    """A server; `on` maps steps to async functions that are called with the stream.
 
-    `responses` come in turn, the last stays. `heads` are heads of requests that were read, `requests` are
-    those read whole.
+    `responses` are sent in turn, the last one repeatedly; None sends nothing. `heads` has the heads of all
+    requests, `requests` only the requests that were read completely.
     """
 
     def __init__(self, *responses, name="s", on=None, buffer=0):
@@ -41,7 +42,7 @@
 
     @property
     def ids(self):
-        """The ids of all requests that it has read whole."""
+        """The ids of all requests that were read completely."""
         return [header_value(one, b"request-id") for one in self.requests]
 
     async def run(self):
@@ -80,7 +81,7 @@
 
 
 class ListService:
-    """A list service: `answer(request)` is called for each, and returns bytes, None for silence or RST."""
+    """A list service: `answer(request_line)` returns the response, None to send nothing, or RST."""
 
     def __init__(self, answer, on=None):
         self.answer, self.on, self.requests, self.connection_count = answer, on or {}, [], 0
@@ -111,7 +112,7 @@
 
 
 class Client:
-    """A client on a blocking socket: what it does has reached the node's machine when the call returns."""
+    """A client on a blocking socket: what a call does has reached the kernel when the call returns."""
 
     def __init__(self, port, linger=None):
         self.sock = socket.create_connection(("127.0.0.1", port))
@@ -127,8 +128,8 @@
     def reset(self):
         reset(self.sock)
 
-    async def answer(self):
-        """One whole message as (status, bytes); None at a close or reset."""
+    async def response(self):
+        """Reads one complete message; returns (status, bytes), or None on a close or reset."""
         self.sock.setblocking(False)
         data = b""
         while True:
@@ -146,7 +147,7 @@
 
 
 def send_now(stream, data):
-    """Writes to a stream without giving anyone else a turn: it is in the other side's socket on return."""
+    """Writes to a stream without yielding: the data is in the peer's socket on return."""
     with socket.socket(fileno=os.dup(stream.socket.fileno())) as sock:
         sock.send(data)
 
@@ -175,17 +176,17 @@
 
 
 async def wait_until(condition):
-    """Waits until `condition()` holds, ten seconds at most."""
+    """Waits until `condition()` holds, at most ten seconds."""
     with trio.fail_after(10):
         while not condition():
             await trio.sleep(0.001)
 
 
 class HeldConnections:
-    """The first `max_held` connections to servers wait, once established, until `released` is set.
+    """Holds the first `max_held` connections to servers, once established, until `released` is set.
 
-    With `blocked` the whole node stands still in that call instead; `buffer` is the size of their send
-    buffers.
+    If `blocked` is given, it is called instead and blocks the whole node meanwhile. `buffer` is the size of
+    the connections' send buffers.
     """
 
     def __init__(self, max_held=1, buffer=0, blocked=None):
@@ -216,11 +217,11 @@
 
 
 @contextmanager
-def at(owner, name, before=None, after=None):
-    """Has `before` or `after` happen at the step that a method of the program stands for."""
+def hook(owner, name, before=None, after=None):
+    """Calls `before` or `after` with the arguments of each call of a method."""
     real = getattr(owner, name)
 
-    def step(*fields, **named):
+    def hooked(*fields, **named):
         if before is not None:
             before(*fields)
         result = real(*fields, **named)
@@ -228,12 +229,12 @@
             after(*fields)
         return result
 
-    with mock.patch.object(owner, name, step):
+    with mock.patch.object(owner, name, hooked):
         yield
 
 
-class Stall(trio.abc.Instrument):
-    """The event loop stands still once `when()` holds, before a look at its sockets, until `over()` holds."""
+class EventLoopStall(trio.abc.Instrument):
+    """Blocks the event loop once, from when `when()` holds before a wait for sockets until `over()` holds."""
 
     def __init__(self, when, over):
         self.when, self.over, self.stalled = when, over, False
@@ -245,7 +246,7 @@
                 time.sleep(0.001)
 
 
-def message(node, *what, **how):
-    """Returns a request and its id."""
-    text = node.request_text(*what, **how)
+def new_request(node, *fields, **named_fields):
+    """Returns the text of a new request and its id."""
+    text = node.request_text(*fields, **named_fields)
     return text, header_value(text, b"request-id")
--- a/tests/net/test_balancer_driver.py
+++ b/tests/net/test_balancer_driver.py
@@ -1,4 +1,4 @@
-"""What the driver hands to the decision module, and in which order."""
+"""The events that the driver passes to the decision module, and their order."""
 
 import structlog
 from balancer_host import decision_settings
@@ -8,7 +8,7 @@
 from wheatroute.net.clock import now
 
 
-def test_of_two_updates_in_one_batch_the_later_one_counts_and_both_come_before_all_else():
+def test_two_settings_updates_in_one_batch_keep_their_order_and_precede_all_other_events():
     driver = BalancerDriver(decision_settings(answer_slack_s=0.02), "1", structlog.get_logger())
     seen = []
     driver._balancer.handle_events = lambda now, events, writer: seen.extend(events)
--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -1,6 +1,6 @@
-"""The move from a pool of nodes to a node beside each client: both shapes before the same servers.
+"""The migration from a pool of nodes to sidecar nodes: both deployments in front of the same servers.
 
-All on loopback: whole nodes, and stand-ins for servers that queue requests and report it to probes.
+All on loopback: complete nodes, and stand-in servers that queue requests and report the queue to probes.
 """
 
 import re
@@ -22,17 +22,17 @@
 from wheatroute.__main__ import serve_node
 from wheatroute.net import node_settings
 
-CORES = 2  # of a server
+CORES = 2  # cores of a server
 SERVICE_TIME_S = 0.02
 DRAIN_GRACE_S = 0.25
 
 
 class QueueingServer:
-    """A server with few cores; it notes what it has run, and counts probes and waiting requests."""
+    """A server with few cores; records what it has run, and counts probes and queued requests."""
 
     def __init__(self, name):
         self.name, self.probe_count, self.queued = name, 0, 0
-        self.executions, self.arrival_times = [], []  # (request id, method); moments
+        self.executions, self.arrival_times = [], []  # (request id, method) pairs; times
         self.cores = trio.CapacityLimiter(CORES)
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
@@ -59,7 +59,7 @@
                         await trio.sleep(SERVICE_TIME_S)
                 await stream.send_all(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         except trio.BrokenResourceError:
-            pass  # the node has cancelled it
+            pass  # the node has cancelled the request
 
 
 def free_udp_address():
@@ -69,7 +69,7 @@
 
 
 def configure(node, nodes, number, peers=None):
-    """Makes a node one of a pool, or one beside a client if it has peers."""
+    """Makes a node a member of a pool, or a sidecar if it has peers."""
     config = node.config
     config["settings"] |= {"balancers": nodes, "me": number}
     if peers is not None:
@@ -83,11 +83,11 @@
     return node
 
 
-def test_both_shapes_keep_the_rules_and_neither_starves_the_other(tmp_path):
-    trio.run(both_shapes, tmp_path)
+def test_both_deployments_keep_the_rules_and_neither_starves_the_other(tmp_path):
+    trio.run(both_deployments, tmp_path)
 
 
-async def both_shapes(folder):
+async def both_deployments(folder):
     servers = [QueueingServer(f"s{n}") for n in range(4)]
     peer_addresses = [free_udp_address(), free_udp_address()]
     listener = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -97,7 +97,7 @@
     nodes, lists, served = [], [], {"pool": 0, "sidecar": 0}
     for n in range(4):
         (folder / str(n)).mkdir()
-        # the last server drains, which every node receives with its first watch
+        # The last server is draining; every node learns this from its first watch.
         lists.append(StandInServer(list_response(2, server_entry(servers[3], state="terminating")), None))
         node = Node(folder / str(n), *servers, discovery=lists[n], deadline=2.0)
         others = [one for i, one in enumerate(peer_addresses) if i != n] + [listener_address]
@@ -126,16 +126,17 @@
                 for n in range(80):
                     for node in nodes:
                         calls.start_soon(call, node, ("view", "amend", "place")[n % 3])
-                    await trio.sleep(0.02)  # 200 a second, of 300
+                    await trio.sleep(0.02)  # 200 requests per second; the servers can take 300
             nursery.cancel_scope.cancel()
-    # rule one: one answer for each; rule two: nothing non-idempotent ran twice; rule three: the drain is kept
+    # First rule: one response per request. Second: nothing non-idempotent ran twice. Third: the draining
+    # server gets no requests.
     assert len(statuses) == 320
     posted = [request_id for one in servers for request_id, method in one.executions if method == b"POST"]
     assert len(posted) == len(set(posted))
     assert not [when for when in servers[3].arrival_times if when > drained_at + DRAIN_GRACE_S]
-    # neither kind starves the other
+    # Neither deployment starves the other.
     assert min(served.values()) > 0.8 * 160 and min(served.values()) > 0.8 * max(served.values())
-    # those beside clients probe, and send what they heard to the others
+    # Sidecars probe, and send the loads that they have received to the others.
     assert all(one.probe_count for one in servers[:3])
     short_names = peer_messages.ShortNames()
     for n, one in enumerate(servers):
@@ -163,17 +164,18 @@
     assert "\n" not in str(found.value)
 
 
-def test_without_peers_a_node_has_no_peer_socket_and_one_request_a_connection(tmp_path):
+def test_without_peers_a_node_has_no_peer_socket_and_one_request_per_connection(tmp_path):
     node = Node(tmp_path, StandInServer(b""))
     node.config["settings"]["allowed"] |= {"peers": True, "streams-per-conn": 100}
     node.read_config()
     settings = node.settings
     assert settings.peers is None and settings.work_header == b""
     assert settings.decision_settings.calls_per_connection == 1
-    assert not settings.decision_settings.has_peers  # allowed, but nobody is named: it probes for none
+    # Peers are allowed, but as there are none, no server is probed on their behalf.
+    assert not settings.decision_settings.has_peers
 
 
-def test_messages_of_strangers_and_malformed_ones_are_ignored():
+def test_malformed_messages_and_those_about_unknown_servers_are_ignored():
     short_names = peer_messages.ShortNames()
     short_names.add("a", 0)
     for text in (
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -1,4 +1,4 @@
-"""What may cross on the way from the list service, which acts at a named step to force it."""
+"""Races between responses of the list service, which acts at named steps to force each of them."""
 
 import socket
 import time
@@ -7,7 +7,7 @@
 import structlog
 import trio
 from node_harness import OK, list_response, scenario, server_entry
-from race_harness import RST, Client, ListService, Server, at, message, send_now, wait_until
+from race_harness import RST, Client, ListService, Server, hook, new_request, send_now, wait_until
 
 from wheatroute.balancing.interface import Event, ServerState
 from wheatroute.net.discovery import WATCH_WAIT_S, Discovery
@@ -15,7 +15,7 @@
 
 
 class EventRecorder:
-    """Takes the events of a `Discovery`: the states of servers, full lists and failures."""
+    """Records the events of a `Discovery`: the states of servers and the number of failures."""
 
     def __init__(self):
         self.states, self.failures = {}, 0
@@ -60,7 +60,7 @@
 
 
 @discovery_test
-async def test_a_full_list_that_arrives_after_a_newer_change_undoes_nothing(start):
+async def test_a_full_list_that_arrives_after_a_newer_change_does_not_revert_it(start):
     list_requested, answered = trio.Event(), trio.Event()
 
     async def answer(request):
@@ -68,7 +68,7 @@
             return list_response(1)
         if b"after=1&" in request:
             await list_requested.wait()
-            # while the whole list, made before, is on its way
+            # Sent while the full list, created earlier, is in transit.
             return list_response(2, entry_in_state("terminating"))
         if b"after" in request:
             await trio.sleep_forever()
@@ -88,14 +88,14 @@
 
 
 @discovery_test
-async def test_a_change_that_arrives_after_a_newer_full_list_undoes_nothing(start):
-    late = trio.Event()
+async def test_a_change_that_arrives_after_a_newer_full_list_does_not_revert_it(start):
+    release_change = trio.Event()
 
     async def answer(request):
         if b"after=1&wait_ms=1 " in request:
             return list_response(1)
         if b"after=1&" in request:
-            await late.wait()
+            await release_change.wait()
             return list_response(2, entry_in_state("in_service", 5))
         if b"after" in request:
             await trio.sleep_forever()
@@ -108,28 +108,28 @@
     await wait_until(lambda: discovery._version == 1 and len(service.requests) >= 2)
     discovery.fetch()
     await wait_until(lambda: discovery._version == 3)
-    late.set()
+    release_change.set()
     await wait_until(lambda: any(b"after=3&" in request for request in service.requests))
     assert recorder.states == {0: ServerState.DRAINING}
 
 
 @discovery_test
 async def test_a_restarted_service_with_lower_versions_is_followed(start):
-    for full in (True, False):
-        new = [False]
+    for is_full in (True, False):
+        has_restarted = [False]
 
-        async def answer(request, new=new, full=full):
-            if new[0]:
+        async def answer(request, has_restarted=has_restarted, is_full=is_full):
+            if has_restarted[0]:
                 if b"after=3&" in request:
                     return list_response(4, entry_in_state("terminating"))
                 if b"after=4&" in request:
                     await trio.sleep_forever()
                 if b"after" in request:
-                    return list_response(3, entry_in_state("in_service"), is_full=full)
+                    return list_response(3, entry_in_state("in_service"), is_full=is_full)
                 return list_response(3, entry_in_state("in_service"), is_full=True)
             if b"after" not in request:
                 return list_response(50, entry_in_state("in_service"), is_full=True)
-            new[0] = True
+            has_restarted[0] = True
             return RST
 
         discovery, recorder = await start(ListService(answer))
@@ -138,7 +138,7 @@
 
 
 @discovery_test
-async def test_the_last_response_of_the_old_service_after_a_move_is_ignored(start):
+async def test_the_last_response_of_the_previous_list_service_is_ignored_after_a_switch(start):
     streams = []
 
     async def answer(request):
@@ -149,18 +149,18 @@
     old = ListService(answer)
     serve_connection = old._serve_connection
 
-    async def noting(stream):
+    async def record_stream(stream):
         streams.append(stream)
         await serve_connection(stream)
 
-    old._serve_connection = noting
+    old._serve_connection = record_stream
     first = list_response(3, entry_in_state("in_service", 7), is_full=True)
     new = ListService(lambda request: None if b"after" in request else first)
     discovery, recorder = await start(old, new)
     await wait_until(
         lambda: discovery._version == 40 and any(b"after=40" in request for request in old.requests)
     )
-    # it lies in the node's socket as the node moves
+    # It is in the node's socket when the node switches to the new service.
     send_now(streams[-1], list_response(41, entry_in_state("terminated")))
     host, port = new.address.split(":")
     discovery.switch_service((host, int(port)))
@@ -192,7 +192,7 @@
 
 @discovery_test
 async def test_what_an_unresponsive_watch_misses_is_fetched_within_the_maximum_age(start):
-    """Silent from its longest wait's first byte; the first new connection is silent as well, and another."""
+    """The service stops responding during a watch with the longest wait, and on the next two connections."""
     silent_since, calls = [], []
 
     async def answer(request):
@@ -214,13 +214,14 @@
     await wait_until(lambda: discovery._version == 2)
     elapsed_s = time.monotonic() - silent_since[0]
     assert recorder.states == {0: ServerState.DRAINING} and len(calls) >= 3
-    # 6 s after it fell silent, and 2 s after the wait it asked for is over, what it misses counts as told
+    # The protocol considers missed changes as known 6 s after the watch became unresponsive, and 2 s after
+    # the requested wait.
     assert elapsed_s < min(6.0, WATCH_WAIT_S + 2.0), elapsed_s
 
 
 @discovery_test
 async def test_a_list_service_that_accepts_no_connection_at_first_is_reached_in_time(start):
-    """Its queue is full, so that the first new connection never comes up; then it is there again."""
+    """Its queue is full, so that the first new connection is never established; the second one is."""
     state = {"silent": None}
 
     async def answer(request):
@@ -243,7 +244,7 @@
     address, attempt_times = discovery._address, []
     connect = discovery._connect
 
-    async def dropped():
+    async def connect_to_full_queue_first():
         attempt_times.append(time.monotonic())
         discovery._address = full.getsockname() if len(attempt_times) == 1 else address
         try:
@@ -251,7 +252,7 @@
         finally:
             discovery._address = address
 
-    discovery._connect = dropped
+    discovery._connect = connect_to_full_queue_first
     await wait_until(lambda: discovery._version == 2)
     assert len(attempt_times) == 2 and time.monotonic() - state["silent"] < min(6.0, WATCH_WAIT_S + 2.0)
     assert recorder.states == {0: ServerState.DRAINING}
@@ -270,7 +271,7 @@
 
 
 @discovery_test
-async def test_an_indented_list_is_read(start):
+async def test_an_indented_list_is_parsed(start):
     import json
 
     body = json.dumps(
@@ -300,9 +301,9 @@
 
 
 @scenario
-async def test_a_drain_received_by_the_watch_stands_though_an_older_list_arrives_after_it(start):
-    """The same through a whole node: nothing new goes to the server that drains."""
-    older = trio.Event()
+async def test_a_drain_received_by_the_watch_stays_in_effect_though_an_older_list_arrives_later(start):
+    """The same with a complete node: the draining server gets no new requests."""
+    release_full_list = trio.Event()
     servers = [Server(OK), Server(OK, name="t")]
     draining = server_entry(servers[0], state="terminating")
 
@@ -313,17 +314,17 @@
             return list_response(2, draining)
         if b"after" in request:
             await trio.sleep_forever()
-        await older.wait()
+        await release_full_list.wait()
         return list_response(1, *map(server_entry, servers), is_full=True)
 
     found = []
-    with at(Discovery, "watch", before=lambda discovery, enable: found.append(discovery)):
+    with hook(Discovery, "watch", before=lambda discovery, enable: found.append(discovery)):
         node = await start(*servers, discovery=ListService(answer))
         discovery = found[0]
         discovery.fetch()
         await wait_until(lambda: discovery._version == 2)
-        older.set()
+        release_full_list.set()
         await wait_until(lambda: not discovery._fetches)
     for _ in range(12):
-        assert (await Client(node.port).send(message(node, "place", body="b")[0]).answer())[0] == 200
+        assert (await Client(node.port).send(new_request(node, "place", body="b")[0]).response())[0] == 200
     assert not servers[0].heads and len(servers[1].requests) == 12
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -1,4 +1,4 @@
-"""Closes, floods, names and ids on the clients' side: what one client does may cost no other anything."""
+"""Closes, floods, names and request ids of clients: no client may affect any other client."""
 
 import socket
 import sys
@@ -8,7 +8,7 @@
 import structlog
 import trio
 from node_harness import OK, Node, platform_settings, scenario, server_entry
-from race_harness import Client, HeldConnections, Server, at, message, wait_until
+from race_harness import Client, HeldConnections, Server, hook, new_request, wait_until
 
 from wheatroute.__main__ import serve_node
 from wheatroute.net import node_settings
@@ -18,10 +18,10 @@
 from wheatroute.wire_names import numbers_by_header_value, numbers_by_path_segment
 
 
-def types(*names, **changes):
-    """Types of these names: (name, effect) each."""
-    kind = platform_settings(1.0)["traffic-types"][0]
-    return {"traffic-types": [kind | {"name": name, "effect": effect} | changes for name, effect in names]}
+def request_classes(*names, **changes):
+    """Returns settings with request classes, each given as (name, effect)."""
+    default = platform_settings(1.0)["traffic-types"][0]
+    return {"traffic-types": [default | {"name": name, "effect": effect} | changes for name, effect in names]}
 
 
 def request_text(path, name, method="GET", **headers):
@@ -31,112 +31,114 @@
     ).encode()
 
 
-# closes
+# connections closed by clients
 
 
 @scenario
 async def test_a_rejected_client_reads_its_whole_response_though_it_goes_on_sending(start):
     node = await start(Server())
     for bad in (
-        message(node, "place", body="b")[0].replace(b"/place", b"/else"),
-        message(node, "place", body="b")[0].replace(b"Length: 1", b"Length: 70000"),
+        new_request(node, "place", body="b")[0].replace(b"/place", b"/else"),
+        new_request(node, "place", body="b")[0].replace(b"Length: 1", b"Length: 70000"),
         b"POST /place/1 HTTP/1.1\r\nHost: b\r\nExpect: 100-continue\r\nContent-Length: 90000\r\n\r\n",
     ):
         client = Client(node.port).send(bad + b"x" * 60000)
-        status, answer = await client.answer()
+        status, answer = await client.response()
         assert status in (400, 404, 413) and b"\r\n\r\n" in answer
-        assert await client.answer() is None
+        assert await client.response() is None
 
 
 @scenario
 async def test_a_client_that_leaves_during_its_100_continue_ends_nothing_else(start):
     server = Server()
     node = await start(server)
-    head = message(node, "place", body="bb")[0][:-2].replace(b"Host:", b"Expect: 100-continue\r\nHost:")
+    head = new_request(node, "place", body="bb")[0][:-2].replace(b"Host:", b"Expect: 100-continue\r\nHost:")
     for leave in (Client.leave, Client.reset):
         client = Client(node.port).send(head)
         leave(client)
     client = Client(node.port).send(head.replace(b"Request-Id: ", b"Request-Id: f"))
-    assert (await client.answer())[0] == 100
+    assert (await client.response())[0] == 100
     client.send(b"bb")
-    assert (await client.answer())[0] == 200 and len(server.requests) == 1
+    assert (await client.response())[0] == 200 and len(server.requests) == 1
 
 
 @scenario
 async def test_a_pipelined_request_is_not_taken_once_its_connection_has_ended(start):
-    """The next request lies in the buffer, the connection ends, then its turn comes."""
+    """The next request is in the buffer when the connection ends; only then is it due to be handled."""
     server = Server()
     node = await start(server)
     ended = trio.Event()
     handle_pipelined, serve = RequestHandler._handle_pipelined, Downstream._serve
 
-    async def after_the_end(self, client):
+    async def handle_after_end(self, client):
         client.scope.cancel()
         client.is_close_requested = True
         await ended.wait()
         await handle_pipelined(self, client)
 
-    async def noting(self, client):
+    async def serve_and_record_end(self, client):
         await serve(self, client)
         ended.set()
 
     with (
-        mock.patch.object(RequestHandler, "_handle_pipelined", after_the_end),
-        mock.patch.object(Downstream, "_serve", noting),
+        mock.patch.object(RequestHandler, "_handle_pipelined", handle_after_end),
+        mock.patch.object(Downstream, "_serve", serve_and_record_end),
     ):
-        first, second = message(node, "view"), message(node, "place", body="b")
+        first, second = new_request(node, "view"), new_request(node, "place", body="b")
         client = Client(node.port).send(first[0] + second[0])
-        assert (await client.answer())[0] == 200
+        assert (await client.response())[0] == 200
         await ended.wait()
-        assert await client.answer() is None
+        assert await client.response() is None
     assert (await node.send_request("view"))[0] == 200
     assert second[1] not in server.ids and len(server.requests) == 2
 
 
 @scenario
-async def test_half_a_request_at_the_moment_of_a_close_is_read_to_its_end(start):
+async def test_a_partial_request_at_the_moment_of_a_close_is_read_to_its_end(start):
     server = Server()
     node = await start(server)
     found = []
-    with at(
+    with hook(
         RequestHandler,
         "_wait_for_rest",
         after=lambda self, client: (found.append(client), client.request_close()),
     ):
-        text, one = message(node, "place", body="bb")
+        text, one = new_request(node, "place", body="bb")
         client = Client(node.port).send(text[:-1])
         await wait_until(lambda: found)
     client.send(text[-1:])
-    assert (await client.answer())[0] == 200 and server.ids == [one]
+    assert (await client.response())[0] == 200 and server.ids == [one]
 
 
-# ids, floods, refusals
+# request ids, floods, rejections
 
 
 @scenario
-async def test_one_id_on_two_connections_in_one_pass_is_one_request(start):
+async def test_one_request_id_on_two_connections_in_one_iteration_is_one_request(start):
     server = Server()
     node = await start(server)
-    text, one = message(node, "place", body="b")
+    text, one = new_request(node, "place", body="b")
     clients = [Client(node.port) for _ in range(2)]
     for client in clients:
         client.send(text)
-    got = [(await client.answer())[0] for client in clients]
+    got = [(await client.response())[0] for client in clients]
     assert sorted(got) == [200, 409] and server.ids == [one]
 
 
 @scenario
 async def test_clients_that_send_much_and_leave_cost_other_clients_nothing(start):
     server = Server()
-    sides = []
-    with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
+    downstreams = []
+    with hook(
+        Downstream, "_accept_one", before=lambda self: downstreams.append(self) if not downstreams else None
+    ):
         node = await start(server, descriptors=128)
-        usual = Client(node.port)
+        regular = Client(node.port)
         for burst in range(4):
             flood = [socket.create_connection(("127.0.0.1", node.port)) for _ in range(30)]
             for n, sock in enumerate(flood):
                 sock.setblocking(False)
-                text = message(node, "place", body="b")[0].replace(b"Length: 1", b"Length: 60000")
+                text = new_request(node, "place", body="b")[0].replace(b"Length: 1", b"Length: 60000")
                 for part in (text, b"x" * 40000, b"GET / HTTP/1.1\r\n" * 4000)[: 1 + n % 3]:
                     try:
                         sock.send(part)
@@ -144,33 +146,35 @@
                         break
                 if n % 2:
                     sock.close()
-            status, _ = await usual.send(message(node, "view")[0]).answer()
+            status, _ = await regular.send(new_request(node, "view")[0]).response()
             assert status == 200, burst
             for sock in flood:
                 sock.close()
-        side = sides[0]
-        await wait_until(lambda: side._clients.open == 1 and side._handler._in_flight == 0)
-        assert len(side._clients.idle) == 1
+        downstream = downstreams[0]
+        await wait_until(lambda: downstream._clients.open == 1 and downstream._handler._in_flight == 0)
+        assert len(downstream._clients.idle) == 1
 
 
 @scenario
 async def test_clients_that_reconnect_at_once_after_a_rejection_are_rejected_at_once_each_time(start):
-    """The busy ones are taken up to the limit before the first of these comes."""
-    sides = []
-    with at(Downstream, "_accept_one", before=lambda self: sides.append(self) if not sides else None):
+    """Busy clients are accepted up to the limit before the first of them connects."""
+    downstreams = []
+    with hook(
+        Downstream, "_accept_one", before=lambda self: downstreams.append(self) if not downstreams else None
+    ):
         node = await start(Server(None), descriptors=40, deadline=15.0)
         busy = [Client(node.port) for _ in range(14)]
         for one in busy:
-            one.send(message(node, "place", body="b", timeout="15000m")[0])
-        side = sides[0]
-        await wait_until(lambda: side._handler._in_flight == side._handler._max_in_flight)
+            one.send(new_request(node, "place", body="b", timeout="15000m")[0])
+        downstream = downstreams[0]
+        await wait_until(lambda: downstream._handler._in_flight == downstream._handler._max_in_flight)
         for _ in range(60):
             client = Client(node.port)
-            status, answer = await client.send(message(node, "view", timeout="15000m")[0]).answer()
+            status, answer = await client.send(new_request(node, "view", timeout="15000m")[0]).response()
             assert status == 503 and b"retry-after" in answer.lower()
             client.leave()
-        assert side._handler._in_flight == side._handler._max_in_flight <= 14
-        assert len(side._parser._request_ids) <= 14 + 60
+        assert downstream._handler._in_flight == downstream._handler._max_in_flight <= 14
+        assert len(downstream._parser._request_ids) <= 14 + 60
 
 
 # names
@@ -184,17 +188,17 @@
         ("fragile", "POST", {}),
     ):
         server = Server()
-        node = await start(server, changes=types(("up", effect), ("upper", effect)))
-        assert (await Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n").answer())[0] == 200
+        node = await start(server, changes=request_classes(("up", effect), ("upper", effect)))
+        assert (await Client(node.port).send(b"GET /up HTTP/1.1\r\nHost: b\r\n\r\n").response())[0] == 200
         before = len(server.requests)
         for path, status in (("/up", 200), ("/up/7", 200), ("/upper", 200), ("/u", 404), ("/uppe", 404)):
             name = f"{effect}{path.replace('/', '-')}"
-            got, answer = await Client(node.port).send(request_text(path, name, method, **headers)).answer()
+            got, answer = await Client(node.port).send(request_text(path, name, method, **headers)).response()
             assert got == status and (got != 200 or answer.endswith(b"ok")), (effect, path)
         assert len(server.requests) == before + 3
-        # what lacks an id is a bad request for the class, not a question
+        # Without a request id it is a malformed request for the class, not a readiness check.
         bad = request_text("/up", "x", method, **headers).replace(b"Request-Id: x\r\n", b"")
-        assert (await Client(node.port).send(bad).answer())[0] == 400
+        assert (await Client(node.port).send(bad).response())[0] == 400
 
 
 @scenario
@@ -202,12 +206,12 @@
     names = ("café", "cafe", "order view", "order", "50%", "a%20b", "日本")
     tenants = [{"name": name, "quota-rps": 100.0} for name in ("Zoë", "Zo", "日本", "a b")]
     server, seen = Server(), []
-    with at(
+    with hook(
         BalancerDriver,
         "add_request",
         after=lambda _, one: seen.append((one.request_class, one.tenant)),
     ):
-        kinds = types(*((name, "retryable") for name in names))
+        kinds = request_classes(*((name, "retryable") for name in names))
         node = await start(server, changes=kinds | {"tenants": tenants})
         cases = [
             ("/caf%C3%A9/1", b"Zo\xc3\xab", (0, 0)),
@@ -219,40 +223,42 @@
             ("/a%2520b", b"nobody", (5, -1)),
             ("/%E6%97%A5%E6%9C%AC", b"Zoe", (6, -1)),
         ]
-        for n, (path, tenant, means) in enumerate(cases):
+        for n, (path, tenant, expected) in enumerate(cases):
             text = request_text(path, f"n{n}").replace(b"Host: b", b"Host: b\r\nTenant: " + tenant)
-            status, _ = await Client(node.port).send(text).answer()
-            assert status == 200 and seen[-1] == means, path
+            status, _ = await Client(node.port).send(text).response()
+            assert status == 200 and seen[-1] == expected, path
         for n, path in enumerate(("/caf", "/caf%C3", "/order%20", "/order%20vie", "/%63afe")):
-            assert (await Client(node.port).send(request_text(path, f"b{n}")).answer())[0] in (400, 404), path
-    # unchanged
+            assert (await Client(node.port).send(request_text(path, f"b{n}")).response())[0] in (
+                400,
+                404,
+            ), path
+    # The paths are forwarded unchanged.
     assert [one.split(b" ")[1] for one in server.requests] == [path.encode() for path, *_ in cases]
 
 
-def test_a_spelling_of_one_name_is_never_anothers_own():
-    assert (
-        numbers_by_header_value({"é": 0, "Ã©": 1})["é".encode()] == 0
-    )  # in Latin-1 the second is spelt like the first
+def test_an_alternative_spelling_never_overrides_the_spelling_of_another_name_itself():
+    # In Latin-1 the second name is spelt like the first one in UTF-8.
+    assert numbers_by_header_value({"é": 0, "Ã©": 1})["é".encode()] == 0
     assert numbers_by_path_segment({"a b": 0, "a%20b": 1}) == {b"a%20b": 0, b"a%2520b": 1, b"a b": 0}
     assert b"" not in numbers_by_header_value({"日本": 0})
 
 
 @scenario
 async def test_two_nodes_of_one_process_share_nothing_of_their_settings(start):
-    """The same name is safe at one and unsafe at the other; their tenants have each other's numbers."""
+    """A class is idempotent on one node and not on the other; the tenants' numbers are swapped."""
     server, other = Server(), Server()
     seen = []
     one = await start(
         server,
-        changes=types(("order", "retryable"), ("pay", "fragile"))
+        changes=request_classes(("order", "retryable"), ("pay", "fragile"))
         | {"tenants": [{"name": "a", "quota-rps": 9.0}, {"name": "b", "quota-rps": 9.0}]},
     )
     two = await start(
         other,
-        changes=types(("pay", "retryable"), ("order", "fragile"))
+        changes=request_classes(("pay", "retryable"), ("order", "fragile"))
         | {"tenants": [{"name": "b", "quota-rps": 9.0}, {"name": "a", "quota-rps": 9.0}]},
     )
-    with at(
+    with hook(
         BalancerDriver,
         "add_request",
         after=lambda _, one: seen.append((one.request_class, one.tenant)),
@@ -260,16 +266,16 @@
         for n in range(3):
             safe = request_text("/order", f"o{n}", Tenant="a")
             unsafe = request_text("/order", f"p{n}", "POST", Tenant="a")
-            assert (await Client(one.port).send(safe).answer())[0] == 200
-            assert (await Client(two.port).send(safe).answer())[0] == 405
-            assert (await Client(two.port).send(unsafe).answer())[0] == 200
+            assert (await Client(one.port).send(safe).response())[0] == 200
+            assert (await Client(two.port).send(safe).response())[0] == 405
+            assert (await Client(two.port).send(unsafe).response())[0] == 200
     assert seen == [(0, 0), (1, 1)] * 3 and len(server.requests) == len(other.requests) == 3
 
 
 def test_nothing_at_module_level_changes_with_the_settings(tmp_path):
-    """What two settings would share: all modules of a node, before and after one with settings of its own."""
-    begins = tuple(f"wheatroute.{name}" for name in ("net", "decide", "words", "interface", "orders"))
-    modules = [module for name, module in sys.modules.items() if name.startswith(begins)]
+    """Compares the state of all modules of a node before and after a node with different settings has run."""
+    prefixes = tuple(f"wheatroute.{name}" for name in ("net", "decide", "words", "interface", "orders"))
+    modules = [module for name, module in sys.modules.items() if name.startswith(prefixes)]
 
     def state():
         return {
@@ -279,7 +285,7 @@
             if isinstance(value, dict | list | set | bytearray) and not name.startswith("__")
         }
 
-    async def play(changes):
+    async def run_node(changes):
         async with trio.open_nursery() as nursery:
             server = Server()
             node = Node(tmp_path, server, changes=changes, entries=[server_entry(server)])
@@ -288,12 +294,16 @@
             await node.connect()
             for name in ("o1", "o2"):
                 path = "/" + changes["traffic-types"][0]["name"]
-                assert (await Client(node.port).send(request_text(path, name, Tenant="a")).answer())[0] == 200
+                assert (await Client(node.port).send(request_text(path, name, Tenant="a")).response())[
+                    0
+                ] == 200
             nursery.cancel_scope.cancel()
 
-    trio.run(play, types(("order", "retryable")))
+    trio.run(run_node, request_classes(("order", "retryable")))
     before = state()
-    trio.run(play, types(("elsewhere", "retryable")) | {"tenants": [{"name": "a", "quota-rps": 9.0}]})
+    trio.run(
+        run_node, request_classes(("elsewhere", "retryable")) | {"tenants": [{"name": "a", "quota-rps": 9.0}]}
+    )
     assert state() == before and len(modules) > 8
 
 
@@ -316,8 +326,8 @@
 
 
 @scenario
-async def test_a_connection_that_never_comes_up_proves_that_nothing_ran(start):
-    """Its queue is full: the system drops what would open it."""
+async def test_a_connection_that_is_never_established_proves_that_nothing_ran(start):
+    """The server's accept queue is full, so that the kernel drops the SYN."""
     full = socket.create_server(("127.0.0.1", 0), backlog=0)
     fill = [socket.create_connection(full.getsockname())]
     good = Server(name="t")
@@ -326,22 +336,25 @@
     unresponsive.name = "s"
     node = await start(unresponsive, good)
     for _ in range(6):
-        text, _ = message(node, "place", body="b", timeout="3000m")
-        assert (await Client(node.port).send(text).answer())[0] == 200
+        text, _ = new_request(node, "place", body="b", timeout="3000m")
+        assert (await Client(node.port).send(text).response())[0] == 200
     assert len(good.requests) == 6
     for sock in (*fill, full):
         sock.close()
 
 
 @scenario
-async def test_a_connection_that_comes_up_in_the_end_is_kept_for_another_and_nothing_goes_out_twice(start):
+async def test_a_connection_established_too_late_is_kept_for_another_request_and_nothing_is_sent_twice(start):
     server = Server(OK)
     with HeldConnections() as held:
         node = await start(server)
-        client = Client(node.port).send(message(node, "place", body="b", timeout="300m")[0])
-        assert (await client.answer())[0] in (502, 503)  # its time is over while the connection is held
+        client = Client(node.port).send(new_request(node, "place", body="b", timeout="300m")[0])
+        assert (await client.response())[0] in (
+            502,
+            503,
+        )  # it times out while the connection is held
         assert held.peers and not server.heads
         held.released.set()
-        text, one = message(node, "place", body="b")
-        assert (await Client(node.port).send(text).answer())[0] == 200
+        text, one = new_request(node, "place", body="b")
+        assert (await Client(node.port).send(text).response())[0] == 200
     assert server.ids == [one]
--- a/tests/net/test_net_functions.py
+++ b/tests/net/test_net_functions.py
@@ -1,4 +1,4 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""Results of single functions, without sockets or clocks."""
 
 import pytest
 
--- a/tests/net/test_net_state.py
+++ b/tests/net/test_net_state.py
@@ -1,4 +1,4 @@
-"""Send rules, numbers and states of servers, the limit of clients and the shutdown, each without sockets."""
+"""Send rules, numbers and states of servers, the client limit and the shutdown, without sockets."""
 
 from types import SimpleNamespace
 from unittest import mock
@@ -28,7 +28,7 @@
 
 
 def make_rules(idempotency=Idempotency.IDEMPOTENT, **changes):
-    """Rules for one request class, the table of servers, and the exchanges whose clients have gone."""
+    """Returns rules for one request class, the server table, and the exchanges whose clients have gone."""
     settings = DecisionSettings(
         warmup_s=10.0,
         overload_window_s=0.4,
@@ -40,7 +40,7 @@
 
 
 def make_exchange(*ages_s):
-    """An exchange with an attempt for each age in seconds; all but the last may have run."""
+    """Returns an exchange with an attempt per age, and the last attempt; all but the last may have run."""
     exchange = Exchange(b"GET", b"/view", b"1", b"", b"")
     exchange.deadline = now() + TIMEOUT_S
     for number, age_s in enumerate(ages_s or (0.0,)):
@@ -50,7 +50,7 @@
 
 
 def in_trio(test):
-    """Runs a test where trio's clock is there."""
+    """Runs a test inside trio, which provides its clock."""
 
     def run():
         async def call():
@@ -63,7 +63,7 @@
 
 
 @in_trio
-def test_an_attempt_may_be_sent_until_its_exchange_or_its_time_is_over():
+def test_an_attempt_may_be_sent_until_it_or_its_exchange_has_ended():
     rules, _, _ = make_rules()
     exchange, attempt = make_exchange()
     assert rules.may_send(exchange, attempt)
@@ -102,11 +102,11 @@
     rules, servers, _ = make_rules()
     servers.set_state(0, ServerState.LIVE, now() - 5.0)
     assert rules.may_send(*make_exchange(0.05))
-    assert not rules.may_send(*make_exchange(0.2))  # a quarter of 0.4 s is over
+    assert not rules.may_send(*make_exchange(0.2))  # more than a quarter of 0.4 s has passed
     servers.set_state(1, ServerState.LIVE, now() - 11.0)
     exchange, attempt = make_exchange(0.2)
     attempt.server = 1
-    assert rules.may_send(exchange, attempt)  # it is warm
+    assert rules.may_send(exchange, attempt)  # it has warmed up
 
 
 @in_trio
@@ -133,7 +133,7 @@
 
 
 @in_trio
-def test_only_requests_that_may_not_run_twice_everywhere_can_be_stranded():
+def test_only_requests_that_are_not_safe_to_retry_everywhere_can_become_unretryable():
     for effect, changes, can_strand in (
         (Idempotency.IDEMPOTENT, {}, False),
         (Idempotency.NON_IDEMPOTENT, {}, True),
@@ -156,7 +156,7 @@
     assert not servers.is_in_use(0)
 
 
-def test_the_first_address_and_state_of_a_server_are_no_change():
+def test_the_first_address_and_state_of_a_server_do_not_count_as_a_change():
     servers = ServerTable()
     assert not servers.set_address(0, ("127.0.0.1", 1)) and not servers.set_address(0, ("127.0.0.1", 1))
     servers.set_state(0, ServerState.LIVE, 1.0)
@@ -167,12 +167,12 @@
     assert servers.generation(0) == 0 and servers.started_at(0) == 0.0
 
 
-def test_a_number_is_given_to_another_server_only_after_its_time_and_once_it_is_not_in_use():
+def test_a_number_is_reused_only_after_a_delay_and_once_its_server_is_not_in_use():
     numbers = ServerNumbers()
     assert [numbers.assign(name) for name in ("a", "b", "a")] == [(0, False), (1, False), (0, False)]
     numbers.mark_removed("a")
     numbers.free_unused(lambda number: True)
-    assert numbers.assign("c") == (2, False)  # the time is not over
+    assert numbers.assign("c") == (2, False)  # REUSE_AFTER_S has not passed
     with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
         numbers.free_unused(lambda number: False)
         assert numbers.assign("d") == (3, False)  # in use
@@ -202,23 +202,23 @@
     return Client(**vars(client))
 
 
-def test_a_silent_client_is_closed_before_the_one_that_is_idle_for_longest():
+def test_a_silent_client_is_closed_before_the_longest_idle_one():
     clients = ClientRegistry(20, ShutdownState())
-    idle, idle_later, unresponsive, new = (
+    idle, idle_later, silent, new = (
         make_client(1),
         make_client(1),
         make_client(0),
         make_client(0, opened_at=float("inf")),
     )
-    for client in (idle, idle_later, new, unresponsive):
+    for client in (idle, idle_later, new, silent):
         clients.add(client)
     clients.close_idle_client()
-    assert unresponsive.is_close_requested and not idle.is_close_requested
+    assert silent.is_close_requested and not idle.is_close_requested
     clients.close_idle_client()
     assert idle.is_close_requested and not (idle_later.is_close_requested or new.is_close_requested)
 
 
-def test_a_tenth_of_the_connections_is_for_clients_that_are_rejected():
+def test_a_tenth_of_the_connections_is_reserved_for_clients_that_are_rejected():
     shutdown = ShutdownState()
     clients = ClientRegistry(40, shutdown)
     assert (clients.max_open, clients.max_clients, ClientRegistry(10, shutdown).max_clients) == (40, 36, 8)
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -1,4 +1,4 @@
-"""One short story for each way in which sockets could break a rule, and for each failure met on them."""
+"""One test for each way in which socket I/O could break a rule, and for each failure that occurred."""
 
 import json
 import os
@@ -78,9 +78,9 @@
         (ENDLESS, 1, 502),
         (UNMARKED, 1, 502),
     ):
-        turn = [answer, OK]
+        responses = [answer, OK]
         first, second = StandInServer(OK), StandInServer(OK, name="t")
-        first.responses = second.responses = turn
+        first.responses = second.responses = responses
         node = await start(first, second)
         got, message = await node.send_request("place", body="b")
         assert (got, len(first.requests + second.requests)) == (status, attempts), answer
@@ -101,7 +101,8 @@
     peer = StandInServer(OK)
     node = await start(peer)
     await node.send_request("place", body="b")
-    peer.responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]  # and it shuts the connection
+    # After this response the server closes the connection.
+    peer.responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]
     assert (await node.send_request("place", body="b"))[0] == 200
     await trio.sleep(0.05)
     assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == 2
@@ -112,13 +113,14 @@
     peer = StandInServer(OK, RESET, OK)
     node = await start(peer)
     assert [(await node.send_request("place", body="b"))[0] for _ in range(3)] == [200, 502, 200]
-    lines = peer.connection_count
-    assert (await node.send_request("view"))[0] == 200 and peer.connection_count == lines
-    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == lines + 1
+    before = peer.connection_count
+    assert (await node.send_request("view"))[0] == 200 and peer.connection_count == before
+    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == before + 1
     with mock.patch.object(
         ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.CONNECTION_REFUSED)
     ):
-        assert (await node.send_request("place", body="b"))[0] == 200  # one that was idle is better than none
+        # An idle connection is better than none.
+        assert (await node.send_request("place", body="b"))[0] == 200
 
 
 @scenario
@@ -143,7 +145,7 @@
     assert status == 502 and 0.25 < trio.current_time() - before < 1.0
     with trio.fail_after(1):
         await peer.ended.wait()
-    assert (await node.send_request("view", timeout="200m"))[0] == 503  # safe: trying again is harmless
+    assert (await node.send_request("view", timeout="200m"))[0] == 503  # idempotent: a retry is safe
 
 
 @scenario
@@ -187,7 +189,7 @@
 
 
 @scenario
-async def test_half_a_request_without_the_rest_ends_in_bounded_time(start):
+async def test_a_partial_request_without_the_rest_times_out(start):
     node = await start(StandInServer(OK), deadline=30.0)
     with mock.patch.object(client_connection, "REQUEST_TIMEOUT_S", 0.3):
         unresponsive, stream = await node.connect(), await node.connect()
@@ -197,12 +199,12 @@
             assert await read_message(unresponsive) is None
         kept = await node.connect()
         assert (await node.send_request(stream=kept))[0] == 200
-        await trio.sleep(0.5)  # one who has asked may stay
+        await trio.sleep(0.5)  # a client that has sent a request may stay connected
         assert (await node.send_request(stream=kept))[0] == 200
 
 
 @scenario
-async def test_the_id_of_a_known_request_is_not_accepted_again(start):
+async def test_a_request_id_that_was_used_before_is_not_accepted_again(start):
     peer = StandInServer(SILENT, OK)
     node = await start(peer)
     first, second, message = await node.connect(), await node.connect(), node.request_text("place", body="b")
@@ -242,25 +244,28 @@
     in_flight, driver, upstream = {0}, mock.Mock(), mock.Mock()
     upstream.release.side_effect = lambda server: server not in in_flight
     settings = DiscoverySettings(("127.0.0.1", 1), {"z": 0}, {"k": 0}, False, {})
-    side = Discovery(settings, driver, upstream, structlog.get_logger())
+    discovery = Discovery(settings, driver, upstream, structlog.get_logger())
 
     def take(full, *names):
-        side._apply({"full": full, "servers": [server_entry(StandInServer(OK, name=name)) for name in names]})
+        discovery._apply(
+            {"full": full, "servers": [server_entry(StandInServer(OK, name=name)) for name in names]}
+        )
         return [(one[0], one[4]) for one in driver.add_event.call_args.args[1]]
 
     live, gone = ServerState.LIVE, ServerState.REMOVED
     with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
         assert take(True, "a", "b") == [(0, live), (1, live)]
         assert take(True, "b") == [(1, live)]
-        assert take(False, "c") == [(2, live)]  # an attempt is out to the first
+        assert take(False, "c") == [(2, live)]  # an attempt to the first server is in flight
         in_flight.clear()
         assert take(False, "d") == [(0, gone), (0, live)]
         assert take(False, "e") == [(3, live)]
-    assert take(True, "d") == [(0, live)] and take(True, "b") == [(1, live)]  # back in time
+    # The second server is back before its number is reused.
+    assert take(True, "d") == [(0, live)] and take(True, "b") == [(1, live)]
 
 
 @scenario
-async def test_sighup_moves_to_the_list_service_that_the_file_names(start):
+async def test_sighup_switches_to_the_list_service_that_the_file_names(start):
     draining, other = StandInServer(OK), StandInServer(OK, name="t")
     old, new = (
         StandInServer(list_response(40), SILENT),
@@ -269,7 +274,7 @@
     node = await start(draining, other, discovery=old, others=[new])
     with mock.patch.dict(os.environ, PROXY_CONFIG=str(node.config_path), PROXY_DISCOVERY=old.address):
         node.config_path.write_text("{")
-        os.kill(os.getpid(), signal.SIGHUP)  # half written: the node goes on as it was
+        os.kill(os.getpid(), signal.SIGHUP)  # incomplete file: the node keeps its settings
         await trio.sleep(0.1)
         node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         os.kill(os.getpid(), signal.SIGHUP)
@@ -285,7 +290,7 @@
 
 @scenario
 async def test_a_malformed_response_is_detected_at_once_though_its_connection_stays_open(start):
-    for spoilt in (
+    for malformed in (
         CUT_OFF,
         b"\x00\xff noise",
         b"HTTP/1.1 200 OK\r\nFiller: ",
@@ -295,13 +300,13 @@
         OK.replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n"),
     ):
         first, second = StandInServer(OK), StandInServer(OK, name="t")
-        first.responses = second.responses = [spoilt, OK]
+        first.responses = second.responses = [malformed, OK]
         first.keeps_open = second.keeps_open = True
         node = await start(first, second, deadline=9.0)
         with trio.fail_after(4):
             status, answer = await node.send_request("view", timeout="9000m")
-            assert status == 200 and answer.endswith(b"\r\n\r\nok"), spoilt
-            first.responses[:] = [spoilt, OK]  # unsafe: it may have run, so it ends there
+            assert status == 200 and answer.endswith(b"\r\n\r\nok"), malformed
+            first.responses[:] = [malformed, OK]  # not idempotent: it may have run, so it is not retried
             assert (await node.send_request("place", body="b", timeout="9000m"))[0] == 502
         assert len(first.requests + second.requests) == 3
 
@@ -367,25 +372,25 @@
     assert [(await node.send_request(stream=one))[0] for one in used] == [200] * 12
     fresh = [await node.connect() for _ in range(4)]
     assert await read_message(used[0]) is None
-    # those that have not asked yet stay: their clients may have been closed on before
+    # Clients that have not sent a request yet stay: their previous connection may have been closed too.
     assert [(await node.send_request(stream=one))[0] for one in fresh] == [200] * 4
 
 
 @scenario
-async def test_an_exception_in_the_decisions_ends_no_node_and_leaves_no_request_unanswered(start):
+async def test_an_exception_in_the_balancer_ends_no_node_and_leaves_no_request_unanswered(start):
     from wheatroute.balancing.request_admission import RequestAdmission
 
     node = await start(StandInServer(OK))
-    right, RequestAdmission._elapsed = RequestAdmission._elapsed, lambda *fields: 1 / 0
+    original, RequestAdmission._elapsed = RequestAdmission._elapsed, lambda *fields: 1 / 0
     try:
         assert (await node.send_request(timeout="200m"))[0] == 502
     finally:
-        RequestAdmission._elapsed = right
+        RequestAdmission._elapsed = original
     assert (await node.send_request())[0] == 200
 
 
 class Sender:
-    """An `AttemptSender` that notes what is started."""
+    """An `AttemptSender` that records the attempts that are started."""
 
     def __init__(self):
         self.started = []
@@ -395,13 +400,13 @@
 
 
 def make_driver(settings):
-    """A `BalancerDriver` without sockets, its balancer replaced by a list of the events it was given."""
-    driver, given = BalancerDriver(settings, "1", structlog.get_logger()), []
+    """Returns a `BalancerDriver` without sockets, and the list of events that its balancer has received."""
+    driver, received = BalancerDriver(settings, "1", structlog.get_logger()), []
     driver.upstream = Sender()
     driver._balancer = type(
-        "Module", (), {"handle_events": lambda self, now, events, writer: given.extend(events)}
+        "Module", (), {"handle_events": lambda self, now, events, writer: received.extend(events)}
     )()
-    return driver, given
+    return driver, received
 
 
 def request(time_left_s=5.0):
@@ -418,8 +423,8 @@
 
 
 def test_nothing_is_sent_for_a_request_that_has_its_response():
-    async def tell():
-        driver, given = make_driver(SETTINGS)
+    async def run_test():
+        driver, received = make_driver(SETTINGS)
         exchange = request()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
@@ -427,18 +432,18 @@
         driver.attempt(0, 4, 1.0)
         driver.handle_events(driver._overdue_times[0][0] - 1.0)
         assert len(driver.upstream.started) == 1 and exchange.response.body == b"first"
-        assert [one[4] for one in given if one[0] == Event.ATTEMPT_ENDED] == [Outcome.MOOT]
+        assert [one[4] for one in received if one[0] == Event.ATTEMPT_ENDED] == [Outcome.MOOT]
         driver.fail(0)
         assert exchange.response.body == b"first"
 
-    trio.run(tell)
+    trio.run(run_test)
 
 
 def test_a_request_past_its_deadline_may_still_be_in_commands_of_that_batch():
-    async def tell():
+    async def run_test():
         driver, _ = make_driver(SETTINGS)
 
-        def again(self, now, events, writer):
+        def retry_on_error(self, now, events, writer):
             for event in events:
                 if event[0] == Event.ATTEMPT_ENDED and event[4] == Outcome.ERROR:
                     writer.attempt(event[1], 4, 1.0)
@@ -447,22 +452,23 @@
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
         driver.finish_attempt(exchange, exchange.attempts[0], Outcome.ERROR, None)
-        type(driver._balancer).handle_events = again
-        driver.handle_events(driver._overdue_times[0][0] + 1.0)  # held up until after the deadline
+        type(driver._balancer).handle_events = retry_on_error
+        # As if the event loop had been blocked until after the deadline.
+        driver.handle_events(driver._overdue_times[0][0] + 1.0)
         assert exchange.response.status == 502 and len(driver.upstream.started) == 1
-        assert not driver._wakeups  # no mistake was met
+        assert not driver._wakeups  # the balancer has raised no exception
 
-    trio.run(tell)
+    trio.run(run_test)
 
 
-def test_time_that_a_request_lay_unread_counts_from_the_iteration_before():
+def test_the_lag_counts_from_the_previous_iteration_of_the_event_loop():
     lag = EventLoopLag()
     lag.after_io_wait(0.0)
-    lag._iteration_began -= 0.5  # the iteration took half a second, and the next wait finds the socket ready
+    lag._iteration_began -= 0.5  # the iteration took half a second, and the next wait returns immediately
     lag.before_io_wait(0.0)
     lag.after_io_wait(0.0)
     assert 0.5 <= lag.lag_s < 1.0
-    lag._wait_began -= 0.1  # after a real wait what is seen has only just come
+    lag._wait_began -= 0.1  # after a real wait, data has only just arrived
     lag.after_io_wait(0.1)
     assert lag.lag_s < 0.1
 
@@ -492,7 +498,7 @@
 async def test_a_server_whose_address_changes_is_reached_at_its_new_one(start):
     old, new = StandInServer(OK), StandInServer(OK)
     discovery = StandInServer(list_response(2, {"id": "s", "addr": new.address}), SILENT)
-    node = await start(new, old, discovery=discovery)  # of the same name: what is known at start is the last
+    node = await start(new, old, discovery=discovery)  # both are named "s": the initial list ends with `old`
     await trio.sleep(0.2)
     assert (await node.send_request())[0] == 200 and len(new.requests) == 1
 
@@ -522,18 +528,18 @@
 @scenario
 async def test_a_client_that_the_system_cannot_accept_is_accepted_later(start):
     node = await start(StandInServer(OK))
-    right, Downstream._accept_one = Downstream._accept_one, refuse
+    original, Downstream._accept_one = Downstream._accept_one, raise_no_descriptors
     stream = await node.connect()
     await trio.sleep(0.05)
-    Downstream._accept_one = right
+    Downstream._accept_one = original
     assert (await node.send_request(stream=stream))[0] == 200
 
 
-def refuse(_downstream):
+def raise_no_descriptors(_downstream):
     raise OSError(24, "Too many open files")
 
 
-def test_a_connection_in_use_while_its_server_moves_is_not_kept():
+def test_a_connection_in_use_while_its_servers_address_changes_is_not_kept():
     servers = ServerTable()
     settings = replace(SETTINGS, connect_timeout_s=0.1, idle_timeout_s=30.0, report_how="none")
     pool = ConnectionPool(settings, 9, 65536, servers, None)
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -1,7 +1,7 @@
-"""What may come between the decision of an attempt and its bytes on a socket; each crossing is forced.
+"""Races between the decision to send an attempt and the write of its bytes; each race is forced.
 
-Held connections stand for those that come up late: the attempt is decided, its connection is up, nothing is
-written yet.
+Held connections simulate connections that are established late: the attempt was decided and its connection is
+established, but nothing has been written yet.
 """
 
 import time
@@ -11,13 +11,13 @@
 from node_harness import ERROR, FULL, OK, RESET, list_response, platform_settings, scenario, server_entry
 from race_harness import (
     Client,
+    EventLoopStall,
     HeldConnections,
     ListService,
     Server,
-    Stall,
-    at,
     header_value,
-    message,
+    hook,
+    new_request,
     reset,
     send_now,
     wait_until,
@@ -30,22 +30,22 @@
 from wheatroute.net.request_handler import RequestHandler
 from wheatroute.net.upstream import Upstream
 
-DEAD = 0.3  # seconds
+TIMEOUT_S = 0.3  # timeout of the requests in some tests, "300m" in their headers
 
 
-def rules(**changes):
+def platform_rules(**changes):
     return {"rules": platform_settings(1.0)["rules"] | changes}
 
 
-def types(**changes):
-    """The settings' three classes, those of the keyed one changed."""
-    kinds = platform_settings(1.0)["traffic-types"]
-    kinds[1] |= changes
-    return {"traffic-types": kinds}
+def request_classes(**changes):
+    """Returns settings with the three request classes, the keyed one with changes."""
+    classes = platform_settings(1.0)["traffic-types"]
+    classes[1] |= changes
+    return {"traffic-types": classes}
 
 
 class ListUpdates:
-    """A list service that has no changes until some are published."""
+    """A list service without changes until `publish` is called."""
 
     def __init__(self):
         self.version, self.entries, self.is_full = 1, [], False
@@ -66,84 +66,89 @@
         self.published.set()
 
 
-def written(*servers):
+def received_ids(*servers):
     return [one for server in servers for one in server.ids]
 
 
-async def updates_applied(discoveries):
-    """Waits until a node has applied the changes that were published."""
+async def wait_for_updates(discoveries):
+    """Waits until a node has applied the published changes."""
     await wait_until(lambda: any(one._version == 2 for one in discoveries))
 
 
 def watch_discoveries():
-    """The list's sides of nodes started from here on."""
+    """Returns a list that collects the `Discovery` of each new node, and the hook that does so."""
     found = []
     from wheatroute.net.discovery import Discovery
 
-    return found, at(Discovery, "watch", after=lambda one, enable: found.append(one))
+    return found, hook(Discovery, "watch", after=lambda one, enable: found.append(one))
 
 
 @scenario
-async def test_nothing_is_written_once_the_time_of_a_request_is_over(start):
+async def test_nothing_is_written_after_the_deadline_of_a_request(start):
     server = Server()
     node = await start(server)
     before = time.monotonic()
 
-    def late():
-        while time.monotonic() < before + DEAD + 0.1:
+    def block_until_deadline():
+        while time.monotonic() < before + TIMEOUT_S + 0.1:
             time.sleep(0.01)
 
-    with HeldConnections(blocked=late):
-        client, (text, _) = Client(node.port), message(node, "place", body="b", timeout="300m")
+    with HeldConnections(blocked=block_until_deadline):
+        client, (text, _) = Client(node.port), new_request(node, "place", body="b", timeout="300m")
         before = time.monotonic()
         client.send(text)
-        status, _ = await client.answer()
+        status, _ = await client.response()
     assert status in (502, 503) and not server.heads
 
 
-async def changed(start, change, others=(), count=2, **how):
-    """One request whose connection is held while the list changes; who got it, and its status."""
+async def request_during_list_change(start, change, others=(), count=2, **options):
+    """Sends a request and changes the list while its connection is held.
+
+    Returns all servers, the one that the connection leads to, and the status of the response.
+    """
     servers = [Server(name=name) for name in "st"[:count]]
     updates, (found, watching) = ListUpdates(), watch_discoveries()
     with HeldConnections() as held, watching:
-        node = await start(*servers, discovery=updates.service, others=others, **how)
+        node = await start(*servers, discovery=updates.service, others=others, **options)
         client = Client(node.port)
-        client.send(message(node, "place", body="b")[0])
+        client.send(new_request(node, "place", body="b")[0])
         await wait_until(lambda: held.peers)
         first = next(one for one in servers if one.address == held.peers[0])
-        updates.publish(*change(first), is_full=bool(how.get("full")))
-        await updates_applied(found)
+        updates.publish(*change(first), is_full=bool(options.get("full")))
+        await wait_for_updates(found)
         held.released.set()
-        status, _ = await client.answer()
+        status, _ = await client.response()
     return servers, first, status
 
 
 @scenario
 async def test_a_server_that_begins_to_drain_while_its_connection_is_opened_gets_nothing(start):
-    servers, first, status = await changed(
+    servers, first, status = await request_during_list_change(
         start, lambda one: [{"id": one.name, "addr": one.address, "state": "terminating"}]
     )
-    assert status == 200 and not first.heads and len(written(*servers)) == 1
+    assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
 
 @scenario
 async def test_a_server_that_is_removed_while_its_connection_is_opened_gets_nothing(start):
-    servers, first, status = await changed(start, lambda one: [{"id": one.name, "state": "terminated"}])
-    assert status == 200 and not first.heads and len(written(*servers)) == 1
+    servers, first, status = await request_during_list_change(
+        start, lambda one: [{"id": one.name, "state": "terminated"}]
+    )
+    assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
 
 @scenario
 async def test_an_address_that_belongs_to_another_server_by_now_gets_nothing(start):
     stranger = Server(name="u")
-    servers, first, status = await changed(
+    servers, first, status = await request_during_list_change(
         start, lambda one: [{"id": one.name, "addr": stranger.address}], others=[stranger]
     )
-    assert status == 200 and not first.heads and len(written(*servers)) == 1
+    assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
 
 @scenario
-async def test_a_restarted_server_gets_nothing_that_was_chosen_for_its_earlier_incarnation(start):
-    servers, first, status = await changed(
+async def test_a_restarted_server_gets_no_attempt_that_was_decided_before_its_restart(start):
+    servers, first, status = await request_during_list_change(
         start,
         lambda one: [
             {
@@ -154,26 +159,26 @@
             }
         ],
     )
-    assert status == 200 and not first.heads and len(written(*servers)) == 1
+    assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
 
 @scenario
 async def test_a_keyed_request_is_not_retried_once_its_retry_window_is_over(start):
-    turn = [ERROR, OK]
+    responses = [ERROR, OK]
     first, second = Server(), Server(name="t")
-    first.responses = second.responses = turn
+    first.responses = second.responses = responses
     with HeldConnections(max_held=2) as held:
-        node = await start(first, second, changes=types(**{"repeat-window": 0.4}))
-        client = Client(node.port).send(message(node, "amend", body="b")[0])
+        node = await start(first, second, changes=request_classes(**{"repeat-window": 0.4}))
+        client = Client(node.port).send(new_request(node, "amend", body="b")[0])
         await wait_until(lambda: held.peers)
         began = time.monotonic()
         held.released.set()
         held.released = trio.Event()
-        await wait_until(lambda: len(held.peers) == 2)  # the repeat's connection is up
+        await wait_until(lambda: len(held.peers) == 2)  # the connection of the retry is established
         await trio.sleep_until(trio.current_time() + began + 0.45 - time.monotonic())
         held.released.set()
-        status, _ = await client.answer()
-    assert status == 503 and len(written(first, second)) == 1
+        status, _ = await client.response()
+    assert status == 503 and len(received_ids(first, second)) == 1
 
 
 @scenario
@@ -182,27 +187,27 @@
 
     updates = []
 
-    def credited(membership, *_):
-        membership._state.servers.slow_start_credit[0] = 1.0  # room for one
+    def grant_credit(membership, *_):
+        membership._state.servers.slow_start_credit[0] = 1.0  # enough for one request
         updates.append(membership)
 
-    with HeldConnections() as held, at(MembershipUpdates, "servers_listed", after=credited):
+    with HeldConnections() as held, hook(MembershipUpdates, "servers_listed", after=grant_credit):
         node = await start(
             server,
             entries=[server_entry(server, started_ms=int(time.time() * 1000))],
-            changes=rules(fall=0.8),
+            changes=platform_rules(fall=0.8),
         )
-        text, one = message(node, "place", body="b", timeout="500m")
+        text, one = new_request(node, "place", body="b", timeout="500m")
         client = Client(node.port).send(text)
         await wait_until(lambda: held.peers)
-        await trio.sleep_until(trio.current_time() + 0.25)  # over a quarter of the time in which it falls
+        await trio.sleep_until(trio.current_time() + 0.25)  # more than a quarter of "rules.fall"
         held.released.set()
-        status, _ = await client.answer()
+        status, _ = await client.response()
         assert status == 503 and not server.heads
-        credited(updates[0])
-        text, other = message(node, "place", body="b")
-        assert (await Client(node.port).send(text).answer())[0] == 200
-    assert server.ids == [other] and server.connection_count == 1  # on the connection that was up
+        grant_credit(updates[0])
+        text, other = new_request(node, "place", body="b")
+        assert (await Client(node.port).send(text).response())[0] == 200
+    assert server.ids == [other] and server.connection_count == 1  # on the connection that was held
 
 
 # a server that reads too slowly
@@ -211,8 +216,11 @@
 BODY = "x" * 60000
 
 
-async def half_written(start, then, **how):
-    """Runs `then(first, updates, client, discoveries)` while a request is half written, then reads on."""
+async def half_written(start, then, **options):
+    """Runs `then(first, updates, client, discoveries)` while a request is partly written.
+
+    Servers read only after that. Returns the other server, the one of the request, and the response.
+    """
     reads = trio.Event()
     servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: reads.wait()}) for name in "st"]
     updates, (found, watching) = ListUpdates(), watch_discoveries()
@@ -220,11 +228,11 @@
     with (
         HeldConnections(max_held=0, buffer=2048),
         watching,
-        at(Connection, "send", after=lambda connection, *_: connections.append(connection)),
+        hook(Connection, "send", after=lambda connection, *_: connections.append(connection)),
     ):
-        node = await start(*servers, discovery=updates.service, **how)
+        node = await start(*servers, discovery=updates.service, **options)
         client = Client(node.port)
-        client.send(message(node, "place", body=BODY, timeout="600m")[0])
+        client.send(new_request(node, "place", body=BODY, timeout="600m")[0])
         await wait_until(lambda: [connection for connection in connections if connection._unsent])
         address = next(connection for connection in connections if connection._unsent).peer
         first = next(one for one in servers if one.address == address)
@@ -232,7 +240,7 @@
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
         reads.set()
-        answer = await client.answer() if client.sock.fileno() >= 0 else None
+        answer = await client.response() if client.sock.fileno() >= 0 else None
     return servers[0], first, answer
 
 
@@ -240,7 +248,7 @@
 async def test_the_rest_of_a_request_is_not_written_to_a_server_that_begins_to_drain(start):
     async def drain(first, updates, client, found):
         updates.publish({"id": first.name, "addr": first.address, "state": "terminating"})
-        await updates_applied(found)
+        await wait_for_updates(found)
 
     other, first, answer = await half_written(start, drain)
     assert answer[0] == 200 and len(other.requests) == 1 and not first.requests
@@ -250,7 +258,7 @@
 async def test_the_rest_of_a_request_is_not_written_after_its_deadline(start):
     async def wait(first, updates, client, found):
         end = time.monotonic() + 0.65
-        while time.monotonic() < end:  # the node's loop stands still, its server reads nothing
+        while time.monotonic() < end:  # blocks the event loop; the server reads nothing
             time.sleep(0.01)
 
     other, first, answer = await half_written(start, wait)
@@ -268,32 +276,33 @@
     assert not other.requests and not first.requests
 
 
-# clients that leave while their request waits for its first attempt
+# clients that disconnect while their request waits for its first attempt
 
 
-async def left(start, leave, pipelined=b"", before=None):
-    """A request whose client leaves while the attempt's connection is held; what the servers got."""
+async def request_of_departed_client(start, leave, pipelined=b"", before=None):
+    """Sends a request whose client disconnects while its attempt's connection is held; returns the server."""
     server = Server()
     ended = []
     with (
         HeldConnections() as held,
-        at(
+        hook(
             BalancerDriver,
             "abandon_request",
             after=lambda driver, exchange: ended.append(exchange.request_id),
         ),
     ):
         node = await start(server)
-        text, one = message(node, "place", body="b", timeout="5000m")
+        text, one = new_request(node, "place", body="b", timeout="5000m")
         client = Client(node.port)
         client.send(text + pipelined)
         await wait_until(lambda: held.peers)
         if before is not None:
             await before()
         leave(client)
-        held.released.set()  # the connection is seen to be up in the same pass as the leaving, or before it
+        # The node sees the established connection in the same iteration as the disconnect, or earlier.
+        held.released.set()
         await wait_until(lambda: one in ended)
-        # the node goes on, and by now all of it would be there
+        # The node still serves, and the server would have received the first request by now.
         assert (await node.send_request("view"))[0] == 200
     assert one not in server.ids
     return server
@@ -301,12 +310,12 @@
 
 @scenario
 async def test_nothing_is_sent_for_a_client_that_closed_while_the_connection_was_opened(start):
-    await left(start, Client.leave)
+    await request_of_departed_client(start, Client.leave)
 
 
 @scenario
 async def test_nothing_is_sent_for_a_client_that_reset_while_the_connection_was_opened(start):
-    await left(start, Client.reset)
+    await request_of_departed_client(start, Client.reset)
 
 
 @scenario
@@ -320,28 +329,30 @@
         async def unread(seen=seen):
             await wait_until(lambda: any(one.is_paused for one in seen))
 
-        with at(RequestHandler, "handle", after=handled):
-            await left(start, leave, b"GET /view/1 HTTP/1.1\r\nFiller: " + b"x" * 90000, unread)
+        with hook(RequestHandler, "handle", after=handled):
+            await request_of_departed_client(
+                start, leave, b"GET /view/1 HTTP/1.1\r\nFiller: " + b"x" * 90000, unread
+            )
 
 
 @scenario
 async def test_nothing_is_sent_for_a_client_that_left_right_after_its_request(start):
     server = Server()
     node = await start(server)
-    assert (await node.send_request("view"))[0] == 200  # a connection is open: nothing has to come up
+    assert (await node.send_request("view"))[0] == 200  # opens the connection that is used below
     await wait_until(lambda: server.connection_count == 1)
     ended = []
-    with at(
+    with hook(
         BalancerDriver,
         "abandon_request",
         after=lambda driver, exchange: ended.append(exchange.request_id),
     ):
         for leave in (Client.leave, Client.reset):
-            text, one = message(node, "place", body="b")
+            text, one = new_request(node, "place", body="b")
             client = Client(node.port)
             client.send(text)
-            leave(client)  # request and end lie in the node's socket together
-            if leave is Client.leave:  # after a reset the system drops what was not read
+            leave(client)  # the request and the close are in the node's socket together
+            if leave is Client.leave:  # after a reset the kernel drops unread data
                 await wait_until(lambda one=one: one in ended)
             assert (await node.send_request("view"))[0] == 200
             assert one not in server.ids
@@ -357,17 +368,17 @@
     def decided(servers, exchange, attempt):
         if exchange.request_id in clients:
             clients[exchange.request_id].leave()
-            time.sleep(0.35)  # the event loop is late
+            time.sleep(0.35)  # delays the event loop
 
     with (
-        at(Upstream, "start_attempt", before=decided),
-        at(
+        hook(Upstream, "start_attempt", before=decided),
+        hook(
             BalancerDriver,
             "abandon_request",
             after=lambda driver, exchange: ended.append(exchange.request_id),
         ),
     ):
-        text, one = message(node, "place", body="b", timeout="5000m")
+        text, one = new_request(node, "place", body="b", timeout="5000m")
         clients[one] = Client(node.port).send(text)
         await wait_until(lambda: one in ended)
         assert (await node.send_request("view"))[0] == 200
@@ -380,7 +391,7 @@
     ended = []
     with (
         HeldConnections(max_held=40) as held,
-        at(
+        hook(
             BalancerDriver,
             "abandon_request",
             after=lambda driver, exchange: ended.append(exchange.request_id),
@@ -389,19 +400,19 @@
         node = await start(server)
         clients = [Client(node.port) for _ in range(30)]
         for client in clients:
-            client.send(message(node, "place", body="b", timeout="5000m")[0])
-        await wait_until(lambda: len(held.peers) >= 3)  # the others wait for room
+            client.send(new_request(node, "place", body="b", timeout="5000m")[0])
+        await wait_until(lambda: len(held.peers) >= 3)  # the others wait for capacity
         for n, client in enumerate(clients):
             (Client.leave, Client.reset)[n % 2](client)
         held.released.set()
         await wait_until(lambda: len(ended) >= 30)
         held.max_held = 0
-        text, one = message(node, "place", body="b")
-        assert (await Client(node.port).send(text).answer())[0] == 200
+        text, one = new_request(node, "place", body="b")
+        assert (await Client(node.port).send(text).response())[0] == 200
     assert server.ids == [one]
 
 
-# answers and timers in one pass
+# responses and timeouts in one iteration
 
 
 @scenario
@@ -416,19 +427,19 @@
         server = Server(None, on={"read": answer})
         node = await start(server)
         began = []
-        stall = Stall(
-            lambda done=done: bool(done), lambda began=began: time.monotonic() > began[0] + DEAD + 0.1
+        stall = EventLoopStall(
+            lambda done=done: bool(done), lambda began=began: time.monotonic() > began[0] + TIMEOUT_S + 0.1
         )
         trio.lowlevel.add_instrument(stall)
-        client, (text, _) = Client(node.port), message(node, kind, body=body, timeout="300m")
+        client, (text, _) = Client(node.port), new_request(node, kind, body=body, timeout="300m")
         began.append(time.monotonic())
         client.send(text)
-        status, got = await client.answer()
+        status, got = await client.response()
         trio.lowlevel.remove_instrument(stall)
         assert stall.stalled and status in (200, 502, 503) and got.count(b"HTTP/1.1 ") == 1
-        assert kind == "view" or status != 503  # it has run: no refusal
-        text, _ = message(node, "view")
-        assert (await client.send(text).answer())[0] == 200  # nothing is left on the connection
+        assert kind == "view" or status != 503  # it has run, so it must not be rejected
+        text, _ = new_request(node, "view")
+        assert (await client.send(text).response())[0] == 200  # no surplus bytes are on the connection
 
 
 @scenario
@@ -438,41 +449,45 @@
     slow.on = quick.on = {"read": lambda _: go.wait()}
     node = await start(slow, quick)
     exchanges = []
-    with at(
+    with hook(
         BalancerDriver,
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client, (text, _) = Client(node.port), message(node, "view", timeout="5000m")
+        client, (text, _) = Client(node.port), new_request(node, "view", timeout="5000m")
         client.send(text)
         await wait_until(lambda: len(slow.requests + quick.requests) == 1)
         driver, exchange = exchanges[0]
         other = 1 - exchange.attempts[0].server
-        driver.attempt(exchange.number, other, 5.0)  # a second attempt, as the hedge is
+        driver.attempt(exchange.number, other, 5.0)  # a second attempt, like a hedge
         await wait_until(lambda: len(slow.requests + quick.requests) == 2)
-    go.set()  # both answers are in the node's sockets in one pass
-    status, answer = await client.answer()
+    go.set()  # both responses are in the node's sockets in one iteration
+    status, answer = await client.response()
     assert status == 200 and answer.count(b"HTTP/1.1 ") == 1
-    status, _ = await client.send(message(node, "view")[0]).answer()
+    status, _ = await client.send(new_request(node, "view")[0]).response()
     assert status == 200
 
 
 @scenario
-async def test_a_non_idempotent_request_that_may_have_run_is_not_written_again_whoever_decides_it(start):
+async def test_a_non_idempotent_request_that_may_have_run_is_not_written_again_even_if_the_balancer_errs(
+    start,
+):
     servers = [Server(None), Server(None, name="t")]
     node = await start(*servers)
     exchanges = []
-    with at(
+    with hook(
         BalancerDriver,
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client = Client(node.port).send(message(node, "place", body="b", timeout="500m")[0])
-        await wait_until(lambda: written(*servers))
+        client = Client(node.port).send(new_request(node, "place", body="b", timeout="500m")[0])
+        await wait_until(lambda: received_ids(*servers))
         driver, exchange = exchanges[0]
-        driver.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)  # as a mistake would
-        status, _ = await client.answer()
-    assert status == 502 and len(written(*servers)) == 1
+        driver.attempt(
+            exchange.number, 1 - exchange.attempts[0].server, 5.0
+        )  # as an erroneous decision would
+        status, _ = await client.response()
+    assert status == 502 and len(received_ids(*servers)) == 1
 
 
 @scenario
@@ -480,96 +495,99 @@
     server = Server(None)
     node = await start(server)
     exchanges = []
-    with at(
+    with hook(
         BalancerDriver,
         "add_request",
         after=lambda driver, exchange: exchanges.append((driver, exchange)),
     ):
-        client = Client(node.port).send(message(node, "place", body="b", timeout="700m")[0])
+        client = Client(node.port).send(new_request(node, "place", body="b", timeout="700m")[0])
         await wait_until(lambda: server.heads)
         driver, exchange = exchanges[0]
         driver.cancel(exchange.number, 0)
-        status, _ = await client.answer()
-    assert status == 502 and len(server.ids) == 1  # not refused, not repeated
+        status, _ = await client.response()
+    assert status == 502 and len(server.ids) == 1  # neither rejected nor retried
 
 
-# answers that belong to nobody
+# unsolicited responses
 
 
 @scenario
 async def test_a_surplus_response_some_milliseconds_late_answers_no_later_request(start):
     stray = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
-    ours, sent = [], []
+    request_ids, sent = [], []
 
-    async def twice(stream):
+    async def respond_twice(stream):
         if not sent:
             sent.append(1)
             send_now(stream, stray)
 
-    server = Server(on={"last": twice})
+    server = Server(on={"last": respond_twice})
     node = await start(server)
     assert (await node.send_request("view"))[0] == 200
     with mock.patch.object(connection_pool, "REUSE_DELAY_S", 30.0):
         for _ in range(6):
-            text, one = message(node, "place", body="b")
-            status, answer = await Client(node.port).send(text).answer()
+            text, one = new_request(node, "place", body="b")
+            status, answer = await Client(node.port).send(text).response()
             assert status == 200 and answer.endswith(b"\r\n\r\nok")
-            ours.append(one)
-    # where answers came twice, no connection is used again before it has rested
-    assert server.connection_count >= 6 and server.ids[1:] == ours
+            request_ids.append(one)
+    # After a surplus response, no connection is reused before the delay has passed.
+    assert server.connection_count >= 6 and server.ids[1:] == request_ids
 
 
 @scenario
 async def test_a_response_without_a_length_that_is_reset_is_no_response(start):
-    async def cut(stream):
+    async def reset_connection(stream):
         reset(stream.socket)
 
     endless = b"HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n\r\npart of it"
-    first = Server(endless, on={"last": cut})
+    first = Server(endless, on={"last": reset_connection})
     node = await start(first)
-    status, answer = await Client(node.port).send(message(node, "place", body="b")[0]).answer()
+    status, answer = await Client(node.port).send(new_request(node, "place", body="b")[0]).response()
     assert status == 502 and b"part" not in answer and len(first.requests) == 1
 
 
 @scenario
 async def test_connections_closed_as_they_are_acquired_lose_nothing_that_may_be_retried(start):
-    """One is closed by its server the moment that the node writes on it, and so is the one in its stead."""
+    """A server closes the connection as the node writes to it; so does the server of the retry."""
     servers = [Server(OK, name=name) for name in "stu"]
-    node = await start(*servers, changes=types(group="all"))
+    node = await start(*servers, changes=request_classes(group="all"))
     request_count = 0
-    # repeats are a share of what is taken
+    # The retry budget is a fraction of the accepted requests.
     while not all(one.connection_count for one in servers) or request_count < 30:
         assert (await node.send_request("view"))[0] == 200
         request_count += 1
 
-    shut = []
+    closed = []
 
     async def close(stream):
-        shut.append(stream)
-        if len(shut) < 3:
+        closed.append(stream)
+        if len(closed) < 3:
             await stream.aclose()
 
     for one in servers:
         one.on = {"head": close}
-    status, _ = await Client(node.port).send(message(node, "amend", body="b")[0]).answer()
-    assert status == 200 and len(shut) == 3
+    status, _ = await Client(node.port).send(new_request(node, "amend", body="b")[0]).response()
+    assert status == 200 and len(closed) == 3
 
 
 @scenario
-async def test_a_full_server_allows_a_retry_elsewhere_and_a_reset_does_not(start):
+async def test_a_full_server_permits_a_retry_elsewhere_and_a_reset_does_not(start):
     for answer, status, count in ((FULL, 200, 2), (RESET, 502, 1)):
-        turn = [answer, OK]
+        responses = [answer, OK]
 
-        async def end(stream, answer=answer, turn=turn):
-            if answer == RESET and len(turn) == 1:
+        async def close_if_reset(stream, answer=answer, responses=responses):
+            if answer == RESET and len(responses) == 1:
                 await stream.aclose()
 
-        first, second = Server(on={"last": end}), Server(name="t", on={"last": end})
-        first.responses = second.responses = turn
+        first, second = (
+            Server(on={"last": close_if_reset}),
+            Server(name="t", on={"last": close_if_reset}),
+        )
+        first.responses = second.responses = responses
         node = await start(first, second)
-        got, _ = await Client(node.port).send(message(node, "place", body="b")[0]).answer()
+        got, _ = await Client(node.port).send(new_request(node, "place", body="b")[0]).response()
         assert (got, len(first.requests + second.requests)) == (status, count)
 
 
-def test_the_stand_ins_read_fields():
+def test_header_value_finds_a_header_regardless_of_case():
     assert header_value(b"GET / HTTP/1.1\r\nRequest-Id: 5\r\n\r\n", b"request-id") == b"5"
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -1,4 +1,4 @@
-"""A whole node on loopback, with servers and a list service that answer the way a test says."""
+"""A complete node on loopback, with servers and a list service whose responses the test sets."""
 
 import json
 import re
@@ -23,24 +23,24 @@
 
 
 def list_response(version, *entries, is_full=False):
-    """A list service's response: a full list of servers, or what has changed in it."""
+    """Returns a list service's response: a full list of servers, or changes to it."""
     body = json.dumps({"version": version, "full": is_full, "servers": entries}).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
 class StandInServer:
-    """A server; `responses` are given in turn, the last one for ever, each bytes, RESET or SILENT."""
+    """A server; `responses` are sent in turn, the last one repeatedly; each is bytes, RESET or SILENT."""
 
     def __init__(self, *responses, name="s"):
         self.responses, self.name = list(responses), name
         self.requests, self.connection_count, self.ended = [], 0, trio.Event()
-        self.keeps_open = False  # it keeps connections open whatever it has answered
+        self.keeps_open = False  # keeps connections open after incomplete responses too
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
         self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     async def run(self):
-        if self.listener.fileno() >= 0:  # else it is a dead one: connections are refused
+        if self.listener.fileno() >= 0:  # else the server is dead: connections are refused
             listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
             await trio.serve_listeners(self._serve_connection, [listener])
 
@@ -66,7 +66,7 @@
 
 
 async def read_message(stream):
-    """One whole message, head and body; None at the end of the stream."""
+    """Reads one complete message, head and body; None at the end of the stream."""
     data = b""
     while b"\r\n\r\n" not in data:
         part = await stream.receive_some()
@@ -84,7 +84,7 @@
 
 
 def platform_settings(deadline):
-    """The settings that the platform gives a node, under its own keys."""
+    """Returns the platform's settings of a node, with the platform's key names."""
     return {
         "allowed": {
             "cancel": True,
@@ -127,7 +127,7 @@
 
 
 def server_entry(server, **changes):
-    """A server's entry in a list."""
+    """Returns the entry of a server in a list."""
     return {
         "id": server.name,
         "addr": server.address,
@@ -141,10 +141,10 @@
 
 
 def reserve_port():
-    """A socket bound to a free port of loopback, for as long as it is open.
+    """Returns a socket that reserves a free port of loopback while it is open.
 
-    It doesn't listen, so that a program which sets SO_REUSEADDR, as ours does, can listen on the port, and
-    the system gives the port to no other process meanwhile.
+    The socket does not listen, so that a program that sets SO_REUSEADDR, as ours does, can listen on the
+    port, while the system assigns the port to no other process.
     """
     reservation = socket.socket()
     reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -153,7 +153,7 @@
 
 
 class Node:
-    """A whole node in this process, its servers, and what a client needs."""
+    """A complete node in this process with its servers, and methods to send requests to it."""
 
     def __init__(
         self,
@@ -184,7 +184,7 @@
         self.read_config()
 
     def read_config(self):
-        """Writes the configuration to its file and reads it as a node does."""
+        """Writes the configuration to its file and reads it as a node does at startup."""
         self.config_path.write_text(json.dumps(self.config))
         self.settings = node_settings.read_node_settings({"PROXY_CONFIG": str(self.config_path)})
 
@@ -201,7 +201,7 @@
 
     @staticmethod
     def request_text(request_class="view", headers="", body="", timeout="1000m"):
-        """A request with a new id."""
+        """Returns the text of a request with a new id."""
         effect = EFFECT_BY_REQUEST_CLASS.get(request_class, "retryable")
         key = "Idempotency-Key: r1\r\n" if effect == "dedup" else ""
         method = "GET" if effect == "retryable" else "POST"
@@ -213,7 +213,7 @@
         ).encode()
 
     async def send_request(self, *fields, stream=None, **named_fields):
-        """Sends one request; its response as (status, whole message)."""
+        """Sends one request; returns its response as (status, complete message)."""
         stream = stream or await self.connect()
         await stream.send_all(self.request_text(*fields, **named_fields))
         response = await read_message(stream)
@@ -221,7 +221,7 @@
 
 
 def scenario(test):
-    """Runs an async test with a deadline; what it starts in `nursery` ends with it."""
+    """Runs an async test with a deadline; the nodes and servers that it starts end with it."""
 
     def run(tmp_path):
         async def within():
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -1,4 +1,4 @@
-"""Each part of the package can be imported with the packages alone that its extra in pyproject.toml names."""
+"""Each part of the package can be imported with only the packages of its extra in pyproject.toml."""
 
 import ast
 import re
@@ -10,7 +10,7 @@
 
 ROOT = Path(__file__).resolve().parents[1]
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-# by extra, "" for none: modules that have to come up with it
+# By extra ("" for none): the modules that must be importable with it.
 ENTRY_MODULES = {
     "": ["__main__", "benchlink.__main__"],
     "cli": ["cli"],
@@ -41,7 +41,7 @@
 
 
 def loaded_with(source):
-    """Names of what a file imports as it is imported itself: not within functions, nor for types alone."""
+    """Yields the names that a file imports at import time: not in functions, nor for type checking only."""
     pending = [ast.parse(source.read_text())]
     while pending:
         node = pending.pop()
@@ -58,7 +58,7 @@
 
 
 def packages_for(module):
-    """Packages of others that are loaded with a module."""
+    """Returns the third-party packages that are loaded with a module."""
     seen, pending, packages = set(), [module], set()
     while pending:
         name = pending.pop()
@@ -74,7 +74,7 @@
 
 
 def installed_by(requirements):
-    """Names of the packages that requirements bring, with those of the extras of our own that they name."""
+    """Returns the names of the packages in requirements, with those of the project's own extras in them."""
     out = set()
     for requirement in requirements:
         name, _, extras = re.fullmatch(r"([\w-]+)(\[([\w,]+)\])?.*", requirement).groups()
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("extra", ENTRY_MODULES)
-def test_an_extra_brings_all_that_its_modules_load(extra):
+def test_an_extra_installs_all_packages_that_its_modules_load(extra):
     optional = PROJECT["optional-dependencies"][extra] if extra else []
     installed = installed_by(PROJECT["dependencies"]) | installed_by(optional)
     for entry in ENTRY_MODULES[extra]:
@@ -95,6 +95,6 @@
         assert not missing, f"{module} loads {sorted(missing)}"
 
 
-def test_the_nodes_build_installs_what_the_package_requires():
+def test_the_build_of_the_node_installs_what_the_package_requires():
     build = (ROOT / "requirements.txt").read_text().split()
     assert sorted(build) == sorted(PROJECT["dependencies"])
