--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -31,7 +31,7 @@
     ).encode()
 
 
-# connections closed by clients
+# Connections that clients close.
 
 
 @scenario
@@ -103,26 +103,26 @@
         "_wait_for_rest",
         after=lambda self, client: (found.append(client), client.request_close()),
     ):
-        text, one = new_request(node, "place", body="bb")
+        text, request_id = new_request(node, "place", body="bb")
         client = Client(node.port).send(text[:-1])
         await wait_until(lambda: found)
     client.send(text[-1:])
-    assert (await client.response())[0] == 200 and server.ids == [one]
+    assert (await client.response())[0] == 200 and server.ids == [request_id]
 
 
-# request ids, floods, rejections
+# Request ids, floods and rejections.
 
 
 @scenario
 async def test_one_request_id_on_two_connections_in_one_iteration_is_one_request(start):
     server = Server()
     node = await start(server)
-    text, one = new_request(node, "place", body="b")
+    text, request_id = new_request(node, "place", body="b")
     clients = [Client(node.port) for _ in range(2)]
     for client in clients:
         client.send(text)
     got = [(await client.response())[0] for client in clients]
-    assert sorted(got) == [200, 409] and server.ids == [one]
+    assert sorted(got) == [200, 409] and server.ids == [request_id]
 
 
 @scenario
@@ -177,7 +177,7 @@
         assert len(downstream._parser._request_ids) <= 14 + 60
 
 
-# names
+# Names of request classes and tenants.
 
 
 @scenario
@@ -349,12 +349,10 @@
     with HeldConnections() as held:
         node = await start(server)
         client = Client(node.port).send(new_request(node, "place", body="b", timeout="300m")[0])
-        assert (await client.response())[0] in (
-            502,
-            503,
-        )  # it times out while the connection is held
+        # The request times out while its connection is held.
+        assert (await client.response())[0] in (502, 503)
         assert held.peers and not server.heads
         held.released.set()
-        text, one = new_request(node, "place", body="b")
+        text, request_id = new_request(node, "place", body="b")
         assert (await Client(node.port).send(text).response())[0] == 200
-    assert server.ids == [one]
+    assert server.ids == [request_id]
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -294,7 +294,7 @@
     async with node_process(tmp_path, server, nodes=2) as node:
         idle, partial = Client(node.port), Client(node.port)
         assert (await idle.send(new_request(node, "view")[0]).response())[0] == 200
-        text, one = new_request(node, "place", body="bb")
+        text, request_id = new_request(node, "place", body="bb")
         partial.send(text[:-1])
         node.process.send_signal(signal.SIGTERM)
         await wait_until(lambda: b"event=stopping" in node.log.read_bytes())
@@ -302,7 +302,7 @@
         partial.send(text[-1:])
         status, answer = await partial.response()
         assert status in (200, 503) and b"connection: close" in answer.lower()
-        assert (status == 200) == (one in server.ids)
+        assert (status == 200) == (request_id in server.ids)
         status, _ = await wait_for_exit(node)
         assert status == 0
 
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -197,7 +197,7 @@
             entries=[server_entry(server, started_ms=int(time.time() * 1000))],
             changes=platform_rules(fall=0.8),
         )
-        text, one = new_request(node, "place", body="b", timeout="500m")
+        text, request_id = new_request(node, "place", body="b", timeout="500m")
         client = Client(node.port).send(text)
         await wait_until(lambda: held.peers)
         await trio.sleep_until(trio.current_time() + 0.25)  # more than a quarter of "rules.fall"
@@ -210,7 +210,7 @@
     assert server.ids == [other] and server.connection_count == 1  # on the connection that was held
 
 
-# a server that reads too slowly
+# Servers that read a request too slowly.
 
 
 BODY = "x" * 60000
@@ -276,7 +276,7 @@
     assert not other.requests and not first.requests
 
 
-# clients that disconnect while their request waits for its first attempt
+# Clients that disconnect while their request waits for its first attempt.
 
 
 async def request_of_departed_client(start, leave, pipelined=b"", before=None):
@@ -292,7 +292,7 @@
         ),
     ):
         node = await start(server)
-        text, one = new_request(node, "place", body="b", timeout="5000m")
+        text, request_id = new_request(node, "place", body="b", timeout="5000m")
         client = Client(node.port)
         client.send(text + pipelined)
         await wait_until(lambda: held.peers)
@@ -301,10 +301,10 @@
         leave(client)
         # The node sees the established connection in the same iteration as the disconnect, or earlier.
         held.released.set()
-        await wait_until(lambda: one in ended)
+        await wait_until(lambda: request_id in ended)
         # The node still serves, and the server would have received the first request by now.
         assert (await node.send_request("view"))[0] == 200
-    assert one not in server.ids
+    assert request_id not in server.ids
     return server
 
 
@@ -348,14 +348,14 @@
         after=lambda driver, exchange: ended.append(exchange.request_id),
     ):
         for leave in (Client.leave, Client.reset):
-            text, one = new_request(node, "place", body="b")
+            text, request_id = new_request(node, "place", body="b")
             client = Client(node.port)
             client.send(text)
             leave(client)  # the request and the close are in the node's socket together
             if leave is Client.leave:  # after a reset the kernel drops unread data
-                await wait_until(lambda one=one: one in ended)
+                await wait_until(lambda request_id=request_id: request_id in ended)
             assert (await node.send_request("view"))[0] == 200
-            assert one not in server.ids
+            assert request_id not in server.ids
 
 
 @scenario
@@ -378,11 +378,11 @@
             after=lambda driver, exchange: ended.append(exchange.request_id),
         ),
     ):
-        text, one = new_request(node, "place", body="b", timeout="5000m")
-        clients[one] = Client(node.port).send(text)
-        await wait_until(lambda: one in ended)
+        text, request_id = new_request(node, "place", body="b", timeout="5000m")
+        clients[request_id] = Client(node.port).send(text)
+        await wait_until(lambda: request_id in ended)
         assert (await node.send_request("view"))[0] == 200
-    assert one not in server.ids
+    assert request_id not in server.ids
 
 
 @scenario
@@ -407,12 +407,12 @@
         held.released.set()
         await wait_until(lambda: len(ended) >= 30)
         held.max_held = 0
-        text, one = new_request(node, "place", body="b")
+        text, request_id = new_request(node, "place", body="b")
         assert (await Client(node.port).send(text).response())[0] == 200
-    assert server.ids == [one]
+    assert server.ids == [request_id]
 
 
-# responses and timeouts in one iteration
+# Responses and timeouts in one iteration of the event loop.
 
 
 @scenario
@@ -483,9 +483,8 @@
         client = Client(node.port).send(new_request(node, "place", body="b", timeout="500m")[0])
         await wait_until(lambda: received_ids(*servers))
         driver, exchange = exchanges[0]
-        driver.attempt(
-            exchange.number, 1 - exchange.attempts[0].server, 5.0
-        )  # as an erroneous decision would
+        # Simulates an erroneous decision of the balancer.
+        driver.attempt(exchange.number, 1 - exchange.attempts[0].server, 5.0)
         status, _ = await client.response()
     assert status == 502 and len(received_ids(*servers)) == 1
 
@@ -508,7 +507,7 @@
     assert status == 502 and len(server.ids) == 1  # neither rejected nor retried
 
 
-# unsolicited responses
+# Unsolicited and incomplete responses.
 
 
 @scenario
@@ -526,10 +525,10 @@
     assert (await node.send_request("view"))[0] == 200
     with mock.patch.object(connection_pool, "REUSE_DELAY_S", 30.0):
         for _ in range(6):
-            text, one = new_request(node, "place", body="b")
+            text, request_id = new_request(node, "place", body="b")
             status, answer = await Client(node.port).send(text).response()
             assert status == 200 and answer.endswith(b"\r\n\r\nok")
-            request_ids.append(one)
+            request_ids.append(request_id)
     # After a surplus response, no connection is reused before the delay has passed.
     assert server.connection_count >= 6 and server.ids[1:] == request_ids
 
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -78,8 +78,8 @@
             holder.connection = connection = await self._acquire(exchange, attempt.server)
         except ConnectFailedError as error:
             # If this node lacks a descriptor, the attempt never began, which says nothing about the server.
-            is_own_fault = error.reason == CloseReason.NO_CAPACITY
-            return Outcome.MOOT if is_own_fault else Outcome.UNCONNECTED, None
+            is_local_failure = error.reason == CloseReason.NO_CAPACITY
+            return Outcome.MOOT if is_local_failure else Outcome.UNCONNECTED, None
         if not self._rules.may_send(exchange, attempt):
             self._pool.release(attempt.server, holder)
             return Outcome.MOOT, None
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -83,7 +83,7 @@
         # None unless the settings name other nodes.
         self.peers: PeerSender | None = None
 
-    # events
+    # Methods that add events.
 
     def add_event(self, *event: Any) -> None:
         """Adds an event for the next batch."""
@@ -152,7 +152,7 @@
         self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, is_binding))
         self._has_events.set()
 
-    # event batches
+    # Batches of events and timers.
 
     async def run(self) -> None:
         """Handles events as they are added and timers as they expire, until cancelled."""
@@ -235,7 +235,7 @@
         if exchange.is_complete and exchange.attempts_in_flight <= 0:
             self._finished.append(exchange.number)
 
-    # commands of the balancer
+    # Commands of the balancer.
 
     def attempt(self, request: int, server: int, timeout_s: float) -> None:
         """See `CommandWriter.attempt`.
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -97,7 +97,7 @@
         """The time between two calls of `close_expired`, in seconds."""
         return min(MAX_SWEEP_INTERVAL_S, self._idle_timeout_s / SWEEPS_PER_IDLE_TIMEOUT)
 
-    # faults observed on connections
+    # Faults observed on connections.
 
     def suspect_idle(self) -> None:
         """Records that a reused connection was reset: other idle ones may be dead too (see `acquire_new`)."""
@@ -114,7 +114,7 @@
         """
         self._surplus_until = now() + self._idle_timeout_s
 
-    # acquiring and releasing
+    # Acquiring and releasing connections.
 
     async def acquire(self, server: int) -> Connection:
         """Returns the most recently used idle connection, or a new one; raises ConnectFailedError.
@@ -183,7 +183,7 @@
                 connection.message_count,
             )
 
-    # connecting
+    # Opening connections.
 
     async def _connect(self, server: int) -> Connection:
         if self._open >= self._max_connections and not self._close_longest_idle():
@@ -225,7 +225,7 @@
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         return code
 
-    # closing idle connections
+    # Closing idle connections.
 
     def close_idle(self, server: int) -> None:
         """Closes the idle connections to a server."""
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -121,7 +121,7 @@
         if self._watch_scope is not None:
             self.watch(True)
 
-    # watch and fetch
+    # Tasks of watches and fetches.
 
     async def _watch(self, scope: trio.CancelScope) -> None:
         """Watches until a failure; retries after a failure unless lists are only sent on request."""
@@ -161,7 +161,7 @@
             return CloseReason.CLOSE_REQUESTED
         return CloseReason.TIMED_OUT
 
-    # connections
+    # Connections to the list service.
 
     async def _with_connection(self, use: Callable[[Connection], Awaitable[CloseReason]]) -> CloseReason:
         """Calls `use` with a connection to the list service; returns why the connection was closed."""
@@ -225,7 +225,7 @@
         except orjson.JSONDecodeError as error:
             raise MalformedError(0, "the list of servers is not valid JSON") from error
 
-    # lists
+    # Handling of received lists.
 
     def _handle_response(self, document: object, responses_applied: int) -> None:
         """Applies a response, unless it is older than one that was applied since its request was sent.
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -91,7 +91,7 @@
             for client in self._clients.idle:
                 client.request_close()
 
-    # shutdown
+    # Graceful shutdown.
 
     async def stop(self) -> None:
         """Shuts down gracefully; see the module `shutdown` for the phases."""
@@ -119,7 +119,7 @@
     def _close_listener(self) -> None:
         self._listener.close(self._accept_one)
 
-    # connections
+    # Connections of clients.
 
     async def _accept(self) -> None:
         clients = self._clients
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -91,7 +91,7 @@
         )
         self._retry_after_s = settings.max_retry_after_s if settings.can_advise_retry else 0.0
 
-    # requests
+    # Receiving and admitting requests.
 
     def handle(self, client: ClientConnection) -> None:
         """Handles the next request if it is complete and no other is open; else its bytes stay buffered."""
@@ -190,7 +190,7 @@
             return time.monotonic() - connection.opened_at
         return event_loop_lag.lag_s
 
-    # completing requests
+    # Completing requests.
 
     def _respond(self, client: ClientConnection) -> None:
         """Writes the response of a client's exchange, which has just been completed."""
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -55,7 +55,7 @@
         self._pool.update_settings(settings)
         self._rules.update_settings(settings)
 
-    # updates from discovery
+    # Updates from discovery (`ServerRegistry`).
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
         """Sets a server's address; closes its idle connections if the address has changed."""
@@ -75,7 +75,7 @@
         self._reports.forget(server)
         return True
 
-    # commands of the driver
+    # Commands of the driver (`AttemptSender`).
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
         """See `AttemptSender.start_attempt`."""
