--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -26,7 +26,7 @@
 from wheatroute.cluster.configuration import Tenant  # noqa: E402
 from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, UsageReport  # noqa: E402
 from wheatroute.control.edge_nodes import EdgeNodes  # noqa: E402
-from wheatroute.control.quotas import QuotaBuckets, respond  # noqa: E402
+from wheatroute.control.quotas import QuotaBuckets, handle_usage_report  # noqa: E402
 
 TENANTS = 16
 WINDOW_S = 8.0
@@ -59,7 +59,7 @@
         reports = [make_report(name, rng, has_recent_usage) for name in names]
         began = time.process_time()
         for report in reports:
-            respond(buckets, nodes, 1.0, report)
+            handle_usage_report(buckets, nodes, 1.0, report)
         figures[f"{kind}_us"] = round((time.process_time() - began) / count * 1e6, 1)
         figures[f"{kind}_bytes"] = len(msgspec.msgpack.encode(reports[0]))
     return figures
--- a/tests/control/simulated_cluster.py
+++ b/tests/control/simulated_cluster.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 from unittest.mock import patch
 
-from wheatroute.cluster.settings import Settings, Tolerate
+from wheatroute.cluster.settings import FailureTolerance, Settings
 from wheatroute.control.service import ControlService
 from wheatroute.replication import replicator as replicator_module
 from wheatroute.replication.storage import StorageError
@@ -234,7 +234,7 @@
             port_range=(1, 2),
             seeds=tuple(f"{seed}:80" for seed in self.seeds),
             bootstrap=bootstrap,
-            tolerate=Tolerate(machines=1),
+            tolerate=FailureTolerance(machines=1),
             data_dir="/virtual",
             heartbeat_ms=60_000.0,
         )
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from wheatroute.cluster.errors import RequestError
-from wheatroute.cluster.settings import SETTINGS_VARIABLE, Settings, Tolerate
+from wheatroute.cluster.settings import SETTINGS_VARIABLE, FailureTolerance, Settings
 from wheatroute.control import main as control_main
 from wheatroute.control.changes import Change, decode_state
 from wheatroute.control.registry import ServerHeartbeat
@@ -57,7 +57,7 @@
         "port_range": (port, port + 1),
         "seeds": tuple(f"{one}:{port + 2}" for one in HOSTS),
         "bootstrap": True,
-        "tolerate": Tolerate(machines=1),
+        "tolerate": FailureTolerance(machines=1),
         "data_dir": str(data),
         "heartbeat_ms": 60_000.0,  # no heartbeat is missed in a scenario
     }
@@ -292,7 +292,7 @@
 def test_the_role_stops_on_sigterm_and_reloads_its_seeds_on_sighup(tmp_path, monkeypatch):
     port = free_port()
     single = settings(
-        HOSTS[0], port, tmp_path, seeds=(f"{HOSTS[0]}:{port + 2}",), tolerate=Tolerate(machines=0)
+        HOSTS[0], port, tmp_path, seeds=(f"{HOSTS[0]}:{port + 2}",), tolerate=FailureTolerance(machines=0)
     )
     reloaded = asyncio.Event()
     applied = []
--- a/tests/control/test_isolation_and_prior_usage.py
+++ b/tests/control/test_isolation_and_prior_usage.py
@@ -6,7 +6,7 @@
 from wheatroute.cluster.messages import USAGE_SLOT_S, QuotaDemand, QuotaGrant, UsageReport
 from wheatroute.control.edge_nodes import NODE_FORGOTTEN_S, NODE_LOST_S, NODE_UNRESPONSIVE_S, EdgeNodes
 from wheatroute.control.prior_usage import PriorUsage
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, handle_usage_report
 from wheatroute.edge.quota_leases import QuotaLeases
 from wheatroute.edge.usage_history import UsageHistory
 
@@ -32,7 +32,9 @@
     buckets, node, recent=(), now=0.0, span_s=WINDOW_S, isolated_usage=0.0, isolated_usage_acknowledged=0.0
 ):
     demand = QuotaDemand(0.0, 0.0, 0.0, isolated_usage, isolated_usage_acknowledged, tuple(recent))
-    return respond(buckets, EdgeNodes(), now, UsageReport(node, {"t": demand}, recent_usage_span_s=span_s))
+    return handle_usage_report(
+        buckets, EdgeNodes(), now, UsageReport(node, {"t": demand}, recent_usage_span_s=span_s)
+    )
 
 
 def test_restored_levels_are_applied_once_the_tenants_are_configured():
@@ -169,7 +171,9 @@
 
 def report_demand(buckets, nodes, node, now, rate=100.0):
     """The grant of a node that reports its demand."""
-    return respond(buckets, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})).grants["t"]
+    return handle_usage_report(
+        buckets, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})
+    ).grants["t"]
 
 
 def test_the_share_of_an_unresponsive_node_is_reserved_until_it_reports():
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -7,7 +7,7 @@
 from wheatroute.cluster.configuration import Tenant
 from wheatroute.cluster.messages import QuotaDemand, QuotaGrant, ServerLoad, UsageReport
 from wheatroute.control.edge_nodes import EdgeNodes
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, handle_usage_report
 from wheatroute.edge.prompt_headers import TokenCount
 from wheatroute.edge.quota_leases import QuotaLeases, request_cost
 from wheatroute.edge.retry_budget import RetryBudget
@@ -261,12 +261,14 @@
 
 def test_a_node_gets_the_load_that_all_others_have_at_servers():
     nodes, buckets = EdgeNodes(), make_buckets()
-    respond(buckets, nodes, 0.0, UsageReport("a", {}, {"s": ServerLoad(100, 2)}))
-    respond(buckets, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
-    response = respond(buckets, nodes, 0.1, UsageReport("c", {}))
+    handle_usage_report(buckets, nodes, 0.0, UsageReport("a", {}, {"s": ServerLoad(100, 2)}))
+    handle_usage_report(buckets, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
+    response = handle_usage_report(buckets, nodes, 0.1, UsageReport("c", {}))
     assert response.servers == {"s": ServerLoad(150, 3)} and response.edge_node_count == 3
     # lost nodes no longer count
-    assert respond(buckets, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
+    assert (
+        handle_usage_report(buckets, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
+    )
 
 
 def test_retries_stay_within_their_ratio_of_requests_and_the_slack():
--- a/tests/soak/simulated_fleet.py
+++ b/tests/soak/simulated_fleet.py
@@ -27,7 +27,7 @@
     UpdateRequest,
     UsageReport,
 )
-from wheatroute.cluster.settings import Bounds, Settings, Tolerate
+from wheatroute.cluster.settings import Bounds, FailureTolerance, Settings
 from wheatroute.control.changes import Change
 from wheatroute.edge.admission import Admission
 from wheatroute.edge.control_client import ControlClient
@@ -75,7 +75,7 @@
     """A cluster of control nodes with the bounds of the quota rule."""
 
     def settings(self, host, bootstrap):
-        tolerate = Tolerate(machines=(len(self.nodes) - 1) // 2)
+        tolerate = FailureTolerance(machines=(len(self.nodes) - 1) // 2)
         return msgspec.structs.replace(super().settings(host, bootstrap), bounds=BOUNDS, tolerate=tolerate)
 
 
--- a/wheatroute/cluster/settings.py
+++ b/wheatroute/cluster/settings.py
@@ -29,7 +29,7 @@
     disk_mb: int = 64
 
 
-class Tolerate(msgspec.Struct, frozen=True):
+class FailureTolerance(msgspec.Struct, frozen=True):
     """How many counted machines, zones or regions may be lost at one time."""
 
     machines: int = 0
@@ -74,7 +74,7 @@
     limits: Limits = Limits()
     data_dir: str | None = None
     heartbeat_ms: float = 1200.0
-    tolerate: Tolerate = Tolerate()
+    tolerate: FailureTolerance = FailureTolerance()
     bounds: Bounds = Bounds()
 
     @property
--- a/wheatroute/control/primary_state.py
+++ b/wheatroute/control/primary_state.py
@@ -13,7 +13,7 @@
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.failure_detector import FailureDetector
-from wheatroute.control.quotas import BucketLevels, QuotaBuckets, respond
+from wheatroute.control.quotas import BucketLevels, QuotaBuckets, handle_usage_report
 from wheatroute.control.registry import Registry
 from wheatroute.control.soft_state import SoftState
 
@@ -95,7 +95,7 @@
 
     def report_usage(self, now: float, report: UsageReport) -> UsageResponse:
         """Applies an edge node's usage; returns its grants."""
-        return respond(self.quotas, self.edge_nodes, now, report, self.leadership_epoch)
+        return handle_usage_report(self.quotas, self.edge_nodes, now, report, self.leadership_epoch)
 
     def report_unresponsive(
         self, now: float, node: str, unresponsive_for: dict[str, float]
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -191,7 +191,7 @@
         return QuotaGrant(tokens, wait_s, share * buckets.limit.rate, buckets.local_burst(node, share))
 
 
-def respond(
+def handle_usage_report(
     buckets: QuotaBuckets, nodes: EdgeNodes, now: float, report: UsageReport, leadership_epoch: int = -1
 ) -> UsageResponse:
     """The response to one node's report, of the primary that began to lead in that epoch."""
