--- a/tests/control/test_consistency.py
+++ b/tests/control/test_consistency.py
@@ -258,10 +258,10 @@
     """Sends first configurations without asking whether this node still leads."""
 
     async def poll(self, request):
-        async def is_confirmed():
+        async def confirm():
             return True
 
-        with patched(self._leadership, is_confirmed=is_confirmed):
+        with patched(self._leadership, confirm=confirm):
             return await super().poll(request)
 
 
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -199,7 +199,7 @@
     await service.heartbeat("i-2", ServerHeartbeat(backend="s", addr="10.0.0.9:80", state="draining", seq=2))
     await nodes.kill(host)
     _, successor = await nodes.primary(excluding=host)
-    states = {instance.id: instance.state.value for instance in successor.state.registry.present()}
+    states = {instance.id: instance.state.value for instance in successor.state.registry.live_instances()}
     assert states == {"i-1": "ready", "i-2": "draining"}
 
 
@@ -250,7 +250,7 @@
         if one != host:
             await nodes.start(one, bootstrap=False)
     _, successor = await nodes.primary()
-    assert [instance.id for instance in successor.state.registry.present()] == ["i-1"]
+    assert [instance.id for instance in successor.state.registry.live_instances()] == ["i-1"]
 
 
 def test_damage_on_disk_is_found_and_repaired_while_the_node_runs(tmp_path, monkeypatch, caplog):
--- a/tests/control/test_isolation_and_prior_usage.py
+++ b/tests/control/test_isolation_and_prior_usage.py
@@ -126,9 +126,9 @@
 
 def test_a_new_primary_counts_the_nodes_that_the_one_before_counted():
     nodes = EdgeNodes(10.0, 63)
-    nodes.contact(10.1, "a")
+    nodes.record_contact(10.1, "a")
     assert nodes.count(10.1) == 63
-    nodes.contact(10.0 + NODE_LOST_S, "a")
+    nodes.record_contact(10.0 + NODE_LOST_S, "a")
     assert nodes.count(10.0 + NODE_LOST_S) == 1
     assert EdgeNodes(10.0).count(10.1) == 1
 
@@ -181,7 +181,7 @@
     buckets.configure([TENANT], 0.0)
     grants = [report_demand(buckets, nodes, node, 0.0) for node in "ab"]
     level_before = limit_level(buckets)
-    nodes.contact(NODE_UNRESPONSIVE_S + 0.1, "b")
+    nodes.record_contact(NODE_UNRESPONSIVE_S + 0.1, "b")
     buckets.reserve(NODE_UNRESPONSIVE_S + 0.1, nodes)
     reserved = grants[0].local_burst + grants[0].local_rate * (NODE_UNRESPONSIVE_S + 0.1)
     assert reserved > 0 and limit_level(buckets) == pytest.approx(
@@ -209,14 +209,14 @@
     buckets, nodes = new_primary_buckets(nodes=4), EdgeNodes(0.0, 4)
     for node in "ab":
         report_recent_usage(buckets, node)
-        nodes.contact(0.1, node)
+        nodes.record_contact(0.1, node)
     buckets.reserve(NODE_UNRESPONSIVE_S, nodes)
     assert limit_level(buckets) == 0.4 * BURST  # not yet: nodes may just not have reached it
     now = NODE_UNRESPONSIVE_S + 0.5
     buckets.reserve(now, nodes)
     assert limit_level(buckets) == pytest.approx(BURST * (1 - 0.9 / 2) - 0.9 / 2 * RATE * now, rel=0.01)
     report_recent_usage(buckets, "c", now=now)
-    nodes.contact(now, "c")
+    nodes.record_contact(now, "c")
     assert limit_level(buckets) == BURST
 
 
--- a/tests/control/test_server_registry.py
+++ b/tests/control/test_server_registry.py
@@ -25,7 +25,7 @@
     now = begin
     while now < until:
         now += step
-        servers.tick(now)
+        servers.apply_missed_heartbeats(now)
 
 
 def test_a_heartbeat_that_reports_nothing_new_changes_nothing():
@@ -77,8 +77,8 @@
 def test_heartbeats_that_a_frozen_process_could_not_read_are_not_counted_as_missing():
     servers = registry()
     servers.heartbeat(0.0, "a", heartbeat(1))
-    servers.tick(0.2)
-    servers.tick(30.0)
+    servers.apply_missed_heartbeats(0.2)
+    servers.apply_missed_heartbeats(30.0)
     assert states(servers) == {"a": "ready"} and not servers.is_settled(30.5)
 
 
@@ -100,7 +100,7 @@
     before.heartbeat(0.0, "b", heartbeat(1, "draining", addr="10.0.0.2:80"))
     before.remove(0.1, "c")
     servers = Registry(epoch=3, heartbeat_s=HEARTBEAT_S, now=10.0)
-    servers.restore(10.0, before.present())
+    servers.restore(10.0, before.live_instances())
     assert states(servers) == {"a": "ready", "b": "draining"} and not servers.is_settled(12.0)
     servers.heartbeat(11.0, "a", heartbeat(5))
     # a server whose drain the primary before acknowledged does not come back by a late heartbeat
@@ -113,7 +113,7 @@
     servers = Registry(epoch=3, heartbeat_s=HEARTBEAT_S, now=0.0)
     before = registry()
     before.heartbeat(0.0, "a", heartbeat(1))
-    servers.restore(0.0, before.present())
+    servers.restore(0.0, before.live_instances())
     run(servers, 4.0)
     assert states(servers) == {"a": "gone"}
 
--- a/wheatroute/control/api.py
+++ b/wheatroute/control/api.py
@@ -1,6 +1,6 @@
 """HTTP handlers of the control role: one app for servers and operators, one for edge nodes.
 
-Bodies are JSON outside, and msgpack between the router set's own nodes.
+Bodies are JSON for servers and operators, and msgpack for edge nodes.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 JSON = "application/json"
 MAX_BODY_BYTES = 8 << 20
-MAX_LOGGED_DETAIL = 300  # characters of the detail of an error
+MAX_LOGGED_DETAIL = 300  # maximum logged characters of an error's detail
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """The body of a message for an edge node."""
+    """Encodes a message to an edge node."""
     return msgspec.msgpack.encode(message)
 
 
@@ -39,7 +39,7 @@
 
 
 class Handlers:
-    """The handlers of both apps, for one control node; `control_port` is that of every control node."""
+    """The request handlers of both apps on a control node; all control nodes use the same `control_port`."""
 
     def __init__(self, service: ControlService, control_port: int, log: logging.Logger) -> None:
         self._service = service
@@ -47,7 +47,7 @@
         self._log = log
 
     def _error(self, request: Request[Any, Any, Any], error: RequestError) -> Response[bytes]:
-        """The response to an error: a redirect to the primary, where its host is known."""
+        """The response to an error; a redirect if the error names the host of the primary."""
         if error.kind == ErrorKind.NOT_PRIMARY and error.detail and error.detail != error.kind.value:
             location = f"http://{error.detail}:{self._control_port}{request.url.path}"
             return _json_response(307, {"error": error.kind.value}, {"Location": location})
@@ -62,10 +62,10 @@
         try:
             generation = await self._service.change(change)
         except TimeoutError:
-            return self._error(request, RequestError(ErrorKind.NO_QUORUM, "an earlier change takes long"))
+            return self._error(request, RequestError(ErrorKind.NO_QUORUM, "an earlier change takes too long"))
         except RequestError as error:
             self._log.info(
-                "change-not-taken",
+                "change-failed",
                 extra={
                     "kind": error.kind.value,
                     "detail": error.detail[:MAX_LOGGED_DETAIL],
@@ -96,10 +96,10 @@
         host = request.headers.get("host", "")
         return _json_response(200, {"beat_url": f"http://{host}/-/instances/{identity}"} if host else {})
 
-    async def leave(self, request: Request[Any, Any, Any]) -> Response[bytes]:
-        """Handles DELETE of an instance: a server that ends."""
+    async def deregister(self, request: Request[Any, Any, Any]) -> Response[bytes]:
+        """Handles DELETE of an instance: a server that shuts down."""
         try:
-            await self._service.leave(request.path_params["identity"])
+            await self._service.deregister(request.path_params["identity"])
         except RequestError as error:
             return self._error(request, error)
         return _json_response(200, {})
@@ -141,7 +141,7 @@
 
     @delete("/-/instances/{identity:str}", status_code=200)
     async def delete_instance(request: Request[Any, Any, Any]) -> Response[bytes]:
-        return await handlers.leave(request)
+        return await handlers.deregister(request)
 
     return Litestar(
         [put_configuration, patch_configuration, get_configuration, put_instance, delete_instance],
--- a/wheatroute/control/changes.py
+++ b/wheatroute/control/changes.py
@@ -1,8 +1,8 @@
 """Applies operators' changes to the configuration. A state machine without I/O.
 
-A change builds on the generation that its `If-Match` names. A change that was applied is remembered by its
-digest, so that it is acknowledged again when it is sent again after a lost response, also after later
-changes.
+A change is based on the generation that its `If-Match` header names. The digest of an applied change is
+remembered, so that the change is acknowledged again when the client resends it after a lost response, even if
+other changes followed.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
 
-MAX_REMEMBERED_CHANGES = 2000  # days of several hundred changes
+MAX_REMEMBERED_CHANGES = 2000  # enough for several days with several hundred changes each
 DIGEST_BYTES = 16
-COMPRESSION_LEVEL = 1  # of zlib: the fastest
-ZLIB_FIRST_BYTE = 0x78  # no msgpack map of a few fields begins with it
+COMPRESSION_LEVEL = 1  # the fastest level of zlib
+ZLIB_FIRST_BYTE = 0x78  # a msgpack map of a few fields never starts with this byte
 
 
 class ConfigurationState(msgspec.Struct, frozen=True):
     """The replicated document: the newest configuration as JSON, and the changes that were applied.
 
-    `base_generations` are the generations that the changes of `applied_digests` were built on, in the same
-    order. `newest_forgotten_base` is the newest generation that a change was built on whose digest is no
-    longer remembered, -1 for none.
+    `base_generations` are the generations on which the changes in `applied_digests` were based, in the same
+    order. `newest_forgotten_base` is the newest base generation of the changes whose digests are no longer
+    remembered, -1 if there are none.
     """
 
     generation: int = 0
@@ -39,13 +39,13 @@
 class Change(msgspec.Struct, frozen=True):
     """A PUT or PATCH of the configuration by an operator: its `If-Match` header and its body."""
 
-    is_partial: bool  # PATCH
+    is_partial: bool  # true for PATCH, false for PUT
     if_match: str
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        """Identifies this change: the digest of its method, header and body."""
+        """The digest of method, header and body, which identifies this change."""
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         for field in (b"patch" if self.is_partial else b"put", self.if_match.encode(), self.body):
             digest.update(len(field).to_bytes(8, "big"))
@@ -54,7 +54,7 @@
 
 
 def decode_state(payload: bytes) -> ConfigurationState:
-    """The state in a replicated document, which earlier versions of the program wrote uncompressed."""
+    """Decodes the state in a replicated document; earlier program versions wrote it uncompressed."""
     if not payload:
         return ConfigurationState()
     plain = zlib.decompress(payload) if payload[0] == ZLIB_FIRST_BYTE else payload
@@ -62,15 +62,15 @@
 
 
 def encode_state(state: ConfigurationState) -> bytes:
-    """The document of a state, compressed: each write sends it in full to every member's link and disk."""
+    """Encodes a state, compressed because each write sends it in full to every member's link and disk."""
     return zlib.compress(msgspec.msgpack.encode(state), COMPRESSION_LEVEL)
 
 
 def apply_change(state: ConfigurationState, change: Change) -> ConfigurationState | None:
-    """The state after a change, or None if the change was applied before.
+    """Returns the state after a change, or None if the change was applied before.
 
-    Raises `RequestError` if the change is invalid, is built on another generation, or may have been applied
-    so long ago that its digest is forgotten.
+    Raises `RequestError` if the change is invalid, is based on another generation, or may have been applied
+    so long ago that its digest is no longer remembered.
     """
     if change.digest in state.applied_digests:
         return None
@@ -89,40 +89,45 @@
     try:
         document = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
-        raise RequestError(ErrorKind.INVALID_CONFIGURATION, f"not JSON: {error}") from error
+        raise RequestError(ErrorKind.INVALID_CONFIGURATION, f"body is not valid JSON: {error}") from error
     if not isinstance(document, dict):
-        raise RequestError(ErrorKind.INVALID_CONFIGURATION, "not an object")
+        raise RequestError(ErrorKind.INVALID_CONFIGURATION, "body must be a JSON object")
     return document
 
 
 def _base_generation(change: Change) -> str:
-    """The generation that a change is built on, as the text of its `If-Match`."""
+    """The generation on which a change is based, as the text of its `If-Match` header."""
     return change.if_match.strip().strip('"')
 
 
 def _mismatch(state: ConfigurationState, change: Change) -> RequestError:
-    """The error of a change that is built on another generation.
+    """The error for a change that is based on another generation.
 
-    Where its digest may be forgotten, the change must not be rejected: it may have been applied.
+    If its digest may have been forgotten, the change must not be rejected, because it may have been applied.
     """
     base = _base_generation(change)
     if base.isdecimal() and int(base) <= state.newest_forgotten_base:
         return RequestError(
-            ErrorKind.CHANGE_FORGOTTEN, f"whether it was taken on {base} is not known any more"
+            ErrorKind.CHANGE_FORGOTTEN,
+            f"the change on generation {base} may have been applied, but is too old to be remembered",
         )
-    return RequestError(ErrorKind.VERSION_MISMATCH, f"the current version is {state.generation}")
+    return RequestError(
+        ErrorKind.VERSION_MISMATCH, f"If-Match does not name the current generation {state.generation}"
+    )
 
 
 def _new_generation(state: ConfigurationState, configuration: dict[str, Any]) -> int:
-    """The generation of a configuration; raises `RequestError` unless it is above the present one."""
+    """The generation of a configuration; raises `RequestError` unless it exceeds the present generation."""
     generation = configuration.get("generation")
     if not isinstance(generation, int) or isinstance(generation, bool) or generation <= state.generation:
-        raise RequestError(ErrorKind.INVALID_CONFIGURATION, f"generation is not above {state.generation}")
+        raise RequestError(
+            ErrorKind.INVALID_CONFIGURATION, f"generation must be an integer above {state.generation}"
+        )
     return generation
 
 
 def _validation_errors(configuration: dict[str, Any]) -> list[str]:
-    # pydantic is loaded by the role beside its HTTP libraries, after replication has begun
+    # Imported here because the role loads pydantic with its HTTP libraries, after replication has started.
     from wheatroute.control.schema import validation_errors
 
     return validation_errors(configuration)
@@ -131,7 +136,7 @@
 def _next_state(
     state: ConfigurationState, change: Change, generation: int, body: bytes
 ) -> ConfigurationState:
-    """The state with one more remembered change; the oldest ones beyond the maximum are forgotten."""
+    """The state after a change; the oldest remembered changes beyond the maximum are forgotten."""
     digests = (*state.applied_digests, change.digest)
     bases = (*state.base_generations, state.generation)
     forgotten_bases = bases[:-MAX_REMEMBERED_CHANGES]
@@ -145,25 +150,27 @@
 
 
 def _patched(state: ConfigurationState, patch: dict[str, Any]) -> dict[str, Any]:
-    """The present configuration with named items replaced, added and removed."""
+    """The present configuration with the items that a patch names replaced, added or removed."""
     configuration: dict[str, Any] = msgspec.json.decode(state.body) if state.body else {}
     upsert, delete = patch.get("upsert") or {}, patch.get("delete") or {}
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
-        raise RequestError(ErrorKind.INVALID_CONFIGURATION, "upsert and delete are objects")
+        raise RequestError(ErrorKind.INVALID_CONFIGURATION, "upsert and delete must be JSON objects")
     for key, value in upsert.items():
         configuration[key] = _upserted(configuration.get(key), value) if isinstance(value, list) else value
     for key, names in delete.items():
         if not isinstance(names, list):
-            raise RequestError(ErrorKind.INVALID_CONFIGURATION, f"delete.{key} is no list")
+            raise RequestError(ErrorKind.INVALID_CONFIGURATION, f"delete.{key} must be a list of names")
         configuration[key] = [item for item in configuration.get(key) or [] if item.get("name") not in names]
     configuration["generation"] = patch.get("generation")
     return configuration
 
 
 def _upserted(present: Any, items: list[Any]) -> list[Any]:
-    """The present items with those of the same name replaced in place, and new ones appended."""
+    """The present items with items of the same name replaced in place, and new ones appended."""
     if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
-        raise RequestError(ErrorKind.INVALID_CONFIGURATION, "an item without a name")
+        raise RequestError(
+            ErrorKind.INVALID_CONFIGURATION, "upsert: every item must be an object with a name"
+        )
     by_name = {item["name"]: item for item in items}
     replaced = [by_name.pop(item.get("name"), item) for item in present or []]
     return [*replaced, *by_name.values()]
--- a/wheatroute/control/committed_configuration.py
+++ b/wheatroute/control/committed_configuration.py
@@ -13,13 +13,13 @@
 
 
 class CommittedConfiguration:
-    """The newest committed state with its sequence, and the versions that edge nodes may have.
+    """The newest committed state with its sequence number, and the versions that edge nodes may have.
 
-    Only a leader commits, so this is current on a node that leads and serves alone (`Leadership`). On a
-    replica it is empty, or what the node committed when it last led, which may be stale.
+    Only a leader commits, so this is current only on a node that leads and can acknowledge (`Leadership`). On
+    a replica it is empty, or the possibly stale state that the node committed when it last led.
 
-    `sequence` is `NOT_COMMITTED` until the first commit, and again once this node has ceased to lead: the
-    next commit of the same document then counts as a new one.
+    `sequence` is `NOT_COMMITTED` until the first commit, and again once this node no longer leads: the next
+    commit of the same document then counts as a new one.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
 
     @property
     def is_committed(self) -> bool:
-        """Whether a document was committed, in its term if this node leads."""
+        """Whether a document was committed; on the leader, in the present term."""
         return self.sequence >= 0
 
     @property
@@ -44,11 +44,11 @@
 
     @property
     def edge_sequence(self) -> int:
-        """The sequence of the configuration for edge nodes; -1 while there is none."""
+        """The sequence number of the configuration for edge nodes; -1 while there is no configuration."""
         return self.sequence if self.has_configuration else -1
 
     def commit(self, document: Document) -> bool:
-        """Applies a committed document; false if it is the present one."""
+        """Applies a committed document; returns false if it is the present one."""
         sequence = document.version.sequence
         if sequence == self.sequence:
             return False
@@ -59,7 +59,7 @@
         return True
 
     def end_term(self) -> None:
-        """Forgets the sequence, as this node leads no more; the state stays, and is stale from now on."""
+        """Resets the sequence: this node no longer leads. The state is kept, but may be stale from now on."""
         self.sequence = NOT_COMMITTED
 
     def is_newer_than(self, request: UpdateRequest) -> bool:
@@ -67,7 +67,7 @@
         return self.has_configuration and (request.wants_full or request.configuration < self.sequence)
 
     def difference_for(self, request: UpdateRequest) -> bytes | None:
-        """The difference from an edge node's version to the newest one; None if it lacks nothing."""
+        """The encoded difference from an edge node's version to the newest one; None if it is up to date."""
         if not self.is_newer_than(request):
             return None
         return self._versions.difference_since(NO_SEQUENCE if request.wants_full else request.configuration)
--- a/wheatroute/control/configuration_store.py
+++ b/wheatroute/control/configuration_store.py
@@ -1,8 +1,8 @@
 """Operators' reads and writes of the replicated configuration, on the primary.
 
-Invariant: of two changes on one generation at most one is ever acknowledged. Changes are applied one at a
-time to the committed state; a rejection, or the acknowledgement of a change that was applied before, is sent
-only once a majority has confirmed that this node leads.
+Invariant: of two changes that are based on the same generation, at most one is ever acknowledged. Changes are
+applied one at a time to the committed state. A rejection, or the acknowledgement of a change that was applied
+before, is sent only after a majority has confirmed that this node leads.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from wheatroute.control.leadership import Leadership
 from wheatroute.replication.replicator import Replicator
 
-WRITE_TIMEOUT_S = 0.8  # a caller moves to another node after one second without a response
+WRITE_TIMEOUT_S = 0.8  # below 1 s, after which a caller tries another node
 EARLIER_COMMIT_TIMEOUT_S = 0.2
 COMMIT_POLL_INTERVAL_S = 0.005
 
 
 class ConfigurationStore:
-    """Reads and writes of the replicated configuration."""
+    """Reads the replicated configuration and applies operators' changes to it, one at a time."""
 
     def __init__(
         self, replicator: Replicator, leadership: Leadership, configuration: CommittedConfiguration
@@ -32,10 +32,10 @@
         self._write_lock = asyncio.Lock()
 
     async def change(self, change: Change) -> int:
-        """Applies a change; returns the present generation once the change is acknowledged.
+        """Applies a change; returns the present generation once the change is committed.
 
-        Raises `RequestError` if it can't be applied or acknowledged, and `TimeoutError` if earlier changes
-        take too long.
+        Raises `RequestError` if the change can't be applied or acknowledged, and `TimeoutError` if earlier
+        changes take too long.
         """
         async with asyncio.timeout(WRITE_TIMEOUT_S):
             await self._write_lock.acquire()
@@ -45,7 +45,7 @@
             self._write_lock.release()
 
     async def read(self) -> bytes:
-        """The newest configuration as JSON, never older than one that was acknowledged before the call."""
+        """Returns the newest configuration as JSON, never older than one acknowledged before the call."""
         self._leadership.require_primary()
         await self._leadership.require_confirmation()
         if not self._configuration.has_configuration:
@@ -55,19 +55,19 @@
     async def _change_locked(self, change: Change) -> int:
         await self._wait_for_earlier_commit()
         if not self._replicator.core.is_healthy:
-            raise RequestError(ErrorKind.STORAGE, "the disk takes no writes")
+            raise RequestError(ErrorKind.STORAGE, "the disk does not accept writes")
         state = await self._apply(change)
         if state is None:
             return self._configuration.state.generation
         if not await self._replicator.write(encode_state(state), WRITE_TIMEOUT_S):
-            raise RequestError(ErrorKind.NO_QUORUM, "not acknowledged by enough disks in time")
+            raise RequestError(ErrorKind.NO_QUORUM, "too few control nodes wrote the change to disk in time")
         return state.generation
 
     async def _apply(self, change: Change) -> ConfigurationState | None:
         """The state after a change, None if it was applied before; raises `RequestError` for an invalid one.
 
-        What no write follows is confirmed first: a primary that was deposed without knowing it would reject
-        what was acknowledged elsewhere.
+        Any result that no write follows requires a leadership confirmation, because a primary that was
+        deposed without knowing it could otherwise reject a change that another node has acknowledged.
         """
         try:
             state = apply_change(self._configuration.state, change)
@@ -79,7 +79,10 @@
         return state
 
     async def _wait_for_earlier_commit(self) -> None:
-        """Waits for an earlier write, as at each change of view; raises `RequestError` if it takes long."""
+        """Waits for the commit of an earlier write, as after each view change.
+
+        Raises `RequestError` if that takes too long.
+        """
         loop, core = asyncio.get_running_loop(), self._replicator.core
         end = loop.time() + EARLIER_COMMIT_TIMEOUT_S
         while True:
--- a/wheatroute/control/failure_detector.py
+++ b/wheatroute/control/failure_detector.py
@@ -1,10 +1,10 @@
-"""A failure detector for servers, fed by the reports of edge nodes. A state machine without I/O.
+"""A failure detector for servers, based on the reports of edge nodes. A state machine without I/O.
 
-An edge node reports a server that answers none of its requests. One report is not enough, as the fault may
-lie with that node or its link. A server is suspected once two nodes report it, or one where a heartbeat of
-the server is late; a heartbeat that came after the unanswered request was sent contradicts the report.
+An edge node reports a server that responds to none of its requests. One report is not sufficient, since the
+fault may be in that node or its link. A server is suspected once two nodes report it, or one node if the
+server's heartbeat is late; a heartbeat that arrived after the unanswered request was sent refutes the report.
 
-All times are in seconds of the steady clock.
+All times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 import msgspec
 
-REPORTING_NODES = 2  # that must report a server, or all nodes where there are fewer
-REPORT_VALID_S = 1.5  # for which a report counts unless it is repeated
-LATE_HEARTBEATS = 1.3  # heartbeat intervals without a heartbeat, from which one report is enough
+REPORTING_NODES = 2  # number of nodes that must report a server, or all nodes if there are fewer
+REPORT_VALID_S = 1.5  # time after which a report expires unless it is repeated
+LATE_HEARTBEATS = 1.3  # heartbeat intervals without a heartbeat, after which one report is sufficient
 
 
 class UnresponsiveReport(msgspec.Struct, frozen=True):
-    """A report that a server doesn't answer: when it came, and when the unanswered request was sent."""
+    """A report that a server doesn't respond: its arrival time, and when the unanswered request was sent."""
 
     received_at: float
     request_sent_at: float
@@ -30,16 +30,18 @@
 
     def __init__(self, heartbeat_s: float) -> None:
         self.expect_heartbeats(heartbeat_s)
-        self._reports: dict[str, dict[str, UnresponsiveReport]] = defaultdict(dict)  # by server and node
+        # server -> edge node -> its newest report
+        self._reports: dict[str, dict[str, UnresponsiveReport]] = defaultdict(dict)
 
     def expect_heartbeats(self, heartbeat_s: float) -> None:
-        """Sets the interval in which servers send heartbeats, in seconds."""
+        """Sets the interval at which servers send heartbeats, in seconds."""
         self._late_after_s = LATE_HEARTBEATS * heartbeat_s
 
     def report(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
-        """Takes a node's report, which replaces its earlier one.
+        """Records a node's report, which replaces its earlier one.
 
-        `unresponsive_for` gives the seconds without an answer by server; servers that are missing answer.
+        `unresponsive_for` maps each unresponsive server to the seconds without a response; servers that it
+        doesn't contain respond to the node.
         """
         for server in [server for server, nodes in self._reports.items() if node in nodes]:
             del self._reports[server][node]
@@ -49,7 +51,7 @@
             self._reports[server][node] = UnresponsiveReport(now, now - seconds)
 
     def is_suspected(self, now: float, server: str, last_heartbeat: float, node_count: int) -> bool:
-        """Whether enough of the `node_count` edge nodes report a server with this last heartbeat."""
+        """Whether enough of `node_count` edge nodes report a server, given the time of its last heartbeat."""
         supporting = sum(
             now - report.received_at <= REPORT_VALID_S and report.request_sent_at > last_heartbeat
             for report in self._reports.get(server, {}).values()
--- a/wheatroute/control/http_servers.py
+++ b/wheatroute/control/http_servers.py
@@ -1,6 +1,6 @@
 """The HTTP servers of the control role.
 
-Importing this module imports `litestar`, `uvicorn` and `pydantic`, which takes the longest part of a start.
+Importing this module imports `litestar`, `uvicorn` and `pydantic`, which takes up most of the startup time.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 import uvicorn
 from litestar import Litestar
 
-# imported here, so that the first change of the configuration doesn't wait for it
+# Imported here so that the first change of the configuration doesn't wait for this import.
 import wheatroute.control.schema  # noqa: F401
 from wheatroute.cluster.settings import Settings
 from wheatroute.control.api import Handlers, control_app, internal_app
 from wheatroute.control.service import ControlService
 
-KEEP_ALIVE_S = 30  # for which an idle connection of a caller is kept
+KEEP_ALIVE_S = 30  # time after which an idle connection is closed
 GRACEFUL_SHUTDOWN_S = 1
 
 
 class HttpServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to the role."""
+    """A uvicorn server that leaves signal handling to the role."""
 
     def install_signal_handlers(self) -> None:
-        """Installs none: signals are handled by the role."""
+        """Does nothing: the role handles signals."""
 
     def capture_signals(self) -> AbstractContextManager[None]:  # type: ignore[override]
-        """Captures none: what later versions of uvicorn call in place of `install_signal_handlers`."""
+        """Does nothing; later versions of uvicorn call this instead of `install_signal_handlers`."""
         return nullcontext()
 
 
 def http_servers(settings: Settings, service: ControlService, log: logging.Logger) -> list[HttpServer]:
-    """The servers of one control node: one for servers and operators, one for edge nodes."""
+    """Creates the HTTP servers of a control node: one for servers and operators, one for edge nodes."""
     logging.getLogger("uvicorn.error").setLevel(logging.WARNING)
     host, port = settings.address("control")
     handlers = Handlers(service, port, log)
--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -1,12 +1,13 @@
-"""Whether this control node leads, and what it tells callers if it doesn't.
+"""Whether this control node is the primary, and the errors and redirects for callers if it is not.
 
-A primary acts on one of two grounds:
+A primary checks its leadership in one of two ways before it responds:
 
-- Its lease (`can_acknowledge`) is enough for heartbeats of servers and for quotas, which the next primary
-  learns of by later messages, and for updates of edge nodes that have a configuration, as they take no older
-  one.
-- Every other final response needs the confirmation of a majority that is asked from then on
-  (`require_confirmation`): a primary that was deposed without knowing it doesn't get that.
+- Its lease (`can_acknowledge`) is sufficient for server heartbeats and quotas, because the next primary
+  learns of these from later messages, and for updates to edge nodes that already have a configuration,
+  because they never apply an older one.
+- Every other final response requires a leadership confirmation (`require_confirmation`, a read index): a
+  round trip to a majority that starts after the request arrived. A primary that was deposed without knowing
+  it does not get one.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class Leadership:
-    """The role of this node in the newest view, as far as callers are concerned."""
+    """Reports whether this node is the primary of its newest view and may respond to callers."""
 
     def __init__(self, replicator: Replicator, configuration: CommittedConfiguration) -> None:
         self._replicator = replicator
@@ -30,7 +31,7 @@
 
     @property
     def is_leading(self) -> bool:
-        """Whether this node is the primary of its newest view; it may not be able to acknowledge."""
+        """Whether this node is the primary of its newest view, with or without a lease."""
         return self._replicator.core.is_leading
 
     @property
@@ -45,12 +46,12 @@
 
     @property
     def primary_host(self) -> str:
-        """The host of another node that is thought to lead; empty if it is unknown or sends no heartbeats."""
+        """The host of another node believed to be primary; empty if unknown or if it sends no heartbeats."""
         return self._replicator.core.primary_host(asyncio.get_running_loop().time())
 
     @property
     def can_acknowledge(self) -> bool:
-        """Whether this node has a lease as primary, and a committed document."""
+        """Whether this node holds the lease of a primary and has a committed document."""
         return self._replicator.is_serving and self._configuration.is_committed
 
     def require_primary(self) -> None:
@@ -58,17 +59,17 @@
         if not self.is_leading:
             raise RequestError(ErrorKind.NOT_PRIMARY, self.primary_host)
         if not self.can_acknowledge:
-            raise RequestError(ErrorKind.NO_QUORUM, "no majority of control nodes answers")
+            raise RequestError(ErrorKind.NO_QUORUM, "no majority of control nodes responds")
 
-    async def is_confirmed(self) -> bool:
-        """Whether a majority that is asked from now on confirms that this node leads."""
+    async def confirm(self) -> bool:
+        """Returns whether a majority, asked after this call, confirms that this node leads."""
         return await self._replicator.confirm_leadership(CONFIRMATION_TIMEOUT_S)
 
     async def require_confirmation(self) -> None:
-        """Raises `RequestError` unless a majority that is asked from now on confirms that this node leads."""
-        if not await self.is_confirmed():
-            raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
+        """Raises `RequestError` unless a majority, asked after this call, confirms that this node leads."""
+        if not await self.confirm():
+            raise RequestError(ErrorKind.NO_QUORUM, "no majority confirmed that this node leads")
 
     def not_primary(self) -> NotPrimary:
-        """The response to an edge node that asks a node which can't answer."""
+        """The response to an edge node whose request this node can't serve."""
         return NotPrimary(self.primary_host, self.control_hosts)
--- a/wheatroute/control/main.py
+++ b/wheatroute/control/main.py
@@ -1,7 +1,7 @@
 """Starts and stops the control role.
 
-Replication begins before the HTTP libraries are imported, the longest part of a start: where all control
-nodes start together, they have elected a primary by the time that they accept requests.
+Replication starts before the HTTP libraries are imported, which takes up most of the startup time: if all
+control nodes start together, they have elected a primary by the time they accept requests.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 if TYPE_CHECKING:
     from wheatroute.control.http_servers import HttpServer
 
-REDIRECT_S = 0.3  # after replication has ended, for which callers are still redirected to the next primary
-SERVER_SHUTDOWN_TIMEOUT_S = 2.0  # for the requests that the HTTP servers have in flight
+# Time after the end of replication for which callers are still redirected to the next primary.
+REDIRECT_S = 0.3
+# Maximum wait for requests that are in flight at the HTTP servers.
+SERVER_SHUTDOWN_TIMEOUT_S = 2.0
 
 
 def _import_and_make_servers(
@@ -31,7 +33,7 @@
 
 
 async def _watch_settings(settings_file: SettingsFile, service: ControlService) -> None:
-    """Applies a settings file that changed without a signal."""
+    """Applies the settings file whenever its content changes, without a signal."""
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
         if settings_file.has_changed():
@@ -39,7 +41,7 @@
 
 
 async def serve(settings: Settings, log: logging.Logger) -> None:
-    """Runs until SIGTERM or SIGINT."""
+    """Runs the control role until SIGTERM or SIGINT; reloads the settings file on SIGHUP."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
--- a/wheatroute/control/primary_state.py
+++ b/wheatroute/control/primary_state.py
@@ -1,7 +1,7 @@
-"""What a primary keeps of servers, edge nodes and tenants in its term. A state machine without I/O.
+"""The state of servers, edge nodes and tenants that a primary keeps for its term. A state machine, no I/O.
 
-It is not replicated by writes: a new primary begins with nothing, or with the soft state that the primary
-before shared. Times are in seconds of the steady clock.
+It is not part of the replicated document: a new primary starts empty, or from the soft state that the
+previous primary shared. Times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from wheatroute.control.registry import Registry
 from wheatroute.control.soft_state import SoftState
 
-NO_EPOCH = -1  # of the registry of a node that doesn't lead
-FIRST_EPOCH = 1  # of the first primary of the whole system
+NO_EPOCH = -1  # epoch of the registry on a node that isn't the primary
+FIRST_EPOCH = 1  # epoch of the first primary that the system ever had
 
 
 class SuspectedServer(NamedTuple):
@@ -29,7 +29,7 @@
 
 
 class PrimaryState:
-    """The registry of servers, the edge nodes, the tenants' token buckets and the failure detector."""
+    """Holds the server registry, the edge nodes, the tenants' token buckets and the failure detector."""
 
     def __init__(self, settings: Settings) -> None:
         self._settings = settings
@@ -50,26 +50,26 @@
         return QuotaBuckets(bounds.quota_slack, bounds.quota_excess, is_first)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies changed settings; servers, nodes and tokens are kept."""
+        """Applies changed settings; servers, edge nodes and tokens are kept."""
         self._settings = settings
         self.registry.expect_heartbeats(self._heartbeat_s)
         self._failure_detector.expect_heartbeats(self._heartbeat_s)
-        self.quotas.change_rule(settings.bounds.quota_slack, settings.bounds.quota_excess)
+        self.quotas.set_allowance(settings.bounds.quota_slack, settings.bounds.quota_excess)
 
-    # the term
+    # start and end of the term
 
     @property
     def leadership_epoch(self) -> int:
-        """The epoch in which this node began to lead; `NO_EPOCH` if it doesn't lead."""
+        """The epoch in which this node became primary; `NO_EPOCH` if it isn't the primary."""
         return self.registry.version.epoch
 
     @property
     def is_in_term(self) -> bool:
-        """Whether the term of this node as primary has begun and not ended."""
+        """Whether this node's term as primary has begun and not ended."""
         return self.leadership_epoch > NO_EPOCH
 
     def begin_term(self, now: float, epoch: int, tenants: list[Tenant]) -> None:
-        """Begins anew, as the primary of an epoch, with the limits of these tenants."""
+        """Resets all state as the primary of `epoch`, with the rate limits of these tenants."""
         self.registry = self._new_registry(epoch, now)
         self.quotas = self._new_quotas(is_first=epoch <= FIRST_EPOCH)
         self.quotas.configure(tenants, now)
@@ -78,32 +78,32 @@
         self.quotas.begin_term(now, 0, self._settings.bounds.quota_window_s)
 
     def restore(self, now: float, soft_state: SoftState) -> None:
-        """Starts from the servers and the number of edge nodes that the primary before shared."""
+        """Restores the servers and the number of edge nodes that the previous primary shared."""
         self.registry.restore(now, soft_state.instances)
         self.edge_nodes = EdgeNodes(now, soft_state.edge_node_count)
         self.quotas.begin_term(now, soft_state.edge_node_count, self._settings.bounds.quota_window_s)
 
     def restore_levels(self, levels: dict[str, BucketLevels], age_s: float) -> None:
-        """Starts from the levels of buckets that the primary before shared, `age_s` seconds ago."""
+        """Restores the bucket levels that the previous primary shared `age_s` seconds ago."""
         self.quotas.restore(levels, age_s)
 
     def end_term(self, now: float) -> None:
-        """Forgets the servers: this node doesn't lead any more."""
+        """Clears the registry: this node is no longer the primary."""
         self.registry = self._new_registry(NO_EPOCH, now)
 
     # reports of edge nodes
 
     def report_usage(self, now: float, report: UsageReport) -> UsageResponse:
-        """Applies an edge node's usage; returns its grants."""
+        """Applies an edge node's usage report and returns the grants for it."""
         return handle_usage_report(self.quotas, self.edge_nodes, now, report, self.leadership_epoch)
 
     def report_unresponsive(
         self, now: float, node: str, unresponsive_for: dict[str, float]
     ) -> list[SuspectedServer]:
-        """Applies an edge node's report of unresponsive servers; returns those that are suspected by it.
+        """Applies an edge node's report of unresponsive servers; returns the servers that are now suspected.
 
-        `unresponsive_for` gives the seconds without a response, by server. Suspected servers are marked in
-        the registry.
+        `unresponsive_for` maps each server to the seconds without a response. Suspected servers are marked as
+        unresponsive in the registry.
         """
         self._failure_detector.report(now, node, unresponsive_for)
         suspected = []
--- a/wheatroute/control/prior_usage.py
+++ b/wheatroute/control/prior_usage.py
@@ -1,8 +1,8 @@
 """Usage of one tenant before this primary began to lead. A state machine without I/O.
 
-A primary that is lost takes along what it granted since it last shared the levels of its buckets, and nobody
-counts what nodes use while there is no primary. The nodes know both: each sends a new primary its recent
-usage, and the primary derives from it how much the bucket can have held when it began to lead.
+When a primary is lost, so is the record of its grants since it last shared its bucket levels, and no node
+counts the total usage while there is no primary. The edge nodes know both: each sends a new primary its
+recent usage, and the primary derives from it how many tokens the bucket can have held when it began to lead.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PriorUsage:
-    """Tokens used before the primary began to lead, in slots of `USAGE_SLOT_S`, the newest first."""
+    """Sums the tokens used before the primary began to lead, in slots of `USAGE_SLOT_S`, the newest first."""
 
     def __init__(self) -> None:
         self._slots: list[float] = []
@@ -21,7 +21,7 @@
     def add(self, recent_usage: Sequence[float], since_s: float) -> None:
         """Adds one node's recent usage, sent `since_s` seconds after the primary began to lead.
 
-        Usage after the beginning counts as used at the beginning.
+        Usage after that time counts as used at that time.
         """
         slots_since = round(since_s / USAGE_SLOT_S)
         for slot, tokens in enumerate(recent_usage):
@@ -31,10 +31,10 @@
             self._slots[number] += tokens
 
     def max_level(self, rate: float, capacity: float) -> float:
-        """The most tokens that a bucket can have held at the beginning; negative for a debt.
+        """The most tokens that a bucket can have held when the primary began to lead; negative for a debt.
 
-        In any span before it, no more than the capacity and what `rate` (tokens a second) adds can have been
-        used within the limit.
+        In any time span before that, usage within the limit is at most the capacity plus the tokens that
+        `rate` (tokens per second) adds in the span.
         """
         level, used = capacity, 0.0
         for slot, tokens in enumerate(self._slots):
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -1,11 +1,11 @@
-"""The token buckets of all tenants, from which edge nodes lease. A state machine without I/O.
+"""The token buckets of all tenants, from which edge nodes lease tokens. A state machine without I/O.
 
-All that edge nodes use comes out of the buckets of one primary, so that their sum stays within the limit
-whoever is isolated: a node reports afterwards what it used without a grant, and while it does not report, its
-shares are reserved for it.
+All usage of the edge nodes is taken from the buckets of one primary, so that its sum stays within the limit
+even when nodes are isolated: a node reports what it used without a grant once it is connected again, and its
+shares stay reserved until it reports.
 
-A new primary restores the levels of the one before, and lowers them by the recent usage that nodes report to
-it. Times are in seconds of the steady clock, rates in tokens a second.
+A new primary restores the bucket levels of the previous primary, and lowers them by the recent usage that
+nodes report to it. Times are in seconds of the monotonic clock, rates in tokens per second.
 """
 
 from __future__ import annotations
@@ -19,51 +19,58 @@
 from wheatroute.control.edge_nodes import EdgeNodes
 from wheatroute.control.tenant_buckets import ISOLATED_FRACTION, TenantBuckets, TokenBucket
 
-SLACK_FRACTION = 0.35  # of the quota rule's slack, which is the capacity of the excess bucket
-EXCESS_FRACTION = 0.25  # of the excess rate that the quota rule allows beyond the limit
-# In place of a node's name, the key of the common reserve for nodes that have not reported to this primary:
-# their names are unknown.
-MISSING_NODES = "missing nodes"
-LEVELS_VALID_S = 2.0  # age of the levels of the primary before, up to which the rate since then is added
-INITIAL_LEVEL = 0.4  # of the limit's bucket, where nothing is known of recent grants
+# Fraction of the allowed slack (`bounds.quota_slack`) that is the capacity of the excess bucket.
+SLACK_FRACTION = 0.35
+# Fraction of the allowed excess rate (`bounds.quota_excess`) at which the excess bucket is refilled.
+EXCESS_FRACTION = 0.25
+# Key, in place of a node name, of the shared reserve for nodes that have not reported to this primary: their
+# names are unknown.
+MISSING_NODES_KEY = "missing nodes"
+# Greatest age of restored levels at which the tokens that the rate has added since then are credited.
+LEVELS_VALID_S = 2.0
+# Initial level of the limit's bucket, as a fraction of its capacity, on a primary that is not the first one:
+# recent grants of the previous primary are unknown at first.
+INITIAL_LEVEL = 0.4
 
 
 class BucketLevels(msgspec.Struct, frozen=True):
-    """Tokens in the buckets of a tenant."""
+    """The number of tokens in each of a tenant's two buckets."""
 
     limit: float
     excess: float = msgspec.field(name="extra")
 
 
 class QuotaBuckets:
-    """The buckets of all tenants with a limit.
+    """Grants tokens from the buckets of all tenants that have a rate limit.
 
-    `slack` (tokens) and `excess` (a fraction of the limit) are what the quota rule allows beyond the limit.
-    `is_first` tells a primary before which there was none: its buckets are full at first.
+    `slack` (tokens) and `excess` (a fraction of the limit) are the allowed usage beyond the limit. `is_first`
+    is true on the first primary that the system ever had: its buckets start full.
     """
 
     def __init__(self, slack: float, excess: float, is_first: bool) -> None:
         self._limit_level, self._excess_level = (1.0, 1.0) if is_first else (INITIAL_LEVEL, 0.0)
         self._tenants: dict[str, TenantBuckets] = {}
-        self._restored: dict[str, BucketLevels] = {}  # of tenants that are not configured here yet
+        # levels to apply once their tenant is configured
+        self._restored: dict[str, BucketLevels] = {}
         self._restored_age_s = inf
-        self._term_began, self._expected_nodes = -inf, 0
-        self._nodes_accounted: set[str] = set()  # that have reported their usage before this primary
-        self._window_s = 0.0  # that the recent usage of a node covers if nothing is missing
-        self.change_rule(slack, excess)
-
-    def change_rule(self, slack: float, excess: float) -> None:
-        """Changes the figures of the quota rule; tokens are kept as far as they fit."""
+        self._term_started_at, self._expected_nodes = -inf, 0
+        # nodes that have reported their usage from before this term
+        self._nodes_with_prior_usage: set[str] = set()
+        self._window_s = 0.0  # time that a node's recent usage covers if it is complete
+        self.set_allowance(slack, excess)
+
+    def set_allowance(self, slack: float, excess: float) -> None:
+        """Sets the allowed usage beyond the limit; tokens above the new capacity are dropped."""
         self._slack = slack * SLACK_FRACTION
         self._excess = excess * EXCESS_FRACTION
         for buckets in self._tenants.values():
             buckets.excess.change_limit(buckets.limit.rate * self._excess, self._slack)
 
     def configure(self, tenants: list[Tenant], now: float) -> None:
-        """Applies the tenants' limits; tokens are kept as far as they fit."""
+        """Applies the tenants' limits; tokens above a lower capacity are dropped."""
         limited = {tenant.name: tenant for tenant in tenants if tenant.rate_per_s > 0}
         for name in [name for name in self._tenants if name not in limited]:
-            # kept for a tenant that gets a limit again: what it used before still counts
+            # Keeps the levels: if the tenant gets a limit again, its earlier usage still counts.
             removed = self._tenants.pop(name)
             self._restored[name] = BucketLevels(removed.limit.tokens, removed.excess.tokens)
         for name, tenant in limited.items():
@@ -77,29 +84,30 @@
             self._tenants[name] = TenantBuckets(limit, excess, now)
             self._apply_restored(name, self._tenants[name])
 
-    # the beginning of a primary's term
+    # start of a primary's term
 
     def begin_term(self, now: float, node_count: int, window_s: float) -> None:
         """Begins a primary's term.
 
-        `node_count` is how many edge nodes the primary before counted; `window_s` is how far back the recent
-        usage goes that nodes report to this one, in seconds.
+        `node_count` is the number of edge nodes that the previous primary counted; `window_s` is the time in
+        seconds that the recent usage which nodes report to this primary covers.
         """
-        self._term_began, self._expected_nodes, self._window_s = now, node_count, window_s
+        self._term_started_at, self._expected_nodes, self._window_s = now, node_count, window_s
 
     def restore(self, levels: dict[str, BucketLevels], age_s: float = inf) -> None:
-        """Starts from the levels that the primary before shared last, `age_s` seconds ago.
+        """Restores the levels that the previous primary shared last, `age_s` seconds ago.
 
-        Nodes report what they have used since then, so the rate of that time is added; not where the levels
-        are too old. No bucket begins with more than it would without the levels.
+        Tokens that the rate has added since then are credited, since nodes report what they have used in that
+        time, but not if the levels are older than `LEVELS_VALID_S`. No bucket starts with more tokens than it
+        would without the levels.
         """
-        # kept for tenants that are not known yet: a new primary commits the configuration later
+        # Keeps the levels of tenants that are still unknown: a new primary commits the configuration later.
         self._restored, self._restored_age_s = dict(levels), age_s
         for name, buckets in self._tenants.items():
             self._apply_restored(name, buckets)
 
     def _apply_restored(self, name: str, buckets: TenantBuckets) -> None:
-        """Lowers buckets to their restored levels, if there are any; once."""
+        """Lowers a tenant's buckets to their restored levels, if there are any, and discards these levels."""
         levels = self._restored.pop(name, None)
         if levels is None:
             return
@@ -109,34 +117,35 @@
         buckets.excess.tokens = min(buckets.excess.tokens, levels.excess)
 
     def levels(self) -> dict[str, BucketLevels]:
-        """The tokens in all buckets, for the next primary."""
+        """Returns the levels of all buckets by tenant, to be shared with the other control nodes."""
         return {
             name: BucketLevels(buckets.limit.tokens, buckets.excess.tokens)
             for name, buckets in self._tenants.items()
         }
 
-    def account(self, now: float, report: UsageReport) -> None:
-        """Takes in what a node used before this primary's term, from its first report with recent usage."""
-        if report.recent_usage_span_s is None or report.node in self._nodes_accounted:
+    def apply_prior_usage(self, now: float, report: UsageReport) -> None:
+        """Accounts for a node's usage before this term, from its first report that has its recent usage."""
+        if report.recent_usage_span_s is None or report.node in self._nodes_with_prior_usage:
             return
-        self._nodes_accounted.add(report.node)
+        self._nodes_with_prior_usage.add(report.node)
         if report.recent_usage_span_s < self._window_s:
-            # The process started within the window, and what the one before it used is unknown: the reports
-            # never become complete, so initial tokens are not raised (`_correct_initial_tokens`).
+            # The node's process started within the window, and the usage of the previous one is unknown: the
+            # reports never become complete and initial tokens are not raised (`_correct_initial_tokens`).
             self._expected_nodes = 0
         for buckets in self._tenants.values():
-            buckets.release(MISSING_NODES)  # reserved anew for the nodes that are still missing
+            buckets.release(MISSING_NODES_KEY)  # `reserve` sets it aside again for nodes still missing
         for name, demand in report.tenants.items():
             tenant_buckets = self._tenants.get(name)
             if tenant_buckets is not None:
                 tenant_buckets.refill(now)
-                tenant_buckets.prior_usage.add(demand.recent_usage, now - self._term_began)
-                tenant_buckets.isolated_usage[report.node] = demand.isolated_usage  # part of its recent usage
+                tenant_buckets.prior_usage.add(demand.recent_usage, now - self._term_started_at)
+                # already included in the recent usage, so it must not be charged again
+                tenant_buckets.isolated_usage[report.node] = demand.isolated_usage
         self._correct_initial_tokens()
 
     def _correct_initial_tokens(self) -> None:
         """Lowers initial tokens by the usage reported so far; raises them once all nodes have reported."""
-        is_complete = 0 < self._expected_nodes <= len(self._nodes_accounted)
+        is_complete = 0 < self._expected_nodes <= len(self._nodes_with_prior_usage)
         for buckets in self._tenants.values():
             tokens = buckets.max_initial_tokens()
             if is_complete or tokens < buckets.initial_tokens:
@@ -144,10 +153,10 @@
         if is_complete:
             self._expected_nodes = 0
 
-    # nodes that do not report
+    # reserves for nodes that do not report
 
     def reserve(self, now: float, nodes: EdgeNodes) -> None:
-        """Reserves, for nodes that do not report, the shares of each tenant that they may be using."""
+        """Sets aside, for nodes that do not report, the tokens of each tenant that they may be using."""
         unresponsive = nodes.unresponsive(now)
         missing_fraction = nodes.missing_fraction(now)
         for buckets in self._tenants.values() if unresponsive or missing_fraction else ():
@@ -159,10 +168,12 @@
             if missing_fraction:
                 share = ISOLATED_FRACTION * missing_fraction
                 burst = share * max(0.0, buckets.limit.tokens)
-                buckets.reserve(MISSING_NODES, self._term_began, share * buckets.limit.rate, burst, now)
+                buckets.reserve(
+                    MISSING_NODES_KEY, self._term_started_at, share * buckets.limit.rate, burst, now
+                )
 
     def release(self, node: str) -> None:
-        """Returns the reserves of a node that reports."""
+        """Returns the reserves of a node to the buckets, once it reports."""
         for buckets in self._tenants.values():
             if node in buckets.reserves:
                 buckets.release(node)
@@ -172,12 +183,12 @@
     def grant(
         self, now: float, node: str, tenant: str, demand: QuotaDemand, known_fraction: float = 1.0
     ) -> QuotaGrant:
-        """Grants a node the tokens that it wants, and some in advance while the bucket is well filled.
+        """Grants a node the tokens that it requests, and some in advance while the bucket is well filled.
 
         `known_fraction` is the fraction of all nodes whose demand is known.
         """
         buckets = self._tenants.get(tenant)
-        if buckets is None:  # the tenant has no limit here: the node may know an older configuration
+        if buckets is None:  # no limit in this configuration; the node may have an older one
             return QuotaGrant(demand.wanted)
         buckets.refill(now)
         buckets.charge(node, demand)
@@ -194,14 +205,17 @@
 def handle_usage_report(
     buckets: QuotaBuckets, nodes: EdgeNodes, now: float, report: UsageReport, leadership_epoch: int = -1
 ) -> UsageResponse:
-    """The response to one node's report, of the primary that began to lead in that epoch."""
+    """Applies one node's usage report and returns the response to it.
+
+    `leadership_epoch` is the epoch in which this primary began to lead.
+    """
     nodes.report(now, report)
-    buckets.account(now, report)
+    buckets.apply_prior_usage(now, report)
     buckets.release(report.node)
     known_fraction = nodes.known_fraction(now)
     grants = {
         tenant: buckets.grant(now, report.node, tenant, demand, known_fraction)
         for tenant, demand in report.tenants.items()
     }
-    node_count = nodes.count(now)  # first, as it forgets the load of lost nodes
+    node_count = nodes.count(now)  # called before `load_elsewhere`: it drops the load of lost nodes
     return UsageResponse(grants, nodes.load_elsewhere(report.node), node_count, leadership_epoch)
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -1,10 +1,10 @@
-"""The registry of servers, kept by their heartbeats. A state machine without I/O.
+"""The registry of servers, maintained from their heartbeats. A state machine without I/O.
 
-The primary alone keeps it; the next primary builds it anew from heartbeats. Until a primary has listened for
-`SETTLING_HEARTBEATS`, a server that it has no heartbeat of is unknown, not removed.
+Only the primary keeps it; a new primary rebuilds it from heartbeats. Until a primary has listened for
+`SETTLING_HEARTBEATS`, a server without a heartbeat is unknown, not removed.
 
 States of an instance: READY <-> UNRESPONSIVE by heartbeats; either -> DRAINING -> REMOVED. DRAINING and
-REMOVED are never taken back, since an incarnation that drains ends. All times are in seconds of the steady
+REMOVED are final, since an incarnation that drains always ends. All times are in seconds of the monotonic
 clock.
 """
 
@@ -18,10 +18,12 @@
 
 UNRESPONSIVE_HEARTBEATS = 2.3  # heartbeat intervals without a heartbeat until a server is unresponsive
 REMOVED_HEARTBEATS = 8.0  # heartbeat intervals without a heartbeat until a server is removed
-# heartbeat intervals that a new primary listens before it calls unknown servers removed
+# heartbeat intervals that a new primary listens before it reports unknown servers as removed
 SETTLING_HEARTBEATS = 3.0
-REMOVED_KEPT_S = 120.0  # for which a removed server is remembered
-STALLED_S = 1.0  # between two ticks, from which missing heartbeats may lie unread in this process
+REMOVED_RETENTION_S = 120.0  # time for which a removed server is remembered
+# Time between two checks for missed heartbeats, above which this process counts as stalled: heartbeats may
+# have arrived that it has not read.
+STALL_THRESHOLD_S = 1.0
 
 
 class HeartbeatModel(msgspec.Struct, frozen=True):
@@ -32,7 +34,7 @@
 
 
 class ServerHeartbeat(msgspec.Struct, frozen=True):
-    """The JSON body of a server's heartbeat; fields are its keys."""
+    """The JSON body of a server's heartbeat; field names are the JSON keys."""
 
     backend: str
     addr: str
@@ -47,53 +49,54 @@
 
 
 class _Entry:
-    """An instance with the number and time of its last heartbeat."""
+    """An instance with the sequence number and the time of its last heartbeat."""
 
     __slots__ = ("instance", "seq", "last_heartbeat", "is_unconfirmed")
 
     def __init__(self, instance: Instance, seq: int, last_heartbeat: float) -> None:
         self.instance, self.seq, self.last_heartbeat = instance, seq, last_heartbeat
-        self.is_unconfirmed = False  # known from the primary before, without a heartbeat since
+        # whether it was restored from the previous primary's registry and has sent no heartbeat since
+        self.is_unconfirmed = False
 
 
 def decode_heartbeat(body: bytes) -> ServerHeartbeat:
-    """The heartbeat of a JSON body; raises `msgspec.DecodeError`."""
+    """Decodes the JSON body of a heartbeat; raises `msgspec.DecodeError` if it is malformed."""
     return msgspec.json.decode(body, type=ServerHeartbeat, strict=False)
 
 
 class Registry:
-    """All servers that one primary knows, in one epoch."""
+    """All servers that a primary knows in its epoch, with a version that grows with each change."""
 
     def __init__(self, epoch: int, heartbeat_s: float, now: float) -> None:
         self._epoch = epoch
         self._heartbeat_s = heartbeat_s
         self._entries: dict[str, _Entry] = {}
-        self._number = 0
-        self._pruned = 0  # the newest change of an instance that was forgotten
+        self._change_count = 0
+        self._newest_pruned_change = 0  # newest version among the instances that were forgotten
         self._listening_since = now
-        self._last_tick = now
+        self._last_check = now
 
     @property
     def version(self) -> RegistryVersion:
-        """The version, which rises with each change."""
-        return RegistryVersion(self._epoch, self._number)
+        """The present version; its number grows with each change."""
+        return RegistryVersion(self._epoch, self._change_count)
 
     def expect_heartbeats(self, heartbeat_s: float) -> None:
-        """Sets the interval in which servers send heartbeats, in seconds."""
+        """Sets the interval at which servers send heartbeats, in seconds."""
         self._heartbeat_s = heartbeat_s
 
     def is_settled(self, now: float) -> bool:
-        """Whether an unknown server can be called removed."""
+        """Whether this primary has listened long enough that an unknown server counts as removed."""
         return now - self._listening_since > SETTLING_HEARTBEATS * self._heartbeat_s
 
     def restore(self, now: float, instances: tuple[Instance, ...]) -> None:
-        """Starts from the registry of the primary before; instances without a heartbeat soon are removed."""
+        """Restores the previous primary's registry; instances without a heartbeat are soon removed."""
         for instance in instances:
             entry = _Entry(self._with_new_version(instance), -1, now)
             entry.is_unconfirmed = True
             self._entries[instance.id] = entry
 
-    def present(self) -> tuple[Instance, ...]:
+    def live_instances(self) -> tuple[Instance, ...]:
         """All instances that are not removed."""
         return tuple(
             entry.instance
@@ -102,7 +105,7 @@
         )
 
     def heartbeat(self, now: float, identity: str, heartbeat: ServerHeartbeat) -> bool:
-        """Applies a heartbeat; true if it changed something that edge nodes must know."""
+        """Applies a heartbeat; returns whether it changed anything that edge nodes must know."""
         entry = self._entries.get(identity)
         if entry is not None:
             if heartbeat.seq < entry.seq or entry.instance.state == InstanceState.REMOVED:
@@ -131,7 +134,7 @@
         return True
 
     def remove(self, now: float, identity: str) -> bool:
-        """Removes a server that announces its end; true if it was not removed yet."""
+        """Removes a server that deregisters; returns whether it was not removed yet."""
         entry = self._entries.get(identity)
         if entry is None:
             removed = Instance(
@@ -142,7 +145,7 @@
         return self._set_state(entry, InstanceState.REMOVED, now)
 
     def last_heartbeat(self, identity: str) -> float | None:
-        """The time of a ready server's last heartbeat; None for any other."""
+        """The time of a ready server's last heartbeat; None for any other server."""
         entry = self._entries.get(identity)
         return (
             entry.last_heartbeat
@@ -151,15 +154,15 @@
         )
 
     def mark_unresponsive(self, identity: str) -> None:
-        """Marks a ready server that the failure detector suspects, before its heartbeats are missed."""
+        """Marks a server that the failure detector suspects before it misses heartbeats; it must be ready."""
         entry = self._entries[identity]
         self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
 
-    def tick(self, now: float) -> bool:
-        """Applies missing heartbeats; true if a server became unresponsive or was removed."""
-        is_stalled, self._last_tick = now - self._last_tick > STALLED_S, now
+    def apply_missed_heartbeats(self, now: float) -> bool:
+        """Updates servers that missed heartbeats; returns whether one became unresponsive or was removed."""
+        is_stalled, self._last_check = now - self._last_check > STALL_THRESHOLD_S, now
         if is_stalled:
-            # heartbeats may have come that this process could not read
+            # Heartbeats may have arrived that this process did not read, so none counts as missed.
             self._listening_since = now
             for entry in self._entries.values():
                 entry.last_heartbeat = now
@@ -168,8 +171,8 @@
         for identity, entry in list(self._entries.items()):
             missed = (now - entry.last_heartbeat) / self._heartbeat_s
             if entry.instance.state == InstanceState.REMOVED:
-                if now - entry.last_heartbeat > REMOVED_KEPT_S:
-                    self._pruned = max(self._pruned, entry.instance.changed)
+                if now - entry.last_heartbeat > REMOVED_RETENTION_S:
+                    self._newest_pruned_change = max(self._newest_pruned_change, entry.instance.changed)
                     del self._entries[identity]
             elif missed > (SETTLING_HEARTBEATS if entry.is_unconfirmed else REMOVED_HEARTBEATS):
                 changed |= self._set_state(entry, InstanceState.REMOVED, now)
@@ -178,15 +181,19 @@
         return changed
 
     def changes(self, since: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
-        """The instances that changed since a version, and whether they are the full registry."""
+        """Returns the instances that changed since a version, and whether they are the full registry."""
         instances = [entry.instance for entry in self._entries.values()]
-        if since.epoch != self._epoch or since.number < self._pruned or since.number > self._number:
+        if (
+            since.epoch != self._epoch
+            or since.number < self._newest_pruned_change
+            or since.number > self._change_count
+        ):
             return tuple(instances), True
         return tuple(one for one in instances if one.changed > since.number), False
 
     def _with_new_version(self, instance: Instance) -> Instance:
-        self._number += 1
-        return msgspec.structs.replace(instance, changed=self._number)
+        self._change_count += 1
+        return msgspec.structs.replace(instance, changed=self._change_count)
 
     def _set_state(self, entry: _Entry, state: InstanceState, last_heartbeat: float) -> bool:
         entry.last_heartbeat = last_heartbeat
@@ -197,7 +204,7 @@
 
 
 def _is_unchanged(present: Instance, reported: Instance) -> bool:
-    """Whether a heartbeat reports nothing new; the rest of a warm-up runs down by itself."""
+    """Whether a heartbeat reports nothing new; a decrease of the remaining warm-up time is not a change."""
     warmup_ms = (
         reported.warmup_remaining_ms
         if (reported.warmup_remaining_ms > 0) != (present.warmup_remaining_ms > 0)
--- a/wheatroute/control/schema.py
+++ b/wheatroute/control/schema.py
@@ -1,4 +1,4 @@
-"""The schema of an operator's configuration. Without I/O.
+"""The schema of an operator's configuration. No I/O.
 
 Field names are the keys of the configuration. Unknown fields are kept and not validated.
 """
@@ -18,14 +18,14 @@
 
 
 class WeightedServiceModel(_Model):
-    """A service in the split of a route, and its weight there."""
+    """A service in the split of a route, and its weight in that split."""
 
     backend: Name
     weight: float = Field(ge=0)
 
 
 class RouteModel(_Model):
-    """A route: which requests it matches, where they are sent, and by which rules."""
+    """A route: the requests that it matches, their destination, and their timeouts and retry limits."""
 
     name: Name
     hostname: Name
@@ -46,14 +46,14 @@
     def _check_destination(self) -> RouteModel:
         if self.split:
             if sum(service.weight for service in self.split) <= 0:
-                raise ValueError("weights sum to 0")
+                raise ValueError("split: the sum of the weights must be greater than 0")
         elif not self.backend:
-            raise ValueError("neither backend nor split")
+            raise ValueError("either backend or split is required")
         return self
 
 
 class ServiceModel(_Model):
-    """A service, which servers register for."""
+    """A service for which servers register."""
 
     name: Name
     health_path: str = "/"
@@ -80,7 +80,7 @@
 
 
 class ConfigurationModel(_Model):
-    """A configuration in full."""
+    """A complete configuration."""
 
     generation: int = Field(gt=0)
     routes: list[RouteModel]
@@ -95,24 +95,28 @@
             destinations = [service.backend for service in route.split] if route.split else [route.backend]
             for destination in destinations:
                 if destination not in services:
-                    raise ValueError(f"route {route.name}: unknown service {destination}")
+                    raise ValueError(f"route {route.name}: service {destination} is not defined")
         _check_unique("route", [route.name for route in self.routes])
-        _check_unique("place", [(route.hostname.lower(), route.path_prefix) for route in self.routes])
+        _check_unique(
+            "hostname and path prefix", [(route.hostname.lower(), route.path_prefix) for route in self.routes]
+        )
         _check_unique("service", [service.name for service in self.services])
         _check_unique("tenant", [tenant.name for tenant in self.tenants])
-        _check_unique("key", [key for tenant in self.tenants for key in set(tenant.api_keys)], is_secret=True)
+        _check_unique(
+            "API key", [key for tenant in self.tenants for key in set(tenant.api_keys)], is_secret=True
+        )
         return self
 
 
 def _check_unique(kind: str, values: list[Any], is_secret: bool = False) -> None:
-    """Raises `ValueError` for a value that is there twice; the message leaves a secret value out."""
+    """Raises `ValueError` for a value that occurs more than once; the message omits a secret value."""
     for value, count in Counter(values).items():
         if count > 1:
-            raise ValueError(f"two of one {kind}" + ("" if is_secret else f": {value}"))
+            raise ValueError(f"duplicate {kind}" + ("" if is_secret else f": {value}"))
 
 
 def validation_errors(configuration: dict[str, Any]) -> list[str]:
-    """A line for each error of a configuration; none if it is valid."""
+    """Returns one line for each error of a configuration; an empty list if it is valid."""
     try:
         ConfigurationModel.model_validate(configuration)
     except ValidationError as errors:
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -1,7 +1,7 @@
-"""One control node, behind the HTTP handlers: connects replication with the state that callers see.
+"""One control node behind the HTTP handlers: connects replication with the state that callers see.
 
-Only the primary answers; every other node raises `RequestError` or answers `NotPrimary`. Runs on asyncio; I/O
-is done by the replicator.
+Only the primary serves requests; every other node raises `RequestError` or returns `NotPrimary`. Runs on
+asyncio; the replicator does the I/O.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from wheatroute.replication.records import Document
 from wheatroute.replication.replicator import Replicator
 
-TICK_S = 0.2
-READY = "ready"  # the state in the heartbeat of a server that doesn't drain
+MAINTENANCE_INTERVAL_S = 0.2
+READY = "ready"  # state in the heartbeat of a server that isn't draining
 
 
 class ControlService:
-    """The requests that servers, operators and edge nodes make of one control node."""
+    """Handles the requests of servers, operators and edge nodes to one control node."""
 
     def __init__(self, settings: Settings, log: logging.Logger) -> None:
         self._log = log
@@ -41,29 +41,29 @@
         self._polls = UpdatePolls(self.leadership, self.configuration, self.state)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Applies a changed settings file; servers, nodes and tokens are kept."""
+        """Applies a changed settings file; servers, edge nodes and tokens are kept."""
         self.state.apply_settings(settings)
         self.replicator.apply_settings(settings)
 
     async def start(self) -> None:
-        """Begins to take part in replication."""
+        """Starts replication and the periodic maintenance."""
         await self.replicator.start()
-        asyncio.get_running_loop().create_task(self._run_ticks())
+        asyncio.get_running_loop().create_task(self._run_maintenance())
 
     async def stop(self) -> None:
-        """Takes part until other nodes have taken over, then ends the polls that wait."""
+        """Hands leadership over and stops replication, then ends all pending long polls."""
         await self.replicator.stop()
         self._polls.close()
 
     # replication
 
     def _on_commit(self, document: Document) -> None:
-        """Takes over a committed document; only a leader's core emits `Committed`, so never on a replica."""
+        """Applies a committed document; never on a replica, as only a leader's core emits `Committed`."""
         if not self.configuration.commit(document):
             return
         self.state.quotas.configure(self.configuration.tenants, asyncio.get_running_loop().time())
         self._log.info(
-            "configuration",
+            "configuration-committed",
             extra={
                 "version": self.configuration.state.generation,
                 "sequence": document.version.sequence,
@@ -83,12 +83,12 @@
         self._sharing.invalidate()
         self._polls.notify_all()
 
-    async def _run_ticks(self) -> None:
-        """Does the periodic work: missed heartbeats, and on a primary reserves and soft state."""
+    async def _run_maintenance(self) -> None:
+        """Periodically applies missed heartbeats; a primary also updates reserves and shares soft state."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK_S)
-            if self.state.registry.tick(loop.time()):
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
+            if self.state.registry.apply_missed_heartbeats(loop.time()):
                 self._polls.notify_all()
             if self.leadership.is_leading:
                 self.state.quotas.reserve(loop.time(), self.state.edge_nodes)
@@ -98,25 +98,25 @@
     # operators
 
     async def change(self, change: Change) -> int:
-        """Applies a change of the configuration; see `ConfigurationStore.change`."""
+        """Applies a change to the configuration; see `ConfigurationStore.change`."""
         return await self._store.change(change)
 
     async def read(self) -> bytes:
-        """The newest configuration; see `ConfigurationStore.read`."""
+        """Returns the newest configuration as JSON; see `ConfigurationStore.read`."""
         return await self._store.read()
 
     # servers
 
     async def heartbeat(self, identity: str, heartbeat: ServerHeartbeat) -> None:
-        """Applies a server's heartbeat; returns for one that drains once all members know."""
+        """Applies a server's heartbeat; if the server drains, returns once all members of the view know."""
         self.leadership.require_primary()
         if self.state.registry.heartbeat(asyncio.get_running_loop().time(), identity, heartbeat):
             self._polls.notify_all()
         if heartbeat.state != READY:
             await self._sharing.replicate_departure()
 
-    async def leave(self, identity: str) -> None:
-        """Removes a server that ends; returns once all members know."""
+    async def deregister(self, identity: str) -> None:
+        """Removes a server that shuts down; returns once all members of the view know."""
         self.leadership.require_primary()
         if self.state.registry.remove(asyncio.get_running_loop().time(), identity):
             self._polls.notify_all()
@@ -125,11 +125,11 @@
     # edge nodes
 
     async def updates(self, request: UpdateRequest) -> Update | NotPrimary:
-        """Answers an edge node's long poll; see `UpdatePolls.poll`."""
+        """Handles an edge node's long poll; see `UpdatePolls.poll`."""
         return await self._polls.poll(request)
 
     def usage(self, report: UsageReport) -> UsageResponse | NotPrimary:
-        """Applies an edge node's usage and its unresponsive servers; returns its grants."""
+        """Applies an edge node's usage and its report of unresponsive servers; returns its grants."""
         try:
             self.leadership.require_primary()
         except RequestError:
@@ -140,7 +140,7 @@
         return self.state.report_usage(now, report)
 
     def _report_unresponsive(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
-        """Notifies all edge nodes at once of servers that several of them suspect."""
+        """Applies a report of unresponsive servers; notifies all edge nodes at once of suspected ones."""
         for suspected in self.state.report_unresponsive(now, node, unresponsive_for):
             self._log.info(
                 "server-suspected",
--- a/wheatroute/control/soft_state.py
+++ b/wheatroute/control/soft_state.py
@@ -1,6 +1,6 @@
-"""Soft state of the primary: sent to the other control nodes without a write, for whoever leads next.
+"""Soft state of the primary, which it sends to the other control nodes without a write, for the next primary.
 
-Messages and their encoding, without I/O. `soft_state_sharing` sends them.
+Messages and their encoding, no I/O. `soft_state_sharing` sends them.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class SoftState(msgspec.Struct, frozen=True):
-    """What the next primary starts from: the servers, the levels of buckets, the number of edge nodes."""
+    """The initial state of the next primary: servers, bucket levels and the number of edge nodes."""
 
     instances: tuple[Instance, ...]
     limit_levels: dict[str, float] = msgspec.field(name="buckets")  # tokens, by tenant
@@ -20,7 +20,7 @@
     edge_node_count: int = msgspec.field(name="edges", default=0)
 
     def levels(self) -> dict[str, BucketLevels]:
-        """The levels of all buckets."""
+        """The levels of all buckets, by tenant."""
         return {
             tenant: BucketLevels(tokens, self.excess_levels.get(tenant, 0.0))
             for tenant, tokens in self.limit_levels.items()
@@ -30,24 +30,24 @@
 def make_soft_state(
     instances: tuple[Instance, ...], levels: dict[str, BucketLevels], edge_node_count: int
 ) -> SoftState:
-    """The soft state with these instances and levels."""
+    """Builds the soft state from these instances, bucket levels by tenant and number of edge nodes."""
     limits = {tenant: level.limit for tenant, level in levels.items()}
     excesses = {tenant: level.excess for tenant, level in levels.items()}
     return SoftState(instances, limits, excesses, edge_node_count)
 
 
 def decode_soft_state(payload: bytes) -> SoftState:
-    """The soft state of a payload; raises `msgspec.DecodeError`."""
+    """Decodes the soft state; raises `msgspec.DecodeError` if the payload is malformed."""
     return msgspec.msgpack.decode(payload, type=SoftState)
 
 
 def encode_levels(levels: dict[str, BucketLevels]) -> bytes:
-    """The levels of all buckets, by tenant, as they are sent between two sharings of the soft state."""
+    """Encodes bucket levels by tenant, as sent between two messages with the full soft state."""
     return msgspec.msgpack.encode(levels)
 
 
 def decode_levels(payload: bytes) -> dict[str, BucketLevels]:
-    """The levels of all buckets, by tenant; none for an empty payload. Raises `msgspec.DecodeError`."""
+    """Decodes bucket levels by tenant; none for an empty payload. Raises `msgspec.DecodeError`."""
     if not payload:
         return {}
     return msgspec.msgpack.decode(payload, type=dict[str, BucketLevels])
--- a/wheatroute/control/soft_state_sharing.py
+++ b/wheatroute/control/soft_state_sharing.py
@@ -1,9 +1,9 @@
 """Sends the primary's soft state to the other control nodes, and restores it on a new primary.
 
-The registry with the number of edge nodes is sent whenever it has changed. The levels of buckets, which
-change with each request, are sent by themselves every `LEVELS_INTERVAL_S`, so that the next primary grants
-nothing twice. Invariant: the departure of a server is acknowledged only once every member of the view has
-it, as any of them may lead next.
+The registry is sent with the number of edge nodes whenever one of them has changed. The bucket levels, which
+change with each request, are sent separately every `LEVELS_INTERVAL_S`, so that the next primary grants no
+token twice. Invariant: the departure of a server is acknowledged only once every member of the view has
+received it, since any of them may lead next.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from wheatroute.replication.soft_state import SoftStateVersion
 
 SHARE_TIMEOUT_S = 0.5
-MIN_SHARE_INTERVAL_S = 0.02  # the registry is sent in full, also for one change
+MIN_SHARE_INTERVAL_S = 0.02  # limits the rate, since each change sends the full registry
 LEVELS_INTERVAL_S = 0.5
 
 
 class SoftStateSharing:
-    """Shares the state of a primary, and remembers what was shared last."""
+    """Shares the state of a primary whenever it differs from the state that was shared last."""
 
     def __init__(
         self, replicator: Replicator, leadership: Leadership, state: PrimaryState, log: logging.Logger
@@ -39,7 +39,7 @@
         self._log = log
         self._shared_version: RegistryVersion | None = None
         self._shared_edge_node_count = 0
-        self._shared_order = SoftStateVersion(-1, 0)
+        self._shared_soft_state_version = SoftStateVersion(-1, 0)
         self._shared_at = 0.0
         self._pending_share: asyncio.Task[SoftStateVersion] | None = None
         self._shared_levels: dict[str, BucketLevels] = {}
@@ -48,17 +48,17 @@
     # on the primary
 
     def share_registry(self) -> None:
-        """Sends the soft state if the servers or the number of edge nodes have changed."""
+        """Sends the soft state if the registry or the number of edge nodes has changed."""
         now = asyncio.get_running_loop().time()
         version, edge_node_count = self._state.registry.version, self._state.edge_nodes.count(now)
         if version == self._shared_version and edge_node_count == self._shared_edge_node_count:
             return
         self._shared_version, self._shared_edge_node_count = version, edge_node_count
         self._shared_at = now
-        self._shared_order = self._replicator.replicate_soft_state(self._encoded_soft_state())
+        self._shared_soft_state_version = self._replicator.replicate_soft_state(self._encoded_soft_state())
 
     def share_levels(self, now: float) -> None:
-        """Sends the levels of buckets if they have changed, at most every `LEVELS_INTERVAL_S`."""
+        """Sends the bucket levels if they have changed, at most every `LEVELS_INTERVAL_S`."""
         levels = self._state.quotas.levels()
         if levels == self._shared_levels or now - self._levels_shared_at < LEVELS_INTERVAL_S:
             return
@@ -66,26 +66,29 @@
         self._replicator.replicate_bucket_levels(encode_levels(levels))
 
     def invalidate(self) -> None:
-        """Has the registry sent again: a node that has joined the view may have none, and may lead next."""
+        """Forces the registry to be sent again: a new member of the view may lack it, and may lead next."""
         self._shared_version = None
 
     async def replicate_departure(self) -> None:
-        """Shares the registry, and returns once every member of the view has it.
+        """Shares the registry, and returns once every member of the view has received it.
 
-        Raises `RequestError` if one doesn't in time, or if no majority confirms that this node leads: edge
-        nodes that follow another primary would not learn of the departure from this one.
+        Raises `RequestError` if a member doesn't acknowledge it in time, or if no majority confirms that this
+        node leads: edge nodes that follow another primary would not learn of the departure from this one.
         """
-        order = await self._share_soon()
+        soft_state_version = await self._share_soon()
         is_confirmed, is_shared = await asyncio.gather(
-            self._leadership.is_confirmed(), self._replicator.wait_for_soft_state_acks(order, SHARE_TIMEOUT_S)
+            self._leadership.confirm(),
+            self._replicator.wait_for_soft_state_acks(soft_state_version, SHARE_TIMEOUT_S),
         )
         if not is_shared:
-            raise RequestError(ErrorKind.NO_QUORUM, "not taken by all members in time")
+            raise RequestError(
+                ErrorKind.NO_QUORUM, "not all members of the view received the registry in time"
+            )
         if not is_confirmed:
-            raise RequestError(ErrorKind.NO_QUORUM, "not confirmed as leader")
+            raise RequestError(ErrorKind.NO_QUORUM, "no majority confirmed that this node leads")
 
     async def _share_soon(self) -> SoftStateVersion:
-        """Shares the registry after the minimum interval, once for all servers that depart until then."""
+        """Shares the registry after the minimum interval, once for all servers that depart before that."""
         if self._pending_share is None or self._pending_share.done():
             self._pending_share = asyncio.get_running_loop().create_task(self._share_after_interval())
         return await asyncio.shield(self._pending_share)
@@ -94,24 +97,24 @@
         await asyncio.sleep(self._shared_at + MIN_SHARE_INTERVAL_S - asyncio.get_running_loop().time())
         self._leadership.require_primary()  # a node that was deposed meanwhile has an empty registry
         self.share_registry()
-        return self._shared_order
+        return self._shared_soft_state_version
 
     def _encoded_soft_state(self) -> bytes:
         soft_state = make_soft_state(
-            self._state.registry.present(), self._state.quotas.levels(), self._shared_edge_node_count
+            self._state.registry.live_instances(), self._state.quotas.levels(), self._shared_edge_node_count
         )
         return msgspec.msgpack.encode(soft_state)
 
     # on a new primary
 
     def restore(self, now: float) -> None:
-        """Starts from what the primary before shared, if this node has received it."""
+        """Restores the soft state that the previous primary shared, if this node has received any."""
         if not self._replicator.soft_state:
             return
         try:
             soft_state = decode_soft_state(self._replicator.soft_state)
         except msgspec.DecodeError as error:
-            # written by another version of the program; heartbeats rebuild the registry soon
+            # Written by another version of the program; heartbeats will soon rebuild the registry.
             self._log.warning("soft-state-skipped", extra={"error": str(error)})
             return
         self._state.restore(now, soft_state)
@@ -120,6 +123,6 @@
         self._log_levels(levels)
 
     def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
-        """Logs the tokens that this primary takes the limits' buckets to hold, by tenant."""
+        """Logs the restored tokens in each tenant's bucket of its limit."""
         tokens = {tenant: round(level.limit) for tenant, level in levels.items()}
-        self._log.info("quota-levels", extra={"epoch": self._leadership.epoch, "levels": tokens})
+        self._log.info("quota-levels-restored", extra={"epoch": self._leadership.epoch, "levels": tokens})
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -1,15 +1,15 @@
 """The token buckets of one tenant at the primary. A state machine without I/O.
 
-A tenant has two buckets: one of its rate limit, and a small one of the excess that the quota rule allows
-beyond it. A request that fits the limit is never rejected for what was served beyond the limit, since that
-came out of the excess bucket. The limit's bucket may go into debt: nodes report afterwards what they used
-while isolated.
+A tenant has two buckets: one for its rate limit, and a small one for the excess that is allowed beyond the
+limit. A request within the limit is never rejected because of requests served beyond the limit, since the
+excess bucket paid for those. The limit's bucket can go into debt: nodes report their usage during an
+isolation only after it.
 
-Invariants: the quota shares that nodes were granted sum to at most `ISOLATED_FRACTION`, the local bursts to
-at most that fraction of the tokens that the limit's bucket held when they were granted. Tokens leave a
+Invariants: the quota shares granted to nodes sum to at most `ISOLATED_FRACTION`, and their local bursts to at
+most that fraction of the tokens that the limit's bucket held when they were granted. Each token leaves a
 bucket once: by a grant, by a reserve, or by a charge for isolated usage.
 
-Times are in seconds of the steady clock, rates in tokens a second.
+Times are in seconds of the monotonic clock, rates in tokens per second.
 """
 
 from __future__ import annotations
@@ -20,38 +20,44 @@
 from wheatroute.control.edge_nodes import NODE_LOST_S
 from wheatroute.control.prior_usage import PriorUsage
 
-ADVANCE_S = 0.25  # of a node's own demand that it is granted in advance, while the bucket is well filled
-ADVANCE_MIN_LEVEL = 0.5  # of a bucket's capacity, below which nothing is granted in advance
-ISOLATED_FRACTION = 0.9  # of the limit that nodes may use together while they are isolated
-TOTALS_INTERVAL_S = 0.2  # after which totals over nodes are computed anew
-MAX_DEBT_S = 2.0  # of its rate that a bucket may owe: after a lower limit not all requests are rejected
+# A node is granted its own demand of this many seconds in advance, while the bucket is well filled.
+ADVANCE_S = 0.25
+# Fraction of a bucket's capacity, below which nothing is granted in advance.
+ADVANCE_MIN_LEVEL = 0.5
+# Fraction of the limit that all nodes together may use while they are isolated.
+ISOLATED_FRACTION = 0.9
+# Interval at which the totals over all nodes are recomputed.
+TOTALS_INTERVAL_S = 0.2
+# Maximum debt of a bucket, in seconds of its rate, so that not all requests are rejected for long after the
+# limit was lowered.
+MAX_DEBT_S = 2.0
 
 
 class TokenBucket:
-    """Tokens that are added at a rate, up to a capacity."""
+    """A token bucket: tokens are added at a rate, up to a capacity."""
 
     __slots__ = ("rate", "capacity", "tokens")
 
     def __init__(self, rate: float, capacity: float, level: float) -> None:
-        """`level` is the fraction of the capacity that the bucket holds at first."""
+        """Creates a bucket whose initial tokens are the fraction `level` of its capacity."""
         self.rate, self.capacity, self.tokens = rate, capacity, capacity * level
 
     def add(self, tokens: float) -> float:
-        """Adds tokens; returns those that do not fit."""
+        """Adds tokens and returns the surplus that does not fit."""
         free = max(0.0, self.capacity - self.tokens)
         self.tokens += min(free, tokens)
         return max(0.0, tokens - free)
 
     def change_limit(self, rate: float, capacity: float) -> None:
-        """Changes the limit; tokens are kept as far as they fit."""
+        """Changes rate and capacity; tokens above the new capacity are dropped."""
         self.rate, self.capacity = rate, capacity
         self.tokens = min(capacity, self.tokens)
 
 
 class Reserve:
-    """Tokens set aside for a node that does not report, as it may be using that many.
+    """Tokens set aside for a node that does not report, because it may be using that many.
 
-    `updated_at` is the time up to which the tokens of its local rate are in them.
+    `updated_at` is the time up to which the tokens of the node's local rate are included.
     """
 
     __slots__ = ("tokens", "updated_at")
@@ -61,14 +67,14 @@
 
 
 class Demand(NamedTuple):
-    """A node's demand: when it was reported, and its rate."""
+    """A node's demand: the time of its report, and the rate in tokens per second."""
 
     reported_at: float
     rate: float
 
 
 class TenantBuckets:
-    """Both buckets of one tenant, and what its nodes were granted of them."""
+    """Both buckets of one tenant, and the shares of them that nodes were granted."""
 
     __slots__ = (
         "limit",
@@ -90,25 +96,27 @@
     def __init__(self, limit: TokenBucket, excess: TokenBucket, now: float) -> None:
         self.limit, self.excess = limit, excess
         self.prior_usage = PriorUsage()
-        # by node, as it was reported or granted last
+        # the newest reported usage, granted share and granted burst of each node
         self.isolated_usage: dict[str, float] = {}
         self.quota_shares: dict[str, float] = {}
         self.local_bursts: dict[str, float] = {}
         self.reserves: dict[str, Reserve] = {}
-        self.initial_tokens = limit.tokens  # that the limit's bucket is taken to have held at the beginning
+        # tokens that the limit's bucket is assumed to have held at the start of the term
+        self.initial_tokens = limit.tokens
         self._refilled_at = now
         self._demands: dict[str, Demand] = {}
-        # over the nodes of `_demands`
+        # sums over the nodes in `_demands`
         self._total_demand = self._total_share = self._total_local_burst = 0.0
         self._totals_at = now
 
-    # the shares of nodes
+    # shares of nodes
 
     def quota_share(self, node: str, rate: float, now: float, known_fraction: float) -> float:
-        """A node's share of the limit for the time that it is isolated, by its demand among all nodes'.
+        """Grants a node its share of the limit while isolated, in proportion to its part of the total demand.
 
-        `known_fraction` is the fraction of the nodes whose demand is known; the others may have shares of an
-        earlier primary. Shares that were granted sum to no more than there is, however demands change.
+        `known_fraction` is the fraction of the nodes whose demand is known; the other nodes may hold shares
+        from an earlier primary. Granted shares never sum to more than `ISOLATED_FRACTION`, however demands
+        change.
         """
         self._update_demand(node, rate, now)
         previous = self.quota_shares.get(node, 0.0)
@@ -122,7 +130,7 @@
         return share
 
     def local_burst(self, node: str, share: float) -> float:
-        """Tokens of the limit's bucket that a node with this share may use while it is isolated."""
+        """Grants the tokens of the limit's bucket that a node with this share may use while isolated."""
         previous = self.local_bursts.get(node, 0.0)
         others = self._total_local_burst - previous
         tokens = self.limit.tokens
@@ -132,7 +140,7 @@
         return burst
 
     def _update_demand(self, node: str, rate: float, now: float) -> None:
-        """Sets a node's demand, and the totals with it."""
+        """Sets a node's demand and updates the totals."""
         if now - self._totals_at >= TOTALS_INTERVAL_S:
             self._compute_totals(now)
         if node in self._demands:
@@ -144,7 +152,7 @@
         self._total_demand += rate
 
     def _compute_totals(self, now: float) -> None:
-        """Forgets the demand of lost nodes, and computes the totals anew."""
+        """Forgets the demand of lost nodes and recomputes the totals."""
         self._totals_at = now
         self._demands = {
             node: demand for node, demand in self._demands.items() if now - demand.reported_at <= NODE_LOST_S
@@ -153,12 +161,13 @@
         self._total_share = sum(self.quota_shares.get(node, 0.0) for node in self._demands)
         self._total_local_burst = sum(self.local_bursts.get(node, 0.0) for node in self._demands)
 
-    # nodes that are isolated, or were
+    # nodes that are or were isolated
 
     def reserve(self, node: str, since: float, rate: float, burst: float, now: float) -> None:
-        """Sets aside what a node that has not reported since `since` may be using, up to now.
+        """Sets aside the tokens that a node without a report since `since` may have used up to now.
 
-        That is `rate`, its local rate in tokens a second, and once `burst`, its local burst in tokens.
+        These are its local rate `rate` (tokens per second) for that time, and once its local burst `burst`
+        (tokens).
         """
         reserve = self.reserves.get(node)
         if reserve is None:
@@ -173,54 +182,54 @@
         reserve.tokens += moved
 
     def release(self, node: str) -> None:
-        """Returns a node's reserve: the node reports what it has used."""
+        """Returns a node's reserve to the buckets: the node now reports its usage."""
         if reserve := self.reserves.pop(node, None):
             self.add(reserve.tokens)
 
     def charge(self, node: str, demand: QuotaDemand) -> None:
-        """Takes out what a node used while isolated, each token once; the bucket may go into debt."""
+        """Charges a node's isolated usage, each token once; the bucket may go into debt."""
         charged = self.isolated_usage.get(node, demand.isolated_usage_acknowledged)
-        if demand.isolated_usage < charged:  # another process of that name, whose count begins anew
+        if demand.isolated_usage < charged:  # a new process of that node, counting from zero
             charged = demand.isolated_usage_acknowledged
         self.isolated_usage[node] = demand.isolated_usage
         self.limit.tokens = max(self.min_tokens, self.limit.tokens - (demand.isolated_usage - charged))
 
-    # the beginning of a primary's term
+    # start of a primary's term
 
     def set_initial_tokens(self, tokens: float) -> None:
-        """Corrects what the limit's bucket is taken to have held at the beginning."""
+        """Corrects the tokens assumed for the start of the term, and the present tokens by as many."""
         self.limit.tokens = min(self.limit.capacity, self.limit.tokens + tokens - self.initial_tokens)
         self.initial_tokens = tokens
 
     def max_initial_tokens(self) -> float:
-        """The most tokens that the limit's bucket can have held at the beginning, by the prior usage."""
+        """The most tokens that the limit's bucket can have held when the term began, given prior usage."""
         return max(self.min_tokens, self.prior_usage.max_level(self.limit.rate, self.limit.capacity))
 
     @property
     def min_tokens(self) -> float:
-        """The largest debt of the limit's bucket, as a negative number of tokens."""
+        """The lower bound of the limit's bucket: its maximum debt as a negative number of tokens."""
         return -MAX_DEBT_S * self.limit.rate
 
     # tokens in and out
 
     def refill(self, now: float) -> None:
-        """Adds the tokens of the time since the last call."""
+        """Adds the tokens that both rates yield for the time since the last call."""
         seconds = now - self._refilled_at
         self._refilled_at = now
         self.add(self.limit.rate * seconds)
         self.excess.add(self.excess.rate * seconds)
 
     def add(self, tokens: float) -> None:
-        """Adds tokens to the limit's bucket; those that do not fit go into the excess bucket.
+        """Adds tokens to the limit's bucket; the surplus goes into the excess bucket.
 
-        So a tenant whose burst is smaller than a request still gets its rate, out of the excess bucket.
+        This way a tenant whose burst is smaller than one request still gets its rate, from the excess bucket.
         """
         self.excess.add(self.limit.add(tokens))
 
     def take(self, tokens: float) -> bool:
-        """Takes the cost of one request; false if neither bucket holds it.
+        """Takes the cost of one request; returns false if neither bucket holds enough tokens.
 
-        A request that is larger than the capacity of the limit's bucket may be paid from both.
+        Both buckets together may pay for a request larger than the capacity of the limit's bucket.
         """
         if tokens <= self.limit.tokens:
             self.limit.tokens -= tokens
@@ -235,14 +244,14 @@
         return True
 
     def seconds_until(self, tokens: float) -> float:
-        """Seconds until the limit's bucket holds these tokens."""
+        """Seconds until the limit's bucket holds these tokens; the excess bucket counts if they exceed it."""
         missing = tokens - self.limit.tokens
         if tokens > self.limit.capacity:
             missing -= self.excess.tokens
         return missing / self.limit.rate
 
     def take_in_advance(self, rate: float) -> float:
-        """Takes tokens for the next requests of a node with this demand, while the bucket is well filled."""
+        """Takes tokens for a node's next requests by its demand rate; 0 unless the bucket is well filled."""
         if self.limit.tokens <= ADVANCE_MIN_LEVEL * self.limit.capacity:
             return 0.0
         tokens = min(self.limit.tokens, ADVANCE_S * rate)
--- a/wheatroute/control/updates.py
+++ b/wheatroute/control/updates.py
@@ -1,4 +1,4 @@
-"""Long polls of edge nodes: each is answered once there is something newer than the versions it names."""
+"""Long polls of edge nodes: each returns once there is anything newer than the versions that it names."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatroute.control.primary_state import PrimaryState
 
 MAX_POLL_S = 5.0
-LEADERSHIP_CHECK_INTERVAL_S = 0.2  # a primary that lost its majority must not keep an edge node waiting
+LEADERSHIP_CHECK_INTERVAL_S = 0.2  # so that a primary without a majority doesn't keep edge nodes waiting
 
 
 class UpdatePolls:
-    """The long polls that wait on this node."""
+    """Handles the long polls of edge nodes, and wakes them when there may be an update."""
 
     def __init__(
         self, leadership: Leadership, configuration: CommittedConfiguration, state: PrimaryState
@@ -27,21 +27,21 @@
         self._is_closed = False
 
     def notify_all(self) -> None:
-        """Wakes every poll that waits: there may be an update for it."""
+        """Wakes all pending polls, because there may be an update."""
         update_available, self._update_available = self._update_available, asyncio.Event()
         update_available.set()
 
     def close(self) -> None:
-        """Ends every poll, also those to come: edge nodes ask other control nodes."""
+        """Ends all pending and future polls, so that edge nodes turn to other control nodes."""
         self._is_closed = True
         self.notify_all()
 
     async def poll(self, request: UpdateRequest) -> Update | NotPrimary:
-        """Waits until there is something new for this edge node, or its time is up.
+        """Waits until there is an update for this edge node or its poll times out; returns the response.
 
-        An edge node's first configuration is handed out only once a majority has confirmed that this node
-        leads: an edge node that has just started can't recognize an old primary. One that has a configuration
-        takes nothing older, so the lease is enough for it.
+        An edge node gets its first configuration only after a majority has confirmed that this node leads,
+        because an edge node that has just started can't recognize a deposed primary. A node that has a
+        configuration never applies an older one, so the lease is sufficient for it.
         """
         loop = asyncio.get_running_loop()
         end = loop.time() + min(request.wait_s, MAX_POLL_S)
@@ -50,15 +50,15 @@
             if not self._can_answer():
                 return self._leadership.not_primary()
             now = loop.time()
-            self._state.edge_nodes.contact(now, request.node)
+            self._state.edge_nodes.record_contact(now, request.node)
             if now < end and not self._has_update(request):
                 await _wait(update_available, min(end - now, LEADERSHIP_CHECK_INTERVAL_S))
                 continue
             if request.configuration >= 0 or not self._configuration.has_configuration:
                 return self._update(request, now)
-            if not await self._leadership.is_confirmed():
+            if not await self._leadership.confirm():
                 return self._leadership.not_primary()
-            if self._leadership.can_acknowledge:  # else it was deposed meanwhile
+            if self._leadership.can_acknowledge:  # false if it was deposed during the confirmation
                 return self._update(request, loop.time())
 
     def _can_answer(self) -> bool:
@@ -90,7 +90,7 @@
 
 
 async def _wait(event: asyncio.Event, timeout_s: float) -> None:
-    """Waits until an event is set or the time is up."""
+    """Waits until an event is set or the timeout expires."""
     try:
         async with asyncio.timeout(timeout_s):
             await event.wait()
--- a/wheatroute/control/versions.py
+++ b/wheatroute/control/versions.py
@@ -1,6 +1,6 @@
 """The newest versions of the configuration, and the differences between them. A state machine without I/O.
 
-So many versions are kept that an edge node which missed some of many changes in a row gets a difference. Each
+Enough versions are kept that an edge node which missed some changes of a burst still gets a difference. Each
 difference is encoded once for all nodes that have the same version.
 """
 
@@ -17,15 +17,16 @@
     make_version,
 )
 
-MAX_VERSIONS = 32  # items that versions have in common are kept once
+MAX_VERSIONS = 32  # versions store the items that they have in common once
 
 
 class ConfigurationVersions:
-    """Versions that this node has committed, the newest last."""
+    """Keeps the newest versions that this node has committed, and their differences to the newest one."""
 
     def __init__(self) -> None:
-        self._versions: OrderedDict[int, ConfigurationVersion] = OrderedDict()  # by sequence
-        self._encoded_differences: dict[int, bytes] = {}  # to the newest version, by the base's sequence
+        self._versions: OrderedDict[int, ConfigurationVersion] = OrderedDict()  # sequence -> version
+        # sequence of the base -> encoded difference from it to the newest version
+        self._encoded_differences: dict[int, bytes] = {}
         self._newest = EMPTY_VERSION
 
     @property
@@ -34,7 +35,7 @@
         return list(self._newest.tenants.values())
 
     def commit(self, configuration: Configuration, sequence: int) -> None:
-        """Adds a newer version."""
+        """Adds a newer version; the oldest one beyond `MAX_VERSIONS` is dropped."""
         self._newest = make_version(configuration, sequence, self._newest)
         self._versions[sequence] = self._newest
         self._encoded_differences.clear()
@@ -42,7 +43,7 @@
             self._versions.popitem(last=False)
 
     def difference_since(self, sequence: int) -> bytes:
-        """The encoded difference from a version to the newest one; from nothing if it isn't kept."""
+        """The encoded difference from a version to the newest one; a full one if that version isn't kept."""
         base = self._versions.get(sequence, EMPTY_VERSION)
         if base.sequence not in self._encoded_differences:
             difference = make_difference(base, self._newest)
