--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: read completely, or rejected with one clear line."""
+"""The settings file: read completely, or rejected with an error of one line."""
 
 import pytest
 from click.testing import CliRunner
@@ -32,13 +32,16 @@
     ("change", "named"),
     [
         (("node: ", "nodes: "), "node"),
-        (('"10.1.0.3:8360"', '"10.1.0.3"'), "not an address: '10.1.0.3'"),
+        (('"10.1.0.3:8360"', '"10.1.0.3"'), "not an address of the form host:port: '10.1.0.3'"),
         (("8367", "99999"), "not an address"),
-        (("[7500, 7515]", "[7515, 7500]"), "port_range: 7515 to 7500"),
+        (
+            ("[7500, 7515]", "[7515, 7500]"),
+            "port_range: must be two ascending ports between 1 and 65535, got 7515 to 7500",
+        ),
         (("[7500, 7515]", "[7500]"), "port_range"),
-        (("zone: ", "zone: ["), "not YAML"),
+        (("zone: ", "zone: ["), "not valid YAML"),
         (("drain_ms: 2000", "drain_ms: soon"), "bounds.drain_ms"),
-        (("later: [1, 2]", "later: 2026-13-45"), "not YAML"),
+        (("later: [1, 2]", "later: 2026-13-45"), "not valid YAML"),
     ],
 )
 def test_an_invalid_file_is_reported_in_one_line(change, named):
--- a/wheatroute/cluster/__init__.py
+++ b/wheatroute/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""What the roles of the router set share: settings, messages, error kinds, logs."""
+"""Code shared by the edge and control roles: settings, messages, error kinds, logs."""
--- a/wheatroute/cluster/configuration.py
+++ b/wheatroute/cluster/configuration.py
@@ -1,7 +1,7 @@
 """The operators' configuration as the data plane uses it.
 
-`wheatroute.control.schema` validates what operators send; a configuration that is decoded here is valid.
-Keys are those of the operators' JSON.
+`wheatroute.control.schema` validates the configurations that operators send, so every configuration decoded
+here is valid. Keys are those of the operators' JSON.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class RouteKind(StrEnum):
-    """How the requests of a route may be repeated."""
+    """Whether and how the requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -21,14 +21,14 @@
 
 
 class WeightedService(msgspec.Struct, frozen=True):
-    """A service with its weight in a route's split."""
+    """A service and its weight in a route's split."""
 
     backend: str
     weight: float = 0.0
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Requests of one host and path prefix."""
+    """The rules for requests with this hostname and path prefix."""
 
     name: str
     hostname: str
@@ -39,7 +39,8 @@
     priority: int = 5
     backend: str | None = None
     split: tuple[WeightedService, ...] = ()
-    retries: int = 1  # most servers that may run a request, the first included; not a number of retries
+    # maximum number of servers that may run a request, including the first one; not a number of retries
+    retries: int = 1
     public: bool = False
     sticky: bool = False
     resume: bool = False
@@ -52,12 +53,12 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether a request may run more than once: kinds that are not known are taken for unsafe."""
+        """Whether a request may run more than once; an unknown kind is treated as unsafe."""
         return self.kind == RouteKind.SAFE or self.streaming and self.resume
 
     @property
     def services(self) -> tuple[tuple[str, float], ...]:
-        """The services that may run its requests, with their weights."""
+        """The services that may run the route's requests, with their weights."""
         if self.split:
             return tuple((service.backend, service.weight) for service in self.split if service.weight > 0)
         return ((self.backend, 1.0),) if self.backend else ()
@@ -71,7 +72,7 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service: the servers that routes lead to."""
+    """A service: a group of servers to which routes send requests."""
 
     name: str
     health_path: str = "/"
@@ -80,7 +81,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """Limits of a client's connection: bytes of a message, milliseconds for its head and between requests."""
+    """Limits for a client's connection: sizes in bytes, and timeouts for the head and for idle times."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4194304
@@ -89,7 +90,7 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A tenant: the API keys of its clients, and its rate limit in `unit` a second with a burst."""
+    """A tenant: the API keys of its clients, and its rate limit in `unit` per second with a burst."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -111,11 +112,11 @@
 
 
 def decode_configuration(body: bytes | str) -> Configuration:
-    """The configuration of a valid JSON body; numbers may be sent as strings."""
+    """Decodes a valid JSON body; numbers may be encoded as strings."""
     return msgspec.json.decode(body, type=Configuration, strict=False)
 
 
 def as_json_object(body: bytes) -> dict[str, Any]:
-    """The configuration as plain JSON objects, with fields that this version does not know."""
+    """Decodes a configuration into plain JSON objects, including fields that this version does not know."""
     found: dict[str, Any] = msgspec.json.decode(body)
     return found
--- a/wheatroute/cluster/distribution.py
+++ b/wheatroute/cluster/distribution.py
@@ -1,8 +1,8 @@
 """Distribution of the configuration to edge nodes as differences between committed versions. No I/O.
 
-A `ConfigurationVersion` holds the items of one committed version by name. `make_difference` and
-`apply_difference` are inverse to each other; a digest detects a receiver whose version is not the one that
-the difference was made from. A full configuration is the difference from `EMPTY_VERSION`.
+A `ConfigurationVersion` holds the items of one committed version by name. `apply_difference` is the inverse
+of `make_difference`; a digest detects a receiver whose version is not the one from which the difference was
+made. A full configuration is the difference from `EMPTY_VERSION`.
 """
 
 from __future__ import annotations
@@ -20,20 +20,21 @@
 NO_SEQUENCE = -1
 DIGEST_BYTES = 8
 DIGEST_MASK = (1 << 8 * DIGEST_BYTES) - 1
-COMPRESSION_LEVEL = 1  # zlib's fastest: configurations repeat names so often that it compresses them well
+# The fastest level of zlib: configurations repeat names so often that it compresses them well.
+COMPRESSION_LEVEL = 1
 
-# kinds of items as they enter digests, which old and new versions of this program must agree on
+# The kinds of items as they are hashed into digests; all versions of this program must use the same values.
 DIGEST_KINDS = {Route: b"Route", Service: b"Service", Tenant: b"Tenant"}
 
 Item = TypeVar("Item", Route, Service, Tenant)
 
 
 class DifferenceError(Exception):
-    """A difference that can't be applied: unreadable, or made from another version than the present one."""
+    """A difference can't be applied: it is malformed, or was not made from the present version."""
 
 
 class ItemChanges(msgspec.Struct, frozen=True):
-    """New and changed items of a configuration, and the names of removed ones."""
+    """The new and changed items of a configuration, and the names of the removed items."""
 
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
@@ -44,7 +45,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """How to make the version `sequence` from the version `base`; `digest` is that of the result."""
+    """The changes that turn version `base` into version `sequence`, which then has the digest `digest`."""
 
     base: int
     sequence: int
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ConfigurationVersion:
-    """One version: `sequence` is that of its replicated document, `generation` the operator's number."""
+    """One version: `sequence` identifies its replicated document, `generation` is the operator's number."""
 
     sequence: int
     generation: int
@@ -64,37 +65,37 @@
     routes: Mapping[str, Route]
     services: Mapping[str, Service]
     tenants: Mapping[str, Tenant]
-    digest: int  # of the items, whatever their order
+    digest: int  # digest of all items, independent of their order
 
 
 EMPTY_VERSION = ConfigurationVersion(NO_SEQUENCE, 0, ClientLimits(), {}, {}, {}, 0)
 
 
 def make_version(
-    configuration: Configuration, sequence: int, before: ConfigurationVersion = EMPTY_VERSION
+    configuration: Configuration, sequence: int, previous: ConfigurationVersion = EMPTY_VERSION
 ) -> ConfigurationVersion:
-    """The version of a configuration; items equal to those of `before` are shared with it, as objects."""
-    routes = _share_equal_items(configuration.routes, before.routes)
-    services = _share_equal_items(configuration.services, before.services)
-    tenants = _share_equal_items(configuration.tenants, before.tenants)
-    changes = _item_changes(before, routes, services, tenants)
-    digest = _digest_after(before, changes)
+    """Makes the version of a configuration; items equal to those of `previous` share the same objects."""
+    routes = _share_equal_items(configuration.routes, previous.routes)
+    services = _share_equal_items(configuration.services, previous.services)
+    tenants = _share_equal_items(configuration.tenants, previous.tenants)
+    changes = _item_changes(previous, routes, services, tenants)
+    digest = _digest_after(previous, changes)
     return ConfigurationVersion(
         sequence, configuration.generation, configuration.limits, routes, services, tenants, digest
     )
 
 
-def _share_equal_items(items: Iterable[Item], before: Mapping[str, Item]) -> dict[str, Item]:
-    """The items by name, each as the object of `before` where that is equal."""
-    found: dict[str, Item] = {}
+def _share_equal_items(items: Iterable[Item], previous: Mapping[str, Item]) -> dict[str, Item]:
+    """The items by name; an item that equals the one in `previous` is replaced by that object."""
+    shared: dict[str, Item] = {}
     for item in items:
-        present = before.get(item.name)
-        found[item.name] = present if present is not None and present == item else item
-    return found
+        existing = previous.get(item.name)
+        shared[item.name] = existing if existing is not None and existing == item else item
+    return shared
 
 
 def make_difference(old: ConfigurationVersion, new: ConfigurationVersion) -> Difference:
-    """The difference that turns the version `old` into the version `new`."""
+    """Makes the difference that turns the version `old` into the version `new`."""
     items = _item_changes(old, new.routes, new.services, new.tenants)
     return Difference(old.sequence, new.sequence, new.generation, new.limits, items, new.digest)
 
@@ -116,13 +117,13 @@
 
 
 def _upserts(old: Mapping[str, Item], new: Mapping[str, Item]) -> tuple[Item, ...]:
-    """Items that are new, or differ; those that both versions share are the same object."""
-    found: list[Item] = []
+    """The items that are new or changed; items that both versions share are the same object."""
+    upserts: list[Item] = []
     for name, item in new.items():
-        present = old.get(name)
-        if present is not item and present != item:
-            found.append(item)
-    return tuple(found)
+        existing = old.get(name)
+        if existing is not item and existing != item:
+            upserts.append(item)
+    return tuple(upserts)
 
 
 def _removed(old: Mapping[str, Item], new: Mapping[str, Item]) -> tuple[str, ...]:
@@ -130,12 +131,14 @@
 
 
 def apply_difference(old: ConfigurationVersion, difference: Difference) -> ConfigurationVersion:
-    """The version that a difference leads to; raises DifferenceError unless it was made from `old`."""
+    """Applies a difference to `old`; raises DifferenceError unless it was made from that version."""
     if difference.base != old.sequence:
-        raise DifferenceError(f"made from {difference.base}, not from {old.sequence}")
+        raise DifferenceError(
+            f"difference is based on version {difference.base}, but the present version is {old.sequence}"
+        )
     digest = _digest_after(old, difference.items)
     if digest != difference.digest:
-        raise DifferenceError(f"version {difference.sequence} has another digest than it should")
+        raise DifferenceError(f"digest mismatch after the changes of version {difference.sequence}")
     items = difference.items
     return ConfigurationVersion(
         difference.sequence,
@@ -153,15 +156,15 @@
 ) -> Mapping[str, Item]:
     if not upserts and not removed:
         return old
-    found = dict(old)
+    items = dict(old)
     for name in removed:
-        found.pop(name, None)
-    found.update((item.name, item) for item in upserts)
-    return found
+        items.pop(name, None)
+    items.update((item.name, item) for item in upserts)
+    return items
 
 
 def _digest_after(old: ConfigurationVersion, changes: ItemChanges) -> int:
-    """The digest of a version that differs from `old` by these changes: a sum, so only they are hashed."""
+    """The digest of `old` with these changes: a sum over items, so only changed items must be hashed."""
     digest = old.digest
     digest += _digest_of_changes(old.routes, changes.routes, changes.removed_routes)
     digest += _digest_of_changes(old.services, changes.services, changes.removed_services)
@@ -170,7 +173,7 @@
 
 
 def _digest_of_changes(old: Mapping[str, Item], upserts: tuple[Item, ...], removed: tuple[str, ...]) -> int:
-    """What a change adds to the sum, less what it takes away."""
+    """The digests of new and changed items, minus those of the replaced and removed items."""
     names = [*removed, *(item.name for item in upserts)]
     replaced = sum(_item_digest(old[name]) for name in names if name in old)
     return sum(_item_digest(item) for item in upserts) - replaced
@@ -178,18 +181,18 @@
 
 def _item_digest(item: Route | Service | Tenant) -> int:
     kind = DIGEST_KINDS[type(item)]
-    found = hashlib.blake2b(msgspec.msgpack.encode(item), digest_size=DIGEST_BYTES, person=kind)
-    return int.from_bytes(found.digest(), "big")
+    digest = hashlib.blake2b(msgspec.msgpack.encode(item), digest_size=DIGEST_BYTES, person=kind)
+    return int.from_bytes(digest.digest(), "big")
 
 
 def encode_difference(difference: Difference) -> bytes:
-    """The encoded difference: msgpack, compressed with zlib."""
+    """Encodes a difference as msgpack, compressed with zlib."""
     return zlib.compress(msgspec.msgpack.encode(difference), COMPRESSION_LEVEL)
 
 
 def decode_difference(body: bytes) -> Difference:
-    """The decoded difference; raises DifferenceError if it can't be read."""
+    """Decodes a difference; raises DifferenceError if it is malformed."""
     try:
         return msgspec.msgpack.decode(zlib.decompress(body), type=Difference)
     except (zlib.error, msgspec.DecodeError) as error:
-        raise DifferenceError(f"unreadable: {error}") from error
+        raise DifferenceError(f"malformed difference: {error}") from error
--- a/wheatroute/cluster/errors.py
+++ b/wheatroute/cluster/errors.py
@@ -1,14 +1,15 @@
-"""Error kinds, and the table from kind to HTTP response.
+"""Error kinds, and the HTTP response for each kind.
 
-A kind says whether the request can have run. What a status promises depends on who sends it:
+A kind tells whether the request can have run. The guarantee of a status depends on the sender:
 
-- An edge node promises by 408, 429 and 503 that a client's request never ran and never will, as it does by
-  400, 401, 404, 413 and 431, which reject the request itself. 500, 502 and 504 promise nothing. (421, which
-  has no kind here, makes the same promise in a server's response; see `edge.attempt`.)
-- A control node promises by `NOT_PRIMARY` and `STORAGE` that a change was not begun. `NO_QUORUM` (503) is
-  also sent for a change that was begun and may still be applied, and `CHANGE_FORGOTTEN` (503) for one that
-  may have been applied before. After `NO_QUORUM` a change may be sent again unchanged: one that was applied
-  is recognized as long as its digest is remembered (`control.changes`).
+- If an edge node responds with 408, 429 or 503, the client's request never ran and never will; the same holds
+  for 400, 401, 404, 413 and 431, which reject the request itself. 500, 502 and 504 guarantee nothing. (421,
+  which has no kind here, gives the same guarantee in a server's response; see `edge.attempt`.)
+- If a control node responds with `NOT_PRIMARY` or `STORAGE`, it did not start to apply the change. It sends
+  `NO_QUORUM` (503) also for a change that it started to apply and that may still be committed, and
+  `CHANGE_FORGOTTEN` (503) for a change that may have been applied before. After `NO_QUORUM` a client may
+  resend the change unmodified: an applied change is recognized as long as its digest is remembered
+  (`control.changes`).
 
 The values of `ErrorKind` are sent in response bodies and logged.
 """
@@ -21,7 +22,7 @@
 
 
 class ErrorKind(Enum):
-    """The reason for which the router set answers a request itself."""
+    """Why an edge or control node responds to a request with an error of its own."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_API_KEY = "unknown-key"
@@ -47,10 +48,10 @@
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """The response to a kind; `retry_after_s` is the `Retry-After` header in seconds, 0 for none.
+    """The response for a kind; `retry_after_s` is the `Retry-After` header in seconds, 0 for none.
 
-    `may_have_run` is for those who read or extend the table: whether a client's request may have run. No code
-    reads it; the edge role chooses the kind by `ClientRequest.may_have_run`.
+    `may_have_run` documents whether a client's request may have run. No code reads it; the edge role selects
+    the kind by `ClientRequest.may_have_run`.
     """
 
     status: int
@@ -85,7 +86,7 @@
 
 
 class RequestError(Exception):
-    """A request that fails with a known kind; `detail` is for logs and operators."""
+    """A request fails with an error kind; `detail` explains the cause to operators and in logs."""
 
     def __init__(self, kind: ErrorKind, detail: str = "") -> None:
         super().__init__(detail or kind.value)
@@ -94,5 +95,5 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """The response to a request that fails with this kind."""
+        """The HTTP response for this error's kind."""
         return RESPONSES[self.kind]
--- a/wheatroute/cluster/http_client.py
+++ b/wheatroute/cluster/http_client.py
@@ -1,10 +1,10 @@
-"""`httpx` without its command line, whose terminal libraries take a fifth of an edge node's start."""
+"""`httpx` without its command line, whose terminal libraries take a fifth of an edge node's startup time."""
 
 from __future__ import annotations
 
 from wheatroute.imports import without
 
-with without("pygments"):  # httpx goes on without its command line where this can't be imported
+with without("pygments"):  # if this import fails, httpx skips its command line
     import httpx
 
 __all__ = ["httpx"]
--- a/wheatroute/cluster/logs.py
+++ b/wheatroute/cluster/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of the router set: one JSON object a line on standard error."""
+"""Logging of the edge and control roles: one JSON object per line on standard error."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def open_log(node: str, role: str) -> logging.Logger:
-    """The logger of this process; each line names the node and its role."""
+    """Sets up and returns the logger of this process; each line has the node's name and its role."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/wheatroute/cluster/settings.py
+++ b/wheatroute/cluster/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process (YAML), read and checked whole.
+"""Reads and validates the settings file of a process (YAML).
 
-The path stands in the environment variable `WHEATROUTE_SETTINGS`. Fields that are not known are ignored.
+The environment variable `WHEATROUTE_SETTINGS` holds its path. Unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 
 class SettingsError(Exception):
-    """The settings file is missing, unreadable or wrong; the text is one line for the operator."""
+    """The settings file is missing, unreadable or invalid; the message is one line for the operator."""
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the machine gives to this process."""
+    """The resources that the machine provides for this process."""
 
     memory_mb: int = 256
     max_fds: int = 1024
@@ -30,7 +30,7 @@
 
 
 class FailureTolerance(msgspec.Struct, frozen=True):
-    """How many counted machines, zones or regions may be lost at one time."""
+    """How many of the counted machines, zones or regions may fail at the same time."""
 
     machines: int = 0
     zones: int = 0
@@ -38,7 +38,7 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The figures of the rules; seconds where the name ends in `_s`, milliseconds where it ends in `_ms`."""
+    """The bounds of the service rules; names ending in `_s` are seconds, those in `_ms` milliseconds."""
 
     contact_ms: float = 3000.0
     ack_timeout_ms: float = 4000.0
@@ -58,7 +58,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One process of the router set."""
+    """The settings of one process."""
 
     node: str
     ip: str
@@ -79,57 +79,59 @@
 
     @property
     def replication_port(self) -> int:
-        """The port on which control nodes talk to each other, alike on all machines."""
+        """The port for replication between control nodes, the same on all machines."""
         return self.port_range[0]
 
     @property
     def internal_port(self) -> int:
-        """The port on which control nodes answer edge nodes, alike on all machines."""
+        """The port on which control nodes serve edge nodes, the same on all machines."""
         return min(self.port_range[0] + 1, self.port_range[1])
 
     def address(self, service: str) -> tuple[str, int]:
-        """Host and port of what this role serves; raises SettingsError if it isn't named."""
+        """Host and port on which this role serves `service`; raises SettingsError if none is set."""
         if service not in self.listen:
             raise SettingsError(f"listen: no address for {service!r}")
         return split_address(self.listen[service])
 
     def require(self, services: tuple[str, ...]) -> None:
-        """Raises SettingsError unless there is an address for each of these."""
+        """Raises SettingsError unless each of these services has an address."""
         for service in services:
             self.address(service)
 
     @property
     def seed_hosts(self) -> tuple[str, ...]:
-        """The machines of the seeds, without their ports."""
+        """The hosts of the seeds, without their ports."""
         return tuple(split_address(seed)[0] for seed in self.seeds)
 
 
 def split_address(text: str) -> tuple[str, int]:
-    """Host and port of `host:port`; raises SettingsError if it is none."""
+    """Splits `host:port`; raises SettingsError if the text is not such an address."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
-        raise SettingsError(f"not an address: {text!r}")
+        raise SettingsError(f"not an address of the form host:port: {text!r}")
     return host, int(port)
 
 
 def parse_settings(text: str) -> Settings:
-    """The settings that a file's text holds; raises SettingsError with one clear line."""
+    """Parses the text of a settings file; raises SettingsError with a message of one line."""
     try:
         settings = msgspec.convert(yaml.load(text, Loader=_Loader), Settings, strict=False)
     except msgspec.ValidationError as error:
         raise SettingsError(str(error)) from error
-    except (yaml.YAMLError, ValueError) as error:  # a date that is none is the latter
-        raise SettingsError(f"not YAML: {' '.join(str(error).split())}") from error
+    except (yaml.YAMLError, ValueError) as error:  # yaml raises ValueError for an invalid date
+        raise SettingsError(f"not valid YAML: {' '.join(str(error).split())}") from error
     for address in (*settings.seeds, *settings.listen.values()):
         split_address(address)
     first, last = settings.port_range
     if not 0 < first <= last < 65536:
-        raise SettingsError(f"port_range: {first} to {last}")
+        raise SettingsError(
+            f"port_range: must be two ascending ports between 1 and 65535, got {first} to {last}"
+        )
     return settings
 
 
 def settings_path(environment: Mapping[str, str] = os.environ) -> str:
-    """Where the settings file is; raises SettingsError if that isn't said."""
+    """The path of the settings file; raises SettingsError if the environment variable is not set."""
     path = environment.get(SETTINGS_VARIABLE, "")
     if not path:
         raise SettingsError(f"{SETTINGS_VARIABLE} is not set")
@@ -137,7 +139,7 @@
 
 
 def read_settings(environment: Mapping[str, str] = os.environ) -> Settings:
-    """The settings of this process; raises SettingsError with the path in its text."""
+    """Reads the settings of this process; the message of a SettingsError contains the file's path."""
     path = settings_path(environment)
     try:
         with open(path, encoding="utf-8") as source:
