--- a/tests/cluster/test_reload.py
+++ b/tests/cluster/test_reload.py
@@ -1,4 +1,4 @@
-"""Reload of a changed settings file. By SIGHUP and without in a running process: see `test_edge_role`."""
+"""Reload of a changed settings file. `test_edge_role` tests it in a process, with and without SIGHUP."""
 
 import logging
 import os
@@ -49,7 +49,7 @@
     file = settings_file()
     assert not file.has_changed()
     path.write_text(LATER)
-    assert not file.has_changed() and file.has_changed()  # the first check may find it half written
+    assert not file.has_changed() and file.has_changed()  # at the first check it may be half written
     assert file.reload() == parse_settings(LATER) and not file.has_changed()
     (line,) = caplog.records
     assert line.message == "settings-applied" and line.needs_restart == []
@@ -76,7 +76,7 @@
         path.write_text(text)
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(FILE)
     assert [line.message for line in caplog.records] == ["settings-rejected"]
-    path.write_text(LATER)  # complete, a moment later, and without another signal
+    path.write_text(LATER)  # completed a moment later, without another signal
     assert not file.has_changed() and file.has_changed() and file.reload() == parse_settings(LATER)
 
 
@@ -110,7 +110,7 @@
 
 
 class _Core:
-    """Stand-in for the replication core: what a control node's settings change in it."""
+    """Stands in for the replication core: the attributes that a control node's settings change."""
 
     tolerate = 1
     hosts = ()
--- a/tests/control/simulated_clients.py
+++ b/tests/control/simulated_clients.py
@@ -1,8 +1,8 @@
-"""Operators and edge nodes of a simulated cluster, and the check of what they are answered.
+"""Operators and edge nodes of a simulated cluster, which check the responses that they get.
 
-An operator sends a change that gets no final response again unchanged, to any node. The commits of
-`SimulatedCluster.history`, in their order, are the one history that every response has to fit: changes and
-reads are linearizable, and no edge node goes back to an older configuration.
+An operator resends a change without a final response, unmodified, to any node. The commits in
+`SimulatedCluster.history`, in their order, are the single history with which every response must be
+consistent: changes and reads are linearizable, and no edge node returns to an older configuration.
 """
 
 import asyncio
@@ -15,20 +15,20 @@
 from wheatroute.cluster.messages import NotPrimary, RegistryVersion, UpdateRequest
 from wheatroute.control.changes import Change
 
-REQUEST_TIMEOUT_S = 1.0  # without a response, after which a caller moves on
-CHANGE_TIMEOUT_S = 60.0  # for which a change is sent again
+REQUEST_TIMEOUT_S = 1.0  # time without a response, after which a caller tries another node
+CHANGE_TIMEOUT_S = 60.0  # time for which an operator resends a change
 MAX_REDIRECTS = 3
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0
-POLL_S = 0.3  # of an edge node
+POLL_S = 0.3  # duration of an edge node's long poll
 REJECTIONS = (ErrorKind.VERSION_MISMATCH, ErrorKind.INVALID_CONFIGURATION)
 
 
 class ConsistencyError(AssertionError):
-    """A response that doesn't fit the one history."""
+    """A response is inconsistent with the history of commits."""
 
 
 class Outcome(Enum):
-    """What an operator knows of a change."""
+    """What an operator knows about a change."""
 
     PENDING = "pending"
     ACKNOWLEDGED = "acknowledged"
@@ -38,19 +38,20 @@
 
 @dataclass
 class SentChange:
-    """A change and what became of it; `sent_at` and `answered_at` are of its last request."""
+    """A change and its outcome; `sent_at` and `answered_at` are the times of its last request."""
 
     change: Change
-    base: int  # the generation that it is built on
+    base: int  # the generation on which it is based
     generation: int
     sent_at: float = 0.0
     answered_at: float = 0.0
     outcome: Outcome = Outcome.PENDING
-    acknowledged_at: list = field(default_factory=list)  # by a node, whether or not the response arrived
+    # times of acknowledgement by a node, even if the response was lost
+    acknowledged_at: list = field(default_factory=list)
 
 
 class SimulatedClients:
-    """Operators and edge nodes; each response is checked as it comes."""
+    """Runs operators and edge nodes, and checks each response when it arrives."""
 
     def __init__(self, cluster, response_loss=0.3):
         self.cluster = cluster
@@ -63,15 +64,15 @@
     def now(self):
         return asyncio.get_running_loop().time()
 
-    # the one history
+    # checks against the history of commits
 
     def generation_at(self, moment):
-        """The generation that was committed last by then."""
+        """The newest generation that was committed up to that time."""
         generations = [commit.generation for commit in self.cluster.history if commit.time <= moment]
         return max(generations, default=0)
 
     def acknowledged_by(self, moment):
-        """The newest generation whose change was acknowledged by then."""
+        """The newest generation whose change was acknowledged up to that time."""
         generations = [
             sent.generation for sent in self.changes if any(at <= moment for at in sent.acknowledged_at)
         ]
@@ -81,24 +82,26 @@
         return any(sent.change.digest in commit.applied_digests for commit in self.cluster.history)
 
     def check_rejection(self, sent, kind):
-        """A rejection is by a state between request and response, and never of a committed change."""
+        """Checks that a rejection fits a state between request and response, and no commit of the change."""
         if self.is_committed(sent):
             raise ConsistencyError(f"rejected and committed: {sent}")
         generations = {self.generation_at(sent.sent_at), self.generation_at(sent.answered_at)}
         if kind == ErrorKind.VERSION_MISMATCH and generations == {sent.base}:
-            raise ConsistencyError(f"rejected by an old state: {sent}")
+            raise ConsistencyError(f"rejected by a stale state: {sent}")
         if kind == ErrorKind.INVALID_CONFIGURATION and sent.generation > self.generation_at(sent.answered_at):
             raise ConsistencyError(f"rejected as too old by a state that no node had: {sent}")
 
     def check_final_history(self):
-        """Each acknowledged change is in the history once, each rejected one not at all."""
+        """Checks that each acknowledged change is in the history once, and no rejected one at all."""
         changes_by_base = {}
         for sent in self.changes:
             if sent.acknowledged_at:
                 if not self.is_committed(sent):
                     raise ConsistencyError(f"acknowledged and lost: {sent}")
                 if changes_by_base.setdefault(sent.base, sent) is not sent:
-                    raise ConsistencyError(f"two on one generation: {sent} and {changes_by_base[sent.base]}")
+                    raise ConsistencyError(
+                        f"two changes acknowledged on one generation: {sent} and {changes_by_base[sent.base]}"
+                    )
             if sent.outcome == Outcome.REJECTED and self.is_committed(sent):
                 raise ConsistencyError(f"rejected and committed later: {sent}")
         assert self.acknowledged_by(self.now) <= self.generation_at(self.now)
@@ -106,7 +109,7 @@
     # operators
 
     async def _request(self, call):
-        """One request to a random node, and to those that it redirects to; None without a response."""
+        """Sends a request to a random node and follows redirects; None without a response."""
         host = self.rng.choice(sorted(self.cluster.nodes))
         for _ in range(MAX_REDIRECTS):
             node = self.cluster.nodes.get(host)
@@ -124,8 +127,8 @@
         return None
 
     async def change(self, service_name, base):
-        """Sends one change until it gets a final response."""
-        step = self.rng.choice((1, 1, 2))  # two operators often choose the same number
+        """Sends one change repeatedly until it gets a final response."""
+        step = self.rng.choice((1, 1, 2))  # two operators often pick the same number
         body = {"generation": base + step, "routes": [], "services": [{"name": service_name}]}
         sent = SentChange(Change(False, str(base), json.dumps(body).encode()), base, base + step)
         self.changes.append(sent)
@@ -157,7 +160,7 @@
             sent.outcome = Outcome.ACKNOWLEDGED
 
     async def read(self):
-        """The newest generation by a read; None without a final response."""
+        """Reads the newest generation; None without a final response."""
         acknowledged = self.acknowledged_by(self.now)
         response = await self._request(lambda service: service.read())
         if not isinstance(response, bytes):
@@ -169,7 +172,7 @@
         return generation
 
     async def run_operator(self, name, until):
-        """Sends changes on what the operator takes to be the newest generation; it may have been long ago."""
+        """Sends changes based on the newest generation that the operator knows, which may be stale."""
         generation = count = 0
         while self.now < until:
             count += 1
@@ -183,7 +186,7 @@
     # edge nodes
 
     async def run_edge_node(self, name, until, lifetime_s=4.0):
-        """Polls as an edge node does, and restarts now and then."""
+        """Polls as an edge node does, and restarts from time to time."""
         while self.now < until:
             end = min(until, self.now + lifetime_s * (0.5 + self.rng.random()))
             await self._run_edge_incarnation(name, end)
@@ -203,7 +206,7 @@
                 version = self._apply(name, version, update.configuration_change, acknowledged)
 
     def _apply(self, name, version, configuration_change, acknowledged):
-        """An edge node's version after a change; `acknowledged` is the generation before it asked."""
+        """An edge node's version after a change; `acknowledged` is the newest generation before its poll."""
         difference = decode_difference(configuration_change)
         newer = apply_difference(version if difference.base >= 0 else EMPTY_VERSION, difference)
         self.configuration_count += 1
@@ -212,11 +215,11 @@
                 f"{name} starts with {newer.generation} after {acknowledged} was acknowledged"
             )
         if newer.sequence <= version.sequence or newer.generation <= version.generation:
-            raise ConsistencyError(f"{name} goes back from {version.generation} to {newer.generation}")
+            raise ConsistencyError(f"{name} returns from {version.generation} to {newer.generation}")
         return newer
 
     async def _poll(self, host, request):
-        """The update of one long poll; None if the node doesn't answer or isn't the primary."""
+        """The update of one long poll; None if the node doesn't respond or isn't the primary."""
         node = self.cluster.nodes.get(host)
         if node is None:
             return None
--- a/tests/control/simulated_cluster.py
+++ b/tests/control/simulated_cluster.py
@@ -1,9 +1,7 @@
 """Complete control nodes (`ControlService` with its replicator) in virtual time.
 
-Stand-ins take the place of the network and the disks.
-
-A scenario runs on an event loop whose clock jumps to the next timer. All random numbers come from one seed,
-so that a run can be repeated.
+The network and the disks are simulated. A scenario runs on an event loop whose clock jumps to the next timer.
+All random numbers come from one seed, so that runs are reproducible.
 """
 
 import asyncio
@@ -24,18 +22,18 @@
 LOG = logging.getLogger("simulated-cluster")
 LOG.setLevel(logging.CRITICAL)
 DISK_WRITE_S = 0.004
-SCENARIO_TIMEOUT_S = 300.0  # of virtual time, after which a scenario counts as hung
+SCENARIO_TIMEOUT_S = 300.0  # virtual time after which a scenario is considered hung
 running_node = contextvars.ContextVar("running_node", default=None)
 
 
 class _VirtualTimeSelector(selectors.SelectSelector):
-    """Has no I/O events: moves the loop's clock to the next timer."""
+    """A selector without I/O events that advances the loop's clock to the next timer."""
 
     loop = None
 
     def select(self, timeout=None):
         if timeout is None:
-            raise RuntimeError("deadlock: no timer is left")
+            raise RuntimeError("deadlock: no timer is pending")
         self.loop.now += timeout
         return []
 
@@ -56,7 +54,7 @@
 
 
 def _make_node_task(loop, coroutine, **options):
-    """Makes a task that is cancelled with the process of the node that started it."""
+    """Makes a task that is cancelled when the process of the node that started it ends."""
     task = asyncio.Task(coroutine, loop=loop, **options)
     node = running_node.get()
     if node is not None:
@@ -66,21 +64,21 @@
 
 
 class Disk:
-    """The record and the soft state, written one after the other; stands in for storage and its thread."""
+    """A simulated disk, in place of the storage and its thread; writes are executed one after another."""
 
     def __init__(self, rng):
         self.record, self.soft_state = None, b""
         self.rng = rng
         self.write_s = DISK_WRITE_S
         self._busy_until = 0.0
-        self.incarnation = 0  # of the process that writes
+        self.incarnation = 0  # number of the process that writes
 
     def submit(self, function, *arguments):
         loop, future, incarnation = asyncio.get_running_loop(), Future(), self.incarnation
         self._busy_until = max(self._busy_until, loop.time()) + self.write_s * (0.5 + self.rng.random())
 
         def run():
-            # a write that was in progress when the process ended may have reached the disk
+            # A write that was pending when the process ended may or may not reach the disk.
             if incarnation != self.incarnation and self.rng.random() < 0.5:
                 return
             is_awaited = incarnation == self.incarnation and not future.cancelled()
@@ -113,7 +111,7 @@
 
 
 class SimulatedLinks:
-    """Stands in for `Links`: a message is delivered once, or lost."""
+    """Simulated `Links`: a message is delivered once, or lost."""
 
     def __init__(self, cluster, identity, address, receive):
         self._cluster, self._identity, self._host, self._receive = cluster, identity, address[0], receive
@@ -140,22 +138,22 @@
 
 
 class SimulatedNode:
-    """A machine, and its process if one runs."""
+    """A machine, with its process if one is running."""
 
     def __init__(self, cluster, host, bootstrap):
         self.cluster, self.host, self.bootstrap = cluster, host, bootstrap
         self.disk = Disk(cluster.rng)
         self.service = None
-        self.tasks = {}  # of the process, in the order of their start
+        self.tasks = {}  # tasks of the process, in the order in which they started
 
     @property
     def is_started(self):
-        """Whether a process runs that takes part in replication."""
+        """Whether a process is running that takes part in replication."""
         return self.service is not None and hasattr(self.service.replicator, "core")
 
     @property
     def is_serving(self):
-        """Whether the process is the primary and may acknowledge."""
+        """Whether the process is the primary and holds the lease."""
         return self.is_started and self.service.replicator.is_serving
 
     async def start(self):
@@ -183,12 +181,12 @@
         self.tasks.clear()
 
     def wipe(self):
-        """Ends the process at once, and empties the disk."""
+        """Ends the process at once and erases the disk."""
         self.kill()
         self.disk.record, self.disk.soft_state = None, b""
 
     async def request(self, call):
-        """One request of a client, `call(service)`; raises ConnectionError if no process runs to its end."""
+        """Runs a client's request `call(service)`; raises ConnectionError if the process ends before it."""
         if not self.is_started:
             raise ConnectionError
         token = running_node.set(self)
@@ -203,7 +201,7 @@
 
 
 class Commit(NamedTuple):
-    """A state that some primary has committed."""
+    """A state that a primary has committed."""
 
     time: float
     sequence: int
@@ -212,14 +210,14 @@
 
 
 class SimulatedCluster:
-    """All nodes, the network between them, and every state that any primary has committed."""
+    """All nodes, the network between them, and the history of states that primaries have committed."""
 
     def __init__(self, seed, node_count=3):
         self.rng = Random(seed)
-        self.nodes = {}  # by host
-        self.links = {}  # of started nodes, by host
+        self.nodes = {}  # host -> node
+        self.links = {}  # host -> links of its running process
         self.blocked = set()  # pairs (source, target) of hosts between which messages are lost
-        self.history: list[Commit] = []  # each sequence once
+        self.history: list[Commit] = []  # one entry for each sequence number
         self.seeds = tuple(f"10.0.0.{number + 1}" for number in range(3))
         for number in range(node_count):
             host = f"10.0.0.{number + 1}"
@@ -240,7 +238,7 @@
         )
 
     def deliver(self, source, target, sender, message):
-        """Delivers a message after the latency of the network, unless it is lost."""
+        """Delivers a message after the network's latency, unless it is lost."""
         latency_s = 0.0005 + 0.002 * self.rng.random()
 
         def receive():
@@ -256,7 +254,7 @@
         return pairs
 
     def record_commits(self, node, service):
-        """Adds each new commit of a node to the history; nodes that commit one sequence have one state."""
+        """Adds each commit of a node to the history; asserts that all nodes commit one state per sequence."""
         on_commit = service.replicator._on_commit
 
         def record(document):
@@ -276,11 +274,11 @@
             await node.start()
 
     def primary(self):
-        """A node that may acknowledge as primary, or None."""
+        """The node that is the primary and holds the lease, or None."""
         return next((node for node in self.nodes.values() if node.is_serving), None)
 
     async def wait_for_primary(self, excluding=()):
-        """The primary, once it has committed a document; none of the hosts that are excluded."""
+        """Waits for a primary that has committed a document and whose host is not excluded."""
         while True:
             for node in self.nodes.values():
                 if node.is_serving and node.host not in excluding and node.service.configuration.is_committed:
@@ -289,7 +287,7 @@
 
 
 class _SeededNonces:
-    """Stands in for `secrets`, so that a run can be repeated."""
+    """Replaces `secrets`, so that runs are reproducible."""
 
     def __init__(self, rng):
         self._rng = rng
@@ -300,7 +298,7 @@
 
 @contextmanager
 def patched_replicator(cluster):
-    """Replaces links and random numbers of the replicator by those of the cluster."""
+    """Replaces the replicator's links and random numbers with those of the cluster."""
     with patch.multiple(
         replicator_module,
         Links=lambda identity, address, receive, log: SimulatedLinks(cluster, identity, address, receive),
--- a/tests/control/test_change_bursts.py
+++ b/tests/control/test_change_bursts.py
@@ -16,15 +16,15 @@
 
 EDGE_NODES = 94
 ROUTES = 1520
-CHANGES, CHANGE_INTERVAL_S = 25, 0.08  # of a burst
-CONTROL_BANDWIDTH, EDGE_BANDWIDTH = 210e6 / 8, 5e6 / 8  # bytes a second
+CHANGES, CHANGE_INTERVAL_S = 25, 0.08  # number and interval of the changes in a burst
+CONTROL_BANDWIDTH, EDGE_BANDWIDTH = 210e6 / 8, 5e6 / 8  # bytes per second
 POLL_S, RETRY_S = 0.7, 0.06
-MAX_PROPAGATION_S = 2.5  # from the acknowledgement of a version until every edge node applies it
-HEAD_BYTES = 250  # of a response
+MAX_PROPAGATION_S = 2.5  # from the acknowledgement of a version until every edge node has applied it
+HEAD_BYTES = 250  # size of a response's head
 
 
 def random_name(text):
-    """A name without repetitions, so that compression finds no more in it than in an operator's names."""
+    """A random-looking name, so that it compresses no better than the names that operators use."""
     return hashlib.blake2b(text.encode(), digest_size=5).hexdigest()
 
 
@@ -42,7 +42,7 @@
 
 
 class Link:
-    """A link of limited bandwidth, in bytes a second: messages are sent one after the other."""
+    """A link of limited bandwidth (bytes per second) that sends one message after another."""
 
     def __init__(self, bandwidth):
         self._bandwidth, self._free_at, self.sent_bytes = bandwidth, 0.0, 0
@@ -55,7 +55,7 @@
 
 
 class EdgeNodeStandIn:
-    """Polls as an edge node does, and records when it applied which generation."""
+    """Polls as an edge node does, and records when it applied each generation."""
 
     def __init__(self, name, control_link):
         self.name, self.control_link, self.link = name, control_link, Link(EDGE_BANDWIDTH)
@@ -80,11 +80,11 @@
 
 
 class ChangeBurst:
-    """An operator who sends changes, and edge nodes that apply them."""
+    """An operator that sends changes, and edge nodes that apply them."""
 
     def __init__(self, cluster):
         self.cluster, self.generation = cluster, 0
-        self.acknowledged_at = {}  # by generation
+        self.acknowledged_at = {}  # generation -> time
         self.control_link = Link(CONTROL_BANDWIDTH)
         self.edge_nodes = []
 
@@ -110,13 +110,15 @@
 
     @staticmethod
     def applied_at(edge, generation):
-        """When this edge node applied the generation, or a newer one."""
+        """The time at which this edge node applied the generation or a newer one."""
         return min((at for at, applied in edge.applied if applied >= generation), default=float("inf"))
 
     def check(self):
         for edge in self.edge_nodes:
             generations = [generation for _, generation in edge.applied]
-            assert generations == sorted(set(generations)), f"{edge.name} goes back: {generations}"
+            assert generations == sorted(set(generations)), (
+                f"{edge.name} returned to an older generation: {generations}"
+            )
             late = {
                 generation: self.applied_at(edge, generation) - at
                 for generation, at in self.acknowledged_at.items()
@@ -165,7 +167,7 @@
 
 @pytest.mark.parametrize("routes", [ROUTES, 12_000])
 def test_a_first_configuration_of_many_routes_is_applied_in_time(routes):
-    """As JSON 12,000 routes take more than four seconds on an edge node's link."""
+    """Uncompressed JSON of 12,000 routes would take more than four seconds on an edge node's link."""
 
     async def scenario(cluster):
         burst = ChangeBurst(cluster)
--- a/tests/control/test_changes.py
+++ b/tests/control/test_changes.py
@@ -1,4 +1,4 @@
-"""Which changes of operators are applied, in sequences of changes."""
+"""Which of several consecutive changes by operators are applied."""
 
 import json
 
@@ -34,7 +34,7 @@
 
 
 def put(base, body):
-    """A PUT of a JSON body, or of bytes as they are."""
+    """A PUT of a JSON body, or of raw bytes."""
     return Change(False, str(base), body if isinstance(body, bytes) else json.dumps(body).encode())
 
 
@@ -43,7 +43,7 @@
 
 
 def apply_all(*changes):
-    """The status of each change, applied one after the other, and the state after them."""
+    """The status of each change when all are applied in order, and the final state."""
     state, statuses = ConfigurationState(), []
     for change in changes:
         try:
@@ -69,13 +69,13 @@
     assert statuses == [200] * 5 and state.generation == 4
 
 
-def test_two_changes_of_one_generation_are_told_apart():
+def test_two_different_changes_to_one_generation_are_distinguished():
     one, other = put(0, configuration(3)), put(0, configuration(3, route("q")))
     statuses, state = apply_all(one, other, one, other)
     assert statuses == [200, 412, 200, 412] and b'"q"' not in state.body
 
 
-def test_a_body_is_kept_to_the_byte():
+def test_a_body_is_stored_byte_for_byte():
     body = b'{ "generation": 3, "routes": [], "services": [], "later": {"field": 1.50} }'
     _, state = apply_all(put(0, body))
     assert state.body == body
@@ -106,24 +106,26 @@
 
 
 INVALID = {
-    "cut short": json.dumps(configuration(4)).encode()[:-9],
+    "truncated": json.dumps(configuration(4)).encode()[:-9],
     "not an object": b"[]",
     "an unknown service": configuration(4, route("r", backend="none")),
     "an unknown service in a split": configuration(
         4, route("r", backend=None, split=[{"backend": "x", "weight": 1}])
     ),
-    "two routes at one place": configuration(4, route("a"), route("b")),
-    "two routes at one place but for letters": configuration(4, route("a"), route("b", hostname="H.example")),
-    "two routes of one name": configuration(4, route("a"), route("a", "/b/")),
+    "two routes with one hostname and prefix": configuration(4, route("a"), route("b")),
+    "two routes whose hostnames differ only in case": configuration(
+        4, route("a"), route("b", hostname="H.example")
+    ),
+    "two routes with one name": configuration(4, route("a"), route("a", "/b/")),
     "weights that sum to 0": configuration(
         4, route("r", backend=None, split=[{"backend": "s", "weight": 0}])
     ),
-    "a route without a time": configuration(4, route("r", timeout_ms=0)),
+    "a route without a timeout": configuration(4, route("r", timeout_ms=0)),
     "an old version": configuration(2),
     "the same version": configuration(3),
-    "a version that is no number": configuration("9"),
+    "a version that is not a number": configuration("9"),
     "no version": {"routes": [], "services": []},
-    "a key of two tenants": configuration(
+    "an API key of two tenants": configuration(
         4, tenants=[{"name": "a", "api_keys": ["k"]}, {"name": "b", "api_keys": ["j", "k"]}]
     ),
     "no routes at all": {"generation": 4, "services": []},
@@ -137,7 +139,7 @@
 
 
 def test_a_change_both_invalid_and_stale_is_rejected():
-    statuses, _ = apply_all(put(0, configuration(3)), put(1, configuration(2)), put(1, INVALID["cut short"]))
+    statuses, _ = apply_all(put(0, configuration(3)), put(1, configuration(2)), put(1, INVALID["truncated"]))
     assert statuses[1] in (400, 412) and statuses[2] in (400, 412)
 
 
--- a/tests/control/test_consistency.py
+++ b/tests/control/test_consistency.py
@@ -1,6 +1,6 @@
 """Consistency of responses to operators and edge nodes under faults: complete control nodes in virtual time.
 
-Random faults, then single cases: partitions, lost primaries, changes that are sent again, many changes.
+Random faults first, then specific cases: partitions, lost primaries, resent changes, many changes.
 """
 
 import asyncio
@@ -25,17 +25,18 @@
 from wheatroute.replication import lease, timing
 from wheatroute.replication.timing import ELECTION_TIMEOUT_S
 
-RUN_S = 24.0  # of a run with random faults
-FAULT_FREE_S = 6.0  # at its end
-SYNC_S = 4.0  # after the loss of a disk, until another one may be lost
+RUN_S = 24.0  # duration of a run with random faults
+FAULT_FREE_S = 6.0  # time without faults at the end of a run
+SYNC_S = 4.0  # minimum time between the losses of two disks
 SLOW_WRITE_S = 0.3
-UNCONFIRMED = (ErrorKind.NO_QUORUM, ErrorKind.NOT_PRIMARY)  # errors without a statement about the change
+# errors that say nothing about the change's outcome
+UNCONFIRMED = (ErrorKind.NO_QUORUM, ErrorKind.NOT_PRIMARY)
 
 
 class RandomFaults:
-    """Injects random faults into a cluster, one after the other.
+    """Injects random faults into a cluster, one after another.
 
-    One disk at a time is lost, and the next one only once the node of the one before has had time to sync.
+    Only one disk is lost at a time, and the next one only after the node of the last one had time to sync.
     """
 
     def __init__(self, cluster):
@@ -116,7 +117,7 @@
 
 
 async def random_faults(cluster):
-    """Operators and edge nodes beside random faults."""
+    """Runs operators and edge nodes while random faults occur."""
     clients = SimulatedClients(cluster)
     until = asyncio.get_running_loop().time() + RUN_S
     async with asyncio.TaskGroup() as group:
@@ -132,7 +133,7 @@
 
 
 def run_random_faults(seed):
-    """A run with random faults; in every other one no final response may rest on leases."""
+    """A run with random faults; for odd seeds without leases, so that no final response may rely on them."""
     return (run_without_leases if seed % 2 else run_scenario)(seed, random_faults)
 
 
@@ -147,7 +148,7 @@
     assert acknowledged > 50 and rejected > 10 and configurations > 30
 
 
-# single cases
+# specific cases
 
 
 def make_change(base, generation, service_name):
@@ -156,7 +157,7 @@
 
 
 async def error_kind(request):
-    """The kind of error that a request ends with, or None."""
+    """The kind of error with which a request fails, or None."""
     try:
         await request
     except RequestError as error:
@@ -177,7 +178,7 @@
 
 
 async def primary_isolated_for_twenty_seconds(cluster):
-    """What it answers meanwhile, second by second, and what becomes of its changes."""
+    """Checks the responses of an isolated primary over time, and the outcome of the changes sent to it."""
     old = await cluster.wait_for_primary()
     await send_change(old, make_change(0, 1, "first"))
     pairs = isolate(cluster, old)
@@ -187,10 +188,10 @@
     began = asyncio.get_running_loop().time()
     starting = UpdateRequest("edge", "z", -1, RegistryVersion(), 0.1)
     while asyncio.get_running_loop().time() < began + 20.0:
-        # committed elsewhere; built on what was committed elsewhere; new; invalid by the old state
+        # committed elsewhere; based on the change committed elsewhere; new; invalid in the old state
         changes = (
             committed,
-            make_change(2, 3, "on it"),
+            make_change(2, 3, "based on it"),
             make_change(1, 4, "new"),
             make_change(1, 1, "old number"),
         )
@@ -198,7 +199,7 @@
             assert await error_kind(send_change(old, change)) in UNCONFIRMED
         assert await error_kind(read(old)) in UNCONFIRMED
         assert isinstance(await poll(old, starting), NotPrimary)
-        # it redirects nobody to a primary whose heartbeats it doesn't receive
+        # It redirects no caller to a primary whose heartbeats it doesn't receive.
         assert old.service.leadership.not_primary().primary == ""
         await asyncio.sleep(0.7)
     assert new.is_serving and len(new.service.replicator.core.view.members) == 2
@@ -207,7 +208,7 @@
         await asyncio.sleep(0.01)
     assert asyncio.get_running_loop().time() < began + 22.0
     assert await send_change(new, committed) == 2
-    assert await send_change(new, make_change(2, 3, "on it")) == 3
+    assert await send_change(new, make_change(2, 3, "based on it")) == 3
 
 
 def test_a_primary_that_is_isolated_for_twenty_seconds_gives_no_final_response():
@@ -215,7 +216,7 @@
 
 
 async def deposed_primary_with_a_lease(cluster):
-    """Another primary has committed while the old one still has a lease: no clock helps."""
+    """Another primary commits while the old one still holds its lease: no clock reveals the change."""
     old = await cluster.wait_for_primary()
     await send_change(old, make_change(0, 1, "first"))
     await asyncio.sleep(1.0)
@@ -226,7 +227,7 @@
     draining = ServerHeartbeat(backend="s", addr="10.0.0.9:80", state="draining", seq=1)
     assert old.is_serving
     *kinds, update = await asyncio.gather(
-        error_kind(send_change(old, make_change(2, 3, "on it"))),
+        error_kind(send_change(old, make_change(2, 3, "based on it"))),
         error_kind(send_change(old, make_change(1, 1, "an old number"))),
         error_kind(read(old)),
         error_kind(old.request(lambda service: service.heartbeat("i-1", draining))),
@@ -237,7 +238,7 @@
 
 
 def run_without_leases(seed, scenario):
-    """No voter is bound by a lease: others may lead while the old primary still has one."""
+    """Runs a scenario in which leases bind no voter: another node may lead while the old lease is valid."""
     with patched(lease, GRANT_S=0.0), patched(timing, ELECTION_TIMEOUT_S=0.18, ELECTION_STEP_S=0.02):
         return run_scenario(seed, scenario)
 
@@ -248,14 +249,14 @@
 
 
 class UnconfirmedRejections(Leadership):
-    """Rejects, reads and acknowledges again by this node's own state alone."""
+    """Rejects changes, reads, and acknowledges resent changes from local state without a confirmation."""
 
     async def require_confirmation(self):
         pass
 
 
 class UnconfirmedConfigurations(UpdatePolls):
-    """Sends first configurations without asking whether this node still leads."""
+    """Sends first configurations without confirming that this node still leads."""
 
     async def poll(self, request):
         async def confirm():
@@ -266,7 +267,7 @@
 
 
 class ForgetfulStore(ConfigurationStore):
-    """Doesn't recognize a change that was applied before others."""
+    """Recognizes only the most recently applied change."""
 
     async def _apply(self, change):
         state = self._configuration.state
@@ -276,7 +277,7 @@
 
 
 class UnconfirmedDrains(SoftStateSharing):
-    """Acknowledges drains without asking whether this node still leads."""
+    """Acknowledges drains without confirming that this node still leads."""
 
     async def replicate_departure(self):
         await self._share_soon()
@@ -290,18 +291,18 @@
 
 
 @pytest.mark.parametrize(("replaced", "fault"), FAULTS)
-def test_a_response_without_a_majority_is_found(replaced, fault, monkeypatch):
+def test_a_response_without_a_majority_is_detected(replaced, fault, monkeypatch):
     monkeypatch.setattr(service_module, replaced, fault)
     with pytest.raises(AssertionError):
         run_without_leases(1, deposed_primary_with_a_lease)
 
 
-def test_a_read_that_is_confirmed_by_older_answers_is_found():
+def test_a_read_that_is_confirmed_by_older_acknowledgements_is_detected():
     with with_names("a read confirmed by older answers"), pytest.raises(AssertionError):
         run_without_leases(1, deposed_primary_with_a_lease)
 
 
-def test_a_node_that_forgets_changes_is_found(monkeypatch):
+def test_a_node_that_forgets_changes_is_detected(monkeypatch):
     monkeypatch.setattr(service_module, "ConfigurationStore", ForgetfulStore)
     with pytest.raises(BaseExceptionGroup) as found:
         run_random_faults(0)
@@ -321,7 +322,7 @@
         assert replica.service.leadership.not_primary().primary == ""
         assert replica.service.leadership.primary_host == ""
         await asyncio.sleep(1.0)
-    # it has deposed nobody, neither meanwhile nor when it returned
+    # It deposed no primary, neither while isolated nor when it reconnected.
     epoch = primary.service.replicator.core.view.epoch
     cluster.blocked -= pairs
     await asyncio.sleep(2.0)
@@ -330,12 +331,12 @@
     assert replica.service.leadership.not_primary().primary == primary.host
 
 
-def test_an_isolated_replica_redirects_nobody_to_the_primary():
+def test_an_isolated_replica_redirects_no_caller_to_the_primary():
     run_scenario(2, replica_isolated_for_twenty_seconds)
 
 
 async def two_changes_of_one_generation(cluster):
-    """The responses are lost, the primary is killed, and both changes are sent again at every node."""
+    """The primary is killed after it accepted one of two changes; both are resent to the next primary."""
     primary = await cluster.wait_for_primary()
     await send_change(primary, make_change(0, 1, "first"))
     one, other = make_change(1, 2, "one"), make_change(1, 2, "other")
@@ -344,7 +345,7 @@
     )
     assert sorted(map(str, outcomes)) == sorted((str(None), str(ErrorKind.VERSION_MISMATCH)))
     applied, rejected = (one, other) if outcomes[0] is None else (other, one)
-    await send_change(primary, make_change(2, 3, "behind it"))
+    await send_change(primary, make_change(2, 3, "later"))
     primary.kill()
     new = await cluster.wait_for_primary()
     for _ in range(2):
@@ -359,7 +360,7 @@
 
 
 async def change_sent_again_at_the_next_primary(cluster):
-    """The first primary is killed in each stage of the write; the response is the same in the end."""
+    """Kills the primary at each stage of a write; the resent change always gets the same response."""
     outcomes = set()
     for step in range(24):
         primary = await cluster.wait_for_primary()
@@ -384,7 +385,7 @@
 
 
 async def node_misses_hundreds_of_changes(cluster):
-    """600 changes in one term, 400 of them while a node is down; it is in sync soon."""
+    """600 changes in one term, 400 of them while a node is down; the node then syncs within 2 s."""
     primary = await cluster.wait_for_primary()
     absent = next(node for node in cluster.nodes.values() if node is not primary)
     for generation in range(1, 601):
@@ -399,7 +400,7 @@
         await asyncio.sleep(0.01)
     assert asyncio.get_running_loop().time() < began + 2.0
     assert absent.service.replicator.core.document == primary.service.replicator.core.document
-    # it leads with the newest state, and recognizes the oldest change
+    # It can lead with the newest state, and recognizes the oldest change.
     for node in list(cluster.nodes.values()):
         if node is not absent:
             node.wipe() if node is primary else node.kill()
--- a/tests/control/test_control_format.py
+++ b/tests/control/test_control_format.py
@@ -1,4 +1,7 @@
-"""Messages between control and edge nodes, and what primaries keep: bytes that landing 12 wrote."""
+"""Messages between control and edge nodes and the stored state keep the encoding of an earlier release.
+
+The expected bytes were written by an earlier version of the program, that of landing 12.
+"""
 
 import hashlib
 import json
@@ -124,7 +127,7 @@
             "82a77072696d617279a831302e302e302e31ad636f6e74726f6c5f686f73747392a831302e302e302e31"
             "a831302e302e302e32"
         ),
-        id="not-serving",
+        id="not-primary",
     ),
     pytest.param(ServerLoad(1200, 3), "92cd04b003", id="server-load"),
     pytest.param(
@@ -134,7 +137,7 @@
             "59000000000000a5616c6f6e65cb403e000000000000aa616c6f6e655f746f6c64cb4034000000000000"
             "a6726563656e7493050007"
         ),
-        id="quota-need",
+        id="quota-demand",
     ),
     pytest.param(
         QuotaDemand(),
@@ -143,7 +146,7 @@
             "00000000000000a5616c6f6e65cb0000000000000000aa616c6f6e655f746f6c64cb0000000000000000"
             "a6726563656e7490"
         ),
-        id="quota-need-default",
+        id="quota-demand-default",
     ),
     pytest.param(
         QuotaGrant(10.0, 0.5, 40.0, 80.0),
@@ -179,7 +182,7 @@
             "0000000000a86f776e5f72617465cb0000000000000000aa6f776e5f746f6b656e73cb00000000000000"
             "00a77365727665727381a27331920a01a5656467657303a46c65616407"
         ),
-        id="usage-answer",
+        id="usage-response",
     ),
     pytest.param(
         SoftState(INSTANCES, {"acme": 400.0}, {"acme": 20.0}, 3),
@@ -344,12 +347,12 @@
 
 
 @pytest.mark.parametrize(("value", "written"), CASES)
-def test_is_written_as_before_and_read_as_before(value, written):
+def test_the_encoding_is_unchanged(value, written):
     assert msgspec.msgpack.encode(value).hex() == written
     assert msgspec.msgpack.decode(bytes.fromhex(written), type=type(value)) == value
 
 
-def test_a_configuration_keeps_its_digest_and_its_difference_from_nothing():
+def test_the_digest_and_the_full_difference_of_a_configuration_are_unchanged():
     version = make_version(decode_configuration(BODY), 41)
     assert version.digest == 8673784257128854832
     sent = encode_difference(make_difference(EMPTY_VERSION, version))
@@ -359,7 +362,7 @@
     )
 
 
-def test_the_replicated_document_of_a_change_is_the_same():
+def test_the_encoding_of_the_replicated_document_is_unchanged():
     state = apply_change(ConfigurationState(), Change(is_partial=False, if_match='"0"', body=BODY))
     assert encode_state(state).hex() == STATE
     assert decode_state(bytes.fromhex(STATE)) == state
@@ -368,7 +371,7 @@
     assert encode_state(apply_change(state, patch)).hex() == PATCHED
 
 
-def test_a_server_s_heartbeat_is_read_by_the_names_on_the_wire():
+def test_a_server_heartbeat_is_decoded_by_its_json_keys():
     body = {
         "backend": "llm",
         "addr": "10.0.1.1:80",
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -1,4 +1,4 @@
-"""Three control nodes in one process, with their real links and disks."""
+"""Three control nodes in one process, with real connections and disks."""
 
 import asyncio
 import json
@@ -20,13 +20,13 @@
 from wheatroute.replication.messages import SoftStateUpdate
 from wheatroute.replication.storage import FILE_NAME, MemoryStorage
 
-SCENARIO_TIMEOUT_S = 20.0  # after which a scenario counts as hung
+SCENARIO_TIMEOUT_S = 20.0  # time after which a scenario is considered hung
 HOSTS = ("127.0.0.21", "127.0.0.22", "127.0.0.23")
 LOG = logging.getLogger("test-nodes")
 
 
 def free_port():
-    """A port that is free on all hosts, as is the next one."""
+    """A port that is free on all hosts, together with the next one."""
     for _ in range(50):
         with socket.socket() as probe:
             probe.bind((HOSTS[0], 0))
@@ -65,7 +65,7 @@
 
 
 class ControlNodes:
-    """All three nodes."""
+    """Starts, kills and inspects the three nodes."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -78,7 +78,7 @@
         self.services[host] = service
 
     async def primary(self, excluding=""):
-        """The host and the service of the primary, once there is one that serves."""
+        """Waits for a primary that serves; returns its host and its service."""
         while True:
             for host, service in self.services.items():
                 if host != excluding and service.replicator.is_serving and service.configuration.is_committed:
@@ -86,7 +86,7 @@
             await asyncio.sleep(0.01)
 
     async def wait_until_synced(self, host):
-        """Waits until this primary has all nodes as members and nothing is written any more."""
+        """Waits until all nodes are members of this primary's view and no write is pending."""
         core = self.services[host].replicator.core
         while len(core.view.members) < len(HOSTS) or core.committed is not core.document:
             await asyncio.sleep(0.01)
@@ -99,25 +99,25 @@
         )
 
     async def kill(self, host):
-        """Ends a node at once, as a machine that loses its power."""
+        """Ends a node at once, as if its machine lost power."""
         service = self.services.pop(host)
         core = service.replicator.core
         for name in ("tick", "receive", "saved", "save_failed"):
             setattr(core, name, lambda *arguments: [])
-        # pending writes end with the process, and later ones reach no disk
+        # Pending writes are finished before the process ends; later ones reach no disk.
         disk, service.replicator._storage = service.replicator._storage, MemoryStorage()
         service.replicator._executor.submit(disk.close).result()
         service.replicator._links.close()
         for link in list(service.replicator._links._links.values()):
             link.send = lambda frame: None
-        # the others' connections to it end with the process
+        # The connections from other nodes end with the process.
         for other in self.services.values():
             if link := other.replicator._links._links.get(host):
                 link.close()
 
 
 def with_nodes(scenario):
-    """Makes a test of a scenario with three started nodes."""
+    """Makes a test that runs a scenario with three started nodes."""
 
     def test(tmp_path):
         async def run():
@@ -146,7 +146,7 @@
 
 
 @with_nodes
-async def test_an_acknowledged_change_outlives_the_primary(nodes):
+async def test_an_acknowledged_change_survives_the_loss_of_the_primary(nodes):
     host, service = await nodes.primary()
     assert await service.change(first_change()) == 1
     assert await service.change(later_change(2)) == 2
@@ -166,7 +166,7 @@
     with pytest.raises(RequestError) as rejected:
         await service.change(later_change(2))
     other, successor = await nodes.primary(excluding=host)
-    # callers are redirected to the next primary
+    # Callers are redirected to the next primary.
     assert rejected.value.kind.value == "not-primary" and rejected.value.detail == other
     assert await successor.change(later_change(2)) == 2
 
@@ -190,7 +190,7 @@
 
 
 @with_nodes
-async def test_the_next_primary_has_the_servers_and_drains_that_the_last_one_shared(nodes):
+async def test_the_next_primary_has_the_servers_and_drains_that_the_previous_one_shared(nodes):
     host, service = await nodes.primary()
     await service.change(first_change())
     heartbeat = ServerHeartbeat(backend="s", addr="10.0.0.9:80", zone="z", slots=4, seq=1)
@@ -204,7 +204,7 @@
 
 
 @with_nodes
-async def test_a_drain_is_acknowledged_although_links_lose_its_soft_state_once(nodes):
+async def test_a_drain_is_acknowledged_although_its_soft_state_is_lost_once_on_each_link(nodes):
     _, service = await nodes.primary()
     await service.change(first_change())
     heartbeat = ServerHeartbeat(backend="s", addr="10.0.0.9:80", zone="z", slots=4, seq=1)
@@ -225,7 +225,7 @@
 
 @with_nodes
 async def test_a_node_that_lost_its_disk_has_the_servers_before_it_may_lead(nodes):
-    """Every process is killed, and only the node that joined last and one more return."""
+    """Kills all processes, then restarts only the node that joined last and one more."""
     host, service = await nodes.primary()
     await service.change(first_change())
     await service.heartbeat("i-1", ServerHeartbeat(backend="s", addr="10.0.0.9:80", zone="z", slots=4, seq=1))
@@ -241,7 +241,8 @@
         await asyncio.sleep(0.01)
     while b"i-1" not in joined._storage.read_soft_state():
         await asyncio.sleep(0.01)
-    for one in HOSTS:  # else the seats that could decide without the leader are those of the view before
+    # otherwise the nodes that could decide without the leader would be those of the previous view
+    for one in HOSTS:
         while joined.core.identity not in (await nodes.read_record(one)).acceptor.view.members:
             await asyncio.sleep(0.01)
     for one in HOSTS:
@@ -253,30 +254,30 @@
     assert [instance.id for instance in successor.state.registry.live_instances()] == ["i-1"]
 
 
-def test_damage_on_disk_is_found_and_repaired_while_the_node_runs(tmp_path, monkeypatch, caplog):
+def test_corruption_on_disk_is_detected_and_repaired_while_the_node_runs(tmp_path, monkeypatch, caplog):
     monkeypatch.setattr("wheatroute.replication.replicator.SCRUB_INTERVAL_S", 0.02)
 
     async def scenario(nodes):
         host, service = await nodes.primary()
         await service.change(first_change())
-        await nodes.wait_until_synced(
-            host
-        )  # a change of view would write the document anew behind the damage
+        # A view change would rewrite the document after it was corrupted.
+        await nodes.wait_until_synced(host)
         path = nodes.folder / host / FILE_NAME
         written = service.replicator.core.document.payload
 
         def damage():
-            with open(path, "r+b") as file:  # every copy, under the open environment, as pages that rot
+            # Corrupts every copy while the database is open, as decaying pages on a disk would.
+            with open(path, "r+b") as file:
                 data = file.read()
                 for found in re.finditer(re.escape(written), data):
                     file.seek(found.start() + len(written) // 2)
                     file.write(bytes([data[file.tell()] ^ 0xFF]))
 
-        # where the disk is written too, so that no page is given to something else meanwhile
+        # Runs on the thread that writes to the disk, so that no page is reused in the meantime.
         await asyncio.get_running_loop().run_in_executor(service.replicator._executor, damage)
         while not any(record.message == "scrub" for record in caplog.records):
             await asyncio.sleep(0.01)
-        while b"document" not in service.replicator._storage._written:  # written anew
+        while b"document" not in service.replicator._storage._written:  # until it is rewritten
             await asyncio.sleep(0.01)
         await nodes.kill(host)
         await nodes.start(host, bootstrap=False)
@@ -306,9 +307,8 @@
             reloaded.set()
 
     monkeypatch.setattr(control_main, "ControlService", ObservedService)
-    monkeypatch.setattr(
-        control_main, "CHECK_INTERVAL_S", SCENARIO_TIMEOUT_S
-    )  # only the signal is tested here
+    # Disables the check of the file's content: this test is only about the signal.
+    monkeypatch.setattr(control_main, "CHECK_INTERVAL_S", SCENARIO_TIMEOUT_S)
 
     async def run():
         async with asyncio.timeout(SCENARIO_TIMEOUT_S):
--- a/tests/control/test_distribution.py
+++ b/tests/control/test_distribution.py
@@ -1,4 +1,4 @@
-"""Differences between versions of the configuration: made by the primary, applied by edge nodes."""
+"""Differences between versions of the configuration, which the primary makes and edge nodes apply."""
 
 import msgspec
 import pytest
@@ -55,7 +55,7 @@
     return decode_difference(encode_difference(difference))
 
 
-def test_a_difference_makes_the_newer_version_and_only_what_changed_is_sent():
+def test_a_difference_yields_the_newer_version_and_contains_only_changed_items():
     difference = transferred(make_difference(FIRST, SECOND))
     assert apply_difference(FIRST, difference) == SECOND
     assert {item.name for item in difference.items.routes} == {"r39", "r50", "r60"}
@@ -67,7 +67,7 @@
     assert difference.items.services == ()
 
 
-def test_a_full_configuration_is_the_difference_from_nothing_and_items_give_the_digest():
+def test_a_full_configuration_is_a_difference_and_the_digest_ignores_the_order_of_items():
     assert apply_difference(EMPTY_VERSION, transferred(make_difference(EMPTY_VERSION, SECOND))) == SECOND
     reordered = make_version(configuration(2, reversed(SECOND.routes.values()), SECOND.tenants.values()), 11)
     assert reordered.digest == SECOND.digest != FIRST.digest
@@ -79,7 +79,8 @@
         EMPTY_VERSION,  # no version yet
         SECOND,  # the difference was applied before
         make_version(configuration(1, map(route, range(40))), 9),  # an earlier version: a difference was lost
-        make_version(configuration(1, map(route, range(4, 40))), 10),  # another content under the same number
+        # different content under the same sequence number
+        make_version(configuration(1, map(route, range(4, 40))), 10),
     ],
 )
 def test_a_difference_for_another_version_is_rejected(version):
@@ -99,7 +100,7 @@
             decode_difference(body)
 
 
-def test_an_updated_table_finds_the_same_as_one_that_was_built_anew():
+def test_an_updated_routing_table_equals_one_that_was_built_from_scratch():
     old, new = RoutingTable(FIRST), RoutingTable(SECOND)
     table = old.apply_difference(transferred(make_difference(FIRST, SECOND)))
     assert table.version == SECOND
@@ -111,7 +112,7 @@
     for item in SECOND.routes.values():
         assert table.may_hedge(item) == new.may_hedge(item)
         assert table.server_rank(item, None, 0.0) == new.server_rank(item, None, 0.0)
-    assert route_name(old, "h4", 39) == "r39"  # for requests that began with the older version
+    assert route_name(old, "h4", 39) == "r39"  # requests that started with the older version still use it
 
 
 def route_name(table, host, number):
@@ -121,7 +122,7 @@
         return None
 
 
-def test_the_longest_prefix_goes_first_also_after_a_change():
+def test_the_longest_prefix_wins_also_after_a_change():
     old = make_version(configuration(1, [route(1, hostname="h", path_prefix="/a/")]), 1)
     new = make_version(
         configuration(2, [*old.routes.values(), route(2, hostname="h", path_prefix="/a/b/")]), 2, old
@@ -137,7 +138,7 @@
         empty.route("h", "/a/c")
 
 
-def test_a_node_too_far_behind_gets_the_full_configuration_and_kept_versions_are_bounded():
+def test_a_node_too_far_behind_gets_the_full_configuration_and_the_number_of_versions_is_bounded():
     versions = ConfigurationVersions()
     versions_by_number = {}
     for number in range(3 * MAX_VERSIONS):
--- a/tests/control/test_failure_detector.py
+++ b/tests/control/test_failure_detector.py
@@ -1,11 +1,11 @@
-"""Reports of several edge nodes about one server."""
+"""When the reports of edge nodes about a server make it suspected."""
 
 from wheatroute.control.failure_detector import REPORT_VALID_S, FailureDetector
 
 LAST_HEARTBEAT = 7.0
 
 
-def test_one_node_is_not_enough_however_often_it_reports_and_two_are():
+def test_two_nodes_must_report_a_server_however_often_one_of_them_does():
     detector = FailureDetector(heartbeat_s=10.0)
     for _ in range(3):
         detector.report(10.0, "a", {"s": 2.0})
@@ -16,13 +16,13 @@
     )
 
 
-def test_one_report_is_enough_where_there_is_one_node():
+def test_one_report_is_sufficient_if_there_is_one_node():
     detector = FailureDetector(heartbeat_s=10.0)
     detector.report(10.0, "a", {"s": 2.0})
     assert detector.is_suspected(10.0, "s", LAST_HEARTBEAT, node_count=1)
 
 
-def test_one_report_is_enough_where_a_heartbeat_is_late():
+def test_one_report_is_sufficient_if_a_heartbeat_is_late():
     detector = FailureDetector(heartbeat_s=1.2)
     detector.report(10.0, "a", {"s": 0.3})
     assert not detector.is_suspected(10.0, "s", 8.5, node_count=5) and detector.is_suspected(
@@ -30,7 +30,7 @@
     )
 
 
-def test_a_heartbeat_since_the_request_was_sent_contradicts_a_report():
+def test_a_heartbeat_after_the_request_was_sent_refutes_a_report():
     detector = FailureDetector(heartbeat_s=10.0)
     detector.report(10.0, "a", {"s": 2.0})
     detector.report(10.0, "b", {"s": 0.9})
--- a/tests/control/test_isolation_and_prior_usage.py
+++ b/tests/control/test_isolation_and_prior_usage.py
@@ -1,4 +1,4 @@
-"""The usage of nodes while isolated or before a primary's term, and the initial levels of its buckets."""
+"""Usage of isolated nodes and usage before a primary's term, and the initial levels of its buckets."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 def new_primary_buckets(nodes=3, levels=None, age=0.0):
-    """The buckets of a new primary, made as in an election: the tenants are configured last."""
+    """The buckets of a new primary, set up as after an election: the tenants are configured last."""
     buckets = QuotaBuckets(0.0, 0.0, is_first=False)
     buckets.begin_term(0.0, nodes, WINDOW_S)
     if levels is not None:
@@ -39,7 +39,7 @@
 
 def test_restored_levels_are_applied_once_the_tenants_are_configured():
     assert limit_level(new_primary_buckets(levels=1.0)) == 1.0
-    # the rate of the time since is added, and no bucket begins with more than without levels
+    # The rate since then is added, but no bucket starts with more than it would without levels.
     assert limit_level(new_primary_buckets(levels=1.0, age=0.1)) == 101.0
     assert limit_level(new_primary_buckets(levels=BURST, age=1.0)) == 0.4 * BURST
     assert limit_level(new_primary_buckets(levels=1.0, age=5.0)) == 1.0
@@ -63,7 +63,7 @@
     assert limit_level(buckets) == pytest.approx(BURST + RATE * USAGE_SLOT_S / 2 - 200)
 
 
-def test_grants_before_the_reports_stay_granted():
+def test_grants_before_the_reports_remain_deducted():
     buckets = new_primary_buckets(levels=BURST)
     buckets.grant(0.0, "a", "t", QuotaDemand(150.0))
     for node in "abc":
@@ -78,7 +78,7 @@
     assert limit_level(buckets) == pytest.approx(BURST + RATE * USAGE_SLOT_S / 2 - 450)
 
 
-def test_no_tokens_are_added_where_a_process_is_younger_than_the_window():
+def test_no_tokens_are_added_if_a_process_is_younger_than_the_window():
     buckets = new_primary_buckets()
     for node, span_s in (("a", WINDOW_S), ("b", 1.0), ("c", WINDOW_S)):
         report_recent_usage(buckets, node, [10], span_s=span_s)
@@ -86,13 +86,12 @@
 
 
 def test_prior_usage_of_any_span_counts():
-    use = PriorUsage()
-    use.add(
-        [0.0] * 8 + [600.0], 0.0
-    )  # all at once, more than two seconds ago: the rate has filled the bucket since
-    assert use.max_level(RATE, BURST) == BURST
-    use.add([400.0] * 4, 0.0)  # and more than the rate since then
-    assert use.max_level(RATE, BURST) == pytest.approx(BURST + RATE * 3.5 * USAGE_SLOT_S - 1600)
+    usage = PriorUsage()
+    # used at once, more than two seconds ago: the rate has filled the bucket since then
+    usage.add([0.0] * 8 + [600.0], 0.0)
+    assert usage.max_level(RATE, BURST) == BURST
+    usage.add([400.0] * 4, 0.0)  # and after that more than the rate
+    assert usage.max_level(RATE, BURST) == pytest.approx(BURST + RATE * 3.5 * USAGE_SLOT_S - 1600)
     later = PriorUsage()
     later.add([0.0, 0.0, 400.0], 2 * USAGE_SLOT_S)  # reported half a second later
     assert later.max_level(RATE, BURST) == pytest.approx(BURST + RATE * USAGE_SLOT_S / 2 - 400)
@@ -104,9 +103,9 @@
     for _ in range(3):
         buckets.grant(0.0, "a", "t", QuotaDemand(isolated_usage=70.0, isolated_usage_acknowledged=20.0))
     assert limit_level(buckets) == level_before - 50
-    buckets.grant(0.0, "a", "t", QuotaDemand(isolated_usage=30.0))  # another process of that name
+    buckets.grant(0.0, "a", "t", QuotaDemand(isolated_usage=30.0))  # a new process of that node
     assert limit_level(buckets) == level_before - 80
-    # usage that is part of the recent usage isn't charged besides
+    # Usage that is part of the recent usage isn't charged again.
     other = new_primary_buckets()
     report_recent_usage(other, "a", [50], isolated_usage=50.0)
     report_recent_usage(other, "a", [50], isolated_usage=60.0)
@@ -117,14 +116,14 @@
     buckets = new_primary_buckets()
     buckets.grant(0.0, "a", "t", QuotaDemand(isolated_usage=1e9))
     assert limit_level(buckets) == -2 * RATE
-    # as after a lower limit: usage under the one before must not block the tenant for long
+    # After a limit was lowered, usage under the previous limit must not block the tenant for long.
     lowered = new_primary_buckets()
     report_recent_usage(lowered, "a", [100_000] * 8)
     assert limit_level(lowered) == -2 * RATE
     assert lowered.grant(3.0, "a", "t", QuotaDemand(400.0)).tokens == 400.0
 
 
-def test_a_new_primary_counts_the_nodes_that_the_one_before_counted():
+def test_a_new_primary_starts_with_the_number_of_nodes_that_the_previous_one_counted():
     nodes = EdgeNodes(10.0, 63)
     nodes.record_contact(10.1, "a")
     assert nodes.count(10.1) == 63
@@ -133,20 +132,20 @@
     assert EdgeNodes(10.0).count(10.1) == 1
 
 
-def test_a_node_reports_its_isolated_usage_and_has_no_local_tokens_while_a_primary_answers():
+def test_a_node_reports_its_isolated_usage_and_has_no_local_tokens_while_a_primary_responds():
     lease = QuotaLeases(WINDOW_S)
     lease.apply_grant("t", QuotaGrant(30.0, 0.0, 100.0, 100.0), 1.0)
     lease.refill_isolated(TENANT, 1.0, 4, slack=0.0)
     assert lease.try_use("t", 80.0)  # 30 of them were granted
-    need = lease.demand("t", 0.0, 0.0, 1.0, with_recent_usage=False)
-    assert (need.isolated_usage, need.isolated_usage_acknowledged, need.recent_usage) == (50.0, 0.0, ())
-    period = lease.apply_grant("t", QuotaGrant(0.0), 1.5, isolated_usage=need.isolated_usage)
+    demand = lease.demand("t", 0.0, 0.0, 1.0, with_recent_usage=False)
+    assert (demand.isolated_usage, demand.isolated_usage_acknowledged, demand.recent_usage) == (50.0, 0.0, ())
+    period = lease.apply_grant("t", QuotaGrant(0.0), 1.5, isolated_usage=demand.isolated_usage)
     assert period is not None and (period.tokens, period.edge_node_count) == (50.0, 4)
     assert not lease.try_use("t", 1.0)
     assert lease.demand("t", 0.0, 0.0, 1.5, with_recent_usage=False).isolated_usage_acknowledged == 50.0
 
 
-def test_recent_usage_holds_used_tokens_and_those_of_the_lease():
+def test_recent_usage_includes_used_tokens_and_leased_tokens():
     lease = QuotaLeases(WINDOW_S)
     lease.apply_grant("t", QuotaGrant(100.0), 1.0)
     lease.record_demand("t", 60.0, 1.0)
@@ -170,7 +169,7 @@
 
 
 def report_demand(buckets, nodes, node, now, rate=100.0):
-    """The grant of a node that reports its demand."""
+    """Reports a node's demand; returns its grant."""
     return handle_usage_report(
         buckets, nodes, now, UsageReport(node, {"t": QuotaDemand(0.0, 0.0, rate)})
     ).grants["t"]
@@ -184,10 +183,9 @@
     nodes.record_contact(NODE_UNRESPONSIVE_S + 0.1, "b")
     buckets.reserve(NODE_UNRESPONSIVE_S + 0.1, nodes)
     reserved = grants[0].local_burst + grants[0].local_rate * (NODE_UNRESPONSIVE_S + 0.1)
-    assert reserved > 0 and limit_level(buckets) == pytest.approx(
-        BURST - reserved
-    )  # the bucket had filled up meanwhile
-    buckets.reserve(NODE_UNRESPONSIVE_S + 0.2, nodes)  # and its local rate since
+    # the bucket has filled up in the meantime
+    assert reserved > 0 and limit_level(buckets) == pytest.approx(BURST - reserved)
+    buckets.reserve(NODE_UNRESPONSIVE_S + 0.2, nodes)  # adds the local rate since then
     assert limit_level(buckets) == pytest.approx(BURST - reserved + 0.1 * (RATE - grants[0].local_rate))
     report_demand(buckets, nodes, "a", NODE_UNRESPONSIVE_S + 0.2, rate=0.0)
     assert limit_level(buckets) == BURST >= level_before
@@ -211,7 +209,7 @@
         report_recent_usage(buckets, node)
         nodes.record_contact(0.1, node)
     buckets.reserve(NODE_UNRESPONSIVE_S, nodes)
-    assert limit_level(buckets) == 0.4 * BURST  # not yet: nodes may just not have reached it
+    assert limit_level(buckets) == 0.4 * BURST  # not reserved yet: nodes may not have contacted it yet
     now = NODE_UNRESPONSIVE_S + 0.5
     buckets.reserve(now, nodes)
     assert limit_level(buckets) == pytest.approx(BURST * (1 - 0.9 / 2) - 0.9 / 2 * RATE * now, rel=0.01)
@@ -220,7 +218,7 @@
     assert limit_level(buckets) == BURST
 
 
-def test_shares_granted_by_a_primary_that_knows_few_nodes_leave_room_for_the_others():
+def test_a_primary_that_knows_few_nodes_leaves_shares_for_the_others():
     buckets, nodes = new_primary_buckets(nodes=4), EdgeNodes(0.0, 4)
     shares = [report_demand(buckets, nodes, node, 0.1).local_rate / RATE for node in "ab"]
     assert shares == pytest.approx([0.9 / 4, 0.9 / 4])
@@ -233,7 +231,7 @@
         node = "abcd"[step % 4]
         shares[node] = report_demand(buckets, nodes, node, step * 0.1, rate=2.0**step).local_rate / RATE
         assert sum(shares.values()) <= 0.9 + 1e-9
-    for step in range(8):  # as soon as demands are equal, shares are
+    for step in range(8):  # once demands are equal, shares are equal too
         node = "abcd"[step % 4]
         shares[node] = report_demand(buckets, nodes, node, 4.0 + step * 0.1).local_rate / RATE
     assert shares == pytest.approx(dict.fromkeys("abcd", 0.9 / 4))
--- a/tests/control/test_many_changes.py
+++ b/tests/control/test_many_changes.py
@@ -1,4 +1,4 @@
-"""Many changes of a large configuration: the size of the store, and nodes that catch up after them."""
+"""Many changes to a large configuration: the size of the store, and how fast nodes catch up."""
 
 import asyncio
 from itertools import cycle
@@ -16,9 +16,9 @@
 
 TENANTS = 19
 DISK_MB = 128
-WRITE_S, STALLED_WRITE_S = 0.002, 0.4  # of a write to disk
-MAX_FILE_BYTES = 4 << 20  # of the store
-MAX_CATCH_UP_S = 3.0  # from a node's start until it is in sync
+WRITE_S, STALLED_WRITE_S = 0.002, 0.4  # duration of a write to disk
+MAX_FILE_BYTES = 4 << 20  # maximum size of the store
+MAX_CATCH_UP_S = 3.0  # from the start of a node until it is in sync
 
 
 def tenant(number):
@@ -42,7 +42,7 @@
 
 
 def next_state(state):
-    """The state after a change of one route's timeout and of one tenant's key."""
+    """The state after a change to one route's timeout and to one tenant's API key."""
     generation = state.generation + 1
     patch = {
         "generation": generation,
@@ -61,7 +61,7 @@
 
 
 def max_file_bytes(folder, changes):
-    """The largest size of the store over so many changes, each written in full; and its last record."""
+    """The maximum size of the store during `changes` writes of the full state, and its last record."""
     disk, state, max_bytes = LmdbStorage(str(folder), DISK_MB), first_state(), 0
     for number in range(changes):
         state = next_state(state)
@@ -94,7 +94,7 @@
 
 
 class LimitedBandwidthCluster(SimulatedCluster):
-    """Documents are sent one after the other at the bandwidth of a control machine's link."""
+    """Sends documents one after another at the bandwidth of a control machine's link."""
 
     def __init__(self, seed, node_count):
         super().__init__(seed, node_count)
@@ -136,7 +136,7 @@
 
 
 def stall_writes(disk):
-    """Has each other write to this disk stall."""
+    """Makes every second write to this disk stall."""
     submit, durations_s = disk.submit, cycle((STALLED_WRITE_S, WRITE_S))
 
     def submit_stalled(function, *arguments):
@@ -162,7 +162,7 @@
 
     full.disk.write = fail
     state = first_state(routes=20)
-    for _ in range(10):  # acknowledged without it
+    for _ in range(10):  # acknowledged without the full disk
         patch = {"generation": state.generation + 1, "upsert": {"routes": [route(state.generation)]}}
         change = Change(True, str(state.generation), msgspec.json.encode(patch))
         state = apply_change(state, change)
--- a/tests/control/test_quota_takeover.py
+++ b/tests/control/test_quota_takeover.py
@@ -1,4 +1,4 @@
-"""The token buckets of a primary that has just been elected, in a simulated cluster."""
+"""The token buckets of a newly elected primary, in a simulated cluster."""
 
 import asyncio
 import json
@@ -21,7 +21,7 @@
 
 
 async def configured_primary(cluster):
-    """The first primary, with one tenant."""
+    """The first primary, configured with one tenant."""
     primary = await cluster.wait_for_primary()
     body = {"generation": 1, "routes": [], "services": [{"name": "s"}], "tenants": [TENANT]}
     change = Change(False, "0", json.dumps(body).encode())
@@ -30,7 +30,7 @@
 
 
 async def granted_tokens(node, wanted):
-    """Tokens that an edge node is granted for one request."""
+    """The tokens that an edge node is granted for one request."""
 
     async def report(service):
         return service.usage(UsageReport("edge", {"t": QuotaDemand(wanted)}))
@@ -53,11 +53,12 @@
             await asyncio.sleep(0.05)
 
 
-def test_the_next_primary_starts_from_the_levels_that_the_one_before_shared():
-    """Of a burst of 1,000 tokens 999 were granted; the next primary once began with 400 all the same.
+def test_the_next_primary_starts_from_the_levels_that_the_previous_one_shared():
+    """Guards against a new primary that drops restored levels and grants tokens twice.
 
-    It restores the levels as soon as it leads, but has the tenants only once it has committed the
-    configuration, a few milliseconds later. The levels were dropped in between.
+    A new primary restores the levels as soon as it leads, but knows the tenants only after it has committed
+    the configuration a few milliseconds later. The levels were once dropped in between: after 999 tokens of a
+    burst of 1,000 had been granted, the next primary started with 400.
     """
     for seed in range(4):
         assert run_scenario(seed, primary_lost_after_it_shared_its_levels) == 0.0
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -1,4 +1,4 @@
-"""The token buckets of tenants and the leases out of them: their sum keeps to the limit."""
+"""The token buckets of tenants and the tokens leased from them: total usage stays within the limit."""
 
 from random import Random
 
@@ -21,7 +21,7 @@
     return buckets
 
 
-def test_grants_sum_to_the_limit_whatever_nodes_want():
+def test_grants_sum_to_the_limit_whatever_nodes_request():
     buckets, rng, granted, now = make_buckets(), Random(1), 0.0, 0.0
     for _ in range(4000):
         now += 0.005 * rng.random()
@@ -31,9 +31,9 @@
 
 
 def test_a_request_within_the_limit_is_never_rejected_for_grants_beyond_it():
-    """Compared with a bucket of the limit alone: what that grants is granted here as well."""
+    """Every request that a bucket of the limit alone would grant must be granted here too."""
     buckets, rng, now = make_buckets(slack=1000.0, excess=0.1), Random(5), 0.0
-    reference, beyond = 500.0, 0.0  # tokens in the bucket of the limit alone; granted beyond the limit
+    reference, beyond = 500.0, 0.0  # tokens in a bucket of the limit alone; tokens granted beyond the limit
     for _ in range(4000):
         passed = 0.01 * rng.random()
         now, reference = now + passed, min(500.0, reference + 1000.0 * passed)
@@ -44,7 +44,7 @@
             assert granted == wanted
         else:
             beyond += granted
-    # and beyond it: 0.35 of the slack at once, 0.25 of the excess from second to second
+    # Beyond the limit, 0.35 of the slack is granted at once, and 0.25 of the excess rate continuously.
     assert 0.95 * (350 + 25 * now) < beyond <= 350 + 25 * now
 
 
@@ -62,7 +62,7 @@
     assert granted >= 0.8 * 1000 * 10
 
 
-def test_both_buckets_together_keep_to_the_rule_through_bursts_and_idle_times():
+def test_both_buckets_together_obey_the_quota_rule_through_bursts_and_idle_times():
     buckets, rng, now, granted = make_buckets(slack=1000.0, excess=0.1), Random(8), 0.0, []
     for _ in range(3000):
         now += 0.005 * rng.random() + 0.9 * (rng.random() < 0.01)
@@ -76,7 +76,7 @@
             assert total <= (1000.0 * (at - begin) + 500.0) * 1.1 + 1000.0
 
 
-def test_returned_tokens_fill_the_bucket_of_the_limit_first():
+def test_returned_tokens_fill_the_limits_bucket_first():
     buckets = make_buckets(slack=1000.0)
     buckets.grant(0.0, "a", "t", QuotaDemand(300.0))
     buckets.grant(0.0, "a", "t", QuotaDemand(350.0))  # beyond the limit
@@ -91,7 +91,7 @@
     assert buckets.grant(0.0, "b", "t", QuotaDemand(300.0, returned=300.0)).tokens == 300.0
 
 
-def test_a_tenant_without_a_limit_gets_what_it_wants():
+def test_a_tenant_without_a_limit_gets_all_requested_tokens():
     assert make_buckets().grant(0.0, "a", "free", QuotaDemand(1e9)).tokens == 1e9
 
 
@@ -116,11 +116,11 @@
     for n, lease in enumerate(leases):
         for second in range(4):
             lease.record_demand("t", 500.0 * (n + 1), float(second))
-        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
-        buckets.grant(3.0, f"n{n}", "t", need)
+        demand = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
+        buckets.grant(3.0, f"n{n}", "t", demand)
     for n, lease in enumerate(leases):
-        need = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
-        lease.apply_grant("t", buckets.grant(3.0, f"n{n}", "t", need), 3.0)
+        demand = QuotaDemand(0.0, 0.0, lease.demand_rate("t", 3.0))
+        lease.apply_grant("t", buckets.grant(3.0, f"n{n}", "t", demand), 3.0)
     for step in range(1, 101):
         for lease in leases:
             lease.refill_isolated(TENANT, 3.0 + step / 10, 4, slack=400.0)
@@ -129,13 +129,12 @@
     assert 0.7 * 1000 * 10 < used <= 1000 * 10 + 400
 
 
-EXCESS_SHARE = (
-    0.3 * 400 / 4
-)  # of one of four nodes, in tokens: its share of what the rule allows beyond the limit
+# Share of one of four nodes, in tokens, of the usage that the quota rule allows beyond the limit.
+EXCESS_SHARE = 0.3 * 400 / 4
 
 
 def use_isolated(lease, now):
-    """Tokens that an isolated node uses at once, where clients ask for more than it has."""
+    """The tokens that an isolated node uses at once if its clients request more than it has."""
     lease.refill_isolated(TENANT, now, 4, slack=400.0)
     return sum(lease.try_use("t", 1.0) for _ in range(10_000))
 
@@ -149,9 +148,9 @@
 def test_an_isolated_node_has_its_local_rate_since_the_last_grant_and_its_local_burst():
     assert use_isolated(lease_granted_at(10.0), 10.5) == 50 + 100 + EXCESS_SHARE
     assert use_isolated(lease_granted_at(10.0, local_burst=0.0), 10.5) == 50 + EXCESS_SHARE
-    # the local burst of a full bucket is available at once, however far above the rate
+    # The local burst of a full bucket is available at once, however far it exceeds the rate.
     assert use_isolated(lease_granted_at(10.0, local_burst=700.0), 10.5) == 700 + EXCESS_SHARE
-    # and the local rate accumulates for two seconds at most
+    # The local rate accumulates for at most two seconds.
     assert use_isolated(lease_granted_at(10.0), 12.9) == 200 + EXCESS_SHARE
 
 
@@ -161,13 +160,13 @@
     for step in range(1, 70):
         lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 10.0 + step / 10)
         used += use_isolated(lease, 10.1 + step / 10)
-    assert 0 <= 100 + EXCESS_SHARE + 6.9 * 100 - used < 2  # only integral numbers of tokens are taken
+    assert 0 <= 100 + EXCESS_SHARE + 6.9 * 100 - used < 2  # only whole tokens are taken
     lease.apply_grant("t", QuotaGrant(0.0, 0.0, 100.0, 100.0), 18.0)
     assert use_isolated(lease, 18.0) >= 100 + EXCESS_SHARE
 
 
 def test_a_local_rate_granted_long_ago_no_longer_counts():
-    even = 0.5 * 1000 / 4  # and one second of it as a burst
+    even = 0.5 * 1000 / 4  # half of an even share of the limit; the burst is one second of it
     assert use_isolated(lease_granted_at(10.0, local_rate=900.0), 13.1) == int(even + EXCESS_SHARE)
 
 
@@ -178,9 +177,9 @@
 
 
 class SimulatedTenant:
-    """Six nodes whose clients ask for five times the limit, in virtual time, and their usage.
+    """Six nodes whose clients request five times the limit, in virtual time, and their usage.
 
-    The figures are those of the day adomako-fx scale-2, on which QUOTA was broken.
+    The figures are those of the day adomako-fx scale-2, on which the rule QUOTA was violated.
     """
 
     RATE, BURST, SLACK, EXCESS, WINDOW = 115_787.0, 115_787.0, 190_000.0, 0.1, 8.0
@@ -199,8 +198,8 @@
 
     def report(self, node, now, wanted=0.0):
         lease = self.leases[node]
-        need = QuotaDemand(wanted, lease.take_surplus("t", now), lease.demand_rate("t", now))
-        lease.apply_grant("t", self.primary.grant(now, str(node), "t", need), now)
+        demand = QuotaDemand(wanted, lease.take_surplus("t", now), lease.demand_rate("t", now))
+        lease.apply_grant("t", self.primary.grant(now, str(node), "t", demand), now)
 
     def send_request(self, node, now):
         """Sends one client's request to a node."""
@@ -216,7 +215,7 @@
         self.used.append((now, tokens))
 
     def run(self, lost_at, back_at, end):
-        """Runs without a primary between two moments; the next one has no levels of the one before."""
+        """Runs without a primary from `lost_at` to `back_at`; the new primary restores no levels."""
         steps = round(end / self.STEP)
         for now in (step * self.STEP for step in range(steps)):
             if lost_at <= now < back_at:
@@ -231,7 +230,7 @@
 
     @property
     def max_used(self):
-        """The most tokens used in any window of the rule."""
+        """The most tokens used in any window of the quota rule."""
         starts = [now for now, _ in self.used]
         return max(
             sum(tokens for now, tokens in self.used if start <= now <= start + self.WINDOW)
@@ -244,14 +243,14 @@
 
 
 @pytest.mark.parametrize("lost_at", [0.2, 0.5, 1.0, 3.0, 6.0])
-def test_a_hot_tenant_keeps_to_the_rule_although_the_primary_is_lost_with_its_levels(lost_at):
+def test_an_overloaded_tenant_obeys_the_quota_rule_although_the_primary_is_lost_with_its_levels(lost_at):
     for seed, down_s in enumerate((0.1, 0.8, 1.6)):
         tenant = SimulatedTenant(seed)
         tenant.run(lost_at, lost_at + down_s, 12.0)
         assert 0.9 * tenant.RATE * tenant.WINDOW < tenant.max_used <= tenant.max_allowed
 
 
-def test_requests_are_charged_by_tokens_or_one_by_one():
+def test_requests_are_charged_by_tokens_or_by_number():
     assert [
         request_cost(TENANT, TokenCount(100, 20)),
         request_cost(TENANT, None),
@@ -265,7 +264,7 @@
     handle_usage_report(buckets, nodes, 0.0, UsageReport("b", {}, {"s": ServerLoad(50, 1)}))
     response = handle_usage_report(buckets, nodes, 0.1, UsageReport("c", {}))
     assert response.servers == {"s": ServerLoad(150, 3)} and response.edge_node_count == 3
-    # lost nodes no longer count
+    # Lost nodes no longer count.
     assert (
         handle_usage_report(buckets, nodes, 9.0, UsageReport("c", {})).servers == {} and nodes.count(9.0) == 1
     )
--- a/tests/control/test_server_registry.py
+++ b/tests/control/test_server_registry.py
@@ -1,4 +1,4 @@
-"""The registry under heartbeats in every order, and the changes that edge nodes get."""
+"""The registry when heartbeats arrive in any order, and the changes that edge nodes get."""
 
 from wheatroute.cluster.messages import InstanceState, RegistryVersion
 from wheatroute.control.registry import Registry, ServerHeartbeat, decode_heartbeat
@@ -34,13 +34,13 @@
     assert servers.version == RegistryVersion(2, 1)
 
 
-def test_a_late_heartbeat_does_not_take_a_drain_back():
+def test_a_late_heartbeat_does_not_revoke_a_drain():
     servers = registry()
     servers.heartbeat(0.0, "a", heartbeat(1))
     assert servers.heartbeat(1.0, "a", heartbeat(3, "draining")) and not servers.heartbeat(
         1.1, "a", heartbeat(2)
     )
-    # nor does a later one: what drains ends
+    # Nor does a later one: a draining server always shuts down.
     assert not servers.heartbeat(1.2, "a", heartbeat(4)) and states(servers) == {"a": "draining"}
 
 
@@ -53,7 +53,7 @@
         and not servers.heartbeat(1.2, "a", heartbeat(9))
     )
     assert states(servers) == {"a": "gone"}
-    # also where the leave came first
+    # This also holds if the removal arrived before the first heartbeat.
     assert (
         servers.remove(2.0, "b")
         and not servers.heartbeat(2.1, "b", heartbeat(1))
@@ -74,7 +74,7 @@
     assert states(servers) == {"a": "gone"}
 
 
-def test_heartbeats_that_a_frozen_process_could_not_read_are_not_counted_as_missing():
+def test_heartbeats_that_a_stalled_process_did_not_read_are_not_counted_as_missed():
     servers = registry()
     servers.heartbeat(0.0, "a", heartbeat(1))
     servers.apply_missed_heartbeats(0.2)
@@ -103,7 +103,7 @@
     servers.restore(10.0, before.live_instances())
     assert states(servers) == {"a": "ready", "b": "draining"} and not servers.is_settled(12.0)
     servers.heartbeat(11.0, "a", heartbeat(5))
-    # a server whose drain the primary before acknowledged does not come back by a late heartbeat
+    # A late heartbeat does not revoke a drain that the previous primary acknowledged.
     servers.heartbeat(11.0, "b", heartbeat(0, addr="10.0.0.2:80"))
     run(servers, 15.0, begin=10.0)
     assert states(servers) == {"a": "silent", "b": "draining"} and servers.is_settled(14.0)
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -1,4 +1,4 @@
-"""The HTTP interfaces of a control node around a stand-in for the replicator."""
+"""The HTTP interfaces of a control node with a stand-in for the replicator."""
 
 import asyncio
 import logging
@@ -43,11 +43,13 @@
 
 
 def version_of(update):
-    """The configuration version that an edge node without any has after an update."""
+    """The configuration version that an edge node without a configuration has after an update."""
     return apply_difference(EMPTY_VERSION, decode_difference(update.configuration_change))
 
 
 class Core:
+    """Stands in for the replication core."""
+
     is_leading = is_healthy = True
     view = View(4, "10.0.0.2/0", ("10.0.0.1/0", "10.0.0.2/0"), ("10.0.0.1/0", "10.0.0.2/0", "10.0.0.3/0"))
     hosts = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -55,14 +57,14 @@
 
     def __init__(self):
         self.document = self.committed = Document(DocumentVersion(4, 1), encode_state(ConfigurationState()))
-        self.hears_primary = True
+        self.receives_heartbeats = True
 
     def primary_host(self, now):
-        return "10.0.0.2" if self.hears_primary and not self.is_leading else ""
+        return "10.0.0.2" if self.receives_heartbeats and not self.is_leading else ""
 
 
 class ReplicatorStandIn:
-    """Commits what is written at once, unless a test sets another outcome."""
+    """Commits each write at once, unless a test sets another outcome."""
 
     def __init__(self, settings, on_commit, on_view_change, log):
         self.on_commit, self.on_view_change = on_commit, on_view_change
@@ -97,7 +99,7 @@
 
 
 def make_service():
-    """A control node that leads, with nothing but an empty document."""
+    """A control node that leads, with an empty document."""
     settings = Settings(node="c", ip="10.0.0.1", zone="z", listen={}, port_range=(1, 2), seeds=())
     with patch("wheatroute.control.service.Replicator", ReplicatorStandIn):
         service = ControlService(settings, LOG)
@@ -107,7 +109,7 @@
 
 
 def with_service(scenario):
-    """Makes a test of a scenario with a service and clients of both of its apps."""
+    """Makes a test that runs a scenario with a service and clients of both of its apps."""
 
     async def run():
         service = make_service()
@@ -124,7 +126,7 @@
 
 
 class EdgeClient:
-    """An edge node's requests."""
+    """Sends the requests of an edge node."""
 
     def __init__(self, client):
         self.client = client
@@ -158,15 +160,15 @@
 
 
 @with_service
-async def test_a_change_that_too_few_disks_hold_is_not_acknowledged(service, operator, edge):
+async def test_a_change_written_by_too_few_nodes_is_not_acknowledged(service, operator, edge):
     service.replicator.acknowledges = False
     response = await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     assert response.status_code == 503 and (await edge.updates()).configuration_change is None
 
 
 @with_service
-async def test_a_change_waits_for_the_write_before_it(service, operator, edge):
-    """At each change of view the document is written anew; a change that comes in that moment is applied."""
+async def test_a_change_waits_for_the_previous_write(service, operator, edge):
+    """Each view change rewrites the document; a change that arrives meanwhile waits and is then applied."""
     core = service.replicator.core
     committed, core.committed = core.committed, None
     change = asyncio.create_task(service.change(Change(False, "0", msgspec.json.encode(FIRST))))
@@ -185,14 +187,14 @@
     await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     service.replicator.confirms = False
     assert (await operator.get("/-/config")).status_code == 503
-    # nor is a change acknowledged again without that
+    # Nor is a resent change acknowledged again without a confirmation.
     again = await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     assert again.status_code == 503
 
 
 @with_service
 async def test_no_change_is_rejected_by_a_primary_that_no_majority_confirms(service, operator, edge):
-    """It may have been deposed: what it would reject may have been applied, or be due, elsewhere."""
+    """It may have been deposed: another primary may have applied the change, or may still apply it."""
     first = msgspec.json.encode(FIRST)
     await operator.put("/-/config", content=first, headers={"If-Match": "0"})
     stale = msgspec.json.encode(FIRST | {"generation": 4})
@@ -212,7 +214,7 @@
     await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     service.replicator.confirms = False
     assert isinstance(await edge.updates(), NotPrimary)
-    # a node that has one takes nothing older: the lease is enough for it, also for a newer one
+    # A node that has a configuration never applies an older one: the lease is sufficient for any update.
     assert (await edge.updates(configuration=1)).configuration == 2
     assert isinstance(await edge.updates(configuration=2), Update)
     service.replicator.confirms = True
@@ -246,8 +248,8 @@
 
 
 @with_service
-async def test_a_replica_without_heartbeats_redirects_nobody_to_the_primary(service, operator, edge):
-    service.replicator.core.is_leading = service.replicator.core.hears_primary = False
+async def test_a_replica_without_heartbeats_redirects_no_caller_to_the_primary(service, operator, edge):
+    service.replicator.core.is_leading = service.replicator.core.receives_heartbeats = False
     for method, path in (("GET", "/-/config"), ("PUT", "/-/instances/i-1"), ("DELETE", "/-/instances/i-1")):
         response = await operator.request(
             method, path, content=msgspec.json.encode(HEARTBEAT), follow_redirects=False
@@ -257,7 +259,9 @@
 
 
 @with_service
-async def test_a_primary_whose_disk_takes_no_writes_answers_503_and_keeps_its_state(service, operator, edge):
+async def test_a_primary_whose_disk_accepts_no_writes_responds_with_503_and_keeps_its_state(
+    service, operator, edge
+):
     body = msgspec.json.encode(FIRST)
     service.replicator.core.is_healthy = False
     response = await operator.put("/-/config", content=body, headers={"If-Match": "0"})
@@ -309,8 +313,8 @@
 
 
 @with_service
-async def test_many_servers_that_leave_together_are_shared_with_the_members_once(service, operator, edge):
-    """The registry is sent in full: once for each of them grows with the square of the servers."""
+async def test_many_servers_that_drain_together_are_shared_with_the_members_once(service, operator, edge):
+    """The registry is sent in full, so one message per server would grow with the square of their number."""
     for n in range(50):
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
     before = len(service.replicator.soft_states)
@@ -330,7 +334,7 @@
     for n in range(2):
         await service.heartbeat(f"i-{n}", decode_heartbeat(msgspec.json.encode(HEARTBEAT)))
     draining = decode_heartbeat(msgspec.json.encode(HEARTBEAT | {"state": "draining", "seq": 2}))
-    await service.heartbeat("i-0", draining)  # the next sharing waits for the minimum interval
+    await service.heartbeat("i-0", draining)  # the next message waits for the minimum interval
     shared = len(service.replicator.soft_states)
     second = asyncio.create_task(service.heartbeat("i-1", draining))
     await asyncio.sleep(0)
@@ -352,7 +356,7 @@
     assert len(service.replicator.soft_states) == shared
     shared_levels = msgspec.msgpack.decode(service.replicator.bucket_levels, type=dict[str, BucketLevels])
     assert shared_levels["t"].limit < 2.0
-    # a primary that has both starts from the newer levels
+    # A primary that has both starts from the newer levels.
     service.replicator.soft_state = service.replicator.soft_states[-1]
     now = asyncio.get_running_loop().time()
     service.state.quotas = service.state._new_quotas(is_first=True)
@@ -381,7 +385,7 @@
     await operator.put("/-/instances/i-1", content=msgspec.json.encode(HEARTBEAT))
     known = (await edge.updates(configuration=2)).registry
     await asyncio.sleep(0)
-    after_the_heartbeat = 0.0  # seconds ago that the unanswered request was sent
+    after_the_heartbeat = 0.0  # seconds since the unanswered request was sent
 
     async def report(node, unresponsive_for):
         await edge.report(UsageReport(node, {}, {}, unresponsive_for))
@@ -393,9 +397,9 @@
     await report("edge-2", {})
     await report("edge-1", {"i-1": after_the_heartbeat})
     await report("edge-1", {"i-1": after_the_heartbeat})
-    assert await states() == []  # one node's report, however often
+    assert await states() == []  # repeated reports of one node
     await report("edge-2", {"i-1": 900.0})
-    assert await states() == []  # a heartbeat came since that request was sent
+    assert await states() == []  # a heartbeat arrived after that request was sent
     await report("edge-2", {})
     await report("edge-3", {"i-1": after_the_heartbeat})
     assert await states() == [InstanceState.UNRESPONSIVE]
@@ -404,7 +408,7 @@
 
 
 @with_service
-async def test_tokens_are_granted_by_the_newest_configuration(service, operator, edge):
+async def test_tokens_are_granted_according_to_the_newest_configuration(service, operator, edge):
     await operator.put("/-/config", content=msgspec.json.encode(FIRST), headers={"If-Match": "0"})
     report = UsageReport("edge-1", {"t": QuotaDemand(4.0), "none": QuotaDemand(1.0)})
     response = await edge.report(report)
--- a/wheatroute/cluster/errors.py
+++ b/wheatroute/cluster/errors.py
@@ -22,7 +22,7 @@
 
 
 class ErrorKind(Enum):
-    """Why an edge or control node responds to a request with an error of its own."""
+    """Why an edge or control node responds to a request with an error."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_API_KEY = "unknown-key"
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -154,7 +154,7 @@
         )
 
     def mark_unresponsive(self, identity: str) -> None:
-        """Marks a server that the failure detector suspects before it misses heartbeats; it must be ready."""
+        """Marks a ready server as unresponsive because the failure detector suspects it."""
         entry = self._entries[identity]
         self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
 
--- a/wheatroute/control/schema.py
+++ b/wheatroute/control/schema.py
@@ -25,7 +25,7 @@
 
 
 class RouteModel(_Model):
-    """A route: the requests that it matches, their destination, and their timeouts and retry limits."""
+    """A route: the requests that it matches, their destination, and the rules that apply to them."""
 
     name: Name
     hostname: Name
