--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -154,7 +154,7 @@
         )
 
     def mark_unresponsive(self, identity: str) -> None:
-        """Marks a ready server as unresponsive because the failure detector suspects it."""
+        """Marks a suspected ready server as unresponsive before its heartbeats are missed."""
         entry = self._entries[identity]
         self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
 
