--- a/tests/cluster/test_settings.py
+++ b/tests/cluster/test_settings.py
@@ -36,7 +36,7 @@
         (("8367", "99999"), "not an address"),
         (
             ("[7500, 7515]", "[7515, 7500]"),
-            "port_range: must be two ascending ports between 1 and 65535, got 7515 to 7500",
+            "port_range: must be [first, last] with 1 <= first <= last <= 65535, got 7515 to 7500",
         ),
         (("[7500, 7515]", "[7500]"), "port_range"),
         (("zone: ", "zone: ["), "not valid YAML"),
--- a/wheatroute/cluster/settings.py
+++ b/wheatroute/cluster/settings.py
@@ -125,7 +125,7 @@
     first, last = settings.port_range
     if not 0 < first <= last < 65536:
         raise SettingsError(
-            f"port_range: must be two ascending ports between 1 and 65535, got {first} to {last}"
+            f"port_range: must be [first, last] with 1 <= first <= last <= 65535, got {first} to {last}"
         )
     return settings
 
--- a/wheatroute/control/schema.py
+++ b/wheatroute/control/schema.py
@@ -48,7 +48,7 @@
             if sum(service.weight for service in self.split) <= 0:
                 raise ValueError("split: the sum of the weights must be greater than 0")
         elif not self.backend:
-            raise ValueError("either backend or split is required")
+            raise ValueError("backend or split is required")
         return self
 
 
