--- a/wheatroute/processor/__init__.py
+++ b/wheatroute/processor/__init__.py
@@ -1,1 +1,1 @@
-"""The external processor: other proxies ask, request by request, where to send; the module decides."""
+"""The external processor: tells other proxies, request by request, which server to send to."""
--- a/wheatroute/processor/attempt_history.py
+++ b/wheatroute/processor/attempt_history.py
@@ -1,8 +1,8 @@
-"""The attempts of each request id, and whether they may have run. No I/O.
+"""Keeps the attempts of each request id and whether they may have run. No I/O.
 
-A proxy that retries sends every attempt as a request of its own, under the same id. The history says which
-attempts came before. Invariants: an id is kept for as long as a further attempt of it could still come, and
-no attempt that may have run counts as one that never ran. Servers are chosen elsewhere.
+A proxy that retries sends every attempt as a separate request with the same id. The history returns the
+earlier attempts of an id. Invariants: an id is kept for as long as another attempt of it could arrive, and an
+attempt that may have run is never treated as one that did not run. Servers are chosen elsewhere.
 """
 
 from __future__ import annotations
@@ -19,23 +19,27 @@
 
 
 class AttemptState(IntEnum):
-    """What became of an attempt."""
+    """The state of an attempt."""
 
     UNDECIDED = 0
-    MAY_HAVE_RUN = 1  # also while it is in flight
+    # Includes attempts in flight.
+    MAY_HAVE_RUN = 1
     NEVER_RAN = 2
 
 
 class Rejection(IntEnum):
-    """Why an attempt gets no server."""
+    """The reason why an attempt is rejected without a decision."""
 
-    CONFLICT = 0  # its id belongs to another request, or to an attempt that is not decided yet
-    MAY_HAVE_RUN = 1  # an earlier attempt may have run, and must not run again
-    HISTORY_FULL = 2  # no further id can be kept, and none of those kept may be forgotten
+    # The id is in use by a request of another class, or by an attempt that has no decision yet.
+    CONFLICT = 0
+    # An earlier attempt may have run, and the request must not run twice.
+    MAY_HAVE_RUN = 1
+    # The history is full, and none of its ids may be removed yet.
+    HISTORY_FULL = 2
 
 
 class RejectedError(Exception):
-    """An attempt gets no server."""
+    """The attempt is rejected without a decision; `rejection` is the reason."""
 
     def __init__(self, rejection: Rejection) -> None:
         super().__init__(rejection.name)
@@ -44,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt of a request: where it was sent and when."""
+    """One attempt of a request: its server, the time of its decision and its state."""
 
     server: int = UNKNOWN_SERVER
     decided_at: float = 0.0
@@ -53,39 +57,40 @@
 
 @dataclass(slots=True, eq=False)
 class _RequestRecord:
-    """All attempts under one id."""
+    """All attempts of one request id."""
 
     request_class: int
     attempts: list[AttemptRecord]
     last_attempt_at: float
-    # the strictest rules that its class has had since its first attempt, where they are looser by now
+    # The strictest idempotency that the class has had since the first attempt, if it is looser now.
     strictest: Idempotency = Idempotency.IDEMPOTENT
 
 
 def retention_s(request_classes: Sequence[RequestClass]) -> float:
-    """Returns how long an id is kept, in seconds.
+    """Returns how long an id is kept after its last attempt, in seconds.
 
-    It may come again for as long as its request, or the retry window of its key, lasts.
+    Another attempt may arrive until the deadline of the request, or the retry window of its key, has passed.
     """
     max_deadline_s = max(request_class.deadline for request_class in request_classes)
     return 2.0 * max_deadline_s + max(request_class.retry_window for request_class in request_classes)
 
 
 class AttemptHistory:
-    """The attempts of each id, kept for `retention_s` after the last one; of `max_ids` ids at most."""
+    """The attempts of up to `max_ids` request ids, each kept for `retention_s` after its last attempt."""
 
     def __init__(self, request_classes: Sequence[RequestClass], retention_s: float, max_ids: int) -> None:
         self._request_classes = request_classes
         self._retention_s = retention_s
         self._max_ids = max_ids
         self._requests: dict[bytes, _RequestRecord] = {}
-        self._attempt_times: deque[tuple[float, bytes]] = deque()  # the oldest first
+        # (time of an attempt, request id), oldest first; each id has one entry.
+        self._attempt_times: deque[tuple[float, bytes]] = deque()
 
     def __len__(self) -> int:
         return len(self._requests)
 
     def update_settings(self, request_classes: Sequence[RequestClass], retention_s: float) -> None:
-        """Takes other rules; an id whose class had stricter ones keeps to them."""
+        """Applies new request classes; an id whose class was stricter before keeps the stricter rule."""
         for request in self._requests.values():
             earlier_rules = self._request_classes[request.request_class].idempotency
             strictest = max(earlier_rules, request.strictest)
@@ -97,18 +102,21 @@
     def begin_attempt(
         self, request_id: bytes, request_class: int, now: float, time_left_s: float, attempt_number: int
     ) -> tuple[AttemptRecord, tuple[EarlierAttempt, ...]]:
-        """Adds an attempt; returns it with those before it. Raises `RejectedError`.
+        """Adds an attempt and returns it with the earlier ones; raises `RejectedError`.
 
-        `attempt_number` is what the proxy says, 1 for a first attempt. Where an earlier attempt may have
-        run, non-idempotent requests are rejected, and keyed ones whose group is not known any more.
+        `attempt_number` is the number that the proxy sent, 1 for a first attempt. If an earlier attempt may
+        have run, non-idempotent requests are rejected, and so are keyed ones whose deduplication group can
+        no longer be determined.
         """
         self._forget_expired(now)
         request = self._requests.get(request_id)
         if request is None:
-            lost_attempts = self._lost_attempts(request_class, now, time_left_s) if attempt_number > 1 else []
+            unrecorded_attempts = (
+                self._unrecorded_attempts(request_class, now, time_left_s) if attempt_number > 1 else []
+            )
             if len(self._requests) >= self._max_ids:
                 raise RejectedError(Rejection.HISTORY_FULL)
-            request = _RequestRecord(request_class, lost_attempts, now)
+            request = _RequestRecord(request_class, unrecorded_attempts, now)
             self._requests[request_id] = request
             self._attempt_times.append((now, request_id))
         earlier = self._earlier_attempts(request, request_class)
@@ -118,22 +126,22 @@
         return attempt, earlier
 
     def record_decision(self, attempt: AttemptRecord, server: int, now: float) -> None:
-        """Notes an attempt's server. From here on it may have run, until it is proven that it did not."""
+        """Records the server of an attempt, which may have run from now on unless the opposite is proven."""
         attempt.server = server
         attempt.decided_at = now
         attempt.state = AttemptState.MAY_HAVE_RUN
 
     def record_never_ran(self, attempt: AttemptRecord) -> None:
-        """Notes that an attempt provably never ran."""
+        """Records the proof that an attempt never ran."""
         attempt.state = AttemptState.NEVER_RAN
 
     def _earlier_attempts(self, request: _RequestRecord, request_class: int) -> tuple[EarlierAttempt, ...]:
-        """Returns the attempts that count for the decision; raises `RejectedError`."""
+        """Returns the earlier attempts that the decision must consider; raises `RejectedError`."""
         if request.request_class != request_class:
             raise RejectedError(Rejection.CONFLICT)
         if any(attempt.state == AttemptState.UNDECIDED for attempt in request.attempts):
             raise RejectedError(Rejection.CONFLICT)
-        # an attempt that was rejected before a decision was sent nowhere
+        # Attempts that were rejected before a decision are left out: they were sent to no server.
         earlier = tuple(
             (attempt.server, attempt.decided_at, attempt.state == AttemptState.MAY_HAVE_RUN)
             for attempt in request.attempts
@@ -145,12 +153,13 @@
             raise RejectedError(Rejection.MAY_HAVE_RUN)
         return earlier
 
-    def _lost_attempts(self, request_class: int, now: float, time_left_s: float) -> list[AttemptRecord]:
-        """Returns what stands for the first attempt of an unknown id whose attempt is not its first.
+    def _unrecorded_attempts(self, request_class: int, now: float, time_left_s: float) -> list[AttemptRecord]:
+        """Returns a record for the first attempt of an unknown id whose attempt number is above 1.
 
-        This process was restarted, and the first attempt may have run. Its server is not known, so only
-        what any server would recognise may be sent again, and only if the retry window is as long as the
-        deadline of this class: the first attempt cannot be older than that. Raises `RejectedError`.
+        The history was lost in a restart of this process, and the first attempt may have run. Its server is
+        unknown, so the request may be sent again only if every server would recognise the repeat, and only
+        if the retry window is at least the deadline of the class: the first attempt cannot be older than
+        that. Raises `RejectedError` otherwise. Idempotent requests need no record.
         """
         rules = self._request_classes[request_class]
         if rules.idempotency == Idempotency.IDEMPOTENT:
@@ -161,7 +170,7 @@
         if not is_recognised_by_all or rules.retry_window < rules.deadline:
             raise RejectedError(Rejection.MAY_HAVE_RUN)
         elapsed_s = max(0.0, rules.deadline - time_left_s)
-        # kept as well, or the window would count from the second attempt
+        # The record is kept: otherwise the retry window would start at the second attempt.
         return [AttemptRecord(decided_at=now - elapsed_s, state=AttemptState.MAY_HAVE_RUN)]
 
     def _forget_expired(self, now: float) -> None:
@@ -173,6 +182,7 @@
             if last_attempt_at <= oldest_kept:
                 del self._requests[request_id]
                 continue
-            attempt_times.append((last_attempt_at, request_id))  # there was another attempt since
+            # The id had another attempt since its entry was added.
+            attempt_times.append((last_attempt_at, request_id))
             if attempt_times[0][0] > attempt_times[-1][0]:
                 break
--- a/wheatroute/processor/burst_driver.py
+++ b/wheatroute/processor/burst_driver.py
@@ -1,6 +1,6 @@
-"""A driver of the decision module for bursts: all messages of one read of a connection make one event batch.
+"""A driver of the decision module that handles bursts: all messages of one read form one event batch.
 
-No task is woken for a batch, and all responses that it leads to are written at once.
+A batch is handled without waking another task, and all of its responses are written together.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class BurstDriver(BalancerDriver):
-    """Handles events at the end of a burst, and all others as the base class does."""
+    """Handles the events of a burst when it ends, and events outside a burst as the base class does."""
 
     def __init__(self, settings: DecisionSettings, seed: str, log: Logger) -> None:
         super().__init__(settings, seed, log)
@@ -29,17 +29,17 @@
         return self._balancer
 
     def add_event(self, *event: Any) -> None:
-        """Adds an event; outside a burst the next batch is due at once."""
+        """Adds an event; outside a burst, it wakes the task that handles events."""
         self._events.append(event)
         if not self._is_in_burst:
             self._has_events.set()
 
     def begin_burst(self) -> None:
-        """Leaves all events to `finish_burst`, which must be called before the next wait."""
+        """Holds events until `finish_burst`, which must be called before the task awaits anything."""
         self._is_in_burst = True
 
     def finish_burst(self) -> None:
-        """Handles the events of a burst, and those that follow from them."""
+        """Handles the events of a burst and the events that result from them."""
         self._is_in_burst = True
         while self._events:
             self.handle_events(now())
@@ -47,11 +47,11 @@
         self._set_timer()
 
     def schedule_flush(self, session: Session) -> None:
-        """Has a session written to after the current batch."""
+        """Schedules the data of a session to be written after the current batch."""
         self._sessions_to_flush.add(session)
 
     def handle_events(self, moment: float) -> None:
-        """Handles a batch, then writes what the streams have to send."""
+        """Handles a batch, then writes the data of all sessions scheduled for a flush."""
         super().handle_events(moment)
         for session in self._sessions_to_flush:
             session.flush()
--- a/wheatroute/processor/discovery.py
+++ b/wheatroute/processor/discovery.py
@@ -1,6 +1,6 @@
-"""The list of servers of a worker: from a list service or from etcd where the file names one, else its own.
+"""Service discovery of a worker: the list of servers comes from a list service, from etcd or from the file.
 
-Keeps the entries as they were told, for snapshots.
+The entries are also kept unchanged for snapshots.
 """
 
 from __future__ import annotations
@@ -20,11 +20,15 @@
 if TYPE_CHECKING:
     from wheatroute.etcd.services import EtcdServices
 
-FILE_SOURCE = ("the file", 0)  # source and version of the file's own list
+# Source and version of a list that the file contains.
+FILE_SOURCE = ("the file", 0)
 
 
 class WorkerDiscovery(Discovery):
-    """The list of servers of one worker."""
+    """Passes the list of servers to the driver and keeps its entries.
+
+    `servers` receives their addresses and states.
+    """
 
     def __init__(
         self, settings: WorkerSettings, driver: BalancerDriver, servers: ServerRegistry, log: Logger
@@ -33,16 +37,18 @@
         self._etcd_settings = settings.etcd
         self._name = settings.name
         self._is_pinned = settings.agreement is not None
-        self.etcd: EtcdServices | None = None  # from `run` on, where servers are followed in etcd
-        self.entries: dict[str, dict[str, Any]] = {}  # by id, as they were told
-        # of a snapshot: an older list doesn't undo its list
+        # Set by `run` if the servers are listed in etcd.
+        self.etcd: EtcdServices | None = None
+        # Entries of servers by id, as received.
+        self.entries: dict[str, dict[str, Any]] = {}
+        # Cluster id and revision of the list in the snapshot: an older list must not replace it.
         self._restored_min_position: tuple[int, int] | None = None
         self._restored_peers: list[str] = []
         super().__init__(settings.discovery, driver, servers, log)
         self.has_full_list = True
 
     async def run(self) -> None:
-        """Keeps the list of servers up to date until it is cancelled."""
+        """Keeps the list of servers up to date until cancelled."""
         if self._has_list_service:
             await super().run()
         elif self._etcd_settings is not None:
@@ -51,7 +57,7 @@
             await trio.sleep_forever()
 
     async def _follow_etcd(self) -> None:
-        # imported here: who does not follow etcd does not pay for it
+        # Imported here so that workers without etcd don't pay for the import.
         from wheatroute.etcd.services import EtcdServices
 
         assert self._etcd_settings is not None
@@ -71,7 +77,7 @@
 
     @property
     def list_version(self) -> tuple[str, int]:
-        """The source of the list that this worker uses, and its version or revision."""
+        """The source of the list that this worker uses, and the list's version or revision."""
         if self.etcd is not None:
             return self.etcd.follower.source, self.etcd.follower.revision
         return super().list_version if self._has_list_service else FILE_SOURCE
@@ -81,7 +87,7 @@
         self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
     def _apply(self, document: object) -> None:
-        """Passes a list, or changes to it, on, and keeps its entries."""
+        """Passes a full list or changes to it to the driver, and keeps the entries."""
         super()._apply(document)
         if not isinstance(document, dict) or not isinstance(document.get("servers"), list):
             return
@@ -99,39 +105,42 @@
             self.entries[entry["id"]] = entry
 
     def watch(self, enable: bool) -> None:
-        """Watches the list where a list service serves it."""
+        """Starts or stops watching the list if a list service provides it."""
         if self._has_list_service:
             super().watch(enable)
 
     def fetch(self) -> None:
-        """Fetches the list where a list service serves it."""
+        """Fetches the list once if a list service provides it."""
         if self._has_list_service:
             super().fetch()
 
     def update_settings(self, settings: WorkerSettings) -> None:
-        """Takes another list service, or the servers that another file lists."""
+        """Switches to another list service, or applies the list of servers in a new file."""
         if self._has_list_service and settings.list_service:
             self.switch_service(settings.list_service)
         elif settings.initial_list and not self._has_list_service and self._etcd_settings is None:
             self._apply(settings.initial_list)
 
-    # snapshots
+    # Methods for snapshots.
 
     def peers(self) -> list[str]:
-        """Returns the names of the nodes that count."""
+        """Returns the names of the member nodes: those in etcd, else those of the snapshot."""
         membership = self.etcd.membership if self.etcd is not None else None
         return sorted(membership.epochs) if membership is not None else self._restored_peers
 
     @property
     def min_position(self) -> tuple[int, int] | None:
-        """The cluster and the revision that a later list must have reached."""
+        """The cluster id and the minimum revision that a later list must have; None if there is none."""
         if self.etcd is None:
             return self._restored_min_position
         position = self.etcd.follower.min_position
         return position.cluster_id, position.revision
 
     def restore(self, servers: Any, peers: Any, min_position: Any = None) -> None:
-        """Takes what a snapshot holds: the list and the nodes that count until others are heard of."""
+        """Applies the list, peers and position of a snapshot, which hold until newer ones are received.
+
+        Malformed values are ignored.
+        """
         if (
             isinstance(min_position, list)
             and len(min_position) == 2
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -1,8 +1,8 @@
-"""Connects streams, the decision module and the servers' addresses; one dispatcher a process.
+"""Connects the proxies' streams with the decision module; each worker process has one dispatcher.
 
-An attempt is in flight from its decision until the proxy says what became of it, or its time is over.
-Invariant: the decision module hears of the end of each attempt exactly once. The proxies send the requests
-to servers, nothing here does.
+An attempt is in flight from its decision until the proxy reports its outcome or its deadline has passed.
+Invariant: the end of each attempt is reported to the decision module exactly once. The dispatcher sends
+nothing to servers: the proxies do.
 """
 
 from __future__ import annotations
@@ -25,13 +25,20 @@
 from wheatroute.processor.streams import ROUTED_STATUS, RoutedExchange, Stream, StreamState
 from wheatroute.processor.worker_settings import WorkerSettings
 
-EXPIRY_CHECK_INTERVAL_S = 0.02  # for attempts whose time is over
-LATE_RESPONSE_GRACE_S = 0.05  # after its time, in which a proxy may still say what became of an attempt
+# Interval at which attempts are checked for a passed deadline.
+EXPIRY_CHECK_INTERVAL_S = 0.02
+# Time after the deadline of an attempt during which the proxy may still report its outcome.
+LATE_RESPONSE_GRACE_S = 0.05
+# Outcomes that prove that the attempt was not executed.
 NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
 
 
 class Dispatcher:
-    """The upstream side of the driver, and what the streams call."""
+    """Passes requests from streams to the driver, and decisions from the driver to streams.
+
+    Implements `RequestDispatcher` for the streams, and `AttemptSender` and `ServerRegistry` for the driver
+    and service discovery.
+    """
 
     def __init__(self, settings: WorkerSettings, log: Logger) -> None:
         request_classes = settings.decision.request_classes
@@ -47,9 +54,12 @@
         self._history = AttemptHistory(
             request_classes, retention_s(request_classes), settings.processor.max_request_ids
         )
-        self._addresses: dict[int, bytes] = {}  # by server
-        self._in_flight: dict[int, int] = {}  # attempts by server
-        self._expiries: list[tuple[float, int, Stream]] = []  # a heap: time, number of the exchange
+        # Addresses as "host:port", by server number.
+        self._addresses: dict[int, bytes] = {}
+        # Numbers of attempts in flight, by server number.
+        self._in_flight: dict[int, int] = {}
+        # Heap of (time at which the attempt expires, exchange number, stream).
+        self._expiries: list[tuple[float, int, Stream]] = []
         self.request_count = 0
         self.decision_count = 0
 
@@ -61,7 +71,12 @@
         strict_variants: Mapping[int, int],
         is_binding: bool,
     ) -> None:
-        """Takes other settings; request classes are matched in the order of `request_classes`."""
+        """Applies new settings.
+
+        Request classes are matched in the order of `request_classes`, which maps their names to numbers.
+        `strict_variants` maps a class to the class of its requests without an idempotency key, see
+        `RequestReader`. If the settings are binding, the driver withdraws retries that are not written yet.
+        """
         self.driver.update_settings(settings, is_binding)
         self._reader = RequestReader(
             self._headers,
@@ -73,14 +88,14 @@
         self._history.update_settings(settings.request_classes, retention_s(settings.request_classes))
 
     async def run(self) -> None:
-        """Ends attempts that proxies never speak of again, until cancelled."""
+        """Ends attempts whose outcome the proxy has not reported in time, until cancelled."""
         while True:
             await trio.sleep(EXPIRY_CHECK_INTERVAL_S)
             if self._expire_attempts(now()):
                 self.driver.finish_burst()
 
     def _expire_attempts(self, moment: float) -> bool:
-        """Ends attempts whose time is over, and forgets those that have ended; returns if there were any."""
+        """Ends expired attempts and discards entries of ended ones; returns whether there were any."""
         has_expired = False
         while self._expiries:
             expires_at, _, stream = self._expiries[0]
@@ -93,17 +108,21 @@
         return has_expired
 
     def open_stream(self, call: Call) -> Stream:
-        """Returns the receiver of a call that a proxy has opened."""
+        """Returns the stream that receives the messages of a proxy's call."""
         return Stream(call, self, self._encoder)
 
     def finish_burst(self) -> None:
-        """Handles the events of one read of a connection."""
+        """Handles the events that one read of a connection has added."""
         self.driver.finish_burst()
 
-    # called by streams
+    # Methods that streams call.
 
     def add_request(self, stream: Stream, headers: Iterable[tuple[str, bytes]]) -> RoutedExchange:
-        """Adds the request of a stream; raises `InvalidRequestError` and `RejectedError`."""
+        """Adds the request of a stream and returns its exchange.
+
+        Raises `InvalidRequestError` if the headers don't describe a request, and `RejectedError` if the
+        earlier attempts of the request id forbid another one.
+        """
         self.driver.begin_burst()
         self.request_count += 1
         request = self._reader.read(headers)
@@ -120,17 +139,17 @@
         return exchange
 
     def abandon_request(self, exchange: RoutedExchange) -> None:
-        """The proxy went before there was a decision: nothing ran."""
+        """Ends a request whose proxy has disconnected before a decision, so that nothing ran."""
         self.driver.begin_burst()
         self._history.record_never_ran(exchange.attempt_record)
         self.driver.abandon_request(exchange)
 
     def record_rejection(self, exchange: RoutedExchange) -> None:
-        """The balancer gave the request up before a decision: the same id may come again."""
+        """Records that the balancer ended a request without a decision, so that its id may be sent again."""
         self._history.record_never_ran(exchange.attempt_record)
 
     def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
-        """The attempt of a request has ended."""
+        """Reports the outcome of a request's attempt; does nothing if there was no attempt."""
         attempt = exchange.stream.attempt
         if attempt is None:
             return
@@ -141,18 +160,21 @@
         self.driver.finish_attempt(exchange, attempt, outcome, report)
 
     def schedule_flush(self, call: Call) -> None:
-        """A stream has something to send."""
+        """Schedules the messages of a call to be written after the current event batch."""
         self.driver.schedule_flush(call.session)
 
-    # the upstream side of the driver
+    # Methods that the driver and service discovery call.
 
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
-        """Answers a stream with the address of its server."""
+        """Sends the decision, which names the server's address, on the stream of the exchange.
+
+        If the address is unknown or the stream has ended, the attempt ends as `Outcome.MOOT`.
+        """
         assert isinstance(exchange, RoutedExchange)
         address = self._addresses.get(attempt.server)
         moment = now()
         time_left_s = exchange.deadline - moment
-        # recorded before it is written: the stream may end while it is
+        # Recorded before the decision is written, because the stream may end during the write.
         self._history.record_decision(exchange.attempt_record, attempt.server, moment)
         self._in_flight[attempt.server] = self._in_flight.get(attempt.server, 0) + 1
         if address is None or not exchange.stream.send_decision(attempt, address, time_left_s):
@@ -166,14 +188,14 @@
         exchange.complete(Response(ROUTED_STATUS))
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
-        """Sets a server's address, as the proxies get it."""
+        """Sets the address of a server that proxies are sent."""
         self._addresses[server] = b"%s:%d" % (address[0].encode(), address[1])
 
     def set_state(self, server: int, state: ServerState, started_at: float) -> None:
-        """Does nothing: between a decision and its response nothing could still be held back."""
+        """Does nothing: once a decision is made, the attempt can't be withheld any more."""
 
     def release(self, server: int) -> bool:
-        """Forgets a server unless attempts are in flight there; returns whether it was forgotten."""
+        """Removes a server; returns False, and keeps it, while attempts to it are in flight."""
         if self._in_flight.get(server):
             return False
         self._in_flight.pop(server, None)
@@ -181,7 +203,7 @@
         return True
 
     def probe(self, server: int) -> None:
-        """Does nothing: the connections to servers are the proxies'."""
+        """Does nothing: only the proxies have connections to servers."""
 
     def close_idle(self, server: int) -> None:
-        """Does nothing: the connections to servers are the proxies'."""
+        """Does nothing: only the proxies have connections to servers."""
--- a/wheatroute/processor/load_reports.py
+++ b/wheatroute/processor/load_reports.py
@@ -1,7 +1,7 @@
-"""Load reports in the headers of responses: the project's own, and ORCA's in its three forms. No I/O.
+"""Reads load reports from response headers: the project's format, and ORCA in its three formats. No I/O.
 
-ORCA (Open Request Cost Aggregation) is published as `xds.data.orca.v3.OrcaLoadReport`. What is malformed is
-left out.
+ORCA (Open Request Cost Aggregation) is published as `xds.data.orca.v3.OrcaLoadReport`. Malformed metrics are
+ignored.
 """
 
 from __future__ import annotations
@@ -16,11 +16,13 @@
 from wheatroute.net.load_reports import MAX_LOAD_FIGURE, parse_load_report
 
 OWN_HEADER = "server-load"
-ORCA_HEADER = "endpoint-load-metrics"  # its value begins with the form: TEXT, JSON or BIN
+# The value begins with the format: TEXT, JSON or BIN.
+ORCA_HEADER = "endpoint-load-metrics"
 ORCA_BINARY_HEADER = "endpoint-load-metrics-bin"
 _NAMED_METRICS = "named_metrics"
-# ORCA's names and ours; named metrics go by the names that reports of our own use
-_FIGURE_NAMES = {
+# ORCA's metric names, mapped to the names of the project's format. Named metrics are those that the project's
+# format also has.
+_METRIC_NAMES = {
     "cpu_utilization": "busy",
     "application_utilization": "busy",
     "rps_fractional": "rate",
@@ -32,23 +34,23 @@
 
 
 def read_load_report(headers: Mapping[str, bytes]) -> dict[str, float] | None:
-    """Returns a response's load figures under our names, None where there are none."""
+    """Returns a response's load metrics under the project's names; None if it has no valid ones."""
     if OWN_HEADER in headers:
         report, malformed = parse_load_report(headers[OWN_HEADER].decode("latin-1"))
         return None if malformed else report
     report = {}
-    for name, value in _orca_figures(headers).items():
-        figure = _FIGURE_NAMES.get(name)
-        if figure and isinstance(value, int | float) and 0.0 <= value < MAX_LOAD_FIGURE:
-            report[figure] = float(value)
+    for name, value in _orca_metrics(headers).items():
+        metric = _METRIC_NAMES.get(name)
+        if metric and isinstance(value, int | float) and 0.0 <= value < MAX_LOAD_FIGURE:
+            report[metric] = float(value)
     return report or None
 
 
-def _orca_figures(headers: Mapping[str, bytes]) -> dict[str, Any]:
-    """Returns ORCA's figures by ORCA's names, not checked yet."""
+def _orca_metrics(headers: Mapping[str, bytes]) -> dict[str, Any]:
+    """Returns ORCA's metrics under ORCA's names; the values are not validated."""
     if ORCA_HEADER in headers:
-        form, _, text = headers[ORCA_HEADER].decode("latin-1").partition(" ")
-        match form:
+        report_format, _, text = headers[ORCA_HEADER].decode("latin-1").partition(" ")
+        match report_format:
             case "TEXT":
                 return _parse_text(text)
             case "JSON":
@@ -62,14 +64,14 @@
 
 
 def _parse_text(text: str) -> dict[str, Any]:
-    figures = {}
+    metrics = {}
     for part in text.split(","):
-        name, _, figure = part.strip().partition("=")
+        name, _, value = part.strip().partition("=")
         try:
-            figures[name] = float(figure)
+            metrics[name] = float(value)
         except ValueError:
             continue
-    return figures
+    return metrics
 
 
 def _parse_json(text: str) -> dict[str, Any]:
@@ -84,7 +86,7 @@
 
 
 def _parse_binary(text: bytes) -> dict[str, Any]:
-    # imported here: who gets no such report does not pay for it
+    # Imported here so that workers that receive no binary reports don't pay for the import.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
@@ -93,8 +95,8 @@
         report = OrcaLoadReport.FromString(base64.b64decode(padded, validate=True))
     except (binascii.Error, DecodeError):
         return {}
-    figures: dict[str, Any] = {field.name: value for field, value in report.ListFields()}
-    return figures | _prefixed(report.named_metrics)
+    metrics: dict[str, Any] = {field.name: value for field, value in report.ListFields()}
+    return metrics | _prefixed(report.named_metrics)
 
 
 def _prefixed(named: Mapping[str, Any]) -> dict[str, Any]:
--- a/wheatroute/processor/processing_messages.py
+++ b/wheatroute/processor/processing_messages.py
@@ -1,6 +1,6 @@
-"""Messages of the external processing protocol: what is read of requests, and the responses. No I/O.
+"""Reads requests and encodes responses of the external processing protocol. No I/O.
 
-The protocol is published as `envoy.service.ext_proc.v3.ExternalProcessor`: one stream is one request of the
+The protocol is published as `envoy.service.ext_proc.v3.ExternalProcessor`: each stream is one request of the
 proxy.
 """
 
@@ -14,20 +14,23 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
 
 METHOD_PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-RESPONSE_FLAGS_ATTRIBUTE = "response.flags"  # an attribute that a proxy may send along
-DEFAULT_METADATA_KEY = "destination"  # where the settings name no header
+# Name of an attribute that a proxy may include in its messages.
+RESPONSE_FLAGS_ATTRIBUTE = "response.flags"
+# Metadata key of the server's address if the settings name no destination header.
+DEFAULT_METADATA_KEY = "destination"
 RETRY_AFTER = "retry-after"
-MAX_CACHED_DECISIONS = 65536  # by address: servers come and go for years
+# Limit for the cache of decisions by address, because servers are added and removed for years.
+MAX_CACHED_DECISIONS = 65536
 
 
 def header_values(headers: Iterable[Any]) -> Iterator[tuple[str, bytes]]:
-    """Yields names and values of a message's `HeaderValue`s, which have their value in one of two fields."""
+    """Yields names and values of `HeaderValue` messages, which hold the value in one of two fields."""
     for header in headers:
         yield header.key, header.raw_value or header.value.encode()
 
 
 def response_flags(request: ProcessingRequest) -> int:
-    """Returns what the proxy says of a response that it made up itself, 0 where it says nothing."""
+    """Returns the proxy's flags for a response that it generated itself; 0 if it sends none."""
     for attributes in request.attributes.values():
         if RESPONSE_FLAGS_ATTRIBUTE in attributes.fields:
             return int(attributes.fields[RESPONSE_FLAGS_ATTRIBUTE].number_value)
@@ -35,20 +38,22 @@
 
 
 class ResponseEncoder:
-    """Encodes responses that name a server, or that there is none.
+    """Encodes responses to the proxy: decisions that name a server, and immediate responses.
 
-    A server is named in `destination_header` and in the dynamic metadata of `metadata_namespace`, the time
-    left, in milliseconds, in `time_header`. An empty name turns one off.
+    The server's address is set in the header `destination_header` and in the dynamic metadata of the
+    namespace `metadata_namespace`, and the time left, in milliseconds, in the header `time_header`. An empty
+    name disables the respective output.
     """
 
     def __init__(self, destination_header: str, metadata_namespace: str, time_header: str) -> None:
         self._destination_header = destination_header
         self._metadata_namespace = metadata_namespace
         self._time_header = time_header
-        self._cached_decisions: dict[bytes, bytes] = {}  # by address, without the time left
+        # Encoded decisions by address, without the time left.
+        self._cached_decisions: dict[bytes, bytes] = {}
 
     def decision(self, address: bytes, time_left_s: float) -> bytes:
-        """Returns the response that names a server."""
+        """Returns the encoded response that names the server at `address` ("host:port")."""
         encoded = self._cached_decision(address)
         if not self._time_header:
             return encoded
@@ -79,14 +84,17 @@
 
     @staticmethod
     def immediate(status: int, reason: str, retry_after_s: float) -> bytes:
-        """Returns the response that has the proxy answer the client itself; 0 sends no Retry-After."""
+        """Returns the encoded response that makes the proxy respond to the client itself.
+
+        `retry_after_s` is the value of the Retry-After header; 0 omits the header.
+        """
         response = ProcessingResponse()
         immediate = response.immediate_response
         immediate.status.code = status
         immediate.details = f"wheatroute-{reason.replace(' ', '-')}"
         immediate.body = reason.encode() + b"\n"
         if retry_after_s > 0.0:
-            # whole seconds, as clients beyond the proxy read it by the standard
+            # Rounded up to whole seconds: clients behind the proxy parse it as the HTTP standard defines it.
             header = immediate.headers.set_headers.add().header
             header.key = RETRY_AFTER
             header.raw_value = b"%d" % ceil(retry_after_s)
@@ -97,7 +105,7 @@
     option = response.request_headers.response.header_mutation.set_headers.add()
     option.header.key = name
     option.header.raw_value = value
-    # a client's own header must not win
+    # Overwrites a header of the same name that the client has sent.
     option.append_action = HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
@@ -107,7 +115,7 @@
     return response.SerializeToString()
 
 
-# responses that change nothing, by the part of the exchange that the proxy asks about
+# Encoded responses that let the proxy continue without changes, by the field of its message.
 CONTINUE_RESPONSES = {
     part: _encode_continue(part)
     for part in (
--- a/wheatroute/processor/program.py
+++ b/wheatroute/processor/program.py
@@ -1,7 +1,7 @@
-"""The processor as a program: one worker in this process, or a supervisor of several.
+"""Runs the processor as a program: one worker in this process, or a supervisor of several worker processes.
 
-The supervisor holds the listener, which the workers inherit. Both return exit statuses: 0, 1 if it can't
-listen, 2 if the settings can't be used.
+The supervisor opens the listener, which the workers inherit. Exit statuses: 0 after a stop signal, 1 if the
+listener can't be opened, 2 if the settings can't be used.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 CANNOT_LISTEN_STATUS = 1
 NO_DESCRIPTOR = -1
-# next to nothing here is left to the collector, whose pauses are milliseconds
+# High thresholds, because almost nothing here needs the cyclic collector, whose pauses take milliseconds.
 GC_THRESHOLDS = (100_000, 50, 100)
 
 
 def run(path: str, follow: FollowSettings | None = None) -> int:
-    """Runs what the file describes; returns the exit status."""
+    """Runs the processor that the settings file describes; returns the exit status."""
     early_signals = record_early_signals()
     try:
         settings = settings_file.read(path)
@@ -61,8 +61,9 @@
 ) -> int:
     """Runs one worker in this process; returns the exit status.
 
-    `descriptor` is of an open listener. `early_signals` are stop signals that came already; they are
-    recorded only once, as a second record would not have the first one's.
+    `descriptor` is the file descriptor of an open listener; a negative one opens a new listener.
+    `early_signals` are the stop signals received so far. They are passed on rather than recorded again,
+    because a second recording would not include the signals of the first.
     """
     if early_signals is None:
         early_signals = record_early_signals()
@@ -76,7 +77,8 @@
         listener = _open_listener(settings, descriptor)
     except OSError as error:
         return _fail(CANNOT_LISTEN_STATUS, error)
-    gc.freeze()  # what is loaded by now stays for good
+    # Excludes the objects loaded so far from garbage collection: they stay until the process exits.
+    gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
     trio.run(_serve, worker, listener, early_signals)
     return 0
--- a/wheatroute/processor/response_outcome.py
+++ b/wheatroute/processor/response_outcome.py
@@ -1,4 +1,4 @@
-"""What the headers of a response say of its attempt. No I/O."""
+"""Derives the outcome of an attempt from the headers of its response. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 
 from wheatroute.balancing.interface import Outcome
 
-NOT_STARTED = "not-started"  # a server's or proxy's proof that the request never ran
+# Header with which a server or proxy proves that the request never ran.
+NOT_STARTED = "not-started"
 
 
 class ResponseFlags(IntFlag):
-    """What a proxy says of a response that it made up itself: bits of Envoy's `response.flags`."""
+    """The causes of a response that the proxy generated itself: bits of Envoy's `response.flags`."""
 
     NO_HEALTHY_HOST = 0x2
     TIMED_OUT = 0x4
@@ -25,7 +26,7 @@
 
 _UNCONNECTED = ResponseFlags.NO_HEALTHY_HOST | ResponseFlags.CONNECTION_FAILED | ResponseFlags.OVERFLOW
 _RESET = ResponseFlags.LOCAL_RESET | ResponseFlags.REMOTE_RESET | ResponseFlags.CONNECTION_ENDED
-# plain numbers, as they are compared for each response
+# Plain integers rather than `IntFlag` members, because they are compared for every response.
 _FLAG_OUTCOMES = (
     (_UNCONNECTED.value, Outcome.UNCONNECTED),
     (ResponseFlags.TIMED_OUT.value, Outcome.TIMED_OUT),
@@ -34,7 +35,10 @@
 
 
 def response_outcome(headers: Mapping[str, bytes], flags: int = 0) -> Outcome:
-    """Returns an attempt's outcome; only a mark of server or proxy proves that it never ran."""
+    """Returns the outcome of an attempt.
+
+    Only the `not-started` header, or flags for a failed connection, prove that an attempt never ran.
+    """
     status = headers.get(":status", b"")
     if len(status) != 3 or not status.isdigit():
         return Outcome.UNKNOWN
--- a/wheatroute/processor/routing_request.py
+++ b/wheatroute/processor/routing_request.py
@@ -1,7 +1,7 @@
-"""Requests as a proxy describes them in their headers. No I/O.
+"""Reads a request from the headers that a proxy sends. No I/O.
 
-The settings file says which header means what. Nothing is guessed: headers that have one meaning and come
-twice, or a value that can't be read, are rejected with a reason.
+The settings file assigns meanings to header names. Ambiguous input is rejected with a reason: two headers
+with the same meaning, or a value that can't be parsed.
 """
 
 from __future__ import annotations
@@ -18,15 +18,16 @@
 from wheatroute.net.exchange import parse_work_hint
 from wheatroute.wire_names import numbers_by_header_value
 
-MAX_ATTEMPT_DIGITS = 6  # a longer attempt number can't be meant
+# An attempt number with more digits is ignored as implausible.
+MAX_ATTEMPT_DIGITS = 6
 NO_TENANT = -1
 _TIMEOUT = re.compile(r"([0-9]{1,12}(?:\.[0-9]{1,9})?)([HMSmun]?)\Z")
-# the units of gRPC's grpc-timeout; a bare number is milliseconds
+# Units of gRPC's grpc-timeout, in seconds; a number without a unit is in milliseconds.
 _TIMEOUT_UNITS_S = {"H": 3600.0, "M": 60.0, "S": 1.0, "m": 1e-3, "u": 1e-6, "n": 1e-9, "": 1e-3}
 
 
 class InvalidRequestError(Exception):
-    """Headers that make no request: the HTTP status and reason to answer with."""
+    """The headers don't describe a valid request; holds the HTTP status and reason to respond with."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -35,7 +36,7 @@
 
 
 class HeaderMeaning(IntEnum):
-    """What a header of a request says."""
+    """The meaning of a request header."""
 
     PATH = 0
     METHOD = 1
@@ -49,15 +50,18 @@
 
 
 class RoutingRequest(NamedTuple):
-    """A request that a server is to be chosen for; request class and tenant are numbers."""
+    """A request for which a server must be chosen; request class and tenant are numbers."""
 
     request_id: bytes
     request_class: int
     time_left_s: float
-    tenant: int  # `NO_TENANT` where none is named, or one that is not known
+    # `NO_TENANT` if the request names no tenant or an unknown one.
+    tenant: int
     is_client_retry: bool
-    attempt_number: int  # 1 for a first attempt, as far as the proxy says
-    work_hint: float = 0.0  # 0 without a hint
+    # 1 for the first attempt; 1 as well if the proxy sends no valid number.
+    attempt_number: int
+    # 0 if the request has no hint.
+    work_hint: float = 0.0
 
 
 def parse_timeout(text: str) -> float:
@@ -71,9 +75,9 @@
 class RequestReader:
     """Reads requests from headers.
 
-    `match_order` has the numbers of request classes in the order in which they are matched. A class in
-    `strict_variants` was once taken without an idempotency key: a request without one gets the strict variant
-    of its class.
+    `match_order` lists the numbers of request classes in the order in which they are matched.
+    `strict_variants` has the classes that used to accept requests without an idempotency key: a request
+    without one is assigned the strict variant of its class.
     """
 
     def __init__(
@@ -91,7 +95,7 @@
         self._strict_variants = strict_variants or {}
 
     def read(self, headers: Iterable[tuple[str, bytes]]) -> RoutingRequest:
-        """Returns the request of these headers; raises `InvalidRequestError`."""
+        """Returns the request that the headers describe; raises `InvalidRequestError`."""
         values = self._values(headers)
         request_class = self._match(values.get(HeaderMeaning.PATH, ""), values.get(HeaderMeaning.METHOD, ""))
         if not values.get(HeaderMeaning.REQUEST_ID):
@@ -135,7 +139,7 @@
         raise InvalidRequestError(HTTPStatus.NOT_FOUND, "no such request class")
 
     def _without_key(self, request_class: int) -> int:
-        """Returns the class of a request that has no idempotency key."""
+        """Returns the class of a request without an idempotency key; raises `InvalidRequestError`."""
         if self._request_classes[request_class].idempotency != Idempotency.KEYED:
             return request_class
         if request_class not in self._strict_variants:
@@ -144,7 +148,7 @@
 
 
 def _meanings(headers: HeaderNames) -> dict[str, HeaderMeaning]:
-    """Returns meanings by the names of headers, in lower case."""
+    """Returns the meanings of headers by their names in lower case."""
     names = {
         HeaderMeaning.REQUEST_ID: headers.request_id,
         HeaderMeaning.TIMEOUT: headers.timeout,
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -1,7 +1,7 @@
-"""One stream of a proxy: the order of its messages, and which response each of them gets.
+"""The state machine of one external processing stream: checks the order of messages and responds to each.
 
-Invariants: a stream writes one decision at most, and none for a request that is over. Bodies and trailers are
-not kept: they are answered at once. No I/O: the session reads and writes the connection.
+Invariants: a stream writes at most one decision, and none for a request that has ended. Bodies and trailers
+are not stored: they are acknowledged immediately. No I/O: the session reads and writes the connection.
 """
 
 from __future__ import annotations
@@ -29,7 +29,9 @@
 from wheatroute.processor.response_outcome import response_outcome
 from wheatroute.processor.routing_request import InvalidRequestError, RoutingRequest
 
-ROUTED_STATUS = 0  # of an exchange whose final response to the proxy names a server
+# Status of an exchange whose final response is a decision that names a server.
+ROUTED_STATUS = 0
+# HTTP status and reason that the client is sent for each rejection.
 REJECTION_RESPONSES = {
     Rejection.CONFLICT: (HTTPStatus.CONFLICT, "conflict"),
     Rejection.MAY_HAVE_RUN: (HTTPStatus.BAD_GATEWAY, "may-have-run"),
@@ -38,7 +40,7 @@
 
 
 class RoutedExchange(Exchange):
-    """A request of a proxy: its final response is the decision, or that there is none."""
+    """An exchange for a proxy's request; complete once a server is chosen or the request is rejected."""
 
     __slots__ = ("stream", "attempt_record")
 
@@ -54,36 +56,38 @@
 
 
 class RequestDispatcher(Protocol):
-    """What a stream needs of the service."""
+    """The interface to the dispatcher that a stream needs."""
 
     def add_request(self, stream: Stream, headers: Iterable[tuple[str, bytes]]) -> RoutedExchange:
-        """Adds a request; raises `InvalidRequestError` and `RejectedError`."""
+        """Adds a request and returns its exchange; raises `InvalidRequestError` and `RejectedError`."""
 
     def abandon_request(self, exchange: RoutedExchange) -> None:
-        """The proxy gave the request up."""
+        """Ends a request that the proxy has cancelled before a decision."""
 
     def record_rejection(self, exchange: RoutedExchange) -> None:
-        """The balancer rejected or failed the request before any attempt."""
+        """Records that the balancer rejected or failed a request before any attempt."""
 
     def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
-        """The attempt of a request has ended."""
+        """Reports the outcome of a request's attempt, with the load report of the response if it had one."""
 
     def schedule_flush(self, call: Call) -> None:
-        """A stream has something to send."""
+        """Schedules the messages of a call to be written after the current event batch."""
 
 
 class StreamState(IntEnum):
-    """How far a stream has come."""
+    """The state of a stream."""
 
     NEW = 0
     AWAITING_DECISION = 1
     DECIDED = 2
-    OVERDUE = 3  # its server's time is over, and the proxy has said nothing yet
-    ENDED = 4  # its server's response has begun, or the proxy has its response from here
+    # The attempt has timed out, but the proxy has not reported a response yet.
+    OVERDUE = 3
+    # The server's response has begun, or the stream was answered without a server or ended.
+    ENDED = 4
 
 
 class Stream:
-    """The receiver of a call; one stream stands for one request of the proxy."""
+    """Receives the messages of a call; one stream is one request of the proxy."""
 
     __slots__ = ("call", "dispatcher", "state", "exchange", "attempt", "encoder")
 
@@ -95,13 +99,13 @@
         self.exchange: RoutedExchange | None = None
         self.attempt: Attempt | None = None
 
-    # the receiver of the call
+    # Methods of the call's receiver.
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
-        """Ignored: a server's receiver gets no response headers."""
+        """Does nothing: the receiver of a server's call gets no response headers."""
 
     def message(self, message: bytes) -> None:
-        """Handles a message of the proxy."""
+        """Handles a message of the proxy; a malformed or unexpected one ends the stream with an error."""
         try:
             request = ProcessingRequest.FromString(message)
         except DecodeError:
@@ -122,15 +126,15 @@
             self.call.send(CONTINUE_RESPONSES[part])
 
     def half_closed(self) -> None:
-        """The proxy has ended the stream."""
+        """Ends the stream after the proxy has closed its side."""
         self._end()
         self.call.finish()
 
     def over(self, how: CallError) -> None:
-        """The stream was cancelled or reset."""
+        """Ends the attempt after the stream was cancelled or reset."""
         self._end()
 
-    # messages of the proxy
+    # Handlers of the proxy's messages.
 
     def _handle_request_headers(self, request: Any) -> None:
         if self.state != StreamState.NEW:
@@ -156,11 +160,16 @@
         if is_informational:
             return
         if self.state == StreamState.OVERDUE:
-            self.state = StreamState.ENDED  # its client may still want it; the balancer has given it up
+            # The proxy may still pass this response to its client, but the balancer has already recorded a
+            # timeout.
+            self.state = StreamState.ENDED
         self._finish_attempt(response_outcome(headers, response_flags(request)), read_load_report(headers))
 
     def _end(self) -> None:
-        """The proxy says no more: without a decision nothing ran, else the attempt may have run."""
+        """Ends the request because the proxy sends no more messages.
+
+        Without a decision nothing ran; otherwise the attempt may have run.
+        """
         if self.exchange is None:
             return
         if self.state == StreamState.AWAITING_DECISION:
@@ -174,17 +183,21 @@
         if self.state == StreamState.DECIDED and self.exchange is not None:
             self.state = StreamState.ENDED
             self.dispatcher.finish_attempt(self.exchange, outcome, report)
-            self.exchange = None  # they refer to each other
+            # Breaks the reference cycle of stream and exchange.
+            self.exchange = None
 
     def _fail(self, status: Status, reason: str) -> None:
         self._end()
         self.state = StreamState.ENDED
         self.call.finish(status, reason)
 
-    # responses
+    # Responses to the proxy.
 
     def send_decision(self, attempt: Attempt, address: bytes, time_left_s: float) -> bool:
-        """Names the server; returns False if nobody waits for it any more."""
+        """Sends the decision; returns False if the stream no longer awaits one.
+
+        `address` is the server's, as "host:port".
+        """
         if self.call.is_over or self.state != StreamState.AWAITING_DECISION:
             return False
         self.attempt = attempt
@@ -194,7 +207,7 @@
         return True
 
     def on_response(self) -> None:
-        """The exchange has its final response; one that names a server is written already."""
+        """Sends the final response of the exchange, unless it is a decision, which was already sent."""
         if self.exchange is None or self.exchange.response is None:
             return
         response = self.exchange.response
@@ -211,7 +224,7 @@
         self.dispatcher.schedule_flush(self.call)
 
     def expire(self) -> None:
-        """The server's time is over and the proxy says nothing: the attempt has timed out."""
+        """Ends the attempt as timed out because the proxy has not reported a response in time."""
         if self.state == StreamState.DECIDED:
             self._finish_attempt(Outcome.TIMED_OUT, None)
             self.state = StreamState.OVERDUE
--- a/wheatroute/processor/supervisor.py
+++ b/wheatroute/processor/supervisor.py
@@ -1,4 +1,4 @@
-"""Runs the workers of the processor as child processes, starts crashed ones again and passes signals on."""
+"""Runs the workers of the processor as child processes, restarts crashed ones and forwards signals."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 
 MIN_RESTART_DELAY_S = 0.1
 MAX_RESTART_DELAY_S = 10.0
-STABLE_AFTER_S = 10.0  # a worker that has run for longer is started again after the shortest delay
-BAD_SETTINGS_STATUS = 2  # exit status of a worker whose settings can't be used: no restart changes that
+# A worker that has run for longer than this is restarted after the minimum delay.
+STABLE_AFTER_S = 10.0
+# Exit status of a worker whose settings can't be used. It is not restarted, since a restart would not help.
+BAD_SETTINGS_STATUS = 2
 
 
 class WorkerSupervisor:
-    """Keeps one process for each command line running, until a signal stops it."""
+    """Keeps one process running for each command line, until a signal stops the supervisor."""
 
     def __init__(
         self,
@@ -29,16 +31,20 @@
         start_process: Callable[..., subprocess.Popen[bytes]] = subprocess.Popen,
     ) -> None:
         self._commands = commands
-        self._descriptors = descriptors  # that the workers inherit
+        # File descriptors that the workers inherit.
+        self._descriptors = descriptors
         self._log = log
         self._start_process = start_process
-        self._processes: dict[int, subprocess.Popen[bytes]] = {}  # by worker
+        # By worker number.
+        self._processes: dict[int, subprocess.Popen[bytes]] = {}
         self._is_stopping = False
-        self.status = 0  # exit status
+        # Exit status of the supervisor.
+        self.status = 0
 
     async def run(self, early_signals: Sequence[int] = ()) -> None:
-        """Runs the workers until a stop signal; starts none if one came early."""
-        # open before the first start: a signal in between would leave a worker without its supervisor
+        """Runs the workers until a stop signal; starts none if one was received before this call."""
+        # The receiver is opened before the first start, since a signal in between would end the supervisor
+        # and leave its workers running.
         with open_signal_receiver() as signals:
             if not early_signals:
                 await self._run(signals)
@@ -52,7 +58,7 @@
             nursery.cancel_scope.cancel()
 
     async def _run_worker(self, worker: int) -> None:
-        """Starts a worker again whenever it ends, with a delay that grows while it ends at once."""
+        """Runs a worker and restarts it when it exits, with a delay that doubles while it exits early."""
         delay_s = MIN_RESTART_DELAY_S
         while not self._is_stopping:
             started_at = trio.current_time()
@@ -66,11 +72,11 @@
                 return
             is_stable = trio.current_time() - started_at > STABLE_AFTER_S
             delay_s = MIN_RESTART_DELAY_S if is_stable else min(MAX_RESTART_DELAY_S, 2 * delay_s)
-            self._log.warning("worker-ended", worker=worker, status=status, again_in=round(delay_s, 2))
+            self._log.warning("worker-ended", worker=worker, status=status, restart_in_s=round(delay_s, 2))
             await trio.sleep(delay_s)
 
     async def _run_process(self, worker: int) -> int:
-        """Runs a worker's process; returns its exit status."""
+        """Runs a worker's process until it exits; returns its exit status."""
         process = self._start_process(self._commands[worker], pass_fds=self._descriptors)
         self._processes[worker] = process
         if self._is_stopping:
--- a/wheatroute/processor/worker.py
+++ b/wheatroute/processor/worker.py
@@ -1,6 +1,6 @@
-"""One worker of the processor: its parts, how it serves, reloads its settings and stops.
+"""One worker of the processor: creates its components, serves, reloads its settings and stops.
 
-Invariant: it doesn't end with requests unanswered while they can still be answered.
+Invariant: a worker doesn't exit while requests are open whose deadline has not passed.
 """
 
 from __future__ import annotations
@@ -25,9 +25,10 @@
 from wheatroute.processor.worker_snapshot import WorkerSnapshot
 from wheatroute.tls import ServerContext, TlsError
 
-STOP_GRACE_S = 1.0  # beyond the longest deadline, in which proxies may end their streams
+# Time beyond the longest deadline that proxies are given to end their streams when the worker stops.
+STOP_GRACE_S = 1.0
 STOP_POLL_INTERVAL_S = 0.01
-# settings that need a restart: their keys in the file, and their names
+# Settings that need a restart: their keys in the file, mapped to their attributes in `Settings`.
 RESTART_SETTINGS = {
     "name": "name",
     "seed": "seed",
@@ -40,23 +41,28 @@
 
 
 class SettingsFollower(Protocol):
-    """Has a worker act on the settings that all processes agree on."""
+    """Applies the versions of the settings on which all processes agree to a worker."""
 
     async def run(self) -> None:
-        """Follows them until it is cancelled."""
+        """Follows and applies versions until cancelled."""
 
     async def leave(self) -> None:
-        """The worker ends."""
+        """Announces to the version store that this worker stops."""
 
 
-# makes the follower of a worker from the file, the worker's number and settings, and its parts
+# Creates the settings follower of a worker. Arguments: the file's settings, the worker's number, the worker's
+# settings, its dispatcher, its discovery and its log.
 FollowSettings = Callable[
     [Settings, int, WorkerSettings, Dispatcher, WorkerDiscovery, Logger], SettingsFollower
 ]
 
 
 class Worker:
-    """One worker; `follow` is called if the file names a store for versions of the settings."""
+    """One worker.
+
+    `path` is the settings file, which `reload` reads again. `follow` is called, and must be given, if the
+    file has an [agreement] section.
+    """
 
     def __init__(
         self, settings: Settings, path: str, number: int, log: Logger, follow: FollowSettings | None = None
@@ -65,45 +71,51 @@
         self._path = path
         self._number = number
         self._log = log
-        own = derive_worker_settings(settings, number)
-        self._max_deadline_s = max(one.deadline for one in own.decision.request_classes)
-        self.dispatcher = Dispatcher(own, log)
-        self.discovery = WorkerDiscovery(own, self.dispatcher.driver, self.dispatcher, log)
+        worker_settings = derive_worker_settings(settings, number)
+        self._max_deadline_s = max(
+            request_class.deadline for request_class in worker_settings.decision.request_classes
+        )
+        self.dispatcher = Dispatcher(worker_settings, log)
+        self.discovery = WorkerDiscovery(worker_settings, self.dispatcher.driver, self.dispatcher, log)
         self.dispatcher.driver.discovery = self.discovery
-        self._snapshot = self._make_snapshot(own)
+        self._snapshot = self._make_snapshot(worker_settings)
         self._follower: SettingsFollower | None = None
-        if own.agreement is not None:
+        if worker_settings.agreement is not None:
             assert follow is not None, "a file with [agreement] needs a follower"
-            self._follower = follow(settings, number, own, self.dispatcher, self.discovery, log)
-        self._tls = _server_context(own.processor.tls)
+            self._follower = follow(settings, number, worker_settings, self.dispatcher, self.discovery, log)
+        self._tls = _server_context(worker_settings.processor.tls)
         self.server = Server(
             {METHOD_PATH: self.dispatcher.open_stream},
-            ConnectionLimits(max_streams=own.processor.max_streams),
+            ConnectionLimits(max_streams=worker_settings.processor.max_streams),
             log,
             self._tls,
-            own.processor.max_connections,
+            worker_settings.processor.max_connections,
             self.dispatcher.finish_burst,
-            shares_listener=own.processor.workers > 1,
+            shares_listener=worker_settings.processor.workers > 1,
         )
 
-    def _make_snapshot(self, own: WorkerSettings) -> WorkerSnapshot | None:
-        if own.snapshot is None:
+    def _make_snapshot(self, worker_settings: WorkerSettings) -> WorkerSnapshot | None:
+        if worker_settings.snapshot is None:
             return None
         return WorkerSnapshot(
-            own.snapshot, own.snapshot_source, self.dispatcher.driver, self.discovery, self._log
+            worker_settings.snapshot,
+            worker_settings.snapshot_source,
+            self.dispatcher.driver,
+            self.discovery,
+            self._log,
         )
 
     async def run(self, listener: socket.socket, task_status: Any = trio.TASK_STATUS_IGNORED) -> None:
-        """Serves until `stop`, and until what is open is answered."""
+        """Serves until `stop` is called and the open requests have their responses."""
         trio.lowlevel.add_instrument(self.dispatcher.driver.event_loop_lag)
         async with trio.open_nursery() as nursery:
             self._start_tasks(nursery)
-            self._log.info("listening", place="{}:{}".format(*listener.getsockname()[:2]))
+            self._log.info("listening", address="{}:{}".format(*listener.getsockname()[:2]))
             task_status.started()
             await self.server.run([listener])
             await self._leave()
             self._log.info(
-                "stopped", asked=self.dispatcher.request_count, decisions=self.dispatcher.decision_count
+                "stopped", requests=self.dispatcher.request_count, decisions=self.dispatcher.decision_count
             )
             nursery.cancel_scope.cancel()
 
@@ -118,7 +130,7 @@
             nursery.start_soon(self._follower.run)
 
     async def _leave(self) -> None:
-        """Keeps what is known, and ends what others know of this worker."""
+        """Writes a last snapshot and deregisters this worker from etcd and the version store."""
         if self._snapshot is not None:
             await self._snapshot.write()
         await self.discovery.leave()
@@ -126,7 +138,10 @@
             await self._follower.leave()
 
     async def stop(self) -> None:
-        """Sends GOAWAY to every proxy; what is open is answered, and ended once its time is over."""
+        """Sends GOAWAY to every proxy and waits until open requests have their responses.
+
+        Connections that are still open after the longest deadline plus `STOP_GRACE_S` are closed.
+        """
         self.server.stop()
         with trio.move_on_after(self._max_deadline_s + STOP_GRACE_S):
             while self.server.sessions:
@@ -134,22 +149,25 @@
         self.server.end("stopping")
 
     def reload(self) -> None:
-        """Takes from the file what a running worker can change; of a file with errors, nothing."""
+        """Reads the file again and applies the settings that a running worker can change.
+
+        A file with errors is logged and not applied at all.
+        """
         try:
             settings = settings_file.read(self._path)
-            own = derive_worker_settings(settings, self._number)
+            worker_settings = derive_worker_settings(settings, self._number)
             if self._tls is not None:
                 self._tls.reload()
         except (settings_file.ConfigError, TlsError) as error:
             for line in str(error).splitlines():
-                self._log.warning("not-reloaded", trouble=line)
+                self._log.warning("reload-failed", error=line)
             return
-        self.discovery.update_settings(own)
+        self.discovery.update_settings(worker_settings)
         keys = restart_required(self._settings, settings)
         self._log.info("reloaded", **{"until_restart": ",".join(keys)} if keys else {})
 
     async def handle_signals(self, signals: AsyncIterator[int]) -> None:
-        """Handles signals until it is cancelled."""
+        """Stops or reloads the worker on signals, until cancelled."""
         await handle_signals(signals, self.stop, self.reload, self._log)
 
 
@@ -158,7 +176,7 @@
 
 
 def restart_required(old: Settings, new: Settings) -> list[str]:
-    """Returns the keys of the file that differ and that a running worker does not take."""
+    """Returns the keys whose values differ and that a running worker can't change."""
     keys = [key for key, name in RESTART_SETTINGS.items() if getattr(old, name) != getattr(new, name)]
     if _fixed_pool_settings(old) != _fixed_pool_settings(new):
         keys.append("pools")
@@ -166,5 +184,5 @@
 
 
 def _fixed_pool_settings(settings: Settings) -> list[Any]:
-    """Returns the pools without what a running worker takes."""
+    """Returns the pools without the settings that a running worker can change."""
     return [pool.model_copy(update={"servers": [], "list_service": None}) for pool in settings.pools]
--- a/wheatroute/processor/worker_settings.py
+++ b/wheatroute/processor/worker_settings.py
@@ -1,6 +1,6 @@
-"""What one worker of the processor acts on, derived from the settings file. No I/O.
+"""Derives the settings of one worker of the processor from the settings file. No I/O.
 
-A worker is one more node: it shares nothing with the others, and has its own number among the nodes.
+Each worker counts as a separate node: it shares no state with other workers and has its own node number.
 """
 
 from __future__ import annotations
@@ -35,16 +35,21 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotSource:
-    """Which servers a snapshot is of. Stored with it: a snapshot of another source isn't used."""
+    """The source of the servers in a snapshot.
+
+    It is stored in the snapshot, and a snapshot with a different source is not used.
+    """
 
     pool: str
-    list_service: str  # empty for none
-    etcd: list[str]  # the prefix, then the endpoints; empty where servers aren't followed in etcd
+    # Empty if there is no list service.
+    list_service: str
+    # The prefix followed by the endpoints; empty if the servers are not listed in etcd.
+    etcd: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerSettings:
-    """Settings of one worker. Names of request classes, tenants, zones and models are mapped to numbers."""
+    """The settings of one worker, with mappings from names of request classes, tenants etc. to numbers."""
 
     name: str
     seed: str
@@ -55,7 +60,8 @@
     models: Mapping[str, int]
     list_service: tuple[str, int] | None
     etcd: EtcdSettings | None
-    initial_list: dict[str, Any]  # of servers, in the format of the list service; empty for none
+    # The file's list of servers in the format of the list service; empty if the file has none.
+    initial_list: dict[str, Any]
     snapshot: SnapshotSettings | None
     snapshot_source: SnapshotSource
     agreement: AgreementSettings | None
@@ -63,12 +69,12 @@
 
     @property
     def headers(self) -> HeaderNames:
-        """Which header of the proxy means what."""
+        """The names of the request headers, by their meaning."""
         return self.processor.headers
 
     @property
     def discovery(self) -> DiscoverySettings:
-        """Settings of the client of the list service."""
+        """The settings of the list service's client."""
         return DiscoverySettings(
             self.list_service or NO_ADDRESS,
             self.zones,
@@ -79,10 +85,13 @@
 
 
 def derive_worker_settings(settings: Settings, worker: int = 0) -> WorkerSettings:
-    """Returns the settings of one worker, numbered from 0; raises `ConfigError`."""
+    """Returns the settings of one worker; workers are numbered from 0.
+
+    Raises `ConfigError` if the file has no [processor] section.
+    """
     processor = settings.processor
     if processor is None:
-        raise ConfigError(["no [processor] in the file"])
+        raise ConfigError(["section [processor] is missing"])
     pool = next(pool for pool in settings.pools if pool.name == processor.pool)
     zones = NameNumbering({zone: number for number, zone in enumerate(pool.zones)})
     return WorkerSettings(
@@ -132,7 +141,7 @@
 def _snapshot_settings(
     snapshot: SnapshotSettings | None, processor: ProcessorSettings, worker: int
 ) -> SnapshotSettings | None:
-    """Each worker has a file of its own."""
+    """Returns the snapshot settings of one worker, whose path is unique to it if there are several."""
     if snapshot is None or processor.workers == 1:
         return snapshot
     return snapshot.model_copy(update={"path": f"{snapshot.path}.{worker}"})
@@ -161,7 +170,10 @@
     worker: int,
     zones: NameNumbering,
 ) -> DecisionSettings:
-    """Returns the settings of the decision module: the proxy sends attempts, so it can't hedge or cancel."""
+    """Returns the settings of the decision module.
+
+    Hedging, cancelling and probing are turned off, because the proxy sends the attempts.
+    """
     rules = pool.rules
     return DecisionSettings(
         nodes=settings.nodes * processor.workers,
@@ -199,7 +211,8 @@
         drain_grace_s=rules.drain_grace_s,
         overload_window_s=rules.overload_window_s,
         overload_multiple=rules.overload_multiple,
-        request_classes=[_request_class(one) for one in settings.request_classes],
-        max_servers_per_tick=0,  # a proxy waits for every batch: ticks always go over the servers in parts
+        request_classes=[_request_class(request_class) for request_class in settings.request_classes],
+        # Ticks always process the servers in parts, because a proxy waits during every batch.
+        max_servers_per_tick=0,
         tenants=[TenantQuota(quota=tenant.rate) for tenant in settings.tenants],
     )
