--- a/tests/config/test_settings_file.py
+++ b/tests/config/test_settings_file.py
@@ -39,7 +39,7 @@
         (("workers = 1", 'workers = "one"'), "processor.workers", "valid integer"),
         (('pool = "', 'pool = "no'), "", "no pool of the name"),
         (('effect = "pure"', 'effect = "pur"'), "traffic_types[0].effect", "'pure', 'receipted'"),
-        (('listen = "', 'listen = "somewhere'), "processor.listen", "no IPv4 address"),
+        (('listen = "', 'listen = "somewhere'), "processor.listen", "must be an IPv4 address and port"),
         (("[[pools]]", "[[pools]]\nconnection_price = -1.0"), "pools[0].connection_price", "greater than"),
         (("[[pools]]", "[[pools]]\nrules = 3"), "pools[0].rules", "instance of Rules"),
         (("[[pools]]", "[[pools]]\netcd = 3"), "pools[0].etcd", "instance of Etcd"),
