--- a/tests/config/test_settings_file.py
+++ b/tests/config/test_settings_file.py
@@ -34,10 +34,10 @@
 @pytest.mark.parametrize(
     "change, key, reason",
     [
-        (("hard_stop", "hard_stopp"), "traffic_types[0].hard_stopp", "is no key"),
+        (("hard_stop", "hard_stopp"), "traffic_types[0].hard_stopp", "is not a key of this table"),
         (("hard_stop = ", "hard_stop = -"), "traffic_types[0].hard_stop", "greater than 0"),
         (("workers = 1", 'workers = "one"'), "processor.workers", "valid integer"),
-        (('pool = "', 'pool = "no'), "", "no pool of the name"),
+        (('pool = "', 'pool = "no'), "", "there is no pool named"),
         (('effect = "pure"', 'effect = "pur"'), "traffic_types[0].effect", "'pure', 'receipted'"),
         (('listen = "', 'listen = "somewhere'), "processor.listen", "must be an IPv4 address and port"),
         (("[[pools]]", "[[pools]]\nconnection_price = -1.0"), "pools[0].connection_price", "greater than"),
@@ -53,7 +53,7 @@
 def test_names_given_twice_and_several_mistakes_at_once_are_all_told(tmp_path):
     text = GOOD.read_text()
     pool = text[text.index("[[pools]]") : text.index("[[traffic_types]]")]
-    assert lines(tmp_path, (pool, pool + pool)) == ["pools: two of the name 'shop'"]
+    assert lines(tmp_path, (pool, pool + pool)) == ["pools: the name 'shop' is used more than once"]
     assert len(lines(tmp_path, ("hard_stop", "hard_stopp"), ("workers = 1", "workers = 0"))) == 3
 
 
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -1,4 +1,4 @@
-"""The command line: its plain commands, and the groups that `wheatroute.commands` holds."""
+"""The command line: its single commands, and the groups in `wheatroute.commands`."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @main.command()
 def node() -> None:
-    """One node on sockets, as `python -m wheatroute`; PROXY_CONFIG names its JSON file."""
+    """Runs one node, like `python -m wheatroute`; PROXY_CONFIG names its JSON file."""
     from wheatroute.__main__ import main as serve
 
     sys.exit(serve())
@@ -43,10 +43,10 @@
 
 @main.command()
 @click.argument("file", type=click.Path())
-@click.option("--worker", type=click.IntRange(0), hidden=True, help="be this worker of a supervisor")
-@click.option("--descriptor", type=int, default=-1, hidden=True, help="accept on this open listener")
+@click.option("--worker", type=click.IntRange(0), hidden=True, help="run as this worker of a supervisor")
+@click.option("--descriptor", type=int, default=-1, hidden=True, help="file descriptor of an open listener")
 def processor(file: str, worker: int | None, descriptor: int) -> None:
-    """The external processor that FILE describes: other proxies ask it where to send."""
+    """Runs the external processor that FILE describes: it tells other proxies which server to send to."""
     from wheatroute.processor import program
 
     if worker is None:
@@ -57,21 +57,21 @@
 def _follow_agreement(
     settings: Settings,
     worker: int,
-    own: WorkerSettings,
+    worker_settings: WorkerSettings,
     dispatcher: Dispatcher,
     discovery: WorkerDiscovery,
     log: Logger,
 ) -> SettingsFollower:
-    # imported here: a file without [agreement] does not pay for it
+    # Imported here so that a file without [agreement] does not pay for the import.
     from wheatroute.agreement import processor as agreement
 
-    return agreement.follow(settings, worker, own, dispatcher, discovery, log)
+    return agreement.follow(settings, worker, worker_settings, dispatcher, discovery, log)
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Checks FILE whole and says what is wrong, a line each; exit status 2 if anything is."""
+    """Checks all of FILE and prints a line per error; exit status 2 if there is one."""
     from wheatroute.config import settings_file
     from wheatroute.tls import ServerContext, TlsError
 
@@ -83,15 +83,18 @@
         exit_with_error(str(error))
     except TlsError as error:
         exit_with_error(f"{file}: processor.tls: {error}")
-    front = "processor" if checked.processor is not None else "no front"
+    role = "processor" if checked.processor is not None else "no processor"
     counts = f"{len(checked.pools)} pools, {len(checked.request_classes)} request classes"
-    click.echo(f"{file}: good: {counts}, {front}")
+    click.echo(f"{file}: good: {counts}, {role}")
 
 
 @main.command()
 @click.argument("file", type=click.Path())
 def keep(file: str) -> None:
-    """Runs the node that FILE describes, in the version that the rollout says; ends without the node."""
+    """Supervises the node that FILE describes and runs the program version that the rollout names.
+
+    The node keeps running when the supervisor ends.
+    """
     import trio
 
     from wheatroute.agreement.errors import VersionStoreError, first_error
@@ -101,13 +104,13 @@
     from wheatroute.rollout.supervisor_settings import read_supervisor_settings
 
     try:
-        own = read_supervisor_settings(file)
-        trio.run(run_supervisor, own, open_log(f"supervisor-{own.name}"))
+        supervisor_settings = read_supervisor_settings(file)
+        trio.run(run_supervisor, supervisor_settings, open_log(f"supervisor-{supervisor_settings.name}"))
     except (SupervisorSettingsError, BaseExceptionGroup) as error:
-        found = first_error(error)
-        if not isinstance(found, SupervisorSettingsError | VersionStoreError):
+        cause = first_error(error)
+        if not isinstance(cause, SupervisorSettingsError | VersionStoreError):
             raise
-        exit_with_error(str(found))
+        exit_with_error(str(cause))
 
 
 if __name__ == "__main__":
--- a/wheatroute/commands/__init__.py
+++ b/wheatroute/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line's groups, a module each; they own their subcommands, nothing of what they do."""
+"""The command groups, one module each: they parse options and print results, and contain no other logic."""
--- a/wheatroute/commands/exit_status.py
+++ b/wheatroute/commands/exit_status.py
@@ -1,4 +1,4 @@
-"""Exit statuses that commands share, and how a command ends with an error."""
+"""Exit statuses that commands share, and the function that ends a command with an error."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
 
 
 def exit_with_error(message: str, status: int = BAD_INPUT_STATUS) -> NoReturn:
-    """Writes a message to standard error and ends the process."""
+    """Writes a message to standard error and ends the process with the exit status."""
     click.echo(message, err=True)
     sys.exit(status)
--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -1,4 +1,4 @@
-"""`wheatroute fleet`: emulated fleets in virtual time."""
+"""`wheatroute fleet`: simulates fleets in virtual time."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 
 @click.group()
 def fleet() -> None:
-    """Plays fleets in virtual time: experiments, their reports, one request's story."""
+    """Simulates fleets in virtual time: runs experiments, writes reports, traces single requests."""
 
 
 @fleet.command("run")
 @click.argument("file", type=click.Path())
-@click.option("--into", "folder", type=click.Path(), help="where runs are kept; by default beside FILE")
-@click.option("--workers", type=click.IntRange(1), help="processes; by default one a core")
+@click.option(
+    "--into", "folder", type=click.Path(), help="folder for the records of runs; by default beside FILE"
+)
+@click.option("--workers", type=click.IntRange(1), help="number of processes; by default one per core")
 def fleet_run(file: str, folder: str | None, workers: int | None) -> None:
-    """Plays the experiment of FILE; one that was stopped goes on where it was."""
+    """Runs the experiment in FILE; resumes one that was interrupted."""
     import os
     from pathlib import Path
 
@@ -30,7 +32,7 @@
     from wheatroute.fleet.records import stored_lines
     from wheatroute.fleet.runner import run_experiment
 
-    experiment = _or_exit(lambda: read_experiment(file))
+    experiment = _result_or_exit(lambda: read_experiment(file))
     into = Path(folder or Path(file).with_suffix(""))
     with click.progressbar(length=1, label=experiment.name) as progress_bar:
 
@@ -44,9 +46,9 @@
 
 @fleet.command("report")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
-@click.option("--plots/--no-plots", default=True, help="draw plots beside the page")
+@click.option("--plots/--no-plots", default=True, help="draw plots beside the report")
 def fleet_report(folder: str, plots: bool) -> None:
-    """Writes report.md in FOLDER: tables with intervals, paired by seed, and plots."""
+    """Writes report.md in FOLDER: tables with confidence intervals, paired by seed, and plots."""
     from pathlib import Path
 
     from wheatroute.fleet import report
@@ -55,7 +57,7 @@
     into = Path(folder)
     records = read_records(into)
     if not records:
-        exit_with_error(f"{folder}: no runs are kept there")
+        exit_with_error(f"{folder}: contains no records of runs")
     text = report.page(into.name, records)
     for name in report.draw_plots(records, into) if plots else ():
         text += f"\n![{name}]({name})\n"
@@ -66,20 +68,25 @@
 @fleet.command("trace")
 @click.argument("file", type=click.Path())
 @click.option(
-    "--request", "--command", "number", type=click.IntRange(0), required=True, help="in the order of arrival"
+    "--request",
+    "--command",
+    "number",
+    type=click.IntRange(0),
+    required=True,
+    help="number of the request in order of arrival, from 0",
 )
 @click.option("--policy", default="design", show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def fleet_trace(file: str, number: int, policy: str, seed: int) -> None:
-    """Plays the first point of the experiment in FILE again and tells the story of one request."""
+    """Repeats the run at the first point of the experiment in FILE and prints the trace of one request."""
     from wheatroute.fleet.traced_run import trace_request
 
-    for line in _or_exit(lambda: trace_request(file, policy, seed, number)):
+    for line in _result_or_exit(lambda: trace_request(file, policy, seed, number)):
         click.echo(line)
 
 
-def _or_exit(function: Callable[[], Result]) -> Result:
-    """The function's result; writes the problems of a plan or experiment file and exits if it has any."""
+def _result_or_exit(function: Callable[[], Result]) -> Result:
+    """Returns the function's result; ends the process if the plan or experiment file has errors."""
     from wheatroute.fleet.plan import PlanError
 
     try:
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -1,4 +1,4 @@
-"""`wheatroute rig`: several processes with faults between them."""
+"""`wheatroute rig`: runs several processes with injected faults between them."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 from wheatroute.commands.exit_status import exit_with_error
 
 PERCENT = 100
-EXIT_VIOLATION = 1
+VIOLATION_STATUS = 1
 
 
 @click.group()
 def rig() -> None:
-    """Plays several processes on loopback with faults between them, judged from outside."""
+    """Runs several processes on loopback with injected faults and checks their behaviour from outside."""
 
 
 @rig.command("run")
 @click.argument("file", type=click.Path())
-@click.option("--into", "folder", type=click.Path(), help="where all of it is kept; by default beside FILE")
+@click.option(
+    "--into", "folder", type=click.Path(), help="folder for the records of the run; by default beside FILE"
+)
 @click.option("--json", "as_json", is_flag=True)
 def rig_run(file: str, folder: str | None, as_json: bool) -> None:
-    """Plays the script of FILE; exit status 1 if a promise was broken."""
+    """Runs the scenario in FILE; exit status 1 if a guarantee was violated."""
     import json
     from pathlib import Path
 
@@ -51,13 +53,13 @@
             raise
         exit_with_error(str(cause))
     click.echo(json.dumps(summary) if as_json else "\n".join(summary_lines(summary, run_folder)))
-    sys.exit(EXIT_VIOLATION if summary["broken"] else 0)
+    sys.exit(VIOLATION_STATUS if summary["broken"] else 0)
 
 
 @rig.command("report")
 @click.argument("folder", type=click.Path(exists=True, file_okay=False))
 def rig_report(folder: str) -> None:
-    """Draws the timeline of a run that FOLDER keeps, and writes report.md there."""
+    """Draws the timeline of the run recorded in FOLDER, and writes report.md there."""
     from pathlib import Path
 
     from wheatroute.rig.run_report import write_report
@@ -65,4 +67,4 @@
     try:
         click.echo(str(write_report(Path(folder))))
     except FileNotFoundError as error:
-        exit_with_error(f"{folder}: keeps no run: {error.filename} is missing")
+        exit_with_error(f"{folder}: contains no run: {error.filename} is missing")
--- a/wheatroute/commands/rollout.py
+++ b/wheatroute/commands/rollout.py
@@ -1,4 +1,4 @@
-"""`wheatroute rollout`: a change of the program in stages."""
+"""`wheatroute rollout`: replaces the program of all nodes in stages."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
     from wheatroute.rollout.rollout_status import RolloutStatus
 
 POLL_INTERVAL_S = 1.0
-NOT_ENDED_STATUS = 3  # it was taken back, or is not over
+# Exit status if the rollout was rolled back or has not ended yet.
+NOT_ENDED_STATUS = 3
+# Phases in which `status --wait` stops waiting.
 PHASES_NOT_WAITED_FOR = ("ended", "none", "held")
 
 
@@ -30,7 +32,10 @@
 )
 @click.pass_context
 def rollout(context: click.Context, url: str) -> None:
-    """A change of the program in stages. Exit status 2: bad input, 3: not as it stands, 4: ask later."""
+    """Replaces the program in stages.
+
+    Exit status 2: invalid input, 3: not possible in the current state, 4: the store failed, retry later.
+    """
     context.obj = url
 
 
@@ -39,7 +44,7 @@
 @click.option("--why", required=True)
 @click.pass_obj
 def rollout_start(url: str, file: str, why: str) -> None:
-    """Begins the rollout that FILE plans."""
+    """Starts the rollout planned in FILE."""
     from wheatroute.rollout import operator, plan
 
     try:
@@ -52,10 +57,15 @@
 
 @rollout.command("status")
 @click.option("--json", "as_json", is_flag=True)
-@click.option("--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until it has ended")
+@click.option(
+    "--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="wait up to this long for the end"
+)
 @click.pass_obj
 def rollout_status(url: str, as_json: bool, wait_s: float) -> None:
-    """The stage, a row a node, and what the judge sees; exit status 3 if it was taken back or is not over."""
+    """Shows the stage, a row per node, and the findings of the analysis.
+
+    With --wait, the exit status is 3 if the rollout was rolled back or has not ended.
+    """
     shows_progress = not as_json and sys.stdout.isatty()
     status = _wait_for_end(url, wait_s, shows_progress)
     _print_status(status, as_json)
@@ -64,7 +74,7 @@
 
 
 def _wait_for_end(url: str, wait_s: float, shows_progress: bool) -> RolloutStatus:
-    """Returns the status of the rollout once it has ended or is held, or after the time."""
+    """Returns the status of the rollout once it has ended or is held, or after `wait_s`."""
     import time
 
     from wheatroute.rollout import operator
@@ -93,7 +103,7 @@
 @rollout.command("log")
 @click.pass_obj
 def rollout_log(url: str) -> None:
-    """Every step of all rollouts, with the evidence of each verdict."""
+    """Shows every step of all rollouts, with the evidence for each decision."""
     from wheatroute.rollout import operator, operator_output
 
     progress = run_with_store(url, operator.read_progress)
@@ -104,7 +114,7 @@
 @click.option("--why", required=True)
 @click.pass_obj
 def rollout_hold(url: str, why: str) -> None:
-    """Nothing more changes until `go` or `back`."""
+    """Holds the rollout: nothing changes until `go` or `back`."""
     from wheatroute.rollout import operator
 
     record = run_with_store(url, lambda store: operator.hold(store, why))
@@ -114,29 +124,32 @@
 @rollout.command("go")
 @click.pass_obj
 def rollout_go(url: str) -> None:
-    """Goes on from where it is held; what was held in a stage counts as passed."""
+    """Resumes a held rollout; a stage in which it was held counts as passed."""
     from wheatroute.rollout import operator
 
     record = run_with_store(url, operator.resume)
-    click.echo(f"goes on by record {record}")
+    click.echo(f"resumed by record {record}")
 
 
 @rollout.command("back")
 @click.option("--why", required=True)
 @click.pass_obj
 def rollout_back(url: str, why: str) -> None:
-    """All nodes go back to the old program."""
+    """Rolls all nodes back to the old program."""
     from wheatroute.rollout import operator
 
     record = run_with_store(url, lambda store: operator.roll_back(store, why))
-    click.echo(f"goes back by record {record}")
+    click.echo(f"rolling back by record {record}")
 
 
 @rollout.command("control")
-@click.option("--name", default="", help="of this machine; by default its host name")
+@click.option("--name", default="", help="name of this machine; by default its host name")
 @click.pass_obj
 def rollout_control(url: str, name: str) -> None:
-    """Watches and judges, and takes the steps; any number of them may run, one of them acts."""
+    """Runs a controller, which analyses the nodes and performs the steps.
+
+    Any number of controllers may run; only one of them acts.
+    """
     from wheatroute.agreement import operator
     from wheatroute.agreement.directory_store import DirectoryStore
     from wheatroute.agreement.version_store import running_store
@@ -144,7 +157,7 @@
     from wheatroute.rollout.controller import Controller
 
     if not url:
-        exit_with_error("rollout: no place: --at or WHEATROUTE_ROLLOUTS")
+        exit_with_error("rollout: no store given: use --at or set WHEATROUTE_ROLLOUTS")
 
     async def control() -> None:
         store = operator.store_from_url(url)
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -1,4 +1,4 @@
-"""`wheatroute settings`: settings on which all processes agree."""
+"""`wheatroute settings`: manages versions of the settings on which all processes agree."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
     from wheatroute.agreement.version_store import VersionStore
     from wheatroute.agreement.versions import Version
 
-NOT_IN_FORCE_STATUS = 3  # the version, or not at all processes
+# Exit status if the version is not in force, or not at all processes.
+NOT_IN_FORCE_STATUS = 3
 DIGEST_CHARACTERS = 12
 
 
@@ -32,20 +33,31 @@
 )
 @click.pass_context
 def settings(context: click.Context, url: str) -> None:
-    """Settings on which all processes agree. Exit status 2: bad input, 3: decide anew, 4: ask later."""
+    """Manages versions of the settings on which all processes agree.
+
+    Exit status 2: invalid input, 3: conflict with the current state, 4: the store failed, retry later.
+    """
     context.obj = url
 
 
 _wait_option = click.option(
-    "--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until it is in force or not"
+    "--wait",
+    "wait_s",
+    type=float,
+    default=0.0,
+    metavar="SECONDS",
+    help="wait up to this long for the outcome",
 )
 _over_option = click.option(
-    "--over", type=click.IntRange(0), default=0, help="a version under way to be replaced"
+    "--over", type=click.IntRange(0), default=0, help="number of a pending version to replace"
 )
 
 
 def _put(url: str, put: Callable[[VersionStore], Awaitable[Version]], wait_s: float) -> None:
-    """Puts a version and prints it. With a wait the exit status is 0 only once it is in force."""
+    """Puts a version and prints its number.
+
+    If `wait_s` is positive, ends the process, with exit status 0 only if the version came into force.
+    """
     from wheatroute.agreement import operator
 
     version = run_with_store(url, put)
@@ -66,17 +78,20 @@
 @_wait_option
 @click.pass_obj
 def settings_put(url: str, file: str, why: str, over: int, wait_s: float) -> None:
-    """Puts the table "settings" of FILE, JSON or TOML: every process checks it before it comes into force."""
+    """Puts the table "settings" of FILE (JSON or TOML) as a new version.
+
+    Every process checks the version before it comes into force.
+    """
     from wheatroute.agreement import operator
 
     content, left_out = _read_content(file)
     if left_out:
-        click.echo(f"left out, as each process has its own: {', '.join(left_out)}", err=True)
+        click.echo(f"ignored, because each process has its own: {', '.join(left_out)}", err=True)
     _put(url, lambda store: operator.put_version(store, content, why, over), wait_s)
 
 
 def _read_content(file: str) -> tuple[dict[str, Any], list[str]]:
-    """Returns a version's content and the keys left out; ends the process if there are errors in it."""
+    """Returns a version's content and the ignored keys; ends the process if the file has errors."""
     from wheatroute.agreement import version_content
     from wheatroute.agreement.errors import OperatorError
 
@@ -89,7 +104,7 @@
 @settings.command("check")
 @click.argument("file", type=click.Path())
 def settings_check(file: str) -> None:
-    """Says what is wrong with FILE as a version, a line each."""
+    """Checks FILE as a version and prints a line per error."""
     content, _ = _read_content(file)
     request_classes = content.get("file", {}).get("traffic_types") or content["settings"]["traffic-types"]
     click.echo(f"{file}: good: {len(request_classes)} request classes")
@@ -117,11 +132,16 @@
 @settings.command("status")
 @click.option("--json", "as_json", is_flag=True)
 @click.option(
-    "--wait", "wait_s", type=float, default=0.0, metavar="SECONDS", help="until all act on the one in force"
+    "--wait",
+    "wait_s",
+    type=float,
+    default=0.0,
+    metavar="SECONDS",
+    help="wait for all to use the one in force",
 )
 @click.pass_obj
 def settings_status(url: str, as_json: bool, wait_s: float) -> None:
-    """A row a process: phase, version, confirmed how long ago, why it holds back."""
+    """Shows a row per process: phase, version, age of its confirmation, why it is conservative."""
     import json
 
     from wheatroute.agreement import operator_output
@@ -134,7 +154,7 @@
 
 
 async def _wait_until_settled(store: VersionStore, wait_s: float) -> AgreementStatus:
-    """Returns the status once all processes act on the active version, or after the time."""
+    """Returns the status once all processes act on the active version, or after `wait_s`."""
     import time
 
     import trio
@@ -152,7 +172,7 @@
 @settings.command("log")
 @click.pass_obj
 def settings_log(url: str) -> None:
-    """All versions: who put them, why, and what became of them."""
+    """Shows all versions: author, reason and outcome."""
     from wheatroute.agreement import operator, operator_output
 
     history = run_with_store(url, operator.read_history)
@@ -164,7 +184,7 @@
 @click.argument("second", type=click.IntRange(1))
 @click.pass_obj
 def settings_diff(url: str, first: int, second: int) -> None:
-    """What differs between two versions; ! marks what two processes may not hold unlike at once."""
+    """Shows the differences of two versions; ! marks settings that must not differ between processes."""
     from wheatroute.agreement import operator, operator_output
 
     async def read_difference(store: VersionStore) -> list[str]:
@@ -174,12 +194,12 @@
 
 
 @settings.command("relay")
-@click.option("--into", "directory", type=click.Path(), required=True, help="the directory to keep")
+@click.option("--into", "directory", type=click.Path(), required=True, help="directory to update")
 @click.option("--within", "within_s", type=click.FloatRange(0.1, 3600.0), default=10.0, show_default=True)
-@click.option("--name", default="", help="of this machine; by default its host name")
+@click.option("--name", default="", help="name of this machine; by default its host name")
 @click.pass_obj
 def settings_relay(url: str, directory: str, within_s: float, name: str) -> None:
-    """Asks the place for all processes of this machine, and keeps a directory like it, which they ask."""
+    """Relays the store to all processes of this machine, through a directory that they read instead."""
     from wheatroute.agreement import operator
     from wheatroute.agreement.node import MAX_ENDPOINTS_PER_EXCHANGE
     from wheatroute.agreement.relay import run_relay
@@ -187,7 +207,7 @@
     from wheatroute.net.log import open_log
 
     if not url:
-        exit_with_error("settings: no place: --at or WHEATROUTE_SETTINGS")
+        exit_with_error("settings: no store given: use --at or set WHEATROUTE_SETTINGS")
     machine = machine_name(name)
 
     def open_store(confirmation_ttl_s: float) -> VersionStore:
--- a/wheatroute/commands/store_access.py
+++ b/wheatroute/commands/store_access.py
@@ -1,4 +1,4 @@
-"""How commands reach a version store, and how they end with its errors."""
+"""Opens version stores for commands and turns errors of a store into exit statuses."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 def run_with_store(url: str, action: Callable[[VersionStore], Awaitable[Result]]) -> Result:
-    """Returns the result of an action with the store at `url`; ends the process if it fails."""
+    """Runs an action with the store at `url` and returns its result; ends the process if it fails."""
     from wheatroute.agreement import operator
     from wheatroute.agreement.errors import OperatorError
 
     if not url:
-        exit_with_error("settings: no place: --at or WHEATROUTE_SETTINGS")
+        exit_with_error("settings: no store given: use --at or set WHEATROUTE_SETTINGS")
     try:
         return operator.run_with_store(url, action)
     except OperatorError as error:
@@ -44,5 +44,5 @@
 
 
 def machine_name(name: str) -> str:
-    """Returns `name`, or this machine's host name where it is empty."""
+    """Returns `name`, or this machine's host name if it is empty."""
     return name or socket.gethostname()
--- a/wheatroute/config/__init__.py
+++ b/wheatroute/config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file of the processor: its sections, their checks, and how it is read."""
+"""Defines, reads and validates the settings file of the processor."""
--- a/wheatroute/config/fields.py
+++ b/wheatroute/config/fields.py
@@ -1,7 +1,7 @@
-"""What the sections of the settings file have in common: their base and the types of their values. No I/O.
+"""The base class and the value types that all sections of the settings file share. No I/O.
 
-A field whose name in the code differs from its key in the file has the key as its alias. Only the key is
-accepted in files, and errors name the key.
+A field whose name in the code differs from its key in the file has the key as its alias. Files must use the
+key, and errors name the key.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 class Section(BaseModel):
-    """A table of the file: keys that it doesn't know are errors."""
+    """A table of the settings file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
 
 def check_address(text: str) -> str:
-    """Returns the text of an address unchanged; raises `ValueError`."""
+    """Returns the text of an address unchanged; raises `ValueError` if it is not a valid address."""
     parse_address(text)
     return text
 
 
 def check_unique(key: str, names: list[str]) -> None:
-    """Raises `ValueError` for a name that stands twice."""
+    """Raises `ValueError` if a name occurs more than once in the list under `key`."""
     if len(set(names)) == len(names):
         return
     first_duplicate = min(name for name in names if names.count(name) > 1)
-    raise ValueError(f"{key}: two of the name {first_duplicate!r}")
+    raise ValueError(f"{key}: the name {first_duplicate!r} is used more than once")
--- a/wheatroute/config/pools.py
+++ b/wheatroute/config/pools.py
@@ -1,4 +1,4 @@
-"""The sections of a pool of servers. No I/O."""
+"""The sections of the settings file for pools of servers. No I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ServerSettings(Section):
-    """A server that the file itself lists."""
+    """A server that is listed in the settings file."""
 
     id: Name
     address: str
@@ -31,7 +31,10 @@
 
 
 class PoolRules(Section):
-    """What the servers of a pool bear; see the rules in `docs/design.md`."""
+    """Warm-up, drain and overload parameters of a pool's servers; see the rules in `docs/design.md`.
+
+    A server that warms up fails under `overload_multiple` times the usual rate for `overload_window_s`.
+    """
 
     warmup_s: NonNegative = Field(default=20.0, alias="cold_time")
     warmup_initial_share: Fraction = Field(default=0.3, alias="cold_share")
@@ -42,7 +45,7 @@
 
 
 class EtcdTlsSettings(Section):
-    """TLS towards etcd; without authorities those of the system count."""
+    """TLS of connections to etcd; without `authorities`, the system's certificate authorities apply."""
 
     authorities: str = ""
     certificate: str = ""
@@ -50,7 +53,10 @@
 
 
 class EtcdSettings(Section):
-    """Where the keys of a pool's servers are."""
+    """The etcd cluster and key prefix under which a pool's servers are listed.
+
+    Nodes register under `nodes_prefix`, if it is set.
+    """
 
     endpoints: list[str] = Field(min_length=1)
     prefix: Name
@@ -67,12 +73,12 @@
     @model_validator(mode="after")
     def _check_user(self) -> EtcdSettings:
         if bool(self.user) != bool(self.password_file):
-            raise ValueError("user and password_file belong together")
+            raise ValueError("user and password_file must be given together")
         return self
 
 
 class PoolSettings(Section):
-    """Servers that stand in for one another."""
+    """A pool of interchangeable servers, listed in the file, by a list service or in etcd."""
 
     name: Name
     list_service: str | None = None
@@ -93,8 +99,8 @@
     @model_validator(mode="after")
     def _check_pool(self) -> PoolSettings:
         if sum(map(bool, (self.servers, self.list_service, self.etcd))) != 1:
-            raise ValueError("servers of its own, a list_service or etcd: one of the three")
+            raise ValueError("exactly one of servers, list_service and etcd must be given")
         check_unique("servers", [server.id for server in self.servers])
         if self.zone and self.zone not in self.zones:
-            raise ValueError(f"zone {self.zone!r} is not among its zones")
+            raise ValueError(f"zone {self.zone!r} is not listed in zones")
         return self
--- a/wheatroute/config/processor.py
+++ b/wheatroute/config/processor.py
@@ -1,4 +1,4 @@
-"""The sections of the external processor itself. No I/O."""
+"""The sections of the settings file for the external processor itself. No I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from wheatroute.config.fields import Count, Name, NonNegative, Positive, Section, check_address
 
-# of the Gateway API's endpoint picker protocol
+# Header and metadata namespace that the Gateway API's endpoint picker protocol defines.
 DESTINATION_HEADER = "x-gateway-destination-endpoint"
 METADATA_NAMESPACE = "envoy.lb"
 
 
 class TlsSettings(Section):
-    """Certificate and key of a listener."""
+    """The certificate and key of a listener; clients are authenticated if `client_authorities` is set."""
 
     certificate: Name
     key: Name
@@ -22,7 +22,7 @@
 
 
 class HeaderNames(Section):
-    """Which header of the proxy means what; an empty name turns one off."""
+    """The names of the request headers that the processor reads; an empty name disables one."""
 
     request_id: Name = "x-request-id"
     timeout: str = Field(default="request-timeout", alias="time_out")
@@ -34,7 +34,7 @@
 
 
 class ProcessorSettings(Section):
-    """The external processor."""
+    """The listener, limits, headers and worker count of the external processor."""
 
     listen: str
     pool: Name
@@ -54,7 +54,7 @@
 
 
 class SnapshotSettings(Section):
-    """Where a worker keeps what it knows; off without it."""
+    """The file and interval of a worker's snapshots; without this section none are written."""
 
     path: Name
     interval_s: Positive = Field(default=5.0, alias="every")
@@ -62,7 +62,10 @@
 
 
 class AgreementSettings(Section):
-    """Where versions of the settings are stored, and the time within which all processes agree."""
+    """The store for versions of the settings, and the time within which all processes agree on one.
+
+    The store is a directory, the directory that a relay keeps, or etcd.
+    """
 
     directory: str = ""
     relay: str = ""
@@ -79,5 +82,7 @@
     def _check_store(self) -> AgreementSettings:
         stores = sum(map(bool, (self.directory, self.relay, self.etcd_endpoints)))
         if stores != 1 or bool(self.etcd_endpoints) != bool(self.prefix):
-            raise ValueError("a directory, a relay's directory, or etcd endpoints and a prefix")
+            raise ValueError(
+                "exactly one of directory, relay and etcd must be given, and prefix if and only if etcd is"
+            )
         return self
--- a/wheatroute/config/request_classes.py
+++ b/wheatroute/config/request_classes.py
@@ -1,4 +1,4 @@
-"""The sections of request classes and tenants. No I/O."""
+"""The sections of the settings file for request classes and tenants. No I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestClassSettings(Section):
-    """A kind of requests, and what may be done with them."""
+    """A class of requests: what it matches, and its idempotency, deadline and value."""
 
     name: Name
     idempotency: Literal["pure", "receipted", "effectful"] = Field(alias="effect")
@@ -28,12 +28,12 @@
     @model_validator(mode="after")
     def _check_times(self) -> RequestClassSettings:
         if self.target_latency_s is not None and self.target_latency_s > self.deadline_s:
-            raise ValueError("target_time is beyond hard_stop")
+            raise ValueError("target_time must not be greater than hard_stop")
         return self
 
 
 class TenantSettings(Section):
-    """A tenant and its quota, in requests a second for all nodes together; 0 for none."""
+    """A tenant and its quota in requests per second across all nodes; 0 means no quota."""
 
     name: Name
     rate: NonNegative = 0.0
--- a/wheatroute/config/settings.py
+++ b/wheatroute/config/settings.py
@@ -1,6 +1,6 @@
-"""The whole settings file, one TOML document for all fronts. No I/O.
+"""The whole settings file, a TOML document. No I/O.
 
-The platform's node has another file, see `net/node_settings.py`.
+The platform's node has a different file, see `net/node_settings.py`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Settings(Section):
-    """All sections of the file."""
+    """The sections and top-level keys of the settings file."""
 
     name: Name = "wheatroute"
     seed: str = ""
@@ -35,7 +35,7 @@
         check_unique("traffic_types", [request_class.name for request_class in self.request_classes])
         check_unique("customers", [tenant.name for tenant in self.tenants])
         if self.node >= self.nodes:
-            raise ValueError(f"node {self.node} of {self.nodes}: nodes are numbered from 0")
+            raise ValueError(f"node {self.node} is out of range: {self.nodes} nodes are numbered from 0")
         if self.processor is not None and self.processor.pool not in [pool.name for pool in self.pools]:
-            raise ValueError(f"processor.pool: no pool of the name {self.processor.pool!r}")
+            raise ValueError(f"processor.pool: there is no pool named {self.processor.pool!r}")
         return self
--- a/wheatroute/config/settings_file.py
+++ b/wheatroute/config/settings_file.py
@@ -1,6 +1,6 @@
-"""Reads the settings file and checks all of it. I/O: reads the file.
+"""Reads and validates the settings file. I/O: reads the file.
 
-Nothing is taken of a file that has an error. Every error is one line with file, key and reason.
+A file with an error is rejected as a whole. Every error is one line with file, key and reason.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 from wheatroute.config.settings import Settings
 
-_REASONS = {"extra_forbidden": "is no key of this table", "missing": "is missing"}
-# sections that errors call otherwise than by their class without "Settings"
+_REASONS = {"extra_forbidden": "is not a key of this table", "missing": "is missing"}
+# Names of sections in errors, where they differ from the class name without "Settings".
 _SECTION_NAMES = {"PoolRules": "Rules", "HeaderNames": "Headers"}
 
 
 class ConfigError(Exception):
-    """A file that can't be used: `lines`, one for each error."""
+    """The settings file can't be used; `lines` has one line for each error."""
 
     def __init__(self, lines: list[str]) -> None:
         super().__init__("\n".join(lines))
@@ -29,7 +29,7 @@
 
 
 def read(path: str) -> Settings:
-    """Returns the settings of a file; raises `ConfigError`."""
+    """Returns the settings in a file; raises `ConfigError` if it can't be read or is invalid."""
     try:
         return Settings.model_validate(_read_document(path))
     except ValidationError as error:
@@ -37,12 +37,12 @@
 
 
 def describe_error(path: str, details: Mapping[str, Any]) -> str:
-    """Returns one error of a `ValidationError` as a line."""
+    """Formats one error of a `ValidationError` as a line: path of the file, key and reason."""
     reason = _REASONS.get(details["type"]) or _reason(details)
     if not details["loc"]:
         return f"{path}: {reason}"
     key = "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in details["loc"])
-    return f"{path}: {key.lstrip('.') or 'the whole'}: {reason}"
+    return f"{path}: {key.lstrip('.') or 'the whole file'}: {reason}"
 
 
 def _reason(details: Mapping[str, Any]) -> str:
