--- a/tests/config/test_settings_file.py
+++ b/tests/config/test_settings_file.py
@@ -1,4 +1,4 @@
-"""The program's file: what is wrong with it is told in one line each, and nothing of it is taken."""
+"""Tests of the settings file: every error is reported in one line, and a file with errors is rejected."""
 
 import subprocess
 import sys
@@ -11,11 +11,12 @@
 from wheatroute.config import settings_file
 from wheatroute.processor.worker_settings import derive_worker_settings
 
-GOOD = Path(__file__).parent.parent.parent / "deploy" / "processor.toml"
+EXAMPLE = Path(__file__).parent.parent.parent / "deploy" / "processor.toml"
 
 
-def lines(tmp_path, *changes):
-    text = GOOD.read_text()
+def error_lines(tmp_path, *changes):
+    """Returns the errors of the example with the changes (old text, new text), without the path."""
+    text = EXAMPLE.read_text()
     for old, new in changes:
         assert old in text, old
         text = text.replace(old, new, 1)
@@ -26,8 +27,8 @@
     return [line.removeprefix(f"{path}: ") for line in caught.value.lines]
 
 
-def test_the_example_is_good_and_becomes_the_modules_terms():
-    settings = derive_worker_settings(settings_file.read(str(GOOD)), 0)
+def test_the_example_is_valid_and_yields_worker_settings():
+    settings = derive_worker_settings(settings_file.read(str(EXAMPLE)), 0)
     assert settings.decision.nodes >= 1 and settings.initial_list["servers"]
 
 
@@ -45,19 +46,19 @@
         (("[[pools]]", "[[pools]]\netcd = 3"), "pools[0].etcd", "instance of Etcd"),
     ],
 )
-def test_each_mistake_names_its_key_and_reason(tmp_path, change, key, reason):
-    told = lines(tmp_path, change)
-    assert any(line.startswith(key) and reason in line for line in told), told
+def test_each_error_names_its_key_and_reason(tmp_path, change, key, reason):
+    lines = error_lines(tmp_path, change)
+    assert any(line.startswith(key) and reason in line for line in lines), lines
 
 
-def test_names_given_twice_and_several_mistakes_at_once_are_all_told(tmp_path):
-    text = GOOD.read_text()
+def test_duplicate_names_and_several_errors_are_all_reported(tmp_path):
+    text = EXAMPLE.read_text()
     pool = text[text.index("[[pools]]") : text.index("[[traffic_types]]")]
-    assert lines(tmp_path, (pool, pool + pool)) == ["pools: the name 'shop' is used more than once"]
-    assert len(lines(tmp_path, ("hard_stop", "hard_stopp"), ("workers = 1", "workers = 0"))) == 3
+    assert error_lines(tmp_path, (pool, pool + pool)) == ["pools: the name 'shop' is used more than once"]
+    assert len(error_lines(tmp_path, ("hard_stop", "hard_stopp"), ("workers = 1", "workers = 0"))) == 3
 
 
-def test_what_is_no_toml_or_no_file_is_said(tmp_path):
+def test_invalid_toml_and_unreadable_files_are_reported(tmp_path):
     (tmp_path / "bad.toml").write_text("[pools")
     for path, reason in (
         (tmp_path / "bad.toml", "is not TOML"),
@@ -68,17 +69,17 @@
             settings_file.read(str(path))
 
 
-def test_the_command_line_checks_a_file_and_exits_with_2_for_a_bad_one(tmp_path):
-    assert CliRunner().invoke(main, ["check", str(GOOD)]).exit_code == 0
+def test_the_check_command_exits_with_2_for_an_invalid_file(tmp_path):
+    assert CliRunner().invoke(main, ["check", str(EXAMPLE)]).exit_code == 0
     (tmp_path / "bad.toml").write_text("nodes = 0")
     result = CliRunner().invoke(main, ["check", str(tmp_path / "bad.toml")])
     assert result.exit_code == 2 and "nodes" in result.output
 
 
-def test_the_platforms_node_imports_nothing_of_the_other_fronts():
-    line = [sys.executable, "-c", "import sys, wheatroute.__main__; print(*sys.modules)"]
-    told = subprocess.run(
-        line, capture_output=True, text=True, check=True, cwd=GOOD.parent.parent
+def test_the_platforms_node_imports_no_modules_of_other_programs():
+    command = [sys.executable, "-c", "import sys, wheatroute.__main__; print(*sys.modules)"]
+    modules = subprocess.run(
+        command, capture_output=True, text=True, check=True, cwd=EXAMPLE.parent.parent
     ).stdout.split()
     others = {
         "h2",
@@ -103,4 +104,4 @@
         "wheatroute.edge",
         "wheatroute.replication",
     }
-    assert "wheatroute.decide" in told and not others & set(told)
+    assert "wheatroute.decide" in modules and not others & set(modules)
--- a/tests/processor/processor_harness.py
+++ b/tests/processor/processor_harness.py
@@ -1,4 +1,4 @@
-"""Runs a worker of the external processor in the test's process, and sends requests as a proxy does."""
+"""Runs a worker of the external processor in the test process and sends requests to it as a proxy does."""
 
 from contextlib import asynccontextmanager
 
@@ -13,7 +13,7 @@
 from wheatroute.processor.worker import Worker
 from wheatroute.standin.ext_proc_messages import destination, request_headers, response_headers
 
-# the numbers of the settings' request classes
+# Numbers of the request classes in the settings.
 VIEW, AMEND, PLACE = 0, 1, 2
 SETTINGS_TEXT = """
 [[pools]]
@@ -44,7 +44,7 @@
 
 
 def server_tables(count=4, **states):
-    """Tables of servers; `states` are by id."""
+    """Returns the TOML tables of servers; `states` maps ids to states other than in_service."""
     return "\n".join(
         f'[[pools.servers]]\nid = "s{n}"\naddress = "127.0.0.1:{7000 + n}"\ncell = {n // 2}\n'
         f'state = "{states.get(f"s{n}", "in_service")}"'
@@ -54,7 +54,11 @@
 
 @asynccontextmanager
 async def running_worker(tmp_path, pool=None, **changes):
-    """A worker, and a channel to it. `pool` has the pool's servers, `changes` texts to be replaced."""
+    """Yields a running worker and a channel to it.
+
+    `pool` is the text that defines the pool's servers; `changes` maps texts of the settings file to
+    replacements.
+    """
     path = tmp_path / "file.toml"
     text = SETTINGS_TEXT.format(servers=server_tables() if pool is None else pool)
     for old, new in changes.items():
@@ -72,7 +76,7 @@
 
 
 class ProxyRequest:
-    """One request of the proxy, sent on a call."""
+    """A request of the proxy on a call."""
 
     def __init__(self, call):
         self.call = call
@@ -83,7 +87,7 @@
         return ProcessingResponse.FromString(message)
 
     async def decision(self):
-        """The server named, or the status of the immediate response that there is none."""
+        """Returns the address of the chosen server, or the status of the immediate response."""
         response = await self.response()
         if response.HasField("immediate_response"):
             return response.immediate_response.status.code
@@ -99,14 +103,14 @@
 
 @asynccontextmanager
 async def open_request(channel, request_id, request_class=VIEW, attempt=1, **headers):
-    """Sends the headers of a request; its call ends with the context."""
+    """Sends the headers of a request; the call ends when the context exits."""
     async with channel.call(METHOD_PATH) as call:
         await call.send(request_headers(request_id, request_class, attempt, **headers))
         yield ProxyRequest(call)
 
 
 async def route(channel, *request, status=200, **headers):
-    """A whole request; the server that it went to, or the status of the response that there is none."""
+    """Sends a whole request; returns its server's address, or the status of the immediate response."""
     async with open_request(channel, *request, **headers) as opened:
         decision = await opened.decision()
         if isinstance(decision, str):
@@ -121,10 +125,10 @@
 
 
 def server_entry(port=7000, state="in_service"):
-    """An entry of the list of servers."""
+    """Returns an entry of the list of servers."""
     return {"id": "s0", "addr": f"127.0.0.1:{port}", "state": state}
 
 
 def list_servers(worker, version, *entries, is_full=True):
-    """Has a worker take a list of servers, or changes to it."""
+    """Applies a list of servers, or changes to it, to a worker."""
     worker.discovery._apply({"version": version, "full": is_full, "servers": list(entries)})
--- a/tests/processor/test_attempt_history.py
+++ b/tests/processor/test_attempt_history.py
@@ -1,4 +1,4 @@
-"""Attempts of one request id: what a retry may do after those before it; without I/O."""
+"""Tests of the attempt history: which attempts of a request id are allowed after earlier ones. No I/O."""
 
 import pytest
 
@@ -14,31 +14,32 @@
 ]
 
 
-def rejection_of(history, *what):
+def rejection_of(history, *attempt):
     with pytest.raises(RejectedError) as caught:
-        history.begin_attempt(*what)
+        history.begin_attempt(*attempt)
     return caught.value.rejection
 
 
-def test_an_id_is_remembered_for_as_long_as_a_further_try_can_come():
+def test_an_id_is_kept_as_long_as_another_attempt_can_arrive():
     history = AttemptHistory(REQUEST_CLASSES, 4.0, 100)
     attempt, _ = history.begin_attempt(b"a", 2, 0.0, 2.0, 1)
     history.record_decision(attempt, 3, 0.1)
     assert rejection_of(history, b"a", 2, 3.0, 2.0, 2) == Rejection.MAY_HAVE_RUN
     assert history.begin_attempt(b"b", 0, 4.1, 2.0, 1)[1] == () and len(history) == 1
-    for n in range(500):  # ids that are asked for again and again stay, and no other
+    # An id with repeated attempts is kept, and no other.
+    for n in range(500):
         try:
             attempt, earlier = history.begin_attempt(b"c", 0, 5.0 + n, 2.0, 1)
             history.record_decision(attempt, n, 5.0 + n)
             assert len(earlier) == n
         except RejectedError:
-            raise AssertionError("a safe request may always have another try") from None
+            raise AssertionError("an idempotent request may always have another attempt") from None
         if n > 3:
             break
     assert history.begin_attempt(b"a", 2, 60.0, 2.0, 1)[1] == () and len(history) == 1
 
 
-def test_a_full_memory_refuses_what_is_new_and_forgets_nothing():
+def test_a_full_history_rejects_new_ids_and_keeps_the_others():
     history = AttemptHistory(REQUEST_CLASSES, 4.0, 2)
     for name in (b"a", b"b"):
         history.record_decision(history.begin_attempt(name, 2, 0.0, 2.0, 1)[0], 0, 0.0)
@@ -47,7 +48,7 @@
     assert history.begin_attempt(b"c", 0, 4.5, 2.0, 1)
 
 
-def test_what_came_before_is_told_with_its_server_time_and_doubt():
+def test_earlier_attempts_are_returned_with_server_time_and_whether_they_may_have_run():
     history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
     first, _ = history.begin_attempt(b"a", 1, 0.0, 2.0, 1)
     history.record_decision(first, 3, 0.1)
@@ -56,10 +57,11 @@
     assert earlier == ((3, 0.1, False),)
     history.record_decision(second, 4, 0.3)
     assert history.begin_attempt(b"a", 1, 0.4, 1.6, 3)[1] == ((3, 0.1, False), (4, 0.3, True))
-    assert rejection_of(history, b"a", 1, 0.5, 1.5, 4) == Rejection.CONFLICT  # the third is not decided yet
+    # The third attempt has no decision yet.
+    assert rejection_of(history, b"a", 1, 0.5, 1.5, 4) == Rejection.CONFLICT
 
 
-def test_a_first_try_that_is_not_known_counts_for_the_window_of_all_that_follow():
+def test_an_unrecorded_first_attempt_starts_the_retry_window_of_later_attempts():
     history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
     second, earlier = history.begin_attempt(b"a", 1, 10.0, 1.5, 2)
     assert earlier == ((-1, 9.5, True),)
@@ -67,7 +69,7 @@
     assert history.begin_attempt(b"a", 1, 11.0, 0.5, 3)[1] == ((-1, 9.5, True), (3, 10.1, True))
 
 
-def test_a_try_that_was_refused_counts_for_nothing():
+def test_an_attempt_that_never_ran_does_not_restrict_later_ones():
     history = AttemptHistory(REQUEST_CLASSES, 9.0, 9)
     for n in range(5):
         attempt, earlier = history.begin_attempt(b"a", 2, n * 0.1, 2.0, n + 1 if n else 1)
--- a/tests/processor/test_processor.py
+++ b/tests/processor/test_processor.py
@@ -1,4 +1,4 @@
-"""The external processor asked by a stand-in proxy: decisions, reload and stopping."""
+"""Tests of the external processor with a simulated proxy: decisions, reload and shutdown."""
 
 import subprocess
 import sys
@@ -20,7 +20,7 @@
 
 
 @scenario
-async def test_each_request_gets_one_decision_and_all_servers_their_part(tmp_path):
+async def test_each_request_gets_one_decision_and_all_servers_are_used(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         addresses = [await route(channel, f"r{n}", n % 3) for n in range(60)]
         assert {*addresses} == {f"127.0.0.1:{7000 + n}" for n in range(4)}
@@ -28,31 +28,34 @@
 
 
 @scenario
-async def test_a_server_that_drains_between_decision_and_response_gets_nothing_new(tmp_path):
+async def test_a_server_that_drains_between_decision_and_response_gets_no_new_requests(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1)) as (worker, channel):
         async with open_request(channel, "r1") as request:
             assert await request.decision() == "127.0.0.1:7000"
             list_servers(worker, 2, server_entry(state="terminating"), is_full=False)
             await request.respond(200)
-        assert await route(channel, "r2", timeout_s=0.2) == 503  # all servers are gone: told, and in time
+        # No server is available, so the request is rejected before its deadline.
+        assert await route(channel, "r2", timeout_s=0.2) == 503
+        # The server is available again at a new address.
         list_servers(worker, 3, server_entry(port=7009))
-        assert await route(channel, "r3") == "127.0.0.1:7009"  # and at its new address
+        assert await route(channel, "r3") == "127.0.0.1:7009"
 
 
 @scenario
-async def test_a_failing_server_is_learned_of_by_its_responses(tmp_path):
+async def test_a_server_whose_responses_are_errors_gets_fewer_requests(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
-        got = []
+        addresses = []
         for n in range(200):
             async with open_request(channel, f"r{n}") as request:
                 address = await request.decision()
-                got.append(address)
+                addresses.append(address)
                 await request.respond(500 if address.endswith("7001") else 200)
-        assert got[100:].count("127.0.0.1:7001") < 10  # of an even 25
+        # An even share would be 25.
+        assert addresses[100:].count("127.0.0.1:7001") < 10
 
 
 @scenario
-async def test_sigterm_answers_what_is_open_and_takes_nothing_new(tmp_path):
+async def test_stopping_completes_open_requests_and_accepts_no_new_ones(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (worker, channel):
         async with open_request(channel, "waits", PLACE) as waits:
             await until(lambda: balancer_of(worker)._state.requests)
@@ -67,7 +70,7 @@
 
 
 @scenario
-async def test_a_new_file_is_taken_whole_or_not_at_all(tmp_path):
+async def test_a_reloaded_file_is_applied_as_a_whole_or_not_at_all(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         path = tmp_path / "file.toml"
         path.write_text("[[pools]]\nname = 3\n")
@@ -80,20 +83,23 @@
         assert {await route(channel, f"b{n}") for n in range(40)} == {"127.0.0.1:7000", "127.0.0.1:7001"}
 
 
-def test_sigterm_between_listening_and_heeding_signals_ends_it_well(tmp_path):
-    """One worker, and a supervisor of two, which must leave none behind; also while the file is read."""
+def test_sigterm_during_startup_exits_with_status_0(tmp_path):
+    """SIGTERM arrives while the file is read, or after listening has begun and before signals are handled.
+
+    Covers one worker, and a supervisor of two, which must leave no worker behind.
+    """
     code = """
 import os, signal, sys
 from wheatroute.processor import program
-def then_ended(step):
-    def stepped(*what):
-        result = step(*what)
+def with_sigterm(function):
+    def wrapper(*args):
+        result = function(*args)
         os.kill(os.getpid(), signal.SIGTERM)
         return result
-    return stepped
+    return wrapper
 name = sys.argv[2]
 owner = program if name == "listen" else program.settings_file
-setattr(owner, name, then_ended(getattr(owner, name)))
+setattr(owner, name, with_sigterm(getattr(owner, name)))
 sys.exit(program.run(sys.argv[1]))
 """
     for workers in ("", "\nworkers = 2"):
@@ -104,7 +110,7 @@
             SETTINGS_TEXT.format(servers=server_tables()).replace('127.0.0.1:1"', f'{address}"{workers}')
         )
         for step in ("listen", "read"):
-            ran = subprocess.run(
+            process = subprocess.run(
                 [sys.executable, "-c", code, str(path), step], capture_output=True, text=True, timeout=60
             )
-            assert ran.returncode == 0 and "listening" not in ran.stdout, ran
+            assert process.returncode == 0 and "listening" not in process.stdout, process
--- a/tests/processor/test_proxy_retries.py
+++ b/tests/processor/test_proxy_retries.py
@@ -1,4 +1,4 @@
-"""Attempts of one request, each asked for by itself."""
+"""Tests of retries by the proxy, which sends each attempt as a separate request with the same id."""
 
 from async_scenarios import scenario, until
 from processor_harness import (
@@ -16,19 +16,22 @@
 
 
 @scenario
-async def test_no_second_decision_for_an_order_whose_first_may_have_run(tmp_path):
+async def test_a_non_idempotent_request_that_may_have_run_gets_no_second_decision(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         async with open_request(channel, "order", PLACE) as request:
             assert isinstance(await request.decision(), str)
-            assert await route(channel, "order", PLACE, 2) == 502  # while the first is out
-        assert await route(channel, "order", PLACE, 2) == 502  # its stream ended with no word of the server
-        assert await route(channel, "order", PLACE) == 502  # nor does it help to call it a first try
+            # The first attempt is in flight.
+            assert await route(channel, "order", PLACE, 2) == 502
+        # The first attempt's stream has ended without a response of the server.
+        assert await route(channel, "order", PLACE, 2) == 502
+        # The attempt number 1 makes no difference.
+        assert await route(channel, "order", PLACE) == 502
         await until(lambda: sum(balancer_of(worker).servers.in_flight) == 0)
         assert worker.dispatcher.decision_count == 1
 
 
 @scenario
-async def test_an_order_that_provably_never_ran_goes_to_another_server(tmp_path):
+async def test_a_non_idempotent_request_that_provably_never_ran_is_sent_to_another_server(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         async with open_request(channel, "order", PLACE) as request:
             first = await request.decision()
@@ -38,31 +41,37 @@
 
 
 @scenario
-async def test_a_keyed_request_is_tried_again_in_its_group_only_and_a_safe_one_anywhere_else(tmp_path):
+async def test_a_keyed_request_is_retried_only_in_its_group_and_an_idempotent_one_on_any_other_server(
+    tmp_path,
+):
     async with running_worker(tmp_path) as (_, channel):
         for n in range(10):
             async with open_request(channel, f"amend{n}", AMEND) as request:
                 first = int((await request.decision())[-4:])
-            again = await route(channel, f"amend{n}", AMEND, 2)
-            assert int(again[-4:]) == first ^ 1  # the other of its cell
-            assert await route(channel, f"amend{n}", AMEND, 3) == 502  # both have had it
+            second = await route(channel, f"amend{n}", AMEND, 2)
+            # The other server of its cell.
+            assert int(second[-4:]) == first ^ 1
+            # Both servers of the cell have had an attempt.
+            assert await route(channel, f"amend{n}", AMEND, 3) == 502
             async with open_request(channel, f"view{n}", VIEW) as request:
                 first = await request.decision()
             assert await route(channel, f"view{n}", VIEW, 2) not in (first, 503)
 
 
 @scenario
-async def test_after_a_restart_a_further_try_may_have_run(tmp_path):
+async def test_after_a_restart_an_earlier_attempt_may_have_run(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         assert await route(channel, "order", PLACE, 2) == 502
-        assert await route(channel, "amend", AMEND, 2) == 502  # which cell had it is not known any more
+        # The cell of the first attempt is no longer known.
+        assert await route(channel, "amend", AMEND, 2) == 502
         assert isinstance(await route(channel, "view", VIEW, 2), str)
-    everywhere = {'group = "cell"': 'group = "all"'}
-    async with running_worker(tmp_path, **everywhere) as (worker, channel):
+    all_servers = {'group = "cell"': 'group = "all"'}
+    async with running_worker(tmp_path, **all_servers) as (worker, channel):
         assert isinstance(await route(channel, "amend", AMEND, 2), str)
-    short = everywhere | {"repeat_window = 5.0": "repeat_window = 0.5"}
-    async with running_worker(tmp_path, **short) as (worker, channel):
-        assert await route(channel, "amend", AMEND, 2) == 502  # its window may be over
+    short_window = all_servers | {"repeat_window = 5.0": "repeat_window = 0.5"}
+    async with running_worker(tmp_path, **short_window) as (worker, channel):
+        # The retry window may have passed.
+        assert await route(channel, "amend", AMEND, 2) == 502
 
 
 @scenario
@@ -73,13 +82,15 @@
             assert await route(channel, "same", PLACE) == 409
         async with open_request(channel, "other", VIEW):
             await until(lambda: worker.dispatcher.request_count == 3)
-            assert await route(channel, "other", PLACE) == 409  # nor as another request class
+            # The same id in another request class conflicts as well.
+            assert await route(channel, "other", PLACE) == 409
 
 
 @scenario
-async def test_a_refused_id_may_be_asked_for_again_as_often_as_it_takes(tmp_path):
+async def test_a_rejected_id_may_be_sent_again_any_number_of_times(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (worker, channel):
-        for n in range(6):  # more than its tries
+        # More often than the maximum number of attempts.
+        for n in range(6):
             assert await route(channel, "order", PLACE, n + 1, timeout_s=0.05) == 503
         list_servers(worker, 2, server_entry())
         assert await route(channel, "order", PLACE, 7) == "127.0.0.1:7000"
--- a/tests/processor/test_routing_request.py
+++ b/tests/processor/test_routing_request.py
@@ -1,4 +1,4 @@
-"""Requests by their headers; no sockets, no clock."""
+"""Tests of reading requests from headers. No sockets, no clock."""
 
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import RequestClass
@@ -6,11 +6,11 @@
 from wheatroute.processor.routing_request import RequestReader, parse_timeout
 
 
-def test_timeouts_have_the_units_of_grpc():
+def test_timeouts_accept_the_units_of_grpc():
     assert (parse_timeout("480m"), parse_timeout("1500u"), parse_timeout("250")) == (0.48, 0.0015, 0.25)
 
 
-def test_tenants_names_outside_ascii_are_known():
+def test_tenant_names_may_contain_non_ascii_characters():
     reader = RequestReader(
         HeaderNames(request_id="id", customer="tenant"),
         [RequestClass(idempotency=Idempotency.IDEMPOTENT, deadline=1.0, paths=["/"])],
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -1,4 +1,4 @@
-"""Messages on the stream of a request, in order and out of order."""
+"""Tests of the messages on a request's stream, in order and out of order."""
 
 import socket
 from unittest import mock
@@ -28,7 +28,7 @@
 
 
 @scenario
-async def test_a_proxy_that_gives_up_waiting_leaves_nothing_behind(tmp_path):
+async def test_a_proxy_that_cancels_before_the_decision_leaves_no_request_open(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (worker, channel):
         async with open_request(channel, "r1") as request:
             await until(lambda: balancer_of(worker)._state.requests)
@@ -36,42 +36,45 @@
         await until(lambda: not balancer_of(worker)._state.requests)
         assert worker.dispatcher.decision_count == 0 and sum(balancer_of(worker).servers.in_flight) == 0
         list_servers(worker, 2, server_entry())
-        assert await route(channel, "r1", VIEW, 2) == "127.0.0.1:7000"  # nothing ran: it may have its try
+        # Nothing ran, so the second attempt is allowed.
+        assert await route(channel, "r1", VIEW, 2) == "127.0.0.1:7000"
         assert worker.dispatcher.decision_count == 1
 
 
 @scenario
-async def test_a_stream_that_ends_between_its_decision_and_the_answer_counts_as_never_sent(tmp_path):
+async def test_a_stream_that_ends_before_its_decision_is_written_counts_as_never_sent(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
-        start, ended = Dispatcher.start_attempt, []
+        start_attempt, ended = Dispatcher.start_attempt, []
 
-        def late(dispatcher, exchange, attempt):
+        def end_stream_first(dispatcher, exchange, attempt):
             if not ended:
                 ended.append(1)
-                exchange.stream.over(CallError(Status.CANCELLED, "the proxy went"))
-            start(dispatcher, exchange, attempt)
+                exchange.stream.over(CallError(Status.CANCELLED, "the proxy disconnected"))
+            start_attempt(dispatcher, exchange, attempt)
 
-        with mock.patch.object(Dispatcher, "start_attempt", late):
+        with mock.patch.object(Dispatcher, "start_attempt", end_stream_first):
             async with open_request(channel, "r1", PLACE):
                 await until(lambda: ended)
         await until(lambda: not balancer_of(worker)._state.requests)
         assert worker.dispatcher.decision_count == 0 and sum(balancer_of(worker).servers.in_flight) == 0
-        assert await route(channel, "r1", PLACE, 2)  # it never ran: a further try may go
+        # The first attempt never ran, so the second is allowed.
+        assert await route(channel, "r1", PLACE, 2)
 
 
 @scenario
-async def test_a_proxy_that_never_says_how_it_ended_is_not_waited_for(tmp_path):
+async def test_an_attempt_without_a_reported_outcome_ends_after_its_deadline(tmp_path):
     async with running_worker(tmp_path, **{"hard_stop = 1.0": "hard_stop = 0.1"}) as (worker, channel):
         async with open_request(channel, "r", PLACE) as request:
             assert isinstance(await request.decision(), str)
             await until(lambda: sum(balancer_of(worker).servers.in_flight) == 0)
             assert not balancer_of(worker)._state.requests and request.call.ended is None
-            await request.respond(200)  # too late to count, but its client may still want it
+            # The response is too late for the balancer, but the proxy may still pass it to its client.
+            await request.respond(200)
         assert worker.dispatcher.decision_count == 1
 
 
 async def assert_rejected(request, *messages):
-    """The stream is ended for what came out of turn."""
+    """Asserts that the messages end the stream with INVALID_ARGUMENT."""
     with pytest.raises(CallError) as caught:
         for message in messages:
             await request.call.send(message)
@@ -87,7 +90,7 @@
 
 
 @scenario
-async def test_streams_out_of_order_are_ended_and_cost_nothing(tmp_path):
+async def test_messages_out_of_order_end_the_stream_and_leave_no_request_open(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         for first in (response_headers(200), request_body(), b"", b"\xff\xff", request_body() + b"\xff"):
             async with channel.call(METHOD_PATH) as call:
@@ -99,7 +102,8 @@
             await request.decision()
             await request.respond(200)
             await assert_rejected(request, response_headers(200))
-        async with channel.call(METHOD_PATH) as call:  # nothing at all
+        # A stream without any message.
+        async with channel.call(METHOD_PATH) as call:
             call.half_close()
             assert await call.receive() is None
         async with open_request(channel, "body") as request:
@@ -112,7 +116,7 @@
 
 
 @scenario
-async def test_what_makes_no_request_is_answered_with_the_reason(tmp_path):
+async def test_invalid_requests_get_an_immediate_response_with_a_status(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         cases = (
             ({":path": "/nowhere"}, 404),
@@ -127,28 +131,28 @@
 
 
 @scenario
-async def test_a_refusal_says_when_to_come_back(tmp_path):
+async def test_a_rejection_has_a_retry_after_header(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (_, channel):
         async with open_request(channel, "r", timeout_s=0.1) as request:
-            answer = (await request.response()).immediate_response
-            found = {item.header.key: item.header.raw_value for item in answer.headers.set_headers}
-            assert (answer.status.code, answer.details) == (503, "wheatroute-refused")
-            assert found == {"retry-after": b"1"}
+            response = (await request.response()).immediate_response
+            headers = {item.header.key: item.header.raw_value for item in response.headers.set_headers}
+            assert (response.status.code, response.details) == (503, "wheatroute-refused")
+            assert headers == {"retry-after": b"1"}
 
 
 @scenario
-async def test_a_proxy_that_reads_nothing_hurts_no_other(tmp_path):
+async def test_a_proxy_that_reads_nothing_does_not_delay_others(tmp_path):
     async with running_worker(tmp_path) as (worker, channel):
         address = channel.address
-        with socket.create_connection(address) as slow:
-            slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+        with socket.create_connection(address) as unread:
+            unread.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             from wheatroute.byte_stream import ByteStream
 
-            mute = Session(ByteStream(slow.dup()), True, channel.limits)
-            mute.h2.initiate_connection()
+            session = Session(ByteStream(unread.dup()), True, channel.limits)
+            session.h2.initiate_connection()
             for n in range(180):
-                call = Call(0, mute, {})
-                call = mute.open(
+                call = Call(0, session, {})
+                call = session.open(
                     [
                         (b":method", b"POST"),
                         (b":scheme", b"http"),
@@ -159,7 +163,7 @@
                     call.receiver,
                 )
                 call.send(request_headers(f"slow{n}", VIEW, 1, **{":path": "/nowhere"}))
-                mute.flush()
+                session.flush()
             for n in range(100):
                 assert isinstance(await route(channel, f"quick{n}"), str)
-            mute.stream.close()
+            session.stream.close()
--- a/tests/processor/test_supervisor.py
+++ b/tests/processor/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of workers, with processes that are stand-ins."""
+"""Tests of the workers' supervisor with fake processes."""
 
 import structlog
 import trio
@@ -6,8 +6,8 @@
 from wheatroute.processor.supervisor import WorkerSupervisor
 
 
-def test_a_supervisor_starts_a_crashed_worker_anew_and_stops_for_one_that_cannot_start():
-    class Child:
+def test_a_crashed_worker_is_restarted_and_one_with_bad_settings_stops_the_supervisor():
+    class FakeProcess:
         pid = 0
 
         def __init__(self, status):
@@ -25,9 +25,9 @@
     statuses = [-9, 1, 2]
     started = []
 
-    def start(request, pass_fds):
-        started.append((request, pass_fds))
-        return Child(statuses[len(started) - 1])
+    def start(command, pass_fds):
+        started.append((command, pass_fds))
+        return FakeProcess(statuses[len(started) - 1])
 
     supervisor = WorkerSupervisor([["worker"]], (7,), structlog.get_logger(), start)
     trio.run(supervisor.run)
--- a/tests/processor/test_worker_discovery.py
+++ b/tests/processor/test_worker_discovery.py
@@ -1,4 +1,4 @@
-"""Snapshots, and servers that are listed by etcd."""
+"""Tests of a worker's snapshots and of servers that are listed in etcd."""
 
 from contextlib import asynccontextmanager
 
@@ -22,7 +22,7 @@
 
 @asynccontextmanager
 async def etcd_with_servers(count=4):
-    """A stand-in with servers, and what a file needs to follow it."""
+    """Yields the store of a simulated etcd with servers, its member, and a settings table for it."""
     store = Store()
     for n in range(count):
         store.put(wire.PutRequest(key=b"/servers/s%d" % n, value=b'{"addr": "127.0.0.1:%d"}' % (7000 + n)))
@@ -35,15 +35,15 @@
 
 
 @scenario
-async def test_a_drain_written_to_etcd_is_heeded_at_once(tmp_path):
+async def test_a_server_marked_as_terminating_in_etcd_gets_no_new_requests(tmp_path):
     async with (
         etcd_with_servers() as (store, _, table),
         running_worker(tmp_path, pool=table) as (worker, channel),
     ):
         await until(lambda: len(worker.discovery.entries) == 4)
         assert len({await route(channel, f"a{n}") for n in range(60)}) == 4
-        drained = b'{"addr": "127.0.0.1:7001", "state": "terminating"}'
-        store.put(wire.PutRequest(key=b"/servers/s1", value=drained))
+        draining_entry = b'{"addr": "127.0.0.1:7001", "state": "terminating"}'
+        store.put(wire.PutRequest(key=b"/servers/s1", value=draining_entry))
         await until(lambda: worker.discovery.entries["s1"]["state"] == "terminating")
         assert "127.0.0.1:7001" not in {await route(channel, f"b{n}") for n in range(60)}
         await until(lambda: b"/nodes/wheatroute" in store.keys)
@@ -51,30 +51,32 @@
 
 
 @scenario
-async def test_a_start_while_etcd_is_away_serves_from_the_snapshot_and_counts_the_peers(tmp_path):
-    keep = {"[[pools]]": SNAPSHOT_TABLE.format(tmp_path / "kept", 60.0)}
+async def test_a_worker_started_without_etcd_uses_the_servers_and_peers_of_the_snapshot(tmp_path):
+    snapshot_changes = {"[[pools]]": SNAPSHOT_TABLE.format(tmp_path / "kept", 60.0)}
     async with etcd_with_servers() as (store, member, table):
         store.put(wire.PutRequest(key=b"/nodes/other", value=b'{"epoch": 1}'))
-        async with running_worker(tmp_path, pool=table, **keep) as (worker, channel):
+        async with running_worker(tmp_path, pool=table, **snapshot_changes) as (worker, channel):
             await until(lambda: len(worker.discovery.entries) == 4 and len(worker.discovery.peers()) == 2)
             assert len({await route(channel, f"a{n}") for n in range(60)}) == 4
-            written = worker._snapshot.written_count
-            await until(lambda: worker._snapshot.written_count > written + 1)
+            written_count = worker._snapshot.written_count
+            await until(lambda: worker._snapshot.written_count > written_count + 1)
         member.stop()
-        async with running_worker(tmp_path, pool=table, **keep) as (worker, channel):
+        async with running_worker(tmp_path, pool=table, **snapshot_changes) as (worker, channel):
             assert len({await route(channel, f"b{n}") for n in range(60)}) == 4
             assert any(balancer_of(worker).servers.weight) and not worker.discovery.etcd.follower.list_count
             await until(lambda: balancer_of(worker)._state.settings.nodes == 2)
 
 
 @scenario
-async def test_a_snapshot_that_is_no_use_is_not_used(tmp_path):
-    kept = tmp_path / "kept"
-    other = {"source": {}, "servers": [{"id": "s0", "addr": "127.0.0.1:7000"}]}
-    kept.write_bytes(snapshot.encode(other, now()))
-    keep = {"[[pools]]": SNAPSHOT_TABLE.format(kept, 60.0)}
+async def test_a_snapshot_of_another_source_is_neither_used_nor_replaced_while_no_server_is_known(tmp_path):
+    path = tmp_path / "kept"
+    content = {"source": {}, "servers": [{"id": "s0", "addr": "127.0.0.1:7000"}]}
+    path.write_bytes(snapshot.encode(content, now()))
+    snapshot_changes = {"[[pools]]": SNAPSHOT_TABLE.format(path, 60.0)}
     async with etcd_with_servers() as (_, member, table):
         member.stop()
-        async with running_worker(tmp_path, pool=table, **keep) as (worker, channel):
-            assert await route(channel, "a", timeout_s=0.1) == 503  # of another pool
-        assert kept.read_bytes().startswith(snapshot.FORMAT)  # and nothing known does not replace it
+        async with running_worker(tmp_path, pool=table, **snapshot_changes) as (worker, channel):
+            # The snapshot was written for another pool.
+            assert await route(channel, "a", timeout_s=0.1) == 503
+        # The worker does not replace the file while it knows no server.
+        assert path.read_bytes().startswith(snapshot.FORMAT)
