--- a/wheatroute/balancing/attempt_sender.py
+++ b/wheatroute/balancing/attempt_sender.py
@@ -6,7 +6,7 @@
 from wheatroute.balancing.hedging import Hedging
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outlier_ejection import OutlierEjection
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
         subset: ServerSubset,
--- a/wheatroute/balancing/components.py
+++ b/wheatroute/balancing/components.py
@@ -11,7 +11,7 @@
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.load_reports import LoadReports
 from wheatroute.balancing.membership_updates import MembershipUpdates
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outcome_recorder import OutcomeRecorder
 from wheatroute.balancing.outlier_ejection import OutlierEjection
 from wheatroute.balancing.queue_management import QueueManager
@@ -25,7 +25,7 @@
 from wheatroute.balancing.slow_start import SlowStart
 from wheatroute.balancing.tenant_quotas import TenantQuotas
 
-FinalAnswersFactory = Callable[[NodeState, TenantQuotas], FinalAnswers]
+FinalAnswersFactory = Callable[[BalancerState, TenantQuotas], FinalAnswers]
 
 
 class Components:
@@ -34,7 +34,7 @@
     def __init__(
         self, settings: DecisionSettings, rng: Random, make_final_answers: FinalAnswersFactory
     ) -> None:
-        self.state = state = NodeState(settings, rng)
+        self.state = state = BalancerState(settings, rng)
 
         # what is measured and heard
         self.ready = ReadyServers()
--- a/wheatroute/balancing/final_answers.py
+++ b/wheatroute/balancing/final_answers.py
@@ -1,6 +1,6 @@
 """How a request ends: its final answer, and the end of its attempts in flight. No I/O."""
 
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import may_reject
 from wheatroute.balancing.tenant_quotas import TenantQuotas
@@ -9,7 +9,7 @@
 class FinalAnswers:
     """Ends requests."""
 
-    def __init__(self, state: NodeState, quotas: TenantQuotas) -> None:
+    def __init__(self, state: BalancerState, quotas: TenantQuotas) -> None:
         self._state, self._quotas = state, quotas
 
     def finish(self, request: Request) -> None:
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -2,13 +2,13 @@
 
 from math import inf
 
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 
 
 class HalfOpenTrials:
     """The ejected servers of the subset, and the next moment at which one of them may be tried."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: BalancerState) -> None:
         self._state = state
         self.ejected: list[int] = []
         self._due_at = -inf  # before this moment none may be tried
--- a/wheatroute/balancing/hedging.py
+++ b/wheatroute/balancing/hedging.py
@@ -5,7 +5,7 @@
 
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.interface import Idempotency
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import HEDGE_MARGIN, MIN_SAMPLES
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import may_repeat
@@ -18,7 +18,7 @@
 class Hedging:
     """Hedge timers, and the credit for hedges, which attempts add to."""
 
-    def __init__(self, state: NodeState, limiter: ConcurrencyLimiter, selection: ServerSelection) -> None:
+    def __init__(self, state: BalancerState, limiter: ConcurrencyLimiter, selection: ServerSelection) -> None:
         self._state, self._limiter, self._selection = state, limiter, selection
         self._credit = 1.0
 
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -11,7 +11,7 @@
 from math import ceil, sqrt
 
 from wheatroute.balancing.interface import Outcome, Report
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import (
     CONGESTED_LOAD_RATIO,
     EXCESS_CAPACITY_FRACTION,
@@ -29,7 +29,7 @@
 class LoadReports:
     """What is known of the servers' load, and how it is heard."""
 
-    def __init__(self, state: NodeState, ready: ReadyServers) -> None:
+    def __init__(self, state: BalancerState, ready: ReadyServers) -> None:
         self._state, self._ready = state, ready
         self.mean_load = 0.0  # of the servers that this node sends to, by recent reports
         self._to_probe = deque[int]()
--- a/wheatroute/balancing/membership_updates.py
+++ b/wheatroute/balancing/membership_updates.py
@@ -3,7 +3,7 @@
 from math import inf
 
 from wheatroute.balancing.interface import ListEntry, ServerState
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.ready_servers import ReadyServers
 from wheatroute.balancing.server_subset import ServerSubset
 
@@ -11,7 +11,7 @@
 class MembershipUpdates:
     """The servers by the list, which is pushed, or asked for by this node."""
 
-    def __init__(self, state: NodeState, ready: ReadyServers, subset: ServerSubset) -> None:
+    def __init__(self, state: BalancerState, ready: ReadyServers, subset: ServerSubset) -> None:
         self._state, self._ready, self._subset = state, ready, subset
         self.watch_at = -inf if state.settings.list_on_request else inf
         self._backoff_s = 0.0
--- a/wheatroute/balancing/node_state.py
+++ b/wheatroute/balancing/node_state.py
@@ -11,7 +11,7 @@
 from wheatroute.balancing.settings import DecisionSettings
 
 
-class NodeState:
+class BalancerState:
     """Shared state. `now` and `writer` are those of the event batch that is being handled."""
 
     __slots__ = ("settings", "rng", "now", "writer", "servers", "latencies", "requests", "timers")
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -6,7 +6,7 @@
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.interface import Outcome
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outlier_ejection import OutlierEjection
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, SMOOTHING, UPDATE_INTERVAL_S
 from wheatroute.balancing.request import Request
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
         ejection: OutlierEjection,
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -11,7 +11,7 @@
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.half_open_trials import HalfOpenTrials
 from wheatroute.balancing.interface import Idempotency
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, OUTLIER_LATENCY_RATIO, UPDATE_INTERVAL_S
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.server_selection import ServerSelection
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         subset: ServerSubset,
         selection: ServerSelection,
         trials: HalfOpenTrials,
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -6,7 +6,7 @@
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.final_answers import FinalAnswers
 from wheatroute.balancing.half_open_trials import HalfOpenTrials
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outcome_recorder import OutcomeRecorder
 from wheatroute.balancing.parameters import EXCESS_CAPACITY_FRACTION, MAX_SCANS, UPDATE_INTERVAL_S
 from wheatroute.balancing.request import Request
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         limiter: ConcurrencyLimiter,
         subset: ServerSubset,
         selection: ServerSelection,
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -4,7 +4,7 @@
 
 from wheatroute.balancing.interface import EarlierAttempt
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import EXCESS_CAPACITY_FRACTION, HEDGE_MARGIN
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
@@ -14,7 +14,7 @@
 class RequestAdmission:
     """Makes the account of a request that arrives."""
 
-    def __init__(self, state: NodeState, reports: LoadReports, quotas: TenantQuotas) -> None:
+    def __init__(self, state: BalancerState, reports: LoadReports, quotas: TenantQuotas) -> None:
         self._state, self._reports, self._quotas = state, reports, quotas
         self._usual_time_left: list[float] = []  # by request class, as clients leave it for a first attempt
 
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -8,7 +8,7 @@
 from wheatroute.balancing.final_answers import FinalAnswers
 from wheatroute.balancing.interface import EarlierAttempt, Outcome, Report
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outcome_recorder import OutcomeRecorder
 from wheatroute.balancing.outlier_ejection import HANG_RATIO
 from wheatroute.balancing.parameters import MIN_SAMPLES
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
         subset: ServerSubset,
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -6,7 +6,7 @@
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import MIN_IN_FLIGHT_PER_SERVER
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.retry_rules import deduplication_group
@@ -22,7 +22,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
         slow_start: SlowStart,
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -5,7 +5,7 @@
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.half_open_trials import HalfOpenTrials
 from wheatroute.balancing.load_reports import LoadReports
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, MIN_SAMPLES, OUTLIER_LATENCY_RATIO
 from wheatroute.balancing.ready_servers import ReadyServers
 from wheatroute.balancing.slow_start import SlowStart
@@ -29,7 +29,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         ready: ReadyServers,
         limiter: ConcurrencyLimiter,
         reports: LoadReports,
--- a/wheatroute/balancing/settings_updates.py
+++ b/wheatroute/balancing/settings_updates.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.retry_rules import rebind
 from wheatroute.balancing.server_subset import ServerSubset
 from wheatroute.balancing.settings import DecisionSettings
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        state: NodeState,
+        state: BalancerState,
         subset: ServerSubset,
         slow_start: SlowStart,
         parts: Sequence[Configurable],
--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -4,14 +4,14 @@
 warm servers of its model get.
 """
 
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import SMOOTHING, TICK_INTERVAL_S, UPDATE_INTERVAL_S
 
 
 class SlowStart:
     """The credit of servers that warm up, in attempts."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: BalancerState) -> None:
         self._state = state
         self.caution = 1.0  # factor by which less is sent while the number of nodes is uncertain
 
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -1,14 +1,14 @@
 """The tenants' quotas at this node, as token buckets. No I/O."""
 
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import MIN_SAMPLES, UPDATE_INTERVAL_S
 
 
 class TenantQuotas:
     """One token bucket for each tenant; a request takes a token or is beyond its tenant's quota."""
 
-    def __init__(self, state: NodeState, limiter: ConcurrencyLimiter) -> None:
+    def __init__(self, state: BalancerState, limiter: ConcurrencyLimiter) -> None:
         self._state, self._limiter = state, limiter
         self.tokens: list[float] = []
         self.apply_settings()
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -18,7 +18,7 @@
 from wheatroute.balancing.components import Components
 from wheatroute.balancing.final_answers import FinalAnswers
 from wheatroute.balancing.interface import CommandWriter, Event, EventBatch
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import MAX_SCANS
 from wheatroute.balancing.periodic_tasks import PeriodicTasks
 from wheatroute.balancing.server_statistics import ServerStatistics
@@ -47,7 +47,7 @@
             Event.SETTINGS_CHANGED: components.settings_updates.settings_changed,
         }
 
-    def _make_final_answers(self, state: NodeState, quotas: TenantQuotas) -> FinalAnswers:
+    def _make_final_answers(self, state: BalancerState, quotas: TenantQuotas) -> FinalAnswers:
         """Makes the part that ends requests; a subclass in `fleet/loss_accounting.py` notes losses there."""
         return FinalAnswers(state, quotas)
 
--- a/wheatroute/fleet/loss_accounting.py
+++ b/wheatroute/fleet/loss_accounting.py
@@ -15,7 +15,7 @@
 
 from wheatroute.balancing.final_answers import FinalAnswers
 from wheatroute.balancing.interface import Event
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.request import Request
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.balancing.tenant_quotas import TenantQuotas
@@ -65,7 +65,7 @@
 
         self._handlers[Event.ARRIVED] = self._arrived
 
-    def _make_final_answers(self, state: NodeState, quotas: TenantQuotas) -> FinalAnswers:
+    def _make_final_answers(self, state: BalancerState, quotas: TenantQuotas) -> FinalAnswers:
         return LossNotingAnswers(self, state, quotas)
 
     def _arrived(self, number: int, *more: Any) -> None:
@@ -107,7 +107,7 @@
 class LossNotingAnswers(FinalAnswers):
     """The final answers of a node, with a note at each request that it gives up."""
 
-    def __init__(self, balancer: LossNotingBalancer, state: NodeState, quotas: TenantQuotas) -> None:
+    def __init__(self, balancer: LossNotingBalancer, state: BalancerState, quotas: TenantQuotas) -> None:
         super().__init__(state, quotas)
         self._balancer = balancer
 
