--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -33,7 +33,7 @@
 
 from wheatroute import decide  # noqa: E402
 from wheatroute.balancing import queue_management, server_subset  # noqa: E402
-from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState  # noqa: E402
+from wheatroute.balancing.interface import AttemptOutcome, DeduplicationGroup, Event, Idempotency, ServerState  # noqa: E402
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota  # noqa: E402
 
 BASE = "a3a74a3"  # the last commit with the earlier names, which decisions are compared with
@@ -278,13 +278,13 @@
         return [(Event.ARRIVED, n, n % 3, 3.0, n % 2, False)]
 
     def _back(
-        self, request: int, n: int, server: int, outcome: Outcome, took: float
+        self, request: int, n: int, server: int, outcome: AttemptOutcome, took: float
     ) -> list[tuple[Any, ...]]:
         if self.out.pop((request, n), None) is None:
             return []  # it was withdrawn before
         self.crowd[server] -= 1
-        finished = request in self.over or outcome == Outcome.SERVED
-        if outcome == Outcome.SERVED and request not in self.over:
+        finished = request in self.over or outcome == AttemptOutcome.SERVED
+        if outcome == AttemptOutcome.SERVED and request not in self.over:
             self.over.add(request)
             self.finals["served"] += 1
         report = {"held": float(self.crowd[server])} if self.chance.random() < 0.2 else None
@@ -299,19 +299,24 @@
         self.attempts[request] = n + 1
         self.crowd[server] += 1
         took = self.work * self.chance.uniform(0.5, 1.5) / self.speed[server] * (1 + self.crowd[server] / 8)
-        outcome, fate = Outcome.SERVED, self.chance.random()
+        outcome, fate = AttemptOutcome.SERVED, self.chance.random()
         if self.rough:
             half = (self.now - 1000.0) % 8.0 > 4.0
             if server % 16 == 5 and half:
-                outcome, took = Outcome.TIMED_OUT, time_out
+                outcome, took = AttemptOutcome.TIMED_OUT, time_out
             elif server % 16 == 7 and half:
-                outcome, took = Outcome.ERROR, 0.001
+                outcome, took = AttemptOutcome.ERROR, 0.001
             elif server % 32 == 9:
                 took *= 20
             elif fate < 0.01:
-                outcome = (Outcome.FULL, Outcome.RESET, Outcome.UNCONNECTED, Outcome.UNKNOWN)[int(fate * 400)]
+                outcome = (
+                    AttemptOutcome.FULL,
+                    AttemptOutcome.RESET,
+                    AttemptOutcome.UNCONNECTED,
+                    AttemptOutcome.UNKNOWN,
+                )[int(fate * 400)]
         if took >= time_out:
-            outcome, took = Outcome.TIMED_OUT, time_out
+            outcome, took = AttemptOutcome.TIMED_OUT, time_out
         self.out[request, n] = server, self.now
         self.push(self.now + took, "back", request, n, server, outcome, took)
 
@@ -319,7 +324,7 @@
         if (request, n) not in self.out:
             return
         server, sent = self.out[request, n]
-        self.push(self.now + 0.001, "back", request, n, server, Outcome.WITHDRAWN, self.now - sent)
+        self.push(self.now + 0.001, "back", request, n, server, AttemptOutcome.WITHDRAWN, self.now - sent)
 
     def reject(self, request: int, stay_away: float) -> None:
         self._end(request, "refused")
--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import replace
 
-from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, DeduplicationGroup, Event, Idempotency, ServerState
 from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.decide import Balancer
 
@@ -51,7 +51,7 @@
 
 # settings of nodes that probe servers for how much waits there, and send each other what they heard
 REPORTS_WAIT = {"report_how": "probe", "reported": ["queued", "rate"], "can_probe": True, "has_peers": True}
-SERVED, NEVER = (Outcome.SERVED, 0.1), None  # how an attempt ends, and after how many seconds
+SERVED, NEVER = (AttemptOutcome.SERVED, 0.1), None  # how an attempt ends, and after how many seconds
 
 
 class BalancerHost:
@@ -111,8 +111,8 @@
         if (number, n) not in self.in_flight:
             return
         self.in_flight.discard((number, n))
-        is_finished = number in self.final_answers or outcome == Outcome.SERVED
-        if outcome == Outcome.SERVED:
+        is_finished = number in self.final_answers or outcome == AttemptOutcome.SERVED
+        if outcome == AttemptOutcome.SERVED:
             self.final_answers.setdefault(number, "served")
         report = self.report(server)
         self.events.append((Event.ATTEMPT_ENDED, number, n, server, outcome, elapsed_s, is_finished, report))
@@ -136,13 +136,20 @@
         self.attempts[request].append(server)
         self.in_flight.add((request, n))
         self.commands.append(("attempt", self.now, request, server))
-        outcome, elapsed_s = self.answer(server, (request, n)) or (Outcome.TIMED_OUT, timeout_s)
+        outcome, elapsed_s = self.answer(server, (request, n)) or (AttemptOutcome.TIMED_OUT, timeout_s)
         self.pending.append((self.now + elapsed_s, request, n, server, outcome, elapsed_s))
 
     def cancel(self, request, n):
         self.commands.append(("cancel", self.now, request, n))
         self.pending.append(
-            (self.now + self.settings.tick, request, n, self.attempts[request][n], Outcome.WITHDRAWN, 0.5)
+            (
+                self.now + self.settings.tick,
+                request,
+                n,
+                self.attempts[request][n],
+                AttemptOutcome.WITHDRAWN,
+                0.5,
+            )
         )
 
     def reject(self, request, retry_after_s):
@@ -185,12 +192,12 @@
 
 def slow_servers(*slow):
     """Servers that are all well, those named four times slower."""
-    return lambda server, attempt: (Outcome.SERVED, 0.4 if server in slow else 0.1)
+    return lambda server, attempt: (AttemptOutcome.SERVED, 0.4 if server in slow else 0.1)
 
 
 def slow_at_times(server, attempt):
     """The first attempt of every 25th request is slow."""
-    return (Outcome.SERVED, 0.8) if attempt[0] % 25 == 24 and attempt[1] == 0 else SERVED
+    return (AttemptOutcome.SERVED, 0.8) if attempt[0] % 25 == 24 and attempt[1] == 0 else SERVED
 
 
 def node_at_its_limit(reported_load):
--- a/tests/balancing/test_connections.py
+++ b/tests/balancing/test_connections.py
@@ -3,7 +3,7 @@
 from balancer_host import NEVER, SERVED, BalancerHost
 
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 
 def test_idle_connections_that_lose_attempts_are_closed_before_the_next():
@@ -40,7 +40,7 @@
         if opened[0] <= opened[1]:
             return SERVED
         if is_refusing[0] and server:
-            return Outcome.UNCONNECTED, 0.1
+            return AttemptOutcome.UNCONNECTED, 0.1
         opened[1] = opened[0]
         return SERVED
 
--- a/tests/balancing/test_hedging.py
+++ b/tests/balancing/test_hedging.py
@@ -2,7 +2,7 @@
 
 from balancer_host import NON_IDEMPOTENT, BalancerHost, slow_at_times
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 
 def test_a_late_request_of_the_most_valuable_idempotent_class_gets_one_hedge_and_the_loser_is_cancelled():
@@ -16,7 +16,7 @@
 
 def test_no_hedges_go_out_while_all_servers_are_slow():
     factor = [1.0]
-    host = BalancerHost(answer=lambda s, r: (Outcome.SERVED, 0.1 * factor[0])).run(8.0, 40)
+    host = BalancerHost(answer=lambda s, r: (AttemptOutcome.SERVED, 0.1 * factor[0])).run(8.0, 40)
     factor[0], since = 3.0, host.now
     host.run(3.0, 40)
     hedges = sum(
@@ -29,7 +29,7 @@
 
 def test_timers_overdue_after_a_stall_do_not_fire_together():
     slow = [False]
-    host = BalancerHost(8, answer=lambda s, r: (Outcome.SERVED, 0.9 if slow[0] else 0.1)).run(8.0, 40)
+    host = BalancerHost(8, answer=lambda s, r: (AttemptOutcome.SERVED, 0.9 if slow[0] else 0.1)).run(8.0, 40)
     slow[0] = True
     for _ in range(10):
         host.send_request()
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -3,7 +3,7 @@
 import pytest
 from balancer_host import NON_IDEMPOTENT, REPORTS_WAIT, SERVED, BalancerHost, node_at_its_limit
 
-from wheatroute.balancing.interface import Event, Outcome
+from wheatroute.balancing.interface import AttemptOutcome, Event
 
 
 def count_sent_at_once(host, count):
@@ -56,7 +56,7 @@
     assert 24 <= len(probed[0]) <= 40 and set(probed[0]) == set(range(8))
     for server in probed[0][:2]:
         report = {"queued": 6.0, "rate": 60.0} if server else {"rate": 60.0}
-        hosts[0].events.append((Event.PROBE_ENDED, server, Outcome.SERVED, 0.002, report))
+        hosts[0].events.append((Event.PROBE_ENDED, server, AttemptOutcome.SERVED, 0.002, report))
     hosts[0].step()
     loads = [rest[0] for name, _, *rest in hosts[0].commands if name == "send_loads"][-1]
     assert set(loads) == set(probed[0][:2])
@@ -75,7 +75,9 @@
 
 def test_a_node_with_little_capacity_of_its_own_sends_where_little_waits():
     def count_rejected(**settings):
-        host = BalancerHost(40, nodes=300, node=5, answer=lambda s, r: (Outcome.SERVED, 0.6), **settings)
+        host = BalancerHost(
+            40, nodes=300, node=5, answer=lambda s, r: (AttemptOutcome.SERVED, 0.6), **settings
+        )
         host.run(6.0, 1)
         first = host.request_count
         for _ in range(12):
@@ -90,7 +92,9 @@
 
 
 def test_a_server_that_just_rejected_an_attempt_is_not_lightly_loaded_whatever_it_reported():
-    host = BalancerHost(4, answer=lambda s, r: (Outcome.FULL, 0.002), nodes=300, node=5, **REPORTS_WAIT)
+    host = BalancerHost(
+        4, answer=lambda s, r: (AttemptOutcome.FULL, 0.002), nodes=300, node=5, **REPORTS_WAIT
+    )
     host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(4), 0.0)))
     host.send_request()
     host.step(0.02)
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -2,7 +2,7 @@
 
 from balancer_host import IDEMPOTENT, NON_IDEMPOTENT, BalancerHost, node_at_its_limit
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.balancing.settings import TenantQuota
 
 
@@ -11,7 +11,7 @@
 
     def answer(server, attempt):
         in_flight = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
-        return Outcome.SERVED, 0.1 * max(1.0, in_flight / capacity)
+        return AttemptOutcome.SERVED, 0.1 * max(1.0, in_flight / capacity)
 
     host = BalancerHost(answer=answer)
     return host
@@ -34,7 +34,7 @@
 
 def test_the_least_valuable_is_rejected_first_what_is_beyond_a_quota_before_the_rest():
     host = BalancerHost(
-        answer=lambda server, attempt: (Outcome.SERVED, 0.1 * max(1.0, len(host.in_flight) / 8)),
+        answer=lambda server, attempt: (AttemptOutcome.SERVED, 0.1 * max(1.0, len(host.in_flight) / 8)),
         tenants=[TenantQuota(0.5, 200.0), TenantQuota(0.5, 10.0)],
     )
     beyond_quota = []
@@ -60,7 +60,7 @@
 
 
 def test_a_queued_request_does_not_wait_for_its_own_work():
-    host = BalancerHost(2, nodes=100, answer=lambda s, r: (Outcome.SERVED, 0.3)).run(6.0, 1)
+    host = BalancerHost(2, nodes=100, answer=lambda s, r: (AttemptOutcome.SERVED, 0.3)).run(6.0, 1)
     host.balancer._components.limiter.capacity = 0
     number = host.send_request(NON_IDEMPOTENT, time_left=1.5)
     host.step(0.02)
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -2,7 +2,7 @@
 
 from balancer_host import NEVER, SERVED, BalancerHost, failing_servers
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 
 def test_a_hanging_server_is_ejected_and_its_idempotent_requests_go_elsewhere():
@@ -19,20 +19,20 @@
 
 
 def test_a_server_that_fails_fast_draws_no_traffic_by_its_low_latency():
-    host = BalancerHost(answer=failing_servers(0, outcome=(Outcome.ERROR, 0.001))).run(2.0, 60)
+    host = BalancerHost(answer=failing_servers(0, outcome=(AttemptOutcome.ERROR, 0.001))).run(2.0, 60)
     before = host.attempts_to(0)
     host.run(4.0, 60)
     assert host.attempts_to(0) - before < 20  # an even share would be 60
 
 
 def test_when_all_servers_fail_alike_none_is_ejected():
-    host = BalancerHost(answer=lambda s, r: (Outcome.ERROR, 0.01) if r[0] % 2 else SERVED).run(6.0, 60)
+    host = BalancerHost(answer=lambda s, r: (AttemptOutcome.ERROR, 0.01) if r[0] % 2 else SERVED).run(6.0, 60)
     assert all(host.attempts_to(s, host.now - 2.0) > 10 for s in range(4))
 
 
 def test_a_trial_that_was_rejected_or_never_sent_is_not_the_last():
-    for unsent in (Outcome.FULL, Outcome.MOOT):
-        outcome = [(Outcome.ERROR, 0.01)]
+    for unsent in (AttemptOutcome.FULL, AttemptOutcome.MOOT):
+        outcome = [(AttemptOutcome.ERROR, 0.01)]
         host = BalancerHost(4, lambda server, attempt, now=outcome: SERVED if server else now[0])
         host.run(20, 40)
         outcome[0] = (unsent, 0.001)
--- a/tests/balancing/test_request_endings.py
+++ b/tests/balancing/test_request_endings.py
@@ -2,7 +2,7 @@
 
 from balancer_host import IDEMPOTENT, KEYED, NEVER, NON_IDEMPOTENT, SERVED, BalancerHost, slow_at_times
 
-from wheatroute.balancing.interface import Event, Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Event, ServerState
 
 
 def test_every_request_gets_one_answer_before_its_deadline_though_no_server_answers():
@@ -53,7 +53,7 @@
     host.step(0.5)
     host.events += [
         (Event.CLIENT_LEFT, number),
-        (Event.ATTEMPT_ENDED, number, 0, 0, Outcome.ERROR, 0.1, True, None),
+        (Event.ATTEMPT_ENDED, number, 0, 0, AttemptOutcome.ERROR, 0.1, True, None),
         (Event.CLIENT_LEFT, 999),
         (Event.TIMER_DUE,),
     ]
@@ -71,7 +71,7 @@
 
 
 def test_a_client_with_a_longer_timeout_makes_no_other_look_late():
-    host = BalancerHost(answer=lambda server, attempt: (Outcome.SERVED, 0.5))
+    host = BalancerHost(answer=lambda server, attempt: (AttemptOutcome.SERVED, 0.5))
     host.send_request(time_left=3.0)
     host.step(0.1)
     others = [host.send_request(time_left=1.6) for _ in range(8)]
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -4,15 +4,22 @@
 
 from balancer_host import IDEMPOTENT, KEYED, NON_IDEMPOTENT, SERVED, BalancerHost, decision_settings
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 
 def test_a_non_idempotent_request_is_retried_only_when_it_provably_never_ran():
-    full = BalancerHost(answer=lambda server, attempt: (Outcome.FULL, 0.01) if attempt[1] == 0 else SERVED)
+    full = BalancerHost(
+        answer=lambda server, attempt: (AttemptOutcome.FULL, 0.01) if attempt[1] == 0 else SERVED
+    )
     number = full.send_request(NON_IDEMPOTENT)
     full.step(0.5)
     assert len(set(full.attempts[number])) == 2 and full.final_answers[number] == "served"
-    for outcome in (Outcome.ERROR, Outcome.RESET, Outcome.TIMED_OUT, Outcome.UNKNOWN):
+    for outcome in (
+        AttemptOutcome.ERROR,
+        AttemptOutcome.RESET,
+        AttemptOutcome.TIMED_OUT,
+        AttemptOutcome.UNKNOWN,
+    ):
         host = BalancerHost(answer=lambda server, attempt, outcome=outcome: (outcome, 0.01))
         number = host.send_request(NON_IDEMPOTENT)
         host.step(3.0)
@@ -20,14 +27,16 @@
 
 
 def test_a_keyed_request_is_retried_only_in_its_group_and_window():
-    host = BalancerHost(answer=lambda server, attempt: (Outcome.ERROR, 0.01) if attempt[1] == 0 else SERVED)
+    host = BalancerHost(
+        answer=lambda server, attempt: (AttemptOutcome.ERROR, 0.01) if attempt[1] == 0 else SERVED
+    )
     number = host.send_request(KEYED)
     host.step(0.5)
     first, second = host.attempts[number]
     assert first // 2 == second // 2 and host.final_answers[number] == "served"
     classes = list(decision_settings().request_classes)
     classes[KEYED] = replace(classes[KEYED], late_value=0.5)
-    late = BalancerHost(answer=lambda server, attempt: (Outcome.ERROR, 2.5), request_classes=classes)
+    late = BalancerHost(answer=lambda server, attempt: (AttemptOutcome.ERROR, 2.5), request_classes=classes)
     number = late.send_request(KEYED)
     late.step(3.0)
     assert len(late.attempts[number]) == 1 and late.final_answers[number] == "failed"
--- a/tests/balancing/test_server_selection.py
+++ b/tests/balancing/test_server_selection.py
@@ -11,7 +11,7 @@
     run_with_light_reports,
 )
 
-from wheatroute.balancing.interface import Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, ServerState
 
 
 def send_with_hint(host, request_class, work):
@@ -52,7 +52,7 @@
 
 def test_a_server_not_heard_is_expected_to_be_like_its_model():
     entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
-    host = BalancerHost(entries=entries, answer=lambda s, r: (Outcome.SERVED, 0.3 if s % 2 else 0.1))
+    host = BalancerHost(entries=entries, answer=lambda s, r: (AttemptOutcome.SERVED, 0.3 if s % 2 else 0.1))
     host.run(0.5, 20).step(0.5)
     host.list_servers([(8 + s, 0, s % 2, 8 + s, ServerState.LIVE, 1.0, 0.0) for s in range(2)])
     host.step(0.005)
@@ -61,7 +61,7 @@
 
 
 def test_an_attempt_in_flight_for_long_counts_before_it_ends():
-    host = BalancerHost(answer=lambda s, r: (Outcome.SERVED, 0.29) if s == 0 and is_slow else SERVED)
+    host = BalancerHost(answer=lambda s, r: (AttemptOutcome.SERVED, 0.29) if s == 0 and is_slow else SERVED)
     is_slow = False
     host.run(4.0, 40)
     is_slow = True
@@ -71,7 +71,9 @@
 
 
 def test_the_split_follows_latency_within_its_clamps():
-    host = BalancerHost(answer=lambda s, r: (Outcome.SERVED, (0.02, 0.06, 0.06, 0.06)[s])).run(12.0, 20)
+    host = BalancerHost(answer=lambda s, r: (AttemptOutcome.SERVED, (0.02, 0.06, 0.06, 0.06)[s])).run(
+        12.0, 20
+    )
     since = host.now
     host.run(40.0, 20)
     shares = [host.attempts_to(s, since) / 800 for s in range(4)]
@@ -110,7 +112,8 @@
     entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
     sizes = {}
     host = BalancerHost(
-        entries=entries, answer=lambda s, r: (Outcome.SERVED, 0.1 * sizes[r[0]] * (4.0 if s % 2 else 1.0))
+        entries=entries,
+        answer=lambda s, r: (AttemptOutcome.SERVED, 0.1 * sizes[r[0]] * (4.0 if s % 2 else 1.0)),
     )
     for n in range(400):
         number = send_with_hint(host, NON_IDEMPOTENT, 5.0 if n % 10 == 9 else 0.5)
@@ -137,6 +140,6 @@
 
 
 def test_a_full_server_gets_nothing_new_at_once():
-    host = BalancerHost(answer=failing_servers(0, outcome=(Outcome.FULL, 0.002))).run(4.0, 100)
+    host = BalancerHost(answer=failing_servers(0, outcome=(AttemptOutcome.FULL, 0.002))).run(4.0, 100)
     assert host.attempts_to(0) < 70
     assert all(one == "served" for one in list(host.final_answers.values())[:-20])
--- a/tests/balancing/test_settings_updates.py
+++ b/tests/balancing/test_settings_updates.py
@@ -4,10 +4,10 @@
 
 from balancer_host import IDEMPOTENT, KEYED, NON_IDEMPOTENT, SERVED, BalancerHost, slow_servers
 
-from wheatroute.balancing.interface import DeduplicationGroup, Event, Idempotency, Outcome
+from wheatroute.balancing.interface import AttemptOutcome, DeduplicationGroup, Event, Idempotency
 from wheatroute.balancing.settings import TenantQuota
 
-LOST = (Outcome.RESET, 0.2)
+LOST = (AttemptOutcome.RESET, 0.2)
 
 
 def change_settings(host, is_binding, class_changes=None, **changes):
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -2,7 +2,7 @@
 
 from balancer_host import SERVED, BalancerHost
 
-from wheatroute.balancing.interface import Event, Outcome
+from wheatroute.balancing.interface import AttemptOutcome, Event
 
 
 def test_a_server_that_warms_up_gets_less_than_what_would_overload_it():
@@ -37,7 +37,9 @@
 
 def test_a_server_found_dead_warms_up_when_it_is_back():
     down = [True]
-    host = BalancerHost(answer=lambda s, r: (Outcome.UNCONNECTED, 0.01) if s == 0 and down[0] else SERVED)
+    host = BalancerHost(
+        answer=lambda s, r: (AttemptOutcome.UNCONNECTED, 0.01) if s == 0 and down[0] else SERVED
+    )
     host.run(4.0, 80)
     assert host.attempts_to(0, host.now - 2.0) < 10
     down[0], back = False, host.now
@@ -46,7 +48,9 @@
 
 
 def test_a_server_that_resets_connections_is_not_taken_to_warm_up():
-    host = BalancerHost(answer=lambda s, r: (Outcome.RESET, 0.05) if r[0] % 5 == 0 and not r[1] else SERVED)
+    host = BalancerHost(
+        answer=lambda s, r: (AttemptOutcome.RESET, 0.05) if r[0] % 5 == 0 and not r[1] else SERVED
+    )
     host.run(8.0, 60)
     assert all(host.attempts_to(s, host.now - 2.0) > 15 for s in range(4))
 
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -27,7 +27,7 @@
     server_entry,
 )
 
-from wheatroute.balancing.interface import Event, Idempotency, Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Event, Idempotency, ServerState
 from wheatroute.balancing.settings import DecisionSettings, RequestClass
 from wheatroute.net import client_connection, node_settings, server_numbers
 from wheatroute.net.balancer_driver import BalancerDriver
@@ -427,7 +427,7 @@
         driver.attempt(0, 4, 1.0)
         driver.handle_events(driver._overdue_times[0][0] - 1.0)
         assert len(driver.upstream.started) == 1 and exchange.response.body == b"first"
-        assert [one[4] for one in given if one[0] == Event.ATTEMPT_ENDED] == [Outcome.MOOT]
+        assert [one[4] for one in given if one[0] == Event.ATTEMPT_ENDED] == [AttemptOutcome.MOOT]
         driver.fail(0)
         assert exchange.response.body == b"first"
 
@@ -440,13 +440,13 @@
 
         def again(self, now, events, writer):
             for event in events:
-                if event[0] == Event.ATTEMPT_ENDED and event[4] == Outcome.ERROR:
+                if event[0] == Event.ATTEMPT_ENDED and event[4] == AttemptOutcome.ERROR:
                     writer.attempt(event[1], 4, 1.0)
 
         exchange = request()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
-        driver.finish_attempt(exchange, exchange.attempts[0], Outcome.ERROR, None)
+        driver.finish_attempt(exchange, exchange.attempts[0], AttemptOutcome.ERROR, None)
         type(driver._balancer).handle_events = again
         driver.handle_events(driver._overdue_times[0][0] + 1.0)  # held up until after the deadline
         assert exchange.response.status == 502 and len(driver.upstream.started) == 1
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -12,7 +12,7 @@
 from balancer_host import BalancerHost, slow_servers
 
 from wheatroute import snapshot, stored_statistics
-from wheatroute.balancing.interface import Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, ServerState
 
 
 def test_each_reason_why_a_snapshot_is_unusable_is_reported():
@@ -118,7 +118,7 @@
 
 def test_statistics_are_stored_under_the_keys_of_earlier_versions():
     names = {f"s{n}": n for n in range(3)}
-    answers = [None, (Outcome.SERVED, 0.1), (Outcome.SERVED, 0.4)]
+    answers = [None, (AttemptOutcome.SERVED, 0.1), (AttemptOutcome.SERVED, 0.4)]
     host = BalancerHost(servers=3, answer=lambda server, attempt: answers[server]).run(6.0, 40)
     exported = stored_statistics.export_statistics(host.balancer, names, host.now)
     assert orjson.dumps(exported) == STORED_STATISTICS
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -59,7 +59,7 @@
     SETTINGS_CHANGED = 10  # `is_binding`: also for requests taken before
 
 
-class Outcome(IntEnum):
+class AttemptOutcome(IntEnum):
     """How an attempt ended. FULL, UNCONNECTED and MOOT prove that it never ran."""
 
     SERVED = 0
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -10,7 +10,7 @@
 from collections.abc import Mapping
 from math import ceil, sqrt
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.parameters import (
     CONGESTED_LOAD_RATIO,
@@ -131,10 +131,12 @@
                 self._probes_in_flight += 1
                 self._state.writer.probe(server)
 
-    def probe_ended(self, server: int, outcome: Outcome, elapsed_s: float, report: Report | None) -> None:
+    def probe_ended(
+        self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
+    ) -> None:
         """Takes a probe's answer; once all have ended, sends what they showed to the other nodes."""
         self._probes_in_flight -= 1
-        if report and outcome == Outcome.SERVED:
+        if report and outcome == AttemptOutcome.SERVED:
             self.take_report(server, report, elapsed_s)
             self._probed_loads[server] = self._state.servers.load[server]
         if self._probes_in_flight <= 0 and self._probed_loads:
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -4,7 +4,7 @@
 
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.balancing.load_reports import LoadReports
 from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outlier_ejection import OutlierEjection
@@ -34,37 +34,41 @@
         self.served_rate += (rate - self.served_rate) * SMOOTHING if self.served_rate else rate
         self._served_count = 0
 
-    def record(self, request: Request, n: int, server: int, outcome: Outcome, elapsed_s: float) -> None:
+    def record(
+        self, request: Request, n: int, server: int, outcome: AttemptOutcome, elapsed_s: float
+    ) -> None:
         """Takes in how an attempt of a request ended at a server."""
         self._record_health(request, server, outcome, elapsed_s)
         self._record_idleness(request, n, server, outcome, elapsed_s)
         self._record_connection(request.opened_connection[n], server, outcome)
 
-    def _record_health(self, request: Request, server: int, outcome: Outcome, elapsed_s: float) -> None:
+    def _record_health(
+        self, request: Request, server: int, outcome: AttemptOutcome, elapsed_s: float
+    ) -> None:
         servers, now = self._state.servers, self._state.now
         mean = self._state.latencies.mean[request.class_number]
-        if outcome == Outcome.SERVED:
+        if outcome == AttemptOutcome.SERVED:
             self._record_served(request, server, elapsed_s)
-        elif outcome == Outcome.TIMED_OUT:
+        elif outcome == AttemptOutcome.TIMED_OUT:
             self._add_latency(request, server, elapsed_s, False)
-        elif outcome == Outcome.WITHDRAWN:
+        elif outcome == AttemptOutcome.WITHDRAWN:
             relative = elapsed_s / (mean * request.relative_size or elapsed_s or 1.0)
             if relative > servers.latency[server] > 0.0:
                 self._smooth_latency(server, relative)
                 servers.connection_failures[server] += 1
-        elif outcome in (Outcome.ERROR, Outcome.UNKNOWN):
+        elif outcome in (AttemptOutcome.ERROR, AttemptOutcome.UNKNOWN):
             servers.error_rate[server] += (1.0 - servers.error_rate[server]) * SMOOTHING
             self._ejection.check_errors(server)
-        elif outcome == Outcome.UNCONNECTED:
+        elif outcome == AttemptOutcome.UNCONNECTED:
             # A process that refuses connections has ended; when it is back it must warm up, whether or not
             # the list says so. A connection that only never came may be the path's fault.
             if elapsed_s < self._state.settings.connect_timeout_s / 2:
                 servers.started_at[server] = max(servers.started_at[server], now)
-        elif outcome == Outcome.FULL:
+        elif outcome == AttemptOutcome.FULL:
             # nothing is sent there before it can have finished something
             servers.full_until[server] = now + mean / 2
             self._reports.mark_full(server)
-        if outcome != Outcome.SERVED:
+        if outcome != AttemptOutcome.SERVED:
             # a trial that was rejected or never sent is not in flight any more either
             self._ejection.fail_trial(server)
 
@@ -93,36 +97,36 @@
         servers.latency[server] += (relative - servers.latency[server]) / (kept + 1.0)
 
     def _record_idleness(
-        self, request: Request, n: int, server: int, outcome: Outcome, elapsed_s: float
+        self, request: Request, n: int, server: int, outcome: AttemptOutcome, elapsed_s: float
     ) -> None:
         step = request.idle_steps[n]
-        if outcome == Outcome.SERVED:
+        if outcome == AttemptOutcome.SERVED:
             self._idle.answered[step] += 1.0
             self._state.servers.used_at[server] = self._state.now
-        elif outcome in (Outcome.TIMED_OUT, Outcome.WITHDRAWN):
+        elif outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN):
             latencies = self._state.latencies
             usual_s = latencies.mean[request.class_number] * max(1.0, latencies.latest_median)
             if elapsed_s > 2 * usual_s:
                 self._idle.lost[step] += 1.0
 
-    def _record_connection(self, opened: bool, server: int, outcome: Outcome) -> None:
+    def _record_connection(self, opened: bool, server: int, outcome: AttemptOutcome) -> None:
         """Counts open connections, and finds servers that accept no new ones.
 
         A tier may accept none for a while, or have no room for more, though its servers answer on those
         that are open. These go on being used, and the load is not concentrated on few servers.
         """
         servers = self._state.servers
-        if outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.FULL):
+        if outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.FULL):
             servers.spare_calls[server] += 1
             if opened:
                 servers.connect_backoff_s[server] = servers.connect_after[server] = 0.0
             return
-        if outcome == Outcome.UNCONNECTED and opened:
+        if outcome == AttemptOutcome.UNCONNECTED and opened:
             servers.connect_backoff_s[server] = min(
                 max(UPDATE_INTERVAL_S / 2, 2 * servers.connect_backoff_s[server]), LATENCY_WINDOW_S / 2
             )
             servers.connect_after[server] = self._state.now + servers.connect_backoff_s[server]
-        elif outcome in (Outcome.UNCONNECTED, Outcome.RESET):
+        elif outcome in (AttemptOutcome.UNCONNECTED, AttemptOutcome.RESET):
             servers.spare_calls[server] = 0
             servers.connection_failures[server] += 1
             if servers.connection_failures[server] > 1:
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -6,7 +6,7 @@
 from wheatroute.balancing.attempt_sender import AttemptSender
 from wheatroute.balancing.concurrency_limit import ConcurrencyLimiter
 from wheatroute.balancing.final_answers import FinalAnswers
-from wheatroute.balancing.interface import EarlierAttempt, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, EarlierAttempt, Report
 from wheatroute.balancing.load_reports import LoadReports
 from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outcome_recorder import OutcomeRecorder
@@ -74,7 +74,7 @@
         number: int,
         n: int,
         server: int,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         elapsed_s: float,
         is_finished: bool,
         report: Report | None,
@@ -88,12 +88,12 @@
         servers.in_flight[server] -= 1
         self._limiter.in_flight -= server in self._subset.weights
         servers.sent_at[server].pop((number, n), None)
-        if report and outcome == Outcome.SERVED:
+        if report and outcome == AttemptOutcome.SERVED:
             self._reports.take_report(server, report, elapsed_s)
         self._recorder.record(request, n, server, outcome, elapsed_s)
-        if outcome not in (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT):
+        if outcome not in (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT):
             request.may_have_run += 1
-        if is_finished or outcome == Outcome.SERVED:
+        if is_finished or outcome == AttemptOutcome.SERVED:
             self._answers.close(request)
         elif not request.is_over and not request.attempts_in_flight and not request.is_queued:
             self._retry(request)
--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -9,20 +9,20 @@
 from typing import Any
 
 from wheatroute import peer_messages
-from wheatroute.balancing.interface import Event, Outcome, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Event, ServerState
 from wheatroute.decide import Balancer
 from wheatroute.platform_settings import decision_settings
 from wheatroute.wire_names import REPORT_FIGURES, NameNumbering
 
 OUTCOME_NAMES = {
-    "done": Outcome.SERVED,
-    "err": Outcome.ERROR,
-    "busy": Outcome.FULL,
-    "etimedout": Outcome.TIMED_OUT,
-    "econnrefused": Outcome.UNCONNECTED,
-    "econnreset": Outcome.RESET,
-    "ecanceled": Outcome.WITHDRAWN,
-    "skipped": Outcome.MOOT,
+    "done": AttemptOutcome.SERVED,
+    "err": AttemptOutcome.ERROR,
+    "busy": AttemptOutcome.FULL,
+    "etimedout": AttemptOutcome.TIMED_OUT,
+    "econnrefused": AttemptOutcome.UNCONNECTED,
+    "econnreset": AttemptOutcome.RESET,
+    "ecanceled": AttemptOutcome.WITHDRAWN,
+    "skipped": AttemptOutcome.MOOT,
 }
 STATE_NAMES = {"live": ServerState.LIVE, "quiescing": ServerState.DRAINING, "dead": ServerState.REMOVED}
 HAS_COST, IS_REPEATED = 1, 2  # bits of an ask's "attrs"
@@ -81,7 +81,7 @@
         self._in_flight[number] -= 1
         if finished:
             self._ended.add(number)
-        outcome = OUTCOME_NAMES.get(message["result"], Outcome.UNKNOWN)
+        outcome = OUTCOME_NAMES.get(message["result"], AttemptOutcome.UNKNOWN)
         self.events.append(
             (
                 Event.ATTEMPT_ENDED,
@@ -133,7 +133,7 @@
 
     def echo(self, message: dict[str, Any]) -> None:
         """A probe has ended."""
-        outcome = OUTCOME_NAMES.get(message["result"], Outcome.UNKNOWN)
+        outcome = OUTCOME_NAMES.get(message["result"], AttemptOutcome.UNKNOWN)
         self.events.append(
             (
                 Event.PROBE_ENDED,
--- a/wheatroute/fleet/baselines/latency.py
+++ b/wheatroute/fleet/baselines/latency.py
@@ -6,7 +6,7 @@
 from itertools import accumulate
 from random import Random
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.fleet.baselines.policy import Policy
 from wheatroute.fleet.nodes import Node
@@ -25,10 +25,10 @@
         self._mean_s: dict[int, float] = {}  # by request class
 
     def learn(
-        self, server: int, class_number: int, outcome: Outcome, elapsed_s: float, report: Report | None
+        self, server: int, class_number: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
     ) -> None:
         """Smooths the latency of a server; a timeout counts as a latency, an error doesn't."""
-        if outcome not in (Outcome.SERVED, Outcome.TIMED_OUT):
+        if outcome not in (AttemptOutcome.SERVED, AttemptOutcome.TIMED_OUT):
             return
         mean_s = self._mean_s.get(class_number, elapsed_s) * (1.0 - MEAN_WEIGHT) + elapsed_s * MEAN_WEIGHT
         self._mean_s[class_number] = mean_s
--- a/wheatroute/fleet/baselines/policy.py
+++ b/wheatroute/fleet/baselines/policy.py
@@ -5,6 +5,7 @@
 from random import Random
 
 from wheatroute.balancing.interface import (
+    AttemptOutcome,
     CommandWriter,
     DeduplicationGroup,
     Event,
@@ -12,7 +13,6 @@
     EventFields,
     Idempotency,
     ListEntry,
-    Outcome,
     Report,
     ServerState,
 )
@@ -69,7 +69,7 @@
         raise NotImplementedError
 
     def learn(
-        self, server: int, class_number: int, outcome: Outcome, elapsed_s: float, report: Report | None
+        self, server: int, class_number: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
     ) -> None:
         """Takes note of the end of an attempt."""
 
@@ -83,7 +83,9 @@
     def timer_due(self, writer: CommandWriter) -> None:
         """A moment given to `CommandWriter.wake_at` has come."""
 
-    def probe_ended(self, server: int, outcome: Outcome, elapsed_s: float, report: Report | None) -> None:
+    def probe_ended(
+        self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
+    ) -> None:
         """A probe was answered, or was not."""
 
     # events
@@ -134,7 +136,7 @@
         number: int,
         attempt: int,
         server: int,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
         elapsed_s: float,
         is_finished: bool,
         report: Report | None,
@@ -145,10 +147,10 @@
         request.in_flight -= 1
         self.in_flight[server] -= 1
         self.learn(server, request.class_number, outcome, elapsed_s, report)
-        if outcome == Outcome.UNCONNECTED:
+        if outcome == AttemptOutcome.UNCONNECTED:
             self._excluded_until[server] = self.now + EXCLUSION_S
         request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
-        if is_finished or outcome == Outcome.SERVED:
+        if is_finished or outcome == AttemptOutcome.SERVED:
             self._close(number, writer)
         elif not request.is_over and not request.in_flight:
             self._retry(number, request, outcome, writer)
@@ -204,9 +206,11 @@
         if is_idempotent and has_attempts and self.settings.can_hedge and self.candidates(request):
             self._send(number, request, writer)
 
-    def _retry(self, number: int, request: PendingRequest, outcome: Outcome, writer: CommandWriter) -> None:
+    def _retry(
+        self, number: int, request: PendingRequest, outcome: AttemptOutcome, writer: CommandWriter
+    ) -> None:
         may_repeat = not request.may_have_run or self._is_idempotent(request)
-        if may_repeat and outcome != Outcome.TIMED_OUT:
+        if may_repeat and outcome != AttemptOutcome.TIMED_OUT:
             self._send(number, request, writer)
         else:
             self._give_up(number, request, writer)
--- a/wheatroute/fleet/baselines/probing.py
+++ b/wheatroute/fleet/baselines/probing.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatroute.balancing.interface import CommandWriter, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, CommandWriter, Report
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.fleet.baselines.policy import Policy
 from wheatroute.fleet.nodes import Node
@@ -38,9 +38,11 @@
         self._pool: list[ProbeResult] = []
         self._held_samples: list[float] = []
 
-    def probe_ended(self, server: int, outcome: Outcome, elapsed_s: float, report: Report | None) -> None:
+    def probe_ended(
+        self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
+    ) -> None:
         """Adds the result to the pool, in place of the oldest if that is full."""
-        if outcome != Outcome.SERVED or not report:
+        if outcome != AttemptOutcome.SERVED or not report:
             return
         held = report["held"]
         self._pool.append(ProbeResult(self.now, server, held, report["latency"]))
--- a/wheatroute/fleet/calls.py
+++ b/wheatroute/fleet/calls.py
@@ -4,7 +4,7 @@
 
 from math import floor
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.fleet import distributions, random_streams
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job
@@ -84,7 +84,7 @@
         else:
             self._attempt.server.fail(job)
 
-    def job_done(self, job: Job, outcome: Outcome) -> None:
+    def job_done(self, job: Job, outcome: AttemptOutcome) -> None:
         """Sends the response."""
         self._transport.respond(self._attempt, outcome)
 
--- a/wheatroute/fleet/jobs.py
+++ b/wheatroute/fleet/jobs.py
@@ -5,7 +5,7 @@
 from enum import IntEnum
 from typing import Protocol
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 
 class JobState(IntEnum):
@@ -23,7 +23,7 @@
     def stage_done(self, job: Job) -> None:
         """A stage other than the last is done; answered by `Server.run_next_stage` or `Server.fail`."""
 
-    def job_done(self, job: Job, outcome: Outcome) -> None:
+    def job_done(self, job: Job, outcome: AttemptOutcome) -> None:
         """The job is served, or ended with an error."""
 
     def cancelled(self, job: Job) -> None:
--- a/wheatroute/fleet/node_requests.py
+++ b/wheatroute/fleet/node_requests.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Event, Report
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.event_batches import EventBatcher
 from wheatroute.fleet.network import Address
@@ -100,7 +100,7 @@
         time_left_s = request.deadline_at - self._engine.now
         timeout_s = min(timeout_s, time_left_s) if timeout_s else time_left_s
         if request.is_answered or timeout_s <= 0.0:
-            transport.end(attempt, Outcome.MOOT)
+            transport.end(attempt, AttemptOutcome.MOOT)
         else:
             transport.send(attempt, timeout_s)
 
@@ -121,7 +121,7 @@
         if outcome is not None and self._trace.follows(request):
             text = f"attempt {attempt.number} ends: {outcome.name} after {elapsed_s:.3f} s"
             self._add_to_trace(request, text)
-        if outcome == Outcome.SERVED and not request.is_answered:
+        if outcome == AttemptOutcome.SERVED and not request.is_answered:
             self._send_answer(request, RequestOutcome.SERVED, 0.0)
         self._events.add(
             Event.ATTEMPT_ENDED,
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Protocol
 
-from wheatroute.balancing.interface import Event, ListEntry, Outcome, Report, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Event, ListEntry, Report, ServerState
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.fleet.connections import ConnectionPool
 from wheatroute.fleet.engine import Engine
@@ -149,7 +149,9 @@
     def _fetch_list(self) -> None:
         self._environment.server_list.send_full(self)
 
-    def _probe_ended(self, server: int, outcome: Outcome, elapsed_s: float, report: Report | None) -> None:
+    def _probe_ended(
+        self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
+    ) -> None:
         self._events.add(Event.PROBE_ENDED, server, outcome, elapsed_s, report)
 
     def die(self) -> list[NodeRequest]:
--- a/wheatroute/fleet/probes.py
+++ b/wheatroute/fleet/probes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from math import inf
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.plan import FleetPlan
 from wheatroute.fleet.servers import Server
@@ -22,7 +22,7 @@
         engine: Engine,
         plan: FleetPlan,
         transport: AttemptTransport,
-        on_result: Callable[[int, Outcome, float, Report | None], None],
+        on_result: Callable[[int, AttemptOutcome, float, Report | None], None],
     ) -> None:
         self._engine = engine
         self._plan = plan
@@ -35,17 +35,17 @@
         if delay_s == inf or not server.is_alive:
             timeout_s = self._plan.network.connect_timeout_s
             self._engine.call_later(
-                timeout_s, self._on_result, server.number, Outcome.TIMED_OUT, timeout_s, None
+                timeout_s, self._on_result, server.number, AttemptOutcome.TIMED_OUT, timeout_s, None
             )
         else:
             self._engine.call_later(2 * delay_s, self._answered, server, 2 * delay_s)
 
     def _answered(self, server: Server, elapsed_s: float) -> None:
         if server.is_hanging:
-            self._on_result(server.number, Outcome.TIMED_OUT, elapsed_s, None)
+            self._on_result(server.number, AttemptOutcome.TIMED_OUT, elapsed_s, None)
             return
         report = {"held": float(server.held), "latency": self._estimated_latency_s(server)}
-        self._on_result(server.number, Outcome.SERVED, elapsed_s, report)
+        self._on_result(server.number, AttemptOutcome.SERVED, elapsed_s, report)
 
     def _estimated_latency_s(self, server: Server) -> float:
         """What a server would tell of its latency: the jobs of each core over the core's speed."""
--- a/wheatroute/fleet/queue_simulation.py
+++ b/wheatroute/fleet/queue_simulation.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.fleet.distributions import distribution
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job
@@ -41,7 +41,7 @@
     def stage_done(self, job: Job) -> None:
         """Jobs have one stage."""
 
-    def job_done(self, job: Job, outcome: Outcome) -> None:
+    def job_done(self, job: Job, outcome: AttemptOutcome) -> None:
         """Notes the time."""
         if self._times is not None:
             self._times.append(self._engine.now - self._arrived_at)
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -6,13 +6,17 @@
 from enum import StrEnum
 from math import inf
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.fleet.engine import ScheduledCall
 from wheatroute.fleet.jobs import Job
 from wheatroute.fleet.network import Address
 from wheatroute.fleet.servers import Server
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)  # outcomes that prove it of an attempt
+NEVER_RAN = (
+    AttemptOutcome.FULL,
+    AttemptOutcome.UNCONNECTED,
+    AttemptOutcome.MOOT,
+)  # outcomes that prove it of an attempt
 
 
 class RequestOutcome(StrEnum):
@@ -140,7 +144,7 @@
         self.number = number  # in its request, from 0
         self.server = server
         self.sent_at = sent_at
-        self.outcome: Outcome | None = None  # None: in flight
+        self.outcome: AttemptOutcome | None = None  # None: in flight
         self.timeout: ScheduledCall | None = None
         self.job: Job | None = None  # once the server has accepted it
         self.is_over = False  # the node doesn't wait for it
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import NamedTuple
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.fleet.collapse import CollapseMonitor
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job, JobState
@@ -107,7 +107,7 @@
             self._end(job)
             self.reporter.count_failed()
             if job.owner is not None:
-                job.owner.job_done(job, Outcome.ERROR)
+                job.owner.job_done(job, AttemptOutcome.ERROR)
 
     def cancel(self, job: Job) -> None:
         """Stops a job that nobody waits for, if it is one that the tier can stop."""
@@ -164,7 +164,7 @@
         self._end(job)
         if job.owner is not None:
             self.reporter.count_served()
-            job.owner.job_done(job, Outcome.SERVED)
+            job.owner.job_done(job, AttemptOutcome.SERVED)
 
     # speed
 
--- a/wheatroute/fleet/transport.py
+++ b/wheatroute/fleet/transport.py
@@ -9,7 +9,7 @@
 from math import inf
 from typing import Protocol
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.fleet.connections import ConnectionPool
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.jobs import Job
@@ -88,7 +88,7 @@
 
     def _unconnected(self, attempt: Attempt) -> None:
         if not attempt.is_over:
-            self.end(attempt, Outcome.UNCONNECTED)
+            self.end(attempt, AttemptOutcome.UNCONNECTED)
 
     def _write(self, attempt: Attempt) -> None:
         if attempt.is_over:
@@ -103,7 +103,7 @@
         server = attempt.server
         if not server.is_alive or server.incarnation != attempt.incarnation:
             if not attempt.is_over:
-                self.end(attempt, Outcome.RESET if server.is_alive else Outcome.UNCONNECTED)
+                self.end(attempt, AttemptOutcome.RESET if server.is_alive else AttemptOutcome.UNCONNECTED)
             return
         if attempt.is_over:
             return  # cancelled on the way: it never runs
@@ -111,19 +111,19 @@
         if server.accept(job):
             attempt.job = job
         else:
-            self.respond(attempt, Outcome.FULL)
+            self.respond(attempt, AttemptOutcome.FULL)
 
     # from the server to the node
 
-    def respond(self, attempt: Attempt, outcome: Outcome) -> None:
+    def respond(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """The server sends the response, with its load report."""
         server = attempt.server
         delay_s = self._delay_from(server)
-        if delay_s < inf and not (outcome == Outcome.SERVED and self._network.loses_response()):
+        if delay_s < inf and not (outcome == AttemptOutcome.SERVED and self._network.loses_response()):
             report = server.reporter.report() if server.tier.reports is not None else None
             self._engine.call_later(delay_s, self._response_arrives, attempt, outcome, report)
 
-    def _response_arrives(self, attempt: Attempt, outcome: Outcome, report: Report | None) -> None:
+    def _response_arrives(self, attempt: Attempt, outcome: AttemptOutcome, report: Report | None) -> None:
         if attempt.is_over or self._is_closed:
             return
         if attempt.has_connection:
@@ -141,28 +141,28 @@
 
     def _reset(self, attempt: Attempt) -> None:
         if not attempt.is_over:
-            self.end(attempt, Outcome.RESET)
+            self.end(attempt, AttemptOutcome.RESET)
 
     # ends
 
-    def end(self, attempt: Attempt, outcome: Outcome, report: Report | None = None) -> None:
+    def end(self, attempt: Attempt, outcome: AttemptOutcome, report: Report | None = None) -> None:
         """Ends an attempt, and its connection unless `abandon` follows."""
         attempt.is_over = True
         attempt.outcome = outcome
         self._engine.cancel(attempt.timeout)
-        if outcome not in (Outcome.TIMED_OUT, Outcome.WITHDRAWN):
+        if outcome not in (AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN):
             self._close_connection(attempt)
         self._on_end(attempt, report)
 
     def cancel(self, attempt: Attempt) -> None:
         """Ends an attempt that the node doesn't wait for any more."""
-        self.end(attempt, Outcome.WITHDRAWN)
+        self.end(attempt, AttemptOutcome.WITHDRAWN)
         self.abandon(attempt)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.is_over:
             # one that was not written whole has never run
-            self.end(attempt, Outcome.TIMED_OUT if attempt.is_written else Outcome.MOOT)
+            self.end(attempt, AttemptOutcome.TIMED_OUT if attempt.is_written else AttemptOutcome.MOOT)
             self.abandon(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -3,13 +3,13 @@
 Does I/O. An attempt is written at once on one connection, and checked by `SendRules` in the moment of the
 write and before each further piece. Its outcome says whether it may have run: it can't have before its last
 byte was written, and may have after that, unless the server's response proves that it didn't
-(`Outcome.FULL`). Nothing is sent again here.
+(`AttemptOutcome.FULL`). Nothing is sent again here.
 """
 
 import h11
 import trio
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.connection import Connection, MalformedError, PeerClosedError
 from wheatroute.net.connection_pool import ConnectFailedError, ConnectionHolder, ConnectionPool
@@ -19,7 +19,7 @@
 from wheatroute.net.send_rules import SendRules
 from wheatroute.net.server_table import ServerTable
 
-NEVER_RAN = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
+NEVER_RAN = (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT)
 
 
 class AttemptRunner:
@@ -43,7 +43,7 @@
 
     async def run(self, exchange: Exchange, attempt: Attempt) -> None:
         """Runs an attempt to its outcome, which the driver gets once the connection is released or closed."""
-        outcome, report = Outcome.WITHDRAWN, None
+        outcome, report = AttemptOutcome.WITHDRAWN, None
         holder = ConnectionHolder()
         try:
             with attempt.scope:
@@ -52,7 +52,7 @@
                 outcome = self._outcome_of_cancelled(attempt, holder)
         except Exception:
             self._log.exception("fault")
-            outcome = Outcome.UNKNOWN if holder.is_written else Outcome.UNCONNECTED
+            outcome = AttemptOutcome.UNKNOWN if holder.is_written else AttemptOutcome.UNCONNECTED
             holder.close_reason = CloseReason.FAULT
         self._pool.discard(holder.connection, holder.close_reason)
         self._servers.end(attempt.server)
@@ -60,31 +60,31 @@
         self._driver.finish_attempt(exchange, attempt, outcome, report)
 
     @staticmethod
-    def _outcome_of_cancelled(attempt: Attempt, holder: ConnectionHolder) -> Outcome:
+    def _outcome_of_cancelled(attempt: Attempt, holder: ConnectionHolder) -> AttemptOutcome:
         if attempt.is_withdrawn:
             holder.close_reason = CloseReason.WITHDRAWN
-            return Outcome.WITHDRAWN
+            return AttemptOutcome.WITHDRAWN
         holder.close_reason = CloseReason.TIMED_OUT
-        return Outcome.TIMED_OUT if holder.is_written else Outcome.MOOT
+        return AttemptOutcome.TIMED_OUT if holder.is_written else AttemptOutcome.MOOT
 
     async def _send(
         self, exchange: Exchange, attempt: Attempt, holder: ConnectionHolder
-    ) -> tuple[Outcome, Report | None]:
+    ) -> tuple[AttemptOutcome, Report | None]:
         """Returns outcome and load report; the connection stays in `holder` unless it can be reused."""
         try:
             holder.connection = connection = await self._acquire(exchange, attempt.server)
         except ConnectFailedError as error:
             # without a descriptor the attempt never began, which says nothing of the server
             is_own_fault = error.reason == CloseReason.NO_CAPACITY
-            return Outcome.MOOT if is_own_fault else Outcome.UNCONNECTED, None
+            return AttemptOutcome.MOOT if is_own_fault else AttemptOutcome.UNCONNECTED, None
         if not self._rules.may_send(exchange, attempt):
             self._pool.release(attempt.server, holder)
-            return Outcome.MOOT, None
+            return AttemptOutcome.MOOT, None
         try:
             if not await self._write(connection, exchange, attempt):
                 # part of it was written, and without the remainder it never runs
                 holder.close_reason = CloseReason.WITHDRAWN
-                return Outcome.MOOT, None
+                return AttemptOutcome.MOOT, None
             attempt.may_have_run = True
             response = await read_response(connection, self._pool.connect_timeout_s)
         except OSError:
@@ -95,9 +95,9 @@
             # it may have run; the server's other connections are not suspected
             holder.close_reason = CloseReason.MALFORMED
             self._pool.suspect_surplus_input()
-            return Outcome.UNKNOWN, None
+            return AttemptOutcome.UNKNOWN, None
         outcome = response.outcome
-        if outcome == Outcome.SERVED:
+        if outcome == AttemptOutcome.SERVED:
             exchange.complete(Response(200, response.body, response.headers.get(b"content-type", b"")))
         self._pool.release(attempt.server, holder)
         return outcome, self._reports.read(attempt.server, response.headers.get(b"server-load"))
@@ -119,13 +119,13 @@
 
     def _outcome_of_lost_connection(
         self, connection: Connection, holder: ConnectionHolder, reason: CloseReason
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         holder.close_reason = reason
         if not connection.is_written:
-            return Outcome.UNCONNECTED
+            return AttemptOutcome.UNCONNECTED
         if connection.message_count > 1:
             self._pool.suspect_idle()
-        return Outcome.RESET
+        return AttemptOutcome.RESET
 
     def _request_head(self, exchange: Exchange, attempt: Attempt) -> h11.Request:
         host, port = self._servers.address(attempt.server)
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from wheatroute.balancing.interface import EarlierAttempt, Event, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, EarlierAttempt, Event, Report
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.net.clock import now
@@ -116,7 +116,7 @@
             self.add_event(Event.CLIENT_LEFT, exchange.number)
 
     def finish_attempt(
-        self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
+        self, exchange: Exchange, attempt: Attempt, outcome: AttemptOutcome, report: Report | None
     ) -> None:
         """Adds the outcome of an attempt as an event, with the load report of its response if it had one."""
         exchange.attempts_in_flight -= 1
@@ -236,7 +236,7 @@
         exchange.attempts.append(attempt)
         exchange.attempts_in_flight += 1
         if exchange.is_complete or timeout_s <= 0.0 or len(exchange.attempts) > self._max_attempts:
-            self.finish_attempt(exchange, attempt, Outcome.MOOT, None)
+            self.finish_attempt(exchange, attempt, AttemptOutcome.MOOT, None)
         else:
             self.upstream.start_attempt(exchange, attempt)
 
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -6,7 +6,7 @@
 import h11
 import trio
 
-from wheatroute.balancing.interface import Event, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Event, Report
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.net.balancer_driver import BalancerDriver
 from wheatroute.net.clock import now
@@ -42,21 +42,21 @@
 
     async def run(self, server: int) -> None:
         """Probes a server; outcome, time and load report are added as an event."""
-        sent_at, outcome, report, holder = now(), Outcome.TIMED_OUT, None, ConnectionHolder()
+        sent_at, outcome, report, holder = now(), AttemptOutcome.TIMED_OUT, None, ConnectionHolder()
         try:
             with trio.move_on_after(PROBE_CONNECT_TIMEOUTS * self._pool.connect_timeout_s):
                 outcome, report = await self._probe(server, holder)
         except ConnectFailedError:
-            outcome = Outcome.UNCONNECTED
+            outcome = AttemptOutcome.UNCONNECTED
         except (OSError, MalformedError):
-            outcome, holder.close_reason = Outcome.RESET, CloseReason.RESET
+            outcome, holder.close_reason = AttemptOutcome.RESET, CloseReason.RESET
         except Exception:
             self._log.exception("fault")
         self._pool.discard(holder.connection, holder.close_reason)
         self._servers.end(server)
         self._driver.add_event(Event.PROBE_ENDED, server, outcome, now() - sent_at, report)
 
-    async def _probe(self, server: int, holder: ConnectionHolder) -> tuple[Outcome, Report | None]:
+    async def _probe(self, server: int, holder: ConnectionHolder) -> tuple[AttemptOutcome, Report | None]:
         holder.connection = connection = await self._pool.acquire(server)
         host, port = self._servers.address(server)
         headers = [(b"Host", b"%s:%d" % (host.encode(), port))]
@@ -65,4 +65,4 @@
         load = response.headers.get(b"server-load", response.body if self._path == LOAD_PATH else None)
         report = self._reports.read(server, load)
         self._pool.release(server, holder)
-        return Outcome.SERVED if response.status == 200 else Outcome.ERROR, report
+        return AttemptOutcome.SERVED if response.status == 200 else AttemptOutcome.ERROR, report
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 from wheatroute.net.connection import Connection, MalformedError
 from wheatroute.net.load_reports import parse_load_report
 from wheatroute.net.log import Logger
@@ -24,13 +24,13 @@
     body: bytes
 
     @property
-    def outcome(self) -> Outcome:
+    def outcome(self) -> AttemptOutcome:
         """What the response says of its attempt; only one that is marked so proves that it never ran."""
         if self.status == 200:
-            return Outcome.SERVED
+            return AttemptOutcome.SERVED
         if self.status in (503, 504) and self.headers.get(b"not-started", b"").strip() == b"1":
-            return Outcome.FULL
-        return Outcome.ERROR if self.status >= 500 else Outcome.UNKNOWN
+            return AttemptOutcome.FULL
+        return AttemptOutcome.ERROR if self.status >= 500 else AttemptOutcome.UNKNOWN
 
 
 async def read_response(connection: Connection, connect_timeout_s: float) -> ServerResponse:
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from wheatroute.balancing.interface import Outcome, Report, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Report, ServerState
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.grpc.call import Call
 from wheatroute.net.clock import now
@@ -27,7 +27,7 @@
 
 EXPIRY_CHECK_INTERVAL_S = 0.02  # for attempts whose time is over
 LATE_RESPONSE_GRACE_S = 0.05  # after its time, in which a proxy may still say what became of an attempt
-NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
+NEVER_RAN_OUTCOMES = (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT)
 
 
 class Dispatcher:
@@ -129,7 +129,9 @@
         """The balancer gave the request up before a decision: the same id may come again."""
         self._history.record_never_ran(exchange.attempt_record)
 
-    def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
+    def finish_attempt(
+        self, exchange: RoutedExchange, outcome: AttemptOutcome, report: Report | None
+    ) -> None:
         """The attempt of a request has ended."""
         attempt = exchange.stream.attempt
         if attempt is None:
@@ -158,7 +160,7 @@
         if address is None or not exchange.stream.send_decision(attempt, address, time_left_s):
             self._history.record_never_ran(exchange.attempt_record)
             self._in_flight[attempt.server] -= 1
-            self.driver.finish_attempt(exchange, attempt, Outcome.MOOT, None)
+            self.driver.finish_attempt(exchange, attempt, AttemptOutcome.MOOT, None)
             return
         self.decision_count += 1
         expires_at = exchange.deadline + LATE_RESPONSE_GRACE_S
--- a/wheatroute/processor/response_outcome.py
+++ b/wheatroute/processor/response_outcome.py
@@ -6,7 +6,7 @@
 from enum import IntFlag
 from http import HTTPStatus
 
-from wheatroute.balancing.interface import Outcome
+from wheatroute.balancing.interface import AttemptOutcome
 
 NOT_STARTED = "not-started"  # a server's or proxy's proof that the request never ran
 
@@ -27,22 +27,22 @@
 _RESET = ResponseFlags.LOCAL_RESET | ResponseFlags.REMOTE_RESET | ResponseFlags.CONNECTION_ENDED
 # plain numbers, as they are compared for each response
 _FLAG_OUTCOMES = (
-    (_UNCONNECTED.value, Outcome.UNCONNECTED),
-    (ResponseFlags.TIMED_OUT.value, Outcome.TIMED_OUT),
-    (_RESET.value, Outcome.RESET),
+    (_UNCONNECTED.value, AttemptOutcome.UNCONNECTED),
+    (ResponseFlags.TIMED_OUT.value, AttemptOutcome.TIMED_OUT),
+    (_RESET.value, AttemptOutcome.RESET),
 )
 
 
-def response_outcome(headers: Mapping[str, bytes], flags: int = 0) -> Outcome:
+def response_outcome(headers: Mapping[str, bytes], flags: int = 0) -> AttemptOutcome:
     """Returns an attempt's outcome; only a mark of server or proxy proves that it never ran."""
     status = headers.get(":status", b"")
     if len(status) != 3 or not status.isdigit():
-        return Outcome.UNKNOWN
+        return AttemptOutcome.UNKNOWN
     for bits, outcome in _FLAG_OUTCOMES:
         if flags & bits:
             return outcome
     code = int(status)
     may_be_unstarted = code in (HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
     if may_be_unstarted and headers.get(NOT_STARTED, b"").strip() == b"1":
-        return Outcome.FULL
-    return Outcome.ERROR if code >= HTTPStatus.INTERNAL_SERVER_ERROR else Outcome.SERVED
+        return AttemptOutcome.FULL
+    return AttemptOutcome.ERROR if code >= HTTPStatus.INTERNAL_SERVER_ERROR else AttemptOutcome.SERVED
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -14,7 +14,7 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest
 from google.protobuf.message import DecodeError
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
@@ -65,7 +65,9 @@
     def record_rejection(self, exchange: RoutedExchange) -> None:
         """The balancer rejected or failed the request before any attempt."""
 
-    def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
+    def finish_attempt(
+        self, exchange: RoutedExchange, outcome: AttemptOutcome, report: Report | None
+    ) -> None:
         """The attempt of a request has ended."""
 
     def schedule_flush(self, call: Call) -> None:
@@ -168,9 +170,9 @@
             self.dispatcher.abandon_request(self.exchange)
             self.exchange = None
         else:
-            self._finish_attempt(Outcome.WITHDRAWN, None)
+            self._finish_attempt(AttemptOutcome.WITHDRAWN, None)
 
-    def _finish_attempt(self, outcome: Outcome, report: Report | None) -> None:
+    def _finish_attempt(self, outcome: AttemptOutcome, report: Report | None) -> None:
         if self.state == StreamState.DECIDED and self.exchange is not None:
             self.state = StreamState.ENDED
             self.dispatcher.finish_attempt(self.exchange, outcome, report)
@@ -213,5 +215,5 @@
     def expire(self) -> None:
         """The server's time is over and the proxy says nothing: the attempt has timed out."""
         if self.state == StreamState.DECIDED:
-            self._finish_attempt(Outcome.TIMED_OUT, None)
+            self._finish_attempt(AttemptOutcome.TIMED_OUT, None)
             self.state = StreamState.OVERDUE
