--- a/tests/balancing/test_settings_updates.py
+++ b/tests/balancing/test_settings_updates.py
@@ -10,14 +10,14 @@
 LOST = (AttemptOutcome.RESET, 0.2)
 
 
-def change_settings(host, is_binding, class_changes=None, **changes):
+def change_settings(host, applies_to_pending, class_changes=None, **changes):
     """Hands the module other settings; `class_changes` are by the number of a request class."""
     classes = [
         replace(one, **(class_changes or {}).get(i, {}))
         for i, one in enumerate(host.settings.request_classes)
     ]
     host.settings = replace(host.settings, **({"request_classes": classes} | changes))
-    host.events.append((Event.SETTINGS_CHANGED, host.settings, is_binding))
+    host.events.append((Event.SETTINGS_CHANGED, host.settings, applies_to_pending))
     return host
 
 
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -31,10 +31,10 @@
 ) -> VersionFollower:
     """Return a follower that applies versions to a node; conservative until its first confirmation."""
 
-    def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
+    def apply(adapted: AdaptedVersion, applies_to_pending: bool) -> None:
         # nodes that are counted go before a number that was put
         decision_settings = adapted.settings.with_node_count(discovery.node_counts)
-        driver.update_settings(decision_settings, is_binding)
+        driver.update_settings(decision_settings, applies_to_pending)
         upstream.update_settings(decision_settings)
         downstream.update_settings(adapted.request_classes, adapted.tenants, decision_settings, adapted.forms)
 
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -89,13 +89,13 @@
     `own` is what the worker acts on by its own file.
     """
 
-    def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
+    def apply(adapted: AdaptedVersion, applies_to_pending: bool) -> None:
         dispatcher.update_settings(
             adapted.settings.with_node_count(discovery.node_counts),
             adapted.request_classes,
             adapted.tenants,
             {number: strict_variant for number, (_, strict_variant) in adapted.forms.items()},
-            is_binding,
+            applies_to_pending,
         )
 
     assert own.agreement is not None
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -59,9 +59,9 @@
 class VersionFollower(trio.abc.Instrument):
     """Follows the versions for one process.
 
-    `apply(adapted, is_binding)` makes the process act on a version, at once; `settle()` runs after a change,
-    `server_list()` returns the source and revision of the server list in use, and `apply_drains` takes the
-    list entries that changed by others' drain notices.
+    `apply(adapted, applies_to_pending)` makes the process act on a version, at once; `settle()` runs after a
+    change, `server_list()` returns the source and revision of the server list in use, and `apply_drains`
+    takes the list entries that changed by others' drain notices.
     """
 
     def __init__(
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -14,7 +14,7 @@
     (Event.TIMER_DUE,)
     (Event.NODES_COUNTED, nodes, node, caution)
     (Event.PEER_REPORTED, loads)
-    (Event.SETTINGS_CHANGED, settings, is_binding)
+    (Event.SETTINGS_CHANGED, settings, applies_to_pending)
 
 Requests, servers, request classes, tenants and zones are small dense numbers that the host gives out;
 `tenant` is -1 where there is none. `attempt` numbers the attempts of a request from 0, in the order in which
@@ -34,8 +34,8 @@
 - `caution`: a divisor, 1 or more, of what this node sends to servers that warm up. It is above 1 while the
   other nodes may not count this one.
 - `loads`: load by server, as in `CommandWriter.send_loads`.
-- `is_binding`: whether the new `settings` also rule requests that arrived before; else those keep the rules
-  under which they arrived.
+- `applies_to_pending`: whether the new `settings` also apply to requests that arrived before them; else those
+  requests keep the rules under which they arrived.
 """
 
 from collections.abc import Mapping, Sequence
@@ -56,7 +56,7 @@
     TIMER_DUE = 7  # a moment given to `CommandWriter.wake_at` has come
     NODES_COUNTED = 8  # how many nodes there are, and which of them this one is
     PEER_REPORTED = 9  # what another node heard servers to hold
-    SETTINGS_CHANGED = 10  # `is_binding`: also for requests taken before
+    SETTINGS_CHANGED = 10  # `applies_to_pending`: also for requests taken before
 
 
 class AttemptOutcome(IntEnum):
--- a/wheatroute/balancing/settings_updates.py
+++ b/wheatroute/balancing/settings_updates.py
@@ -36,10 +36,10 @@
         for part in self._parts:
             part.apply_settings()
 
-    def settings_changed(self, settings: DecisionSettings, is_binding: bool) -> None:
-        """Puts other settings in force; requests taken before keep their rules unless `is_binding`."""
+    def settings_changed(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
+        """Puts new settings in force; without `applies_to_pending`, earlier requests keep their rules."""
         state = self._state
-        for request in state.requests.values() if is_binding else ():
+        for request in state.requests.values() if applies_to_pending else ():
             rebind(request, settings.request_classes[request.class_number], state.servers)
         state.settings = settings
         self._apply()
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -12,11 +12,8 @@
 from wheatroute.fleet.network import Address
 from wheatroute.fleet.servers import Server
 
-NEVER_RAN = (
-    AttemptOutcome.FULL,
-    AttemptOutcome.UNCONNECTED,
-    AttemptOutcome.MOOT,
-)  # outcomes that prove it of an attempt
+# outcomes that prove it of an attempt
+NEVER_RAN = (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT)
 
 
 class RequestOutcome(StrEnum):
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -132,19 +132,19 @@
             report,
         )
 
-    def update_settings(self, settings: DecisionSettings, is_binding: bool) -> None:
+    def update_settings(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
         """Puts other settings before all events not handled yet.
 
         Where they are binding, further attempts that have not been written are withdrawn.
         """
-        for exchange in self._exchanges.values() if is_binding else ():
+        for exchange in self._exchanges.values() if applies_to_pending else ():
             for attempt in exchange.attempts[1:]:
                 attempt.is_withdrawn = True
         self._max_attempts = settings.max_attempts
         self._answer_slack_s = settings.answer_slack_s
         # of several updates in one batch the balancer must end with the last one
         earlier_updates = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
-        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, is_binding))
+        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, applies_to_pending))
         self._has_events.set()
 
     # event batches
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -59,10 +59,10 @@
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
         strict_variants: Mapping[int, int],
-        is_binding: bool,
+        applies_to_pending: bool,
     ) -> None:
         """Takes other settings; request classes are matched in the order of `request_classes`."""
-        self.driver.update_settings(settings, is_binding)
+        self.driver.update_settings(settings, applies_to_pending)
         self._reader = RequestReader(
             self._headers,
             settings.request_classes,
