--- a/wheatroute/balancing/components.py
+++ b/wheatroute/balancing/components.py
@@ -1,4 +1,4 @@
-"""Builds the parts that make a node's decisions and joins them. No I/O, no decisions."""
+"""Creates and connects the components that make a node's decisions. No I/O, no decisions."""
 
 from collections.abc import Callable
 from random import Random
@@ -29,19 +29,19 @@
 
 
 class Components:
-    """The parts of one node's decisions."""
+    """Holds the components of one node's balancer, in the order in which they depend on each other."""
 
     def __init__(
         self, settings: DecisionSettings, rng: Random, make_final_answers: FinalAnswersFactory
     ) -> None:
         self.state = state = BalancerState(settings, rng)
 
-        # what is measured and heard
+        # measurements and load reports
         self.ready = ReadyServers()
         self.idle = IdleConnectionStatistics()
         self.reports = LoadReports(state, self.ready)
 
-        # capacity, and the choice of a server
+        # capacity and server selection
         self.limiter = ConcurrencyLimiter()
         self.quotas = TenantQuotas(state, self.limiter)
         self.slow_start = SlowStart(state)
@@ -89,7 +89,7 @@
             self.answers,
         )
 
-        # what the node is told
+        # server list and settings
         self.membership = MembershipUpdates(state, self.ready, self.subset)
         configurable = (self.subset, self.quotas, self.reports, self.admission, self.hedging)
         self.settings_updates = SettingsUpdates(state, self.subset, self.slow_start, configurable)
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -1,13 +1,14 @@
 """All decisions of a node: which server gets a request, when a hedge is sent, when to reject. No I/O.
 
-Make one `Balancer(settings, rng)` for each node and call `handle_events(now, events, writer)` with all that
-happened since the last call; commands are written to `writer` during that call. Events and commands are
-those of `wheatroute/balancing/interface.py`, whose other modules hold the decisions, one for each concern;
-here events are handed to them, timers run, and the next call is asked for. The only clock is `now`, the only
-source of random numbers `rng`, and nothing is shared between nodes.
+Create one `Balancer(settings, rng)` per node and call `handle_events(now, events, writer)` with everything
+that happened since the last call; it writes commands to `writer` during the call. The events and commands are
+defined in `wheatroute/balancing/interface.py`; the other modules of that package make the decisions, one
+module per concern. This module dispatches the events to them, runs timers and requests the next call. `now`
+is the only clock, `rng` the only source of random numbers, and nodes share nothing.
 
-Invariants: a request gets one final answer, before its deadline; it is sent again only as
-`balancing/retry_rules.py` allows; nothing new goes to a server that is draining or removed by the list.
+Invariants: a request gets exactly one final answer, before its deadline; it is retried only as
+`balancing/retry_rules.py` allows; no new attempt goes to a server that is draining or was removed from the
+list.
 """
 
 from collections.abc import Callable
@@ -27,13 +28,13 @@
 
 
 class Balancer:
-    """The decisions of one node."""
+    """Makes the decisions of one node: turns batches of events into commands."""
 
     def __init__(self, settings: DecisionSettings, rng: Random) -> None:
         self._components = components = Components(settings, rng, self._make_final_answers)
         self._state, self._membership, self._queue = components.state, components.membership, components.queue
         self._periodic = PeriodicTasks(components)
-        self._wake_at = inf  # the moment last asked for
+        self._wake_at = inf  # when the next call was last requested for; inf: no call is outstanding
         self._handlers: dict[Event, Callable[..., None]] = {
             Event.ARRIVED: components.lifecycle.arrived,
             Event.ANSWER_STARTED: components.lifecycle.answer_started,
@@ -48,24 +49,28 @@
         }
 
     def _make_final_answers(self, state: BalancerState, quotas: TenantQuotas) -> FinalAnswers:
-        """Makes the part that ends requests; a subclass in `fleet/loss_accounting.py` notes losses there."""
+        """Creates the component that ends requests; overridden in `fleet/loss_accounting.py` to note losses."""
         return FinalAnswers(state, quotas)
 
     @property
     def servers(self) -> ServerStatistics:
-        """What was measured of the servers, to be stored and restored."""
+        """The measurements of each server, which `stored_statistics` exports and restores."""
         return self._state.servers
 
     def handle_events(self, now: float, events: EventBatch, writer: CommandWriter) -> None:
-        """Takes in all that happened since the last batch and writes what is to be done."""
+        """Handles everything that happened since the last batch and writes the resulting commands.
+
+        `now` is the present time in seconds on the host's clock.
+        """
         state, membership, periodic = self._state, self._membership, self._periodic
         state.now, state.writer = now, writer
-        due_by = now + state.settings.tick / 2  # a host may round moments
+        # Half a clock step of tolerance, because a host may round the times of its calls.
+        due_by = now + state.settings.tick / 2
         if self._wake_at <= due_by:
             self._wake_at = inf
         handlers = self._handlers
         for event, *fields in events:
-            # `TIMER_DUE` has no handler, as timers run in every batch; events that aren't known are dropped
+            # `TIMER_DUE` has no handler because timers run in every batch. Unknown events are ignored.
             if event in handlers:
                 handlers[event](*fields)
         if due_by >= membership.watch_at:
@@ -78,13 +83,15 @@
         self._request_wake_up()
 
     def _run_timers(self, due_by: float) -> None:
-        """Ends requests whose time is up, and sends hedges."""
+        """Ends requests that have reached `give_up_at`, and sends hedges that are due."""
         timers, components = self._state.timers, self._components
         while timers and timers[0][0] <= due_by:
             moment, number, request = heappop(timers)
             if request.is_over:
                 continue
-            if number < 0:  # the request's own time is up (`RequestLifecycle.arrived`); else a hedge is due
+            # A negative number marks the timer for `give_up_at` (see `RequestLifecycle.arrived`), any other a
+            # hedge timer.
+            if number < 0:
                 request.is_queued = False
                 components.answers.finish(request)
                 continue
@@ -93,10 +100,11 @@
                 components.sender.send_to(request, server)
 
     def _request_wake_up(self) -> None:
-        """Asks for the next call that is needed, unless one as early is already asked for."""
+        """Requests the next call that is needed, unless one at that time or earlier is already requested."""
         state, periodic, scans = self._state, self._periodic, MAX_SCANS
         timers, now = state.timers, state.now
-        while timers and timers[0][2].is_over and scans:  # the rest in later batches
+        # Removes timers of requests that have ended, `MAX_SCANS` at most; later batches remove the rest.
+        while timers and timers[0][2].is_over and scans:
             heappop(timers)
             scans -= 1
         first_timer = timers[0][0] if timers else inf
--- a/wheatroute/split.py
+++ b/wheatroute/split.py
@@ -1,18 +1,20 @@
-"""Weights of the servers of a service, inverse to their latency and clamped around the mean weight.
+"""Load-balancing weights of servers: inverse to their latency, clamped around the mean weight.
 
-Both data planes use it. A pure function; no I/O.
+Used by both data planes: the decisions of a node (`wheatroute/balancing`) and the edge (`wheatroute/edge`). A
+pure function; no I/O.
 """
 
 from collections.abc import Sequence
 
-MIN_WEIGHT_RATIO, MAX_WEIGHT_RATIO = 0.5, 2.0  # of the mean weight
-ITERATIONS = 3  # the sum hardly changes after that
+MIN_WEIGHT_RATIO, MAX_WEIGHT_RATIO = 0.5, 2.0  # bounds of a weight, as multiples of the mean weight
+ITERATIONS = 3  # rounds of normalizing and clamping; further rounds hardly change the sum
 
 
 def clamped_weights(latencies: Sequence[float]) -> list[float]:
-    """Return the weight of each server, from latencies above 0 in any unit.
+    """Returns the weight of each server.
 
-    The sum is not quite 1 where the clamps bind.
+    `latencies` may be in any unit and must be greater than 0. The weights sum to 1, or only approximately to
+    1 where some of them are clamped.
     """
     weights = [1.0 / latency for latency in latencies]
     mean = 1.0 / max(1, len(weights))
