--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -26,6 +26,8 @@
         state, servers = self._state, self._state.servers
         if state.now < self._due_at:
             return False
-        untried = [servers.ejected_until[one] for one in self.ejected if not servers.is_on_trial[one]]
+        untried = [
+            servers.ejected_until[server] for server in self.ejected if not servers.is_on_trial[server]
+        ]
         self._due_at = min(untried, default=inf)
         return self._due_at <= state.now
--- a/wheatroute/balancing/hedging.py
+++ b/wheatroute/balancing/hedging.py
@@ -26,9 +26,9 @@
     def apply_settings(self) -> None:
         """Applies changed settings. Only the most valuable idempotent request classes are hedged."""
         values = (
-            one.value
-            for one in self._state.settings.request_classes
-            if one.idempotency == Idempotency.IDEMPOTENT
+            request_class.value
+            for request_class in self._state.settings.request_classes
+            if request_class.idempotency == Idempotency.IDEMPOTENT
         )
         self._hedged_value = max(values, default=inf)
 
--- a/wheatroute/balancing/idle_connections.py
+++ b/wheatroute/balancing/idle_connections.py
@@ -38,5 +38,5 @@
             if lost >= 3.0 and lost / (lost + answered) > MAX_LOSS_RATIO * busy_loss and own_loss > busy_loss:
                 self.max_idle_s = UPDATE_INTERVAL_S / 2 * 2 ** (i - 1)
                 break
-        self.answered = [DECAY * one for one in self.answered]
-        self.lost = [DECAY * one for one in self.lost]
+        self.answered = [DECAY * count for count in self.answered]
+        self.lost = [DECAY * count for count in self.lost]
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -27,8 +27,8 @@
 
     def extend(self, classes: int) -> None:
         """Adds entries for all request classes with numbers below `classes`."""
-        for figures in (self.mean, self.sample_count, self.mean_work):
-            figures.extend([0.0] * (classes - len(figures)))
+        for values in (self.mean, self.sample_count, self.mean_work):
+            values.extend([0.0] * (classes - len(values)))
 
     def relative_size(self, class_number: int, work: float) -> float:
         """Returns a request's hinted work in multiples of its class's mean; 1 without a hint.
@@ -55,7 +55,7 @@
             self.sample_count[class_number] = min(self.sample_count[class_number] + 1, 5 * MIN_SAMPLES)
             mean += (elapsed_s - mean) / self.sample_count[class_number]
             self.mean[class_number] = mean
-            self.min_mean = min((one for one in self.mean if one), default=inf)
+            self.min_mean = min((mean for mean in self.mean if mean), default=inf)
         relative = elapsed_s / mean if mean else 1.0
         self.window.add(now, raw, relative)
         return relative
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -29,7 +29,7 @@
 
 
 class LoadReports:
-    """Records load reports, probes servers, and tells lightly loaded and congested servers from others."""
+    """Records load reports, probes servers, and identifies lightly loaded and congested servers."""
 
     def __init__(self, state: BalancerState, ready: ReadyServers) -> None:
         self._state, self._ready = state, ready
@@ -56,7 +56,7 @@
         # lightly loaded server.
         self.load_of_request = 1.0
         if self.reports_wait:
-            shortest = min(one.target_latency for one in settings.request_classes)
+            shortest = min(request_class.target_latency for request_class in settings.request_classes)
             self.load_of_request = LIGHT_WAIT_OF_TARGET * shortest / MIN_IN_FLIGHT_PER_SERVER
         self._light_load = MIN_IN_FLIGHT_PER_SERVER * sqrt(self._state.tiers_from_here) * self.load_of_request
 
@@ -94,7 +94,9 @@
     def update_mean(self, members: list[int]) -> None:
         """Updates `mean_load` from the recent reports of `members`."""
         servers, now = self._state.servers, self._state.now
-        loads = [servers.load[one] for one in members if now - servers.reported_at[one] < LATENCY_WINDOW_S]
+        loads = [
+            servers.load[server] for server in members if now - servers.reported_at[server] < LATENCY_WINDOW_S
+        ]
         self.mean_load = sum(loads) / len(loads) if loads else 0.0
 
     def is_congested(self, server: int) -> bool:
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -105,8 +105,8 @@
             self._state.servers.used_at[server] = self._state.now
         elif outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.WITHDRAWN):
             latencies = self._state.latencies
-            usual_s = latencies.mean[request.class_number] * max(1.0, latencies.latest_median)
-            if elapsed_s > 2 * usual_s:
+            expected_s = latencies.mean[request.class_number] * max(1.0, latencies.latest_median)
+            if elapsed_s > 2 * expected_s:
                 self._idle.lost[bucket] += 1.0
 
     def _record_connection(self, opened: bool, server: int, outcome: AttemptOutcome) -> None:
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -42,8 +42,8 @@
         request.is_queued = True
         latencies = self._state.latencies
         mean_s = latencies.mean[request.class_number] * request.relative_size
-        usual_s = mean_s * max(1.0, latencies.latest_median)
-        self._queue.add(request.target - START_MARGIN * usual_s, request)
+        expected_s = mean_s * max(1.0, latencies.latest_median)
+        self._queue.add(request.target - START_MARGIN * expected_s, request)
         # Shedding goes through the whole queue, so it is done only once per fixed fraction of the queue
         # added. Otherwise the cost of each request would grow with the length of the queue.
         if self._queue.added_since_shed * MAX_SCANS >= len(self._queue):
@@ -56,14 +56,16 @@
             self._queue.added_since_shed = 0
             return
         mean = latencies.mean
-        usual_s = sum(mean) / len(mean) or 1.0
+        mean_latency_s = sum(mean) / len(mean) or 1.0
         # The recent served rate may be low only because demand was low; the capacity allows at least this
         # rate.
-        possible_rate = self._limiter.capacity / usual_s / max(1.0, latencies.latest_median)
+        possible_rate = self._limiter.capacity / mean_latency_s / max(1.0, latencies.latest_median)
         rate = max(self._recorder.served_rate, possible_rate)
 
         def work_s(request: Request) -> float:
-            return (mean[request.class_number] or usual_s) * request.relative_size / usual_s / rate
+            return (
+                (mean[request.class_number] or mean_latency_s) * request.relative_size / mean_latency_s / rate
+            )
 
         for request in self._queue.shed(self._state.now, work_s):
             request.is_queued = False
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -18,17 +18,19 @@
         self._state, self._reports, self._quotas = state, reports, quotas
         # By request class: the `time_left` of the last first attempt at the entry tier, or the longest one
         # seen at a tier below.
-        self._usual_time_left: list[float] = []
+        self._typical_time_left: list[float] = []
 
     def apply_settings(self) -> None:
         """Applies changed settings; measurements are kept."""
         classes = self._state.settings.request_classes
         self._is_entry = self._state.settings.tier == 0
-        self._usual_time_left += [0.0] * (len(classes) - len(self._usual_time_left))
+        self._typical_time_left += [0.0] * (len(classes) - len(self._typical_time_left))
         # If servers report their queues, all nodes see the same free capacity. Requests with a lower value
         # than this may use only a small part of it, since they would fill it and keep out more valuable
         # requests.
-        self._low_value_bound = EXCESS_CAPACITY_FRACTION * sum(one.value for one in classes) / len(classes)
+        self._low_value_bound = (
+            EXCESS_CAPACITY_FRACTION * sum(request_class.value for request_class in classes) / len(classes)
+        )
 
     def new_request(
         self, number: int, class_number: int, time_left: float, tenant: int, is_repeated: bool, work: float
@@ -76,13 +78,13 @@
         A first attempt has used none, regardless of the time that its client leaves. Clients differ in their
         timeouts, and one with a longer timeout must not make the requests of the others look late.
         """
-        usual = self._usual_time_left
+        typical = self._typical_time_left
         if not self._is_entry:
             # This is a call from the tier above, which doesn't always pass on the client's deadline.
-            longest = usual[class_number] = max(usual[class_number], time_left)
+            longest = typical[class_number] = max(typical[class_number], time_left)
             return longest - time_left
         if not is_repeated:
-            usual[class_number] = time_left
+            typical[class_number] = time_left
             return 0.0
-        is_shorter = time_left < (1.0 - HEDGE_MARGIN) * usual[class_number]
+        is_shorter = time_left < (1.0 - HEDGE_MARGIN) * typical[class_number]
         return self._state.settings.request_classes[class_number].deadline - time_left if is_shorter else 0.0
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -14,7 +14,7 @@
 
 
 def deduplication_group(rules: RequestClass, servers: ServerStatistics, server: int) -> int:
-    """Returns the number of the group that drops repeats of a request sent to this server; 0 if unknown."""
+    """Returns the group that drops repeats of what this server was sent; 0 for an unknown server (-1)."""
     group = rules.deduplication_group
     if group == DeduplicationGroup.ALL or server < 0:
         return 0
--- a/wheatroute/balancing/server_statistics.py
+++ b/wheatroute/balancing/server_statistics.py
@@ -62,20 +62,21 @@
     def extend(self, count: int) -> None:
         """Adds entries for all servers with numbers below `count`."""
         for _ in range(count - len(self.is_ready)):
-            for name, figures in vars(self).items():
-                figures.append({} if name == "sent_at" else DEFAULTS.get(name, 0))
+            for name, values in vars(self).items():
+                values.append({} if name == "sent_at" else DEFAULTS.get(name, 0))
 
     def recency(self, server: int, now: float) -> float:
         """Returns the factor, 0 to 1, on the weight of a server's latency for the age of its last sample."""
         return 1.0 / (1.0 + (now - self.latency_at[server]) / LATENCY_WINDOW_S)
 
-    def expected_latencies(self, members: list[int], now: float, usual_latency_s: float) -> list[float]:
+    def expected_latencies(self, members: list[int], now: float, mean_latency_s: float) -> list[float]:
         """Returns the expected latency of each member, in multiples of the class's mean.
 
         It is a weighted mean of the server's own latencies, those of its model and those of all members. So a
         slow model is detected early, and a single heavy request doesn't make a server look slow. The oldest
         attempt in flight counts once it has taken longer than the mean, so that a hanging server is detected
-        before its attempts time out. `usual_latency_s` is the mean latency in seconds.
+        before its attempts time out. `mean_latency_s` is the mean over all
+        request classes.
         """
         own: list[tuple[float, float]] = []  # weight and weighted sum of each member
         by_model: dict[int, tuple[float, float]] = {}
@@ -83,8 +84,8 @@
             weight = self.weight[server] * self.recency(server, now)
             total = weight * self.latency[server]
             age = 0.0
-            if self.sent_at[server] and usual_latency_s:
-                age = (now - next(iter(self.sent_at[server].values()))) / usual_latency_s
+            if self.sent_at[server] and mean_latency_s:
+                age = (now - next(iter(self.sent_at[server].values()))) / mean_latency_s
             if age * (PRIOR_WEIGHT + weight) > PRIOR_WEIGHT + total:
                 weight, total = weight + 1.0, total + age
             own.append((weight, total))
@@ -103,7 +104,7 @@
 
     def reset(self, server: int, started_at: float) -> None:
         """Discards the measurements, because a restarted process or a reused number is another server."""
-        for figures in (
+        for values in (
             self.latency,
             self.weight,
             self.error_rate,
@@ -116,6 +117,6 @@
             self.connect_backoff_s,
             self.served_rate,
         ):
-            figures[server] = 0
+            values[server] = 0
         self.started_at[server], self.is_on_trial[server] = started_at, False
         self.answered_at[server] = self.used_at[server] = self.reported_at[server] = -inf
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -109,8 +109,8 @@
         median = sorted(expected)[len(expected) // 2] if expected else 1.0
         self.slow_servers = [
             server
-            for server, one in zip(members, expected, strict=True)
-            if one > OUTLIER_LATENCY_RATIO * median
+            for server, latency in zip(members, expected, strict=True)
+            if latency > OUTLIER_LATENCY_RATIO * median
         ]
         # The latency that is spent in the tiers below is the same for all servers and would hide how slow
         # some of them are, so it is subtracted. Each tier is assumed to cause an equal part of the shortest
@@ -120,8 +120,8 @@
         crossing_penalty = CROSSING_PRICE_FACTOR * settings.crossing_price
         weights = clamped_weights(
             [
-                one - lower_tiers_latency + crossing_penalty * (zone[server] != settings.zone)
-                for server, one in zip(members, expected, strict=True)
+                latency - lower_tiers_latency + crossing_penalty * (zone[server] != settings.zone)
+                for server, latency in zip(members, expected, strict=True)
             ]
         )
         self._reports.update_mean(members)
@@ -133,8 +133,9 @@
             self.weights[server] = weight
 
     def stuck_classes(self, server: int) -> list[int]:
-        """Returns the request classes, one entry per attempt, that hang at a server that answers other
-        classes.
+        """Returns the classes of attempts that hang at a server which answers other classes.
+
+        A class is returned once per such attempt.
 
         Some request classes hang at some servers only. Their attempts don't count against the concurrency
         limit, where they would keep out all other classes, and no more requests of the class are sent there.
@@ -156,4 +157,4 @@
             if sent < state.now - STUCK_RATIO * (latencies.mean[class_number] or inf) < answered_at:
                 stuck.append(class_number)
         # A single attempt may just be a long request.
-        return [one for one in stuck if stuck.count(one) > 1]
+        return [class_number for class_number in stuck if stuck.count(class_number) > 1]
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -25,7 +25,7 @@
         A node's share is an equal part per node or its share of the traffic, whichever is larger. With equal
         parts only, the few nodes that carry most of the traffic would treat it as beyond the quotas.
         """
-        quotas = [one.quota for one in self._state.settings.tenants]
+        quotas = [tenant.quota for tenant in self._state.settings.tenants]
         traffic = min(1.0, self._limiter.peak_rate / (sum(quotas) or 1.0))
         fraction = max(1.0 / self._state.settings.nodes, traffic)
         return [fraction * quota for quota in quotas]
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -86,7 +86,7 @@
         """Ends requests that have reached `give_up_at`, and sends hedges that are due."""
         timers, components = self._state.timers, self._components
         while timers and timers[0][0] <= due_by:
-            moment, number, request = heappop(timers)
+            due_at, number, request = heappop(timers)
             if request.is_over:
                 continue
             # A negative number marks the timer for `give_up_at` (see `RequestLifecycle.arrived`), any other a
@@ -95,7 +95,7 @@
                 request.is_queued = False
                 components.answers.finish(request)
                 continue
-            server = components.hedging.pick_for_hedge(request, moment)
+            server = components.hedging.pick_for_hedge(request, due_at)
             if server >= 0:
                 components.sender.send_to(request, server)
 
@@ -108,7 +108,7 @@
             heappop(timers)
             scans -= 1
         first_timer = timers[0][0] if timers else inf
-        moment = min(first_timer, now if periodic.pending else periodic.next_tick, self._membership.watch_at)
-        if moment < self._wake_at:
-            self._wake_at = moment
-            state.writer.wake_at(max(moment, now + state.settings.tick))
+        due_at = min(first_timer, now if periodic.pending else periodic.next_tick, self._membership.watch_at)
+        if due_at < self._wake_at:
+            self._wake_at = due_at
+            state.writer.wake_at(max(due_at, now + state.settings.tick))
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -33,12 +33,12 @@
 
     This is a binary search over all lists at once: each round halves the longest remaining range.
     """
-    low, high = [0] * len(lists), [len(one) for one in lists]
+    low, high = [0] * len(lists), [len(values) for values in lists]
     while True:
         widest = max(range(len(lists)), key=lambda i: high[i] - low[i])
         pivot = lists[widest][(low[widest] + high[widest]) // 2]
-        below = [bisect_left(one, pivot, *ends) for one, *ends in zip(lists, low, high, strict=True)]
-        up_to = [bisect_right(one, pivot, *ends) for one, *ends in zip(lists, low, high, strict=True)]
+        below = [bisect_left(values, pivot, *ends) for values, *ends in zip(lists, low, high, strict=True)]
+        up_to = [bisect_right(values, pivot, *ends) for values, *ends in zip(lists, low, high, strict=True)]
         if rank < sum(below):
             high = below
         elif rank >= sum(up_to):
@@ -60,14 +60,14 @@
         """Adds a latency, given in seconds and in multiples of its class's mean."""
         self._new_samples.append((now, latency, relative))
 
-    def relative_since(self, moment: float) -> list[float]:
-        """Returns the relative latencies since `moment`, sorted.
+    def relative_since(self, since: float) -> list[float]:
+        """Returns the relative latencies of the samples from the time `since` on, sorted.
 
         Only samples added after the last update but one are searched.
         """
         before = self._intervals[-1].samples if self._intervals else ()
         late = takewhile(
-            lambda sample: sample[0] >= moment, chain(reversed(self._new_samples), reversed(before))
+            lambda sample: sample[0] >= since, chain(reversed(self._new_samples), reversed(before))
         )
         return sorted(relative for _, _, relative in late)
 
--- a/wheatroute/stored_statistics.py
+++ b/wheatroute/stored_statistics.py
@@ -49,26 +49,26 @@
     Servers that already have statistics are skipped. The load-balancing weights follow with the next tick.
     """
     servers, count = balancer.servers, 0
-    for name, one in stored.items() if isinstance(stored, dict) else ():
+    for name, values in stored.items() if isinstance(stored, dict) else ():
         server = numbers.get(name, -1)
-        if not 0 <= server < len(servers.is_ready) or servers.weight[server] or not _is_valid(one, age_s):
+        if not 0 <= server < len(servers.is_ready) or servers.weight[server] or not _is_valid(values, age_s):
             continue
-        servers.latency[server], servers.weight[server] = one["latency"], one["weight"]
-        servers.latency_at[server], servers.error_rate[server] = now - one["age"] - age_s, one["errors"]
-        if one["penalty"]:
+        servers.latency[server], servers.weight[server] = values["latency"], values["weight"]
+        servers.latency_at[server], servers.error_rate[server] = now - values["age"] - age_s, values["errors"]
+        if values["penalty"]:
             # The server stays ejected until its half-open trial, which is due at once if its time has passed.
-            servers.ejected_until[server] = now + one["barred_for"] - age_s
-            servers.ejection_s[server] = one["penalty"]
+            servers.ejected_until[server] = now + values["barred_for"] - age_s
+            servers.ejection_s[server] = values["penalty"]
         count += 1
     return count
 
 
-def _is_valid(one: Any, age_s: float) -> bool:
-    if not isinstance(one, dict) or not all(isinstance(one.get(key), int | float) for key in KEYS):
+def _is_valid(values: Any, age_s: float) -> bool:
+    if not isinstance(values, dict) or not all(isinstance(values.get(key), int | float) for key in KEYS):
         return False
     return (
-        all(isfinite(one[key]) and abs(one[key]) <= MAX_AGE_S for key in KEYS)
-        and all(one[key] >= 0.0 for key in KEYS if key != "barred_for")
-        and one["errors"] <= 1.0
-        and one["age"] + age_s <= MAX_AGE_S
+        all(isfinite(values[key]) and abs(values[key]) <= MAX_AGE_S for key in KEYS)
+        and all(values[key] >= 0.0 for key in KEYS if key != "barred_for")
+        and values["errors"] <= 1.0
+        and values["age"] + age_s <= MAX_AGE_S
     )
