--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -1,4 +1,4 @@
-"""A host of the decision module in virtual time, whose servers answer the way a test says."""
+"""A host of the balancer in virtual time; a test defines how its servers answer."""
 
 import random
 from dataclasses import replace
@@ -49,16 +49,18 @@
     return replace(usual, **changes)
 
 
-# settings of nodes that probe servers for how much waits there, and send each other what they heard
+# Settings of nodes that probe servers for their queue length and exchange the results.
 REPORTS_WAIT = {"report_how": "probe", "reported": ["queued", "rate"], "can_probe": True, "has_peers": True}
-SERVED, NEVER = (AttemptOutcome.SERVED, 0.1), None  # how an attempt ends, and after how many seconds
+# How an attempt ends: the outcome and the seconds after which it comes; None: it never ends.
+SERVED, NEVER = (AttemptOutcome.SERVED, 0.1), None
 
 
 class BalancerHost:
-    """Gives the decision module events and carries out its commands, which it keeps.
+    """Passes events to a `Balancer`, and executes and records its commands.
 
-    Servers are numbered; `answer(server, attempt)` gives how an attempt ends, (outcome, seconds), or None if
-    never. `final_answers` has one of "served", "rejected" and "failed" for each request that is over.
+    `answer(server, attempt)` returns how an attempt ends, as (outcome, seconds), or None if it never ends;
+    `attempt` is (request, attempt number). `report(server)` returns the server's load report.
+    `final_answers` has "served", "rejected" or "failed" for each request that is over.
     """
 
     def __init__(self, servers=4, answer=None, seed=1, start=100.0, entries=None, report=None, **changes):
@@ -66,10 +68,10 @@
         self.balancer = Balancer(self.settings, random.Random(seed))
         self.now, self.answer = start, answer or (lambda server, attempt: SERVED)
         self.events, self.pending = [], []
-        self.commands = []  # name, moment and arguments of each
+        self.commands = []  # (name, time, *arguments) of each command
         self.report = report or (lambda server: None)
-        self.attempts = {}  # the servers of each request's attempts
-        self.in_flight = set()  # requests with numbers of their attempts
+        self.attempts = {}  # the servers of each request's attempts, by request
+        self.in_flight = set()  # (request, attempt number)
         self.final_answers, self.request_count = {}, 0
         self.list_servers(entries or [self.list_entry(s) for s in range(servers)], True)
 
@@ -81,14 +83,14 @@
         self.events.append((Event.SERVERS_LISTED, entries, is_full))
 
     def send_request(self, request_class=IDEMPOTENT, time_left=3.0, tenant=-1, is_repeated=False):
-        """Has a request arrive with the next batch; returns its number."""
+        """Adds the arrival of a request to the next batch; returns the request's number."""
         number, self.request_count = self.request_count, self.request_count + 1
         self.attempts[number] = []
         self.events.append((Event.ARRIVED, number, request_class, time_left, tenant, is_repeated))
         return number
 
     def step(self, seconds=0.0):
-        """One event batch now, then one a tick until `seconds` have gone by."""
+        """Runs one event batch now, then one per clock step until `seconds` have passed."""
         end = self.now + seconds
         while True:
             for item in sorted(one for one in self.pending if one[0] <= self.now + 1e-9):
@@ -101,7 +103,7 @@
             self.now += self.settings.tick
 
     def run(self, seconds, rate, request_class=IDEMPOTENT, **options):
-        """Requests at an even rate."""
+        """Sends requests at a constant rate for this many seconds."""
         for _ in range(int(seconds * rate)):
             self.send_request(request_class, **options)
             self.step(1.0 / rate)
@@ -118,7 +120,7 @@
         self.events.append((Event.ATTEMPT_ENDED, number, n, server, outcome, elapsed_s, is_finished, report))
 
     def attempts_to(self, server, since=0.0):
-        """How many attempts were sent to a server since a moment."""
+        """Returns the number of attempts sent to a server since a time."""
         return sum(
             1
             for name, when, *rest in self.commands
@@ -128,10 +130,10 @@
     def command_count(self, name):
         return sum(1 for one in self.commands if one[0] == name)
 
-    # the command writer
+    # Methods of `CommandWriter`.
 
     def attempt(self, request, server, timeout_s):
-        assert request not in self.final_answers, "nothing goes out after the final answer"
+        assert request not in self.final_answers, "an attempt was sent after the final answer"
         n = len(self.attempts[request])
         self.attempts[request].append(server)
         self.in_flight.add((request, n))
@@ -159,7 +161,7 @@
         self._end_request(request, "failed", 0.0)
 
     def _end_request(self, request, final_answer, retry_after_s):
-        assert request not in self.final_answers, "one final answer"
+        assert request not in self.final_answers, "the request got a second final answer"
         self.final_answers[request] = final_answer
         self.commands.append((final_answer, self.now, request, retry_after_s))
 
@@ -186,29 +188,29 @@
 
 
 def failing_servers(*servers, outcome=NEVER):
-    """Attempts at the servers named end so, the others are served."""
+    """Returns an `answer` by which attempts at these servers have `outcome` and all others are served."""
     return lambda server, attempt: outcome if server in servers else SERVED
 
 
 def slow_servers(*slow):
-    """Servers that are all well, those named four times slower."""
+    """Returns an `answer` by which all attempts are served, those at these servers four times slower."""
     return lambda server, attempt: (AttemptOutcome.SERVED, 0.4 if server in slow else 0.1)
 
 
 def slow_at_times(server, attempt):
-    """The first attempt of every 25th request is slow."""
+    """An `answer` by which the first attempt of every 25th request is slow."""
     return (AttemptOutcome.SERVED, 0.8) if attempt[0] % 25 == 24 and attempt[1] == 0 else SERVED
 
 
 def node_at_its_limit(reported_load):
-    """One node of forty, its limit reached by its own little traffic; all eight servers report this load."""
+    """Returns one node of forty whose own low traffic reaches its limit; all servers report this load."""
     report = {"held": reported_load}
     host = BalancerHost(servers=8, nodes=40, reported=["held"], report=lambda server: report)
     return host.run(3.0, 20).step(0.2)
 
 
 def run_with_light_reports(host, seconds, rate, **options):
-    """Requests at an even rate, while other nodes report that nothing waits at servers; their numbers."""
+    """Sends requests while other nodes report empty server queues; returns the numbers of the requests."""
     first = host.request_count
     for _ in range(int(seconds * 4)):
         host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(40), 0.0)))
--- a/tests/balancing/test_balancing_functions.py
+++ b/tests/balancing/test_balancing_functions.py
@@ -1,4 +1,4 @@
-"""What single functions of the decisions give; no sockets, no clock."""
+"""Tests of single functions of the balancer, without sockets or a clock."""
 
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.ready_servers import ReadyServers
--- a/tests/balancing/test_connections.py
+++ b/tests/balancing/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections that are lost while idle, and tiers that take no new ones."""
+"""Tests of connections that are lost while idle and of tiers that accept no new connections."""
 
 from balancer_host import NEVER, SERVED, BalancerHost
 
@@ -21,21 +21,21 @@
         for n in range(host.request_count - 6)
     ]
     assert host.command_count("close") > 20
-    assert sum(served[-100:]) > 85  # a third of them would go unanswered
+    assert sum(served[-100:]) > 85  # without closing, a third of them would get no answer
 
 
-def test_attempts_lost_on_all_connections_alike_are_not_put_down_to_idleness():
+def test_attempts_lost_on_all_connections_alike_are_not_attributed_to_idle_time():
     idleness = IdleConnectionStatistics()
     idleness.answered, idleness.lost = [10.0] * 7, [5.0] * 7
     idleness.update()
     assert idleness.max_idle_s > 1e9
 
 
-def test_a_tier_that_takes_no_new_connections_is_used_on_those_open():
+def test_open_connections_stay_in_use_while_a_tier_accepts_no_new_ones():
     is_refusing = [False]
 
     def answer(server, attempt):
-        opened = host.open.setdefault(server, [0, 0])  # in use, open
+        opened = host.open.setdefault(server, [0, 0])  # connections in use, connections open
         opened[0] = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
         if opened[0] <= opened[1]:
             return SERVED
--- a/tests/balancing/test_hedging.py
+++ b/tests/balancing/test_hedging.py
@@ -1,4 +1,4 @@
-"""When a second attempt is sent beside the first."""
+"""Tests of hedging: when a second attempt is sent while the first is in flight."""
 
 from balancer_host import NON_IDEMPOTENT, BalancerHost, slow_at_times
 
@@ -14,7 +14,7 @@
     assert all(len(attempts) == 1 for attempts in other.attempts.values())
 
 
-def test_no_hedges_go_out_while_all_servers_are_slow():
+def test_no_hedges_are_sent_while_all_servers_are_slow():
     factor = [1.0]
     host = BalancerHost(answer=lambda s, r: (AttemptOutcome.SERVED, 0.1 * factor[0])).run(8.0, 40)
     factor[0], since = 3.0, host.now
@@ -35,6 +35,7 @@
         host.send_request()
     host.step()
     hedged = sum(len(attempts) > 1 for attempts in host.attempts.values())
-    host.now += 0.5  # the node stood still
+    host.now += 0.5  # a stall of the node
     host.step()
-    assert sum(len(attempts) > 1 for attempts in host.attempts.values()) <= hedged + 1  # not the ten together
+    # The ten hedges must not be sent together.
+    assert sum(len(attempts) > 1 for attempts in host.attempts.values()) <= hedged + 1
--- a/tests/balancing/test_load_reports.py
+++ b/tests/balancing/test_load_reports.py
@@ -1,4 +1,4 @@
-"""What servers and other nodes report of the servers' load."""
+"""Tests of load reports from servers and from other nodes."""
 
 import pytest
 from balancer_host import NON_IDEMPOTENT, REPORTS_WAIT, SERVED, BalancerHost, node_at_its_limit
@@ -7,7 +7,7 @@
 
 
 def count_sent_at_once(host, count):
-    """How many requests of a burst are sent in the batch in which they arrive."""
+    """Returns how many requests of a burst are sent in the batch in which they arrive."""
     numbers = [host.send_request() for _ in range(count)]
     host.step()
     return sum(bool(host.attempts[number]) for number in numbers)
@@ -18,7 +18,8 @@
     host.run(4.0, 20)
     since = host.now
     host.run(4.0, 20)
-    assert 0 < host.attempts_to(0, since) < 0.5 * host.attempts_to(1, since)  # an old report says ever less
+    # The server still gets some attempts, because the weight of an old report decreases.
+    assert 0 < host.attempts_to(0, since) < 0.5 * host.attempts_to(1, since)
 
 
 def test_a_node_with_little_traffic_sends_a_burst_while_servers_report_little_load():
@@ -30,7 +31,7 @@
 
 
 def test_one_report_does_not_let_a_whole_burst_through():
-    # six a server are what reports let through, five more than reported; a few go by the node's own limit
+    # Reports allow six requests per server, five more than reported; the node's own limit allows a few more.
     assert 20 < count_sent_at_once(node_at_its_limit(reported_load=1.0), 200) <= 8 * 5 + 5
 
 
@@ -45,7 +46,8 @@
     numbers = [host.send_request() for _ in range(7)]
     host.step()
     load[0] = 1.0
-    host.step(0.11)  # the first three are answered; by the node's own limit three more would go
+    # The first three are answered by now; the node's own limit would allow only three more.
+    host.step(0.11)
     assert all(host.attempts[number] for number in numbers)
 
 
@@ -70,7 +72,7 @@
         host.events.append((Event.PEER_REPORTED, {0: 2.0, 1: 0.0, 99: 0.0}))
         host.send_request()
         host.step(0.05)
-    assert host.attempts_to(0, since) <= 4  # an even share would be 10
+    assert host.attempts_to(0, since) <= 4  # an equal share would be 10
 
 
 def test_a_node_with_little_capacity_of_its_own_sends_where_little_waits():
@@ -91,14 +93,14 @@
     assert count_rejected(**REPORTS_WAIT) == 0 and count_rejected() > 10
 
 
-def test_a_server_that_just_rejected_an_attempt_is_not_lightly_loaded_whatever_it_reported():
+def test_a_server_that_just_rejected_an_attempt_is_not_lightly_loaded_regardless_of_its_reports():
     host = BalancerHost(
         4, answer=lambda s, r: (AttemptOutcome.FULL, 0.002), nodes=300, node=5, **REPORTS_WAIT
     )
     host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(4), 0.0)))
     host.send_request()
     host.step(0.02)
-    # a report from before the rejection
+    # A report from before the rejection arrives afterwards.
     host.events.append((Event.PEER_REPORTED, dict.fromkeys(range(4), 0.0)))
     host.balancer.servers.full_until[0] = host.now + 1.0
     host.step()
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -1,4 +1,4 @@
-"""What waits for capacity, and what is rejected at once."""
+"""Tests of the queue and of load shedding."""
 
 from balancer_host import IDEMPOTENT, NON_IDEMPOTENT, BalancerHost, node_at_its_limit
 
@@ -7,7 +7,7 @@
 
 
 def host_with_limited_servers(capacity):
-    """Servers that take longer the more have in flight."""
+    """Returns a host whose servers slow down in proportion to their attempts in flight above `capacity`."""
 
     def answer(server, attempt):
         in_flight = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
@@ -25,14 +25,15 @@
             host.send_request()
         host.step(0.05)
         max_in_flight = max(max_in_flight, len(host.in_flight))
-    assert max_in_flight < 60  # 4 servers, 8 at work at a time, 160 requests a second against 80
+    # Four servers process 8 requests at a time, so 160 requests per second arrive where 80 can be served.
+    assert max_in_flight < 60
     retry_after = [advice_s for name, *_, advice_s in host.commands if name == "rejected"]
     assert len(retry_after) > 200 and all(advice_s > 0 for advice_s in retry_after)
     host.step(3.0)
     assert sum(one == "served" for one in host.final_answers.values()) > 300
 
 
-def test_the_least_valuable_is_rejected_first_what_is_beyond_a_quota_before_the_rest():
+def test_requests_beyond_a_quota_are_rejected_before_the_more_valuable_rest():
     host = BalancerHost(
         answer=lambda server, attempt: (AttemptOutcome.SERVED, 0.1 * max(1.0, len(host.in_flight) / 8)),
         tenants=[TenantQuota(0.5, 200.0), TenantQuota(0.5, 10.0)],
@@ -51,8 +52,8 @@
     assert served[1] > 1.3 * served[0]
 
 
-def test_a_burst_is_not_rejected_for_the_little_traffic_before_it():
-    # three at a time, a tenth of a second each: twelve are done well inside the second that they have
+def test_a_burst_after_little_traffic_is_not_rejected():
+    # At three at a time and 0.1 s each, twelve requests are done well within their target latency of 1 s.
     host = node_at_its_limit(reported_load=9.0)
     numbers = [host.send_request() for _ in range(12)]
     host.step(0.8)
@@ -64,5 +65,5 @@
     host.balancer._components.limiter.capacity = 0
     number = host.send_request(NON_IDEMPOTENT, time_left=1.5)
     host.step(0.02)
-    # a rate of one a second makes it a second's work, and 1.5 s is the time
+    # At a rate of one request per second this is a second of work, and the request has 1.5 s.
     assert number not in host.final_answers
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Servers that fail, hang or are slow are left out, and come back by a trial."""
+"""Tests that servers which fail, hang or are slow are ejected, and readmitted after a half-open trial."""
 
 from balancer_host import NEVER, SERVED, BalancerHost, failing_servers
 
@@ -15,14 +15,14 @@
     assert sum(host.final_answers[n] == "served" for n in numbers) >= 117
     hanging[0], recovered_at = False, host.now
     host.run(12.0, 60)
-    assert host.attempts_to(0, recovered_at + 8.0) > 30  # a trial brought it back
+    assert host.attempts_to(0, recovered_at + 8.0) > 30  # a trial has readmitted it
 
 
-def test_a_server_that_fails_fast_draws_no_traffic_by_its_low_latency():
+def test_a_server_that_fails_fast_attracts_no_traffic_by_its_low_latency():
     host = BalancerHost(answer=failing_servers(0, outcome=(AttemptOutcome.ERROR, 0.001))).run(2.0, 60)
     before = host.attempts_to(0)
     host.run(4.0, 60)
-    assert host.attempts_to(0) - before < 20  # an even share would be 60
+    assert host.attempts_to(0) - before < 20  # an equal share would be 60
 
 
 def test_when_all_servers_fail_alike_none_is_ejected():
@@ -30,7 +30,7 @@
     assert all(host.attempts_to(s, host.now - 2.0) > 10 for s in range(4))
 
 
-def test_a_trial_that_was_rejected_or_never_sent_is_not_the_last():
+def test_a_trial_that_was_rejected_or_never_sent_is_followed_by_another():
     for unsent in (AttemptOutcome.FULL, AttemptOutcome.MOOT):
         outcome = [(AttemptOutcome.ERROR, 0.01)]
         host = BalancerHost(4, lambda server, attempt, now=outcome: SERVED if server else now[0])
--- a/tests/balancing/test_request_endings.py
+++ b/tests/balancing/test_request_endings.py
@@ -1,11 +1,11 @@
-"""One final answer for each request, in time, whatever its servers, its client or the network do."""
+"""Tests that each request gets one final answer in time, regardless of servers, client and network."""
 
 from balancer_host import IDEMPOTENT, KEYED, NEVER, NON_IDEMPOTENT, SERVED, BalancerHost, slow_at_times
 
 from wheatroute.balancing.interface import AttemptOutcome, Event, ServerState
 
 
-def test_every_request_gets_one_answer_before_its_deadline_though_no_server_answers():
+def test_every_request_gets_one_answer_before_its_deadline_even_if_no_server_answers():
     host = BalancerHost(answer=lambda server, attempt: NEVER)
     numbers = [
         host.send_request(request_class)
@@ -15,10 +15,10 @@
     host.step(3.0)
     assert sorted(host.final_answers) == numbers
     assert all(when < 103.0 for name, when, *_ in host.commands if name in ("rejected", "failed"))
-    assert {host.final_answers[n] for n in numbers[:5]} == {
-        "rejected"
-    }  # idempotent: the client may send it again
-    assert {host.final_answers[n] for n in numbers[10:]} == {"failed"}  # it may have run
+    # The client may safely send an idempotent request again.
+    assert {host.final_answers[n] for n in numbers[:5]} == {"rejected"}
+    # A non-idempotent request may have run.
+    assert {host.final_answers[n] for n in numbers[10:]} == {"failed"}
 
 
 def test_a_request_without_any_server_is_rejected_in_time():
@@ -28,7 +28,7 @@
     assert host.final_answers == {number: "rejected"} and not host.attempts[number]
 
 
-def test_a_queued_request_whose_client_left_is_not_answered_too():
+def test_a_queued_request_whose_client_left_gets_no_second_answer():
     for seed in range(8):
         host = BalancerHost(
             servers=40,
@@ -44,7 +44,7 @@
         for number in queued:
             host.events.append((Event.CLIENT_LEFT, number))
             host.final_answers[number] = "left"
-        host.step(3.0)  # the host asserts that there is one final answer
+        host.step(3.0)  # the host asserts that each request has one final answer
 
 
 def test_events_for_requests_already_over_are_ignored():
@@ -70,7 +70,7 @@
     assert host.command_count("cancel") == 1 and number not in host.final_answers
 
 
-def test_a_client_with_a_longer_timeout_makes_no_other_look_late():
+def test_a_client_with_a_longer_timeout_does_not_make_others_look_late():
     host = BalancerHost(answer=lambda server, attempt: (AttemptOutcome.SERVED, 0.5))
     host.send_request(time_left=3.0)
     host.step(0.1)
--- a/tests/balancing/test_retries.py
+++ b/tests/balancing/test_retries.py
@@ -1,4 +1,4 @@
-"""Which requests are sent again, and where."""
+"""Tests of retries: which requests are sent again, and to which servers."""
 
 from dataclasses import replace
 
@@ -42,7 +42,7 @@
     assert len(late.attempts[number]) == 1 and late.final_answers[number] == "failed"
 
 
-def test_a_retry_of_the_client_itself_is_bound_by_the_attempts_before_it():
+def test_a_retry_by_the_client_itself_is_restricted_by_its_earlier_attempts():
     host = BalancerHost().step()
 
     def retry(request_class, *earlier):
@@ -52,10 +52,10 @@
         host.step(0.3)
         return host.attempts[number][len(earlier) :], host.final_answers[number]
 
-    assert retry(IDEMPOTENT, (0, 99.0, True), (1, 99.5, True))[0][0] in (2, 3)  # no server twice
+    assert retry(IDEMPOTENT, (0, 99.0, True), (1, 99.5, True))[0][0] in (2, 3)  # not the same server twice
     assert retry(NON_IDEMPOTENT, (0, 99.9, False))[0][0] in (1, 2, 3)
     assert retry(NON_IDEMPOTENT, (0, 99.9, True)) == ([], "failed")
-    assert retry(KEYED, (2, host.now - 0.5, True))[0] == [3]  # the other of its group
-    assert retry(KEYED, (2, host.now - 2.5, True)) == ([], "failed")  # its window is over
+    assert retry(KEYED, (2, host.now - 0.5, True))[0] == [3]  # the other server of its deduplication group
+    assert retry(KEYED, (2, host.now - 2.5, True)) == ([], "failed")  # its retry window is over
     all_attempts = [(server, 99.0, True) for server in range(4)]
     assert retry(IDEMPOTENT, *all_attempts) == ([], "rejected")
--- a/tests/balancing/test_server_selection.py
+++ b/tests/balancing/test_server_selection.py
@@ -1,4 +1,4 @@
-"""Which servers a node sends to, and how it draws among them."""
+"""Tests of the subset of servers that a node sends to, and of the selection among them."""
 
 from balancer_host import (
     IDEMPOTENT,
@@ -47,10 +47,10 @@
     free, priced = (BalancerHost(40, nodes=300, connection_price=price).run(2.0, 4) for price in (0.0, 0.03))
     assert (subset_size(free), subset_size(priced)) == (8, 4)
     few = BalancerHost(12, nodes=60, connection_price=0.03).run(2.0, 4)
-    assert subset_size(few) == 5  # up to three times the nodes to a server
+    assert subset_size(few) == 5  # three times as many nodes per server
 
 
-def test_a_server_not_heard_is_expected_to_be_like_its_model():
+def test_a_server_without_samples_is_expected_to_be_like_its_model():
     entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
     host = BalancerHost(entries=entries, answer=lambda s, r: (AttemptOutcome.SERVED, 0.3 if s % 2 else 0.1))
     host.run(0.5, 20).step(0.5)
@@ -65,7 +65,8 @@
     is_slow = False
     host.run(4.0, 40)
     is_slow = True
-    host.run(0.275, 40, request_class=NON_IDEMPOTENT)  # too short for it to hang, and none of them has ended
+    # This is too short for the server to count as hanging, and none of these attempts has ended.
+    host.run(0.275, 40, request_class=NON_IDEMPOTENT)
     weights = host.balancer._components.subset.weights
     assert 0.0 < weights[0] < 0.95 * weights[1]
 
@@ -92,8 +93,9 @@
         (number, server) for name, when, number, server in host.commands if name == "attempt" and when > 104.0
     ]
     hung = [number for number, server in late if number % 3 == 0 and server < 2]
-    assert len(set(host.attempts) - {number for number, _ in late}) <= 410  # hardly one waited in vain
-    assert len(hung) < 55  # of 266 the even half would be 133
+    # The 400 requests before the change, and hardly any that was never sent.
+    assert len(set(host.attempts) - {number for number, _ in late}) <= 410
+    assert len(hung) < 55  # an equal half of 266 would be 133
     assert all(answer == "served" for number, answer in host.final_answers.items() if number % 3)
 
 
@@ -101,14 +103,14 @@
     host = BalancerHost(answer=failing_servers(0)).run(1.0, 100)
     balancer, servers = host.balancer, host.balancer.servers
     assert len(servers.sent_at[0]) > 1
-    # it answers nobody: that is not due to a class
+    # The server answers no request at all, so the class is not the cause.
     assert not balancer._components.subset.stuck_classes(0)
     servers.answered_at[0] = host.now
     assert len(balancer._components.subset.stuck_classes(0)) > 1
 
 
 def test_a_heavy_request_goes_where_it_can_be_in_time():
-    # two models, one four times slower; a heavy request is in time on the quick one only
+    # Of two models one is four times slower; a heavy request is in time only on the fast one.
     entries = [(s, 0, s % 2, s, ServerState.LIVE, 1.0, 0.0) for s in range(8)]
     sizes = {}
     host = BalancerHost(
@@ -120,10 +122,11 @@
         sizes[number] = 5.0 if n % 10 == 9 else 0.5
         host.step(0.02)
     slow = [n for n in range(100, 400) if sizes[n] > 1.0 and host.attempts[n] and host.attempts[n][0] % 2]
-    assert not slow  # 30 of them; the even split would send every fifth there
+    # There are 30 heavy requests; the split by weight would send every fifth of them to slow servers.
+    assert not slow
 
 
-def test_requests_leave_the_zone_less_the_more_that_costs():
+def test_fewer_requests_leave_the_zone_the_more_a_crossing_costs():
     entries = [BalancerHost.list_entry(s, zone=s // 2) for s in range(4)]
     far = []
     for price in (0.0, 0.05, 1.0):
@@ -133,13 +136,13 @@
 
 
 def test_a_zone_with_few_servers_does_not_keep_its_requests_to_them():
-    # the node is in the zone of the first one
+    # The node is in the zone of the first server.
     entries = [BalancerHost.list_entry(s, zone=s > 0) for s in range(8)]
     host = BalancerHost(entries=entries, crossing_price=0.02).run(10.0, 40)
     assert host.attempts_to(0) < 0.25 * 400
 
 
-def test_a_full_server_gets_nothing_new_at_once():
+def test_a_full_server_gets_no_new_attempt_at_once():
     host = BalancerHost(answer=failing_servers(0, outcome=(AttemptOutcome.FULL, 0.002))).run(4.0, 100)
     assert host.attempts_to(0) < 70
     assert all(one == "served" for one in list(host.final_answers.values())[:-20])
--- a/tests/balancing/test_settings_updates.py
+++ b/tests/balancing/test_settings_updates.py
@@ -1,4 +1,4 @@
-"""Settings that change while requests are in flight: one scenario for each way to break a rule by that."""
+"""Tests of settings that change while requests are in flight, one for each rule that this could break."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 
 
 def change_settings(host, applies_to_pending, class_changes=None, **changes):
-    """Hands the module other settings; `class_changes` are by the number of a request class."""
+    """Adds an event with changed settings; `class_changes` has the changes by request class number."""
     classes = [
         replace(one, **(class_changes or {}).get(i, {}))
         for i, one in enumerate(host.settings.request_classes)
@@ -21,7 +21,7 @@
     return host
 
 
-def test_what_was_idempotent_on_arrival_does_not_run_again_once_it_is_not():
+def test_a_request_does_not_run_again_once_its_class_is_no_longer_idempotent():
     host = BalancerHost(answer=lambda server, attempt: LOST)
     number = host.send_request(IDEMPOTENT)
     host.step(0.1)
@@ -30,10 +30,10 @@
     again = BalancerHost(answer=lambda server, attempt: LOST)
     number = again.send_request(IDEMPOTENT)
     again.step(1.1)
-    assert len(again.attempts[number]) > 1  # as it was, it would
+    assert len(again.attempts[number]) > 1  # without the change it runs again
 
 
-def test_what_was_idempotent_on_arrival_is_not_hedged_once_it_is_not():
+def test_a_request_is_not_hedged_once_its_class_is_no_longer_idempotent():
     host = BalancerHost(answer=lambda server, attempt: SERVED).run(3.0, 30)
     host.answer = lambda server, attempt: None
     number = host.send_request(IDEMPOTENT)
@@ -44,7 +44,7 @@
     assert len(host.attempts[number]) == 1
 
 
-def test_what_was_non_idempotent_on_arrival_stays_so_and_what_comes_after_does_not():
+def test_a_loosened_rule_that_does_not_apply_to_pending_requests_applies_to_later_ones():
     host = BalancerHost(answer=lambda server, attempt: LOST)
     old = host.send_request(NON_IDEMPOTENT)
     host.step(0.1)
@@ -55,7 +55,7 @@
     assert len(host.attempts[new]) > 1
 
 
-def test_a_group_that_narrows_keeps_a_repeat_where_the_first_attempt_went():
+def test_a_narrowed_group_keeps_a_repeat_in_the_group_of_the_first_attempt():
     for seed in range(8):
         host = BalancerHost(
             servers=8, seed=seed, answer=lambda server, attempt: LOST if attempt[1] == 0 else SERVED
@@ -65,10 +65,10 @@
         host.step(0.1)
         change_settings(host, True, {KEYED: {"deduplication_group": DeduplicationGroup.CELL}}).step(1.0)
         first, *more = host.attempts[number]
-        assert more and all(server // 2 == first // 2 for server in more)  # cells of two
+        assert more and all(server // 2 == first // 2 for server in more)  # each cell has two servers
 
 
-def test_what_ran_in_two_groups_before_it_had_keys_is_not_repeated_in_one_of_them():
+def test_a_request_that_ran_in_two_groups_before_it_was_keyed_is_not_repeated():
     host = BalancerHost(servers=8, answer=lambda server, attempt: LOST)
     number = host.send_request(IDEMPOTENT)
     while len({server // 2 for server in host.attempts[number]}) < 2:
@@ -82,7 +82,7 @@
     assert len(host.attempts[number]) == sent and host.final_answers[number] == "failed"
 
 
-def test_a_quota_that_halves_counts_at_once_and_a_new_tenant_has_one():
+def test_a_reduced_quota_applies_at_once_and_a_new_tenant_has_one():
     host = BalancerHost(tenants=[TenantQuota(1.0, 100.0)])
     host.run(2.0, 50, tenant=0)
     change_settings(host, True, tenants=[TenantQuota(0.5, 10.0), TenantQuota(0.5, 40.0)]).step(0.0)
@@ -108,7 +108,7 @@
     assert host.attempts_to(0, before) < host.attempts_to(1, before)
 
 
-def test_a_conservative_node_still_tries_an_ejected_server_with_what_is_harmless():
+def test_a_non_idempotent_class_that_allows_trials_still_readmits_an_ejected_server():
     host = BalancerHost(answer=lambda server, attempt: None if server == 0 else SERVED).run(6.0, 30)
     assert host.balancer.servers.ejected_until[0]
     change_settings(host, True, {IDEMPOTENT: {"idempotency": Idempotency.NON_IDEMPOTENT, "can_trial": True}})
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What servers get while they warm up."""
+"""Tests of slow start: how many attempts servers get while they warm up."""
 
 from balancer_host import SERVED, BalancerHost
 
@@ -10,7 +10,8 @@
     host.list_servers([BalancerHost.list_entry(0, started=host.now)])
     started_at = host.now
     host.run(3.0, 80)
-    # 20 a second is what its peers carry; a tenth of it is what it can do, three times that overloads it
+    # Each other server gets 20 per second. At its start this one can take a tenth of that, and three times
+    # that would overload it.
     assert host.attempts_to(0, started_at) < 3.0 * 0.235 * 20 * 3.0
     host.run(20.0, 80)
     assert host.attempts_to(0, host.now - 2.0) > 20
@@ -30,12 +31,13 @@
     )
     for first in range(len(sent)):
         span = [when for when in sent[first:] if when < sent[first] + 3.0]
-        # 10 a second is what its peers carry; it can do a tenth of it and then ever more
+        # Each other server gets 10 per second. This one can take a tenth of that at its start, then more and
+        # more.
         assert len(span) < 3.0 * 10 * (0.1 + 0.9 * (sent[first] - started_at + 3.0) / 20) * 3.0
     assert sum(when > started_at + 10.0 for when in sent) > 30
 
 
-def test_a_server_found_dead_warms_up_when_it_is_back():
+def test_a_server_that_refused_connections_warms_up_when_it_accepts_them_again():
     down = [True]
     host = BalancerHost(
         answer=lambda s, r: (AttemptOutcome.UNCONNECTED, 0.01) if s == 0 and down[0] else SERVED
@@ -47,7 +49,7 @@
     assert host.attempts_to(0, back) < 3.0 * 0.4 * 20 * 3.0
 
 
-def test_a_server_that_resets_connections_is_not_taken_to_warm_up():
+def test_a_server_that_resets_connections_does_not_count_as_warming_up():
     host = BalancerHost(
         answer=lambda s, r: (AttemptOutcome.RESET, 0.05) if r[0] % 5 == 0 and not r[1] else SERVED
     )
@@ -59,7 +61,7 @@
     hosts = [BalancerHost(servers=12, nodes=30, node=i, seed=i).run(8.0, 4) for i in range(30)]
     started_at = hosts[0].now
     for i, host in enumerate(hosts):
-        # the connected half has come to count itself alone, the others still count all and are cautious
+        # The connected half now counts only itself; the other half still counts all nodes, with caution 4.
         host.events.append((Event.NODES_COUNTED, 15, i, 1.0) if i < 15 else (Event.NODES_COUNTED, 30, i, 4.0))
         host.list_servers([BalancerHost.list_entry(0, started=started_at)])
         host.run(20.0, 4)
--- a/tests/balancing/test_tenant_quotas.py
+++ b/tests/balancing/test_tenant_quotas.py
@@ -1,4 +1,4 @@
-"""What is within a tenant's quota at one of many nodes."""
+"""Tests of tenant quotas at one of many nodes."""
 
 from balancer_host import REPORTS_WAIT, BalancerHost, run_with_light_reports
 
@@ -16,11 +16,11 @@
     assert all(within) and not any(greedy[-10:])
 
 
-def test_the_traffic_of_a_busy_node_is_not_beyond_the_quotas_because_it_is_busy():
+def test_a_busy_node_has_a_part_of_the_quotas_that_matches_its_traffic():
     quota = [TenantQuota(1.0, 400.0)]
     host = BalancerHost(40, nodes=300, node=5, tenants=quota, **REPORTS_WAIT)
     run_with_light_reports(host, 6.0, 100, tenant=0)
-    # 100 a second of 400, though one of 300 nodes would have 1.3
+    # The node has 100 of 400 requests per second; an equal part for one of 300 nodes would be 1.3.
     assert host.balancer._components.quotas.rates()[0] > 80.0
     taken = [host.balancer._components.quotas.take_token(0) for _ in range(100)]
-    assert taken.count(0) > 15  # with a like part of them at most 5
+    assert taken.count(0) > 15  # with an equal part it would be at most 5
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -1,4 +1,4 @@
-"""What single functions of the package's own modules give, one after the other; no sockets, no clock."""
+"""Tests of single functions of modules directly in the package, without sockets or a clock."""
 
 import pytest
 
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots on disk and what is brought back from them."""
+"""Tests of snapshots on disk and of statistics restored from them."""
 
 import os
 import signal
@@ -19,7 +19,7 @@
     good = snapshot.encode({"revision": 4, "servers": ["a"] * 50}, 1000.0)
     assert snapshot.decode(good, 1010.0, 60.0)["revision"] == 4
     rng = Random(1)
-    for _ in range(300):  # changed in one byte, anywhere
+    for _ in range(300):  # one bit is changed anywhere in the snapshot
         at = rng.randrange(len(good))
         changed = good[:at] + bytes((good[at] ^ (1 << rng.randrange(8)),)) + good[at + 1 :]
         with pytest.raises(snapshot.SnapshotError):
@@ -51,10 +51,10 @@
 
 def test_kill_9_while_writing_leaves_the_old_snapshot_or_the_new_one(tmp_path):
     path, rng, last = str(tmp_path / "snapshot"), Random(5), 0
-    for _ in range(12):  # a hundred in the benchmark
+    for _ in range(12):  # the benchmark kills a hundred writers
         child = subprocess.Popen([sys.executable, "-c", WRITER, path, str(last)], stdout=subprocess.PIPE)
         child.stdout.readline()
-        time.sleep(rng.random() * 0.02)  # anywhere in a write: any moment will do
+        time.sleep(rng.random() * 0.02)  # so that the kill comes at a random point of a write
         child.send_signal(signal.SIGKILL)
         written = [int(line) for line in child.stdout.read().split()]
         child.wait()
@@ -63,10 +63,10 @@
         last = document["n"]
 
 
-def test_a_full_disk_or_a_missing_folder_leaves_the_old_snapshot(tmp_path):
+def test_a_full_disk_or_a_missing_directory_leaves_the_old_snapshot(tmp_path):
     path = str(tmp_path / "snapshot")
     snapshot.write(path, snapshot.encode({"n": 1}, 0.0))
-    os.mkdir(f"{path}.new")  # nothing can be written beside it
+    os.mkdir(f"{path}.new")  # makes the temporary file unwritable
     with pytest.raises(OSError):
         snapshot.write(path, snapshot.encode({"n": 2}, 0.0))
     assert snapshot.read(path, 1.0, 10.0)["n"] == 1
@@ -76,7 +76,7 @@
         snapshot.read(str(tmp_path / "none"), 1.0, 1.0)
 
 
-def test_statistics_are_restored_with_their_age_and_without_invalid_figures():
+def test_statistics_are_restored_with_their_age_and_without_invalid_values():
     names = {f"s{n}": n for n in range(4)}
     before = BalancerHost(answer=slow_servers(2)).run(6.0, 40)
     statistics = stored_statistics.export_statistics(before.balancer, names, before.now)
@@ -102,11 +102,12 @@
     after.step(0.3)
     assert after.balancer.servers.ejected_until[0] and 0 not in after.balancer._components.subset.servers
     after.run(8.0, 40)
-    assert not after.balancer.servers.ejected_until[0]  # it is well, as its trial shows
+    assert not after.balancer.servers.ejected_until[0]  # its trial has shown that it works
     after.list_servers([BalancerHost.list_entry(1, ServerState.REMOVED)])
 
 
-STORED_STATISTICS = (  # as an earlier version wrote it
+# Statistics as an earlier version of the program wrote them.
+STORED_STATISTICS = (
     b'{"s0":{"latency":6.307638195705031,"weight":4.90992800745259,"age":0.024999999999977263,'
     b'"errors":0,"barred_for":0.0,"penalty":0},'
     b'"s1":{"latency":0.6300980515870442,"weight":4.999999999999998,"age":0.0,'
