--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -37,18 +37,11 @@
         rates = self._update_rates(members, interval_s)
         all_rates = [rate for of_model in rates.values() for rate in of_model]
         for server in members:
-            warmup_fraction = self.warmup_fraction(server)
-            if warmup_fraction < 1.0:
+            fraction = self.warmup_fraction(server)
+            if fraction < 1.0:
                 similar = rates.get(servers.model[server]) or all_rates
                 similar = similar or [max(servers.served_rate, default=0.0)]
-                rate = (
-                    settings.overload_multiple
-                    / 2
-                    * warmup_fraction
-                    * sum(similar)
-                    / len(similar)
-                    / self.caution
-                )
+                rate = settings.overload_multiple / 2 * fraction * sum(similar) / len(similar) / self.caution
                 maximum = max(1.0, rate * settings.overload_window_s / 2)
                 credit = max(-maximum, servers.slow_start_credit[server]) + rate * interval_s
                 servers.slow_start_credit[server] = min(maximum, credit)
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -52,5 +52,5 @@
         return tenant
 
     def return_token(self, tenant: int) -> None:
-        """Returns the token of a request that was never sent, because its client may send it again."""
+        """Puts back the token of a request that was never sent, because its client may send it again."""
         self.tokens[tenant] += 1.0
