--- a/wheatroute/balancing/components.py
+++ b/wheatroute/balancing/components.py
@@ -1,4 +1,4 @@
-"""Builds the parts that make a node's decisions and joins them. No I/O, no decisions."""
+"""Creates and connects the components that make a node's decisions. No I/O, no decisions."""
 
 from collections.abc import Callable
 from random import Random
@@ -11,7 +11,7 @@
 from wheatroute.balancing.idle_connections import IdleConnectionStatistics
 from wheatroute.balancing.load_reports import LoadReports
 from wheatroute.balancing.membership_updates import MembershipUpdates
-from wheatroute.balancing.node_state import NodeState
+from wheatroute.balancing.node_state import BalancerState
 from wheatroute.balancing.outcome_recorder import OutcomeRecorder
 from wheatroute.balancing.outlier_ejection import OutlierEjection
 from wheatroute.balancing.queue_management import QueueManager
@@ -25,23 +25,23 @@
 from wheatroute.balancing.slow_start import SlowStart
 from wheatroute.balancing.tenant_quotas import TenantQuotas
 
-FinalAnswersFactory = Callable[[NodeState, TenantQuotas], FinalAnswers]
+FinalAnswersFactory = Callable[[BalancerState, TenantQuotas], FinalAnswers]
 
 
 class Components:
-    """The parts of one node's decisions."""
+    """Holds the components of one node's balancer, in the order in which they depend on each other."""
 
     def __init__(
         self, settings: DecisionSettings, rng: Random, make_final_answers: FinalAnswersFactory
     ) -> None:
-        self.state = state = NodeState(settings, rng)
+        self.state = state = BalancerState(settings, rng)
 
-        # what is measured and heard
+        # measurements and load reports
         self.ready = ReadyServers()
         self.idle = IdleConnectionStatistics()
         self.reports = LoadReports(state, self.ready)
 
-        # capacity, and the choice of a server
+        # capacity and server selection
         self.limiter = ConcurrencyLimiter()
         self.quotas = TenantQuotas(state, self.limiter)
         self.slow_start = SlowStart(state)
@@ -89,7 +89,7 @@
             self.answers,
         )
 
-        # what the node is told
+        # server list and settings
         self.membership = MembershipUpdates(state, self.ready, self.subset)
         configurable = (self.subset, self.quotas, self.reports, self.admission, self.hedging)
         self.settings_updates = SettingsUpdates(state, self.subset, self.slow_start, configurable)
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -15,7 +15,7 @@
 
 import trio
 
-from wheatroute.balancing.interface import EarlierAttempt, Event, Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, EarlierAttempt, Event, Report
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.net.clock import now
@@ -121,7 +121,7 @@
             self.add_event(Event.CLIENT_LEFT, exchange.number)
 
     def finish_attempt(
-        self, exchange: Exchange, attempt: Attempt, outcome: Outcome, report: Report | None
+        self, exchange: Exchange, attempt: Attempt, outcome: AttemptOutcome, report: Report | None
     ) -> None:
         """Adds an `ATTEMPT_ENDED` event, with the load report of the response if it had one."""
         exchange.attempts_in_flight -= 1
@@ -137,19 +137,19 @@
             report,
         )
 
-    def update_settings(self, settings: DecisionSettings, is_binding: bool) -> None:
+    def update_settings(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
         """Applies new settings before any pending event is handled.
 
         If they are binding, retries and hedges that have not been written yet are withdrawn.
         """
-        for exchange in self._exchanges.values() if is_binding else ():
+        for exchange in self._exchanges.values() if applies_to_pending else ():
             for attempt in exchange.attempts[1:]:
                 attempt.is_withdrawn = True
         self._max_attempts = settings.max_attempts
         self._answer_slack_s = settings.answer_slack_s
         # Several updates in one batch keep their order, so that the balancer ends with the last one.
         earlier_updates = sum(event[0] == Event.SETTINGS_CHANGED for event in self._events)
-        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, is_binding))
+        self._events.insert(earlier_updates, (Event.SETTINGS_CHANGED, settings, applies_to_pending))
         self._has_events.set()
 
     # Batches of events and timers.
@@ -240,7 +240,8 @@
     def attempt(self, request: int, server: int, timeout_s: float) -> None:
         """See `CommandWriter.attempt`.
 
-        An attempt that can no longer contribute to the response is not sent: its outcome is `Outcome.MOOT`.
+        An attempt that can no longer contribute to the response is not sent: its outcome is
+        `AttemptOutcome.MOOT`.
         """
         exchange = self._exchanges[request]
         moment = now()
@@ -250,7 +251,7 @@
         exchange.attempts.append(attempt)
         exchange.attempts_in_flight += 1
         if exchange.is_complete or timeout_s <= 0.0 or len(exchange.attempts) > self._max_attempts:
-            self.finish_attempt(exchange, attempt, Outcome.MOOT, None)
+            self.finish_attempt(exchange, attempt, AttemptOutcome.MOOT, None)
         else:
             self.upstream.start_attempt(exchange, attempt)
 
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from wheatroute.balancing.interface import Outcome, Report, ServerState
+from wheatroute.balancing.interface import AttemptOutcome, Report, ServerState
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.grpc.call import Call
 from wheatroute.net.clock import now
@@ -30,7 +30,7 @@
 # Time after the deadline of an attempt during which the proxy may still report its outcome.
 LATE_RESPONSE_GRACE_S = 0.05
 # Outcomes that prove that the attempt was not executed.
-NEVER_RAN_OUTCOMES = (Outcome.FULL, Outcome.UNCONNECTED, Outcome.MOOT)
+NEVER_RAN_OUTCOMES = (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT)
 
 
 class Dispatcher:
@@ -69,7 +69,7 @@
         request_classes: Mapping[str, int],
         tenants: Mapping[str, int],
         strict_variants: Mapping[int, int],
-        is_binding: bool,
+        applies_to_pending: bool,
     ) -> None:
         """Applies new settings.
 
@@ -77,7 +77,7 @@
         `strict_variants` maps a class to the class of its requests without an idempotency key, see
         `RequestReader`. If the settings are binding, the driver withdraws retries that are not written yet.
         """
-        self.driver.update_settings(settings, is_binding)
+        self.driver.update_settings(settings, applies_to_pending)
         self._reader = RequestReader(
             self._headers,
             settings.request_classes,
@@ -148,7 +148,9 @@
         """Records that the balancer ended a request without a decision, so that its id may be sent again."""
         self._history.record_never_ran(exchange.attempt_record)
 
-    def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
+    def finish_attempt(
+        self, exchange: RoutedExchange, outcome: AttemptOutcome, report: Report | None
+    ) -> None:
         """Reports the outcome of a request's attempt; does nothing if there was no attempt."""
         attempt = exchange.stream.attempt
         if attempt is None:
@@ -168,7 +170,7 @@
     def start_attempt(self, exchange: Exchange, attempt: Attempt) -> None:
         """Sends the decision, which names the server's address, on the stream of the exchange.
 
-        If the address is unknown or the stream has ended, the attempt ends as `Outcome.MOOT`.
+        If the address is unknown or the stream has ended, the attempt ends as `AttemptOutcome.MOOT`.
         """
         assert isinstance(exchange, RoutedExchange)
         address = self._addresses.get(attempt.server)
@@ -180,7 +182,7 @@
         if address is None or not exchange.stream.send_decision(attempt, address, time_left_s):
             self._history.record_never_ran(exchange.attempt_record)
             self._in_flight[attempt.server] -= 1
-            self.driver.finish_attempt(exchange, attempt, Outcome.MOOT, None)
+            self.driver.finish_attempt(exchange, attempt, AttemptOutcome.MOOT, None)
             return
         self.decision_count += 1
         expires_at = exchange.deadline + LATE_RESPONSE_GRACE_S
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -14,7 +14,7 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest
 from google.protobuf.message import DecodeError
 
-from wheatroute.balancing.interface import Outcome, Report
+from wheatroute.balancing.interface import AttemptOutcome, Report
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.exchange import REJECTED_STATUS, Attempt, Exchange
@@ -67,7 +67,9 @@
     def record_rejection(self, exchange: RoutedExchange) -> None:
         """Records that the balancer rejected or failed a request before any attempt."""
 
-    def finish_attempt(self, exchange: RoutedExchange, outcome: Outcome, report: Report | None) -> None:
+    def finish_attempt(
+        self, exchange: RoutedExchange, outcome: AttemptOutcome, report: Report | None
+    ) -> None:
         """Reports the outcome of a request's attempt, with the load report of the response if it had one."""
 
     def schedule_flush(self, call: Call) -> None:
@@ -177,9 +179,9 @@
             self.dispatcher.abandon_request(self.exchange)
             self.exchange = None
         else:
-            self._finish_attempt(Outcome.WITHDRAWN, None)
+            self._finish_attempt(AttemptOutcome.WITHDRAWN, None)
 
-    def _finish_attempt(self, outcome: Outcome, report: Report | None) -> None:
+    def _finish_attempt(self, outcome: AttemptOutcome, report: Report | None) -> None:
         if self.state == StreamState.DECIDED and self.exchange is not None:
             self.state = StreamState.ENDED
             self.dispatcher.finish_attempt(self.exchange, outcome, report)
@@ -226,5 +228,5 @@
     def expire(self) -> None:
         """Ends the attempt as timed out because the proxy has not reported a response in time."""
         if self.state == StreamState.DECIDED:
-            self._finish_attempt(Outcome.TIMED_OUT, None)
+            self._finish_attempt(AttemptOutcome.TIMED_OUT, None)
             self.state = StreamState.OVERDUE
