--- a/examples/system_demo.py
+++ b/examples/system_demo.py
@@ -125,7 +125,7 @@
     for name in CONTROLS:
         for line in (folder / f"control-{name}.log").read_text().splitlines():
             told = json.loads(line)
-            if told["event"] == "view" and told["leading"]:
+            if told["event"] == "view-changed" and told["leading"]:
                 latest = max(latest, (told["epoch"], name))
     return latest[1]
 
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -274,7 +274,7 @@
 
         # where the disk is written too, so that no page is given to something else meanwhile
         await asyncio.get_running_loop().run_in_executor(service.replicator._executor, damage)
-        while not any(record.message == "scrub" for record in caplog.records):
+        while not any(record.message == "record-damaged" for record in caplog.records):
             await asyncio.sleep(0.01)
         while b"document" not in service.replicator._storage._written:  # written anew
             await asyncio.sleep(0.01)
@@ -285,7 +285,7 @@
         assert b'"generation"' in decode_state(core.document.payload).body
 
     with_nodes(scenario)(tmp_path)
-    (found,) = [record for record in caplog.records if record.message == "scrub"]
+    (found,) = [record for record in caplog.records if record.message == "record-damaged"]
     assert found.damaged == ["document"]
 
 
--- a/wheatroute/replication/links.py
+++ b/wheatroute/replication/links.py
@@ -148,7 +148,7 @@
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
         except msgspec.DecodeError as error:
-            self._log.warning("bad-frame", extra={"trouble": str(error)})
+            self._log.warning("bad-frame", extra={"error": str(error)})
         finally:
             writer.transport.abort()
 
--- a/wheatroute/replication/log_events.py
+++ b/wheatroute/replication/log_events.py
@@ -29,7 +29,7 @@
     """Who leads and who holds what is acknowledged has changed."""
     view = core.view
     log.info(
-        "view",
+        "view-changed",
         extra={
             "epoch": view.epoch,
             "leading": core.is_leading,
@@ -59,9 +59,9 @@
 
 def write_failed(log: logging.Logger, error: StorageError) -> None:
     """The disk rejected a write."""
-    log.error("disk", extra={"trouble": str(error)})
+    log.error("disk-write-failed", extra={"error": str(error)})
 
 
 def record_damaged(log: logging.Logger, damaged: list[str]) -> None:
     """Values on disk were not as they were written."""
-    log.error("scrub", extra={"damaged": damaged})
+    log.error("record-damaged", extra={"damaged": damaged})
