--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -7,7 +7,7 @@
 from wheatroute.replication import reconfiguration
 from wheatroute.replication.acceptor import Acceptor
 from wheatroute.replication.core import ReplicationCore
-from wheatroute.replication.effects import Committed, ReadDone, WriteDone
+from wheatroute.replication.effects import Committed, LeadershipCheckDone, WriteDone
 from wheatroute.replication.follower import Follower
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.leader import Leader
@@ -209,7 +209,7 @@
 def reads_unasked(self, now, request):
     """`ReplicationCore.confirm_leadership`."""
     self._state.now = now
-    self._state.emit(ReadDone(request, self.committed is not None))
+    self._state.emit(LeadershipCheckDone(request, self.committed is not None))
     return self._state.take_effects()
 
 
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -12,7 +12,7 @@
 
 from wheatroute.replication import lease as lease_module
 from wheatroute.replication.core import ReplicationCore
-from wheatroute.replication.effects import Committed, ReadDone, Save, Send, WriteDone
+from wheatroute.replication.effects import Committed, LeadershipCheckDone, Save, Send, WriteDone
 from wheatroute.replication.identity import genesis_identity
 from wheatroute.replication.lease import CLOCK_DRIFT
 from wheatroute.replication.records import AcceptorRecord, new_record
@@ -188,7 +188,7 @@
                     self.on_commit(name, document)
                 case WriteDone(request, done):
                     self.on_write(request, done)
-                case ReadDone(request, confirmed):
+                case LeadershipCheckDone(request, confirmed):
                     self.on_read(host, request, confirmed)
 
     def send(self, source, target, sender, message):
--- a/tests/replication/test_core_invariants.py
+++ b/tests/replication/test_core_invariants.py
@@ -52,17 +52,17 @@
     assert ValidatedCore.validations > 10_000
 
 
-def node_state(record=None):
+def core_state(record=None):
     record = record or new_record("h0/0", AcceptorRecord(VIEW))
     return ReplicationCore(record, HOSTS, 1, Random(1), 0.0)._state
 
 
 def with_votes(**fields):
-    return node_state(new_record("h0/0", AcceptorRecord(VIEW, **fields)))
+    return core_state(new_record("h0/0", AcceptorRecord(VIEW, **fields)))
 
 
 def with_view(**fields):
-    return node_state(new_record("h0/0", AcceptorRecord(msgspec.structs.replace(VIEW, **fields))))
+    return core_state(new_record("h0/0", AcceptorRecord(msgspec.structs.replace(VIEW, **fields))))
 
 
 def leading(primary, incarnation=0):
@@ -74,7 +74,7 @@
 
 
 def with_document(version):
-    state = node_state()
+    state = core_state()
     state.document = Document(version, b"")
     return state
 
@@ -84,7 +84,7 @@
 
 
 def test_a_state_that_holds_together_passes():
-    validate_state(node_state(), None)
+    validate_state(core_state(), None)
     validate_state(with_votes(promised=NUMBER, accepted=NUMBER, accepted_view=NEXT), None)
     validate_state(leading("h0/0"), Document(DocumentVersion(), b""))
 
@@ -104,7 +104,7 @@
         (lambda: with_votes(promised=NUMBER, accepted=NUMBER, accepted_view=VIEW), None, "for the next view"),
         (lambda: with_document(DocumentVersion(-1, 0)), None, "ahead of the memory"),
         (lambda: with_document(DocumentVersion(5, 1)), None, "of a later view"),
-        (node_state, Document(DocumentVersion(), b""), "only a leader commits"),
+        (core_state, Document(DocumentVersion(), b""), "only a leader commits"),
         (lambda: leading("h0/0"), Document(DocumentVersion(0, 1), b""), "ahead of the document"),
         (lambda: leading("h1/0"), None, "the primary of its view"),
         (lambda: leading("h0/0", incarnation=1), None, "the process it names"),
--- a/tests/replication/test_departures.py
+++ b/tests/replication/test_departures.py
@@ -114,8 +114,8 @@
 def test_a_new_leader_lets_nobody_go_before_successors_could_join_it():
     """Found by history 2030: it released the holder of a voter before the successor had returned."""
     released = []
-    for survey in (timing.DEPARTURE_SURVEY_S, 0.0):
-        with patched(timing, DEPARTURE_SURVEY_S=survey):
+    for survey in (timing.RELEASE_HOLD_OFF_S, 0.0):
+        with patched(timing, RELEASE_HOLD_OFF_S=survey):
             for seed in range(PLAYS):
                 it = Simulation(seed, hosts=4)
                 it.run(9.0)
--- a/wheatroute/replication/acceptor.py
+++ b/wheatroute/replication/acceptor.py
@@ -1,4 +1,4 @@
-"""A Paxos acceptor: its stored votes decide, with those of the other voters, which view comes next. No I/O.
+"""A Paxos acceptor: the votes that the voters' acceptors store decide which view comes next. No I/O.
 
 Each next view is decided by single-decree Paxos among the voters of the view before it (vertical Paxos: L.
 Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication", PODC 2009).
@@ -14,7 +14,10 @@
 
 
 class Acceptor:
-    """The acceptor of one node. `record` must be on disk before an answer that follows from it is sent."""
+    """Answers Paxos requests for one node.
+
+    `record` must be on disk before an answer that follows from it is sent.
+    """
 
     def __init__(self, identity: str, record: AcceptorRecord) -> None:
         self.identity = identity
@@ -26,14 +29,17 @@
         return self.record.view
 
     def learn(self, view: View) -> bool:
-        """Takes in a decided view; true if it is newer than what was known."""
+        """Adopts a decided view; returns False if it isn't newer than the view known so far."""
         if view.epoch <= self.view.epoch:
             return False
         self.record = AcceptorRecord(view=view)
         return True
 
     def prepare(self, request: Prepare) -> Message | None:
-        """The answer to a prepare, to be sent once `record` is on disk; None if this node has no vote."""
+        """Answers a prepare request; returns None if this node has no vote.
+
+        A promise may be sent only once `record` is on disk.
+        """
         self.learn(request.base)
         number = request.proposal_number
         rejection = self._rejected(request.base, number)
@@ -45,7 +51,10 @@
         return Promise(self.view.epoch, number, self.record.accepted, self.record.accepted_view)
 
     def accept(self, request: Accept) -> Message | None:
-        """The answer to an accept, to be sent once `record` is on disk; None if this node has no vote."""
+        """Answers a request for a vote; returns None if this node has no vote.
+
+        The vote may be sent only once `record` is on disk.
+        """
         self.learn(request.base)
         number = request.proposal_number
         rejection = self._rejected(request.base, number)
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -1,17 +1,23 @@
-"""One control node's replication, as a state machine. No I/O, no clock; random numbers are handed in.
+"""One control node's replication, as a state machine. No I/O, no clock; the caller passes in the generator
+of random numbers.
 
-Each input is a method with the current time (steady clock, seconds) and returns the effects that the caller
-has to carry out, in their order. `ReplicationCore` dispatches messages to the roles of the node: `Voter`
-(votes on the next view), `Proposer` (attempts to decide one), `Follower` and `Leader`.
+Each input is a method that takes the current time (monotonic clock, seconds) and returns the effects that the
+caller has to carry out, in order. `ReplicationCore` dispatches messages to the roles of the node: `Voter`
+(votes on the next view), `Proposer` (attempts to decide one), `Follower` and `Leader`. A tick is the input
+for the passage of time.
 
-Invariants: a document is acknowledged once every member of the view has it on disk, and there are at least
-`tolerate + 1` members (or as many as there are voters, if those are fewer; see `commit`). Only a majority of
-the voters changes a view, so a leader that was deposed can gather no acknowledgement: a member of the next
-view answers none for an older one. A process leads only the views that were decided for it
-(`View.incarnation`). `invariants` states what must hold after each input.
+Invariants:
+
+- A document is acknowledged once every member of the view has it on disk, and there are at least
+  `tolerate + 1` members (or as many as there are voters, if those are fewer; see `commit`).
+- Only a majority of the voters can change a view. A deposed leader therefore can't commit anything: a member
+  of the next view acknowledges no document of an older one.
+- A process leads only the views that were decided for it (`View.incarnation`).
+
+`invariants` checks what must hold after each input.
 
 Transitions: follower -> leader, when a view is decided whose primary this process is; leader -> follower,
-when another one is decided or no lease could be had for `timing.STEP_DOWN_TIMEOUT_S`.
+when a view with another primary is decided, or after `timing.STEP_DOWN_TIMEOUT_S` without a lease.
 """
 
 from __future__ import annotations
@@ -19,6 +25,7 @@
 from random import Random
 
 from wheatroute.replication import timing
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.effects import Effect
 from wheatroute.replication.follower import Follower
 from wheatroute.replication.identity import host_of
@@ -38,7 +45,6 @@
     Replicated,
     ViewAnnouncement,
 )
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.proposer import Proposer
 from wheatroute.replication.records import Document, NodeRecord
 from wheatroute.replication.views import View
@@ -46,12 +52,26 @@
 
 
 class ReplicationCore:
-    """All roles of one node; `tolerate` is how many nodes may be lost at once."""
+    """Runs all replication roles of one node.
+
+    Parameters
+    ----------
+    record:
+        the record that is on disk.
+    seed_hosts:
+        hosts of the configured seed nodes.
+    tolerate:
+        how many nodes may be lost at once.
+    rng:
+        source of the incarnation number and of the retry jitter.
+    now:
+        time on the monotonic clock, in seconds.
+    """
 
     def __init__(
         self, record: NodeRecord, seed_hosts: tuple[str, ...], tolerate: int, rng: Random, now: float
     ) -> None:
-        self._state = NodeState(record, seed_hosts, tolerate, rng, now, self._dispatch)
+        self._state = CoreState(record, seed_hosts, tolerate, rng, now, self._dispatch)
         self._proposer = Proposer(self._state)
         self._leader = Leader(self._state, self._proposer)
         self._voter = Voter(self._state, self._leader)
@@ -102,9 +122,9 @@
 
     @property
     def has_given_up_lease(self) -> bool:
-        """Whether this node is the newest view's primary and doesn't lead it, nor ever will again.
+        """Whether this node is the newest view's primary, but no longer leads that view and never will.
 
-        It was started again, or had no lease for `timing.STEP_DOWN_TIMEOUT_S`; it may lead a later view.
+        It was restarted, or had no lease for `timing.STEP_DOWN_TIMEOUT_S`; it may lead a later view.
         """
         return self.view.primary == self.identity and not self.is_leading
 
@@ -113,14 +133,14 @@
         return self._leader.is_serving(now)
 
     def can_stop(self, now: float) -> bool:
-        """Whether this node, which is leaving, may end without the loss of a document or of a majority."""
+        """Whether this leaving node may stop without the loss of a document or of the voters' majority."""
         if self.is_leading:
             return self._leader.can_stop
         has_role = self.identity in self.view.voters or self.identity in self.view.members
         return not has_role or self._follower.is_released
 
     def primary_host(self, now: float) -> str:
-        """The host of the primary, or nothing if it is unknown, unresponsive or this node."""
+        """The host of the primary, or "" if the primary is unknown, unresponsive or this node itself."""
         primary = self.view.primary
         if not primary or primary == self.identity:
             return ""
@@ -131,7 +151,7 @@
     # settings
 
     def add_hosts(self, hosts: tuple[str, ...]) -> None:
-        """Adds hosts at which there may be control nodes: the seeds of a changed settings file."""
+        """Adds hosts that may run control nodes: the seeds of a changed settings file."""
         self._state.add_hosts(hosts)
 
     @property
@@ -146,7 +166,7 @@
     # inputs
 
     def tick(self, now: float) -> list[Effect]:
-        """Does the work that is due: saves, elections, and what the present role does periodically.
+        """Advances the clock: starts saves and elections that are due, and the current role's periodic work.
 
         The replicator calls it every `replicator.TICK_INTERVAL_S`.
         """
@@ -154,19 +174,19 @@
         self._state.start_save()
         self._proposer.expire()
         if self.is_leading:
-            self._lead()
+            self._lead_or_step_down()
         else:
             self._follower.tick()
         return self._state.take_effects()
 
     def receive(self, now: float, sender: str, message: Message) -> list[Effect]:
-        """Handles a message of the node `sender`; the replicator calls it for each that a link receives."""
+        """Handles a message from the node `sender`; the replicator calls it for each received message."""
         self._state.now = now
         self._dispatch(sender, message)
         return self._state.take_effects()
 
     def saved(self, now: float) -> list[Effect]:
-        """Does what waited for the last `Save`, which is on disk now, and begins the next one."""
+        """Handles the success of the last `Save`: runs the actions that waited for it, starts the next."""
         self._state.now = now
         for action in self._state.record_writer.succeeded():
             action()
@@ -174,41 +194,41 @@
         return self._state.take_effects()
 
     def save_failed(self, now: float) -> list[Effect]:
-        """Notes that the disk rejected the last `Save`: what waited for it waits for a later one."""
+        """Handles the failure of the last `Save`: the actions that waited for it wait for a later one."""
         self._state.now = now
         self._state.record_writer.failed(now)
         return self._state.take_effects()
 
     def rewrite_record(self, now: float) -> list[Effect]:
-        """Writes the record anew from memory; called when the one on disk was found damaged."""
+        """Writes the record again from memory; called when the one on disk is damaged."""
         self._state.now = now
         self._state.save()
         return self._state.take_effects()
 
     def write(self, now: float, request: int, payload: bytes) -> list[Effect]:
-        """Replicates a new document that replaces the present one; `WriteDone` carries the result."""
+        """Replicates a document that replaces the current one; `WriteDone` carries the result."""
         self._state.now = now
         self._leader.write(request, payload)
         return self._state.take_effects()
 
     def confirm_leadership(self, now: float, request: int) -> list[Effect]:
-        """Asks the voters whether this node still leads; `ReadDone` carries the result.
+        """Asks the voters whether this node still leads; `LeadershipCheckDone` carries the result.
 
-        Only answers to a heartbeat that is sent from now on count.
+        Only answers to a heartbeat sent from now on count.
         """
         self._state.now = now
         self._leader.confirm_leadership(request)
         return self._state.take_effects()
 
     def leave(self, now: float) -> list[Effect]:
-        """Begins this node's departure: a leader hands over, a follower notifies the primary at once.
+        """Starts this node's departure: a leader hands over, a follower notifies the primary at once.
 
         The replicator calls it before the process ends, and then waits for `can_stop`.
         """
         self._state.now = now
         self._state.is_leaving = True
         if self.is_leading:
-            self._lead()
+            self._lead_or_step_down()
         else:
             self._follower.announce_departure()
         return self._state.take_effects()
@@ -293,7 +313,7 @@
     # transitions
 
     def _learn(self, view: View) -> None:
-        """Takes in a decided view: this node follows its primary, or leads if it is that one."""
+        """Adopts a decided view if it is new: this node leads it if it is the primary, else follows it."""
         state = self._state
         if not state.acceptor.learn(view):
             return
@@ -309,14 +329,14 @@
     def _is_primary_of(self, view: View) -> bool:
         return view.primary == self.identity and view.incarnation == self._state.incarnation
 
-    def _lead(self) -> None:
+    def _lead_or_step_down(self) -> None:
         if self._leader.keeps_lease():
             self._leader.tick()
         else:
             self._step_down()
 
     def _step_down(self) -> None:
-        """Gives this view up: heartbeats that get no answers back only keep others from leading."""
+        """Gives this view up, since heartbeats whose answers are lost only keep other nodes from leading."""
         self._leader.stop()
         self._proposer.cancel()
         self._follower.await_heartbeat()
--- a/wheatroute/replication/node_state.py
+++ b/wheatroute/replication/core_state.py
@@ -1,6 +1,6 @@
-"""The state that all parts of one replication core share. No I/O; the caller hands the time in.
+"""The state that all parts of one replication core share. No I/O; the caller passes in the time.
 
-Holds the record that is to be on disk (identity, acceptor, document), the time of the present call, and the
+Holds the record to be kept on disk (identity, acceptor, document), the time of the current call, and the
 effects that the caller has to carry out. Invariant: a message that follows from a change of the record is
 sent only from the action given to `save`, which runs once the record is on disk.
 """
@@ -18,24 +18,28 @@
 from wheatroute.replication.records import NodeRecord
 from wheatroute.replication.views import View
 
-INCARNATION_BITS = 48  # of the number that identifies a process
+INCARNATION_BITS = 48  # length of the random number that identifies a process
 
 Deliver = Callable[[str, Message], None]
 
 
-class NodeState:
-    """What follower, voter, proposer and leader of one node have in common.
+class CoreState:
+    """Holds what the follower, voter, proposer and leader of one node share.
 
     Parameters
     ----------
     record:
-        what is on disk.
+        the record that is on disk.
+    seed_hosts:
+        hosts of the configured seed nodes.
     tolerate:
         how many nodes may be lost at once.
+    rng:
+        source of the incarnation number and of the retry jitter.
     now:
-        time on the steady clock, in seconds.
+        time on the monotonic clock, in seconds.
     deliver:
-        takes the messages that this node sends to itself.
+        called with each message that this node sends to itself.
     """
 
     def __init__(
@@ -60,7 +64,7 @@
         self.now = now
         self._hosts = set(seed_hosts)
         self._deliver = deliver
-        self._digested = (record.document, record.document.digest)
+        self._digest_cache = (record.document, record.document.digest)
         self._effects: list[Effect] = []
 
     @property
@@ -75,54 +79,55 @@
 
     @property
     def document_digest(self) -> int:
-        """The digest of the present document; computed once for each."""
-        document, digest = self._digested
+        """The digest of the current document, computed once per document."""
+        document, digest = self._digest_cache
         if document is not self.document:
             digest = self.document.digest
-            self._digested = (self.document, digest)
+            self._digest_cache = (self.document, digest)
         return digest
 
     # other nodes
 
     def add_hosts(self, hosts: Iterable[str]) -> None:
-        """Adds hosts at which there may be control nodes."""
+        """Adds hosts that may run control nodes."""
         self._hosts.update(hosts)
 
     def all_hosts(self) -> set[str]:
-        """The hosts of this node, of the voters, and of all nodes known to it."""
+        """The hosts of this node, of the voters, and of all other nodes it knows."""
         return self._hosts | {host_of(voter) for voter in self.view.voters} | {self.host}
 
     # effects
 
     def emit(self, *effects: Effect) -> None:
-        """Has the caller carry these effects out, after those before them."""
+        """Queues effects for the caller, after those already queued."""
         self._effects += effects
 
     def take_effects(self) -> list[Effect]:
-        """The effects of the present call, in their order."""
+        """Returns the effects of the current call in order, and clears the queue."""
         effects, self._effects = self._effects, []
         return effects
 
     def send(self, host: str, message: Message) -> None:
-        """Sends a message; one to this node itself is delivered before this returns."""
+        """Sends a message; a message to this node itself is delivered before this returns."""
         if host == self.host:
             self._deliver(self.identity, message)
         else:
             self.emit(Send(host, message))
 
     def send_to_voters(self, view: View, message: Message) -> None:
-        """Sends a message to every voter of a view, in their order."""
+        """Sends a message to every voter of a view, in the order of `view.voters`."""
         for voter in view.voters:
             self.send(host_of(voter), message)
 
     def save(self, then: Action | None = None) -> None:
-        """Has the present record written; `then` runs once it, or a later one, is on disk."""
+        """Requests a write of the current record; `then` runs once it, or a later one, is on disk."""
         self.record_writer.request(then)
-        if not self.record_writer.has_failed:  # else the next tick tries again
+        # After a failed write, the next tick tries again.
+        if not self.record_writer.has_failed:
             self.start_save()
 
     def start_save(self) -> None:
-        """Begins the write that is due, if any."""
+        """Starts the write that is due, if any."""
         if self.record_writer.is_due(self.now):
             self.record_writer.begin(self.now, self.document.version)
             self.emit(Save(NodeRecord(self.identity, self.acceptor.record, self.document)))
--- a/wheatroute/replication/departure.py
+++ b/wheatroute/replication/departure.py
@@ -1,8 +1,9 @@
-"""Which nodes that are about to stop are released: a rule of the leader. No I/O.
+"""The leader's rule for which leaving nodes are released, that is, may stop. No I/O.
 
-A node that leaves stays a voter, and keeps its copy of the document, until others have taken its roles
-over. It is released once it is no member of a view whose members all hold what is acknowledged, and no
-voter where there is another node to succeed it as one. Where all voters are leaving, nobody is held back.
+A leaving node stays a voter, and keeps its copy of the document, until others have taken over its roles. It
+is released once two conditions hold: it is not a member of the current view, whose members all hold every
+acknowledged document; and it is not a voter, unless there is no other node that could replace it. If all
+voters are leaving, all leaving nodes are released at once.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 def released_nodes(view: View, own: Peer, peers: list[Peer], is_settled: bool, now: float) -> tuple[str, ...]:
-    """The leaving nodes that may stop.
+    """Returns the leaving nodes that may stop.
 
     `is_settled`: the leader wants no other view, and all members of this one have synced its document.
     """
--- a/wheatroute/replication/document_replication.py
+++ b/wheatroute/replication/document_replication.py
@@ -1,17 +1,17 @@
-"""A leader's document on its way to the other nodes, until it is committed. No I/O.
+"""Replication of a leader's document to the other nodes, until it is committed. No I/O.
 
-Invariant: a document is committed once every member of the view, and of every view that an attempt of this
-leader may have decided, has it on disk (`commit`).
+Invariant: a document is committed only once every member of the view, and of every view that an attempt of
+this leader may have decided, has it on disk (`commit`).
 """
 
 from __future__ import annotations
 
 from wheatroute.replication import timing
 from wheatroute.replication.commit import may_commit
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.effects import Committed
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.messages import Replicate
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.peers import Peer, Peers
 from wheatroute.replication.pending_requests import PendingRequests
 from wheatroute.replication.proposer import Proposer
@@ -21,21 +21,21 @@
 class DocumentReplication:
     """Sends a leader's document to its peers, and commits it."""
 
-    def __init__(self, state: NodeState, peers: Peers, proposer: Proposer, pending: PendingRequests) -> None:
+    def __init__(self, state: CoreState, peers: Peers, proposer: Proposer, pending: PendingRequests) -> None:
         self._state = state
         self._peers = peers
         self._proposer = proposer
         self._pending = pending
-        self.committed: Document | None = None  # the newest one that this node committed as a leader
+        self.committed: Document | None = None  # the newest document that this node committed as a leader
 
     def replace_document(self, sequence: int, payload: bytes) -> None:
-        """Replicates another document in the present epoch."""
+        """Replaces the document by one of the current epoch, and replicates it."""
         state = self._state
         state.document = Document(DocumentVersion(state.view.epoch, sequence), payload)
         self.replicate_to_all()
 
     def replicate_to_all(self) -> None:
-        """Has the present document written here, and sends it to all voters and all that are alive."""
+        """Writes the current document to this node's disk, and sends it to all voters and all alive nodes."""
         state, version = self._state, self._state.document.version
         state.save(lambda: self.check_commit(version))
         for peer in self._peers.all():
@@ -43,7 +43,7 @@
                 self._send_document(peer)
 
     def resend(self) -> None:
-        """Sends the document again to nodes that lack it."""
+        """Sends the document again to alive nodes that lack it and last got it long enough ago."""
         state = self._state
         for peer in self._peers.all():
             is_lacking = peer.version != state.document.version and peer.is_alive(state.now)
@@ -51,7 +51,7 @@
                 self._send_document(peer)
 
     def check_commit(self, version: DocumentVersion) -> None:
-        """Commits the document of this version if it is the present one and on enough disks."""
+        """Commits the document of this version if it is the current one and `may_commit` allows it."""
         state = self._state
         if not state.is_leading or version != state.document.version:
             return
@@ -67,7 +67,7 @@
         state.emit(*self._pending.on_commit(version))
 
     def has_document(self, member: str, version: DocumentVersion) -> bool:
-        """Whether the document of this version is known to be on the disk of a node."""
+        """Whether the document of this version is known to be on the disk of the node `member`."""
         if member == self._state.identity:
             return self._state.record_writer.version_on_disk == version
         return self._peers.get(member).version == version
--- a/wheatroute/replication/effects.py
+++ b/wheatroute/replication/effects.py
@@ -1,4 +1,4 @@
-"""Effects: what the replication core has its caller carry out, in the order in which they are returned."""
+"""Effects that the replication core returns; its caller carries them out in the order returned."""
 
 from __future__ import annotations
 
@@ -25,25 +25,29 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """This document is acknowledged by every member: it may be shown and served."""
+    """Every member has acknowledged this document: it may be shown to callers and served."""
 
     document: Document
 
 
 @dataclass(frozen=True)
 class WriteDone:
-    """The write with this number is committed, or will never be acknowledged by this node."""
+    """The write request with this number is committed, or this node will never acknowledge it."""
 
     request: int
     is_committed: bool
 
 
 @dataclass(frozen=True)
-class ReadDone:
-    """Whether this node was still the leader after the read with this number was requested."""
+class LeadershipCheckDone:
+    """The leadership check with this number is done.
+
+    `is_confirmed`: whether a majority of voters has answered a heartbeat that this leader sent after the
+    check was requested.
+    """
 
     request: int
     is_confirmed: bool
 
 
-Effect = Send | Save | Committed | WriteDone | ReadDone
+Effect = Send | Save | Committed | WriteDone | LeadershipCheckDone
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -1,4 +1,4 @@
-"""A node that doesn't lead: it acknowledges heartbeats and documents, and stands for election. No I/O.
+"""A node that doesn't lead: it acknowledges heartbeats and documents, and starts elections. No I/O.
 
 Transitions: follower -> candidate, when a member in sync has received no heartbeat for its election timeout
 and no lease binds its vote; candidate -> leader or follower again, when a view is decided (`core`).
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from wheatroute.replication import timing
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.messages import (
     Heartbeat,
@@ -16,7 +17,6 @@
     Replicate,
     Replicated,
 )
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.proposer import Proposer
 from wheatroute.replication.takeover import takeover_view
 from wheatroute.replication.views import View
@@ -24,32 +24,33 @@
 
 
 class Follower:
-    """What one node does while it doesn't lead.
+    """Runs one node while it doesn't lead.
 
-    It exists beside the node's `Leader`, which may give its view up and follow again.
+    It exists beside the node's `Leader`, since a leader may give its view up and follow again.
     """
 
-    def __init__(self, state: NodeState, proposer: Proposer, voter: Voter) -> None:
+    def __init__(self, state: CoreState, proposer: Proposer, voter: Voter) -> None:
         self._state = state
         self._proposer = proposer
         self._voter = voter
         self._last_heartbeat_at = state.now
-        self._newest_heartbeat: Heartbeat | None = None  # of the present view's primary
+        self._newest_heartbeat: Heartbeat | None = None  # of the current view's primary
         self._next_join_at = state.now
         self._next_lease_ended_at = state.now
-        # Shorter than later ones: when the whole system starts there is no primary to hear of. Where there is
-        # one it is safe too: not this timeout but the lease (`lease`) keeps others from being decided.
+        # The first timeout is shorter than later ones: when the whole system starts, there is no primary that
+        # could send a heartbeat. If there is a primary, the short timeout is safe too: the lease (`lease`),
+        # not this timeout, prevents another view from being decided.
         self._election_timeout_s = (
             self._ranked_timeout_s() - timing.ELECTION_TIMEOUT_S + timing.STARTUP_ELECTION_TIMEOUT_S
         )
-        self.is_released = False  # set by the leader: this node, which is leaving, isn't needed
+        self.is_released = False  # whether the leader's newest heartbeat says that this leaving node may stop
 
     def heartbeat_age_s(self, now: float) -> float:
-        """Seconds since the last heartbeat of the present view's primary, or since the view began."""
+        """Seconds since the last heartbeat of the current view's primary, or since the view was learned."""
         return now - self._last_heartbeat_at
 
     def begin_view(self) -> None:
-        """Awaits the primary of a view that was just learned; a release by the one before is void.
+        """Starts to follow a view that was just learned; a release by an earlier primary no longer counts.
 
         `core` calls it for each such view, also for one that this node leads.
         """
@@ -57,7 +58,7 @@
         self.await_heartbeat()
 
     def await_heartbeat(self) -> None:
-        """Begins the election timeout anew, as if no heartbeat had come.
+        """Restarts the election timeout, as if no heartbeat had been received.
 
         Called when a view begins, and by `core` when this node gives up the view that it led.
         """
@@ -66,48 +67,53 @@
         self._election_timeout_s = self._ranked_timeout_s()
 
     def tick(self) -> None:
-        """Does what is due at a tick of `core`: join requests, the end of an own lease, an election."""
+        """Does what is due at a tick of `core`: join requests, lease-ended announcements, an election."""
         state = self._state
         heartbeat_age_s = self.heartbeat_age_s(state.now)
-        # well before an election: an answer may name a newer view, whose primary this node then follows
+        # Join requests start well before an election: an answer may name a newer view, whose primary this
+        # node then follows.
         is_without_contact = self._newest_heartbeat is None or heartbeat_age_s > timing.ELECTION_TIMEOUT_S / 2
         if is_without_contact and state.now >= self._next_join_at:
             self._send_join_requests()
-        # this node has given up its lease, or the process before it led: voters wait for a lease that is void
+        # This node has given up its lease, or an earlier process of this node led. Voters would otherwise
+        # wait for a lease that nobody holds any more.
         if state.view.primary == state.identity and state.now >= self._next_lease_ended_at:
             self._announce_lease_ended()
-        # while a lease binds this node's own vote, it most likely binds those of the others too
-        if self._can_stand(heartbeat_age_s) and not self._voter.lease_remaining_s(state.view, state.identity):
+        # While a lease binds this node's own vote, it most likely binds the votes of the others too.
+        if self._can_start_election(heartbeat_age_s) and not self._voter.lease_remaining_s(
+            state.view, state.identity
+        ):
             self._proposer.propose(self.choose_takeover)
 
     def on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        """Acknowledges a heartbeat of the present view, which binds this node's vote."""
+        """Acknowledges a heartbeat of the current view, which binds this node's vote."""
         self._last_heartbeat_at = self._state.now
         self._newest_heartbeat = heartbeat
         self.is_released = self._state.identity in heartbeat.released
         self._state.send(host_of(sender), self._acknowledgement(heartbeat))
 
     def on_replicate(self, sender: str, message: Replicate) -> None:
-        """Takes a document of the present view in, and acknowledges it once it is on disk."""
+        """Stores a document of the current view, and acknowledges it once it is on disk."""
         state, document = self._state, message.document
         if document.version < state.document.version:
-            return  # overtaken by a newer one: the leader waits for that one alone
+            # A newer document arrived first; the leader waits for the acknowledgement of that one alone.
+            return
         ack = Replicated(message.view.epoch, document.version)
         if document == state.document and state.record_writer.version_on_disk == document.version:
-            # sent again, as the first acknowledgement was late or lost
+            # The leader sent the document again because the first acknowledgement was late or lost.
             state.send(host_of(sender), ack)
             return
         state.document = document
         state.save(lambda: state.send(host_of(sender), ack))
 
     def announce_departure(self) -> None:
-        """Tells the primary at once that this node is leaving, by one more answer to its last heartbeat."""
+        """Notifies the primary that this node is leaving, by one more answer to its last heartbeat."""
         heartbeat, view = self._newest_heartbeat, self._state.view
         if heartbeat is not None and heartbeat.view.epoch == view.epoch:
             self._state.send(host_of(view.primary), self._acknowledgement(heartbeat))
 
     def choose_takeover(self, base: View, promised: frozenset[str]) -> View | None:
-        """The view to propose in an election; see `takeover`."""
+        """Returns the view to propose in an election, given the voters that promised; see `takeover`."""
         state = self._state
         return takeover_view(base, promised, state.identity, state.incarnation, state.tolerate)
 
@@ -126,14 +132,14 @@
             incarnation=state.incarnation,
         )
 
-    def _can_stand(self, heartbeat_age_s: float) -> bool:
-        """Whether this node is in sync and the primary's time is up."""
+    def _can_start_election(self, heartbeat_age_s: float) -> bool:
+        """Whether this node is a member (so in sync) that may lead, and its election timeout has expired."""
         state = self._state
         is_eligible = state.identity in state.view.members and state.is_healthy and not state.is_leaving
         return is_eligible and heartbeat_age_s > self._election_timeout_s and self._proposer.can_propose
 
     def _ranked_timeout_s(self) -> float:
-        """The election timeout by this node's place among the members."""
+        """The election timeout according to this node's position among the members."""
         view, identity = self._state.view, self._state.identity
         others = [member for member in view.members if member != view.primary]
         rank = others.index(identity) if identity in others else len(others)
@@ -147,7 +153,7 @@
                 state.send(host, JoinRequest(state.view.epoch))
 
     def _announce_lease_ended(self) -> None:
-        """Frees the votes that are bound to this node as the primary that it was."""
+        """Frees the votes that are still bound to this node as the former leader of the current view."""
         state = self._state
         self._next_lease_ended_at = state.now + timing.LEASE_ENDED_INTERVAL_S
         for host in sorted(state.all_hosts()):
--- a/wheatroute/replication/invariants.py
+++ b/wheatroute/replication/invariants.py
@@ -1,18 +1,18 @@
-"""Invariants of one node's replication, written as code. No I/O; tests call it after each input of a core."""
+"""Checks the invariants of one node's replication. No I/O; tests call it after each input of a core."""
 
 from __future__ import annotations
 
-from wheatroute.replication.node_state import NodeState
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.records import AcceptorRecord, Document, ProposalNumber
 from wheatroute.replication.views import View
 
 
 class InvariantError(AssertionError):
-    """The state of a core contradicts itself."""
+    """The state of a core breaks the invariant that the message states."""
 
 
-def validate_state(state: NodeState, committed: Document | None) -> None:
-    """Raises InvariantError unless the state of a core holds together.
+def validate_state(state: CoreState, committed: Document | None) -> None:
+    """Raises InvariantError if the state of a core breaks an invariant.
 
     `committed` is the newest document that this node committed as a leader.
     """
@@ -36,13 +36,13 @@
         _require(record.accepted_view.epoch == record.view.epoch + 1, "a vote is for the next view")
 
 
-def _validate_documents(state: NodeState) -> None:
+def _validate_documents(state: CoreState) -> None:
     version = state.document.version
     _require(state.record_writer.version_on_disk <= version, "the disk is never ahead of the memory")
     _require(version.epoch <= max(0, state.view.epoch), "no document is of a later view")
 
 
-def _validate_leadership(state: NodeState, committed: Document | None) -> None:
+def _validate_leadership(state: CoreState, committed: Document | None) -> None:
     if committed is not None:
         _require(state.is_leading, "only a leader commits")
         _require(committed.version <= state.document.version, "what is committed isn't ahead of the document")
--- a/wheatroute/replication/leader.py
+++ b/wheatroute/replication/leader.py
@@ -1,10 +1,10 @@
-"""A node while it leads: heartbeats, its lease, reads and writes, and changes of its view. No I/O.
+"""A node while it leads: heartbeats, its lease, writes, leadership checks and changes of its view. No I/O.
 
 Invariants:
 
-- A read or a write is begun only while this leader has a lease (`lease`) and a committed document.
-- A read is confirmed only by answers to a heartbeat that was sent after the read came.
-- A write is acknowledged by the commit of its document alone; the lease is not checked again. That is safe:
+- A write or a leadership check starts only while this leader has a lease (`lease`) and a committed document.
+- A leadership check is confirmed only by answers to a heartbeat that was sent after the check was requested.
+- A write is acknowledged as soon as its document is committed; the lease is not checked again. That is safe:
   by then every member of the view, and of every view that attempts of this leader may have decided, has the
   document on disk (`commit`), and only one of those members can lead next. A member that knows a later view
   acknowledges nothing for this one (`core`).
@@ -15,13 +15,13 @@
 from __future__ import annotations
 
 from wheatroute.replication import timing
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.departure import released_nodes
 from wheatroute.replication.document_replication import DocumentReplication
-from wheatroute.replication.effects import ReadDone, WriteDone
+from wheatroute.replication.effects import LeadershipCheckDone, WriteDone
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.lease import grants
 from wheatroute.replication.messages import Heartbeat, HeartbeatAck, Replicated
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.peers import Peer, Peers
 from wheatroute.replication.pending_requests import PendingRequests
 from wheatroute.replication.proposer import Proposer
@@ -31,9 +31,12 @@
 
 
 class Leader:
-    """What one node does as the primary of the present view."""
+    """Runs one node as the primary of the current view.
 
-    def __init__(self, state: NodeState, proposer: Proposer) -> None:
+    It exists on every node, also while that node follows; only `start` makes it lead.
+    """
+
+    def __init__(self, state: CoreState, proposer: Proposer) -> None:
         self._state = state
         self._proposer = proposer
         self._peers = Peers(state.identity)
@@ -42,8 +45,8 @@
         self._led_since = state.now
         self._last_lease_at = state.now
         self._next_heartbeat_at = state.now
-        self._next_read_heartbeat_at = state.now
-        self._released: tuple[str, ...] = ()  # in the newest heartbeat
+        self._next_check_heartbeat_at = state.now
+        self._released: tuple[str, ...] = ()  # the nodes that the newest heartbeat releases
 
     # queries
 
@@ -57,17 +60,17 @@
         return self._state.is_leading and self.committed is not None and self.has_lease(now)
 
     def has_lease(self, now: float) -> bool:
-        """Whether a majority of voters has granted a lease that still holds."""
+        """Whether a majority of voters has granted this leader a lease that has not expired."""
         return self._peers.has_lease(self._state.view, now, self.has_own_vote)
 
     @property
     def has_own_vote(self) -> bool:
-        """Whether this node's own vote still grants its lease."""
+        """Whether this node's own vote still counts towards its lease: it has voted for no other proposer."""
         return grants(self._state.acceptor.record, self._state.identity)
 
     @property
     def can_stop(self) -> bool:
-        """Whether this node may end without the loss of a document or of the voters' majority."""
+        """Whether this node may stop without the loss of a document or of the voters' majority."""
         others = [voter for voter in self._state.view.voters if voter != self._state.identity]
         return not others or self._state.identity in self._released
 
@@ -75,13 +78,13 @@
         """The hosts of all control nodes known to this leader."""
         return self._state.all_hosts() | {host_of(peer.identity) for peer in self._peers.all()}
 
-    # begin and end
+    # start and stop
 
     def start(self) -> None:
-        """Begins to lead the present view: every member first takes its document over into this epoch.
+        """Starts to lead the current view by replicating the document under this view's epoch.
 
         `core` calls it for each view that it learns whose primary is this process. A leader that changed its
-        own view goes on with the writes and reads that wait.
+        own view keeps its pending writes and leadership checks.
         """
         state = self._state
         if not state.is_leading:
@@ -95,7 +98,7 @@
         self._send_heartbeats()
 
     def stop(self) -> None:
-        """Ends the lead of this node, and fails the requests that wait.
+        """Stops leading, and fails all pending requests.
 
         `core` calls it for each view that it learns with another primary, and when it gives up its own view.
         """
@@ -104,7 +107,7 @@
         self._state.emit(*self._pending.fail_all())
 
     def keeps_lease(self) -> bool:
-        """Notes whether there is a lease; false once there was none for `STEP_DOWN_TIMEOUT_S`."""
+        """Records whether there is a lease now; returns False after `STEP_DOWN_TIMEOUT_S` without one."""
         now = self._state.now
         if self.has_lease(now):
             self._last_lease_at = now
@@ -113,14 +116,16 @@
     # inputs
 
     def tick(self) -> None:
-        """Sends what is due: heartbeats, documents that are lacking, and a change of the view.
+        """Sends what is due: heartbeats, documents that nodes lack, and proposals of another view.
 
-        Called at each tick of `core`, and when this node begins to leave, while it leads.
+        `core` calls it at each tick while this node leads, and when a leader begins to leave.
         """
         state = self._state
-        if state.now >= self._next_heartbeat_at or self._pending.has_read_after(self._peers.newest_heartbeat):
+        if state.now >= self._next_heartbeat_at or self._pending.has_leadership_check_after(
+            self._peers.newest_heartbeat
+        ):
             self._send_heartbeats()
-            self._check_reads()
+            self._complete_leadership_checks()
         self._peers.forget_unresponsive(state.view.voters, state.now)
         self._documents.resend()
         if self._proposer.can_propose:
@@ -137,33 +142,34 @@
         self._documents.replace_document(sequence, payload)
 
     def confirm_leadership(self, request: int) -> None:
-        """Asks the voters whether this node still leads; `ReadDone` carries the result."""
+        """Asks the voters whether this node still leads; `LeadershipCheckDone` carries the result."""
         now = self._state.now
         if not self.is_serving(now):
-            self._state.emit(ReadDone(request, False))
+            self._state.emit(LeadershipCheckDone(request, False))
             return
-        self._pending.add_read(request, self._peers.newest_heartbeat + 1)
-        if now >= self._next_read_heartbeat_at:
+        self._pending.add_leadership_check(request, self._peers.newest_heartbeat + 1)
+        if now >= self._next_check_heartbeat_at:
             self._send_heartbeats()
-            self._check_reads()
+            self._complete_leadership_checks()
 
     def on_heartbeat_ack(self, sender: str, ack: HeartbeatAck) -> None:
-        """Notes a node's answer to a heartbeat of the present view: it may confirm reads, and commit."""
+        """Records a node's answer to a heartbeat; may complete leadership checks and a commit."""
         state = self._state
         self._peers.on_heartbeat_ack(sender, ack, state.now)
         if ack.version == state.document.version and ack.digest not in (None, state.document_digest):
-            # another content under the same version: it isn't in sync, and gets the document again
+            # The node has other content under the same version: it isn't in sync, and gets the document
+            # again.
             self._peers.get(sender).version = DocumentVersion()
-        self._check_reads()
+        self._complete_leadership_checks()
         self._documents.check_commit(state.document.version)
 
     def on_replicated(self, sender: str, ack: Replicated) -> None:
-        """Notes that a node has a document of the present view on disk, which may commit it."""
+        """Records that a node has a document of the current view on disk, which may commit it."""
         self._peers.on_replicated(sender, ack, self._state.now)
         self._documents.check_commit(self._state.document.version)
 
     def on_join_request(self, sender: str) -> None:
-        """Notes that a node asks to join: from now on it is sent heartbeats and the document.
+        """Records that a node asks to join: from now on it is sent heartbeats and the document.
 
         Once in sync it may become a voter and a member (`reconfiguration`).
         """
@@ -172,10 +178,10 @@
     # heartbeats
 
     def _send_heartbeats(self) -> None:
-        """Sends a heartbeat to every peer."""
+        """Sends a heartbeat, which names the released nodes, to every peer."""
         state = self._state
         self._next_heartbeat_at = state.now + timing.HEARTBEAT_INTERVAL_S
-        self._next_read_heartbeat_at = state.now + timing.READ_BATCH_INTERVAL_S
+        self._next_check_heartbeat_at = state.now + timing.LEADERSHIP_CHECK_BATCH_S
         number = self._peers.start_heartbeat(state.now)
         committed = self.committed.version if self.committed is not None else DocumentVersion()
         is_any_leaving = state.is_leaving or any(peer.is_leaving for peer in self._peers.all())
@@ -185,7 +191,7 @@
         for peer in self._peers.all():
             state.send(host_of(peer.identity), heartbeat)
 
-    def _check_reads(self) -> None:
+    def _complete_leadership_checks(self) -> None:
         view, own_vote = self._state.view, self.has_own_vote
         done = self._pending.on_answers(
             lambda number: self._peers.has_majority_answered(view, number, own_vote)
@@ -195,7 +201,7 @@
     # changes of the view
 
     def _reconfigure(self) -> None:
-        """Proposes the view that this leader wants, or the present one again where that is needed."""
+        """Proposes the view that this leader wants, or the current one again if it needs a renewal."""
         wanted = self._wanted_view() or self._renewed_view()
         if wanted is not None:
             self._proposer.propose(lambda base, promised: wanted, frozenset(wanted.members))
@@ -208,7 +214,7 @@
         )
 
     def _renewed_view(self) -> View | None:
-        """The present view once more, where earlier votes or attempts keep this leader from its work."""
+        """The current view under the next epoch, if earlier votes or attempts block leases or commits."""
         state = self._state
         others = [voter for voter in state.view.voters if voter != state.identity]
         is_any_withholding = any(not self._peers.get(voter).is_granting for voter in others)
@@ -216,7 +222,7 @@
         return renewed_view(state.view, state.incarnation, is_granted, self._proposer.proposed_members)
 
     def _own_peer(self) -> Peer:
-        """This node as it sees the others."""
+        """This node's own state, in the form in which it knows its peers."""
         state = self._state
         return Peer(
             state.identity,
@@ -230,7 +236,7 @@
     # departures
 
     def _is_handing_over(self) -> bool:
-        """Whether this leader is about to stop and there is another node that may lead."""
+        """Whether this leader is leaving and another voter could lead."""
         state = self._state
         if not state.is_leaving:
             return False
@@ -238,12 +244,15 @@
         return any(peer.can_replicate(state.now) for peer in voters)
 
     def _released_nodes(self) -> tuple[str, ...]:
-        """Nodes that are about to stop and aren't needed any more."""
+        """The leaving nodes that may stop now."""
         state = self._state
         is_committed = self.committed is not None and self.committed.version.epoch == state.view.epoch
-        # nodes that could succeed a voter have had the time to join this leader
-        is_surveyed = state.now - self._led_since > timing.DEPARTURE_SURVEY_S
+        # After the hold-off, nodes that could succeed a voter have had the time to join this leader.
+        is_hold_off_over = state.now - self._led_since > timing.RELEASE_HOLD_OFF_S
         is_settled = (
-            is_committed and is_surveyed and not self._proposer.is_proposing and self._wanted_view() is None
+            is_committed
+            and is_hold_off_over
+            and not self._proposer.is_proposing
+            and self._wanted_view() is None
         )
         return released_nodes(state.view, self._own_peer(), self._peers.all(), is_settled, state.now)
--- a/wheatroute/replication/links.py
+++ b/wheatroute/replication/links.py
@@ -1,11 +1,12 @@
 """Messages between control nodes: one TCP connection for each direction, length-prefixed msgpack frames.
 
-Network I/O on asyncio. A link is for messages that may be lost: what can't be sent now is dropped, since
-every message is sent again by its own timer. A connection whose other end is unresponsive is given up by
-`TCP_USER_TIMEOUT`.
+Network I/O on asyncio. Messages may be lost: one that can't be sent now is dropped, since the sender of each
+kind of message repeats it on its own timer. `TCP_USER_TIMEOUT` closes a connection whose peer is
+unresponsive.
 
-An attempt to connect to a machine without power gets no answer, and the next packet of it goes out after a
-second. Once that machine has connected to this one, it is reachable: the attempt is made anew at once.
+An attempt to connect to a machine without power gets no answer, and TCP sends the next packet of that attempt
+only after a second. Once that machine has connected to this one, it is reachable, so this node restarts its
+attempt at once.
 """
 
 from __future__ import annotations
@@ -22,18 +23,18 @@
 from wheatroute.replication.messages import Envelope, Message
 
 CONNECT_TIMEOUT_S = 0.4
-USER_TIMEOUT_MS = 700  # of unacknowledged bytes
-RECONNECT_BACKOFF_S = 0.1  # between the beginnings of two attempts to connect
+USER_TIMEOUT_MS = 700  # longest time for which sent bytes may stay unacknowledged
+RECONNECT_BACKOFF_S = 0.1  # minimum time between the starts of two attempts to connect
 MAX_FRAME_BYTES = 16 << 20
-MAX_BUFFERED_BYTES = 8 << 20  # that a connection has not taken yet; it is given up beyond
-MAX_QUEUED_FRAMES = 16  # while a connection is being opened
-LENGTH_BYTES = 4
+MAX_BUFFERED_BYTES = 8 << 20  # a connection with more unsent bytes is closed
+MAX_QUEUED_FRAMES = 16  # frames kept while a connection is being opened
+LENGTH_BYTES = 4  # size of the length prefix of a frame
 
 OnMessage = Callable[[str, Message], None]
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Has an unresponsive peer noticed soon, and small messages sent at once."""
+    """Sets options so that an unresponsive peer is detected soon and small messages are sent at once."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     with suppress(OSError, AttributeError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
@@ -50,7 +51,7 @@
         self._next_attempt_at = 0.0
 
     def send(self, frame: bytes) -> None:
-        """Sends a frame now, or once connected; drops it while that isn't possible."""
+        """Sends a frame now, or once connected; drops it if neither is possible."""
         writer = self._writer
         if writer is not None and not writer.is_closing():
             if writer.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
@@ -83,10 +84,10 @@
             writer.write(frame)
 
     def on_peer_connected(self) -> None:
-        """The other end has connected here: an attempt that is under way may have begun before it was there.
+        """Restarts an attempt in progress, which may have begun before the peer was up; keeps queued frames.
 
-        Queued frames are kept. Called once for each of its connections, not for each message: else a peer
-        that can't be reached from here would have this node begin anew without end.
+        Called once for each connection that the peer opens to this node, not for each message: otherwise a
+        peer that can't be reached from here would make this node restart its attempt endlessly.
         """
         self._next_attempt_at = 0.0
         if self._connecting is not None and not self._connecting.done():
@@ -94,14 +95,18 @@
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
     def close(self) -> None:
-        """Gives the connection up; the next frame opens another."""
+        """Closes the connection; the next frame opens a new one."""
         writer, self._writer = self._writer, None
         if writer is not None:
             writer.transport.abort()
 
 
 class Links:
-    """All connections of one control node; `on_message` takes the sender's identity and the message."""
+    """Manages all connections of one control node.
+
+    `address` is the host and port to listen on; every other node listens on the same port. `on_message` is
+    called with the sender's identity and the message.
+    """
 
     def __init__(
         self, identity: str, address: tuple[str, int], on_message: OnMessage, log: logging.Logger
@@ -116,12 +121,12 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> None:
-        """Accepts connections of other control nodes from now on; raises OSError if the address is in use."""
+        """Starts accepting connections of other control nodes; raises OSError if the address is in use."""
         host, port = self._address
         self._server = await asyncio.start_server(self._serve, host, port, reuse_address=True)
 
     def send(self, host: str, message: Message) -> None:
-        """Sends a message to the node at a host; it may be lost."""
+        """Sends a message, which may be lost, to the node at a host."""
         body = self._encoder.encode(Envelope(self._identity, message))
         link = self._links.get(host)
         if link is None:
@@ -134,15 +139,15 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         configure_socket(writer.get_extra_info("socket"))
-        has_appeared = False
+        is_sender_known = False
         try:
             while True:
                 length = int.from_bytes(await reader.readexactly(LENGTH_BYTES), "big")
                 if length > MAX_FRAME_BYTES:
                     break
                 envelope = self._decoder.decode(await reader.readexactly(length))
-                if not has_appeared:
-                    has_appeared = True
+                if not is_sender_known:
+                    is_sender_known = True
                     self._on_peer_connected(host_of(envelope.sender))
                 self._on_message(envelope.sender, envelope.message)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
@@ -153,7 +158,7 @@
             writer.transport.abort()
 
     def close(self) -> None:
-        """Ends all connections and accepts no more."""
+        """Stops accepting connections, and closes those to other nodes."""
         if self._server is not None:
             self._server.close()
         for link in self._links.values():
--- a/wheatroute/replication/log_events.py
+++ b/wheatroute/replication/log_events.py
@@ -1,6 +1,7 @@
 """Log events of replication, one function each.
 
-Names and fields are documented in docs/operators/system.md and stay.
+Names and fields are documented for operators in docs/operators/system.md; a change here must be made there
+too.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 def started(log: logging.Logger, record: NodeRecord, is_fresh: bool) -> None:
-    """What the disk held at the start of the process; `is_fresh`: nothing."""
+    """Logs the record with which the process starts; `is_fresh`: the disk held no readable record."""
     log.info(
         "replication-started",
         extra={
@@ -26,7 +27,7 @@
 
 
 def view_changed(log: logging.Logger, core: ReplicationCore) -> None:
-    """Who leads and who holds what is acknowledged has changed."""
+    """Logs a new view, or that this node began or ceased to lead; `seats` are the voters."""
     view = core.view
     log.info(
         "view-changed",
@@ -41,7 +42,10 @@
 
 
 def stopped(log: logging.Logger, core: ReplicationCore, now: float, waited_s: float) -> None:
-    """What this node leaves behind; a warning where nobody has taken its roles over."""
+    """Logs this node's roles as it stops; a warning if no other node has taken them over.
+
+    `waited_s`: seconds since the stop began. The field `seat` says whether this node is still a voter.
+    """
     is_released = core.can_stop(now)
     log.log(
         logging.INFO if is_released else logging.WARNING,
@@ -58,10 +62,10 @@
 
 
 def write_failed(log: logging.Logger, error: StorageError) -> None:
-    """The disk rejected a write."""
+    """Logs that the disk rejected a write."""
     log.error("disk-write-failed", extra={"error": str(error)})
 
 
 def record_damaged(log: logging.Logger, damaged: list[str]) -> None:
-    """Values on disk were not as they were written."""
+    """Logs the names of values on disk that differ from what was written."""
     log.error("record-damaged", extra={"damaged": damaged})
--- a/wheatroute/replication/messages.py
+++ b/wheatroute/replication/messages.py
@@ -1,9 +1,11 @@
 """Messages between control nodes; `links` sends them as msgpack. No I/O.
 
-Tags and keys are those of earlier versions and stay: a type or field with another name carries its tag or
-key. Paxos: `Prepare`, `Promise`, `Accept`, `Accepted`, `Rejected`. Views and leases: `Heartbeat`,
-`HeartbeatAck`, `LeaseEnded`, `JoinRequest`, `ViewAnnouncement`. Documents: `Replicate`, `Replicated`. Soft
-state: `SoftStateUpdate`, `SoftStateAck`, `BucketLevelsUpdate`.
+Tags and keys must stay those of earlier versions, so that nodes of different versions understand each other;
+a type or field whose name differs from its tag or key states it explicitly.
+
+Paxos: `Prepare`, `Promise`, `Accept`, `Accepted`, `Rejected`. Views and leases: `Heartbeat`, `HeartbeatAck`,
+`LeaseEnded`, `JoinRequest`, `ViewAnnouncement`. Documents: `Replicate`, `Replicated`. Soft state:
+`SoftStateUpdate`, `SoftStateAck`, `BucketLevelsUpdate`.
 """
 
 from __future__ import annotations
@@ -15,14 +17,14 @@
 
 
 class Prepare(msgspec.Struct, frozen=True, tag="prepare"):
-    """Requests a promise on the view after `base`."""
+    """Requests a promise for the view after `base`."""
 
     base: View
     proposal_number: ProposalNumber = msgspec.field(name="ballot")
 
 
 class Promise(msgspec.Struct, frozen=True, tag="promise"):
-    """No older proposal for the view after `epoch` will be accepted here; carries the vote given before."""
+    """Promises to accept no older proposal for the view after `epoch`; carries the sender's earlier vote."""
 
     epoch: int
     proposal_number: ProposalNumber = msgspec.field(name="ballot")
@@ -39,16 +41,16 @@
 
 
 class Accepted(msgspec.Struct, frozen=True, tag="accepted"):
-    """The vote is on disk."""
+    """Confirms that the sender's vote for the proposal is on disk."""
 
     epoch: int
     proposal_number: ProposalNumber = msgspec.field(name="ballot")
 
 
 class Rejected(msgspec.Struct, frozen=True, tag="refused"):
-    """The requester's view is old, its number is too low, or a lease binds the vote.
+    """Rejects a request: the requester's view is old, its number is too low, or a lease binds the vote.
 
-    `lease_remaining_s`: seconds for which a lease binds the vote, 0 if that isn't the reason.
+    `lease_remaining_s`: seconds for which a lease still binds the vote, 0 if that isn't the reason.
     """
 
     view: View
@@ -57,15 +59,15 @@
 
 
 class LeaseEnded(msgspec.Struct, frozen=True, tag="lease-ended"):
-    """The sender led this epoch and never will again: its lease is over."""
+    """Announces that the sender, the primary of this epoch, has no lease and will never lead it again."""
 
     epoch: int
 
 
 class Heartbeat(msgspec.Struct, frozen=True, tag="beat"):
-    """The primary's heartbeat, with its view, all nodes, and the version of the committed document.
+    """The primary's heartbeat, with its view, all known nodes, and the version of the committed document.
 
-    `released` are the nodes that are about to stop and aren't needed any more.
+    `released` lists the leaving nodes that may stop now.
     """
 
     view: View
@@ -76,11 +78,12 @@
 
 
 class HeartbeatAck(msgspec.Struct, frozen=True, tag="beat-answer"):
-    """The answer to a heartbeat, with what the sender holds on disk.
+    """The answer to a heartbeat.
 
-    `is_healthy` is false while its disk takes no writes. `digest` is that of the document of `version`, None
-    while another one is being written. `is_lease_granted`: whether the sender's vote is bound to the primary
-    for another `lease.GRANT_S` seconds. `incarnation` identifies the sender's process.
+    `version` is that of the document on the sender's disk; `digest` is the digest of that document, or None
+    while another one is being written. `is_healthy` is false while the sender's disk takes no writes.
+    `is_lease_granted`: whether the sender's vote is bound to the primary for another `lease.GRANT_S` seconds.
+    `incarnation` identifies the sender's process.
     """
 
     epoch: int
@@ -94,34 +97,37 @@
 
 
 class Replicate(msgspec.Struct, frozen=True, tag="replicate"):
-    """The primary's document, to be written and acknowledged."""
+    """Carries the primary's document, which the receiver writes to disk and acknowledges."""
 
     view: View
     document: Document
 
 
 class Replicated(msgspec.Struct, frozen=True, tag="replicated"):
-    """The document of this version is on the sender's disk."""
+    """Acknowledges that the document of this version is on the sender's disk."""
 
     epoch: int
     version: DocumentVersion = msgspec.field(name="stamp")
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag="join"):
-    """Sent by a node without contact with a primary to every node known to it."""
+    """Sent by a node that has no contact with a primary to every node it knows."""
 
     epoch: int
 
 
 class ViewAnnouncement(msgspec.Struct, frozen=True, tag="known"):
-    """The newest decided view that the sender has learned, and the nodes known to it."""
+    """Carries the newest decided view that the sender has learned, and the nodes it knows."""
 
     view: View
     nodes: tuple[str, ...]
 
 
 class SoftStateUpdate(msgspec.Struct, frozen=True, tag="hint"):
-    """The primary's soft state, which the next primary starts from; `number` orders those of one epoch."""
+    """Carries the primary's soft state, from which the next primary starts.
+
+    `number` orders the updates of one epoch.
+    """
 
     epoch: int
     number: int
@@ -129,14 +135,17 @@
 
 
 class BucketLevelsUpdate(msgspec.Struct, frozen=True, tag="levels"):
-    """Levels of the primary's token buckets, sent often; newer than those of the soft state before it."""
+    """Carries the levels of the primary's token buckets; sent more often than the soft state.
+
+    The levels are newer than those in the last soft state before this message.
+    """
 
     epoch: int
     payload: bytes
 
 
 class SoftStateAck(msgspec.Struct, frozen=True, tag="hint-taken"):
-    """The sender would start from this soft state if it led next."""
+    """Acknowledges that the sender holds this soft state, and would start from it if it led next."""
 
     epoch: int
     number: int
@@ -162,7 +171,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message between two control nodes, with the identity of its sender."""
+    """Wraps a message between two control nodes with the identity of its sender."""
 
     sender: str
     message: Message
--- a/wheatroute/replication/proposal.py
+++ b/wheatroute/replication/proposal.py
@@ -1,8 +1,7 @@
 """One attempt to decide the view after a known one: the proposer's side of single-decree Paxos. No I/O.
 
-Invariant: where a voter that promised has accepted a view before, the one accepted under the highest number
-is proposed again, since it may have been decided. Source: L. Lamport, "Paxos Made Simple", 2001, section
-2.2.
+Invariant: if voters that promised have accepted views before, the one accepted under the highest number is
+proposed again, since it may have been decided. Source: L. Lamport, "Paxos Made Simple", 2001, section 2.2.
 """
 
 from __future__ import annotations
@@ -19,9 +18,9 @@
 class Proposal:
     """Collects promises, then votes, of the voters of `base`.
 
-    `choose` makes the view to propose, from `base` and the voters that promised; it is called only if no
-    voter has accepted another view before, and may return None to propose nothing. `started_at` is of the
-    steady clock, in seconds.
+    `choose` returns the view to propose, given `base` and the voters that promised; it is called only if none
+    of these voters has accepted a view before, and may return None to propose nothing. `started_at` is a time
+    of the monotonic clock, in seconds.
     """
 
     def __init__(
@@ -34,10 +33,11 @@
         self._choose = choose
         self._promises: dict[str, Promise] = {}
         self._votes: set[str] = set()
-        self._lease_remaining_s: dict[str, float] = {}  # by voter whose vote a lease binds
+        # Seconds for which a lease binds the vote, by voter; only of voters whose vote is bound.
+        self._lease_remaining_s: dict[str, float] = {}
 
     def prepare_request(self) -> Prepare:
-        """The message of the first phase, for every voter of `base`."""
+        """Returns the message of the first phase, for every voter of `base`."""
         return Prepare(self.base, self.proposal_number)
 
     def add_promise(self, voter: str, promise: Promise) -> Accept | None:
@@ -60,23 +60,23 @@
         return self.view if len(self._votes) >= self.base.majority else None
 
     def add_bound_vote(self, voter: str, lease_remaining_s: float) -> bool:
-        """Counts a vote that a lease binds; true if too few free ones are left for a majority."""
+        """Records that a lease binds a vote; returns True if too few free votes are left for a majority."""
         if voter in self.base.voters:
             self._lease_remaining_s[voter] = lease_remaining_s
         return len(self.base.voters) - len(self._lease_remaining_s) < self.base.majority
 
     @property
     def max_lease_remaining_s(self) -> float:
-        """Seconds until every vote is free that a lease binds."""
+        """Seconds until all votes bound by leases are free."""
         return max(self._lease_remaining_s.values(), default=0.0)
 
     def _is_answer(self, voter: str, answer: Promise | Accepted) -> bool:
-        """Whether the answer is that of a voter to this proposal."""
+        """Whether a voter of `base` sent the answer, and to this proposal."""
         is_of_base = voter in self.base.voters and answer.epoch == self.base.epoch
         return is_of_base and answer.proposal_number == self.proposal_number
 
     def _previously_accepted(self) -> View | None:
-        """The view of the highest number that any of them has accepted: it may have been decided."""
+        """The view that these voters accepted under the highest number, since it may have been decided."""
         accepted = [promise for promise in self._promises.values() if promise.accepted_view is not None]
         if not accepted:
             return None
--- a/wheatroute/replication/proposer.py
+++ b/wheatroute/replication/proposer.py
@@ -1,33 +1,35 @@
 """A node's own attempts to decide the next view, one at a time. No I/O.
 
 Transitions: none -> preparing (`propose`) -> accepting (a majority promised) -> decided (a majority voted).
-An attempt ends as well when a newer view is learned, when a voter has promised a higher number, when leases
-bind too many votes, and after `timing.PROPOSAL_TIMEOUT_S`; the next one begins after a drawn delay. Source:
-see `proposal`.
+An attempt also ends when a newer view is learned, when a voter has promised a higher number, when leases bind
+too many votes, and after `timing.PROPOSAL_TIMEOUT_S`; after the last three, the next one starts after a
+random delay. Source: see `proposal`.
 """
 
 from __future__ import annotations
 
 from wheatroute.replication import timing
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.messages import Accepted, Promise, Rejected
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.proposal import ChooseView, Proposal
 from wheatroute.replication.records import ProposalNumber
 from wheatroute.replication.views import View
 
 
 class Proposer:
-    """The proposer of one node, for its elections as well as for a leader's changes of its view."""
+    """Proposes views on behalf of one node, both in elections and for a leader's changes of its view."""
 
-    def __init__(self, state: NodeState) -> None:
+    def __init__(self, state: CoreState) -> None:
         self._state = state
         self._proposal: Proposal | None = None
         self._next_attempt_at = state.now
         self._highest_number = state.acceptor.record.promised.number
-        # of each view that votes were requested for since the present one was decided; kept when an attempt
-        # is given up, since its view may have been decided, or may yet be by another node that completes it
+        # Members of all views for which votes were requested since the current view was decided. They are
+        # kept when an attempt is given up, since its view may have been decided, or may yet be decided by
+        # another node that completes the attempt.
         self._proposed_members: frozenset[str] = frozenset()
-        # of the view that the attempt under way will request votes for, unless a promise names another one
+        # Members of the view for which the current attempt will request votes, unless a promise names
+        # another view.
         self._planned_members: frozenset[str] = frozenset()
 
     @property
@@ -42,7 +44,7 @@
 
     @property
     def proposed_members(self) -> frozenset[str]:
-        """The members of all views for which this node requested votes since the present one was decided."""
+        """The members of all views for which this node requested votes since the current one was decided."""
         return self._proposed_members
 
     @property
@@ -50,14 +52,14 @@
         """The proposed members and, during an attempt, the planned ones: a commit needs all of them.
 
         A document that is committed during the attempt, before votes are requested, must be on the disks of
-        the planned ones too: any of them may lead once the view is decided.
+        the planned members too, since any of them may lead once the view is decided.
         """
         return self._proposed_members | self._planned_members if self.is_proposing else self._proposed_members
 
     def propose(self, choose: ChooseView, planned_members: frozenset[str] = frozenset()) -> None:
-        """Begins an attempt; `planned_members` are those of the view that `choose` will return.
+        """Starts an attempt; `planned_members` are the members of the view that `choose` will return.
 
-        A leader gives them; a candidate has none to give, and commits nothing meanwhile.
+        A leader passes them; a candidate passes none, since it commits nothing during the attempt.
         """
         state = self._state
         self._highest_number += 1
@@ -74,11 +76,11 @@
             self._give_up()
 
     def cancel(self) -> None:
-        """Ends the attempt under way without a delay before the next one."""
+        """Ends the current attempt without a delay before the next one."""
         self._proposal = None
 
     def on_view_decided(self, view: View) -> None:
-        """Ends an attempt at this view or an earlier one, and forgets the members proposed before.
+        """Ends an attempt at this view or an earlier one, and forgets the members proposed so far.
 
         `core` calls it for each view that it learns.
         """
@@ -97,7 +99,7 @@
         self._state.send_to_voters(self._proposal.base, request)
 
     def on_accepted(self, sender: str, vote: Accepted) -> View | None:
-        """Counts a vote; returns the view that is decided by it, if any."""
+        """Counts a vote; returns the view that it decides, if any."""
         if self._proposal is None:
             return None
         view = self._proposal.add_vote(sender, vote)
@@ -106,7 +108,7 @@
         return view
 
     def observe_number(self, number: ProposalNumber) -> None:
-        """Notes a number that another node has used, so that the next one here is higher."""
+        """Records a number that another node has used, so that this node's next number is higher."""
         self._highest_number = max(self._highest_number, number.number)
 
     def on_rejected(self, sender: str, rejection: Rejected) -> None:
--- a/wheatroute/replication/reconfiguration.py
+++ b/wheatroute/replication/reconfiguration.py
@@ -1,7 +1,7 @@
-"""Which view a leader wants next: who are its members, who its voters, who leads. No I/O.
+"""Computes the view that a leader wants next: its members, its voters and its primary. No I/O.
 
-Invariants: a node becomes a member or a voter only when it is in sync; members never become fewer than can be
-lost at once, plus one; a voter is replaced by another node, never dropped.
+Invariants: a node becomes a member or a voter only when it is in sync; the members are never reduced to fewer
+than `tolerate + 1`; a voter is replaced by another node, never dropped.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
     tolerate: int,
     now: float,
 ) -> View | None:
-    """The view that this leader should propose, or None if the present one is as it should be.
+    """Returns the view that this leader should propose, or None if the current one needs no change.
 
-    In sync is who has the document of `version`, the newest that was acknowledged: no later one is, before
-    those have it whom this leader proposes as members.
+    `version` is that of the newest acknowledged document. A node that has it is in sync: no later document is
+    acknowledged before the members that this leader proposes have it.
     """
     nodes = {peer.identity: peer for peer in [own, *peers]}
     synced = [node.identity for node in nodes.values() if node.can_replicate(now) and node.version >= version]
@@ -38,12 +38,13 @@
 
 
 def renewed_view(view: View, incarnation: int, is_granted: bool, proposed: frozenset[str]) -> View | None:
-    """The present view once more, for a leader that wants no other one; None if it needs none.
+    """Returns the current view under the next epoch, or None if the leader needs no renewal.
 
-    It needs one where voters that voted for another view keep it from its lease (not `is_granted`), and
-    where it has proposed a view and given that up: `proposed` are the members of such views. No document is
-    committed without them, since that view may have been decided, and they may be lost meanwhile. If
-    another view was decided, the attempt completes it in this one's place.
+    For a leader that wants no other view. It needs a renewal in two cases: voters that voted for another view
+    keep it from its lease (not `is_granted`), or it has proposed a view and given up the attempt. `proposed`
+    are the members of such views. No document is committed without them, since their view may have been
+    decided, and they may be lost in the meantime. If another view was decided, the attempt at the renewal
+    completes that view instead.
     """
     if is_granted and proposed <= set(view.members):
         return None
@@ -53,7 +54,7 @@
 def _voters(
     view: View, nodes: dict[str, Peer], synced: list[str], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """The voters; nodes in sync are added while there are too few, and succeed lost ones."""
+    """The voters: nodes in sync are added while there are too few voters, and replace lost ones."""
     voters = list(view.voters)
     for newcomer in synced:
         if newcomer in voters:
@@ -68,9 +69,10 @@
 
 
 def _lost_voter(voters: list[str], nodes: dict[str, Peer], newcomer: str, now: float) -> str | None:
-    """The voter that `newcomer` succeeds: one whose disk it lost, else an unresponsive, else a leaving one.
+    """The voter that `newcomer` replaces: one of the same host, else an unresponsive one, else a leaving one.
 
-    One that is leaving still votes until it is released.
+    A voter of the same host is the newcomer itself before it lost its disk. A leaving voter still votes until
+    it is released.
     """
     same_host = [voter for voter in voters if host_of(voter) == host_of(newcomer)]
     unresponsive = [
@@ -85,21 +87,22 @@
 def _members(
     view: View, nodes: dict[str, Peer], synced: list[str], voters: tuple[str, ...], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """Voters in sync; lost members stay while fewer than can be lost at once, plus one, would be left."""
+    """The voters in sync; lost members stay while fewer than `tolerate + 1` would be left without them."""
 
     def is_able_member(voter: str) -> bool:
         return voter in view.members and voter in nodes and nodes[voter].can_replicate(now)
 
     able = [voter for voter in voters if voter in synced or is_able_member(voter)]
     lost = [member for member in view.members if member in voters and member not in able]
-    # one that is leaving or has a failing disk still runs, and may sync what is acknowledged next
+    # Members that are alive come first: one that is leaving or has a failing disk still runs, and may yet
+    # sync the next document.
     lost.sort(key=lambda member: member not in nodes or not nodes[member].is_alive(now))
     missing = max(0, tolerate + 1 - len(able))
     return tuple([*able, *lost[:missing]])
 
 
 def _primary(own: Peer, synced: list[str], members: tuple[str, ...]) -> str:
-    """This leader, or the first of the other members in sync where this one leaves or has a failing disk."""
+    """This leader; if it is leaving or its disk fails, the first other member in sync by identity."""
     if not own.is_leaving and own.is_healthy:
         return own.identity
     others = [member for member in members if member in synced and member != own.identity]
@@ -107,6 +110,6 @@
 
 
 def _without(members: tuple[str, ...], own: str, primary: str, tolerate: int) -> tuple[str, ...]:
-    """The members without this leader, where another one leads and enough are left."""
+    """The members without this leader, if another node leads and more than `tolerate` members are left."""
     rest = tuple(member for member in members if member != own)
     return rest if primary != own and len(rest) > tolerate else members
--- a/wheatroute/replication/records.py
+++ b/wheatroute/replication/records.py
@@ -1,6 +1,6 @@
 """Records that a control node keeps on disk, and the numbers that order them. No I/O.
 
-Keys on disk are those of earlier versions and stay: a field with another name carries its key.
+Keys on disk must stay those of earlier versions; a field whose name differs from its key states the key.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 
 class ProposalNumber(msgspec.Struct, frozen=True, order=True):
-    """The number of one attempt to decide a view; a proposal number of Paxos.
+    """The Paxos proposal number of one attempt to decide a view.
 
-    Unique by the proposer's identity and by its incarnation: a process that was started again may not know
-    any more which numbers the one before it used.
+    The proposer's identity and incarnation make it unique: a restarted process may not know which numbers the
+    process before it used.
     """
 
     number: int = 0
@@ -24,31 +24,31 @@
     incarnation: int = msgspec.field(default=0, name="process")
 
     def proposed_by(self, identity: str) -> bool:
-        """Whether this node, in any of its incarnations, made the attempt."""
+        """Whether the node `identity`, in any of its incarnations, made the attempt."""
         return self.proposer == identity
 
 
 class DocumentVersion(msgspec.Struct, frozen=True, order=True):
-    """Orders documents: the epoch in which one was last replicated, then its sequence."""
+    """Orders documents by the epoch in which they were last replicated, then by their sequence number."""
 
     epoch: int = 0
     sequence: int = 0
 
 
 class Document(msgspec.Struct, frozen=True):
-    """The replicated state as one value."""
+    """The whole replicated state, as one opaque payload."""
 
     version: DocumentVersion = msgspec.field(name="stamp")
     payload: bytes
 
     @property
     def digest(self) -> int:
-        """CRC-32 of the payload, by which copies of one version are compared; no defence against forgery."""
+        """CRC-32 of the payload, for comparing copies of one version; it doesn't protect against forgery."""
         return zlib.crc32(self.payload)
 
 
 class AcceptorRecord(msgspec.Struct, frozen=True):
-    """All that an acceptor stores: the newest view it knows as decided, and its vote on the next one."""
+    """What an acceptor stores: the newest view it knows as decided, and its vote on the next one."""
 
     view: View
     promised: ProposalNumber = ProposalNumber()
@@ -57,7 +57,7 @@
 
 
 class NodeRecord(msgspec.Struct, frozen=True):
-    """What a control node keeps on disk."""
+    """What a control node keeps on disk: its identity, its acceptor's state and the document."""
 
     identity: str
     acceptor: AcceptorRecord = msgspec.field(name="witness")
@@ -65,5 +65,5 @@
 
 
 def new_record(identity: str, acceptor: AcceptorRecord) -> NodeRecord:
-    """The record of a node on an empty disk."""
+    """Returns the record of a node whose disk is empty."""
     return NodeRecord(identity, acceptor, Document(DocumentVersion(), b""))
--- a/wheatroute/replication/replicator.py
+++ b/wheatroute/replication/replicator.py
@@ -1,7 +1,7 @@
-"""Runs a `ReplicationCore` on asyncio: its clock, its disk (a thread of its own) and its links.
+"""Runs a `ReplicationCore` on asyncio: its clock, its disk (on a separate thread) and its links.
 
-The core decides; this module carries its effects out, in their order. It does I/O and owns the tasks, the
-thread and the connections that go with it.
+The core decides; this module carries out its effects in order. It does I/O, and owns the tasks, the thread
+and the connections for it.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from wheatroute.cluster.settings import Settings
 from wheatroute.replication import log_events
 from wheatroute.replication.core import ReplicationCore
-from wheatroute.replication.effects import Committed, Effect, ReadDone, Save, Send, WriteDone
+from wheatroute.replication.effects import Committed, Effect, LeadershipCheckDone, Save, Send, WriteDone
 from wheatroute.replication.identity import genesis_identity
 from wheatroute.replication.links import Links
 from wheatroute.replication.messages import BucketLevelsUpdate, Message, SoftStateAck, SoftStateUpdate
@@ -28,18 +28,18 @@
 from wheatroute.replication.views import NO_VIEW, genesis_view
 
 TICK_INTERVAL_S = 0.05
-SCRUB_INTERVAL_S = 10.0  # between two readings of what is on disk
+SCRUB_INTERVAL_S = 10.0  # time between two checks of the record on disk
 FIRST_WRITE_RETRY_S = 0.5
-STOP_RESERVE_S = 3.0  # of the time until SIGKILL, left for what comes after replication
-MIN_STOP_TIMEOUT_S = 0.8  # that a node which stops waits for others, however little time it has
+STOP_RESERVE_S = 3.0  # part of the time until SIGKILL that is left for shutdown steps after replication
+MIN_STOP_TIMEOUT_S = 0.8  # a stopping node waits this long for other nodes, even if less time is left
 NONCE_BYTES = 6
 
 
 def first_record(settings: Settings) -> NodeRecord:
-    """The record of a node whose disk is empty.
+    """Returns the record of a node whose disk is empty.
 
-    At the first start of the whole system the seeds have identities that each of them can work out, so that
-    they can agree on the first view; every other node joins them under a new identity.
+    At the first start of the whole system, each seed can compute the identities of all seeds, so that they
+    agree on the first view; every other node joins them under a new, random identity.
     """
     view = genesis_view(settings.seed_hosts)
     if settings.bootstrap and settings.ip in settings.seed_hosts:
@@ -55,11 +55,11 @@
 
 
 class Replicator:
-    """The replicated document as the rest of a control node sees it.
+    """Gives the rest of a control node access to the replicated document.
 
     `on_commit` is called with each document that is committed; `on_change` when this node begins or ceases to
-    lead, and when the view changes. Both run on the event loop and must not block. `core` exists from `start`
-    on.
+    lead, and when the view changes. Both run on the event loop and must not block. `core` exists only after
+    `start`.
     """
 
     def __init__(
@@ -77,15 +77,15 @@
         self._storage = _open_storage(settings)
         self._request_numbers = count(1)
         self._requests: dict[int, asyncio.Future[bool]] = {}
-        self._reported_role = (False, NO_VIEW.epoch - 1)  # is_leading and epoch, as reported last
+        self._reported_role = (False, NO_VIEW.epoch - 1)  # the last reported is_leading and epoch
         self._soft_state: SoftStateReplication
         self.core: ReplicationCore
         self._links: Links
 
-    # begin and end
+    # start and stop
 
     async def start(self) -> None:
-        """Reads the disk and begins to take part."""
+        """Reads the disk and starts to take part in replication."""
         loop = asyncio.get_running_loop()
         stored = await loop.run_in_executor(self._executor, self._storage.read)
         soft_state = await loop.run_in_executor(self._executor, self._storage.read_soft_state)
@@ -104,7 +104,7 @@
         loop.create_task(self._run_scrubs())
 
     async def stop(self) -> None:
-        """Takes part until others have what this node holds, or its time is up, and ends."""
+        """Takes part until other nodes have taken over this node's roles, or its time is up, then stops."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         timeout_s = max(MIN_STOP_TIMEOUT_S, self._settings.bounds.grace_s - STOP_RESERVE_S)
@@ -124,20 +124,29 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether this node may acknowledge and answer now."""
+        """Whether this node leads with a lease and a committed document, so may serve requests now."""
         return self.core.is_serving(asyncio.get_running_loop().time())
 
     async def write(self, payload: bytes, timeout_s: float) -> bool:
-        """Replicates a new document; false if it isn't acknowledged, in which case it may still be taken."""
+        """Replicates a new document; returns whether it is acknowledged within `timeout_s`.
+
+        A document that isn't acknowledged may still be committed later.
+        """
         request = next(self._request_numbers)
-        return await self._wait(request, timeout_s, lambda now: self.core.write(now, request, payload))
+        return await self._await_result(
+            request, timeout_s, lambda now: self.core.write(now, request, payload)
+        )
 
     async def confirm_leadership(self, timeout_s: float) -> bool:
-        """Whether this node still leads, as a majority of voters answers from now on."""
+        """Whether, after this call, a majority of voters confirms in time that this node still leads."""
         request = next(self._request_numbers)
-        return await self._wait(request, timeout_s, lambda now: self.core.confirm_leadership(now, request))
+        return await self._await_result(
+            request, timeout_s, lambda now: self.core.confirm_leadership(now, request)
+        )
 
-    async def _wait(self, request: int, timeout_s: float, start: Callable[[float], list[Effect]]) -> bool:
+    async def _await_result(
+        self, request: int, timeout_s: float, start: Callable[[float], list[Effect]]
+    ) -> bool:
         loop = asyncio.get_running_loop()
         future: asyncio.Future[bool] = loop.create_future()
         self._requests[request] = future
@@ -154,21 +163,24 @@
 
     @property
     def soft_state(self) -> bytes:
-        """The newest soft state of a leader that is known here; empty if there is none."""
+        """The newest soft state of a leader that this node knows; empty if there is none."""
         return self._soft_state.payload
 
     @property
     def bucket_levels(self) -> bytes:
-        """The newest bucket levels of a leader; empty if none came after the soft state."""
+        """The newest bucket levels of a leader; empty if none arrived after the soft state."""
         return self._soft_state.bucket_levels
 
     @property
     def bucket_levels_at(self) -> float:
-        """Time of the loop at which the bucket levels, or the soft state after them, came."""
+        """Time of the loop at which the bucket levels, or the soft state after them, arrived."""
         return self._soft_state.bucket_levels_at
 
     def replicate_soft_state(self, payload: bytes) -> SoftStateVersion:
-        """Sends this leader's soft state to all others; returns its version, to wait for."""
+        """Sends this leader's soft state to all others.
+
+        Returns the version to pass to `wait_for_soft_state_acks`.
+        """
         return self._soft_state.publish(payload)
 
     def replicate_bucket_levels(self, payload: bytes) -> None:
@@ -176,7 +188,10 @@
         self._soft_state.publish_bucket_levels(payload)
 
     async def wait_for_soft_state_acks(self, version: SoftStateVersion, timeout_s: float) -> bool:
-        """Whether every member of the view acknowledges this soft state in time: one of them leads next."""
+        """Waits until every member of the view has acknowledged this soft state, as one of them leads next.
+
+        Returns False if that takes longer than `timeout_s`.
+        """
         return await self._soft_state.wait_for_acks(version, timeout_s)
 
     def _write_soft_state(self, payload: bytes) -> None:
@@ -193,7 +208,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _run_scrubs(self) -> None:
-        """Reads the record on disk now and then, and has it written anew where it is damaged."""
+        """Checks the record on disk every `SCRUB_INTERVAL_S`, and writes it again if it is damaged."""
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(SCRUB_INTERVAL_S)
@@ -203,7 +218,7 @@
                 self._carry_out(self.core.rewrite_record(loop.time()))
 
     async def _write_first_record(self) -> NodeRecord:
-        """Writes the record of an empty disk: a node takes part only once its identity is on disk."""
+        """Writes the first record to an empty disk; a node takes part only once its identity is on disk."""
         loop, record = asyncio.get_running_loop(), first_record(self._settings)
         while True:
             try:
@@ -249,17 +264,17 @@
                     asyncio.get_running_loop().create_task(self._write_record(record))
                 case Committed(document):
                     self._on_commit(document)
-                case WriteDone(request, is_done) | ReadDone(request, is_done):
-                    self._answer(request, is_done)
+                case WriteDone(request, is_done) | LeadershipCheckDone(request, is_done):
+                    self._resolve_request(request, is_done)
         self._report_role()
 
-    def _answer(self, request: int, is_done: bool) -> None:
+    def _resolve_request(self, request: int, is_done: bool) -> None:
         future = self._requests.pop(request, None)
         if future is not None and not future.done():
             future.set_result(is_done)
 
     def _report_role(self) -> None:
-        """Logs and reports a change of the view, or of whether this node leads it."""
+        """Logs a change of the view, or of whether this node leads it, and calls `on_change`."""
         role = (self.core.is_leading, self.core.view.epoch)
         if role == self._reported_role:
             return
--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -1,8 +1,8 @@
-"""Soft state and bucket levels of the leader, kept on every control node on asyncio.
+"""Replication of the leader's soft state and bucket levels to every control node, on asyncio.
 
-The newest soft state is in memory at once and on disk when there is time; bucket levels are in memory only
-and are newer than the soft state before them. Messages may be lost: soft state is sent again until every
-member of the view has acknowledged it, bucket levels are followed by the next ones.
+The newest soft state is kept in memory, and written to disk in the background. Bucket levels are kept in
+memory only; they are newer than the soft state before them. Messages may be lost: soft state is sent again
+until every member of the view has acknowledged it, while lost bucket levels are made up for by the next ones.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class SoftStateReplication:
-    """The soft state of one node, as it is kept here and sent to the others.
+    """Keeps the newest soft state on one node; on the leader, sends it to the other nodes.
 
-    `payload` is what was read from disk; `send` takes a host and a message; `write` has a payload written
-    to disk and returns at once.
+    `payload` is the soft state read from disk; `send` takes a host and a message; `write` starts writing a
+    payload to disk and returns at once.
     """
 
     def __init__(
@@ -40,10 +40,10 @@
         self._replicated = ReplicatedSoftState(core.identity)
         self._changed = asyncio.Event()
         self.payload = payload
-        self.bucket_levels = b""  # those that came after `payload`, if any did
-        self.bucket_levels_at = -inf  # time of the loop at which they, or the payload, came
+        self.bucket_levels = b""  # the newest bucket levels received after `payload`; empty if there are none
+        self.bucket_levels_at = -inf  # time of the loop at which the bucket levels, or the payload, arrived
 
-    # the leader
+    # on the leader
 
     def publish(self, payload: bytes) -> SoftStateVersion:
         """Sends this leader's soft state to all others; returns its version for `wait_for_acks`."""
@@ -61,13 +61,16 @@
                 self._send(host, BucketLevelsUpdate(core.view.epoch, payload))
 
     def resend(self) -> None:
-        """Sends the newest soft state again to members that have not acknowledged it; for the leader."""
+        """Sends the newest soft state again to members that have not acknowledged it."""
         view = self._core.view
         now = asyncio.get_running_loop().time()
         self._send_all(self._replicated.resend(now, view.epoch, view.members))
 
     async def wait_for_acks(self, version: SoftStateVersion, timeout_s: float) -> bool:
-        """Whether every member of the view acknowledges this version in time: one of them leads next."""
+        """Waits until every member of the view has acknowledged this version, since one of them leads next.
+
+        Returns False if that takes longer than `timeout_s`.
+        """
         try:
             async with asyncio.timeout(timeout_s):
                 while self._replicated.missing_acks(self._core.view.members, version):
@@ -78,13 +81,13 @@
             return False
 
     def on_view_changed(self) -> None:
-        """Wakes `wait_for_acks`, as a member whose acknowledgement it lacks may have left the view."""
+        """Wakes `wait_for_acks`, since a member whose acknowledgement is missing may have left the view."""
         self._changed.set()
 
     # messages
 
     def on_update(self, sender: str, update: SoftStateUpdate) -> None:
-        """Keeps and acknowledges the soft state of a leader, unless its epoch is over."""
+        """Stores and acknowledges the soft state of a leader, unless its epoch is over."""
         if update.epoch < self._core.view.epoch:
             return
         if self._replicated.receive(update):
@@ -92,12 +95,12 @@
         self._send(host_of(sender), SoftStateAck(update.epoch, update.number))
 
     def on_bucket_levels(self, update: BucketLevelsUpdate) -> None:
-        """Keeps the levels of a leader's token buckets, unless its epoch is over."""
+        """Stores the levels of a leader's token buckets, unless its epoch is over."""
         if update.epoch >= self._core.view.epoch:
             self._store_bucket_levels(update.payload)
 
     def on_ack(self, sender: str, ack: SoftStateAck) -> None:
-        """Notes an acknowledgement, and wakes what waits for it in `wait_for_acks`."""
+        """Records an acknowledgement, and wakes `wait_for_acks`."""
         self._replicated.on_ack(sender, ack)
         self._changed.set()
 
--- a/wheatroute/replication/storage.py
+++ b/wheatroute/replication/storage.py
@@ -1,9 +1,9 @@
 """A control node's record and soft state on disk, in LMDB, with a checksum over each value. Blocking I/O.
 
-LMDB keeps the last commit whole if a write is cut short; `sync` is called after each commit, since a commit
-counts here only once the disk has confirmed it. A record that can't be read makes the node a new one: its
-old promises and documents then count for nothing, which is safe, as for a disk that was lost. Keys and
-values are those of earlier versions and stay.
+LMDB keeps the last commit intact if a write is cut short. `sync` is called after each commit, since a commit
+counts only once the disk has confirmed it. A node whose record can't be read takes a new identity: its old
+promises and documents then count for nothing, which is as safe as the loss of the disk. Keys and values must
+stay those of earlier versions.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from wheatroute.replication.records import AcceptorRecord, Document, NodeRecord
 
 FILE_NAME = "control.mdb"
-MAP_DISK_FRACTION = 0.6  # of the disk, that the database may take at most
+MAP_DISK_FRACTION = 0.6  # largest part of the disk that the database may use
 MIN_MAP_BYTES = 8 << 20
 MAX_READERS = 4
 CHECKSUM_BYTES = 4
@@ -33,10 +33,10 @@
 
 
 class Storage(Protocol):
-    """What outlives a process; all calls may block, and come from one thread at a time."""
+    """Storage that outlives a process. All calls may block, and must come from one thread at a time."""
 
     def read(self) -> NodeRecord | None:
-        """The record, or None where there is none that can be read."""
+        """Returns the record, or None if there is no readable one."""
 
     def write(self, record: NodeRecord) -> None:
         """Writes what changed and syncs it; raises StorageError, after which the old record stands."""
@@ -58,7 +58,7 @@
 
 
 class LmdbStorage:
-    """`Storage` in one file of `folder`, in a database of a fraction of `disk_mb` at most."""
+    """`Storage` in one file of `folder`, whose database uses at most `MAP_DISK_FRACTION` of `disk_mb`."""
 
     def __init__(self, folder: str, disk_mb: int) -> None:
         self._path = Path(folder) / FILE_NAME
@@ -67,7 +67,7 @@
         self._written: dict[bytes, Any] = {}
 
     def read(self) -> NodeRecord | None:
-        """The record, or None on an empty disk or an unreadable record, which is set aside."""
+        """Returns the record, or None if the disk is empty or the record unreadable; renames such a file."""
         if not self._path.exists():
             return None
         try:
@@ -76,9 +76,9 @@
             if all(value is None for value in values.values()):
                 return None
             return NodeRecord(
-                identity=msgspec.msgpack.decode(_checked(values[_IDENTITY]), type=str),
-                acceptor=msgspec.msgpack.decode(_checked(values[_ACCEPTOR]), type=AcceptorRecord),
-                document=msgspec.msgpack.decode(_checked(values[_DOCUMENT]), type=Document),
+                identity=msgspec.msgpack.decode(_verified(values[_IDENTITY]), type=str),
+                acceptor=msgspec.msgpack.decode(_verified(values[_ACCEPTOR]), type=AcceptorRecord),
+                document=msgspec.msgpack.decode(_verified(values[_DOCUMENT]), type=Document),
             )
         except (lmdb.Error, msgspec.DecodeError, StorageError):
             self._set_aside()
@@ -94,7 +94,8 @@
                     transaction.put(key, _with_checksum(msgspec.msgpack.encode(value)))
             self._open().sync(True)
         except (lmdb.Error, OSError) as error:
-            # what is on disk is unknown now; an environment that failed once is not used again
+            # The content of the disk is unknown now, so the next write writes everything. An environment that
+            # failed once is not used again.
             self._written = {}
             self.close()
             raise StorageError(str(error)) from error
@@ -123,7 +124,7 @@
             return b""
         try:
             with self._open().begin() as transaction:
-                return _checked(transaction.get(_SOFT_STATE))
+                return _verified(transaction.get(_SOFT_STATE))
         except (lmdb.Error, StorageError):
             return b""
 
@@ -152,14 +153,15 @@
                 lock=False,
                 map_size=self._map_bytes,
                 readahead=False,
-                meminit=True,  # else pages carry whatever the process had in memory, keys among it
+                # Otherwise pages could contain parts of the process's memory, including keys.
+                meminit=True,
                 max_readers=MAX_READERS,
             )
             self._sync_directory()
         return self._environment
 
     def _sync_directory(self) -> None:
-        """A new file lasts only once its directory is synced too."""
+        """Syncs the directory, without which a new file might not survive a crash."""
         descriptor = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -167,7 +169,7 @@
             os.close(descriptor)
 
     def _set_aside(self) -> None:
-        """Keeps an unreadable file under another name, for a look at it."""
+        """Renames an unreadable file, so that it can be examined later."""
         self.close()
         with suppress(OSError):
             os.replace(self._path, self._path.with_suffix(".unreadable"))
@@ -175,38 +177,38 @@
 
 
 class MemoryStorage:
-    """`Storage` of machines without a disk: nothing lasts beyond the process."""
+    """`Storage` for machines without a disk: it stores nothing."""
 
     def read(self) -> NodeRecord | None:
-        """Nothing is ever found."""
+        """Returns None, since nothing outlives the process."""
         return None
 
     def write(self, record: NodeRecord) -> None:
-        """Nothing is kept."""
+        """Discards the record."""
 
     def scrub(self) -> list[str]:
-        """Nothing can be damaged."""
+        """Returns no names, since there is nothing that could be damaged."""
         return []
 
     def read_soft_state(self) -> bytes:
-        """Nothing is ever found."""
+        """Returns an empty value, since nothing outlives the process."""
         return b""
 
     def write_soft_state(self, payload: bytes) -> None:
-        """Nothing is kept."""
+        """Discards the soft state."""
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Does nothing."""
 
 
 def _with_checksum(data: bytes) -> bytes:
     return zlib.crc32(data).to_bytes(CHECKSUM_BYTES, "big") + data
 
 
-def _checked(data: bytes | None) -> bytes:
+def _verified(data: bytes | None) -> bytes:
     if data is None or len(data) < CHECKSUM_BYTES:
-        raise StorageError("a value is missing")
+        raise StorageError("a value on disk is missing or shorter than its checksum")
     body = data[CHECKSUM_BYTES:]
     if zlib.crc32(body) != int.from_bytes(data[:CHECKSUM_BYTES], "big"):
-        raise StorageError("a checksum doesn't match")
+        raise StorageError("the checksum of a value on disk doesn't match its content")
     return body
--- a/wheatroute/replication/takeover.py
+++ b/wheatroute/replication/takeover.py
@@ -1,4 +1,4 @@
-"""Which view a node proposes that takes over from an unresponsive primary. No I/O."""
+"""Computes the view that a node proposes to take over from an unresponsive primary. No I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,12 @@
 
 
 def takeover_view(base: View, promised: frozenset[str], own: str, incarnation: int, tolerate: int) -> View:
-    """The node `own` leads, with those members of the last view that answer.
+    """Returns a view that the node `own` leads, with the members of `base` that answer.
 
     `promised` are the voters whose promises were received; `incarnation` is that of `own`. Members that don't
-    answer stay while too few would be left: a view of one member would end for good with its disk. One that
-    stays holds all that was acknowledged: nothing is acknowledged before every member is in sync.
+    answer stay if fewer than `tolerate + 1` members would be left otherwise: a view with a single member
+    would end for good if its disk were lost. A member that stays holds everything that was acknowledged,
+    since nothing is acknowledged before every member is in sync.
     """
     answering = [member for member in base.members if member == own or member in promised]
     lost = [member for member in base.members if member not in answering]
--- a/wheatroute/replication/voter.py
+++ b/wheatroute/replication/voter.py
@@ -1,8 +1,8 @@
 """A node's votes on the next view, and the leases that bind them. No I/O.
 
-Invariant: while a lease binds the vote (`lease`), no other node than the primary of the present view gets a
-promise or a vote; the request is rejected with the time that remains. A promise or vote is sent only once it
-is on disk.
+Invariant: while a lease binds the vote (`lease`), only the primary of the current view gets a promise or a
+vote; requests of other nodes are rejected with the remaining time of the lease. A promise or vote is sent
+only once it is on disk.
 """
 
 from __future__ import annotations
@@ -10,43 +10,46 @@
 from collections.abc import Callable
 
 from wheatroute.replication import timing
+from wheatroute.replication.core_state import CoreState
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.leader import Leader
 from wheatroute.replication.lease import LeaseGrant, grants
 from wheatroute.replication.messages import Accept, Message, Prepare, Rejected
-from wheatroute.replication.node_state import NodeState
 from wheatroute.replication.views import View
 
 
 class Voter:
-    """The voter of one node; `leader` is that of the same node."""
+    """Votes on behalf of one node; `leader` is the `Leader` of the same node."""
 
-    def __init__(self, state: NodeState, leader: Leader) -> None:
+    def __init__(self, state: CoreState, leader: Leader) -> None:
         self._state = state
         self._leader = leader
         self._lease_grant = LeaseGrant(state.now)
 
     def on_prepare(self, sender: str, request: Prepare) -> None:
-        """Answers the request for a promise; its base has been learned."""
+        """Answers a request for a promise, whose base view has been learned before."""
         self._answer(sender, request.base, lambda: self._state.acceptor.prepare(request))
 
     def on_accept(self, sender: str, request: Accept) -> None:
-        """Answers the request for a vote; its base has been learned."""
+        """Answers a request for a vote, whose base view has been learned before."""
         self._answer(sender, request.base, lambda: self._state.acceptor.accept(request))
 
     def on_lease_ended(self, epoch: int, sender: str) -> None:
-        """Frees the vote of this node: the primary of this epoch has announced that its lease ended."""
+        """Frees the vote of this node: `sender` has announced that its lease of this epoch ended."""
         self._lease_grant.end(epoch, sender)
 
     def renew_lease(self, primary: str) -> bool:
-        """Grants the lease to the primary that sent a heartbeat; false if the vote went to another node."""
+        """Grants a lease to the primary that sent a heartbeat, unless this node voted for another proposer.
+
+        Returns whether the lease was granted.
+        """
         is_granted = grants(self._state.acceptor.record, primary)
         if is_granted:
             self._lease_grant.renew(self._state.now)
         return is_granted
 
     def lease_remaining_s(self, base: View, proposer: str) -> float:
-        """Seconds for which a lease binds this vote to the primary of `base` against `proposer`, or 0."""
+        """Seconds for which a lease keeps this node from voting for `proposer` after `base`; 0 if it may."""
         state = self._state
         if proposer == base.primary or base.epoch < state.view.epoch:
             return 0.0
