--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -20,7 +20,7 @@
 
 from replication.lease_model import Limits, explore  # noqa: E402
 from replication.membership_beyond import TABLE, outcome  # noqa: E402
-from replication.membership_slices import DEEP, SLICES, explored  # noqa: E402
+from replication.membership_slices import DEEP, SLICES, explore_slice  # noqa: E402
 
 SHORT = ("given up", "returning")
 
@@ -28,13 +28,13 @@
 def measured(name, part, workers):
     """One slice's figures."""
     begun = time.monotonic()
-    found = explored(part, workers)
+    found = explore_slice(part, workers)
     if found.violation:
         print("\n".join([f"{name}: {found.violation}", *found.trace]))
     return {
         "depth": part.bounds.depth,
         "faults": part.bounds.faults,
-        "at_rest": found.at_rest,
+        "at_rest": found.settled_worlds,
         "states": found.states,
         "steps": found.steps,
         "whole": found.is_complete,
--- a/tests/control/test_consistency.py
+++ b/tests/control/test_consistency.py
@@ -10,7 +10,7 @@
 import pytest
 from control.simulated_clients import ConsistencyError, Outcome, SimulatedClients
 from control.simulated_cluster import DISK_WRITE_S, run_scenario
-from replication.lease_mutants import with_names
+from replication.lease_mutants import with_lease_mutant
 from replication.simulation import patched
 
 from wheatroute.cluster.errors import ErrorKind, RequestError
@@ -297,7 +297,7 @@
 
 
 def test_a_read_that_is_confirmed_by_older_answers_is_found():
-    with with_names("a read confirmed by older answers"), pytest.raises(AssertionError):
+    with with_lease_mutant("a read confirmed by older answers"), pytest.raises(AssertionError):
         run_without_leases(1, deposed_primary_with_a_lease)
 
 
--- a/tests/replication/lease_mutants.py
+++ b/tests/replication/lease_mutants.py
@@ -98,7 +98,7 @@
 
 
 @contextmanager
-def with_names(name):
+def with_lease_mutant(name):
     """The modules with the names of one fault."""
     with ExitStack() as stack:
         for module, names in NAMES[name]:
--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -64,7 +64,7 @@
 class Found:
     """What a search has seen."""
 
-    at_rest: int = 0
+    settled_worlds: int = 0
     states: int = 0
     steps: int = 0
     is_complete: bool = True  # false if the bound on states ended it
@@ -441,7 +441,7 @@
 
 
 def _count(found: Found, episode: Episode) -> None:
-    found.at_rest += 1
+    found.settled_worlds += 1
     found.states += episode.states
     found.steps += episode.steps
 
--- a/tests/replication/membership_slices.py
+++ b/tests/replication/membership_slices.py
@@ -28,7 +28,7 @@
     seeds: int = 3
 
 
-def explored(membership_slice: Slice, workers: int = 1) -> Found:
+def explore_slice(membership_slice: Slice, workers: int = 1) -> Found:
     """What the exploration of a slice has seen."""
     first = model.first_world(membership_slice.machines, membership_slice.tolerate, membership_slice.seeds)
     return explore(first, membership_slice.bounds, membership_slice.prepare, workers)
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from replication.lease_mutants import NAMES, commits_by_the_old_members, with_names
+from replication.lease_mutants import NAMES, commits_by_the_old_members, with_lease_mutant
 from replication.mutants import core_with
 from replication.simulation import Simulation, ViolationError
 
@@ -93,7 +93,7 @@
     ),
 )
 def test_a_fault_in_the_lease_is_detected(name, arguments):
-    with with_names(name), pytest.raises(ViolationError, match="serves epoch"):
+    with with_lease_mutant(name), pytest.raises(ViolationError, match="serves epoch"):
         for seed in range(4 * RUNS):
             leader_cut_off(seed, **arguments)
 
--- a/tests/replication/test_membership.py
+++ b/tests/replication/test_membership.py
@@ -3,7 +3,7 @@
 import pytest
 from replication.membership_beyond import TABLE, outcome
 from replication.membership_mutants import MUTANTS, with_mutant
-from replication.membership_slices import SLICES, explored
+from replication.membership_slices import SLICES, explore_slice
 
 # The number of states of each slice; fewer would mean that some steps are no longer explored.
 STATES = {
@@ -39,7 +39,7 @@
 
 @pytest.mark.parametrize("name", SLICES)
 def test_no_sequence_of_tolerated_losses_breaks_an_invariant(name):
-    found = explored(SLICES[name])
+    found = explore_slice(SLICES[name])
     assert not found.violation, "\n".join([found.violation, *found.trace])
     assert found.is_complete and found.states >= STATES[name]
 
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_fault_in_voters_members_or_departures_is_detected(name):
     with with_mutant(name):
-        assert explored(SLICES[DETECTED_BY[name]]).violation
+        assert explore_slice(SLICES[DETECTED_BY[name]]).violation
 
 
 @pytest.mark.parametrize("name", TABLE)
