--- a/tests/replication/lease_model.py
+++ b/tests/replication/lease_model.py
@@ -1,11 +1,11 @@
-"""Every order of heartbeats, answers, votes and restarts around one lease, in whole steps of a clock.
+"""Explores every order of heartbeats, answers, votes and restarts around one lease, in steps of a clock.
 
 Node `a` leads a view with the voters a, b and c, and sends heartbeats; the voters may help to decide another
-view that b proposes. A message may be on its way for any time; one that is older than `OLDEST` is lost. The
-clock of `a` is as slow and those of the voters are as fast as `lease.CLOCK_DRIFT` allows. What each does at a
-moment is asked of the shipped `LeaseGrant`, `grants` and `Peers`, looked up in their modules at each call.
+view that b proposes. A message may be in flight for any time; one that is older than `OLDEST` is lost. The
+clock of `a` is as slow and those of the voters are as fast as `lease.CLOCK_DRIFT` allows. The production
+`LeaseGrant`, `grants` and `Peers`, looked up in their modules at each call, decide what each node does.
 
-Times in a state are ages in steps; none matters that is longer than `OLDEST`.
+Times in a state are ages in steps; ages above `OLDEST` make no difference.
 """
 
 from __future__ import annotations
@@ -19,35 +19,37 @@
 from wheatroute.replication.views import View
 
 STEP = 0.05  # seconds
-OLDEST = 14  # steps; longer than any grant
-NOW = 1000.0  # of a look, on either clock
-SLOW, FAST = 1.0, 1.0 + lease.CLOCK_DRIFT - 0.001  # rates of the leader's clock and of the voters'
+OLDEST = 14  # the largest age, in steps; longer than any grant
+NOW = 1000.0  # the current time on every clock, in seconds
+SLOW, FAST = 1.0, 1.0 + lease.CLOCK_DRIFT - 0.001  # rates of the leader's clock and of the voters' clocks
 VIEW = View(1, "a/0", ("a/0", "b/0", "c/0"), ("a/0", "b/0", "c/0"))
 OTHER = View(2, "b/0", VIEW.members, VIEW.voters)
-VOTERS = ("b/0", "c/0")  # beside that of the leader
+VOTERS = ("b/0", "c/0")  # the voters other than the leader
 
 Ages = tuple[tuple[str, int], ...]  # by voter
 
 
 class State(NamedTuple):
-    """One moment."""
-
-    heartbeats: Ages = ()  # on their way, with the age of their sending
-    answers: Ages = ()  # the same, of the heartbeat that each answers
-    granted: Ages = ()  # what the leader counts by: the age of the sending, at least as it takes it
-    renewed: Ages = tuple(
-        (voter, OLDEST) for voter in VOTERS
-    )  # since each voter granted the lease, or started
+    """The state of the leader, the voters and the messages at one moment."""
+
+    # Heartbeats in flight, with the time since each was sent.
+    heartbeats: Ages = ()
+    # Answers in flight, with the time since the heartbeat that each answers was sent.
+    answers: Ages = ()
+    # Time since the newest heartbeat that each voter has answered was sent, as the leader counts it.
+    granted: Ages = ()
+    # Time since each voter granted the lease last, or started.
+    renewed: Ages = tuple((voter, OLDEST) for voter in VOTERS)
     voted: frozenset[str] = frozenset()  # voters that accepted the other view
     sent: int = 0
     restarts: int = 0
 
 
 class Limits(NamedTuple):
-    """How much may happen."""
+    """The largest numbers of heartbeats and restarts."""
 
-    heartbeats: int = 2  # heartbeats, each to both voters
-    restarts: int = 1  # of voters
+    heartbeats: int = 2  # heartbeats, each of them to both voters
+    restarts: int = 1  # restarts of voters
 
 
 def voter_record(state: State, voter: str) -> AcceptorRecord:
@@ -59,7 +61,7 @@
 
 
 def has_lease(state: State) -> bool:
-    """Whether `a` may act alone now."""
+    """Whether `a` has a lease now."""
     leader_peers = peers.Peers("a/0")
     for voter, age in state.granted:
         leader_peers.get(voter).granted_sent_at = NOW - age * STEP * SLOW
@@ -76,7 +78,7 @@
 
 
 def following(state: State, limits: Limits) -> Iterator[State]:
-    """Everything that may happen next."""
+    """Yields every state that may follow."""
     yield _later(state)
     if state.sent < limits.heartbeats:
         heartbeats = (*state.heartbeats, *((voter, 0) for voter in VOTERS))
@@ -125,7 +127,7 @@
 
 
 def _delivered(state: State, heartbeat: tuple[str, int]) -> State:
-    """A voter takes a heartbeat; it answers with a lease if it hasn't voted for another view."""
+    """A voter receives a heartbeat; it answers and grants a lease if it hasn't voted for another view."""
     state = _without_heartbeat(state, heartbeat)
     voter = heartbeat[0]
     if not lease.grants(voter_record(state, voter), "a/0"):
@@ -138,7 +140,7 @@
 
 
 def _counted(state: State, answer: tuple[str, int]) -> State:
-    """The leader takes an answer."""
+    """The leader receives an answer."""
     voter, age = answer
     leader_peers = peers.Peers("a/0")
     leader_peers._heartbeat_sent_at[1] = NOW - age * STEP * SLOW
@@ -153,7 +155,7 @@
 
 
 def _restarted(state: State, voter: str) -> State:
-    """A voter's process starts anew: of its grants it knows nothing, of its vote all."""
+    """A voter's process restarts: it has forgotten its grants, but not its vote, which is on disk."""
     grant = lease.LeaseGrant(NOW)
     age = round((NOW + lease.GRANT_S - grant._bound_until) / (STEP * FAST))
     renewed = {**dict(state.renewed), voter: min(OLDEST, age)}
@@ -161,7 +163,7 @@
 
 
 def explore(limits: Limits) -> tuple[int, State | None]:
-    """How many states there are, and one in which the other view is decided beside a lease, if any."""
+    """Returns the number of states, and one in which the other view is decided during a lease, if any."""
     waiting, seen = [State()], {State()}
     while waiting:
         state = waiting.pop()
--- a/tests/replication/lease_mutants.py
+++ b/tests/replication/lease_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into leases, membership changes and departures on purpose; see `mutants` for the older ones."""
+"""Faults to inject into leases and membership changes; see also `mutants`."""
 
 from contextlib import ExitStack, contextmanager
 
@@ -15,7 +15,7 @@
 
 
 class ForgetsGrants(LeaseGrant):
-    """A voter whose process starts is free at once."""
+    """The vote of a process that starts is free at once."""
 
     def __init__(self, started_at):
         super().__init__(started_at)
@@ -23,7 +23,7 @@
 
 
 class CountsFromTheAnswer(Peers):
-    """A lease is counted from when the answer came, not from when the heartbeat was sent."""
+    """A lease counts from the time at which the answer arrived, not from that of the heartbeat's sending."""
 
     def on_heartbeat_ack(self, sender, ack, now):
         super().on_heartbeat_ack(sender, ack, now)
@@ -32,14 +32,14 @@
 
 
 class CountsOldAnswers(Peers):
-    """A read is confirmed by answers to the heartbeats before the question."""
+    """A leadership check is confirmed by answers to heartbeats sent before the check."""
 
     def has_majority_answered(self, view, number, own_vote):
         return super().has_majority_answered(view, number - 3, own_vote)
 
 
 def commits_by_the_old_members(self, version):
-    """A write needs the members of the present view alone, also while another view is being decided."""
+    """Commits with the members of the current view alone, even while another view is being decided."""
     proposer = self._proposer
     kept, proposal = proposer._proposed_members, proposer._proposal
     proposer._proposed_members, proposer._proposal = frozenset(), None
@@ -54,7 +54,7 @@
 
 
 def voters_in_sync_or_not(view, nodes, synced, tolerate, now):
-    """A place that is free or lost goes to whoever answers, in sync or not."""
+    """Fills free places and replaces lost voters by any node that answers, in sync or not."""
     answering = [node.identity for node in nodes.values() if node.can_replicate(now)]
     return _VOTERS(view, nodes, answering, tolerate, now)
 
@@ -70,9 +70,9 @@
         state.emit(Committed(state.document))
 
 
-# by what is replaced: the core's class, or names in modules
-CORES = {
-    "a voter whose vote is bound helps another": core_with(
+# Faults that replace the core's class.
+CORE_MUTANTS = {
+    "a voter whose bound vote goes to another node": core_with(
         voter={"lease_remaining_s": lambda self, base, proposer: 0.0}
     ),
     "a leader counts its own vote though it went to another": core_with(
@@ -84,7 +84,8 @@
     ),
     "views of earlier processes are led": core_with(_is_primary_of=leads_views_of_earlier_processes),
 }
-NAMES = {
+# Faults that replace attributes of modules.
+MODULE_PATCHES = {
     "a lease longer than its grant": [(peers, {"LEADER_LEASE_S": 1.2})],
     "a grant that a restart forgets": [(voter_module, {"LeaseGrant": ForgetsGrants})],
     "a grant by a voter that voted for another": [
@@ -93,14 +94,14 @@
     "a lease counted from the answer": [(leader_module, {"Peers": CountsFromTheAnswer})],
     "a read confirmed by older answers": [(leader_module, {"Peers": CountsOldAnswers})],
     "a voter that is not in sync": [(reconfiguration, {"_voters": voters_in_sync_or_not})],
-    "clocks that drift beyond what is stated": [(lease, {"GRANT_S": 0.3})],
+    "clocks that drift more than stated": [(lease, {"GRANT_S": 0.3})],
 }
 
 
 @contextmanager
 def with_lease_mutant(name):
-    """The modules with the names of one fault."""
+    """Injects one fault of `MODULE_PATCHES` within a `with` block."""
     with ExitStack() as stack:
-        for module, names in NAMES[name]:
+        for module, names in MODULE_PATCHES[name]:
             stack.enter_context(patched(module, **names))
         yield
--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -1,9 +1,11 @@
-"""Explores the membership model: every sequence of steps between two calm times, for any number of these.
-
-A calm time brings the machines that are up back to rest, whatever went before. Two worlds at rest that differ
-only in names, in how high their numbers are, or in writes long acknowledged behave the same, so there are few
-of them. The search visits each world at rest once, and from it all sequences of up to `depth` steps; the calm
-time after each of these must reach a leader that has everything acknowledged.
+"""Explores the membership model: all sequences of steps between two fault-free periods, of which any number
+may follow each other.
+
+In a fault-free period the machines that are up settle, regardless of what happened before
+(`membership_model.settle`). Two settled worlds that differ only in names, in how high their numbers are, or
+in writes acknowledged long ago behave the same, so there are few of them. The search visits each settled
+world once, and from it all sequences of up to `depth` steps; the fault-free period after each sequence must
+reach a leader that has everything that was acknowledged.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 import msgspec
 from replication import membership_model as model
-from replication.membership_model import Leading, Machine, ViolationError, World
+from replication.membership_model import LeaderState, Machine, ViolationError, World
 
 from wheatroute.replication.identity import host_of
 from wheatroute.replication.records import (
@@ -30,7 +32,7 @@
 )
 from wheatroute.replication.views import View
 
-MAX_GAP = 2  # between two epochs that nothing here could tell from a larger gap
+MAX_GAP = 2  # no code here distinguishes a larger gap between two epochs from this one
 
 
 class Step(NamedTuple):
@@ -38,36 +40,40 @@
 
     kind: str
     name: str
-    take: Callable[[], World]
+    apply: Callable[[], World]
 
 
-FAULTS = frozenset({"wipe", "down", "restart", "stop", "power", "wipe and power", "replace", "cut"})
-PLANS = frozenset({"return", "end", "add", "heal"})
-PROTOCOL = frozenset({"stand", "vote", "unheard", "give up", "document", "write", "step down", "news"})
-ALL_KINDS = FAULTS | PLANS | PROTOCOL
+FAULT_KINDS = frozenset(
+    {"wipe", "down", "restart", "stop", "power failure", "wipe and power failure", "replace", "partition"}
+)
+PLANNED_KINDS = frozenset({"return", "end", "add", "heal"})
+PROTOCOL_KINDS = frozenset(
+    {"start attempt", "vote", "answers lost", "give up", "document", "write", "step down", "announcement"}
+)
+ALL_KINDS = FAULT_KINDS | PLANNED_KINDS | PROTOCOL_KINDS
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """What may happen between two calm times."""
+    """Limits of what may happen between two fault-free periods."""
 
-    depth: int = 2  # steps, of faults and of the protocol
-    faults: int = 2  # of these steps, at most
-    writes: int = 2  # beside those that a world at rest has
+    depth: int = 2  # number of steps, of faults and of the protocol
+    faults: int = 2  # largest number of these steps that are faults
+    writes: int = 2  # writes in addition to those of a settled world
     machines: int = 3  # addresses in use at one time
-    kinds: frozenset[str] = ALL_KINDS  # of steps
-    states: int = 10**9  # after which the search ends, not whole
-    beyond: int = 0  # so many more machines may be lost at a time than `tolerate` says
+    kinds: frozenset[str] = ALL_KINDS  # kinds of steps
+    states: int = 10**9  # the search ends incomplete after so many states
+    extra_losses: int = 0  # machines that may be lost at a time in addition to `tolerate`
 
 
 @dataclass
-class Found:
-    """What a search has seen."""
+class SearchResult:
+    """What a search has found."""
 
     settled_worlds: int = 0
     states: int = 0
     steps: int = 0
-    is_complete: bool = True  # false if the bound on states ended it
+    is_complete: bool = True  # false if the bound on states ended the search
     violation: str = ""
     trace: list[str] = field(default_factory=list)
 
@@ -76,23 +82,23 @@
 
 
 def steps(world: World, bounds: Bounds, faults: int) -> Iterator[Step]:
-    """Everything that may happen next, after so many faults."""
+    """Yields everything that may happen next, after so many faults."""
     for step in _steps(world, bounds):
-        if step.kind in bounds.kinds and (step.kind not in FAULTS or faults < bounds.faults):
+        if step.kind in bounds.kinds and (step.kind not in FAULT_KINDS or faults < bounds.faults):
             yield step
 
 
 def _steps(world: World, bounds: Bounds) -> Iterator[Step]:
-    remaining_losses = world.tolerate + bounds.beyond - len(world.lost())
-    there = [number for number, machine in enumerate(world.machines) if not machine.is_removed]
-    for number in there:
+    remaining_losses = world.tolerate + bounds.extra_losses - len(world.lost())
+    present = [number for number, machine in enumerate(world.machines) if not machine.is_removed]
+    for number in present:
         yield from _faults_of(world, number, may_be_lost=remaining_losses > 0 or number in world.lost())
-    if len(there) < bounds.machines:
+    if len(present) < bounds.machines:
         yield Step("add", "a machine is added", lambda: model.add(world, lost=False))
     if remaining_losses > 0:
-        yield from _losses_with_others(world, there)
-    yield Step("power", "all lose power", lambda: _power(world))
-    yield from _cuts(world, there)
+        yield from _combined_losses(world, present)
+    yield Step("power failure", "all machines lose power", lambda: _power_failure(world))
+    yield from _partition_steps(world, present)
     for number in world.up():
         yield from _attempts(world, number)
         yield from _leader_steps(world, number, bounds)
@@ -104,70 +110,78 @@
     if may_be_lost:
         yield Step("wipe", f"h{number} loses its disk", lambda: model.wipe(world, number))
     if not machine.up:
-        yield Step("return", f"h{number} returns", lambda: model.start(_counting(world, number), number))
+        yield Step(
+            "return", f"h{number} returns", lambda: model.start(_counted_as_lost(world, number), number)
+        )
         return
-    yield Step("restart", f"h{number} is started again", lambda: model.restart(world, number))
+    yield Step("restart", f"h{number} restarts", lambda: model.restart(world, number))
     if may_be_lost:
-        yield Step("down", f"h{number} goes down", lambda: _counting(model.end(world, number), number))
+        yield Step("down", f"h{number} goes down", lambda: _counted_as_lost(model.end(world, number), number))
     if machine.is_leaving:
-        yield from _ends(world, number)
+        yield from _stop_steps(world, number)
     elif not world.lost():
         leaving = machine._replace(is_leaving=True, lost=True)
-        yield Step("stop", f"h{number} is told to stop", lambda: world.put(number, leaving))
+        yield Step("stop", f"h{number} begins to leave", lambda: world.with_machine(number, leaving))
 
 
-def _ends(world: World, number: int) -> Iterator[Step]:
+def _stop_steps(world: World, number: int) -> Iterator[Step]:
     if model.may_stop(world, number):
-        yield Step("end", f"h{number} ends", lambda: _counting(model.end(world, number), number))
+        yield Step("end", f"h{number} ends", lambda: _counted_as_lost(model.end(world, number), number))
         yield Step("end", f"h{number} ends for good", lambda: model.remove(world, number))
 
 
-def _counting(world: World, number: int) -> World:
-    """The machine counts as lost until the next calm time."""
-    return world.put(number, world.machines[number]._replace(lost=True))
+def _counted_as_lost(world: World, number: int) -> World:
+    """Returns the world in which the machine counts as lost until the next fault-free period."""
+    return world.with_machine(number, world.machines[number]._replace(lost=True))
 
 
-def _power(world: World) -> World:
+def _power_failure(world: World) -> World:
     for number in world.up():
         world = model.restart(world, number)
     return world
 
 
-def _losses_with_others(world: World, there: list[int]) -> Iterator[Step]:
-    for number in there:
+def _combined_losses(world: World, present: list[int]) -> Iterator[Step]:
+    for number in present:
         yield Step(
             "replace",
-            f"h{number} is taken away and succeeded",
+            f"h{number} is removed and replaced",
             lambda n=number: model.add(model.remove(world, n), lost=True),
         )
     for number in world.up():
         yield Step(
-            "wipe and power",
-            f"h{number} loses its disk, all lose power",
-            lambda n=number: _power(model.wipe(world, n)),
+            "wipe and power failure",
+            f"h{number} loses its disk, all machines lose power",
+            lambda n=number: _power_failure(model.wipe(world, n)),
         )
 
 
-def _cuts(world: World, there: list[int]) -> Iterator[Step]:
-    if world.side:
-        yield Step("heal", "the halves meet again", lambda: world._replace(side=frozenset()))
+def _partition_steps(world: World, present: list[int]) -> Iterator[Step]:
+    if world.isolated:
+        yield Step("heal", "the partition heals", lambda: world._replace(isolated=frozenset()))
         return
-    for mask in range(1, 2 ** (len(there) - 1)):
-        side = frozenset(number for bit, number in enumerate(there) if mask >> bit & 1)
-        yield Step("cut", f"{sorted(side)} are cut off", lambda s=side: world._replace(side=s))
+    for mask in range(1, 2 ** (len(present) - 1)):
+        isolated = frozenset(number for bit, number in enumerate(present) if mask >> bit & 1)
+        yield Step(
+            "partition", f"{sorted(isolated)} are isolated", lambda s=isolated: world._replace(isolated=s)
+        )
 
 
 def _attempts(world: World, number: int) -> Iterator[Step]:
     machine, attempt = world.machines[number], world.machines[number].attempt
-    voters = _reached(world, number, machine.view)
+    voters = _reachable_voters(world, number, machine.view)
     if attempt is None:
-        for plan in _plans(world, number):
+        for plan in _candidate_views(world, number):
             for receivers in model.majorities(voters, machine.view.majority):
-                name = f"h{number} stands before {receivers}"
-                yield Step("stand", name, lambda a=receivers, p=plan: model.stand(world, number, a, p))
+                name = f"h{number} requests promises from {receivers}"
+                yield Step(
+                    "start attempt",
+                    name,
+                    lambda a=receivers, p=plan: model.start_attempt(world, number, a, p),
+                )
         return
     given_up = machine._replace(attempt=None)
-    yield Step("give up", f"h{number} gives its attempt up", lambda: world.put(number, given_up))
+    yield Step("give up", f"h{number} gives up its attempt", lambda: world.with_machine(number, given_up))
     if attempt.view is None:
         return
     for receivers in model.majorities(voters, attempt.base.majority):
@@ -176,45 +190,53 @@
         )
     for voter in voters:
         if voter != number:
-            name = f"h{number} and h{voter} vote for h{number}, unheard"
+            name = f"h{number} and h{voter} vote for h{number}, answers lost"
             yield Step(
-                "unheard", name, lambda s=voter: model.vote(world, number, (number, s), is_answered=False)
+                "answers lost",
+                name,
+                lambda s=voter: model.vote(world, number, (number, s), is_answered=False),
             )
 
 
-def _plans(world: World, number: int) -> list[View | None]:
-    """The views that a node may stand for; None for a takeover."""
-    if not world.machines[number].leading:
+def _candidate_views(world: World, number: int) -> list[View | None]:
+    """The views that a node may propose; None for a takeover."""
+    if not world.machines[number].leader_state:
         return [None] if model.may_take_over(world, number) else []
-    plans: list[View | None] = []
+    candidates: list[View | None] = []
     for unresponsive in model.UNRESPONSIVE_S:
-        plans += [one for one in model.wanted_views(world, number, unresponsive) if one not in plans]
+        candidates += [
+            one for one in model.wanted_views(world, number, unresponsive) if one not in candidates
+        ]
     renewed = model.renewed_view(world, number)
-    return plans or ([renewed] if renewed is not None else [])
+    return candidates or ([renewed] if renewed is not None else [])
 
 
-def _reached(world: World, number: int, view: View) -> list[int]:
-    """The machines at the addresses of the voters that this one reaches."""
-    places = [world.at(voter) for voter in view.voters]
+def _reachable_voters(world: World, number: int, view: View) -> list[int]:
+    """The numbers of the machines at the addresses of voters that this machine reaches."""
+    places = [world.machine_of(voter) for voter in view.voters]
     return sorted({place for place in places if place is not None and world.reaches(number, place)})
 
 
 def _leader_steps(world: World, number: int, bounds: Bounds) -> Iterator[Step]:
     machine = world.machines[number]
-    if machine.leading is None:
+    if machine.leader_state is None:
         return
     others = [other for other in world.up() if other != number and world.reaches(number, other)]
     for other in others:
         name = f"h{number}'s document reaches h{other}"
         yield Step("document", name, lambda o=other: model.heartbeat(world, number, (o,)))
-        yield Step("unheard", f"{name}, unheard", lambda o=other: model.heartbeat(world, number, (o,), False))
+        yield Step(
+            "answers lost",
+            f"{name}, answers lost",
+            lambda o=other: model.heartbeat(world, number, (o,), False),
+        )
     if len(others) > 1:
         name = f"h{number}'s document reaches {others}"
         yield Step("document", name, lambda: model.heartbeat(world, number, tuple(others)))
-    if world.writes < len(BEYOND) + bounds.writes and model.may_write(world, number):
+    if world.writes < len(WITH_UNACKNOWLEDGED) + bounds.writes and model.may_write(world, number):
         yield Step("write", f"h{number} writes", lambda: model.write(world, number))
-    down = machine._replace(leading=None, attempt=None)
-    yield Step("step down", f"h{number} steps down", lambda: world.put(number, down))
+    down = machine._replace(leader_state=None, attempt=None)
+    yield Step("step down", f"h{number} steps down", lambda: world.with_machine(number, down))
 
 
 def _announcements(world: World, number: int) -> Iterator[Step]:
@@ -224,27 +246,28 @@
         view = world.machines[other].view
         if view.epoch > epoch and view.epoch not in announced and world.reaches(number, other):
             announced.add(view.epoch)
-            name = f"h{number} hears of view {view.epoch}"
-            yield Step("news", name, lambda v=view: model.learn(world, number, v))
+            name = f"h{number} learns view {view.epoch}"
+            yield Step("announcement", name, lambda v=view: model.learn(world, number, v))
 
 
-# worlds at rest
+# settled worlds
 
 
-def at_rest(world: World) -> World:
-    """The world under the names and numbers that all those have which behave the same.
+def settled_form(world: World) -> World:
+    """Returns the canonical form of a settled world, which is equal for all worlds that behave the same.
 
     - Addresses are interchangeable, and so is the order of members and of voters: both only break ties.
-    - A node is told by its address and by whether it still exists; nonces say no more.
-    - Epochs keep their order, with gaps of `MOST_GAP` at most.
-    - A document either lacks something acknowledged, or is what was acknowledged, or has writes beyond it.
-    - Promises without a vote only refuse older attempts, and all attempts are over.
+    - A node is identified by its address and by whether it still exists; nonces carry no more information.
+    - Epochs keep their order, with gaps of `MAX_GAP` at most.
+    - A document either lacks an acknowledged write, or holds exactly the acknowledged writes, or holds
+      further writes too.
+    - Promises without a vote only reject older attempts, and all attempts are over.
     """
     return _canonical(_renumbered(_without_removed_machines(world)))
 
 
 def _without_removed_machines(world: World) -> World:
-    """Machines that are gone and that no record names any more are dropped."""
+    """Drops removed machines that no record names any more."""
     named: set[str] = set()
     for machine in world.machines:
         if not machine.is_removed:
@@ -265,7 +288,7 @@
 
 @cache
 def _canonical(world: World) -> World:
-    """The smallest of the worlds that have other addresses for the same machines."""
+    """The smallest of the worlds that differ only by a permutation of the addresses."""
     return min((_permuted(world, order) for order in permutations(range(len(world.machines)))), key=repr)
 
 
@@ -279,7 +302,7 @@
 
 
 def _renamed(machine: Machine, rename: Callable[[str], str]) -> Machine:
-    """The machine with other identities; members and voters in the order of names."""
+    """The machine with other identities; members and voters are sorted by name."""
 
     def view(one: View) -> View:
         members = tuple(sorted({rename(member) for member in one.members}))
@@ -294,15 +317,17 @@
         AcceptorRecord(view(voter.view), accepted, accepted, accepted_view),
         machine.document,
     )
-    leading = machine.leading
-    if leading is not None:
-        versions = tuple(sorted((rename(one), version) for one, version in leading.versions))
-        leading = Leading(leading.committed, versions, tuple(sorted(rename(one) for one in leading.proposed)))
-    return machine._replace(record=record, leading=leading)
+    leader_state = machine.leader_state
+    if leader_state is not None:
+        versions = tuple(sorted((rename(one), version) for one, version in leader_state.versions))
+        leader_state = LeaderState(
+            leader_state.committed, versions, tuple(sorted(rename(one) for one in leader_state.proposed))
+        )
+    return machine._replace(record=record, leader_state=leader_state)
 
 
 def _ranks(numbers: set[int]) -> dict[int, int]:
-    """Small numbers in the same order, with gaps of `MOST_GAP` at most; the least one stays as it is."""
+    """Maps numbers to small ones in the same order, with gaps of `MAX_GAP` at most; keeps the least one."""
     ranks: dict[int, int] = {}
     before = rank = min(numbers)
     for number in sorted(numbers):
@@ -312,7 +337,7 @@
 
 
 def _renumbered(world: World) -> World:
-    """Epochs, proposal numbers, processes and writes made small."""
+    """Replaces epochs, proposal numbers, incarnations and writes by small ones."""
     epochs = {model.NO_VIEW.epoch, 0}
     proposal_numbers = {0}
     for machine in world.machines:
@@ -322,15 +347,17 @@
         proposal_numbers.add(voter.accepted.number)
     renumber = Renumbering(_ranks(epochs), _ranks(proposal_numbers), world)
     machines = tuple(renumber.machine(machine) for machine in world.machines)
-    return world._replace(machines=machines, decided=(), acknowledged=ACKNOWLEDGED, writes=len(BEYOND))
+    return world._replace(
+        machines=machines, decided=(), acknowledged=ACKNOWLEDGED, writes=len(WITH_UNACKNOWLEDGED)
+    )
 
 
-ACKNOWLEDGED, BEYOND = b"\x01", b"\x01\x02"  # the only writes of a world at rest
+ACKNOWLEDGED, WITH_UNACKNOWLEDGED = b"\x01", b"\x01\x02"  # the only writes of a settled world
 
 
 @dataclass(frozen=True)
 class Renumbering:
-    """The small numbers of a world at rest."""
+    """The small numbers of a settled world."""
 
     epoch: dict[int, int]
     proposal_number: dict[int, int]
@@ -346,17 +373,17 @@
         accepted_view = None if voter.accepted_view is None else self._view(voter.accepted_view)
         acceptor_record = AcceptorRecord(self._view(voter.view), accepted, accepted, accepted_view)
         record = NodeRecord(machine.identity, acceptor_record, self._document(machine.document))
-        incarnation = 0 if machine.leading else 1
-        return machine._replace(record=record, leading=self._leading(machine), incarnation=incarnation)
+        incarnation = 0 if machine.leader_state else 1
+        return machine._replace(record=record, leader_state=self._leading(machine), incarnation=incarnation)
 
-    def _leading(self, machine: Machine) -> Leading | None:
-        """Of those that are away nothing is remembered: they have been silent for long."""
-        if machine.leading is None:
+    def _leading(self, machine: Machine) -> LeaderState | None:
+        """Forgets the versions of machines that are down, since they have been silent for long."""
+        if machine.leader_state is None:
             return None
         here = [other for other in self.world.machines if other.up and other is not machine]
         document = self._document(machine.document)
         versions = tuple((other.identity, document.version) for other in here)
-        return Leading(document, versions, machine.leading.proposed)
+        return LeaderState(document, versions, machine.leader_state.proposed)
 
     def _view(self, view: View) -> View:
         return msgspec.structs.replace(view, epoch=self.epoch[view.epoch], incarnation=0)
@@ -364,28 +391,28 @@
     def _document(self, document: Document) -> Document:
         payload = b""
         if document.payload.startswith(self.world.acknowledged):
-            payload = ACKNOWLEDGED if document.payload == self.world.acknowledged else BEYOND
+            payload = ACKNOWLEDGED if document.payload == self.world.acknowledged else WITH_UNACKNOWLEDGED
         return Document(DocumentVersion(self.epoch[document.version.epoch], len(payload)), payload)
 
 
 # the search
 
 
-def as_it_is(world: World) -> list[World]:
-    """Steps begin from the world at rest itself."""
+def unchanged(world: World) -> list[World]:
+    """The default of `prepare`: steps begin from the settled world itself."""
     return [world]
 
 
 def explore(
-    first: World, bounds: Bounds, prepare: Callable[[World], list[World]] = as_it_is, workers: int = 1
-) -> Found:
-    """Every world at rest, and every sequence of steps between; ends at the first violation.
+    first: World, bounds: Bounds, prepare: Callable[[World], list[World]] = unchanged, workers: int = 1
+) -> SearchResult:
+    """Explores all settled worlds, and all sequences of steps from each; ends at the first violation.
 
-    `prepare` makes of a world at rest those from which steps begin. The steps from different worlds at rest
-    are explored side by side by so many processes.
+    `prepare` turns a settled world into the worlds from which steps begin. `workers` processes explore the
+    steps from different settled worlds in parallel.
     """
-    found = Found()
-    start = at_rest(model.calm(first))
+    found = SearchResult()
+    start = settled_form(model.settle(first))
     frontier, seen = {start: ("start",)}, {start}
     with Pool(workers) if workers > 1 else nullcontext() as pool:
         while frontier:
@@ -394,14 +421,14 @@
             following: dict[World, tuple[str, ...]] = {}
             for episode in episodes:
                 _count(found, episode)
-                trace_to_rest = frontier[episode.start]
+                trace_to_start = frontier[episode.start]
                 if episode.violation:
-                    found.violation, found.trace = episode.violation, [*trace_to_rest, *episode.trace]
+                    found.violation, found.trace = episode.violation, [*trace_to_start, *episode.trace]
                     return found
-                for rest, trace in episode.rests.items():
-                    if rest not in seen:
-                        seen.add(rest)
-                        following[rest] = (*trace_to_rest, *trace, "calm")
+                for settled_world, trace in episode.settled_worlds_found.items():
+                    if settled_world not in seen:
+                        seen.add(settled_world)
+                        following[settled_world] = (*trace_to_start, *trace, "fault-free period")
                 if found.states >= bounds.states:
                     found.is_complete = False
                     return found
@@ -411,23 +438,23 @@
 
 @dataclass
 class Episode:
-    """All sequences of steps from one world at rest, up to a violation."""
+    """The exploration of all sequences of steps from one settled world, up to a violation."""
 
     start: World
     bounds: Bounds
     prepare: Callable[[World], list[World]]
     states: int = 0
     steps: int = 0
-    rests: dict[World, tuple[str, ...]] = field(
-        default_factory=dict
-    )  # the worlds at rest after, with the steps
+    # The settled worlds reached, each with the steps to it.
+    settled_worlds_found: dict[World, tuple[str, ...]] = field(default_factory=dict)
     violation: str = ""
     trace: tuple[str, ...] = ()
-    calms: dict[tuple[World, int], World] = field(default_factory=dict)  # calm times that were played
+    # Cached results of fault-free periods, by the world and the index of the first candidate.
+    settled_by_start: dict[tuple[World, int], World] = field(default_factory=dict)
 
 
 class TraceError(Exception):
-    """A violation, and the steps to it."""
+    """A violation and the steps to it, as its two arguments."""
 
 
 def _explored(job: tuple[World, Bounds, Callable[[World], list[World]]]) -> Episode:
@@ -436,18 +463,18 @@
         _explore_episode(episode)
     except TraceError as error:
         episode.violation, episode.trace = error.args
-    episode.calms = {}
+    episode.settled_by_start = {}
     return episode
 
 
-def _count(found: Found, episode: Episode) -> None:
+def _count(found: SearchResult, episode: Episode) -> None:
     found.settled_worlds += 1
     found.states += episode.states
     found.steps += episode.steps
 
 
 def _explore_episode(episode: Episode) -> None:
-    """Breadth first; a state is a world and how many faults it took."""
+    """Explores breadth first; a state is a world and the number of faults on the way to it."""
     bounds = episode.bounds
     level: dict[tuple[World, int], tuple[str, ...]] = {
         (world, 0): () for world in episode.prepare(episode.start)
@@ -457,50 +484,54 @@
         after: dict[tuple[World, int], tuple[str, ...]] = {}
         for (world, faults), trace in level.items():
             episode.states += 1
-            _explore_calm_time(episode, world, trace)
+            _explore_settling(episode, world, trace)
             if depth == bounds.depth:
                 continue
             for step in steps(world, bounds, faults):
                 episode.steps += 1
-                key = (_taken(step, trace), faults + (step.kind in FAULTS))
+                key = (_apply_step(step, trace), faults + (step.kind in FAULT_KINDS))
                 if key not in visited:
                     visited.add(key)
                     after[key] = (*trace, step.name)
         level = after
 
 
-def _taken(step: Step, trace: tuple[str, ...]) -> World:
+def _apply_step(step: Step, trace: tuple[str, ...]) -> World:
     try:
-        world = step.take()
+        world = step.apply()
         model.check(world)
         return world
     except ViolationError as error:
         raise TraceError(str(error), (*trace, step.name)) from error
 
 
-def _explore_calm_time(episode: Episode, world: World, trace: tuple[str, ...]) -> None:
-    """The worlds at rest after this one, whoever leads next; where too many are down, all come back."""
-    world = model.before_calm(world)
+def _explore_settling(episode: Episode, world: World, trace: tuple[str, ...]) -> None:
+    """Adds the settled worlds that follow this one, for each node that may lead next.
+
+    Machines that are down stay down in one variant and return in another; if more than `tolerate` are down,
+    all return.
+    """
+    world = model.end_disruptions(world)
     down = [n for n, machine in enumerate(world.machines) if not machine.up and not machine.is_removed]
     if len(down) > world.tolerate:
-        world, down = _all_back(world, down), []
-    led = any(machine.leading for machine in world.machines)
-    for start in [world] if not down else [world, _all_back(world, down)]:
+        world, down = _start_all(world, down), []
+    led = any(machine.leader_state for machine in world.machines)
+    for start in [world] if not down else [world, _start_all(world, down)]:
         for first in range(1 if led else len(world.up())):
-            rest = _calm(episode, start, first, trace)
-            episode.rests.setdefault(rest, trace)
+            settled_world = _settled_world(episode, start, first, trace)
+            episode.settled_worlds_found.setdefault(settled_world, trace)
 
 
-def _calm(episode: Episode, world: World, first: int, trace: tuple[str, ...]) -> World:
-    if (world, first) not in episode.calms:
+def _settled_world(episode: Episode, world: World, first: int, trace: tuple[str, ...]) -> World:
+    if (world, first) not in episode.settled_by_start:
         try:
-            episode.calms[world, first] = at_rest(model.calm(world, first))
+            episode.settled_by_start[world, first] = settled_form(model.settle(world, first))
         except ViolationError as error:
-            raise TraceError(str(error), (*trace, f"calm, candidate {first} first")) from error
-    return episode.calms[world, first]
+            raise TraceError(str(error), (*trace, f"fault-free period, candidate {first} first")) from error
+    return episode.settled_by_start[world, first]
 
 
-def _all_back(world: World, down: list[int]) -> World:
+def _start_all(world: World, down: list[int]) -> World:
     for number in down:
         world = model.start(world, number)
     return world
--- a/tests/replication/membership_model.py
+++ b/tests/replication/membership_model.py
@@ -1,12 +1,12 @@
-"""Views, voters, members and disks as a state machine whose every step can be explored.
+"""A model of views, voters, members and disks as a state machine, every step of which can be explored.
 
-A `World` is what all disks and processes hold at one moment, without a clock: messages are taken or lost in
-whole phases (the questions for promises, the votes, a heartbeat with the document), and any phase may be cut
-short by a fault. What is decided in a step is asked of the shipped functions, looked up in their modules at
-each call so that tests can put faults into them: `acceptor.Acceptor`, `proposal.Proposal`,
+A `World` is what all disks and processes hold at one moment, without a clock: messages are delivered or lost
+in whole phases (the requests for promises, the votes, a heartbeat with the document), and a fault may
+interrupt any phase. The decisions in each step are made by the production code, looked up in its modules at
+each call so that tests can inject faults into it: `acceptor.Acceptor`, `proposal.Proposal`,
 `takeover.takeover_view`, `reconfiguration.next_view`, `departure.released_nodes`, `commit.may_commit` and
-`lease.grants`. No vote is bound by a lease here: what is acknowledged must not rest on clocks, and leases
-have an exploration of their own (`lease_model`).
+`lease.grants`. No vote is bound by a lease here, since the safety of acknowledged writes must not depend on
+clocks; leases have an exploration of their own (`lease_model`).
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 )
 from wheatroute.replication.views import NO_VIEW, View, genesis_view
 
-NOW = 100.0  # the moment of every look at a peer, on its leader's clock
-UNRESPONSIVE_S = {"just": 0.1, "missed": 0.8, "long": 50.0}  # seconds since a node that is away was heard
-MAX_ROUNDS = 40  # of a calm time until it counts as one in which nothing is reached
+NOW = 100.0  # the current time on the clock of every leader
+UNRESPONSIVE_S = {"just": 0.1, "missed": 0.8, "long": 50.0}  # seconds since the last answer of a node
+MAX_ROUNDS = 40  # a fault-free period that takes more rounds counts as never settled
 
 
 class Attempt(NamedTuple):
@@ -41,18 +41,18 @@
 
     base: View
     proposal_number: ProposalNumber
-    planned: View | None  # a leader's; None for a takeover
+    planned: View | None  # the view that a leader proposes; None for a takeover
     view: View | None
     promises: tuple[tuple[str, Promise], ...]
     votes: frozenset[str]
 
 
-class Leading(NamedTuple):
+class LeaderState(NamedTuple):
     """What a leader has in memory."""
 
     committed: Document | None
-    versions: tuple[tuple[str, DocumentVersion], ...]  # that other nodes said they have on disk
-    proposed: tuple[str, ...]  # members of views that it has asked votes for, sorted
+    versions: tuple[tuple[str, DocumentVersion], ...]  # versions that other nodes acknowledged, by identity
+    proposed: tuple[str, ...]  # members of views for which it has requested votes, sorted
 
 
 class Machine(NamedTuple):
@@ -61,10 +61,10 @@
     record: NodeRecord
     up: bool = True
     incarnation: int = 1
-    lost: bool = False  # counts as lost: since its fault, until it has had its time to settle
+    lost: bool = False  # counts as lost, from its fault until a fault-free period after its return
     is_leaving: bool = False
-    is_removed: bool = False  # never comes back
-    leading: Leading | None = None
+    is_removed: bool = False  # removed for good
+    leader_state: LeaderState | None = None
     attempt: Attempt | None = None
 
     @property
@@ -81,25 +81,25 @@
 
 
 class World(NamedTuple):
-    """All machines, which of them are cut apart, and what an observer has seen."""
+    """All machines, the network partition between them, and what an observer has seen."""
 
     machines: tuple[Machine, ...]
     tolerate: int
-    side: frozenset[int] = frozenset()  # the machines that are cut off from all others; empty: none are
+    isolated: frozenset[int] = frozenset()  # machines that are partitioned from all others
     decided: tuple[View, ...] = ()  # the views that a process acted on, one for each epoch
-    acknowledged: bytes = b""  # the writes whose acknowledgement was given, one byte each
+    acknowledged: bytes = b""  # the acknowledged writes, one byte each
     writes: int = 0
     disks_made: int = 0
 
-    # who there is
+    # the machines
 
     def reaches(self, one: int, other: int) -> bool:
-        """Whether both run and nothing lies between them."""
+        """Whether both machines are up and on the same side of the partition."""
         running = self.machines[one].up and self.machines[other].up
-        return running and (one in self.side) == (other in self.side)
+        return running and (one in self.isolated) == (other in self.isolated)
 
-    def at(self, identity: str) -> int | None:
-        """The machine at the address of a node, whoever it is now."""
+    def machine_of(self, identity: str) -> int | None:
+        """The number of the machine at the address of a node, even if that has another identity by now."""
         number = int(host_of(identity)[1:])
         return number if number < len(self.machines) and not self.machines[number].is_removed else None
 
@@ -114,30 +114,30 @@
             if not machine.is_removed and (machine.lost or not machine.up)
         ]
 
-    def put(self, number: int, machine: Machine) -> World:
+    def with_machine(self, number: int, machine: Machine) -> World:
         machines = list(self.machines)
         machines[number] = machine
         return self._replace(machines=tuple(machines))
 
 
 def first_world(machines: int, tolerate: int, seeds: int = 3) -> World:
-    """The first start of the whole system, on empty disks."""
+    """Returns the world at the first start of the whole system, on empty disks."""
     view = genesis_view(tuple(f"h{number}" for number in range(seeds)))
-    made = []
+    new_proposal = []
     for number in range(machines):
         if number < seeds:
             record = new_record(genesis_identity(f"h{number}"), AcceptorRecord(view))
         else:
             record = new_record(f"h{number}/1", AcceptorRecord(NO_VIEW))
-        made.append(Machine(record))
-    return World(tuple(made), tolerate, decided=(view,), disks_made=1)
+        new_proposal.append(Machine(record))
+    return World(tuple(new_proposal), tolerate, decided=(view,), disks_made=1)
 
 
 # learning
 
 
 def learn(world: World, number: int, view: View) -> World:
-    """A process hears of a decided view."""
+    """A process learns a decided view."""
     machine = world.machines[number]
     if view.epoch <= machine.view.epoch:
         return world
@@ -148,8 +148,8 @@
         record=msgspec.structs.replace(machine.record, acceptor=voter.record), attempt=None
     )
     if view.primary == machine.identity and view.incarnation == machine.incarnation:
-        return world.put(number, _start_leading(machine, view))
-    return world.put(number, machine._replace(leading=None))
+        return world.with_machine(number, _start_leader(machine, view))
+    return world.with_machine(number, machine._replace(leader_state=None))
 
 
 def _observe_decided(world: World, view: View) -> World:
@@ -166,14 +166,14 @@
     return world._replace(decided=(*world.decided, view))
 
 
-def _start_leading(machine: Machine, view: View) -> Machine:
-    was = machine.leading
-    leading = was._replace(proposed=()) if was else Leading(None, (), ())
+def _start_leader(machine: Machine, view: View) -> Machine:
+    previous = machine.leader_state
+    leader_state = previous._replace(proposed=()) if previous else LeaderState(None, (), ())
     document = Document(
         DocumentVersion(view.epoch, machine.document.version.sequence), machine.document.payload
     )
     return machine._replace(
-        record=msgspec.structs.replace(machine.record, document=document), leading=leading
+        record=msgspec.structs.replace(machine.record, document=document), leader_state=leader_state
     )
 
 
@@ -181,9 +181,10 @@
 
 
 def wanted_views(world: World, number: int, unresponsive: str) -> list[View]:
-    """The views that a leader may want next, by how long those that are away have been silent.
+    """The views that a leader may want next; `unresponsive` is a key of `UNRESPONSIVE_S`.
 
-    Names break ties, so the shipped function is asked once for each order of the names that could matter.
+    Names break ties, so `reconfiguration.next_view` is called once for each order of the names that could
+    matter.
     """
     machine = world.machines[number]
     orders = permutations(range(len(world.machines))) if machine.is_leaving else [range(len(world.machines))]
@@ -197,8 +198,8 @@
 
 def _wanted(world: World, number: int, unresponsive: str, order: tuple[int, ...]) -> View | None:
     machine = world.machines[number]
-    assert machine.leading is not None
-    held = machine.leading.committed or machine.document
+    assert machine.leader_state is not None
+    newest = machine.leader_state.committed or machine.document
     rename = {f"h{old}": f"h{new}" for old, new in enumerate(order)}
     back = {new: old for old, new in rename.items()}
     peers = [_renamed_peer(peer, rename) for peer in peers_of(world, number, unresponsive)]
@@ -206,7 +207,7 @@
         renamed(machine.view, rename),
         _renamed_peer(own_peer(machine), rename),
         peers,
-        held.version,
+        newest.version,
         world.tolerate,
         NOW,
     )
@@ -219,13 +220,13 @@
 
 
 def renamed_identity(identity: str, names: dict[str, str]) -> str:
-    """The identity with its address exchanged."""
+    """The identity with its address replaced."""
     host, slash, nonce = identity.partition("/")
     return names.get(host, host) + slash + nonce
 
 
 def renamed(view: View, names: dict[str, str]) -> View:
-    """The view with its addresses exchanged."""
+    """The view with its addresses replaced."""
     return View(
         view.epoch,
         renamed_identity(view.primary, names),
@@ -236,7 +237,7 @@
 
 
 def own_peer(machine: Machine) -> Peer:
-    """A leader as it sees itself."""
+    """A leader's own state, in the form in which it knows its peers."""
     version = machine.document.version
     return Peer(
         machine.identity,
@@ -248,10 +249,10 @@
 
 
 def peers_of(world: World, number: int, unresponsive: str) -> list[Peer]:
-    """The other nodes as a leader sees them."""
+    """The other nodes as a leader knows them."""
     machine = world.machines[number]
-    assert machine.leading is not None
-    versions = dict(machine.leading.versions)
+    assert machine.leader_state is not None
+    versions = dict(machine.leader_state.versions)
     peers = []
     for identity in {**dict.fromkeys(machine.view.voters), **versions}:
         if identity != machine.identity:
@@ -262,13 +263,13 @@
 
 
 def _peer(world: World, number: int, identity: str, version: DocumentVersion, unresponsive: str) -> Peer:
-    there = world.at(identity)
+    index = world.machine_of(identity)
     answers = (
-        there is not None and world.machines[there].identity == identity and world.reaches(number, there)
+        index is not None and world.machines[index].identity == identity and world.reaches(number, index)
     )
-    if not answers or there is None:
+    if not answers or index is None:
         return Peer(identity, version=version, last_answer_at=NOW - UNRESPONSIVE_S[unresponsive])
-    other = world.machines[there]
+    other = world.machines[index]
     return Peer(
         identity,
         version=version,
@@ -279,24 +280,24 @@
 
 
 def renewed_view(world: World, number: int) -> View | None:
-    """The present view once more, where votes or attempts of before stand in its leader's way."""
+    """The current view under the next epoch, if earlier votes or attempts block its leader."""
     machine = world.machines[number]
-    assert machine.leading is not None
+    assert machine.leader_state is not None
     granted = all(lease.grants(record, machine.identity) for record in voter_records(world, number))
     return reconfiguration.renewed_view(
-        machine.view, machine.incarnation, granted, frozenset(machine.leading.proposed)
+        machine.view, machine.incarnation, granted, frozenset(machine.leader_state.proposed)
     )
 
 
 def voter_records(world: World, number: int) -> list[AcceptorRecord]:
-    """Of the voters of this machine's view that it reaches and that know nothing newer."""
+    """The records of the voters of this machine's view that it reaches and that know no newer view."""
     view = world.machines[number].view
     records = []
     for voter in view.voters:
-        there = world.at(voter)
-        if there is None or not world.reaches(number, there):
+        index = world.machine_of(voter)
+        if index is None or not world.reaches(number, index):
             continue
-        other = world.machines[there]
+        other = world.machines[index]
         if other.identity == voter and other.view.epoch <= view.epoch:
             record = other.record.acceptor
             records.append(record if other.view.epoch == view.epoch else AcceptorRecord(view))
@@ -304,40 +305,40 @@
 
 
 def may_take_over(world: World, number: int) -> bool:
-    """Whether this process may stand for election."""
+    """Whether this process may start an election."""
     machine = world.machines[number]
     return (
         machine.up
         and not machine.is_leaving
-        and not machine.leading
+        and not machine.leader_state
         and machine.identity in machine.view.members
     )
 
 
-def stand(world: World, number: int, receivers: tuple[int, ...], planned: View | None) -> World:
-    """An attempt begins: the machines `asked` take the question for a promise, their answers come back."""
+def start_attempt(world: World, number: int, receivers: tuple[int, ...], planned: View | None) -> World:
+    """Starts an attempt: the machines `receivers` answer the request for a promise."""
     machine = world.machines[number]
     base = machine.view
     proposal_number = ProposalNumber(
         1 + _highest_promise(world, number), machine.identity, machine.incarnation
     )
-    world = world.put(
+    world = world.with_machine(
         number, machine._replace(attempt=Attempt(base, proposal_number, planned, None, (), frozenset()))
     )
     for other in receivers:
         attempt = world.machines[number].attempt
         if attempt is None:
             return world
-        made = _proposal(world, number, attempt)
-        world, answer = _request(world, other, made, "prepare")
+        new_proposal = _proposal(world, number, attempt)
+        world, answer = _request(world, other, new_proposal, "prepare")
         if isinstance(answer, Promise):
-            made.add_promise(world.machines[other].identity, answer)
-        world = _keep(world, number, made, attempt)
+            new_proposal.add_promise(world.machines[other].identity, answer)
+        world = _store_attempt(world, number, new_proposal, attempt)
     return world
 
 
 def _highest_promise(world: World, number: int) -> int:
-    """The proposal number that refusals would have told of."""
+    """The highest proposal number that rejections would have reported."""
     base = world.machines[number].view
     records = [world.machines[other].record.acceptor for other in world.up() if world.reaches(number, other)]
     return max((record.promised.number for record in records if record.view.epoch == base.epoch), default=0)
@@ -351,51 +352,57 @@
             return attempt.planned
         return takeover.takeover_view(base, promised, machine.identity, machine.incarnation, world.tolerate)
 
-    made = proposal.Proposal(attempt.base, attempt.proposal_number, choose, NOW)
-    made.view = attempt.view
-    made._promises = dict(attempt.promises)
-    made._votes = set(attempt.votes)
-    return made
+    new_proposal = proposal.Proposal(attempt.base, attempt.proposal_number, choose, NOW)
+    new_proposal.view = attempt.view
+    new_proposal._promises = dict(attempt.promises)
+    new_proposal._votes = set(attempt.votes)
+    return new_proposal
 
 
-def _request(world: World, other: int, made: proposal.Proposal, phase: str):
+def _request(world: World, other: int, new_proposal: proposal.Proposal, phase: str):
     """A voter learns the base of the proposal and answers one of its requests; its vote is on disk."""
-    world = learn(world, other, made.base)
+    world = learn(world, other, new_proposal.base)
     machine = world.machines[other]
     voter = acceptor.Acceptor(machine.identity, machine.record.acceptor)
     if phase == "prepare":
-        answer = voter.prepare(made.prepare_request())
+        answer = voter.prepare(new_proposal.prepare_request())
     else:
-        answer = voter.accept(proposal.Accept(made.base, made.proposal_number, made.view))
+        answer = voter.accept(
+            proposal.Accept(new_proposal.base, new_proposal.proposal_number, new_proposal.view)
+        )
     record = msgspec.structs.replace(machine.record, acceptor=voter.record)
-    return world.put(other, machine._replace(record=record)), answer
+    return world.with_machine(other, machine._replace(record=record)), answer
 
 
-def _keep(world: World, number: int, made: proposal.Proposal, attempt: Attempt) -> World:
+def _store_attempt(world: World, number: int, new_proposal: proposal.Proposal, attempt: Attempt) -> World:
     machine = world.machines[number]
     if machine.attempt is None:
-        return world  # it learned of a newer view
+        return world  # it has learned a newer view
     kept = attempt._replace(
-        view=made.view, promises=tuple(sorted(made._promises.items())), votes=frozenset(made._votes)
+        view=new_proposal.view,
+        promises=tuple(sorted(new_proposal._promises.items())),
+        votes=frozenset(new_proposal._votes),
     )
-    leading = machine.leading
-    if leading is not None and made.view is not None:
-        leading = leading._replace(proposed=tuple(sorted({*leading.proposed, *made.view.members})))
-    return world.put(number, machine._replace(attempt=kept, leading=leading))
+    leader_state = machine.leader_state
+    if leader_state is not None and new_proposal.view is not None:
+        leader_state = leader_state._replace(
+            proposed=tuple(sorted({*leader_state.proposed, *new_proposal.view.members}))
+        )
+    return world.with_machine(number, machine._replace(attempt=kept, leader_state=leader_state))
 
 
 def vote(world: World, number: int, receivers: tuple[int, ...], is_answered: bool = True) -> World:
-    """The machines `asked` take the question for a vote; unless `heard`, their answers are lost."""
+    """The machines `receivers` get the request for a vote; unless `is_answered`, their answers are lost."""
     for other in receivers:
         attempt = world.machines[number].attempt
         if attempt is None or attempt.view is None:
             return world
-        made = _proposal(world, number, attempt)
-        world, answer = _request(world, other, made, "accept")
+        new_proposal = _proposal(world, number, attempt)
+        world, answer = _request(world, other, new_proposal, "accept")
         if not is_answered or not isinstance(answer, Accepted):
             continue
-        view = made.add_vote(world.machines[other].identity, answer)
-        world = _keep(world, number, made, attempt)
+        view = new_proposal.add_vote(world.machines[other].identity, answer)
+        world = _store_attempt(world, number, new_proposal, attempt)
         if view is not None:
             return learn(world, number, view)
     return world
@@ -405,7 +412,7 @@
 
 
 def heartbeat(world: World, number: int, others: tuple[int, ...], is_answered: bool = True) -> World:
-    """A leader's heartbeat and document reach these machines; unless `heard`, their answers are lost."""
+    """A leader's heartbeat and document reach `others`; unless `is_answered`, their answers are lost."""
     for other in others:
         leader, follower = world.machines[number], world.machines[other]
         if follower.view.epoch > leader.view.epoch:
@@ -414,7 +421,7 @@
         follower = world.machines[other]
         if leader.document.version >= follower.document.version:
             record = msgspec.structs.replace(follower.record, document=leader.document)
-            world = world.put(other, follower._replace(record=record))
+            world = world.with_machine(other, follower._replace(record=record))
         if is_answered:
             world = _acknowledged(world, number, other)
     return check_commit(world, number)
@@ -422,87 +429,91 @@
 
 def _acknowledged(world: World, number: int, other: int) -> World:
     leader, follower = world.machines[number], world.machines[other]
-    assert leader.leading is not None
-    versions = dict(leader.leading.versions)
+    assert leader.leader_state is not None
+    versions = dict(leader.leader_state.versions)
     versions[follower.identity] = max(
         versions.get(follower.identity, DocumentVersion()), follower.document.version
     )
-    leading = leader.leading._replace(versions=tuple(sorted(versions.items())))
-    return world.put(number, leader._replace(leading=leading))
+    leader_state = leader.leader_state._replace(versions=tuple(sorted(versions.items())))
+    return world.with_machine(number, leader._replace(leader_state=leader_state))
 
 
 def check_commit(world: World, number: int) -> World:
-    """Commits the leader's document where the shipped rule allows it; an observer sees that."""
+    """Commits the leader's document if `commit.may_commit` allows it, and records what is acknowledged."""
     leader = world.machines[number]
-    leading, document = leader.leading, leader.document
-    if leading is None or (leading.committed is not None and leading.committed.version == document.version):
+    leader_state, document = leader.leader_state, leader.document
+    if leader_state is None or (
+        leader_state.committed is not None and leader_state.committed.version == document.version
+    ):
         return world
-    versions = dict(leading.versions)
+    versions = dict(leader_state.versions)
 
     def has_document(member: str) -> bool:
         return member == leader.identity or versions.get(member) == document.version
 
     planned = leader.attempt.planned if leader.attempt is not None else None
-    proposed = frozenset((*leading.proposed, *(planned.members if planned is not None else ())))
+    proposed = frozenset((*leader_state.proposed, *(planned.members if planned is not None else ())))
     if not commit.may_commit(leader.view, proposed, world.tolerate, has_document):
         return world
     if not document.payload.startswith(world.acknowledged):
         raise ViolationError(
-            f"lost: {world.acknowledged!r} was acknowledged, {document.payload!r} is committed"
+            f"lost writes: {world.acknowledged!r} was acknowledged, {document.payload!r} is committed"
         )
-    world = world.put(number, leader._replace(leading=leading._replace(committed=document)))
+    world = world.with_machine(
+        number, leader._replace(leader_state=leader_state._replace(committed=document))
+    )
     return world._replace(acknowledged=document.payload)
 
 
 def may_write(world: World, number: int) -> bool:
-    """Whether a leader takes a write: the one before it is committed."""
-    leading = world.machines[number].leading
+    """Whether a leader accepts a write, which needs the one before it to be committed."""
+    leader_state = world.machines[number].leader_state
     document = world.machines[number].document
     return (
-        leading is not None
-        and leading.committed is not None
-        and leading.committed.version == document.version
+        leader_state is not None
+        and leader_state.committed is not None
+        and leader_state.committed.version == document.version
     )
 
 
 def write(world: World, number: int) -> World:
-    """A leader puts one more write on top of its document, on its own disk first."""
+    """A leader adds a write to its document, on its own disk first."""
     machine = world.machines[number]
     version = DocumentVersion(machine.view.epoch, machine.document.version.sequence + 1)
     document = Document(version, machine.document.payload + bytes([world.writes + 1]))
     record = msgspec.structs.replace(machine.record, document=document)
-    return world.put(number, machine._replace(record=record))._replace(writes=world.writes + 1)
+    return world.with_machine(number, machine._replace(record=record))._replace(writes=world.writes + 1)
 
 
 def is_confirmed_leader(world: World, number: int) -> bool:
-    """Whether this leader would get a final word confirmed now: a majority of its voters answers."""
+    """Whether a leadership check of this leader would be confirmed now: a majority of its voters answers."""
     machine = world.machines[number]
-    if not machine.up or machine.leading is None or machine.leading.committed is None:
+    if not machine.up or machine.leader_state is None or machine.leader_state.committed is None:
         return False
     granting = [record for record in voter_records(world, number) if lease.grants(record, machine.identity)]
     return len(granting) >= machine.view.majority
 
 
 def check(world: World) -> None:
-    """The invariants that hold at every moment."""
-    speaking = [number for number in world.up() if is_confirmed_leader(world, number)]
-    if len(speaking) > 1:
-        raise ViolationError(f"two leaders speak: {speaking}")
-    for number in speaking:
-        leading = world.machines[number].leading
-        assert leading is not None and leading.committed is not None
-        if not leading.committed.payload.startswith(world.acknowledged):
-            raise ViolationError(f"a read at h{number} lacks what was acknowledged: {world.acknowledged!r}")
+    """Checks the invariants that hold at every moment."""
+    confirmed = [number for number in world.up() if is_confirmed_leader(world, number)]
+    if len(confirmed) > 1:
+        raise ViolationError(f"two leaders are confirmed at once: {confirmed}")
+    for number in confirmed:
+        leader_state = world.machines[number].leader_state
+        assert leader_state is not None and leader_state.committed is not None
+        if not leader_state.committed.payload.startswith(world.acknowledged):
+            raise ViolationError(f"a read at h{number} lacks acknowledged writes: {world.acknowledged!r}")
 
 
 # departures
 
 
 def released(world: World, number: int, unresponsive: str = "long") -> tuple[str, ...]:
-    """The leaving nodes that this leader lets go."""
+    """The leaving nodes that this leader releases."""
     leader = world.machines[number]
-    assert leader.leading is not None
-    committed = leader.leading.committed
+    assert leader.leader_state is not None
+    committed = leader.leader_state.committed
     is_settled = (
         committed is not None
         and committed.version.epoch == leader.view.epoch
@@ -515,14 +526,14 @@
 
 
 def may_stop(world: World, number: int) -> bool:
-    """Whether a process that was told to stop may end: its leader says so, or it has no part any more."""
+    """Whether a leaving process may end: its leader releases it, or it has no role any more."""
     machine = world.machines[number]
-    if machine.leading is not None:
+    if machine.leader_state is not None:
         others = [voter for voter in machine.view.voters if voter != machine.identity]
         return not others or machine.identity in released(world, number)
     if machine.identity not in machine.view.voters and machine.identity not in machine.view.members:
         return True
-    leaders = [one for one in world.up() if world.machines[one].leading and world.reaches(one, number)]
+    leaders = [one for one in world.up() if world.machines[one].leader_state and world.reaches(one, number)]
     same = [one for one in leaders if world.machines[one].view.epoch == machine.view.epoch]
     return any(machine.identity in released(world, one) for one in same)
 
@@ -533,22 +544,24 @@
 def end(world: World, number: int) -> World:
     """The process ends; its disk stays."""
     machine = world.machines[number]
-    return world.put(number, machine._replace(up=False, leading=None, attempt=None, is_leaving=False))
+    return world.with_machine(
+        number, machine._replace(up=False, leader_state=None, attempt=None, is_leaving=False)
+    )
 
 
 def start(world: World, number: int) -> World:
     """A process starts on what the disk holds."""
     machine = world.machines[number]
-    return world.put(number, machine._replace(up=True, incarnation=machine.incarnation + 1))
+    return world.with_machine(number, machine._replace(up=True, incarnation=machine.incarnation + 1))
 
 
 def restart(world: World, number: int) -> World:
-    """So soon that nobody has noticed."""
+    """The process restarts so quickly that no other node notices."""
     return start(end(world, number), number)
 
 
 def empty_record(world: World, number: int) -> NodeRecord:
-    """Of a machine whose disk is empty: it is another node."""
+    """The record of a machine whose disk is empty, which makes it a new node."""
     return new_record(f"h{number}/{world.disks_made + 1}", AcceptorRecord(NO_VIEW))
 
 
@@ -557,102 +570,102 @@
     record = empty_record(world, number)
     world = end(world, number)
     machine = world.machines[number]._replace(record=record, lost=True)
-    return world.put(number, machine)._replace(disks_made=world.disks_made + 1)
+    return world.with_machine(number, machine)._replace(disks_made=world.disks_made + 1)
 
 
 def remove(world: World, number: int) -> World:
-    """The machine is taken away for good."""
+    """The machine is removed for good."""
     world = end(world, number)
-    return world.put(number, world.machines[number]._replace(is_removed=True, lost=False))
+    return world.with_machine(number, world.machines[number]._replace(is_removed=True, lost=False))
 
 
 def add(world: World, lost: bool) -> World:
-    """A machine with an empty disk at a new address; `lost`: it succeeds one that is gone unplanned."""
+    """Adds a machine with an empty disk at a new address; `lost`: it replaces one that was lost."""
     number = len(world.machines)
     machine = Machine(empty_record(world, number), lost=lost)
     return world._replace(machines=(*world.machines, machine), disks_made=world.disks_made + 1)
 
 
-# calm time
+# fault-free periods
 
 
-def calm(world: World, first: int = 0) -> World:
-    """What is up runs without a fault until nothing changes any more; whoever is up counts as settled.
+def settle(world: World, first: int = 0) -> World:
+    """Runs the machines that are up without a fault until nothing changes any more; they end up not lost.
 
-    Where nobody leads, the `first` of those that may stand for election does. Raises ViolationError if no
-    leader with all that was acknowledged is reached.
+    If no node leads, the candidate with the index `first` starts an election. Raises ViolationError if that
+    doesn't reach a leader with everything that was acknowledged.
     """
-    world = before_calm(world)
+    world = end_disruptions(world)
     for _ in range(MAX_ROUNDS):
-        after = _calm_round(world, first)
+        after = _settle_round(world, first)
         if after == world:
-            return _after_calm(world)
+            return _check_settled(world)
         world = after
-    raise ViolationError("calm time goes on for ever")
+    raise ViolationError("the world never settles in a fault-free period")
 
 
-def before_calm(world: World) -> World:
-    """The halves meet again, and attempts under way are given up."""
+def end_disruptions(world: World) -> World:
+    """Heals the partition, and gives up the attempts in progress."""
     machines = tuple(machine._replace(attempt=None) for machine in world.machines)
-    return world._replace(side=frozenset(), machines=machines)
+    return world._replace(isolated=frozenset(), machines=machines)
 
 
-def _calm_round(world: World, first: int) -> World:
+def _settle_round(world: World, first: int) -> World:
     newest = max((world.machines[number].view for number in world.up()), key=lambda view: view.epoch)
     for number in world.up():
         world = learn(world, number, newest)
-    leaders = [number for number in world.up() if world.machines[number].leading]
+    leaders = [number for number in world.up() if world.machines[number].leader_state]
     if not leaders:
-        return _calm_election(world, first)
+        return _settle_election(world, first)
     (leader,) = leaders
     world = heartbeat(world, leader, tuple(number for number in world.up() if number != leader))
     check(world)
     wanted = wanted_views(world, leader, "long")[:1] or [renewed_view(world, leader)]
     if wanted[0] is not None:
-        return _calm_attempt(world, leader, wanted[0])
-    return _calm_departures(world)
+        return _settle_attempt(world, leader, wanted[0])
+    return _settle_departures(world)
 
 
-def _calm_departures(world: World) -> World:
+def _settle_departures(world: World) -> World:
     for number in world.up():
         if world.machines[number].is_leaving and may_stop(world, number):
             return end(world, number)
     return world
 
 
-def _calm_election(world: World, first: int) -> World:
+def _settle_election(world: World, first: int) -> World:
     candidates = [number for number in world.up() if may_take_over(world, number)]
     if not candidates:
-        raise ViolationError("nobody may lead in calm time")
-    return _calm_attempt(world, candidates[first % len(candidates)], None)
+        raise ViolationError("no node may lead in a fault-free period")
+    return _settle_attempt(world, candidates[first % len(candidates)], None)
 
 
-def _calm_attempt(world: World, number: int, planned: View | None) -> World:
-    everybody = tuple(world.up())
-    world = vote(stand(world, number, everybody, planned), number, everybody)
+def _settle_attempt(world: World, number: int, planned: View | None) -> World:
+    running = tuple(world.up())
+    world = vote(start_attempt(world, number, running, planned), number, running)
     if world.machines[number].attempt is not None:
-        raise ViolationError("no majority of voters answers in calm time")
+        raise ViolationError("no majority of voters answers in a fault-free period")
     return world
 
 
-def _after_calm(world: World) -> World:
+def _check_settled(world: World) -> World:
     check(world)
     leaders = [number for number in world.up() if is_confirmed_leader(world, number)]
     if not leaders:
-        raise ViolationError("nobody serves in calm time")
+        raise ViolationError("no node serves in a fault-free period")
     leader = world.machines[leaders[0]]
     if leader.document.payload != world.acknowledged:
         raise ViolationError(
             f"{world.acknowledged!r} was acknowledged, {leader.document.payload!r} is served"
         )
     for number in world.up():
-        world = world.put(number, world.machines[number]._replace(lost=False))
+        world = world.with_machine(number, world.machines[number]._replace(lost=False))
     if not world.lost() and any(machine.is_leaving for machine in world.machines):
-        raise ViolationError("a node that leaves is never released")
+        raise ViolationError("a leaving node is never released")
     return world
 
 
 def majorities(numbers: list[int], minimum: int) -> list[tuple[int, ...]]:
-    """The smallest sets of so many, and all of them at once."""
+    """All sets of exactly `minimum` of the numbers, and the set of all numbers."""
     found = list(combinations(numbers, minimum)) if len(numbers) >= minimum else []
     return found if tuple(numbers) in found or len(numbers) < minimum else [*found, tuple(numbers)]
--- a/tests/replication/membership_mutants.py
+++ b/tests/replication/membership_mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into voters, members, takeovers and departures on purpose; the exploration finds each."""
+"""Faults to inject into voters, members, takeovers and departures; the exploration must detect each."""
 
 from contextlib import ExitStack, contextmanager
 
@@ -16,17 +16,17 @@
 
 
 def all_voters_are_members(view, nodes, synced, voters, tolerate, now):
-    """Whether they are in sync or not."""
+    """Makes all voters members, in sync or not."""
     return voters
 
 
 def members_in_sync_only(view, nodes, synced, voters, tolerate, now):
-    """Fewer than may be lost at once, plus one."""
+    """Keeps only members in sync, even if fewer than `tolerate + 1` are left."""
     return tuple(voter for voter in voters if voter in synced)
 
 
 def voter_beside_the_lost_one(view, nodes, synced, tolerate, now):
-    """A machine that lost its disk gets a voter beside its old one."""
+    """Adds a machine that lost its disk as a voter, and keeps its old identity as a voter too."""
     voters = list(_VOTERS(view, nodes, synced, tolerate, now))
     for newcomer in synced:
         if newcomer not in voters:
@@ -38,28 +38,28 @@
 
 
 def takeover_by_one_member(base, promised, own, incarnation, tolerate):
-    """By a view of one member."""
+    """Takes over with a view of one member."""
     return View(base.epoch + 1, own, (own,), base.voters, incarnation)
 
 
 def takeover_of_all_that_promised(base, promised, own, incarnation, tolerate):
-    """Whoever promised counts as in sync."""
+    """Makes every voter that promised a member, in sync or not."""
     return View(base.epoch + 1, own, tuple(sorted(promised | {own})), base.voters, incarnation)
 
 
 def takeover_with_the_voters_that_promised(base, promised, own, incarnation, tolerate):
-    """The others lose their voters to nobody."""
+    """Drops the voters that did not promise, without a replacement."""
     view = _TAKEOVER(base, promised, own, incarnation, tolerate)
     return msgspec.structs.replace(view, voters=tuple(sorted(promised | {own})))
 
 
 def commit_by_the_present_view_only(view, proposed, tolerate, has_document):
-    """Also while views with other members may have been decided."""
+    """Commits without the proposed members, even while a view with them may have been decided."""
     return len(view.members) >= tolerate + 1 and all(has_document(member) for member in view.members)
 
 
 def commit_by_any_majority(view, proposed, tolerate, has_document):
-    """Members or not."""
+    """Commits once any majority of voters has the document, members or not."""
     return sum(1 for voter in view.voters if has_document(voter)) >= view.majority
 
 
@@ -80,19 +80,19 @@
 
 
 def renewed_for_votes_only(view, incarnation, granted, proposed):
-    """A view that was proposed and given up goes on holding commits up."""
+    """Renews a view only for votes, so that a proposed view that was given up blocks commits for ever."""
     return None if granted else View(view.epoch + 1, view.primary, view.members, view.voters, incarnation)
 
 
 class ProposesOver(Proposal):
-    """What was accepted before is passed over."""
+    """Ignores views that were accepted before."""
 
     def _previously_accepted(self):
         return None
 
 
 def same_identity(world, number):
-    """A lost disk comes back under its old identity and in its old view, as if it remembered."""
+    """Starts a lost disk under its old identity and in its old view, as if it had kept its record."""
     if number == len(world.machines):
         return _EMPTY_RECORD(world, number)
     machine = world.machines[number]
@@ -101,26 +101,30 @@
 
 MUTANTS = {
     "members that are not in sync": [(reconfiguration, {"_members": all_voters_are_members})],
-    "members fewer than may be lost": [(reconfiguration, {"_members": members_in_sync_only})],
-    "a voter beside the one that was lost": [(reconfiguration, {"_voters": voter_beside_the_lost_one})],
-    "a takeover alone": [(takeover, {"takeover_view": takeover_by_one_member})],
-    "a takeover that calls all in sync": [(takeover, {"takeover_view": takeover_of_all_that_promised})],
+    "too few members for the tolerated losses": [(reconfiguration, {"_members": members_in_sync_only})],
+    "a voter in addition to the lost one": [(reconfiguration, {"_voters": voter_beside_the_lost_one})],
+    "a takeover with a single member": [(takeover, {"takeover_view": takeover_by_one_member})],
+    "a takeover that treats every voter as in sync": [
+        (takeover, {"takeover_view": takeover_of_all_that_promised})
+    ],
     "a takeover that drops voters": [(takeover, {"takeover_view": takeover_with_the_voters_that_promised})],
-    "a commit beside a proposed view": [(commit, {"may_commit": commit_by_the_present_view_only})],
+    "a commit without the members of a proposed view": [
+        (commit, {"may_commit": commit_by_the_present_view_only})
+    ],
     "a commit on any majority": [(commit, {"may_commit": commit_by_any_majority})],
     "a commit on one disk": [(commit, {"may_commit": commit_on_one_disk})],
-    "a leaver that goes at once": [(departure, {"released_nodes": released_at_once})],
-    "a leaver that is never released": [(departure, {"released_nodes": never_released})],
+    "a leaving node that stops at once": [(departure, {"released_nodes": released_at_once})],
+    "a leaving node that is never released": [(departure, {"released_nodes": never_released})],
     "no renewal": [(reconfiguration, {"renewed_view": never_renewed})],
     "a proposal given up is not renewed": [(reconfiguration, {"renewed_view": renewed_for_votes_only})],
-    "an accepted view passed over": [(proposal, {"Proposal": ProposesOver})],
+    "an accepted view that is ignored": [(proposal, {"Proposal": ProposesOver})],
     "a lost disk under its old identity": [(membership_model, {"empty_record": same_identity})],
 }
 
 
 @contextmanager
 def with_mutant(name):
-    """The modules with the names of one fault."""
+    """Injects one fault of `MUTANTS` within a `with` block."""
     with ExitStack() as stack:
         for module, names in MUTANTS[name]:
             stack.enter_context(patched(module, **names))
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -1,4 +1,4 @@
-"""Faults put into replication on purpose; each is a class that `random_history` plays in the core's place."""
+"""Faults to inject into replication; each is a class that `random_history` runs in place of the core."""
 
 import msgspec
 from replication.simulation import patched
@@ -32,7 +32,7 @@
 
 
 class KeepsNoVote(Acceptor):
-    """It answers that it accepted, and stores nothing."""
+    """Answers that it accepted a view, but stores no vote."""
 
     def accept(self, message):
         record = self.record
@@ -47,27 +47,27 @@
         return None
 
 
-class _FewerVoters(Proposal):
+class DecidesWithoutMajority(Proposal):
     def __init__(self, base, *rest):
         super().__init__(base, *rest)
         voters = base.voters
-        self.base = _Lenient(base.epoch, base.primary, base.members, voters)
+        self.base = MajorityOfOne(base.epoch, base.primary, base.members, voters)
 
 
-class _Lenient(View, frozen=True):
+class MajorityOfOne(View, frozen=True):
     @property
     def majority(self):
         return 1
 
 
-def exchange_methods(part, methods):
-    """Gives one object other methods than those of its class."""
+def replace_methods(part, methods):
+    """Replaces methods of one object."""
     assert all(hasattr(part, name) for name in methods), f"a fault that nothing calls: {list(methods)}"
     part.__class__ = type("Mutant", (type(part),), methods)
 
 
 def proposes_by(proposal):
-    """A method of `Proposer` that uses another class of proposals."""
+    """Returns a `Proposer.propose` that uses another class of proposals."""
 
     def propose(self, *arguments):
         with patched(proposer_module, Proposal=proposal):
@@ -79,7 +79,7 @@
 def core_with(
     acceptor=None, proposal=None, voter=None, follower=None, leader=None, documents=None, **methods
 ):
-    """A core with another acceptor or class of proposals, or with other methods."""
+    """Returns a class of cores with another acceptor or class of proposals, or with other methods."""
 
     class Mutant(ReplicationCore):
         def __init__(self, record, *rest):
@@ -87,11 +87,11 @@
             if acceptor is not None:
                 self._state.acceptor = acceptor(record.identity, record.acceptor)
             if proposal is not None:
-                exchange_methods(self._proposer, {"propose": proposes_by(proposal)})
-            exchange_methods(self._voter, voter or {})
-            exchange_methods(self._follower, follower or {})
-            exchange_methods(self._leader, leader or {})
-            exchange_methods(self._leader._documents, documents or {})
+                replace_methods(self._proposer, {"propose": proposes_by(proposal)})
+            replace_methods(self._voter, voter or {})
+            replace_methods(self._follower, follower or {})
+            replace_methods(self._leader, leader or {})
+            replace_methods(self._leader._documents, documents or {})
 
     for name, method in methods.items():
         assert hasattr(ReplicationCore, name), f"a fault that nothing calls: {name}"
@@ -99,11 +99,11 @@
     return Mutant
 
 
-# by the class whose method each replaces
+# Replacements of methods; each docstring begins with the class, and the method if its name differs.
 
 
 def commit_on(disks):
-    """`DocumentReplication`: commits once so many voters hold the document, members or not."""
+    """`DocumentReplication.check_commit`: commits once so many voters hold the document, members or not."""
 
     def check_commit(self, version):
         state = self._state
@@ -121,12 +121,12 @@
 
 
 def counts_own_disk_unsynced(self, member, version):
-    """`DocumentReplication.has_document`."""
+    """`DocumentReplication.has_document`: counts the leader's own disk before the write is done."""
     return member == self._state.identity or self._peers.get(member).version == version
 
 
 def answers_before_the_disk(self, sender, message):
-    """`Follower.on_replicate`."""
+    """`Follower.on_replicate`: acknowledges a document before it is on disk."""
     state = self._state
     if message.document.version < state.document.version:
         return
@@ -136,7 +136,7 @@
 
 
 def takes_old_epochs(self, sender, message):
-    """`ReplicationCore._on_replicate`."""
+    """`ReplicationCore._on_replicate`: stores and acknowledges documents of old epochs."""
     self._learn(message.view)
     state, version = self._state, message.document.version
     if version.sequence < state.document.version.sequence:
@@ -146,7 +146,7 @@
 
 
 def takes_older_documents(self, sender, message):
-    """`Follower.on_replicate`."""
+    """`Follower.on_replicate`: replaces its document by an older one."""
     state = self._state
     state.document = message.document
     version = message.document.version
@@ -154,14 +154,14 @@
 
 
 def leads_again(self, view):
-    """`ReplicationCore._learn`: a primary that was started anew goes on in its old epoch."""
+    """`ReplicationCore._learn`: a restarted primary continues to lead its old epoch."""
     ReplicationCore._learn(self, view)
     if view.primary == self.identity and view.epoch == self.view.epoch and not self.is_leading:
         self._leader.start()
 
 
 def keeps_old_version(self):
-    """`Leader.start`."""
+    """`Leader.start`: keeps the version of an older epoch, and commits before its members are in sync."""
     state = self._state
     document = state.document
     Leader.start(self)
@@ -171,19 +171,19 @@
 
 
 def takes_any_acknowledgement(self, ack):
-    """`ReplicationCore._is_answer_to_leader`."""
+    """`ReplicationCore._is_answer_to_leader`: accepts acknowledgements of documents of any epoch."""
     return self.is_leading and (isinstance(ack, Replicated) or ack.epoch == self.view.epoch)
 
 
 def counts_any_acknowledgement(self, sender, ack):
-    """`Leader.on_replicated`."""
+    """`Leader.on_replicated`: counts an acknowledgement of any epoch as one of the current epoch."""
     state = self._state
     self._peers.get(sender).version = DocumentVersion(state.view.epoch, ack.version.sequence)
     self._documents.check_commit(state.document.version)
 
 
-def anybody_stands(self):
-    """`Follower.tick`: a node that isn't in sync stands for election too."""
+def any_node_starts_elections(self):
+    """`Follower.tick`: a node that isn't in sync starts elections too."""
     state = self._state
     is_due = self.heartbeat_age_s(state.now) > self._election_timeout_s
     if is_due and not self._proposer.is_proposing and state.view.voters:
@@ -194,33 +194,33 @@
 
 
 def takeover_drops_voters(self, base, promised):
-    """`Follower.choose_takeover`."""
+    """`Follower.choose_takeover`: drops all other voters and members."""
     view = Follower.choose_takeover(self, base, promised)
     own = self._state.identity
     return msgspec.structs.replace(view, voters=(own,), members=(own,))
 
 
 def takeover_of_all(self, base, promised):
-    """`Follower.choose_takeover`: whoever promised counts as in sync."""
+    """`Follower.choose_takeover`: makes every voter that promised a member, in sync or not."""
     own = self._state.identity
     return View(base.epoch + 1, own, tuple(sorted(promised | {own})), base.voters)
 
 
 def reads_unasked(self, now, request):
-    """`ReplicationCore.confirm_leadership`."""
+    """`ReplicationCore.confirm_leadership`: confirms without asking the voters."""
     self._state.now = now
     self._state.emit(LeadershipCheckDone(request, self.committed is not None))
     return self._state.take_effects()
 
 
 def writes_at_once(self, now, request, payload):
-    """`ReplicationCore.write`."""
+    """`ReplicationCore.write`: acknowledges the write at once."""
     effects = ReplicationCore.write(self, now, request, payload)
     return [*effects, WriteDone(request, True)]
 
 
 def learns_nothing_from_deposal(self, view):
-    """`ReplicationCore._learn`."""
+    """`ReplicationCore._learn`: a leader ignores views with another primary."""
     if self.is_leading and view.primary != self.identity:
         return
     ReplicationCore._learn(self, view)
@@ -251,36 +251,36 @@
 
 MUTANTS = {
     "an acceptor that promises anything": core_with(PromisesAnything),
-    "a proposal without a majority": core_with(proposal=_FewerVoters),
+    "a proposal without a majority": core_with(proposal=DecidesWithoutMajority),
     "a commit on one disk": core_with(documents={"check_commit": commit_on(1)}),
     "a commit on any two disks": core_with(documents={"check_commit": commit_on(2)}),
     "a commit before the leader's own disk": core_with(documents={"has_document": counts_own_disk_unsynced}),
     "an acknowledgement before the disk": core_with(follower={"on_replicate": answers_before_the_disk}),
     "documents of old epochs": core_with(_on_replicate=takes_old_epochs),
     "older documents": core_with(follower={"on_replicate": takes_older_documents}),
-    "a leader that goes on after its restart": core_with(_learn=leads_again),
+    "a leader that continues after its restart": core_with(_learn=leads_again),
     "a leader that commits before it is in sync": core_with(leader={"start": keeps_old_version}),
-    "a candidate out of sync": core_with(follower={"tick": anybody_stands}),
+    "a candidate out of sync": core_with(follower={"tick": any_node_starts_elections}),
     "a takeover that drops voters": core_with(follower={"choose_takeover": takeover_drops_voters}),
-    "a read that asks nobody": core_with(confirm_leadership=reads_unasked),
+    "a read without a leadership check": core_with(confirm_leadership=reads_unasked),
     "a write acknowledged at once": core_with(write=writes_at_once),
     "a version used twice": core_with(write=version_reused),
-    "a leader that won't be deposed": core_with(_learn=learns_nothing_from_deposal),
+    "a leader that ignores its deposition": core_with(_learn=learns_nothing_from_deposal),
 }
-# so rare that a test can't wait for them: the first was found by history 432 of an earlier text, the second
-# not by the histories that fit in 150 s, which were not counted
+# Faults that random histories show too rarely for a test: history 432 of an earlier version of the histories
+# showed the first; no history of a run of 150 s, whose number was not counted, showed the second.
 RARE = {
-    "a takeover that calls all in sync": core_with(follower={"choose_takeover": takeover_of_all}),
+    "a takeover that treats every voter as in sync": core_with(follower={"choose_takeover": takeover_of_all}),
     "acknowledgements of any epoch": core_with(
         leader={"on_replicated": counts_any_acknowledgement}, _is_answer_to_leader=takes_any_acknowledgement
     ),
 }
 RULES = {
     "members that are not in sync": {"_members": everyone_a_member},
-    "members fewer than may be lost": {"_members": one_member_is_enough},
+    "too few members for the tolerated losses": {"_members": one_member_is_enough},
 }
 
 
 def with_rule(name):
-    """The module of the next view with one of the faults of `RULES`, while the result is open."""
+    """Injects one fault of `RULES` into `reconfiguration` within a `with` block."""
     return patched(reconfiguration, **RULES[name])
--- a/tests/replication/test_lease_model.py
+++ b/tests/replication/test_lease_model.py
@@ -25,7 +25,7 @@
     "a grant that a restart forgets": (lease, {"LeaseGrant": ForgetsGrants}),
     "a grant by a voter that voted for another": (lease, {"grants": lambda record, primary: True}),
     "a lease counted from the answer": (peers, {"Peers": CountsFromTheAnswer}),
-    "a voter whose vote is bound helps another": (lease, {"LeaseGrant": IgnoresGrants}),
+    "a voter whose bound vote goes to another node": (lease, {"LeaseGrant": IgnoresGrants}),
 }
 
 
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from replication.lease_mutants import NAMES, commits_by_the_old_members, with_lease_mutant
+from replication.lease_mutants import MODULE_PATCHES, commits_by_the_old_members, with_lease_mutant
 from replication.mutants import core_with
 from replication.simulation import Simulation, ViolationError
 
@@ -88,7 +88,7 @@
     (
         ("a lease longer than its grant", {}),
         ("a grant that a restart forgets", {"restarts": True}),
-        ("clocks that drift beyond what is stated", {"restarts": True}),
+        ("clocks that drift more than stated", {"restarts": True}),
         ("a lease counted from the answer", {"late": True}),
     ),
 )
@@ -100,7 +100,10 @@
 
 def test_the_clock_drift_fits_the_durations_of_lease_and_grant():
     assert lease.LEADER_LEASE_S * (1 + lease.CLOCK_DRIFT) < lease.GRANT_S
-    assert set(NAMES) >= {"a grant by a voter that voted for another", "a read confirmed by older answers"}
+    assert set(MODULE_PATCHES) >= {
+        "a grant by a voter that voted for another",
+        "a read confirmed by older answers",
+    }
 
 
 def test_after_a_restart_of_all_processes_an_election_succeeds_once_the_old_primary_ends_its_lease():
--- a/tests/replication/test_membership.py
+++ b/tests/replication/test_membership.py
@@ -20,19 +20,19 @@
 # For each fault, a slice whose exploration detects it.
 DETECTED_BY = {
     "members that are not in sync": "lost disks",
-    "members fewer than may be lost": "takeovers",
-    "a voter beside the one that was lost": "lost disks",
-    "a takeover alone": "lost disks",
-    "a takeover that calls all in sync": "returning",
+    "too few members for the tolerated losses": "takeovers",
+    "a voter in addition to the lost one": "lost disks",
+    "a takeover with a single member": "lost disks",
+    "a takeover that treats every voter as in sync": "returning",
     "a takeover that drops voters": "lost disks",
-    "a commit beside a proposed view": "proposed",
+    "a commit without the members of a proposed view": "proposed",
     "a commit on any majority": "lost disks",
     "a commit on one disk": "lost disks",
-    "a leaver that goes at once": "departures",
-    "a leaver that is never released": "departures",
+    "a leaving node that stops at once": "departures",
+    "a leaving node that is never released": "departures",
     "no renewal": "departures",
     "a proposal given up is not renewed": "given up",
-    "an accepted view passed over": "lost disks",
+    "an accepted view that is ignored": "lost disks",
     "a lost disk under its old identity": "lost disks",
 }
 
--- a/tests/replication/test_renewal.py
+++ b/tests/replication/test_renewal.py
@@ -19,9 +19,8 @@
     assert len(sim.hosts[leader].core.view.members) == 2
     drop_accept_requests(sim)
     sim.start(absent)
-    while not sim.hosts[
-        leader
-    ].core._proposer.proposed_members:  # it asks for votes on a view with the node that is back
+    # Until the leader requests votes for a view with the returned node.
+    while not sim.hosts[leader].core._proposer.proposed_members:
         sim.run(sim.now + 0.002)
     sim.kill(absent)
     sim.run(sim.now + 1.0)
--- a/wheatroute/replication/__init__.py
+++ b/wheatroute/replication/__init__.py
@@ -8,5 +8,5 @@
 
 Terms: a view is one configuration of the control nodes, with an epoch, a primary, members (whose disks hold
 every acknowledged document) and voters (a majority of whom decides the next view). The process that leads a
-view is its leader. The document is the replicated state; soft state is sent beside it and may be lost.
+view is its leader. The document is the replicated state; soft state is replicated separately and may be lost.
 """
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -76,7 +76,7 @@
         if is_without_contact and state.now >= self._next_join_at:
             self._send_join_requests()
         # This node has given up its lease, or an earlier process of this node led. Voters would otherwise
-        # wait for a lease that nobody holds any more.
+        # wait for a lease that no process holds any more.
         if state.view.primary == state.identity and state.now >= self._next_lease_ended_at:
             self._announce_lease_ended()
         # While a lease binds this node's own vote, it most likely binds the votes of the others too.
--- a/wheatroute/replication/storage.py
+++ b/wheatroute/replication/storage.py
@@ -39,19 +39,19 @@
         """Returns the record, or None if there is no readable one."""
 
     def write(self, record: NodeRecord) -> None:
-        """Writes what changed and syncs it; raises StorageError, after which the old record stands."""
+        """Writes and syncs the changed values; if that raises StorageError, the old record stays valid."""
 
     def scrub(self) -> list[str]:
-        """Reads back what was written last; the names of values that are not as they were written.
+        """Compares the disk with what was written last; returns the names of the values that differ.
 
-        They count as not written, so that the next `write` corrects them.
+        These values count as not written, so that the next `write` writes them again.
         """
 
     def read_soft_state(self) -> bytes:
-        """The soft state written last, or nothing."""
+        """Returns the soft state written last, or an empty value."""
 
     def write_soft_state(self, payload: bytes) -> None:
-        """Writes soft state; what the disk rejects is lost without harm."""
+        """Writes soft state; ignores a failure, since soft state may be lost without harm."""
 
     def close(self) -> None:
         """Closes the file."""
@@ -85,7 +85,7 @@
             return None
 
     def write(self, record: NodeRecord) -> None:
-        """Writes what changed and syncs it; raises StorageError, after which the old record stands."""
+        """Writes and syncs the changed values; if that raises StorageError, the old record stays valid."""
         values = {_IDENTITY: record.identity, _ACCEPTOR: record.acceptor, _DOCUMENT: record.document}
         changed = {key: value for key, value in values.items() if self._written.get(key) is not value}
         try:
@@ -102,9 +102,9 @@
         self._written = values
 
     def scrub(self) -> list[str]:
-        """Reads back what was written last; the names of values that are not as they were written.
+        """Compares the disk with what was written last; returns the names of the values that differ.
 
-        They count as not written, so that the next `write` corrects them.
+        These values count as not written, so that the next `write` writes them again.
         """
         damaged = [key for key, value in self._written.items() if not self._is_on_disk(key, value)]
         for key in damaged:
@@ -119,7 +119,7 @@
             return False
 
     def read_soft_state(self) -> bytes:
-        """The soft state written last, or nothing."""
+        """Returns the soft state written last, or an empty value."""
         if not self._path.exists():
             return b""
         try:
@@ -129,7 +129,7 @@
             return b""
 
     def write_soft_state(self, payload: bytes) -> None:
-        """Writes soft state; what the disk rejects is lost without harm."""
+        """Writes soft state; ignores a failure, since soft state may be lost without harm."""
         try:
             with self._open().begin(write=True) as transaction:
                 transaction.put(_SOFT_STATE, _with_checksum(payload))
