--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -1,5 +1,4 @@
-"""Explores the membership model: all sequences of steps between two fault-free periods, of which any number
-may follow each other.
+"""Explores the membership model: all sequences of steps between fault-free periods, any number of these.
 
 In a fault-free period the machines that are up settle, regardless of what happened before
 (`membership_model.settle`). Two settled worlds that differ only in names, in how high their numbers are, or
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -1,5 +1,4 @@
-"""One control node's replication, as a state machine. No I/O, no clock; the caller passes in the generator
-of random numbers.
+"""One control node's replication, as a state machine without I/O, clock or its own source of randomness.
 
 Each input is a method that takes the current time (monotonic clock, seconds) and returns the effects that the
 caller has to carry out, in order. `ReplicationCore` dispatches messages to the roles of the node: `Voter`
