--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -275,7 +275,7 @@
 
         # Runs on the thread that writes to the disk, so that no page is reused in the meantime.
         await asyncio.get_running_loop().run_in_executor(service.replicator._executor, damage)
-        while not any(record.message == "scrub" for record in caplog.records):
+        while not any(record.message == "record-damaged" for record in caplog.records):
             await asyncio.sleep(0.01)
         while b"document" not in service.replicator._storage._written:  # until it is rewritten
             await asyncio.sleep(0.01)
@@ -286,7 +286,7 @@
         assert b'"generation"' in decode_state(core.document.payload).body
 
     with_nodes(scenario)(tmp_path)
-    (found,) = [record for record in caplog.records if record.message == "scrub"]
+    (found,) = [record for record in caplog.records if record.message == "record-damaged"]
     assert found.damaged == ["document"]
 
 
--- a/tests/replication/test_core_invariants.py
+++ b/tests/replication/test_core_invariants.py
@@ -1,4 +1,4 @@
-"""After each input of a core its state holds together, and a state that doesn't is noticed."""
+"""The state of a core keeps its invariants after each input, and each violated invariant is detected."""
 
 from random import Random
 
@@ -24,13 +24,13 @@
 
 
 class ValidatedCore(ReplicationCore):
-    """A core that is validated after each of its inputs."""
+    """A core whose state is validated after each of its inputs."""
 
     validations = 0
 
 
 def validated(name):
-    """The input of this name, followed by a validation."""
+    """Returns the input method of this name, followed by a validation."""
 
     def method(self, *arguments):
         effects = getattr(ReplicationCore, name)(self, *arguments)
@@ -45,24 +45,24 @@
     setattr(ValidatedCore, _name, validated(_name))
 
 
-def test_drawn_histories_keep_the_invariants_of_every_node():
+def test_random_histories_keep_the_invariants_of_every_node():
     ValidatedCore.validations = 0
     for seed in range(HISTORIES):
         random_history(seed, make_core=ValidatedCore)
     assert ValidatedCore.validations > 10_000
 
 
-def node_state(record=None):
+def core_state(record=None):
     record = record or new_record("h0/0", AcceptorRecord(VIEW))
     return ReplicationCore(record, HOSTS, 1, Random(1), 0.0)._state
 
 
 def with_votes(**fields):
-    return node_state(new_record("h0/0", AcceptorRecord(VIEW, **fields)))
+    return core_state(new_record("h0/0", AcceptorRecord(VIEW, **fields)))
 
 
 def with_view(**fields):
-    return node_state(new_record("h0/0", AcceptorRecord(msgspec.structs.replace(VIEW, **fields))))
+    return core_state(new_record("h0/0", AcceptorRecord(msgspec.structs.replace(VIEW, **fields))))
 
 
 def leading(primary, incarnation=0):
@@ -74,7 +74,7 @@
 
 
 def with_document(version):
-    state = node_state()
+    state = core_state()
     state.document = Document(version, b"")
     return state
 
@@ -83,8 +83,8 @@
 NEXT = View(1, "h1/0", VIEW.members, VIEW.voters)
 
 
-def test_a_state_that_holds_together_passes():
-    validate_state(node_state(), None)
+def test_a_valid_state_passes():
+    validate_state(core_state(), None)
     validate_state(with_votes(promised=NUMBER, accepted=NUMBER, accepted_view=NEXT), None)
     validate_state(leading("h0/0"), Document(DocumentVersion(), b""))
 
@@ -104,12 +104,12 @@
         (lambda: with_votes(promised=NUMBER, accepted=NUMBER, accepted_view=VIEW), None, "for the next view"),
         (lambda: with_document(DocumentVersion(-1, 0)), None, "ahead of the memory"),
         (lambda: with_document(DocumentVersion(5, 1)), None, "of a later view"),
-        (node_state, Document(DocumentVersion(), b""), "only a leader commits"),
+        (core_state, Document(DocumentVersion(), b""), "only a leader commits"),
         (lambda: leading("h0/0"), Document(DocumentVersion(0, 1), b""), "ahead of the document"),
         (lambda: leading("h1/0"), None, "the primary of its view"),
         (lambda: leading("h0/0", incarnation=1), None, "the process it names"),
     ],
 )
-def test_a_state_that_contradicts_itself_is_noticed(state, committed, invariant):
+def test_a_violated_invariant_is_detected(state, committed, invariant):
     with pytest.raises(InvariantError, match=invariant):
         validate_state(state(), committed)
