--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -193,7 +193,7 @@
     return out
 
 
-PHASES = {"put": "", "joint": "phase=joint", "in force": "event=settings-judged"}
+PHASES = {"put": "", "joint": "phase=joint", "in force": "event=settings-decided"}
 
 
 async def away(phase: str, seconds: float, seed: int) -> None:
@@ -245,7 +245,7 @@
     for line in log.splitlines():
         if found := ACTED.search(line):
             acted = int(found[1])
-            count += acted < before and 'trouble="not confirmed yet"' not in line
+            count += acted < before and 'reason="not confirmed yet"' not in line
             before = acted
     return count
 
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -175,7 +175,7 @@
         await first_version(it)
 
 
-@pytest.mark.parametrize("phase", ["", "phase=joint", "event=settings-judged"])
+@pytest.mark.parametrize("phase", ["", "phase=joint", "event=settings-decided"])
 def test_all_of_the_store_is_gone_in_each_phase_and_nothing_is_lost(phase):
     trio.run(store_gone, phase)
 
@@ -579,7 +579,7 @@
         )
         for _ in range(2):
             it.faults.drain("s3")
-        await it.wait_until(lambda: "event=list-came-up" in it.processes["n0"].log, "n0 follows it again")
+        await it.wait_until(lambda: "event=list-caught-up" in it.processes["n0"].log, "n0 follows it again")
         it.records.drained_at["s3"] = drained
         await kept(it, served=100)
 
--- a/wheatroute/agreement/monotonic_discovery.py
+++ b/wheatroute/agreement/monotonic_discovery.py
@@ -28,7 +28,7 @@
             return
         if self._is_behind and isinstance(version, int):
             self._is_behind = False
-            self._log.info("list-came-up", version=version)
+            self._log.info("list-caught-up", version=version)
             if not message.get("full"):
                 self.fetch()  # changes between may have been sent while the service lagged
         super()._apply(message)
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -127,7 +127,7 @@
             version=effective.active,
             joint=effective.joint,
             record=self._member.history.head,
-            trouble=self._member.conservative_reason,
+            reason=self._member.conservative_reason,
         )
 
     async def run(self) -> None:
@@ -149,7 +149,7 @@
                 self._fail(str(error) or "the place does not answer")
             except Exception:
                 # a defect here must not end the node: it goes on, conservatively
-                self._log.exception("fault")
+                self._log.exception("unhandled-exception")
                 self._fail("a mistake in the program, see the log")
             if not has_changed:
                 await trio.sleep(self._exchange_interval_s)
@@ -177,7 +177,7 @@
         unreadable_keys: set[str] = getattr(self._store, "unreadable_keys", set())
         for key in sorted(unreadable_keys - self._logged_unreadable):
             self._logged_unreadable.add(key)
-            self._log.warning("settings-skipped", name=key)
+            self._log.warning("unreadable-entry-skipped", name=key)
 
     def _check_versions(self) -> None:
         for number in self._member.unchecked_versions():
@@ -185,7 +185,7 @@
             error = self._adapter.check(number, version.content)
             self._member.record_check(number, error)
             if error:
-                self._log.warning("settings-refused", version=number, trouble=error)
+                self._log.warning("settings-refused", version=number, error=error)
 
     async def _exchange_drain_notices(self, drain_notices: DrainNotices) -> None:
         """Act on others' notices, and write those that follow from the own server list."""
@@ -193,14 +193,14 @@
         if changed:
             self._apply_drains(changed)
             states = ",".join(f"{entry['id']}:{entry['state']}" for entry in changed)
-            self._log.info("servers-heard", servers=states)
+            self._log.info("drain-notices-applied", servers=states)
         notices, expired_ids = drain_notices.outgoing(clock())
         if notices or expired_ids:
             await self._store.write_drain_notices(notices, expired_ids)
 
     def _fail(self, reason: str) -> None:
         if reason != self._member.conservative_reason:
-            self._log.warning("settings-unconfirmed", trouble=reason, record=self._member.history.head)
+            self._log.warning("settings-unconfirmed", error=reason, record=self._member.history.head)
         self._member.record_failure(reason)
 
     async def _decide(self) -> bool:
@@ -225,7 +225,7 @@
     def _log_decision(self, document: StoredRecord) -> None:
         record = parse_record(document)
         reason = record.reason if isinstance(record, WithdrawRecord) else ""
-        self._log.info("settings-judged", kind=record.kind.value, version=record.version, reason=reason)
+        self._log.info("settings-decided", kind=record.kind.value, version=record.version, reason=reason)
 
     async def leave(self) -> None:
         """Remove the process's status, as it stops and acts on nothing more.
@@ -238,4 +238,4 @@
                 async with self._exchange_lock:
                     await self._store.remove_statuses([self._member.key])
             except VersionStoreError as error:
-                self._log.warning("settings-unconfirmed", trouble=str(error))
+                self._log.warning("settings-unconfirmed", error=str(error))
