--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -7,7 +7,7 @@
 
 
 def history_of(*kinds):
-    """Return a history with records of these kinds, all of the version put last."""
+    """Returns a history with records of these kinds, all of the version put last."""
     history = History()
     for kind in kinds:
         record = (
--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -26,7 +26,11 @@
         value_error("allowed.connect-timeout", "soon"),
         value_error("tick", True),
         value_error("rules.cold", 9),
-    ) == ("is no number from 0 on: 'soon'", "is no number from 0 on: True", "")
+    ) == (
+        "must be a finite number of at least 0, got 'soon'",
+        "must be a finite number of at least 0, got True",
+        "",
+    )
 
 
 def test_operator_table():
--- a/tests/agreement/test_joint_settings.py
+++ b/tests/agreement/test_joint_settings.py
@@ -55,7 +55,7 @@
     text = inspect.getsource(node_settings)
     assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(join_rules.NODE_FILE_RULES)
     assert set(join_rules.FILE_KEYS) - {"rules"} <= {
-        key for key, rule in join_rules.FILE_RULES["File"].items() if rule != JoinRule.OWN
+        key for key, rule in join_rules.FILE_RULES["File"].items() if rule != JoinRule.PER_PROCESS
     }
 
 
@@ -80,11 +80,11 @@
     assert {path: rule for path, _, _, rule in differences(old, new)} == {
         "file.nodes": JoinRule.MAXIMUM,
         "file.rules.cold_time": JoinRule.MAXIMUM,
-        "file.traffic_types.view.effect": JoinRule.STRICT,
-        "file.traffic_types.view.utility": JoinRule.FREE,
+        "file.traffic_types.view.effect": JoinRule.STRICTER,
+        "file.traffic_types.view.utility": JoinRule.MAY_DIFFER,
         "settings.tenants.c.name": JoinRule.ROUTE,
         "settings.tenants.c.quota-rps": JoinRule.MINIMUM,
-        "settings.tick": JoinRule.FIXED,
+        "settings.tick": JoinRule.RESTART_ONLY,
     }
 
 
@@ -124,9 +124,9 @@
         }
     )
     assert errors == [
-        "settings.traffic-types: two of the name 'a'",
-        "settings.traffic-types.a.colour: is no key that this program knows",
-        "settings.tenants: is no list of tables with names",
-        "settings.novel: is no key that this program knows",
-        "settings.allowed.peers: each process has its own",
+        "settings.traffic-types: duplicate name 'a'",
+        "settings.traffic-types.a.colour: unknown key",
+        "settings.tenants: must be a list of tables, each with a name",
+        "settings.novel: unknown key",
+        "settings.allowed.peers: specific to each process, so it must not be in a version",
     ]
--- a/tests/agreement/test_member.py
+++ b/tests/agreement/test_member.py
@@ -9,7 +9,7 @@
 
 
 def exchanged(member, moment, *records):
-    """Return the member after an exchange that brought these records."""
+    """Returns the member after an exchange that brought these records."""
     member.next_status(0.0)
     member.confirm(moment, list(records))
     for version in member.unchecked_versions():
@@ -51,12 +51,13 @@
 def test_a_process_that_cannot_use_a_version_is_conservative_until_it_is_withdrawn():
     member = exchanged(Member("a", "1", 10.0), 0.0)
     member.confirm(1.0, [member.history.put_record(CONTENT, "p", "", 0.0, "")])
-    member.record_check(1, "tick: changes with a restart only")
+    member.record_check(1, "tick: can only change with a restart")
     assert member.permitted(1.0).is_conservative
     member.set_effective(member.permitted(1.0))
     record = member.next_decision(1.0, 1.0, [member.next_status(0.0)])
     assert (
-        record["kind"] == RecordKind.WITHDRAW and record["reason"] == "a: tick: changes with a restart only"
+        record["kind"] == RecordKind.WITHDRAW
+        and record["reason"] == "a: tick: can only change with a restart"
     )
     exchanged(member, 2.0, record)
     assert member.effective == EffectiveVersions(0, 0, False)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -168,7 +168,7 @@
         await it.faults.start("n1")
         number = await it.versions.put("the first")
         state = await it.versions.wait_for_outcome(number)
-        assert state.startswith("withdrawn: n1: tick: changes with a restart only")
+        assert state.startswith("withdrawn: n1: tick: can only change with a restart")
         it.faults.kill("n1")
         it.files.write_node_file("n1", document | {"settings": document["settings"] | {"tick": 0.005}})
         await it.faults.start("n1")
@@ -251,7 +251,8 @@
         it.etcd.send_command("clear", cluster=77)
         await it.wait_until(
             lambda: all(
-                "cluster 4d answers in the place of 1" in it.processes[name].log for name in it.names
+                "response from etcd cluster 4d, expected cluster 1" in it.processes[name].log
+                for name in it.names
             ),
             "both say so",
         )
--- a/tests/agreement/test_version_adapter.py
+++ b/tests/agreement/test_version_adapter.py
@@ -9,7 +9,7 @@
 
 
 def adapter_of(*changes):
-    """Return the adapter of a process that has checked versions with these changes."""
+    """Returns the adapter of a process that has checked versions with these changes."""
     own_settings = DEFAULT_SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
     derived = DerivedSettings.from_dict(node_settings.derive_settings(DEFAULT_SETTINGS))
     adapter = VersionAdapter(derived, node_deriver(own_settings, derived))
@@ -49,17 +49,20 @@
 
 def test_a_version_that_needs_a_restart_is_rejected_with_the_key():
     for changes, line in (
-        ({"tick": 0.01}, "tick: changes with a restart only, and is 0.005 here"),
-        ({"look__streamed": True}, "look.streamed: changes with a restart only, and is False here"),
-        ({"allowed__novel": 1}, "settings.allowed.novel: is no key that this program knows"),
+        ({"tick": 0.01}, "tick: can only change with a restart, the value here is 0.005"),
+        ({"look__streamed": True}, "look.streamed: can only change with a restart, the value here is False"),
+        ({"allowed__novel": 1}, "settings.allowed.novel: unknown key"),
         (
             {"allowed__connect_timeout": "soon", "look__effect": "nice"},
-            "settings.traffic-types.look.effect: is none of retryable, dedup, fragile: 'nice' (and 1 more)",
+            "settings.traffic-types.look.effect: "
+            "must be one of retryable, dedup, fragile, got 'nice' (and 1 more)",
         ),
     ):
         content = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)}
         assert adapter_of().check(9, content) == line
-    assert adapter_of().check(9, {"other": {}}).startswith("a version has the parts settings and file")
+    assert (
+        adapter_of().check(9, {"other": {}}).startswith("a version must have the part settings, file or both")
+    )
 
 
 def test_a_conservative_node_takes_requests_in_the_forms_that_it_took_before():
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -32,7 +32,7 @@
 
 def test_a_record_of_a_newer_format_is_rejected():
     history = history_of("put")
-    with pytest.raises(HistoryError, match="form 2, this program knows 1"):
+    with pytest.raises(HistoryError, match="format 2, this program supports 1"):
         history.apply(history.next_record(RecordKind.ACTIVATE, version=1) | {"format": 2})
 
 
@@ -49,8 +49,8 @@
     assert store.append_blocking(first) and not store.append_blocking(second)
     assert store.exchange_blocking("", None, 0, "") == [first]
     history.apply(first)
-    with pytest.raises(VersionStoreError, match="another"):
+    with pytest.raises(VersionStoreError, match="record 1 differs"):
         store.exchange_blocking("", None, 1, "0" * 64)
     (tmp_path / "log" / "000000000001.json").unlink()
-    with pytest.raises(VersionStoreError, match="gone"):
+    with pytest.raises(VersionStoreError, match="record 1 is missing"):
         store.exchange_blocking("", None, 1, history.head_digest)
--- a/wheatroute/agreement/__init__.py
+++ b/wheatroute/agreement/__init__.py
@@ -1,1 +1,4 @@
-"""Settings on which all processes agree, within a stated time. Off unless a process's file names a store."""
+"""Changes settings in all processes consistently, within a bounded time.
+
+Disabled unless a process's file configures a version store.
+"""
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -1,8 +1,9 @@
-"""Adapts the versions of settings to one process: stable numbers, decision settings, forms. No I/O.
+"""Adapts versions of the settings to one process: stable numbers, decision settings, accepted forms. No I/O.
 
-Request classes and tenants of all versions that the process has met are numbered once; a number is never
-given to another name. What versions don't cover comes from the process's own file. A class is never entered
-through a form (a method, a key) whose guarantee the new rules rest on and the request does not give.
+Request classes and tenants of all versions that the process has seen are numbered once; a number is never
+reused for another name. Settings that versions don't cover come from the process's own file. A request's form
+(its method, and whether it has an idempotency key) shows the idempotency that the client assumes. A request
+never enters a class whose rules rely on a guarantee that the request's form does not give.
 """
 
 from __future__ import annotations
@@ -19,13 +20,14 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.wire_names import NameNumbering
 
-# by class: the idempotencies that its forms have, and the class that requests of another form enter
+# by number of a request class: the idempotencies whose forms are accepted, and the class that requests of a
+# form other than the class's current one enter
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
-STRICT_SUFFIX = "\0strict"  # of the name of a class's strict variant
+STRICT_SUFFIX = "\0strict"  # suffix of the name of a class's non-idempotent variant
 
 
 class DerivedSettings(NamedTuple):
-    """What a process acts on by one version: names with their numbers in it, and the decision settings."""
+    """Decision settings derived from one version, with the numbers of its request classes and tenants."""
 
     request_classes: dict[str, int]
     tenants: dict[str, int]
@@ -33,20 +35,20 @@
 
     @staticmethod
     def from_dict(derived: dict[str, Any]) -> DerivedSettings:
-        """Return the settings that were derived from a process's file."""
+        """Returns the settings in the result of `node_settings.derive_settings`."""
         return DerivedSettings(derived["request_classes"], derived["tenants"], derived["terms"])
 
     def request_class(self, name: str) -> RequestClass:
-        """Return the settings of a request class; raises `KeyError` if the version does not have it."""
+        """Returns the settings of a request class; raises `KeyError` if the version does not have it."""
         return self.settings.request_classes[self.request_classes[name]]
 
 
-# derives what a process acts on from a version's content; raises `ContentError`
+# derives a process's settings from a version's content; raises `ContentError`
 DeriveSettings = Callable[[dict[str, Any]], DerivedSettings]
 
 
 class AdaptedVersion(NamedTuple):
-    """What a node acts on: names that it takes, settings, and the forms that a class may come in as well."""
+    """The names and settings that a process uses, and the other forms in which it accepts requests."""
 
     request_classes: dict[str, int]
     tenants: dict[str, int]
@@ -55,25 +57,27 @@
 
 
 class VersionAdapter:
-    """The versions of one process.
+    """Checks versions for one process, and adapts them to it.
 
-    `own` are the settings of its file; `derive` returns the same for a version's content.
+    `own` are the settings derived from the process's file; `derive` derives them from a version's content.
     """
 
     def __init__(self, own: DerivedSettings, derive: DeriveSettings) -> None:
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._derived_by_version: dict[int, DerivedSettings] = {0: own}
-        self._last_rules: dict[str, RequestClass] = {}  # by class: from the last version that has it
-        self._past_versions = {0}  # that were active here: clients may still use their forms
+        self._last_definitions: dict[
+            str, RequestClass
+        ] = {}  # by class: its settings in the last version that has it
+        self._past_versions = {0}  # versions that were active here: clients may still use their forms
         for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
             for name, number in names.items():
                 assert numbers[name] == number
 
     def check(self, number: int, content: Any) -> str:
-        """Return a line that says why this process cannot use a version; empty if it can."""
+        """Returns why this process cannot use a version, as one line; empty if it can."""
         if not isinstance(content, dict) or not content or set(content) - set(VERSION_PARTS):
-            return "a version has the parts settings and file, and nothing else that this program knows"
+            return "a version must have the part settings, file or both, and no other key"
         try:
             derived = self._derive(content)
         except ContentError as error:
@@ -84,23 +88,26 @@
         return reason
 
     def _fixed_setting_error(self, derived: DerivedSettings) -> str:
-        """Return which setting differs that only a restart can change; empty for none."""
-        for name in _fields_with(JoinRule.FIXED):
+        """Returns an error if a setting differs that only a restart can change, else an empty string."""
+        for name in _fields_with(JoinRule.RESTART_ONLY):
             own = getattr(self._own.settings, name)
             if getattr(derived.settings, name) != own:
-                return f"{name}: {JoinRule.FIXED}, and is {own!r} here"
+                return f"{name}: {JoinRule.RESTART_ONLY}, the value here is {own!r}"
         return ""
 
     def _fixed_class_error(self, derived: DerivedSettings) -> str:
-        """Return which key of a request class differs that only a restart can change; empty for none."""
+        """Returns an error if a class's key differs that only a restart can change, else an empty string."""
         for name in self._own.request_classes.keys() & derived.request_classes.keys():
             is_streamed = self._own.request_class(name).is_streamed
             if derived.request_class(name).is_streamed != is_streamed:
-                return f"{name}.streamed: {JoinRule.FIXED}, and is {is_streamed!r} here"
+                return f"{name}.streamed: {JoinRule.RESTART_ONLY}, the value here is {is_streamed!r}"
         return ""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
-        """Return what to act on. Classes and tenants keep their numbers, also when no version has them."""
+        """Returns the settings to apply.
+
+        Classes and tenants keep their numbers, even if no version has them any more.
+        """
         self._past_versions.add(effective.active)
         versions = [effective.active, *([effective.joint] if effective.joint else [])]
         for version in versions:
@@ -108,7 +115,9 @@
         settings = self._joined_settings(versions, effective.is_conservative)
         forms = self._forms(versions, settings)
         if len(settings.request_classes) < len(self._classes):
-            settings = self._joined_settings(versions, effective.is_conservative)  # with new strict variants
+            settings = self._joined_settings(
+                versions, effective.is_conservative
+            )  # now with the new strict variants
         active = self._derived_by_version[effective.active]
         return AdaptedVersion(
             {name: self._classes[name] for name in active.request_classes},
@@ -118,10 +127,10 @@
         )
 
     def _add_numbers(self, derived: DerivedSettings) -> None:
-        """Number the names of a version that are new, by looking them up."""
+        """Assigns numbers to a version's new names; looking up a new name in a `NameNumbering` numbers it."""
         for name in derived.request_classes:
             _ = self._classes[name]
-            self._last_rules[name] = derived.request_class(name)
+            self._last_definitions[name] = derived.request_class(name)
         for name in derived.tenants:
             _ = self._tenants[name]
 
@@ -132,9 +141,11 @@
         return joint_settings.conservative(settings) if is_conservative else settings
 
     def _settings_of(self, version: int) -> DecisionSettings:
-        """Return a version's settings in this process's numbering."""
+        """Returns a version's settings with this process's numbers of classes and tenants."""
         derived, own = self._derived_by_version[version], self._own.settings
-        own_values = {name: getattr(own, name) for name in _fields_with(JoinRule.OWN, JoinRule.FIXED)}
+        own_values = {
+            name: getattr(own, name) for name in _fields_with(JoinRule.PER_PROCESS, JoinRule.RESTART_ONLY)
+        }
         return replace(
             derived.settings,
             **own_values,
@@ -143,18 +154,18 @@
         )
 
     def _class_of(self, derived: DerivedSettings, name: str) -> RequestClass:
-        """Return a request class, or a strict variant of one, as it counts in a version."""
+        """Returns the settings of a request class, or of its strict variant, in a version."""
         base_name = name.removesuffix(STRICT_SUFFIX)
         if base_name in derived.request_classes:
             request_class = derived.request_class(base_name)
         else:
-            request_class = joint_settings.absent(self._last_rules[base_name])
+            request_class = joint_settings.without_value(self._last_definitions[base_name])
         if name.endswith(STRICT_SUFFIX):
             return replace(request_class, idempotency=Idempotency.NON_IDEMPOTENT)
         return request_class
 
     def _forms(self, versions: list[int], settings: DecisionSettings) -> Forms:
-        """Return the forms of all versions that clients may know: past, present and next."""
+        """Returns the accepted forms of all versions that clients may know: past, current and next."""
         forms: Forms = {}
         known = [self._derived_by_version[version] for version in {*versions, *self._past_versions}]
         for name, number in list(self._classes.items()):
@@ -168,7 +179,8 @@
             present = settings.request_classes[number].idempotency
             others = idempotencies - {present}
             if others:
-                # a class of its own only where the rules are looser than a form or rest on a key it lacks
+                # a separate class is only needed if the rules are looser than a form allows, or rely on an
+                # idempotency key that the form lacks
                 is_strict = present == Idempotency.KEYED or Idempotency.NON_IDEMPOTENT in others
                 entered = self._classes[name + STRICT_SUFFIX] if is_strict else number
                 forms[number] = frozenset(idempotencies), entered
@@ -176,11 +188,11 @@
 
 
 def _fields_with(*rules: JoinRule) -> Iterable[str]:
-    """Return the fields of the decision settings that have one of the rules."""
+    """Returns the names of the decision settings that have one of the rules."""
     return (name for name, rule in SETTING_RULES.items() if rule in rules)
 
 
 def _tenant_of(derived: DerivedSettings, name: str) -> TenantQuota:
-    """Return a tenant as it counts in a version; without a quota where the version does not have it."""
+    """Returns a tenant's settings in a version; no quota if the version does not have the tenant."""
     number = derived.tenants.get(name)
     return derived.settings.tenants[number] if number is not None else TenantQuota()
--- a/wheatroute/agreement/agreement_status.py
+++ b/wheatroute/agreement/agreement_status.py
@@ -1,4 +1,4 @@
-"""What an operator sees of an agreement: its versions, and what each process acts on. No I/O."""
+"""The status of an agreement as operators see it: its versions, and the state of each process. No I/O."""
 
 from __future__ import annotations
 
@@ -9,50 +9,50 @@
 
 from wheatroute.agreement.member_status import IN_FORCE, MemberStatus
 
-STALE_STATUS_S = 10.0  # the process of an older status may have ended
+STALE_STATUS_S = 10.0  # after this age of its status, a process may have ended
 
 
 class ProcessState(msgspec.Struct, frozen=True, kw_only=True):
-    """What one process acts on; the keys are those of `--json`."""
+    """The state of one process; the field names are the keys of `--json`."""
 
     name: str
     incarnation: str = msgspec.field(name="start")
     version: int
     joint_version: int = msgspec.field(name="joint")
     phase: str
-    record: int  # the last one that it has applied
+    record: int  # number of the last one that the process has applied
     confirmed_ago_s: float
     list_source: str
     list_revision: int
     unusable_version: int = msgspec.field(name="refuses")
     reason: str
-    is_duplicate: bool = msgspec.field(name="doubled")  # another process has its name
+    is_duplicate: bool = msgspec.field(name="doubled")  # another process has the same name
 
 
 class AgreementStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The active and the pending version, and all processes; the keys are those of `--json`."""
+    """The active and pending versions and all processes; the field names are the keys of `--json`."""
 
     active: int = msgspec.field(name="in_force")
     pending: int = msgspec.field(name="under_way")
-    record: int  # the last one in the store
+    record: int  # number of the last one in the store
     processes: list[ProcessState]
 
     @property
     def is_settled(self) -> bool:
-        """Whether no version is pending and every live process acts on the active one."""
+        """Whether no version is pending and every live process acts on the active version."""
         live = [process for process in self.processes if process.confirmed_ago_s < STALE_STATUS_S]
         return not self.pending and all(
             process.phase == IN_FORCE and process.version == self.active for process in live
         )
 
     def to_document(self) -> dict[str, Any]:
-        """Return what `--json` prints."""
+        """Returns the object that `--json` prints."""
         document: dict[str, Any] = msgspec.to_builtins(self)
         return document
 
 
 def process_states(statuses: Sequence[MemberStatus], unix_time: float) -> list[ProcessState]:
-    """Return the states of all processes by name and incarnation."""
+    """Returns the states of all processes, sorted by name and incarnation."""
     names = [status.name for status in statuses]
     states = [_process_state(status, unix_time, names.count(status.name) > 1) for status in statuses]
     return sorted(states, key=lambda state: (state.name, state.incarnation))
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -2,8 +2,8 @@
 
 Layout: `log/NUMBER.json` holds a record, `nodes/KEY` a process status, `words/DIGEST.json` a drain notice. A
 record is written to a temporary file, fsynced and hard-linked under its number, so that a record is either
-whole or absent and the first one under a number stays. The `_blocking` methods do file I/O; the asynchronous
-ones run them in a thread.
+complete or absent and is never overwritten. The `_blocking` methods do file I/O; the asynchronous ones run
+them in a thread.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class DirectoryStore:
-    """A version store in the directory `path`; implements `VersionStore`."""
+    """Implements `VersionStore` in the directory `path`."""
 
     def __init__(self, path: str) -> None:
         self._log_directory = Path(path) / "log"
@@ -39,39 +39,41 @@
         self._notice_directory = Path(path) / "words"
         self.path = path
         self.received_notices: list[StoredNotice] = []
-        self.unreadable_keys: set[str] = set()  # statuses and drain notices that could not be read
-        self._notice_files: dict[str, tuple[int, int]] = {}  # by name: mtime (ns) and inode when last read
+        self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
+        self._notice_files: dict[
+            str, tuple[int, int]
+        ] = {}  # by file name: mtime (ns) and inode when last read
 
     async def exchange(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """See `VersionStore.exchange`."""
+        """Implements `VersionStore.exchange`."""
         return await _in_thread(self.exchange_blocking, key, status, after, expected_digest)
 
     async def statuses(self) -> list[StoredStatus]:
-        """See `VersionStore.statuses`."""
+        """Implements `VersionStore.statuses`."""
         return await _in_thread(self.statuses_blocking)
 
     async def append(self, record: StoredRecord) -> bool:
-        """See `VersionStore.append`."""
+        """Implements `VersionStore.append`."""
         return await _in_thread(self.append_blocking, record)
 
     async def remove_statuses(self, keys: list[str]) -> None:
-        """See `VersionStore.remove_statuses`."""
+        """Implements `VersionStore.remove_statuses`."""
         await _in_thread(self.remove_statuses_blocking, keys)
 
     async def write_status(self, key: str, status: StoredStatus) -> None:
-        """See `VersionStore.write_status`."""
+        """Implements `VersionStore.write_status`."""
         await _in_thread(self.write_status_blocking, key, status)
 
     async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
-        """See `VersionStore.write_drain_notices`."""
+        """Implements `VersionStore.write_drain_notices`."""
         await _in_thread(self.write_drain_notices_blocking, notices, expired_ids)
 
     def create(self) -> None:
-        """Create missing directories.
+        """Creates missing directories.
 
-        Only called where versions are put, so that a process notices a store that has been deleted.
+        Called only where versions are put, so that processes notice when a store has been deleted.
         """
         try:
             self._log_directory.mkdir(parents=True, exist_ok=True)
@@ -82,14 +84,14 @@
     def exchange_blocking(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """Write the status and read the records after `after`; see `VersionStore.exchange`."""
+        """Writes the status and reads the records after `after`; see `VersionStore.exchange`."""
         try:
             if status is not None:
                 self._write_status_file(key, status)
                 notices = self.changed_drain_notices_blocking()
                 self.received_notices.extend(notices)
             if not self._log_directory.is_dir():
-                raise VersionStoreError(f"{self.path}: no log")
+                raise VersionStoreError(f"{self.path}: the store has no log directory")
             if after:
                 self._check_head(after, expected_digest)
             records: list[StoredRecord] = []
@@ -103,14 +105,14 @@
             raise _store_error(self.path, error) from error
 
     def write_status_blocking(self, key: str, status: StoredStatus) -> None:
-        """Write a status."""
+        """Writes a status."""
         try:
             self._write_status_file(key, status)
         except (OSError, ValueError) as error:
             raise _store_error(self.path, error) from error
 
     def statuses_blocking(self) -> list[StoredStatus]:
-        """Return the statuses of all processes; unreadable ones are skipped."""
+        """Returns the statuses of all processes; malformed ones are skipped."""
         try:
             statuses: list[StoredStatus] = []
             for path in sorted(self._status_directory.iterdir()):
@@ -123,7 +125,7 @@
             raise _store_error(self.path, error) from error
 
     def append_blocking(self, record: StoredRecord) -> bool:
-        """Append a record; False if its number is taken already."""
+        """Appends a record; returns False if a record of that number exists already."""
         temporary = self._log_directory / f".{secrets.token_hex(8)}"
         try:
             _write_new(temporary, canonical(record), is_synced=True)
@@ -140,13 +142,13 @@
             raise _store_error(self.path, error) from error
 
     def remove_statuses_blocking(self, keys: list[str]) -> None:
-        """Remove statuses; those that are already gone are ignored."""
+        """Removes statuses; missing ones are ignored."""
         for key in keys:
             with suppress(OSError):
                 (self._status_directory / _checked_key(key)).unlink()
 
     def changed_drain_notices_blocking(self) -> list[StoredNotice]:
-        """Return the drain notices that were written since the last call."""
+        """Returns the drain notices that were written since the last call."""
         try:
             found = [
                 (entry.name, entry.stat())
@@ -167,7 +169,7 @@
         return notices
 
     def write_drain_notices_blocking(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
-        """Write drain notices and remove those of `expired_ids`."""
+        """Writes drain notices and removes those of `expired_ids`."""
         try:
             self._notice_directory.mkdir(exist_ok=True)
             for notice in notices:
@@ -178,16 +180,16 @@
             raise _store_error(self.path, error) from error
 
     def _write_status_file(self, key: str, status: StoredStatus) -> None:
-        # not fsynced: after a power loss no process acts on a status written before it
+        # not fsynced: after a power loss, no process acts on a status that was written before it
         _replace(self._status_directory / _checked_key(key), orjson.dumps(status))
 
     def _check_head(self, number: int, expected_digest: str) -> None:
-        """Raise `VersionStoreError` unless the log has the record that the reader has taken last."""
+        """Raises `VersionStoreError` unless the log contains the last record that the reader has applied."""
         head = self._read_record(number)
         if head is None or digest(head) != expected_digest:
             raise VersionStoreError(
-                f"{self.path}: record {number} is {'another' if head else 'gone'}: "
-                "an older store, or another one"
+                f"{self.path}: record {number} {'differs' if head else 'is missing'}: "
+                "the store was replaced or restored from an older backup"
             )
 
     def _record_path(self, number: int) -> Path:
@@ -199,12 +201,12 @@
         except FileNotFoundError:
             return None
         if not isinstance(record, dict):
-            raise ValueError(f"record {number} is no object")
+            raise ValueError(f"record {number} is not a JSON object")
         return record
 
 
 def _replace(path: Path, data: bytes) -> None:
-    """Replace a file atomically, without fsync."""
+    """Replaces a file atomically, without fsync."""
     temporary = path.with_name(f".{path.name}.{secrets.token_hex(4)}")
     _write_new(temporary, data, is_synced=False)
     os.rename(temporary, path)
@@ -224,12 +226,12 @@
 
 def _checked_key(key: str) -> str:
     if not _KEY_PATTERN.match(key) or key.startswith("."):
-        raise ValueError(f"{key!r} cannot be the name of a row")
+        raise ValueError(f"{key!r} is not a valid key of a status")
     return key
 
 
 def _notice_file_name(server_id: str) -> str:
-    """Return a file name for a server's notice; the id itself may be any text."""
+    """Returns the file name of a server's notice; derived by digest, as the id may be any text."""
     return digest(server_id)[:40] + ".json"
 
 
--- a/wheatroute/agreement/documents.py
+++ b/wheatroute/agreement/documents.py
@@ -1,4 +1,4 @@
-"""Parses the documents of a version store into typed messages. No I/O."""
+"""Parses stored documents of a version store into typed messages. No I/O."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 def parse(document: Any, message_type: type[Message]) -> Message:
-    """Return a document as a message; keys that the type does not have are ignored.
+    """Converts a document into a message; keys that the message type does not have are ignored.
 
-    Keys of objects are text, as in JSON, also where the message has numbers. Raises `MalformedDocumentError`.
+    Keys of JSON objects are strings, also where the message type has numbers as keys. Raises
+    `MalformedDocumentError`.
     """
     with malformed_document_errors():
         return msgspec.convert(document, message_type, str_keys=True)
@@ -24,7 +25,7 @@
 
 @contextmanager
 def malformed_document_errors() -> Iterator[None]:
-    """Turn errors of validation into `MalformedDocumentError`."""
+    """Converts validation errors into `MalformedDocumentError`."""
     try:
         yield
     except msgspec.ValidationError as error:
--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -1,10 +1,10 @@
-"""Drain notices: which servers are about to end, as any process of the installation was told. No I/O.
+"""Shares drain notices between processes: which servers any process's server list reports as leaving. No I/O.
 
-A notice names a server by its id and the start of its process, says whether that process leaves or has
-returned, and has a turn, so that of two notices the later one is known. By the others' notices a process
-whose own server list is silent or lags learns of a drain, of a restart under the same id, and of an address
-that another server has taken over. A server is never taken out because some list does not name it: a wrong
-list at one node would otherwise empty the others'.
+A notice identifies a server by its id and the start time of its process, says whether that process is leaving
+or has returned, and has a revision, which tells the later of two notices. By other processes' notices, a
+process whose own server list is silent or lags learns of a drain, of a restart under the same id, and of an
+address that another server has taken over. A server is never removed because some list does not contain it:
+a wrong list at one node would otherwise empty the lists of the others.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 from wheatroute.agreement.notice import Notice, StoredNotice, parse_notices
 
-RETENTION_AGREEMENT_TIMES = 360.0  # how long a notice stays stored, in agreement times
-MAX_REMEMBERED_ADDRESSES = 4096  # addresses for which the last server there is remembered
+RETENTION_AGREEMENT_TIMES = 360.0  # how long a notice is kept in the store, in agreement times
+MAX_REMEMBERED_ADDRESSES = 4096  # addresses for which the last server is remembered
 
-ListEntry = dict[str, Any]  # a server as a server list has it
+ListEntry = dict[str, Any]  # an entry of a server list
 
 
 def _is_list_entry(value: Any) -> bool:
@@ -29,20 +29,20 @@
 
 
 class DrainNotices:
-    """The notices that one process knows of, applied to the messages of its own server list."""
+    """Keeps the notices that one process knows of, and applies them to the messages of its server list."""
 
     def __init__(self, agreement_time_s: float) -> None:
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
         self._own_list: dict[str, ListEntry] = {}
-        self._last_at_address: dict[str, tuple[str, float]] = {}  # server id and its start
-        self._stored: dict[str, Notice] = {}  # as the store has them
-        self._unsent: dict[str, Notice] = {}  # own ones, until the store has them
-        self._returned: dict[str, Notice] = {}  # of servers that the own list took back
+        self._last_at_address: dict[str, tuple[str, float]] = {}  # server id and start of its process
+        self._stored: dict[str, Notice] = {}  # as last read from the store
+        self._unsent: dict[str, Notice] = {}  # notices of this process that are not in the store yet
+        self._returned: dict[str, Notice] = {}  # notices that a server is back in service, from the own list
         # by server id: the order of a stored notice, and when it was first read
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
 
     def filter_message(self, document: Any) -> Any:
-        """Take a message of the own server list; returns it with the others' notices applied."""
+        """Processes a message of the own server list; returns it with other processes' notices applied."""
         if (
             not isinstance(document, dict)
             or document.get("heard")
@@ -51,10 +51,12 @@
             return document
         if document.get("full"):
             named = {entry["id"] for entry in document["servers"] if _is_list_entry(entry)}
-            self._own_list = {name: entry for name, entry in self._own_list.items() if name in named}
+            self._own_list = {
+                server_id: entry for server_id, entry in self._own_list.items() if server_id in named
+            }
         for entry in document["servers"]:
             if _is_list_entry(entry):
-                self._take_entry(entry)
+                self._process_entry(entry)
         self._prune()
         servers = [
             self._effective_entry(entry) if _is_list_entry(entry) else entry for entry in document["servers"]
@@ -62,76 +64,80 @@
         return document | {"servers": servers}
 
     def receive(self, documents: Iterable[Any], now: float) -> list[ListEntry]:
-        """Take notices from the store; returns the list entries that change by them."""
+        """Processes notices from the store; returns the list entries whose state changes because of them."""
         changed = []
         for notice, _ in parse_notices(documents):
-            name, entry = notice.server_id, self._own_list.get(notice.server_id)
+            server_id, entry = notice.server_id, self._own_list.get(notice.server_id)
             state_before = entry and self._effective_entry(entry)["state"]
-            self._stored[name] = notice
-            returned = self._returned.get(name)
+            self._stored[server_id] = notice
+            returned = self._returned.get(server_id)
             if notice.is_leaving and returned and returned.order >= notice.order:
-                self._unsent[name] = returned  # the notice's author had not heard of the return
-            if self._stored_since.get(name, (None, 0.0))[0] != notice.order:
-                self._stored_since[name] = notice.order, now
+                self._unsent[server_id] = returned  # its author did not know of the return
+            if self._stored_since.get(server_id, (None, 0.0))[0] != notice.order:
+                self._stored_since[server_id] = notice.order, now
             if entry and self._effective_entry(entry)["state"] != state_before:
                 changed.append(self._effective_entry(entry))
         return changed
 
     def outgoing(self, now: float) -> tuple[list[StoredNotice], list[str]]:
-        """Return the notices to write into the store, and the ids of servers whose notices have expired."""
+        """Returns the notices to write to the store, and the ids of servers whose notices have expired."""
         unsent = []
-        for name, notice in list(self._unsent.items()):
-            stored = self._stored.get(name)
+        for server_id, notice in list(self._unsent.items()):
+            stored = self._stored.get(server_id)
             if stored is not None and stored.order >= notice.order:
-                del self._unsent[name]
+                del self._unsent[server_id]
             else:
                 unsent.append(notice.to_stored())
-        expired = [name for name, (_, since) in self._stored_since.items() if now - since > self._retention_s]
-        for name in expired:
-            del self._stored_since[name]
+        expired = [
+            server_id
+            for server_id, (_, since) in self._stored_since.items()
+            if now - since > self._retention_s
+        ]
+        for server_id in expired:
+            del self._stored_since[server_id]
         return unsent, expired
 
-    def _take_entry(self, entry: ListEntry) -> None:
-        """Take an entry of the own list, and create the notices that follow from it."""
-        name, state = entry["id"], entry.get("state", "in_service")
+    def _process_entry(self, entry: ListEntry) -> None:
+        """Processes an entry of the own list, and creates the notices that follow from it."""
+        server_id, state = entry["id"], entry.get("state", "in_service")
         started = entry.get("started_ms", 0)
-        before, address = self._own_list.get(name), entry.get("addr")
+        before, address = self._own_list.get(server_id), entry.get("addr")
         if state == "terminated":
-            self._own_list.pop(name, None)
+            self._own_list.pop(server_id, None)
             return
-        self._own_list[name] = entry | {"state": state}
+        self._own_list[server_id] = entry | {"state": state}
         started_before = before.get("started_ms", 0) if before is not None else 0
         if state != "in_service":
             if before is None or before["state"] == "in_service" or started_before != started:
-                self._create_notice(name, started, is_leaving=True)
+                self._create_notice(server_id, started, is_leaving=True)
         elif before is not None and started_before < started:
-            self._create_notice(name, started_before, is_leaving=True)
+            self._create_notice(server_id, started_before, is_leaving=True)
         elif before is not None and before["state"] != "in_service" and started_before == started:
-            self._returned[name] = self._create_notice(name, started, is_leaving=False)
+            self._returned[server_id] = self._create_notice(server_id, started, is_leaving=False)
         if isinstance(address, str):
-            self._take_address(address, name, started)
+            self._record_address(address, server_id, started)
 
-    def _take_address(self, address: str, name: str, started: float) -> None:
-        """Note that a server is at an address: one that was there before and is not listed has left."""
+    def _record_address(self, address: str, server_id: str, started: float) -> None:
+        """Records the server at an address; the previous one there has left if it is no longer listed."""
         last = self._last_at_address.pop(address, None)
-        if last is not None and last[0] != name and last[0] not in self._own_list:
+        if last is not None and last[0] != server_id and last[0] not in self._own_list:
             self._create_notice(*last, is_leaving=True)
-        self._last_at_address[address] = name, started
+        self._last_at_address[address] = server_id, started
 
-    def _create_notice(self, name: str, started: float, is_leaving: bool) -> Notice:
-        known = [notices[name] for notices in (self._stored, self._unsent) if name in notices]
+    def _create_notice(self, server_id: str, started: float, is_leaving: bool) -> Notice:
+        known = [notices[server_id] for notices in (self._stored, self._unsent) if server_id in notices]
         newest = max(known, key=lambda notice: notice.order, default=None)
-        turn = 1
+        revision = 1
         if newest is not None and newest.started_ms == started:
-            # a notice that says the same exists already
-            turn = newest.turn if newest.is_leaving == is_leaving else newest.turn + 1
-        notice = Notice(name, started, is_leaving, turn)
+            # the revision only increases if the statement changes
+            revision = newest.revision if newest.is_leaving == is_leaving else newest.revision + 1
+        notice = Notice(server_id, started, is_leaving, revision)
         if is_leaving if newest is None else notice.order > newest.order:
-            self._unsent[name] = notice
+            self._unsent[server_id] = notice
         return notice
 
     def _effective_entry(self, entry: ListEntry) -> ListEntry:
-        """Return an entry as this process acts on it."""
+        """Returns an entry with the stored notice about its server applied."""
         notice, returned = self._stored.get(entry["id"]), self._returned.get(entry["id"])
         state, started = entry.get("state", "in_service"), entry.get("started_ms", 0)
         if notice is None or not notice.is_leaving or state != "in_service" or notice.started_ms < started:
@@ -141,12 +147,14 @@
         return entry | {"state": "terminating"}
 
     def _prune(self) -> None:
-        """Forget servers that are neither listed nor noticed, so that memory stays bounded."""
+        """Forgets servers that are neither listed nor in a stored notice, so that memory stays bounded."""
         while len(self._last_at_address) > MAX_REMEMBERED_ADDRESSES:
             del self._last_at_address[next(iter(self._last_at_address))]
         for notices in (self._stored, self._returned):
             unneeded = [
-                name for name in notices if name not in self._own_list and name not in self._stored_since
+                server_id
+                for server_id in notices
+                if server_id not in self._own_list and server_id not in self._stored_since
             ]
-            for name in unneeded:
-                del notices[name]
+            for server_id in unneeded:
+                del notices[server_id]
--- a/wheatroute/agreement/errors.py
+++ b/wheatroute/agreement/errors.py
@@ -1,6 +1,7 @@
-"""The errors of an agreement. No I/O.
+"""The errors of the agreement package. No I/O.
 
-Errors of an operator's command have its exit status; the others are of the processes that take part.
+`OperatorError` and its subclasses have the exit status of an operator's command; the other errors occur in
+the processes that take part in an agreement.
 """
 
 from __future__ import annotations
@@ -13,47 +14,47 @@
 
 
 class VersionStoreError(AgreementError):
-    """The store could not be read, or did not confirm whether a record was appended."""
+    """The store could not be read or written, or did not confirm whether a record was appended."""
 
 
 class HistoryError(AgreementError):
-    """The records do not continue this history: another store, an older one, or a newer format."""
+    """Records do not continue this history: the store was replaced or restored, or has a newer format."""
 
 
 class MalformedDocumentError(AgreementError):
-    """A stored document has a known format, and not the fields that belong to it."""
+    """A stored document lacks the fields of its format, or has invalid ones."""
 
 
 class ContentError(AgreementError):
-    """The content is not valid for a version."""
+    """The content of a version is invalid."""
 
 
 class OperatorError(AgreementError):
-    """A command of an operator has failed; the message is for the operator."""
+    """An operator's command has failed; the message is for the operator."""
 
     exit_status: ClassVar[int]
 
 
 class InvalidInputError(OperatorError):
-    """What the operator gave cannot be used."""
+    """The operator's input is invalid."""
 
     exit_status = 2
 
 
 class ConflictError(OperatorError):
-    """The state is another one than the operator assumed, who has to decide anew."""
+    """The state is not the one that the operator assumed; the operator has to decide again."""
 
     exit_status = 3
 
 
 class StoreUnavailableError(OperatorError):
-    """The store failed: whether the command was carried out may not be known. To be tried later."""
+    """The store failed; whether the command took effect may be unknown. The operator may retry later."""
 
     exit_status = 4
 
 
 def first_error(error: BaseException) -> BaseException:
-    """Return the first error in the exception groups that concurrent tasks make of it."""
+    """Returns the first error in nested exception groups, in which concurrent tasks wrap errors."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -1,9 +1,9 @@
-"""A version store in etcd, through the client that also follows servers there.
+"""A version store in etcd, using the client of the `etcd` package.
 
 Keys: PREFIX/log/NUMBER holds a record, PREFIX/nodes/NAME.START a process status, PREFIX/words/ID a drain
-notice. A record is appended by a transaction that requires its key to be absent. Answers of another cluster,
-and of one that has gone back to an older revision, are rejected; an append whose answer is lost is an error,
-as it may have been made. Does network I/O.
+notice. A record is appended by a transaction that requires its key to be absent. Responses from another
+cluster, and from a cluster that has gone back to an older revision, are rejected. An append whose response is
+lost is an error, as the record may have been appended. Does network I/O.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 
 
 class EtcdStore:
-    """A version store under a key prefix; implements `VersionStore`.
+    """Implements `VersionStore` under a key prefix.
 
-    `run` keeps the connections; a request made before it runs waits for one. `timeout_s` is for one call at
-    one endpoint.
+    `run` keeps the connections; a request made before that waits for a connection. `timeout_s` applies to
+    one call to one endpoint.
     """
 
     def __init__(
@@ -45,39 +45,40 @@
         self._status_prefix = f"{prefix}/nodes/".encode()
         self._notice_prefix = f"{prefix}/words/".encode()
         self.received_notices: list[StoredNotice] = []
-        self.unreadable_keys: set[str] = set()  # of statuses and drain notices that could not be read
-        self._notices_revision = 0  # up to which drain notices were read
-        self._cluster_id = 0  # of the cluster that answered first
+        self.unreadable_keys: set[str] = set()  # of malformed statuses and drain notices
+        self._notices_revision = 0  # drain notices were read up to this revision
+        self._cluster_id = 0  # of the cluster that sent the first response
         self._revision = 0
 
     async def run(self) -> None:
-        """Keep the connections to the cluster until cancelled."""
+        """Keeps the connections to the cluster until cancelled."""
         await self._client.run()
 
     async def exchange(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """See `VersionStore.exchange`."""
+        """Implements `VersionStore.exchange`."""
         with _store_errors():
             if status is not None:
-                # a status may be written twice: it must only be there before the records are read
+                # writing the status twice is harmless, as long as it is written before the records are read
                 self._check_header((await self._put_status(key, status)).header)
             records = await self._read(max(1, after), has_notices=status is not None)
             if after:
                 if not records or records[0].get("seq") != after or digest(records[0]) != expected_digest:
                     raise VersionStoreError(
-                        f"record {after} is not in the store: an older one, or another one"
+                        f"record {after} is missing or differs: "
+                        "the store was replaced or restored from an older backup"
                     )
                 records = records[1:]
             return records
 
     async def write_status(self, key: str, status: StoredStatus) -> None:
-        """See `VersionStore.write_status`."""
+        """Implements `VersionStore.write_status`."""
         with _store_errors():
             await self._put_status(key, status)
 
     async def statuses(self) -> list[StoredStatus]:
-        """See `VersionStore.statuses`."""
+        """Implements `VersionStore.statuses`."""
         with _store_errors():
             header, pairs = await self._client.range_all(self._status_prefix)
             self._check_header(header)
@@ -85,7 +86,7 @@
             return [status for entry in entries if entry is not None for status in unpack_statuses(entry)]
 
     async def append(self, record: StoredRecord) -> bool:
-        """See `VersionStore.append`."""
+        """Implements `VersionStore.append`."""
         key = self._record_key(record["seq"])
         with _store_errors():
             compare = wire.Compare(key=key, target=wire.VERSION, result=wire.EQUAL, version=0)
@@ -93,13 +94,13 @@
             return bool((await self._client.txn([compare], [put])).succeeded)
 
     async def remove_statuses(self, keys: list[str]) -> None:
-        """See `VersionStore.remove_statuses`."""
+        """Implements `VersionStore.remove_statuses`."""
         with _store_errors():
             for key in keys:
                 await self._client.delete(self._status_prefix + key.encode())
 
     async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
-        """See `VersionStore.write_drain_notices`."""
+        """Implements `VersionStore.write_drain_notices`."""
         with _store_errors():
             for notice in notices:
                 await self._client.put(self._notice_prefix + notice["id"].encode(), orjson.dumps(notice))
@@ -111,9 +112,9 @@
         return await self._call("Put", request, wire.PutResponse)
 
     async def _read(self, first: int, has_notices: bool) -> list[StoredRecord]:
-        """Read the records from number `first` on and, with `has_notices`, collect new drain notices.
+        """Reads the records from number `first` on and, with `has_notices`, collects new drain notices.
 
-        One read-only transaction, so that both are as of one revision.
+        Uses one read-only transaction, so that both are from the same revision.
         """
         log_end = wire.prefix_end(self._log_prefix)
         ranges = [
@@ -127,7 +128,7 @@
                     min_mod_revision=self._notices_revision + 1,
                 )
             )
-        request = wire.TxnRequest(success=[wire.RequestOp(request_range=one) for one in ranges])
+        request = wire.TxnRequest(success=[wire.RequestOp(request_range=read_range) for read_range in ranges])
         answer = await self._call("Txn", request, wire.TxnResponse)
         self._check_header(answer.header)
         log, *notices = [response.response_range.kvs for response in answer.responses]
@@ -139,7 +140,7 @@
         return records
 
     async def _call(self, method: str, message: Any, response_type: Any) -> Any:
-        """Make one call with a timeout short enough that a silent endpoint leaves time for another one."""
+        """Makes one call; the timeout leaves time for another endpoint if this one does not respond."""
         path = f"{wire.KV}{method}"
         return await self._client.call(path, message, response_type, timeout_s=self._timeout_s)
 
@@ -147,14 +148,16 @@
         return self._log_prefix + b"%012d" % number
 
     def _check_header(self, header: Any) -> None:
-        """Reject another cluster at the same address, and one restored to an older revision."""
+        """Raises `VersionStoreError` for another cluster at the same address, or a lower revision."""
         self._cluster_id = self._cluster_id or header.cluster_id
         if header.cluster_id != self._cluster_id:
             raise VersionStoreError(
-                f"cluster {header.cluster_id:x} answers in the place of {self._cluster_id:x}"
+                f"response from etcd cluster {header.cluster_id:x}, expected cluster {self._cluster_id:x}"
             )
         if header.revision < self._revision:
-            raise VersionStoreError(f"the store is at revision {header.revision}, it was at {self._revision}")
+            raise VersionStoreError(
+                f"the store has gone back to revision {header.revision} from revision {self._revision}"
+            )
         self._revision = header.revision
 
     def _parse_entry(self, pair: Any) -> dict[str, Any] | None:
@@ -164,13 +167,13 @@
     def _parse_record(pair: Any) -> StoredRecord:
         record = orjson.loads(pair.value)
         if not isinstance(record, dict):
-            raise VersionStoreError(f"{pair.key.decode(errors='replace')} is no record")
+            raise VersionStoreError(f"{pair.key.decode(errors='replace')} does not hold a JSON object")
         return record
 
 
 @contextmanager
 def _store_errors() -> Iterator[None]:
-    """Turn errors of the client into `VersionStoreError`."""
+    """Turns errors of the client into `VersionStoreError`."""
     try:
         yield
     except (CallError, orjson.JSONDecodeError) as error:
--- a/wheatroute/agreement/heartbeat.py
+++ b/wheatroute/agreement/heartbeat.py
@@ -1,4 +1,4 @@
-"""Heartbeats as a reader sees them, who knows a status only by its number and its own clock. No I/O."""
+"""Tracks when the heartbeat of a status last changed, on the reader's own clock. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class SeenHeartbeat(NamedTuple):
-    """The heartbeat of a status, and when this reader has first seen it, on its own clock."""
+    """The heartbeat number of a status, and when this reader first saw that number, on the reader's clock."""
 
     number: int
     since: float
 
 
 def seen_heartbeat(last: SeenHeartbeat | None, number: int, now: float) -> SeenHeartbeat:
-    """Return what is seen now; `last` is what was seen before, which stays if the number is the same."""
+    """Returns `last` if the heartbeat number is unchanged, else a new entry with the time `now`."""
     return last if last is not None and last.number == number else SeenHeartbeat(number, now)
--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -1,8 +1,8 @@
-"""The rules by which two versions of the settings are joined: a rule for each key. No I/O.
+"""The rules by which two versions of the settings are joined, one for each key. No I/O.
 
-A table has a line for each key that the decision module or a front end acts on. Joining never loosens
-anything: of two different values the stricter one counts, and a key that cannot be joined says how it changes
-instead.
+The tables have an entry for each key that the decision module or a front end uses. Joining never loosens a
+limit: of two different values the stricter one applies. The rule of a key that cannot be joined says how its
+value changes instead.
 """
 
 from __future__ import annotations
@@ -13,57 +13,60 @@
 
 
 class JoinRule(StrEnum):
-    """What holds while one process acts on one version and another on the next, as printed."""
+    """Which value of a key applies while processes act on two successive versions; the values are printed."""
 
-    MINIMUM = "the smaller"
-    MAXIMUM = "the larger"
-    BOTH = "only if both"
-    STRICT = "the stricter"
-    FREE = "may differ: the old one until the new one is in force"
-    FIXED = "changes with a restart only"
-    OWN = "each process has its own"
-    ROUTE = "the old one until the new one is in force: who asks too early or late is refused unharmed"
-    UNKNOWN = "unknown"  # of a key that no table has
+    MINIMUM = "the smaller value applies"
+    MAXIMUM = "the larger value applies"
+    BOTH = "only if both versions allow it"
+    STRICTER = "the stricter value applies"
+    MAY_DIFFER = "may differ: the old value applies until the new version is in force"
+    RESTART_ONLY = "can only change with a restart"
+    PER_PROCESS = "specific to each process"
+    ROUTE = (
+        "the old value applies until the new version is in force; other requests are rejected unexecuted"
+    )
+    UNKNOWN = "unknown"  # for a key that is in no table
 
 
+# the parts of a version: for the platform's node, and for processes that are configured by a TOML file
 NODE_PART, FILE_PART = (
     "settings",
     "file",
-)  # of a version: for the platform's node, for the TOML file's processes
+)
 VERSION_PARTS = (NODE_PART, FILE_PART)
-FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # of the part for the TOML file
+FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # the keys of `FILE_PART`
 
-# the decision settings, by field
+# rules of the decision settings, by field of `DecisionSettings`
 SETTING_RULES: dict[str, JoinRule] = {
     "nodes": JoinRule.MAXIMUM,
-    "node": JoinRule.OWN,
-    "tick": JoinRule.FIXED,
-    "tier": JoinRule.FIXED,
-    "tiers": JoinRule.FIXED,
-    "zones": JoinRule.FIXED,
-    "zone": JoinRule.OWN,
+    "node": JoinRule.PER_PROCESS,
+    "tick": JoinRule.RESTART_ONLY,
+    "tier": JoinRule.RESTART_ONLY,
+    "tiers": JoinRule.RESTART_ONLY,
+    "zones": JoinRule.RESTART_ONLY,
+    "zone": JoinRule.PER_PROCESS,
     "can_hedge": JoinRule.BOTH,
-    "can_cancel": JoinRule.FREE,
+    "can_cancel": JoinRule.MAY_DIFFER,
     "can_probe": JoinRule.BOTH,
-    "has_peers": JoinRule.OWN,
-    "can_advise_retry": JoinRule.FREE,
+    "has_peers": JoinRule.PER_PROCESS,
+    "can_advise_retry": JoinRule.MAY_DIFFER,
     "max_retry_after_s": JoinRule.MINIMUM,
     "max_attempts": JoinRule.MINIMUM,
-    "connect_timeout_s": JoinRule.FREE,
+    "connect_timeout_s": JoinRule.MAY_DIFFER,
     "idle_timeout_s": JoinRule.MINIMUM,
-    "calls_per_connection": JoinRule.FIXED,
-    "max_open_connections": JoinRule.FREE,
-    "excess_value_factor": JoinRule.FREE,
-    "time_left_passed_on": JoinRule.FIXED,
-    "connection_price": JoinRule.FREE,
-    "crossing_price": JoinRule.FREE,
-    "waste_price": JoinRule.FREE,
-    "late_price": JoinRule.FREE,
-    "report_how": JoinRule.FIXED,
-    "reported": JoinRule.FIXED,
-    "work_counts": JoinRule.FREE,
-    "list_on_request": JoinRule.FIXED,
-    "max_servers_per_tick": JoinRule.OWN,
+    "calls_per_connection": JoinRule.RESTART_ONLY,
+    "max_open_connections": JoinRule.MAY_DIFFER,
+    "excess_value_factor": JoinRule.MAY_DIFFER,
+    "time_left_passed_on": JoinRule.RESTART_ONLY,
+    "connection_price": JoinRule.MAY_DIFFER,
+    "crossing_price": JoinRule.MAY_DIFFER,
+    "waste_price": JoinRule.MAY_DIFFER,
+    "late_price": JoinRule.MAY_DIFFER,
+    "report_how": JoinRule.RESTART_ONLY,
+    "reported": JoinRule.RESTART_ONLY,
+    "work_counts": JoinRule.MAY_DIFFER,
+    "list_on_request": JoinRule.RESTART_ONLY,
+    "max_servers_per_tick": JoinRule.PER_PROCESS,
     "answer_slack_s": JoinRule.MINIMUM,
     "list_max_age_s": JoinRule.MINIMUM,
     "warmup_s": JoinRule.MAXIMUM,
@@ -72,30 +75,30 @@
     "overload_window_s": JoinRule.MINIMUM,
     "overload_multiple": JoinRule.MINIMUM,
 }
-# the TOML file, by table: what a version's part for it holds, and what each process keeps to itself
+# rules of the TOML file, by table: its keys that are shared in a version, and those specific to a process
 FILE_RULES: dict[str, dict[str, JoinRule]] = {
     "File": {
-        "name": JoinRule.OWN,
-        "seed": JoinRule.OWN,
+        "name": JoinRule.PER_PROCESS,
+        "seed": JoinRule.PER_PROCESS,
         "nodes": JoinRule.MAXIMUM,
-        "node": JoinRule.OWN,
-        "pools": JoinRule.OWN,
-        "traffic_types": JoinRule.STRICT,
+        "node": JoinRule.PER_PROCESS,
+        "pools": JoinRule.PER_PROCESS,
+        "traffic_types": JoinRule.STRICTER,
         "customers": JoinRule.MINIMUM,
-        "processor": JoinRule.OWN,
-        "snapshot": JoinRule.OWN,
-        "agreement": JoinRule.OWN,
+        "processor": JoinRule.PER_PROCESS,
+        "snapshot": JoinRule.PER_PROCESS,
+        "agreement": JoinRule.PER_PROCESS,
     },
     "RequestClass": {
         "name": JoinRule.ROUTE,
-        "effect": JoinRule.STRICT,
+        "effect": JoinRule.STRICTER,
         "paths": JoinRule.ROUTE,
         "methods": JoinRule.ROUTE,
         "hard_stop": JoinRule.MINIMUM,
         "target_time": JoinRule.MINIMUM,
-        "utility": JoinRule.FREE,
-        "late_utility": JoinRule.FREE,
-        "group": JoinRule.STRICT,
+        "utility": JoinRule.MAY_DIFFER,
+        "late_utility": JoinRule.MAY_DIFFER,
+        "group": JoinRule.STRICTER,
         "repeat_window": JoinRule.MINIMUM,
     },
     "Tenant": {"name": JoinRule.ROUTE, "rate": JoinRule.MINIMUM},
@@ -108,9 +111,9 @@
         "answer_slack": JoinRule.MINIMUM,
     },
 }
-# the platform's file beside its settings: none of it is in a version
+# rules of the node's file apart from its settings: none of these keys is in a version
 NODE_FILE_RULES: dict[str, JoinRule] = {
-    name: JoinRule.OWN
+    name: JoinRule.PER_PROCESS
     for name in (
         "name",
         "listen",
@@ -127,35 +130,35 @@
         "beside",
     )
 }
-# effects and groups are numbered from the loosest to the strictest, so the larger one binds
+# effects and groups are numbered from the loosest to the strictest, so the larger value is the stricter one
 REQUEST_CLASS_RULES: dict[str, JoinRule] = {
-    "idempotency": JoinRule.STRICT,
-    "deduplication_group": JoinRule.STRICT,
+    "idempotency": JoinRule.STRICTER,
+    "deduplication_group": JoinRule.STRICTER,
     "retry_window": JoinRule.MINIMUM,
     "target_latency": JoinRule.MINIMUM,
     "deadline": JoinRule.MINIMUM,
-    "stretch": JoinRule.FREE,
-    "value": JoinRule.FREE,
-    "late_value": JoinRule.FREE,
-    "is_streamed": JoinRule.FIXED,
+    "stretch": JoinRule.MAY_DIFFER,
+    "value": JoinRule.MAY_DIFFER,
+    "late_value": JoinRule.MAY_DIFFER,
+    "is_streamed": JoinRule.RESTART_ONLY,
     "paths": JoinRule.ROUTE,
     "methods": JoinRule.ROUTE,
 }
-TENANT_RULES: dict[str, JoinRule] = {"quota": JoinRule.MINIMUM, "portion": JoinRule.FREE}
+TENANT_RULES: dict[str, JoinRule] = {"quota": JoinRule.MINIMUM, "portion": JoinRule.MAY_DIFFER}
 
-# the settings' other keys, by what becomes of them
+# rules of the platform's settings that have no field in `DecisionSettings`
 _OTHER_PATH_RULES = {
-    "zone": JoinRule.OWN,
-    "dcs": JoinRule.FIXED,
-    "skus": JoinRule.FIXED,
-    "tiers": JoinRule.FIXED,
-    "membership-mode": JoinRule.FIXED,
-    "report.fields": JoinRule.FIXED,
-    "utility-basis": JoinRule.FREE,
+    "zone": JoinRule.PER_PROCESS,
+    "dcs": JoinRule.RESTART_ONLY,
+    "skus": JoinRule.RESTART_ONLY,
+    "tiers": JoinRule.RESTART_ONLY,
+    "membership-mode": JoinRule.RESTART_ONLY,
+    "report.fields": JoinRule.RESTART_ONLY,
+    "utility-basis": JoinRule.MAY_DIFFER,
 }
-# the platform's settings, by path
+# rules of the platform's settings, by path
 PATH_RULES = {path: SETTING_RULES[name] for name, (path, _) in SETTING_KEYS.items()} | _OTHER_PATH_RULES
-# keys of a request class in the platform's settings, and the fields that they give
+# keys of a request class in the platform's settings, and the fields that they set
 REQUEST_CLASS_FIELDS = {
     "effect": "idempotency",
     "group": "deduplication_group",
--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -1,6 +1,7 @@
-"""Joins the settings of two versions into settings that lie within both. No I/O.
+"""Joins the settings of two versions into settings that keep the limits of both. No I/O.
 
-While one process acts on one version and another on the next, every process acts within both.
+A process that knows of a pending version uses the joined settings, so that it stays within the limits of
+processes on either version.
 """
 
 from __future__ import annotations
@@ -18,19 +19,23 @@
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 
+# of `overload_multiple`, which bounds the load of servers that are warming up, in a conservative process
 CONSERVATIVE_WARMUP_RATIO = 0.25
 
 _JOIN: dict[JoinRule, Callable[[Any, Any], Any]] = {
     JoinRule.MINIMUM: min,
     JoinRule.MAXIMUM: max,
-    JoinRule.STRICT: max,
+    JoinRule.STRICTER: max,
     JoinRule.BOTH: lambda old, new: old and new,
 }
 _Joinable = TypeVar("_Joinable", DecisionSettings, RequestClass, TenantQuota)
 
 
 def joined(old: DecisionSettings, new: DecisionSettings) -> DecisionSettings:
-    """Return settings within both; their classes and tenants stand under the same numbers in both."""
+    """Returns settings that keep the limits of both.
+
+    Request classes and tenants must have the same numbers in both.
+    """
     class_pairs = zip(old.request_classes, new.request_classes, strict=True)
     tenant_pairs = zip(old.tenants, new.tenants, strict=True)
     return replace(
@@ -41,7 +46,7 @@
 
 
 def join_fields(rules: Mapping[str, JoinRule], old: _Joinable, new: _Joinable) -> _Joinable:
-    """Return `old` with each field that the rules join taken from both."""
+    """Returns `old` with each field that has a joining rule replaced by the joined value."""
     return replace(
         old,
         **{
@@ -52,16 +57,17 @@
     )
 
 
-def absent(request_class: RequestClass) -> RequestClass:
-    """Return the class as it counts in a version that does not have it: its requests have no value."""
+def without_value(request_class: RequestClass) -> RequestClass:
+    """Returns the class as it applies in a version that does not have it: its requests have no value."""
     return replace(request_class, value=0.0, late_value=0.0)
 
 
 def conservative(settings: DecisionSettings) -> DecisionSettings:
-    """Return what a process may do that cannot tell which version is active: what every version allows.
+    """Returns settings that every version allows, for a process that cannot tell which version is active.
 
-    Nothing is sent again unless it provably never ran, nothing that may have run is rejected, nothing is
-    hedged, and servers that are warming up get a quarter. A first attempt is as harmless as it was.
+    A request is only sent again if it provably never ran, a request that may have run is not rejected, none
+    is hedged, and servers that are warming up get a quarter of the load. First attempts are not restricted:
+    they are as safe as under any version.
     """
     return replace(
         settings,
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -1,16 +1,18 @@
-"""One process of an agreement: which versions it may act on, until when, and when to activate one. No I/O.
+"""The agreement protocol's state machine in one process. No I/O.
 
-A state machine: it is given the times and the results of store exchanges, in seconds on a monotonic clock. It
-never acts on a version beyond its confirmation, never activates a version while a process that counts is
-neither joint nor conservative, and never goes back behind a record that it has applied.
+It decides which versions of the settings the process may act on, until when, and when to activate a version.
+Its input are the times and the results of exchanges with the store, in seconds on a monotonic clock. It never
+acts on a version after its confirmation has expired, never activates a version while a process that counts
+is neither joint nor conservative, and never reverts to a state before a record that it has applied.
 
-Why this is safe. A process writes its status, then reads the records, and acts on them until
+Why this is safe: A process writes its status, then reads the records, and acts on them until
 `confirmation_ttl_s` after it *sent* the status, less the clock drift. Records are only appended, one at a
 time. Once a process has read that a version was put, it is joint or conservative, and never acts on the old
-version alone. That state ends at the latest one time to live after the put, also for a process that is
-stopped, partitioned in one direction, or restarting. A version is activated when the statuses show that every
-process has read the put, or one time to live (and the drift) after the deciding process has. A process whose
-status the decider does not see writes it later, and so reads the put among the records after that.
+version alone. A confirmation from before the put ends at most one time to live after the put, also in a
+process that is stopped, partitioned in one direction, or restarting. A version is activated when the statuses
+show that every process has read the put, or one time to live (plus the drift) after the deciding process has
+read it. A process whose status the decider does not see writes its status later, and therefore reads the put
+in the exchange that follows.
 """
 
 from __future__ import annotations
@@ -25,13 +27,17 @@
 from wheatroute.agreement.versions import History
 
 MAX_CLOCK_DRIFT = 0.01  # relative difference between the rates of two processes' monotonic clocks
-STATUS_EXPIRY_TTLS = 3.0  # a status without a new heartbeat for so many times to live is removed
-CONFIRMATION_FRACTION = 0.85  # of the agreement time, for a confirmation; the rest is for what is in flight
+STATUS_EXPIRY_TTLS = 3.0  # a status whose heartbeat has not changed for this many times to live is removed
+# time to live of a confirmation, as a fraction of the agreement time; the rest is for messages in flight
+CONFIRMATION_FRACTION = 0.85
 
 
 @dataclass(frozen=True)
 class EffectiveVersions:
-    """What a process acts on: the active version, and a joint one whose limits it also keeps; 0 for none."""
+    """The versions that a process acts on; 0 for none.
+
+    `joint` is a pending version whose limits the process keeps in addition to those of the active one.
+    """
 
     active: int = 0
     joint: int = 0
@@ -39,14 +45,17 @@
 
 
 class _SeenStatus(NamedTuple):
-    """What is remembered of a status: its heartbeat, and the time to live of that process's confirmation."""
+    """A status as read last: its heartbeat, and the time to live of that process's confirmations."""
 
     heartbeat: SeenHeartbeat
     ttl_s: float
 
 
 class Member:
-    """The process itself. `agreement_time_s` bounds how long a change may take to reach all processes."""
+    """Tracks the history, the confirmation and the effective versions of one process.
+
+    `agreement_time_s` bounds how long a change may take to reach all processes.
+    """
 
     def __init__(
         self, name: str, incarnation: str, agreement_time_s: float, max_clock_drift: float = MAX_CLOCK_DRIFT
@@ -55,28 +64,28 @@
         self.name, self.incarnation = name, incarnation
         self.confirmation_ttl_s = CONFIRMATION_FRACTION * agreement_time_s
         self.max_clock_drift = max_clock_drift
-        self.unusable: dict[int, str] = {}  # versions that this process cannot use, and why
-        self.usable: set[int] = {0}
+        self.unusable: dict[int, str] = {}  # by version that this process cannot use: the reason
+        self.usable: set[int] = {0}  # versions that this process has checked and can use
         self.effective = EffectiveVersions()
-        self.confirmed_at = -inf  # when the last answered exchange was sent
+        self.confirmed_at = -inf  # when the newest complete exchange was sent
         self.conservative_reason = "not confirmed yet"
-        self.server_list = ("", 0)  # source and revision of the server list that it acts on
+        self.server_list = ("", 0)  # source and revision of the server list in use
         self._heartbeat = 0
-        self._seen_statuses: dict[str, _SeenStatus] = {}  # by key; as read last
+        self._seen_statuses: dict[str, _SeenStatus] = {}  # by key
         self._pending_since = (0, inf)  # the pending version, and when it was first seen
 
     @property
     def key(self) -> str:
-        """The key of its status."""
+        """The key of this process's status in the store."""
         return f"{self.name}.{self.incarnation}"
 
     @property
     def confirmed_until(self) -> float:
-        """When the present confirmation ends."""
+        """When the current confirmation expires."""
         return self.confirmed_at + self.confirmation_ttl_s * (1.0 - self.max_clock_drift)
 
     def next_status(self, unix_time: float) -> StoredStatus:
-        """Return its status with the next heartbeat; `unix_time` is for display only."""
+        """Returns this process's status with the next heartbeat; `unix_time` is for display only."""
         self._heartbeat += 1
         pending = self.history.pending
         status = MemberStatus(
@@ -101,9 +110,9 @@
         return self.conservative_reason if self.effective.is_conservative else ""
 
     def confirm(self, sent_at: float, records: list[StoredRecord], is_complete: bool = True) -> None:
-        """Apply the answer to an exchange that was sent at `sent_at`: the records after this history's head.
+        """Applies the records that an exchange sent at `sent_at` returned: those after this history's head.
 
-        An incomplete answer, after which there may be more records, confirms nothing. Raises `HistoryError`
+        An incomplete response, after which there may be more records, confirms nothing. Raises `HistoryError`
         for records of another history, which confirm nothing either.
         """
         for record in records:
@@ -112,28 +121,31 @@
             self.confirmed_at, self.conservative_reason = max(self.confirmed_at, sent_at), ""
 
     def record_failure(self, reason: str) -> None:
-        """Note that an exchange failed, or was answered by another history."""
+        """Records why an exchange failed or returned another history's records."""
         self.conservative_reason = reason
 
     def unchecked_versions(self) -> list[int]:
-        """Return the versions to be checked before the process can know what it may act on."""
+        """Returns the active and pending versions for which `record_check` has not been called yet."""
         needed = [self.history.active, self.history.pending]
         return [number for number in needed if number not in self.usable and number not in self.unusable]
 
     def record_check(self, version: int, error: str = "") -> None:
-        """Note whether this process can use a version; `error` says why not."""
+        """Records whether this process can use a version; `error` says why it cannot, empty if it can."""
         if error:
             self.unusable[version] = error
         else:
             self.usable.add(version)
 
     def permitted(self, now: float) -> EffectiveVersions:
-        """Return what it may act on now. The caller acts on it before the next status is written."""
+        """Returns the versions that this process may act on now.
+
+        The caller must act on them before it writes the next status.
+        """
         history = self.history
         active = history.active if history.active in self.usable else self.effective.active
         joint = history.pending if history.pending in self.usable else 0
-        # without use of the pending version it stays conservative until that is withdrawn: it cannot know
-        # when the version becomes active for the others
+        # A process that cannot use the pending version stays conservative until that version is withdrawn:
+        # it cannot know when the version becomes active in the other processes.
         needed = (history.active, history.pending)
         is_conservative = now >= self.confirmed_until or any(number not in self.usable for number in needed)
         if is_conservative and not self.conservative_reason:
@@ -142,16 +154,17 @@
         return EffectiveVersions(active, joint, is_conservative)
 
     def set_effective(self, effective: EffectiveVersions) -> None:
-        """Note that the process acts on these versions from now on."""
+        """Records that the process now acts on these versions."""
         self.effective = effective
 
     def next_decision(
         self, read_began: float, read_ended: float, statuses: list[StoredStatus]
     ) -> StoredRecord | None:
-        """Return the record to append next, or None, from all statuses as read between two moments.
+        """Returns the decision record to append, or None if no decision is due.
 
-        To be called right after an answer that was read before the statuses: the pending version must be the
-        store's. Raises `MalformedDocumentError` for a malformed status.
+        `statuses` are those of all processes, read between `read_began` and `read_ended`. Call it right after
+        an exchange that ended before the statuses were read: the pending version must be the one in the
+        store. Raises `MalformedDocumentError` for a malformed status.
         """
         decision = self._decide(read_began, read_ended, [parse_status(status) for status in statuses])
         return self.history.encode(decision) if decision is not None else None
@@ -184,14 +197,14 @@
         )
 
     def rank(self, statuses: list[StoredStatus]) -> int:
-        """Return its position among the processes, which decide one after the other and not all at once."""
+        """Returns this process's position by key among all processes, which take turns to decide."""
         keys = sorted(parse_heartbeat(status).key for status in statuses)
         return keys.index(self.key) if self.key in keys else len(keys)
 
     def expired_status_keys(self, read_began: float) -> list[str]:
-        """Return the keys of statuses that can be removed, as their heartbeat has stood still for long.
+        """Returns the keys of statuses that can be removed because their heartbeat has stopped.
 
-        They are those of the statuses that `next_decision` was given last.
+        Considers the statuses that were passed to the last call of `next_decision`.
         """
         return [
             key
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -1,12 +1,12 @@
-"""An explicit-state model checker of the agreement: every order of events for a few processes and one store.
+"""An explicit-state model checker of the agreement protocol, for a few processes and one store. No I/O.
 
-It runs `member.py` and `versions.py` as they are, in a world of processes, a store, puts and a clock of
-whole steps, and checks at each state that some version allows what all processes may do. Only the digest of
-a record is replaced, by a shorter one. No order of events is left out for being unlikely.
+It runs `member.py` and `versions.py` unchanged, in a world of processes, one store, puts and a clock of whole
+steps. At each state it checks that some version allows what all processes may do. Only the digest of a record
+is replaced, by a shorter one. Every order of events is explored, however unlikely.
 
-A process may be held up between any two of its steps for any time (which covers SIGSTOP, a slow store and a
-lost answer), the answer of an exchange may be lost, a process may die and restart, and it checks the clock
-before it acts, as `version_follower.py` does. No I/O.
+A process may be delayed between any two of its steps for any time (which covers SIGSTOP, a slow store and a
+lost response), the response of an exchange may be lost, and a process may crash and restart. A process checks
+the clock before it acts, as `version_follower.py` does.
 """
 
 from __future__ import annotations
@@ -24,7 +24,11 @@
 
 @dataclass
 class CheckResult:
-    """The result of a run: `counterexample` is a shortest path to a violation, if there is one."""
+    """The result of a run.
+
+    `counterexample` is a shortest path of events to a violation, empty if there is none. `is_complete` is
+    whether all states within the bounds were searched.
+    """
 
     states: int = 0
     depth: int = 0
@@ -33,10 +37,11 @@
 
 
 class ModelChecker:
-    """Searches breadth first, so that a counterexample is a shortest one.
+    """Searches the states breadth first, so that a counterexample is a shortest one.
 
-    `make_member` may return members with a fault, to show that it is found. With `overwrites` the store
-    replaces records, with `reads_first` processes read the records before they write their status.
+    The other arguments inject faults, to show that the checker finds them: `make_member` may return members
+    with a defect, with `overwrites` the store replaces records, and with `reads_first` processes read the
+    records before they write their status.
     """
 
     def __init__(
@@ -50,7 +55,7 @@
         self._events = WorldEvents(bounds, make_member, overwrites, reads_first)
 
     def run(self) -> CheckResult:
-        """Check all states within the bounds, or up to the first violation."""
+        """Searches all states within the bounds, up to the first violation."""
         original, versions.digest = versions.digest, short_digest
         try:
             return self._run()
@@ -59,27 +64,28 @@
 
     def _run(self) -> CheckResult:
         processes = [self._events.new_process(i, 0) for i in range(self._bounds.processes)]
-        first = WorldState(0, (), {}, processes)
-        seen: dict[Any, tuple[Any, str]] = {first.key(self._bounds): (None, "")}
-        queue = deque([(first, 0)])
-        found = CheckResult()
+        initial = WorldState(0, (), {}, processes)
+        # by key of a state: the key of its predecessor, and the event that led to it
+        seen: dict[Any, tuple[Any, str]] = {initial.key(self._bounds): (None, "")}
+        queue = deque([(initial, 0)])
+        result = CheckResult()
         while queue:
             world, depth = queue.popleft()
-            found.states, found.depth = found.states + 1, max(found.depth, depth)
-            if found.states >= self._bounds.max_states:
-                found.is_complete = False
-                return found
+            result.states, result.depth = result.states + 1, max(result.depth, depth)
+            if result.states >= self._bounds.max_states:
+                result.is_complete = False
+                return result
             key = world.key(self._bounds)
             for event, after in self._events.successors(world):
-                broken = violation(self._bounds, world, after)
-                if broken:
-                    found.counterexample = [*self._path_to(seen, key), event, broken]
-                    return found
-                new = after.key(self._bounds)
-                if new not in seen:
-                    seen[new] = (key, event)
+                violated = violation(self._bounds, world, after)
+                if violated:
+                    result.counterexample = [*self._path_to(seen, key), event, violated]
+                    return result
+                new_key = after.key(self._bounds)
+                if new_key not in seen:
+                    seen[new_key] = (key, event)
                     queue.append((after, depth + 1))
-        return found
+        return result
 
     @staticmethod
     def _path_to(seen: dict[Any, tuple[Any, str]], key: Any) -> list[str]:
--- a/wheatroute/agreement/model_events.py
+++ b/wheatroute/agreement/model_events.py
@@ -1,4 +1,4 @@
-"""The events that may happen in the world of the model checker. No I/O."""
+"""The events that the model checker explores. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class WorldEvents:
-    """The events within the bounds; see `ModelChecker` for the faults."""
+    """Generates the events within the bounds; see `ModelChecker` for the injected faults."""
 
     def __init__(
         self, bounds: Bounds, make_member: MemberFactory, overwrites: bool, reads_first: bool
@@ -25,13 +25,13 @@
         self._overwrites, self._reads_first = overwrites, reads_first
 
     def new_process(self, i: int, incarnation: int) -> Process:
-        """Return a process that has just started."""
+        """Returns a process that has just started."""
         member = self._make_member(f"n{i}", str(incarnation), 1.0, 0.0)
         member.confirmation_ttl_s = self._bounds.ttl_steps
         return Process(member, incarnation=incarnation)
 
     def successors(self, world: WorldState) -> list[tuple[str, WorldState]]:
-        """Return every event that may happen next, as a text, with the state after it."""
+        """Returns a description of every event that may happen next, with the state after it."""
         after = [event for i in range(len(world.processes)) for event in self._process_events(world, i)]
         if world.puts < self._bounds.puts:
             after.append((f"version {world.puts + 1} is put", self._put(world)))
@@ -41,10 +41,10 @@
 
     def _process_events(self, world: WorldState, i: int) -> Iterator[tuple[str, WorldState]]:
         process = world.processes[i]
-        if process.to_append is None:  # also while one is in flight: its answer was lost then
+        if process.to_append is None:  # also while an exchange is in flight, whose response is then lost
             yield f"n{i} sends its status", self._send(world, i)
         if process.sent_at is not None:
-            yield f"n{i} is answered", self._receive(world, i)
+            yield f"n{i} receives its response", self._receive(world, i)
         if process.has_new_answer and process.member.history.pending and i < self._bounds.deciders:
             yield f"n{i} reads the statuses", self._read_statuses(world, i)
         if process.to_append is not None:
@@ -87,7 +87,7 @@
         assert process.sent_at is not None
         member.confirm(process.sent_at, new)
         for version in member.unchecked_versions():
-            member.record_check(version, "not here" if (i, version) in self._bounds.rejections else "")
+            member.record_check(version, "unusable" if (i, version) in self._bounds.rejections else "")
         member.set_effective(member.permitted(world.now))
 
     @staticmethod
--- a/wheatroute/agreement/model_invariants.py
+++ b/wheatroute/agreement/model_invariants.py
@@ -1,4 +1,4 @@
-"""The invariants that the model checker checks at each state of the world. No I/O."""
+"""The invariants that the model checker checks at each state. No I/O."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 
 def violation(bounds: Bounds, before: WorldState, after: WorldState) -> str:
-    """Return which invariant the step from one state to the next breaks; empty for none."""
+    """Returns which invariant the step between two states violates; empty if none."""
     return _disagreement(bounds, after) or _step_back(before, after) or _unusable_activated(bounds, after)
 
 
 def _disagreement(bounds: Bounds, world: WorldState) -> str:
-    """Some version allows what all processes may do."""
+    """Checks that some version allows what all processes may do."""
     effective = [process.view(world.now, -bounds.ttl_steps).effective for process in world.processes]
     limits = [{one.active, one.joint or one.active} for one in effective if not one.is_conservative]
     if not limits or set.intersection(*limits):
         return ""
     states = (f"n{i} {_described(one)}" for i, one in enumerate(effective))
-    return "no version allows what all may do: " + "; ".join(states)
+    return "no version allows what all processes may do: " + "; ".join(states)
 
 
 def _described(effective: EffectiveVersions) -> str:
@@ -29,7 +29,7 @@
 
 
 def _step_back(before: WorldState, after: WorldState) -> str:
-    """A process never goes back to an older version, unless it restarts."""
+    """Checks that no process goes back to an older version without a restart."""
     for i, (old, new) in enumerate(zip(before.processes, after.processes, strict=True)):
         old_version, new_version = old.member.effective.active, new.member.effective.active
         if new.incarnation == old.incarnation and new_version < old_version:
@@ -38,11 +38,14 @@
 
 
 def _unusable_activated(bounds: Bounds, world: WorldState) -> str:
-    """No version becomes active that a process cannot use, as long as none restarts or falls silent."""
+    """Checks that no version becomes active that a process cannot use.
+
+    Only applies if no process restarts and the clock stands still, so that no confirmation expires.
+    """
     if not bounds.rejections or bounds.restarts or bounds.clock_steps:
         return ""
     for record in map(parse_header, world.records):
         for i, version in bounds.rejections:
             if record.kind == RecordKind.ACTIVATE and record.version == version:
-                return f"version {version} is in force, which n{i} cannot use"
+                return f"version {version} is in force, but n{i} cannot use it"
     return ""
--- a/wheatroute/agreement/model_world.py
+++ b/wheatroute/agreement/model_world.py
@@ -1,6 +1,6 @@
-"""A state of the world that the model checker searches: processes, a store and a clock. No I/O.
+"""The states that the model checker searches: processes, a store and a clock. No I/O.
 
-Times are whole clock steps.
+Times are in whole clock steps.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 from wheatroute.agreement.records import StoredRecord
 
 MAX_PROCESSES = 9
-# in the key of a state, where a process has no such number
+# placeholders in the key of a state for a value that a process does not have
 ANY_PROCESS, NOT_SENT, NO_PENDING_VERSION = 99, -99, 99
 
 
 def short_digest(content: Any) -> str:
-    """Return what tells records of one run apart, at a tenth of the cost of a digest."""
-    named = "{before}/{kind}{version}"
-    return named.format(**content) if "before" in content else "content"
+    """Returns a text that distinguishes the records of one run, at a tenth of the cost of a digest."""
+    template = "{before}/{kind}{version}"
+    return template.format(**content) if "before" in content else "content"
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Which events may happen, and how often."""
+    """Limits the events of a run: how many processes there are, and how often each event may happen."""
 
     processes: int = 3
     puts: int = 2
     restarts: int = 1
     clock_steps: int = 3
     ttl_steps: int = 1  # clock steps for which a confirmation is valid
-    deciders: int = MAX_PROCESSES  # how many of the processes read the statuses
+    deciders: int = MAX_PROCESSES  # the first so many processes read the statuses, and so may decide
     rejections: tuple[tuple[int, int], ...] = ()  # (process, version that it cannot use)
     max_states: int = 10**9
 
-    def tells_apart(self, process: int) -> bool:
-        """Whether a process differs from others by its number, and not only by its state."""
+    def distinguishes(self, process: int) -> bool:
+        """Whether the process number matters: whether processes in the same state may behave differently."""
         return bool(self.rejections) or process < self.deciders < MAX_PROCESSES
 
 
 class ProcessView(NamedTuple):
-    """What a process would act on at a clock step, and its part of the state's key."""
+    """The effective versions of a process at a clock step, and its part of the state's key."""
 
     now: int
     effective: EffectiveVersions
@@ -54,36 +54,37 @@
     """A member and the state of its exchange."""
 
     member: Member
-    sent_at: int | None = None  # its status is written, the records not read
-    has_new_answer: bool = False  # it has not read the statuses since its last answer
+    sent_at: int | None = None  # set while the status is written and the records are not read yet
+    has_new_answer: bool = False  # whether it has not read the statuses since its last response
     to_append: StoredRecord | None = None  # a decision that it is about to append
     incarnation: int = 0
     cached_view: ProcessView | None = None
 
     def copy(self) -> Process:
-        """Return a copy that may be changed."""
+        """Returns a copy that may be changed."""
         member = _shallow_copy(self.member)
         member.usable, member.unusable = set(member.usable), dict(member.unusable)
         return Process(member, self.sent_at, self.has_new_answer, self.to_append, self.incarnation)
 
-    def view(self, now: int, far: int) -> ProcessView:
-        """Return what the process is at a clock step; times before `far`, relative to it, do not differ.
+    def view(self, now: int, earliest: int) -> ProcessView:
+        """Returns the view of the process at a clock step.
 
-        Cached, as a process in a state is never changed: events change copies.
+        Times in the key are relative to the clock step; those before `earliest` are not distinguished. The
+        view is cached, as the processes of a state are never modified: events modify copies.
         """
         if self.cached_view is None or self.cached_view.now != now:
-            self.cached_view = ProcessView(now, self._effective(now), self._key(now, far))
+            self.cached_view = ProcessView(now, self._effective(now), self._key(now, earliest))
         return self.cached_view
 
     def _effective(self, now: int) -> EffectiveVersions:
-        """Return what it would act on, after a check of the clock."""
+        """Returns the versions that the process would act on after a check of the clock."""
         effective = self.member.effective
         if effective.is_conservative:
             return effective
         is_conservative = self.member.permitted(now).is_conservative
         return EffectiveVersions(effective.active, effective.joint, is_conservative)
 
-    def _key(self, now: int, far: int) -> Any:
+    def _key(self, now: int, earliest: int) -> Any:
         member = self.member
         seen, since = member._pending_since
         pending = member.history.pending
@@ -95,10 +96,10 @@
             member.effective.is_conservative,
             len(member.unusable),
             max(0.0, member.confirmed_until - now),
-            NOT_SENT if self.sent_at is None else max(far, self.sent_at - now),
+            NOT_SENT if self.sent_at is None else max(earliest, self.sent_at - now),
             self.has_new_answer,
             "" if self.to_append is None else short_digest(self.to_append),
-            max(far, since - now) if pending and seen == pending else NO_PENDING_VERSION,
+            max(earliest, since - now) if pending and seen == pending else NO_PENDING_VERSION,
         )
 
 
@@ -110,7 +111,7 @@
 
 @dataclass
 class WorldState:
-    """One state of the world."""
+    """One state of the store, the processes and the clock."""
 
     now: int
     records: tuple[StoredRecord, ...]
@@ -120,7 +121,7 @@
     restarts: int = 0
 
     def copy(self, changed: int) -> WorldState:
-        """Return a state in which one process may be changed; -1 for none."""
+        """Returns a copy in which the process of number `changed` may be modified; -1 for none."""
         other = WorldState(
             self.now, self.records, dict(self.statuses), list(self.processes), self.puts, self.restarts
         )
@@ -129,14 +130,14 @@
         return other
 
     def key(self, bounds: Bounds) -> Any:
-        """Return what distinguishes the futures of two states; times are relative, names do not count."""
-        far = -bounds.ttl_steps
+        """Returns a key that is equal for states with the same future; without names, with relative times."""
+        earliest = -bounds.ttl_steps
         statuses = {status.key: _status_part(status) for status in map(parse_status, self.statuses.values())}
         processes = [
             (
-                process.view(self.now, far).key,
+                process.view(self.now, earliest).key,
                 statuses.pop(process.member.key, ()),
-                i if bounds.tells_apart(i) else ANY_PROCESS,
+                i if bounds.distinguishes(i) else ANY_PROCESS,
             )
             for i, process in enumerate(self.processes)
         ]
@@ -152,7 +153,7 @@
 
 
 def _status_part(status: MemberStatus) -> tuple[int | bool, ...]:
-    """Return the part of a status that others decide by."""
+    """Returns the fields of a status that other processes' decisions depend on."""
     return (
         status.applied_record,
         *status.versions,
--- a/wheatroute/agreement/monotonic_discovery.py
+++ b/wheatroute/agreement/monotonic_discovery.py
@@ -1,7 +1,7 @@
 """Discovery that never goes back to an older server list, for nodes that take part in an agreement.
 
-The version of each list is compared with the one acted on. An older state of the same list service is
-rejected; after the node's file names another service, that one's versions count instead.
+The version of each list is compared with that of the list in use. An older list from the same list service is
+rejected. If the node's file is changed to name another service, that service's versions count instead.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class MonotonicDiscovery(Discovery):
-    """Discovery from a list service that may have been restored, or may lag behind its replicas."""
+    """Rejects older lists of a list service that was restored from a backup or lags behind its replicas."""
 
     _is_behind = False
 
     def _handle_response(self, message: Any, responses_taken: int) -> None:
-        self._apply(message)  # which compares versions in its own way
+        self._apply(message)  # compares versions itself, without `responses_taken`
 
     def _apply(self, message: Any) -> None:
         version = message.get("version") if isinstance(message, dict) else None
@@ -30,5 +30,5 @@
             self._is_behind = False
             self._log.info("list-caught-up", version=version)
             if not message.get("full"):
-                self.fetch()  # changes between may have been sent while the service lagged
+                self.fetch()  # changes that the service sent while it lagged were rejected
         super()._apply(message)
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -1,4 +1,4 @@
-"""Lets the platform's node take part in an agreement: applies versions to the parts of the node."""
+"""Lets the platform's node take part in an agreement: applies versions to the node's components."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from wheatroute.net.node_settings import NodeSettings
 from wheatroute.net.upstream import Upstream
 
-MAX_ENDPOINTS_PER_EXCHANGE = 3.0  # tried one after the other within the time of one exchange
+MAX_ENDPOINTS_PER_EXCHANGE = 3.0  # endpoints tried in turn within the timeout of one exchange
 
 
 def follow(
@@ -29,10 +29,10 @@
     discovery: Discovery,
     log: Any,
 ) -> VersionFollower:
-    """Return a follower that applies versions to a node; conservative until its first confirmation."""
+    """Returns a follower that applies versions to a node; it is conservative until its first confirmation."""
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
-        # nodes that are counted go before a number that was put
+        # a node count from discovery takes precedence over the version's number
         decision_settings = adapted.settings.with_node_count(discovery.node_counts)
         driver.update_settings(decision_settings, is_binding)
         upstream.update_settings(decision_settings)
--- a/wheatroute/agreement/node_content.py
+++ b/wheatroute/agreement/node_content.py
@@ -1,4 +1,4 @@
-"""Derives what the platform's node acts on from a version's content. No I/O."""
+"""Derives the settings of the platform's node from a version's content. No I/O."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 def node_deriver(own_settings: dict[str, Any], own: DerivedSettings) -> DeriveSettings:
-    """Return a function that derives what a node acts on from a version's content.
+    """Returns a function that derives a node's settings from a version's content.
 
-    `own_settings` are the settings of the node's own file, `own` what was derived from them.
+    `own_settings` are the settings in the node's own file, `own` the settings derived from them.
     """
 
     def derive(content: dict[str, Any]) -> DerivedSettings:
@@ -26,24 +26,24 @@
             more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
             raise ContentError(errors[0] + more)
         try:
-            return DerivedSettings.from_dict(derive_settings(_with_own(shared, own_settings)))
+            return DerivedSettings.from_dict(derive_settings(_with_own_values(shared, own_settings)))
         except NodeSettingsError as error:
             raise ContentError(str(error)) from error
 
     return derive
 
 
-def _with_own(shared: dict[str, Any], own_settings: dict[str, Any]) -> dict[str, Any]:
-    """Return a version's settings with the values of this node alone, or that need a restart."""
+def _with_own_values(shared: dict[str, Any], own_settings: dict[str, Any]) -> dict[str, Any]:
+    """Returns a version's settings with this node's values of keys that are per process or need a restart."""
     settings = {key: dict(value) if isinstance(value, dict) else value for key, value in shared.items()}
     for path, rule in PATH_RULES.items():
-        if rule in (JoinRule.OWN, JoinRule.FIXED):
-            _carry(own_settings, settings, path.split("."), is_overriding=rule == JoinRule.OWN)
+        if rule in (JoinRule.PER_PROCESS, JoinRule.RESTART_ONLY):
+            _copy_value(own_settings, settings, path.split("."), is_overriding=rule == JoinRule.PER_PROCESS)
     return settings
 
 
-def _carry(own: Any, settings: dict[str, Any], path: list[str], is_overriding: bool) -> None:
-    """Put the node's own value at a path, if it has one; an existing value stays unless overridden."""
+def _copy_value(own: Any, settings: dict[str, Any], path: list[str], is_overriding: bool) -> None:
+    """Copies the node's own value at a path, if there is one; `is_overriding` replaces an existing value."""
     *tables, key = path
     for name in tables:
         own = own.get(name) if isinstance(own, dict) else None
--- a/wheatroute/agreement/notice.py
+++ b/wheatroute/agreement/notice.py
@@ -1,4 +1,4 @@
-"""One drain notice, and the document in which a store keeps it. No I/O."""
+"""A drain notice and its stored form. No I/O."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 from wheatroute.agreement.documents import parse
 from wheatroute.agreement.errors import MalformedDocumentError
 
-StoredNotice = dict[str, Any]  # a notice as a store keeps it
+StoredNotice = dict[str, Any]  # the stored form of a notice
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """That a server's process is about to end, or is not any more."""
+    """States that a server's process is about to end, or that it no longer is."""
 
     server_id: str = msgspec.field(name="id")
-    started_ms: int | float = msgspec.field(name="started")  # start of the process; Unix time
+    started_ms: int | float = msgspec.field(name="started")  # start of the process, Unix time
     is_leaving: bool = msgspec.field(name="leaves")
-    turn: int  # how often the statement about this process has changed
+    # increases with each change of the statement about the same process
+    revision: int = msgspec.field(name="turn")
 
     @property
     def order(self) -> tuple[float, int]:
-        """The sort key by which the later one of two notices about one server is the larger."""
-        return float(self.started_ms), self.turn
+        """The sort key by which the later of two notices about the same server is the larger one."""
+        return float(self.started_ms), self.revision
 
     def to_stored(self) -> StoredNotice:
-        """Return the document for the store."""
+        """Returns the stored form."""
         document: StoredNotice = msgspec.to_builtins(self)
         return document
 
 
 class ForwardedNotice(NamedTuple):
-    """A notice with its document, which is passed on as it is, also with keys that are unknown here."""
+    """A notice with its stored form, which is forwarded unchanged, including keys that are unknown here."""
 
     notice: Notice
     document: StoredNotice
 
 
 def parse_notice(document: Any) -> Notice | None:
-    """Return the notice in a document; None if it is malformed."""
+    """Parses a stored notice; returns None if it is malformed."""
     try:
         return parse(document, Notice)
     except MalformedDocumentError:
@@ -48,7 +49,7 @@
 
 
 def parse_notices(documents: Iterable[Any]) -> Iterator[ForwardedNotice]:
-    """Return the notices in documents, without those that are malformed."""
+    """Parses stored notices, and skips malformed ones."""
     for document in documents:
         notice = parse_notice(document)
         if notice is not None:
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -1,7 +1,7 @@
-"""What an operator does with versions: put one, wait for its outcome, read the history and the statuses.
+"""The operator's actions on versions: put one, wait for its outcome, read the history and the statuses.
 
-Behind `wheatroute settings`. A version is never put over one that the operator has not seen, and a put whose
-result is unknown is reported as that. Does I/O through a version store.
+Implements `wheatroute settings`. A put never replaces a version that the operator has not seen, and a put
+whose result is unknown is reported as such. Does I/O through a version store.
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
 Result = TypeVar("Result")
 STORE_TIMEOUT_S = 5.0
 POLL_INTERVAL_S = 0.05
-MAX_APPEND_ATTEMPTS = 5  # at a store that does not say whether a record was appended
+MAX_APPEND_ATTEMPTS = 5  # if the store does not confirm an append, or others append first
 
 
 def store_from_url(url: str, timeout_s: float = 1.0) -> VersionStore:
-    """Return the store at `/a/directory`, or at `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
+    """Returns the store at `/a/directory`, or at `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
 
-    `timeout_s` is for one call at one endpoint. Raises `InvalidInputError`.
+    `timeout_s` applies to one call to one endpoint. Raises `InvalidInputError`.
     """
     try:
         address = StoreAddress.from_url(url)
@@ -50,7 +50,7 @@
 
 
 def run_with_store(url: str, action: Callable[[VersionStore], Awaitable[Result]]) -> Result:
-    """Run an action with the store at `url`; raises `OperatorError`."""
+    """Runs an action with the store at `url`; raises `OperatorError`."""
     store = store_from_url(url)
 
     async def main() -> Result:
@@ -67,22 +67,22 @@
 
 def _as_operator_error(error: BaseException) -> BaseException:
     if isinstance(error, VersionStoreError | HistoryError | trio.TooSlowError):
-        return StoreUnavailableError(str(error) or "the place does not answer")
+        return StoreUnavailableError(str(error) or "no response from the store in time")
     return error
 
 
 class RecordChain(Protocol):
-    """A chain of records that continues after a number; a `History` or the progress of rollouts."""
+    """The state after a chain of records: a `History` or the progress of rollouts."""
 
     head: int
     head_digest: str
 
     def apply(self, document: StoredRecord) -> object:
-        """Apply the next record; raises `HistoryError`."""
+        """Applies the next record; raises `HistoryError`."""
 
 
 async def read_records(store: VersionStore, chain: RecordChain) -> None:
-    """Apply all records of a store that follow those of a chain.
+    """Reads all records of a store that follow those of `chain`, and applies them to it.
 
     Raises `VersionStoreError`, `HistoryError` or `trio.TooSlowError`.
     """
@@ -93,26 +93,26 @@
 
 
 async def read_history(store: VersionStore) -> History:
-    """Read all records; a store without any has an empty history."""
+    """Reads the history from the store; it is empty if the store has no records."""
     history = History()
     await read_records(store, history)
     return history
 
 
 async def put_version(store: VersionStore, content: dict[str, Any], reason: str, over: int = 0) -> Version:
-    """Put a version; top-level keys that `content` lacks keep the active version's values.
+    """Puts a version; top-level keys that `content` lacks keep the active version's values.
 
-    `over` is a pending version that may be replaced. Raises `OperatorError`.
+    `over` is the number of a pending version that may be replaced. Raises `OperatorError`.
     """
     if isinstance(store, DirectoryStore):
         store.create()
     put_id, author = secrets.token_hex(8), getpass.getuser()
-    doubt = ""
+    failure = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
         try:
             history = await read_history(store)
         except VersionStoreError as error:
-            doubt = doubt or str(error)
+            failure = failure or str(error)
             await trio.sleep(POLL_INTERVAL_S)
             continue
         own = [version for version in history.versions.values() if version.put_id == put_id]
@@ -124,28 +124,33 @@
             with trio.fail_after(STORE_TIMEOUT_S):
                 await store.append(record)  # the next read shows whether it was appended
         except (VersionStoreError, trio.TooSlowError) as error:
-            doubt = str(error) or "the place does not answer"
-    doubt = doubt or "others came first, each time"
-    raise StoreUnavailableError(f"not known whether it was put ({doubt}): see log")
+            failure = str(error) or "no response from the store in time"
+    failure = failure or "each time another record was appended first"
+    raise StoreUnavailableError(
+        f"unknown whether the version was put ({failure}): check `wheatroute settings log`"
+    )
 
 
 def _full_content(history: History, content: dict[str, Any], over: int) -> dict[str, Any]:
-    """Return the active version's content with changes; raises `OperatorError` if it must not be put."""
+    """Returns the active version's content with the changes in `content`.
+
+    Raises `ConflictError` if it must not be put: another version is pending, or the content is unchanged.
+    """
     if history.pending not in (0, over):
         other = history.versions[history.pending]
         raise ConflictError(
-            f"version {other.number} by {other.author} is under way ({other.reason}): wait for "
-            f"it, or put over it with --over {other.number}"
+            f"version {other.number} by {other.author} is still under way ({other.reason}): wait for "
+            f"its outcome, or replace it with --over {other.number}"
         )
     active = history.versions.get(history.active)
     full_content = (active.content if active is not None else {}) | content
     if active is not None and not history.pending and active.content == full_content:
-        raise ConflictError(f"version {active.number} is in force and says the same")
+        raise ConflictError(f"version {active.number} is in force and has the same content")
     return full_content
 
 
 async def wait_for_outcome(store: VersionStore, number: int, timeout_s: float) -> Version:
-    """Wait until a version is active, replaced or withdrawn; after the timeout, return it as it is."""
+    """Waits until a version is active, replaced or withdrawn, or until the timeout; returns the version."""
     with trio.move_on_after(timeout_s):
         while True:
             version = (await read_history(store)).versions[number]
@@ -156,7 +161,7 @@
 
 
 async def agreement_status(store: VersionStore) -> AgreementStatus:
-    """Return the active and the pending version, and what each process acts on."""
+    """Reads the active and the pending version, and the state of each process."""
     history = await read_history(store)
     statuses, unix_time = [parse_status(document) for document in await store.statuses()], time.time()
     return AgreementStatus(
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -1,4 +1,4 @@
-"""Formats versions and process statuses as lines of text for the operator. No I/O."""
+"""Formats versions and process statuses as lines of text for operators. No I/O."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from wheatroute.agreement.setting_differences import differences
 from wheatroute.agreement.versions import History
 
-MAX_VALUE_WIDTH = 30  # characters of a value in a difference
+MAX_VALUE_WIDTH = 30  # characters of a value in a list of differences
 
 
 def table(rows: list[list[str]]) -> list[str]:
-    """Return lines with the cells aligned in columns."""
+    """Returns lines with the cells aligned in columns."""
     widths = [max(len(row[i]) for row in rows) for i in range(len(rows[0]))]
     return [
         "  ".join(cell.ljust(width) for cell, width in zip(row, widths, strict=True)).rstrip() for row in rows
@@ -24,12 +24,12 @@
 
 
 def status_lines(status: AgreementStatus) -> list[str]:
-    """Format the result of `operator.agreement_status`."""
+    """Formats the result of `operator.agreement_status`."""
     head = f"version {status.active} in force" if status.active else "no version in force"
     lines = [head + (f", {status.pending} under way" if status.pending else "")]
     rows = [["process", "phase", "version", "joint", "confirmed", "list", "reason"]]
     for process in status.processes:
-        reason = process.reason + (" (two of this name)" if process.is_duplicate else "")
+        reason = process.reason + (" (duplicate name)" if process.is_duplicate else "")
         server_list = f"{process.list_source}@{process.list_revision}" if process.list_source else "-"
         rows.append(
             [
@@ -42,13 +42,13 @@
                 reason.strip(),
             ]
         )
-    return lines + (table(rows) if len(rows) > 1 else ["no process has told of itself"])
+    return lines + (table(rows) if len(rows) > 1 else ["no process has written a status"])
 
 
 def log_lines(history: History) -> list[str]:
-    """Format all versions with their outcomes."""
+    """Formats all versions with their outcomes."""
     if not history.versions:
-        return ["no version was put yet"]
+        return ["no version has been put"]
     rows = [["version", "from", "put", "by", "digest", "state", "why"]]
     for version in history.versions.values():
         rows.append(
@@ -66,17 +66,17 @@
 
 
 def diff_lines(history: History, first: int, second: int) -> list[str]:
-    """Format the differences of two versions, marked "!" where two processes must not differ at once.
+    """Formats the differences between two versions; "!" marks keys that must not differ between processes.
 
-    Raises `InvalidInputError` if there is no such version.
+    Raises `InvalidInputError` if a version does not exist.
     """
     for number in (first, second):
         if number not in history.versions:
-            raise InvalidInputError(f"there is no version {number}")
+            raise InvalidInputError(f"version {number} does not exist")
     old, new = (history.versions[number].content for number in (first, second))
     rows = [["", "key", str(first), str(second), "meanwhile"]]
     for path, before, after, rule in differences(old, new):
-        mark = "" if rule in (JoinRule.FREE, JoinRule.ROUTE) else "!"
+        mark = "" if rule in (JoinRule.MAY_DIFFER, JoinRule.ROUTE) else "!"
         rows.append([mark, path, _shortened(before), _shortened(after), rule.value])
     return table(rows) if len(rows) > 1 else ["no difference"]
 
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -32,9 +32,9 @@
 
 
 def processor_deriver(settings: Settings, worker: int) -> DeriveSettings:
-    """Return a function that derives what a worker acts on from a version's content.
+    """Returns a function that derives a worker's settings from a version's content.
 
-    `settings` are those of the processor's own file.
+    `settings` are those in the processor's own file.
     """
 
     def derive(content: dict[str, Any]) -> DerivedSettings:
@@ -51,9 +51,9 @@
 
 
 def _with_shared(settings: Settings, shared: Any) -> dict[str, Any]:
-    """Return the document of a processor's file with a version's part in place of its own."""
+    """Returns the document of a processor's file with the shared keys replaced by a version's part."""
     if not isinstance(shared, dict) or set(shared) != set(FILE_KEYS):
-        raise ContentError("file: has the tables " + ", ".join(FILE_KEYS) + ", and no others")
+        raise ContentError("file: must have the keys " + ", ".join(FILE_KEYS) + ", and no others")
     document = settings.model_dump(by_alias=True, exclude_none=True)
     document |= {key: shared[key] for key in FILE_KEYS if key != "rules"}
     assert settings.processor is not None
@@ -84,9 +84,9 @@
     discovery: WorkerDiscovery,
     log: Logger,
 ) -> VersionFollower:
-    """Return a follower that applies versions to a worker; conservative until its first confirmation.
+    """Returns a follower that applies versions to a worker; it is conservative until its first confirmation.
 
-    `own` is what the worker acts on by its own file.
+    `own` are the worker's settings from its own file.
     """
 
     def apply(adapted: AdaptedVersion, is_binding: bool) -> None:
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -1,7 +1,7 @@
-"""The records of the history of versions, and the documents in which a store keeps them. No I/O.
+"""The records of the history of versions, and their stored form. No I/O.
 
-A document is a JSON object: the fields of its record, and those that chain it to the record before. Keys that
-this program does not know are part of the digest and are otherwise ignored.
+The stored form is a JSON object with the fields of the record and those that chain it to the previous record.
+Keys that this program does not know are part of the digest and are otherwise ignored.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from wheatroute.agreement.documents import malformed_document_errors, parse
 
-StoredRecord = dict[str, Any]  # a record as a store keeps it
+StoredRecord = dict[str, Any]  # the stored form of a record
 
 
 class RecordKind(StrEnum):
@@ -25,7 +25,7 @@
 
 
 class RecordHeader(msgspec.Struct, frozen=True):
-    """What is checked of a record before the rest is read; of any type, as it may be of a newer format."""
+    """The fields that are checked before a record is parsed; of any type, as the format may be newer."""
 
     format: object = None
     number: object = msgspec.field(name="seq", default=None)
@@ -35,22 +35,22 @@
 
 
 class _Record(msgspec.Struct, frozen=True, tag_field="kind"):
-    """A record, apart from what chains it to the one before; each kind of record has its own type."""
+    """Base class of the records, one type for each kind; the fields that chain records are left out."""
 
     @property
     def kind(self) -> RecordKind:
-        """The kind, by which the stored form is told apart."""
+        """The kind of the record, the tag of its stored form."""
         return RecordKind(str(self.__struct_config__.tag))
 
 
 class PutRecord(_Record, frozen=True, tag=RecordKind.PUT.value):
-    """A version was put; `parent` is the one that was active then."""
+    """A version was put; `parent` is the version that was active then."""
 
     version: int
     parent: int
-    content: Any  # checked by the processes, which say why they cannot use a version
+    content: Any  # validated by each process, whose status says why it cannot use a version
     digest: str  # of the content
-    put_id: str = msgspec.field(name="name")  # random, by which its author recognizes it
+    put_id: str = msgspec.field(name="name")  # random; its author recognizes the version by it
     author: str = msgspec.field(name="who")
     put_time: float = msgspec.field(name="when")  # Unix time in seconds; for display only
     reason: str = msgspec.field(name="why")
@@ -64,7 +64,7 @@
 
 
 class WithdrawRecord(_Record, frozen=True, kw_only=True, tag=RecordKind.WITHDRAW.value):
-    """The pending version was taken back, as some process cannot use it."""
+    """The pending version was withdrawn because some process cannot use it."""
 
     version: int
     decided_by: str = msgspec.field(name="by", default="")
@@ -75,12 +75,12 @@
 
 
 def parse_header(document: StoredRecord) -> RecordHeader:
-    """Return what is checked of a document before it is parsed."""
+    """Parses the fields that are checked before the rest of a document."""
     return parse(document, RecordHeader)
 
 
 def parse_record(document: StoredRecord) -> VersionRecord:
-    """Return the record in a document; raises `MalformedDocumentError` if it is malformed."""
+    """Parses a stored record; raises `MalformedDocumentError`."""
     with malformed_document_errors():
         record: VersionRecord = msgspec.convert(document, type=VersionRecord)
     return record
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -1,10 +1,10 @@
-"""A relay: one reader of a version store for all processes of a machine, which reads into a directory store.
+"""The relay: exchanges with a version store for all processes of a machine, through a directory store.
 
-The relay keeps the directory's records and a file that says how fresh they are: when its exchange was sent,
-whose statuses it carried, and the drain notices. The processes read the directory and count their
-confirmation from that moment, on the machine's one clock. A directory is never marked fresher than the
-exchange it came from, and a status that was written after the records were read is not marked as carried.
-Does I/O.
+The relay copies the records into the directory, with a file that says how fresh they are: when the relay's
+exchange was sent, whose statuses it forwarded, and the drain notices. The processes read the directory and
+count their confirmation from that time, on the machine's common clock. A directory is never marked fresher
+than the exchange it came from, and a status that was written after the records were read is not marked as
+forwarded. Does I/O.
 """
 
 from __future__ import annotations
@@ -33,38 +33,44 @@
 from wheatroute.agreement.version_store import VersionStore, running_store, take_received_notices
 from wheatroute.balancing.settings import DecisionSettings
 
-FRESHNESS_FILE = "fresh"  # beside the records
+FRESHNESS_FILE = "fresh"  # name of the file in the directory store
 
 
 class Freshness(msgspec.Struct, frozen=True, kw_only=True):
-    """The content of the file beside the records."""
+    """The content of the freshness file in the directory store."""
 
     sent_at: float = msgspec.field(name="sent")  # when the exchange was sent; see `clock`
-    notices: list[Any] = msgspec.field(name="words", default_factory=list)  # all that the store has
-    heartbeats: dict[str, int] = msgspec.field(name="rows")  # by key of the statuses that it carried
+    notices: list[Any] = msgspec.field(name="words", default_factory=list)  # all notices in the store
+    heartbeats: dict[str, int] = msgspec.field(name="rows")  # by key of the forwarded statuses
 
 
 class RelayedDirectoryStore(DirectoryStore):
-    """The directory as a process sees it; `exchanged_at` is when the relay sent the exchange it read."""
+    """The directory store as the machine's processes use it.
+
+    `exchanged_at` is when the relay sent the exchange whose result was read last.
+    """
 
     exchanged_at = 0.0
 
     def exchange_blocking(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """See `VersionStore.exchange`; an error until the relay has carried this process's status."""
-        # read before the records, which are then at least as new
+        """Implements `VersionStore.exchange`.
+
+        Raises `VersionStoreError` until the relay has forwarded this process's status.
+        """
+        # read before the records, so that they are at least as new as it says
         freshness = self._read_freshness() if status is not None else None
         records = super().exchange_blocking(key, status, after, expected_digest)
         if status is not None:
             if freshness is None or key not in freshness.heartbeats or freshness.sent_at > clock():
-                raise VersionStoreError(f"{self.path}: the relay has not told of this process yet")
+                raise VersionStoreError(f"{self.path}: the relay has not forwarded this process's status yet")
             self.exchanged_at = freshness.sent_at
             self.received_notices[:] = [document for _, document in parse_notices(freshness.notices)]
         return records
 
     def append_blocking(self, record: StoredRecord) -> bool:
-        """Append nothing: the relay appends, as it reads the statuses of all machines."""
+        """Returns False without appending: the relay decides, as it reads the statuses of all machines."""
         return False
 
     def _read_freshness(self) -> Freshness | None:
@@ -76,7 +82,7 @@
 
 
 class RelayStore:
-    """The store as the relay sees it: exchanges carry the machine's statuses and update the directory."""
+    """The version store as the relay uses it: an exchange forwards all statuses and updates the directory."""
 
     def __init__(
         self, store: VersionStore, directory: str, confirmation_ttl_s: float, agreement_time_s: float
@@ -84,29 +90,29 @@
         self._store, self._directory = store, DirectoryStore(directory)
         self._confirmation_ttl_s = confirmation_ttl_s
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
-        self._heartbeats: dict[str, SeenHeartbeat] = {}  # by key of the machine's statuses
-        self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices that the store has
-        # by server id: the machine's notices that it does not have yet
+        self._heartbeats: dict[str, SeenHeartbeat] = {}  # by key of a status of the machine
+        self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices in the store
+        # by server id: notices of the machine's processes that are not in the store yet
         self._unsent: dict[str, ForwardedNotice] = {}
         # by server id: the order of a stored notice, and when it was first seen
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
-        self.received_notices: list[StoredNotice] = []  # the relay itself acts on none
+        self.received_notices: list[StoredNotice] = []  # stays empty: the relay itself applies none
         self.path = directory
 
     @property
     def unreadable_keys(self) -> set[str]:
-        """Keys of statuses and drain notices that could not be read, in the directory and in the store."""
+        """Keys of malformed statuses and drain notices in the directory and in the store."""
         return self._directory.unreadable_keys | getattr(self._store, "unreadable_keys", set())
 
     async def run(self) -> None:
-        """Run the store until cancelled."""
+        """Runs the underlying store until cancelled."""
         async with running_store(self._store):
             await trio.sleep_forever()
 
     async def exchange(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """Exchange with the store for the whole machine, and update the directory."""
+        """Exchanges with the store for the whole machine, and updates the directory."""
         statuses = await trio.to_thread.run_sync(self._live_statuses)
         sent_at = clock()
         entry = {"name": status["name"], "rows": [status, *statuses]} if status is not None else None
@@ -119,40 +125,40 @@
         return records
 
     async def _forward_notices(self, documents: list[StoredNotice]) -> None:
-        """Write the machine's drain notices into the store, unless it has later ones."""
+        """Writes the machine's drain notices to the store, except where the store has newer ones."""
         self._unsent |= _by_server(documents)
-        later = {
-            name: own
-            for name, own in self._unsent.items()
-            if name not in self._stored or own.notice.order > self._stored[name].notice.order
+        newer = {
+            server_id: own
+            for server_id, own in self._unsent.items()
+            if server_id not in self._stored or own.notice.order > self._stored[server_id].notice.order
         }
         expired_ids = self._expired_ids(clock())
-        if later or expired_ids:
-            await self._store.write_drain_notices([own.document for own in later.values()], expired_ids)
-        self._stored |= later
+        if newer or expired_ids:
+            await self._store.write_drain_notices([own.document for own in newer.values()], expired_ids)
+        self._stored |= newer
         self._unsent.clear()
-        for name in expired_ids:
-            del self._stored[name], self._stored_since[name]
+        for server_id in expired_ids:
+            del self._stored[server_id], self._stored_since[server_id]
 
     def _expired_ids(self, now: float) -> list[str]:
-        """Return the ids of servers whose notices have expired.
+        """Returns the ids of servers whose notices have expired.
 
-        The relay removes them as processes only remove notices from their directory: where all machines
-        have a relay, the store would otherwise grow with every server that ever left.
+        The relay removes them, as processes only remove notices from their directory. If all machines have a
+        relay, the store would otherwise grow with every server that ever left.
         """
-        for name, (notice, _) in self._stored.items():
-            if self._stored_since.get(name, (None, 0.0))[0] != notice.order:
-                self._stored_since[name] = notice.order, now
+        for server_id, (notice, _) in self._stored.items():
+            if self._stored_since.get(server_id, (None, 0.0))[0] != notice.order:
+                self._stored_since[server_id] = notice.order, now
         return [
-            name
-            for name, (_, since) in self._stored_since.items()
-            if now - since > self._retention_s and name not in self._unsent
+            server_id
+            for server_id, (_, since) in self._stored_since.items()
+            if now - since > self._retention_s and server_id not in self._unsent
         ]
 
     def _live_statuses(self) -> list[StoredStatus]:
-        """Return the statuses of the machine's processes, without those whose heartbeat has stood still.
+        """Returns the statuses of the machine's processes, without those whose heartbeat has stopped.
 
-        They are forwarded as they are, also with keys that this program does not know.
+        They are forwarded unchanged, including keys that this program does not know.
         """
         now, live, heartbeats = clock(), [], {}
         for document in self._directory.statuses_blocking():
@@ -170,11 +176,11 @@
         for record in records:
             self._directory.append_blocking(record)
         temporary = Path(self.path) / f".{secrets.token_hex(6)}"
-        carried = [parse_heartbeat(status) for status in statuses]
+        forwarded = [parse_heartbeat(status) for status in statuses]
         freshness = Freshness(
             sent_at=sent_at,
             notices=[document for _, document in self._stored.values()],
-            heartbeats={status.key: status.heartbeat for status in carried},
+            heartbeats={status.key: status.heartbeat for status in forwarded},
         )
         try:
             temporary.write_bytes(orjson.dumps(msgspec.to_builtins(freshness)))
@@ -183,23 +189,23 @@
             raise VersionStoreError(f"{self.path}: {error.strerror}") from error
 
     async def write_status(self, key: str, status: StoredStatus) -> None:
-        """See `VersionStore.write_status`."""
+        """Implements `VersionStore.write_status`."""
         await self._store.write_status(key, status)
 
     async def statuses(self) -> list[StoredStatus]:
-        """See `VersionStore.statuses`."""
+        """Implements `VersionStore.statuses`."""
         return await self._store.statuses()
 
     async def append(self, record: StoredRecord) -> bool:
-        """See `VersionStore.append`."""
+        """Implements `VersionStore.append`."""
         return await self._store.append(record)
 
     async def remove_statuses(self, keys: list[str]) -> None:
-        """See `VersionStore.remove_statuses`."""
+        """Implements `VersionStore.remove_statuses`."""
         await self._store.remove_statuses(keys)
 
     async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
-        """See `VersionStore.write_drain_notices`."""
+        """Implements `VersionStore.write_drain_notices`."""
         await self._store.write_drain_notices(notices, expired_ids)
 
 
@@ -208,7 +214,7 @@
 
 
 class _NullAdapter:
-    """The relay acts on no version, so it can use every one."""
+    """Accepts every version, as the relay applies none."""
 
     def check(self, number: int, content: Any) -> str:
         return ""
@@ -224,9 +230,9 @@
     agreement_time_s: float,
     log: Any,
 ) -> None:
-    """Keep a directory up to date with a store until cancelled.
+    """Runs a relay that updates `directory` from a version store, until cancelled.
 
-    `make_store` is given the time to live of a confirmation, in seconds. Raises `VersionStoreError` if the
+    `make_store` receives the time to live of a confirmation in seconds. Raises `VersionStoreError` if the
     directory cannot be created.
     """
     DirectoryStore(directory).create()
--- a/wheatroute/agreement/setting_check.py
+++ b/wheatroute/agreement/setting_check.py
@@ -1,6 +1,6 @@
-"""Checks the part of a version that the platform's node acts on. No I/O.
+"""Checks the part of a version that the platform's node uses. No I/O.
 
-A version must not break the processes that it reaches, so each value is checked before one is put.
+A version must not break the processes that apply it, so each value is checked before a version is put.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from wheatroute.platform_settings import SETTING_KEYS
 from wheatroute.wire_names import DEDUPLICATION_GROUP_NAMES, IDEMPOTENCY_NAMES
 
-# the lists of named tables, with the keys that each table may have
+# keys that hold lists of named tables, with the keys that each of those tables may have
 _NAMED_TABLE_KEYS = {
     "traffic-types": {"name", *REQUEST_CLASS_FIELDS},
     "tenants": {"name", *TENANT_FIELDS},
@@ -38,9 +38,9 @@
 
 
 def setting_errors(settings: Any) -> list[str]:
-    """Return a line for each key that no version may have, and for each value that its key cannot have."""
+    """Returns an error for each key that a version must not have, and for each invalid value."""
     if not isinstance(settings, dict):
-        return ["settings: is no table"]
+        return ["settings: must be a table"]
     errors: list[str] = []
     for key in _NAMED_TABLE_KEYS:
         errors += _named_table_errors(key, settings.get(key, []))
@@ -53,17 +53,17 @@
 
 
 def _named_table_errors(key: str, tables: Any) -> Iterator[str]:
-    """Yield the errors of a list of named tables: duplicate names, unknown keys, then bad values."""
+    """Yields the errors of a list of named tables: duplicate names, unknown keys, then invalid values."""
     if not _is_list_of_named_tables(tables):
-        yield f"settings.{key}: is no list of tables with names"
+        yield f"settings.{key}: must be a list of tables, each with a name"
         return
     names = [table["name"] for table in tables]
     for name in sorted(set(names)):
         if names.count(name) > 1:
-            yield f"settings.{key}: two of the name {name!r}"
+            yield f"settings.{key}: duplicate name {name!r}"
     for table in tables:
         for unknown in sorted(table.keys() - _NAMED_TABLE_KEYS[key]):
-            yield f"settings.{key}.{table['name']}.{unknown}: is no key that this program knows"
+            yield f"settings.{key}.{table['name']}.{unknown}: unknown key"
     for table in tables:
         for name, value in sorted(table.items()):
             if error := value_error(name, value):
@@ -78,23 +78,23 @@
 
 def _path_error(path: str, value: Any) -> str:
     if path not in PATH_RULES:
-        return ": is no key that this program knows"
-    if PATH_RULES[path] == JoinRule.OWN:
-        return f": {JoinRule.OWN}"
+        return ": unknown key"
+    if PATH_RULES[path] == JoinRule.PER_PROCESS:
+        return f": {JoinRule.PER_PROCESS}, so it must not be in a version"
     error = value_error(path, value)
     return f": {error}" if error else ""
 
 
 def value_error(path: str, value: Any) -> str:
-    """Return why a value cannot be that of a key; empty if it can."""
+    """Returns why a value is invalid for the key at `path`; empty if it is valid."""
     if path in _NUMBER_PATHS and not _is_number_from_zero(value):
-        return f"is no number from 0 on: {value!r}"
+        return f"must be a finite number of at least 0, got {value!r}"
     if path == "hard-stop" and not value:
-        return "is 0"
+        return "must be greater than 0"
     if path in _BOOLEAN_PATHS and not isinstance(value, bool):
-        return f"is neither true nor false: {value!r}"
+        return f"must be true or false, got {value!r}"
     if path in _CHOICES and value not in _CHOICES[path]:
-        return f"is none of {', '.join(_CHOICES[path])}: {value!r}"
+        return f"must be one of {', '.join(_CHOICES[path])}, got {value!r}"
     return ""
 
 
@@ -102,10 +102,10 @@
     return isinstance(value, int | float) and not isinstance(value, bool) and 0.0 <= value < inf
 
 
-def without_own(settings: Mapping[str, Any]) -> tuple[dict[str, Any], list[str]]:
-    """Return settings without the keys that each process has of its own, and which those were."""
+def without_per_process_keys(settings: Mapping[str, Any]) -> tuple[dict[str, Any], list[str]]:
+    """Returns the settings without keys that are specific to each process, and the paths of those removed."""
     shared, left_out = dict(settings), []
-    for path in (path for path, rule in PATH_RULES.items() if rule == JoinRule.OWN):
+    for path in (path for path, rule in PATH_RULES.items() if rule == JoinRule.PER_PROCESS):
         table, _, key = path.partition(".")
         if not key and path in shared:
             del shared[path]
--- a/wheatroute/agreement/setting_differences.py
+++ b/wheatroute/agreement/setting_differences.py
@@ -1,4 +1,4 @@
-"""The differences of two versions' contents, each with the rule by which they are joined. No I/O."""
+"""Lists the differences between two versions' contents, each with the rule by which it is joined. No I/O."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
     JoinRule,
 )
 
-# tables of the TOML file's part, by the key under which they are
+# names of the tables in `FILE_RULES`, by their key in a version's part for the TOML file
 _FILE_TABLES = {"traffic_types": "RequestClass", "customers": "Tenant", "rules": "Rules"}
 
 
 class Difference(NamedTuple):
-    """A value that differs; None where there is none."""
+    """A key whose value differs between two versions; a missing value is None."""
 
     path: str
     before: Any
     after: Any
-    rule: JoinRule  # what holds meanwhile
+    rule: JoinRule  # which value applies during the change
 
 
 def differences(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[Difference]:
-    """Return the differences of two contents, by path in alphabetical order."""
+    """Returns the differences between two contents, sorted by path."""
     old_values, new_values = values_by_path(old), values_by_path(new)
     return [
         Difference(path, old_values.get(path), new_values.get(path), _rule(path))
@@ -40,7 +40,7 @@
 
 
 def values_by_path(document: Any, prefix: str = "") -> dict[str, Any]:
-    """Return all values of nested tables by their path, which has the name of an element of a list."""
+    """Returns all values of nested tables by dotted path; elements of lists are identified by their name."""
     if isinstance(document, dict):
         parts = [(f"{prefix}.{key}" if prefix else str(key), value) for key, value in document.items()]
     elif _is_named_list(document):
--- a/wheatroute/agreement/store_address.py
+++ b/wheatroute/agreement/store_address.py
@@ -1,4 +1,4 @@
-"""Where a version store is, and the store that is there. Opening one does no I/O yet."""
+"""Addresses of version stores, and how to open one. Opening a store does no I/O."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from wheatroute.net.addresses import parse_address
 
 ETCD_SCHEME = "etcd://"
-DEFAULT_URL_PREFIX = "/wheatroute"  # of keys in etcd, where a URL has none
+DEFAULT_URL_PREFIX = "/wheatroute"  # key prefix in etcd if a URL has none
 
 
 @dataclass(frozen=True)
 class StoreAddress:
-    """A directory, one that a relay keeps up to date, or a key prefix in etcd."""
+    """A directory, a directory that a relay updates, or a key prefix in etcd."""
 
     directory: str = ""
-    relay: str = ""  # directory
+    relay: str = ""  # path of the relay's directory
     etcd_endpoints: tuple[tuple[str, int], ...] = ()  # host and port
     prefix: str = ""  # of keys in etcd
 
     @staticmethod
     def from_node_file(table: dict[str, Any]) -> StoreAddress:
-        """Return the address in a table of a node's file, as `NodeSettings` has it."""
+        """Returns the address in a table of a node's file, as checked by `NodeSettings`."""
         return StoreAddress(
             directory=table.get("directory", ""),
             relay=table.get("relay", ""),
@@ -35,10 +35,7 @@
 
     @staticmethod
     def from_url(url: str) -> StoreAddress:
-        """Return the address in `/a/directory`, or in `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`.
-
-        Raises `ValueError`.
-        """
+        """Parses `/a/directory` or `etcd://10.0.0.1:2379,10.0.0.2:2379/the/prefix`; raises `ValueError`."""
         if not url.startswith(ETCD_SCHEME):
             return StoreAddress(directory=url)
         addresses, _, prefix = url.removeprefix(ETCD_SCHEME).partition("/")
@@ -47,7 +44,7 @@
 
 
 def open_store(address: StoreAddress, rng: random.Random, timeout_s: float) -> VersionStore:
-    """Return the store at an address; `timeout_s` is for one call at one endpoint."""
+    """Returns the store at an address; `timeout_s` applies to one call to one endpoint."""
     if address.etcd_endpoints:
         from wheatroute.agreement.etcd_store import EtcdStore
 
--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -9,23 +9,25 @@
 
 from wheatroute.agreement.errors import ContentError, InvalidInputError
 from wheatroute.agreement.join_rules import FILE_PART, NODE_PART
-from wheatroute.agreement.setting_check import setting_errors, without_own
+from wheatroute.agreement.setting_check import setting_errors, without_per_process_keys
 from wheatroute.agreement.versions import canonical
 from wheatroute.net.node_settings import NodeSettingsError, derive_settings
 
 
 def read_content(path: str) -> tuple[dict[str, Any], list[str]]:
-    """Return a version's content from a JSON or TOML file, and the keys left out as each process has its own.
+    """Returns a version's content from a JSON or TOML file, and the paths left out of it.
 
-    Raises `InvalidInputError`.
+    Keys that are specific to each process are left out. Raises `InvalidInputError`.
     """
     document = _read_document(path)
     if isinstance(document, dict) and "traffic_types" in document:
         return {FILE_PART: _shared_settings(path)}, []
     settings = document.get(NODE_PART) if isinstance(document, dict) else None
     if not isinstance(settings, dict):
-        raise InvalidInputError(f'{path}: holds no table "settings", nor the request classes of a TOML file')
-    settings, left_out = without_own(settings)
+        raise InvalidInputError(
+            f'{path}: must have a table "settings", or be a TOML file with "traffic_types"'
+        )
+    settings, left_out = without_per_process_keys(settings)
     errors = setting_errors(settings)
     if not errors:
         try:
@@ -45,11 +47,11 @@
     except OSError as error:
         raise InvalidInputError(f"{path}: cannot be read: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, json.JSONDecodeError, UnicodeDecodeError) as error:
-        raise InvalidInputError(f"{path}: cannot be understood: {error}") from error
+        raise InvalidInputError(f"{path}: invalid JSON or TOML: {error}") from error
 
 
 def _shared_settings(path: str) -> dict[str, Any]:
-    """Return the part of a processor's TOML file that all processes share."""
+    """Returns the settings in a processor's TOML file that all processes share."""
     from wheatroute.config import settings_file
 
     try:
@@ -62,7 +64,8 @@
         "nodes": settings.nodes,
         "rules": pools[0].rules.model_dump(by_alias=True),
         "traffic_types": [
-            one.model_dump(by_alias=True, exclude_none=True) for one in settings.request_classes
+            request_class.model_dump(by_alias=True, exclude_none=True)
+            for request_class in settings.request_classes
         ],
-        "customers": [one.model_dump(by_alias=True) for one in settings.tenants],
+        "customers": [tenant.model_dump(by_alias=True) for tenant in settings.tenants],
     }
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -1,8 +1,8 @@
-"""Runs a process's part of an agreement: exchanges with the store, applies versions, appends decisions.
+"""Runs the agreement protocol in one process: exchanges with the store, applies versions, appends decisions.
 
-The process's status never says that it acts on a version before it does, and an expired confirmation is
-noticed within one pass of the event loop: the follower is a trio instrument that checks the clock after each
-wait, before anything is decided. Does I/O through its version store.
+A status never reports a version before the process acts on it. An expired confirmation is noticed within one
+pass of the event loop: the follower is a trio instrument that checks the clock after each I/O wait, before
+any task runs. Does I/O through its version store.
 """
 
 from __future__ import annotations
@@ -25,43 +25,44 @@
     take_received_notices,
 )
 
-EXCHANGES_PER_TTL = 10.0  # exchanges with the store in the time to live of a confirmation
+EXCHANGES_PER_TTL = 10.0  # exchanges with the store per time to live of a confirmation
 MAX_EXCHANGE_INTERVAL_S = 1.0
-EXCHANGE_TIMEOUT_FRACTION = 0.4  # of the time to live of a confirmation, for one exchange
+EXCHANGE_TIMEOUT_FRACTION = 0.4  # timeout of an exchange, as a fraction of a confirmation's time to live
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def clock() -> float:
-    """Return monotonic seconds that include suspension of the machine, where the system has such a clock."""
+    """Returns monotonic seconds; they include suspension of the machine where the system has such a clock."""
     return time.clock_gettime(_CLOCK)
 
 
 class Adapter(Protocol):
-    """Checks versions and turns them into what a process acts on."""
+    """Checks versions and adapts them to one process; see `adapter.VersionAdapter`."""
 
     def check(self, number: int, content: Any) -> str:
-        """Return why the process cannot use a version; empty if it can."""
+        """Returns why the process cannot use a version; empty if it can."""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
-        """Return what to act on."""
+        """Returns the settings for the effective versions."""
 
 
 def status_read_interval_s(rank: int, exchange_interval_s: float) -> float:
-    """Return the seconds until a process reads all statuses again.
+    """Returns the minimum time in seconds between a process's reads of all statuses.
 
-    The process of the lowest rank reads often, the others in case that one is gone; otherwise the number of
-    such reads would grow with the square of the number of processes.
+    The process of the lowest rank reads them often, the others less often, in case that process has stopped.
+    Otherwise the cost of these reads would grow with the square of the number of processes.
     """
     return exchange_interval_s * min(rank, EXCHANGES_PER_TTL / 2)
 
 
 class VersionFollower(trio.abc.Instrument):
-    """Follows the versions for one process.
+    """Follows the versions in the store and applies them to one process.
 
-    `apply(adapted, is_binding)` makes the process act on a version, at once; `settle()` runs after a change,
-    `server_list()` returns the source and revision of the server list in use, and `apply_drains` takes the
-    list entries that changed by others' drain notices.
+    `apply(adapted, is_binding)` makes the process act on settings at once; with `is_binding` they also hold
+    for requests that were accepted before. `after_change()` is called after an exchange that changed the
+    effective versions, `server_list()` returns the source and revision of the server list in use, and
+    `apply_drains` is called with the list entries that changed because of other processes' drain notices.
     """
 
     def __init__(
@@ -70,7 +71,7 @@
         member: Member,
         adapter: Adapter,
         apply: Callable[[AdaptedVersion, bool], None],
-        settle: Callable[[], None],
+        after_change: Callable[[], None],
         server_list: Callable[[], tuple[str, int]],
         log: Any,
         drain_notices: DrainNotices | None = None,
@@ -79,15 +80,15 @@
         self._server_list, self._drain_notices, self._apply_drains = server_list, drain_notices, apply_drains
         self._next_status_read = 0.0
         self._store, self._member, self._adapter, self._log = store, member, adapter, log
-        self._apply, self._settle = apply, settle
-        self._confirmed_until = -1.0  # before that the clock needs no check
+        self._apply, self._after_change = apply, after_change
+        self._confirmed_until = -1.0  # no check of the clock is needed before this time
         self._exchange_interval_s = min(
             MAX_EXCHANGE_INTERVAL_S, member.confirmation_ttl_s / EXCHANGES_PER_TTL
         )
         self._exchange_timeout_s = EXCHANGE_TIMEOUT_FRACTION * member.confirmation_ttl_s
         self._logged_phase = ""
         self._logged_unreadable: set[str] = set()
-        self._exchange_lock = trio.Lock()  # held while an exchange, with the own status, is in flight
+        self._exchange_lock = trio.Lock()  # held while an exchange is in flight
         self.has_left = False
         self._update_effective()
 
@@ -97,17 +98,17 @@
         return self._member
 
     def after_io_wait(self, timeout: float) -> None:
-        """Check the confirmation before the tasks run, as the process may have been stopped meanwhile."""
+        """Checks for expiry before any task runs, as the process may have been stopped during the wait."""
         if clock() >= self._confirmed_until and not self._member.effective.is_conservative:
             self._update_effective()
 
     def _update_effective(self) -> bool:
-        """Act on what the member may act on now; returns whether that changed."""
+        """Applies the versions that the member may act on now; returns whether they changed."""
         before, effective = self._member.effective, self._member.permitted(clock())
         self._confirmed_until = self._member.confirmed_until
         if effective == before and self._logged_phase:
             return False
-        # a change that only loosens leaves requests the rules under which they were accepted
+        # a change that only loosens limits does not affect requests that were accepted under the old ones
         is_looser = (
             not effective.is_conservative
             and effective.joint in (before.joint, 0)
@@ -131,7 +132,7 @@
         )
 
     async def run(self) -> None:
-        """Follow the versions until cancelled, or until `leave` was called."""
+        """Follows the versions until cancelled or until `leave` is called."""
         trio.lowlevel.add_instrument(self)
         async with running_store(self._store):
             await self._follow()
@@ -146,29 +147,30 @@
                     with trio.fail_after(self._exchange_timeout_s):
                         has_changed = await self._exchange(clock())
             except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
-                self._fail(str(error) or "the place does not answer")
+                self._record_failure(str(error) or "no response from the store in time")
             except Exception:
-                # a defect here must not end the node: it goes on, conservatively
+                # A defect here must not end the node: it continues to serve, and becomes conservative when
+                # its confirmation expires.
                 self._log.exception("unhandled-exception")
-                self._fail("a mistake in the program, see the log")
+                self._record_failure("internal error, see the log")
             if not has_changed:
                 await trio.sleep(self._exchange_interval_s)
 
     async def _exchange(self, sent_at: float) -> bool:
-        """Exchange with the store once; returns whether to do so again at once."""
+        """Exchanges with the store once; returns whether to exchange again without delay."""
         member, history = self._member, self._member.history
         member.server_list = self._server_list()
         records = await self._store.exchange(
             member.key, member.next_status(time.time()), history.head, history.head_digest
         )
-        # through a relay, the confirmation counts from the relay's own exchange if that is earlier
+        # with a relay, the confirmation counts from the relay's exchange if that was sent earlier
         sent_at = min(sent_at, getattr(self._store, "exchanged_at", sent_at))
         member.confirm(sent_at, records, len(records) < MAX_RECORDS_PER_READ)
         self._log_unreadable()
         self._check_versions()
         has_changed = self._update_effective()
         if has_changed:
-            self._settle()
+            self._after_change()
         if self._drain_notices is not None:
             await self._exchange_drain_notices(self._drain_notices)
         return await self._decide() or has_changed or bool(records)
@@ -188,7 +190,7 @@
                 self._log.warning("settings-refused", version=number, error=error)
 
     async def _exchange_drain_notices(self, drain_notices: DrainNotices) -> None:
-        """Act on others' notices, and write those that follow from the own server list."""
+        """Applies received notices, and writes those that follow from this process's server list."""
         changed = drain_notices.receive(take_received_notices(self._store), clock())
         if changed:
             self._apply_drains(changed)
@@ -198,13 +200,13 @@
         if notices or expired_ids:
             await self._store.write_drain_notices(notices, expired_ids)
 
-    def _fail(self, reason: str) -> None:
+    def _record_failure(self, reason: str) -> None:
         if reason != self._member.conservative_reason:
             self._log.warning("settings-unconfirmed", error=reason, record=self._member.history.head)
         self._member.record_failure(reason)
 
     async def _decide(self) -> bool:
-        """Append a decision if one is due; returns whether to exchange again at once."""
+        """Appends a decision if one is due; returns whether to exchange again without delay."""
         member = self._member
         if not member.history.pending or clock() < self._next_status_read:
             return False
@@ -215,7 +217,7 @@
         record = member.next_decision(began, clock(), statuses)
         if record is None:
             return False
-        # one process after the other: the first one appends it, the others then read it
+        # processes wait by rank, so that the first one appends the decision and the others read it
         await trio.sleep(min(1.0, rank * self._exchange_interval_s / EXCHANGES_PER_TTL))
         if await self._store.append(record):
             self._log_decision(record)
@@ -228,9 +230,9 @@
         self._log.info("settings-decided", kind=record.kind.value, version=record.version, reason=reason)
 
     async def leave(self) -> None:
-        """Remove the process's status, as it stops and acts on nothing more.
+        """Removes the process's status from the store when the process stops.
 
-        Waits for an exchange in flight, which would otherwise write the status again after its removal.
+        Waits for an exchange in flight, which could otherwise write the status again after its removal.
         """
         self.has_left = True
         with trio.move_on_after(self._exchange_timeout_s):
--- a/wheatroute/agreement/version_store.py
+++ b/wheatroute/agreement/version_store.py
@@ -2,8 +2,7 @@
 
 The backends are `directory_store`, `etcd_store` and, for the processes of a machine that has a relay,
 `relay`. Every backend keeps two invariants: `exchange` writes the status before it reads the records, and
-`append` reports success only for a record that is stored whole under its own number. This module does no
-I/O.
+`append` reports success only for a record that is stored completely under its own number. No I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from wheatroute.agreement.notice import StoredNotice
 from wheatroute.agreement.records import StoredRecord
 
-MAX_RECORDS_PER_READ = 50  # a read that returns as many may not have reached the end of the log
+MAX_RECORDS_PER_READ = 50  # a read that returns this many may not have reached the end of the log
 
 
 class VersionStore(Protocol):
@@ -28,37 +27,38 @@
     async def exchange(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
     ) -> list[StoredRecord]:
-        """Write the status, if one is given, and then read the records that follow number `after`.
+        """Writes the status, if one is given, and then reads the records that follow number `after`.
 
-        `expected_digest` is that of record `after`; another record there, or none, is a `VersionStoreError`.
+        `expected_digest` is that of record `after`. Raises `VersionStoreError` if that record is missing or
+        has another digest.
         """
 
     async def statuses(self) -> list[StoredStatus]:
-        """Return the statuses of all processes."""
+        """Returns the statuses of all processes."""
 
     async def append(self, record: StoredRecord) -> bool:
-        """Append a record; False if its number is taken already."""
+        """Appends a record; returns False if a record of that number exists already."""
 
     async def remove_statuses(self, keys: list[str]) -> None:
-        """Remove the statuses stored under the keys."""
+        """Removes the statuses stored under the keys."""
 
     async def write_status(self, key: str, status: StoredStatus) -> None:
-        """Write a status without reading anything."""
+        """Writes a status without reading anything."""
 
     async def write_drain_notices(self, notices: list[StoredNotice], expired_ids: list[str]) -> None:
-        """Write drain notices, each over the one of its server, and remove those of `expired_ids`.
+        """Writes drain notices, replacing those of the same servers, and removes those of `expired_ids`.
 
-        Each `exchange` with a status collects new notices, until `take_received_notices` returns them.
+        Each `exchange` with a status also reads new notices and keeps them for `take_received_notices`.
         """
 
 
 def take_received_notices(store: Any) -> list[StoredNotice]:
-    """Return the drain notices that were read since the last call.
+    """Returns the drain notices that were read since the last call, and removes them from the store object.
 
-    They are kept until then as the exchange that read a notice may fail afterwards, and a notice is read
-    once.
+    They are kept between calls because each notice is read only once, and the exchange that read it may fail
+    afterwards.
     """
-    # the list object stays: an abandoned exchange may still add to it, from a thread of its own
+    # The list is emptied in place, not replaced: the thread of an abandoned exchange may still append to it.
     received: list[StoredNotice] = getattr(store, "received_notices", [])
     taken = received[:]
     del received[: len(taken)]
@@ -66,10 +66,11 @@
 
 
 def parse_entry(key: str, data: bytes, unreadable_keys: set[str]) -> dict[str, Any] | None:
-    """Return a stored status or drain notice; None if it is malformed, with its key in `unreadable_keys`.
+    """Parses a stored status or drain notice.
 
+    If it is malformed, adds its key to `unreadable_keys` and returns None.
     An entry that a power loss left empty, or that another program wrote, would otherwise fail the exchanges
-    of all processes permanently. If its author still runs, it is written again.
+    of all processes permanently. If its author is still running, it writes the entry again.
     """
     try:
         entry = orjson.loads(data)
@@ -82,14 +83,14 @@
 
 
 def unpack_statuses(entry: dict[str, Any]) -> list[StoredStatus]:
-    """Return the statuses under one key: a process's own, or those of a machine that its relay forwards."""
+    """Returns the statuses stored under one key: a process's status, or those that a relay forwards."""
     statuses = entry.get("rows")
     return statuses if isinstance(statuses, list) else [entry]
 
 
 @asynccontextmanager
 async def running_store(store: Any) -> AsyncIterator[Any]:
-    """Run the store's background task, if it has one, for the duration of the context."""
+    """Runs the store's background task, if it has one, for the duration of the context."""
     async with trio.open_nursery() as nursery:
         if hasattr(store, "run"):
             nursery.start_soon(store.run)
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -1,8 +1,8 @@
-"""Versions of the settings and their history: what was put, what is active, what was withdrawn. No I/O.
+"""The history of the settings' versions: which were put, activated and withdrawn. No I/O.
 
-A history is a hash chain: each record names the digest of the one before it, so that two stores, or a store
-and its older backup, cannot be mistaken for one another. A history never goes back, skips a record, or
-accepts one of an unknown format.
+A history is a hash chain: each record contains the digest of its predecessor, so that two stores, or a store
+and an older backup of it, cannot be mistaken for one another. A history never goes back, skips a record, or
+accepts a record of an unknown format.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 
 
 def canonical(content: Any) -> bytes:
-    """Return the canonical JSON of RFC 8785; raises `ContentError` if there is none."""
+    """Returns the canonical JSON of RFC 8785; raises `ContentError` if the content has none."""
     try:
         return rfc8785.dumps(content)
     except (rfc8785.CanonicalizationError, RecursionError) as error:
-        raise ContentError(f"has no canonical form: {error}") from error
+        raise ContentError(f"cannot be encoded as canonical JSON: {error}") from error
 
 
 def digest(content: Any) -> str:
-    """Return the SHA-256 of the canonical form, in hexadecimal."""
+    """Returns the SHA-256 of the canonical JSON, in hexadecimal."""
     return hashlib.sha256(canonical(content)).hexdigest()
 
 
 @dataclass
 class Version:
-    """One version and its outcomes so far."""
+    """A version of the settings and its outcomes so far, oldest first."""
 
     number: int
-    parent: int  # the version that was active when it was put
+    parent: int  # the version that was active when this one was put
     content: dict[str, Any]
     digest: str
-    put_id: str  # random, by which its author recognizes it
+    put_id: str  # random; its author recognizes the version by it
     author: str = ""
     put_time: float = 0.0  # Unix time in seconds; for display only
     reason: str = ""
@@ -60,12 +60,12 @@
 
     @property
     def state(self) -> str:
-        """The newest outcome; "put" while there is none."""
+        """The latest outcome, or "put" if there is none yet."""
         return self.outcomes[-1] if self.outcomes else "put"
 
 
 class History:
-    """The records applied so far. Version 0 is what each process's own file says."""
+    """The state after the records applied so far. Version 0 stands for each process's own settings file."""
 
     def __init__(self) -> None:
         self.head, self.head_digest = 0, ""  # number and digest of the last record
@@ -74,7 +74,7 @@
         self.versions: dict[int, Version] = {}
 
     def copy(self) -> History:
-        """Return an independent copy."""
+        """Returns an independent copy."""
         other = copy(self)
         other.versions = {
             number: replace(version, outcomes=list(version.outcomes))
@@ -83,18 +83,18 @@
         return other
 
     def next_record(self, kind: str, **fields: Any) -> StoredRecord:
-        """Return a document that would continue this history; `fields` have the stored keys."""
+        """Returns the stored form of a record that continues this history; `fields` have the stored keys."""
         chain = {"format": FORMAT, "seq": self.head + 1, "before": self.head_digest}
         return chain | {"kind": str(kind)} | fields
 
     def encode(self, record: VersionRecord) -> StoredRecord:
-        """Return the document of a record that would continue this history; it is not applied."""
+        """Returns the stored form of a record that continues this history, without applying it."""
         return self.next_record(**msgspec.to_builtins(record))
 
     def put_record(
         self, content: dict[str, Any], put_id: str, author: str, put_time: float, reason: str
     ) -> StoredRecord:
-        """Return the document of a record that would put a new version; raises `ContentError`."""
+        """Returns the stored form of a record that puts a new version; raises `ContentError`."""
         record = PutRecord(
             version=len(self.versions) + 1,
             parent=self.active,
@@ -108,9 +108,10 @@
         return self.encode(record)
 
     def apply(self, document: StoredRecord) -> None:
-        """Apply the next record, and change nothing if it cannot be applied.
+        """Applies the next record; if it cannot be applied, the history is unchanged.
 
-        Raises `HistoryError` if it is not the next one, `MalformedDocumentError` if it is malformed.
+        Raises `HistoryError` if the record does not continue this history, `MalformedDocumentError` if it is
+        malformed.
         """
         header = parse_header(document)
         self._check_chain(header)
@@ -129,23 +130,23 @@
     def _check_chain(self, header: RecordHeader) -> None:
         if header.format != FORMAT:
             raise HistoryError(
-                f"record {self.head + 1} has form {header.format!r}, this program knows {FORMAT}"
+                f"record {self.head + 1} has format {header.format!r}, this program supports {FORMAT}"
             )
         if header.number != self.head + 1 or header.previous_digest != self.head_digest:
             raise HistoryError(
-                f"record {header.number!r} does not follow record {self.head} "
-                f"({self.head_digest[:12] or 'the start'})"
+                f"record {header.number!r} does not continue the history after record {self.head} "
+                f"(digest {self.head_digest[:12] or 'none'})"
             )
 
     def _check_version(self, header: RecordHeader) -> None:
-        """Raise `HistoryError` unless a put is of the next version, and another record of the pending one."""
+        """Raises `HistoryError` unless a put has the next version, and any other kind the pending version."""
         number = header.version
         if header.kind == RecordKind.PUT:
             if number != len(self.versions) + 1:
-                raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
+                raise HistoryError(f"record {self.head + 1}: version {number!r} is out of sequence")
         elif number != self.pending or header.kind not in (RecordKind.ACTIVATE, RecordKind.WITHDRAW):
             raise HistoryError(
-                f"record {self.head + 1}: {header.kind!r} of version {number!r}, {self.pending} is put"
+                f"record {self.head + 1}: {header.kind!r} of version {number!r}, pending is {self.pending}"
             )
 
     def _apply_put(self, record: PutRecord) -> None:
