--- a/tests/agreement/agreement_helpers.py
+++ b/tests/agreement/agreement_helpers.py
@@ -1,4 +1,4 @@
-"""What tests of the agreement share: a version's content, and a history with given records."""
+"""Helpers shared by tests of the agreement: a version's content, and a history with given records."""
 
 from wheatroute.agreement.versions import History
 from wheatroute.rig.settings import DEFAULT_SETTINGS, with_changes
@@ -7,7 +7,7 @@
 
 
 def history_of(*kinds):
-    """Returns a history with records of these kinds, all of the version put last."""
+    """Returns a history with records of these kinds; each decision is about the version put last."""
     history = History()
     for kind in kinds:
         record = (
--- a/tests/agreement/test_agreement_format.py
+++ b/tests/agreement/test_agreement_format.py
@@ -1,4 +1,4 @@
-"""Versions, process statuses and drain notices in a store, and peer messages: as landing 12 wrote them."""
+"""Compatibility: the stored formats of versions, statuses, notices and snapshots, and peer messages, stay."""
 
 import hashlib
 import json
@@ -62,7 +62,7 @@
     "at": 1780000001.0,
 }
 ENTRY = {"id": "s1", "addr": "10.0.1.1:80", "state": "in_service", "started_ms": 1000}
-SEALED = (
+SNAPSHOT = (
     b"wheatroute-snapshot 1 68 "
     b"f669867527e10992bc5f9bbd0f91752024609fb9652167c8d2d9c0476e4c0382\n"
     b'{"servers":{"s1":{"latency":1.5,"age":0.25}},"written":1780000000.0}'
@@ -70,11 +70,11 @@
 
 
 def put(history, name):
-    """The record that puts the version of these tests."""
+    """Returns the record that puts the version of these tests."""
     return history.put_record(PUT["content"], name, "on call", 1780000000.5, "shorter deadlines")
 
 
-def test_records_are_written_as_before_and_follow_each_other():
+def test_records_keep_their_format_and_chain():
     history = History()
     assert put(history, "op-1") == PUT
     history.apply(PUT)
@@ -96,7 +96,7 @@
     assert orjson.dumps(member.next_status(1780000001.0)) == orjson.dumps(STATUS)
 
 
-def test_another_process_s_status_is_understood():
+def test_a_status_written_by_another_process_is_parsed():
     member = Member("n1", "77", 1.5)
     member.confirm(10.0, [PUT])
     member.record_check(1)
@@ -109,33 +109,33 @@
     }
 
 
-def test_drain_notices_are_written_and_read_as_before():
-    one, other = DrainNotices(1.5), DrainNotices(1.5)
-    for notices in (one, other):
+def test_drain_notices_keep_their_format():
+    sender, receiver = DrainNotices(1.5), DrainNotices(1.5)
+    for notices in (sender, receiver):
         notices.filter_message({"full": True, "servers": [ENTRY]})
-    one.filter_message({"full": False, "servers": [ENTRY | {"state": "terminating"}]})
+    sender.filter_message({"full": False, "servers": [ENTRY | {"state": "terminating"}]})
     notice = {"id": "s1", "started": 1000, "leaves": True, "turn": 1}
-    notices, expired_ids = one.outgoing(1.0)
+    notices, expired_ids = sender.outgoing(1.0)
     assert (orjson.dumps(notices), expired_ids) == (orjson.dumps([notice]), [])
-    assert other.receive([notice], 1.0) == [ENTRY | {"state": "terminating"}]
+    assert receiver.receive([notice], 1.0) == [ENTRY | {"state": "terminating"}]
 
 
-def test_a_snapshot_is_sealed_and_opened_as_before():
+def test_a_snapshot_keeps_its_format():
     body = {"servers": {"s1": {"latency": 1.5, "age": 0.25}}}
-    assert snapshot.encode(body, 1780000000.0) == SEALED
-    assert snapshot.decode(SEALED, 1780000001.0, 60.0) == body | {"written": 1780000000.0}
+    assert snapshot.encode(body, 1780000000.0) == SNAPSHOT
+    assert snapshot.decode(SNAPSHOT, 1780000001.0, 60.0) == body | {"written": 1780000000.0}
 
 
-def test_peer_messages_are_packed_and_read_as_before():
-    figures = [("10.0.1.1:80", 0.25), ("10.0.1.2:80", 0.0), ("10.0.1.3:80", 7.0)]
+def test_peer_messages_keep_their_format():
+    loads = [("10.0.1.1:80", 0.25), ("10.0.1.2:80", 0.0), ("10.0.1.3:80", 7.0)]
     text = "hjdw:m%y!T$<}"
-    assert peer_messages.encode_loads(figures) == [text]
+    assert peer_messages.encode_loads(loads) == [text]
     servers = peer_messages.ShortNames()
-    for number, (name, _) in enumerate(figures):
+    for number, (name, _) in enumerate(loads):
         servers.add(name, number)
     assert peer_messages.decode_loads(text, servers.numbers) == {0: 0.25, 1: 0.0, 2: 0.92}
 
 
-def test_a_digest_is_that_of_the_canonical_text():
+def test_a_digest_is_the_hash_of_the_canonical_json():
     assert digest({"b": 1.0, "a": "é"}) == hashlib.sha256('{"a":"é","b":1}'.encode()).hexdigest()
     assert json.loads(orjson.dumps(PUT)) == PUT
--- a/tests/agreement/test_agreement_functions.py
+++ b/tests/agreement/test_agreement_functions.py
@@ -1,4 +1,4 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""Unit tests of single functions, without sockets or a clock."""
 
 from wheatroute.agreement import operator_output, versions
 from wheatroute.agreement.join_rules import TENANT_RULES
--- a/tests/agreement/test_joint_settings.py
+++ b/tests/agreement/test_joint_settings.py
@@ -1,4 +1,4 @@
-"""The rules by which versions are joined, and the settings and errors that follow from them."""
+"""The rules by which versions are joined, and the joined settings and errors that result."""
 
 import dataclasses
 import inspect
@@ -59,7 +59,7 @@
     }
 
 
-def test_a_difference_has_the_rule_of_its_key():
+def test_each_difference_has_the_rule_of_its_key():
     old = {
         "file": {
             "nodes": 1,
@@ -113,7 +113,7 @@
         ]
 
 
-def test_bad_content_gets_a_line_for_each_error():
+def test_invalid_content_yields_one_line_for_each_error():
     errors = setting_errors(
         {
             "tick": 1,
--- a/tests/agreement/test_member.py
+++ b/tests/agreement/test_member.py
@@ -1,4 +1,4 @@
-"""A member of the agreement: confirmations and decisions."""
+"""Confirmations and decisions of a member of an agreement."""
 
 from agreement_helpers import CONTENT
 
@@ -9,7 +9,7 @@
 
 
 def exchanged(member, moment, *records):
-    """Returns the member after an exchange that brought these records."""
+    """Returns the member after an exchange at `moment` that returned these records."""
     member.next_status(0.0)
     member.confirm(moment, list(records))
     for version in member.unchecked_versions():
@@ -21,12 +21,14 @@
 def test_a_confirmation_counts_from_when_the_exchange_was_sent():
     member = exchanged(Member("a", "1", 10.0), 100.0)
     assert not member.permitted(100.0 + 0.98 * member.confirmation_ttl_s).is_conservative
-    assert member.permitted(100.0 + 0.995 * member.confirmation_ttl_s).is_conservative  # the drift
-    member.confirm(90.0, [])  # an old answer that came late shortens nothing and adds nothing
+    assert member.permitted(
+        100.0 + 0.995 * member.confirmation_ttl_s
+    ).is_conservative  # allows for clock drift
+    member.confirm(90.0, [])  # a late response to an earlier exchange changes nothing
     assert member.confirmed_until == 100.0 + member.confirmation_ttl_s * 0.99
 
 
-def test_an_incomplete_answer_confirms_nothing():
+def test_an_incomplete_response_confirms_nothing():
     history, records = History(), []
     for i in range(MAX_RECORDS_PER_READ):
         records.append(history.put_record(CONTENT, str(i), "", 0.0, ""))
@@ -36,7 +38,7 @@
     assert member.permitted(5.0).is_conservative and member.history.head == MAX_RECORDS_PER_READ
 
 
-def test_a_silent_process_delays_a_version_for_no_longer_than_its_confirmation():
+def test_a_silent_process_delays_a_version_until_its_confirmation_expires():
     member = exchanged(Member("a", "1", 10.0), 0.0)
     put = member.history.put_record(CONTENT, "p", "", 0.0, "")
     silent = Member("b", "1", 10.0).next_status(0.0)
--- a/tests/agreement/test_model_checker.py
+++ b/tests/agreement/test_model_checker.py
@@ -1,4 +1,4 @@
-"""The model checker: every order of events, and faults that it finds."""
+"""The model checker: the protocol holds in every order of events, and injected faults are found."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 from wheatroute.agreement.model_world import Bounds
 
 
-def test_in_no_order_of_events_two_processes_act_on_what_no_version_allows():
+def test_no_order_of_events_violates_an_invariant():
     for bounds, is_complete in (
         (Bounds(2, 2, 0, 3), True),
         (Bounds(3, 1, 0, 2, deciders=1), True),
@@ -20,21 +20,21 @@
 
 
 class ConfirmsFromTheAnswer(Member):
-    """A confirmation counts from when it came."""
+    """Counts a confirmation from when the response arrived, not from when the exchange was sent."""
 
     def confirm(self, sent_at, records, is_complete=True):
         super().confirm(sent_at + 1.0, records, is_complete)
 
 
 class NeverExpires(Member):
-    """It does not look at the clock."""
+    """Ignores the expiry of its confirmation."""
 
     def permitted(self, now):
         return super().permitted(min(now, self.confirmed_until - 0.5))
 
 
 class NeverJoint(Member):
-    """It stays on the old version alone until the new one is in force."""
+    """Acts on the old version alone until the new one is in force."""
 
     def permitted(self, now):
         effective = super().permitted(now)
@@ -42,14 +42,14 @@
 
 
 class IgnoresSilentProcesses(Member):
-    """It does not wait for those that say nothing."""
+    """Does not wait for processes whose status is missing or old."""
 
     def next_decision(self, read_began, read_ended, statuses):
         return super().next_decision(read_began + 9.0, read_ended, statuses)
 
 
 class ReadsOnlyItsOwnStatus(Member):
-    """It looks at its own status only."""
+    """Ignores the statuses of other processes."""
 
     def next_decision(self, read_began, read_ended, statuses):
         return super().next_decision(
@@ -58,7 +58,7 @@
 
 
 class ActivatesAtOnce(Member):
-    """It activates a version when it reads that it was put."""
+    """Acts on a version as soon as it reads that it was put."""
 
     def permitted(self, now):
         effective = super().permitted(now)
@@ -66,14 +66,14 @@
 
 
 class ReportsRecordsItHasNotRead(Member):
-    """Its status tells of having read what was put, as soon as anyone may have."""
+    """Reports in its status records that it has not read."""
 
     def next_status(self, unix_time):
         return super().next_status(unix_time) | {"seq": 99, "careful": True}
 
 
 class StartsWithoutConfirmation(Member):
-    """A new process acts before it was confirmed."""
+    """Acts after a start without waiting for a confirmation."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -82,7 +82,7 @@
 
 
 class ActsOnWithoutThePendingVersion(Member):
-    """It cannot use what was put, and stays on the old one alone."""
+    """Acts on the old version alone when it cannot use the pending one, instead of being conservative."""
 
     def permitted(self, now):
         effective = super().permitted(now)
@@ -90,7 +90,7 @@
 
 
 class CountsFromAnEarlierPut(Member):
-    """A version put over another counts from when that one was put."""
+    """Counts the time of a version that replaced a pending one from when the replaced one was put."""
 
     def next_decision(self, read_began, read_ended, statuses):
         if self._pending_since[0] and self.history.pending:
@@ -99,7 +99,7 @@
 
 
 class GoesBack(Member):
-    """A version that was withdrawn is undone by taking the one before."""
+    """Goes back to the previous version after a version was withdrawn."""
 
     def permitted(self, now):
         effective = super().permitted(now)
@@ -132,15 +132,15 @@
     assert result.counterexample, f"{result.states} states"
 
 
-def test_a_process_that_reads_before_it_writes_its_status_is_found():
+def test_reading_records_before_writing_the_status_is_found():
     assert ModelChecker(BOUNDS, reads_first=True).run().counterexample
 
 
-def test_a_process_that_counts_from_an_earlier_put_is_found():
+def test_counting_from_an_earlier_put_is_found():
     assert ModelChecker(Bounds(2, 2, 0, 3), CountsFromAnEarlierPut).run().counterexample
 
 
-def test_a_process_that_acts_on_without_the_pending_version_is_found():
+def test_acting_on_the_old_version_without_the_pending_one_is_found():
     assert (
         ModelChecker(Bounds(2, 1, 0, 3, rejections=((1, 1),)), ActsOnWithoutThePendingVersion)
         .run()
--- a/tests/agreement/test_version_adapter.py
+++ b/tests/agreement/test_version_adapter.py
@@ -1,4 +1,4 @@
-"""The versions of one process: numbers of names, forms, and versions that it cannot use."""
+"""The version adapter: stable numbers, accepted forms, and versions that a process cannot use."""
 
 from wheatroute.agreement.adapter import DerivedSettings, VersionAdapter
 from wheatroute.agreement.member import EffectiveVersions
@@ -9,7 +9,7 @@
 
 
 def adapter_of(*changes):
-    """Returns the adapter of a process that has checked versions with these changes."""
+    """Returns the adapter of a process that has checked one version for each of the changes."""
     own_settings = DEFAULT_SETTINGS | {"dcs": ["a"], "zone": "a", "me": 0}
     derived = DerivedSettings.from_dict(node_settings.derive_settings(DEFAULT_SETTINGS))
     adapter = VersionAdapter(derived, node_deriver(own_settings, derived))
@@ -28,16 +28,16 @@
     )
     before = adapter.adapt(EffectiveVersions(0, 0, False)).request_classes
     assert adapter.adapt(EffectiveVersions(1, 0, False)).request_classes == before
-    less = adapter.adapt(EffectiveVersions(2, 0, False))
-    assert "buy" not in less.request_classes and less.request_classes["look"] == before["look"]
-    buy = less.settings.request_classes[before["buy"]]  # for requests that are still in flight
+    fewer = adapter.adapt(EffectiveVersions(2, 0, False))
+    assert "buy" not in fewer.request_classes and fewer.request_classes["look"] == before["look"]
+    buy = fewer.settings.request_classes[before["buy"]]  # still defined for requests in flight
     assert buy.idempotency == Idempotency.NON_IDEMPOTENT
     assert buy.value == 0.0
     new = adapter.adapt(EffectiveVersions(3, 0, False))
     assert new.tenants == {"new": 1} and [tenant.quota for tenant in new.settings.tenants] == [0.0, 5.0]
 
 
-def test_a_request_that_has_no_key_is_not_repeated_for_its_class_having_them():
+def test_a_request_without_a_key_is_not_retried_though_its_class_is_keyed_now():
     adapter = adapter_of({"look__effect": "dedup"})
     adapted = adapter.adapt(EffectiveVersions(1, 0, False))
     look = adapted.request_classes["look"]
@@ -47,7 +47,7 @@
     assert adapted.settings.request_classes[strict].idempotency == Idempotency.NON_IDEMPOTENT
 
 
-def test_a_version_that_needs_a_restart_is_rejected_with_the_key():
+def test_an_unusable_version_is_rejected_with_the_key():
     for changes, line in (
         ({"tick": 0.01}, "tick: can only change with a restart, the value here is 0.005"),
         ({"look__streamed": True}, "look.streamed: can only change with a restart, the value here is False"),
@@ -65,7 +65,7 @@
     )
 
 
-def test_a_conservative_node_takes_requests_in_the_forms_that_it_took_before():
+def test_a_conservative_node_accepts_the_forms_that_it_accepted_before():
     adapted = adapter_of().adapt(EffectiveVersions(0, 0, True))
     for name, idempotency in (("look", Idempotency.IDEMPOTENT), ("change", Idempotency.KEYED)):
         forms, _ = adapted.forms[adapted.request_classes[name]]
--- a/tests/agreement/test_versions.py
+++ b/tests/agreement/test_versions.py
@@ -1,4 +1,4 @@
-"""The history of versions, and how a store keeps its records."""
+"""The history of versions, and how the directory store keeps its records."""
 
 import pytest
 from agreement_helpers import CONTENT, history_of
@@ -9,7 +9,7 @@
 from wheatroute.agreement.versions import History, canonical
 
 
-def test_a_history_takes_its_next_record_and_nothing_else():
+def test_a_history_only_accepts_its_next_record():
     history = history_of("put", RecordKind.ACTIVATE, "put", "put", RecordKind.WITHDRAW)
     assert (history.active, history.pending) == (1, 0)
     assert [version.state for version in history.versions.values()] == [
@@ -18,7 +18,7 @@
         "withdrawn: r",
     ]
     other = history_of("put", RecordKind.ACTIVATE, "put", RecordKind.ACTIVATE)
-    for wrong in (
+    for invalid in (
         History().put_record(CONTENT, "p0", "me", 1.0, "why"),
         other.next_record(RecordKind.ACTIVATE, version=0),
         history.next_record(RecordKind.ACTIVATE, version=2),
@@ -26,7 +26,7 @@
         history.next_record("joint", version=4),
     ):
         with pytest.raises(HistoryError):
-            history.apply(wrong)
+            history.apply(invalid)
     assert history.head == 5
 
 
@@ -41,7 +41,7 @@
         canonical({"settings": {"tick": float("nan")}})
 
 
-def test_one_of_two_records_of_one_number_is_stored_whole(tmp_path):
+def test_only_the_first_of_two_records_of_the_same_number_is_stored(tmp_path):
     store = DirectoryStore(str(tmp_path))
     store.create()
     history = history_of()
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -66,9 +66,8 @@
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._derived_by_version: dict[int, DerivedSettings] = {0: own}
-        self._last_definitions: dict[
-            str, RequestClass
-        ] = {}  # by class: its settings in the last version that has it
+        # by class: its settings in the last version that has it
+        self._last_definitions: dict[str, RequestClass] = {}
         self._past_versions = {0}  # versions that were active here: clients may still use their forms
         for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
             for name, number in names.items():
@@ -115,9 +114,8 @@
         settings = self._joined_settings(versions, effective.is_conservative)
         forms = self._forms(versions, settings)
         if len(settings.request_classes) < len(self._classes):
-            settings = self._joined_settings(
-                versions, effective.is_conservative
-            )  # now with the new strict variants
+            # join again, as the forms have added strict variants of classes
+            settings = self._joined_settings(versions, effective.is_conservative)
         active = self._derived_by_version[effective.active]
         return AdaptedVersion(
             {name: self._classes[name] for name in active.request_classes},
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -40,9 +40,8 @@
         self.path = path
         self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
-        self._notice_files: dict[
-            str, tuple[int, int]
-        ] = {}  # by file name: mtime (ns) and inode when last read
+        # by file name: mtime (ns) and inode when last read
+        self._notice_files: dict[str, tuple[int, int]] = {}
 
     async def exchange(
         self, key: str, status: StoredStatus | None, after: int, expected_digest: str
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -45,9 +45,9 @@
         self._status_prefix = f"{prefix}/nodes/".encode()
         self._notice_prefix = f"{prefix}/words/".encode()
         self.received_notices: list[StoredNotice] = []
-        self.unreadable_keys: set[str] = set()  # of malformed statuses and drain notices
+        self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
         self._notices_revision = 0  # drain notices were read up to this revision
-        self._cluster_id = 0  # of the cluster that sent the first response
+        self._cluster_id = 0  # ID of the cluster that sent the first response
         self._revision = 0
 
     async def run(self) -> None:
--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -22,17 +22,12 @@
     MAY_DIFFER = "may differ: the old value applies until the new version is in force"
     RESTART_ONLY = "can only change with a restart"
     PER_PROCESS = "specific to each process"
-    ROUTE = (
-        "the old value applies until the new version is in force; other requests are rejected unexecuted"
-    )
+    ROUTE = "the old value applies until the new version is in force; other requests are rejected unexecuted"
     UNKNOWN = "unknown"  # for a key that is in no table
 
 
 # the parts of a version: for the platform's node, and for processes that are configured by a TOML file
-NODE_PART, FILE_PART = (
-    "settings",
-    "file",
-)
+NODE_PART, FILE_PART = "settings", "file"
 VERSION_PARTS = (NODE_PART, FILE_PART)
 FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # the keys of `FILE_PART`
 
--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -19,7 +19,7 @@
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 
-# of `overload_multiple`, which bounds the load of servers that are warming up, in a conservative process
+# fraction of `overload_multiple`, which bounds the load of servers that are warming up
 CONSERVATIVE_WARMUP_RATIO = 0.25
 
 _JOIN: dict[JoinRule, Callable[[Any, Any], Any]] = {
