--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -1,4 +1,4 @@
-"""Drain notices: the state machine, the stores, and nodes of which one is cut off from its server list."""
+"""Drain notices: the state machine, the stores, and a node that is cut off from its server list."""
 
 import random
 import time
@@ -25,12 +25,12 @@
 from wheatroute.etcd import messages as wire
 from wheatroute.rig.options import RigOptions
 from wheatroute.rig.rig import running_rig
-from wheatroute.standin.etcd import Member as Served
+from wheatroute.standin.etcd import Member as EtcdMember
 from wheatroute.standin.etcd_store import Store
 
 
-def entry(name, state="in_service", started=0, place=""):
-    return {"id": name, "state": state, "started_ms": started, "addr": place or f"10.0.0.1:{name[1:]}"}
+def entry(name, state="in_service", started=0, address=""):
+    return {"id": name, "state": state, "started_ms": started, "addr": address or f"10.0.0.1:{name[1:]}"}
 
 
 def list_of(*servers, full=False):
@@ -38,22 +38,22 @@
 
 
 class Installation:
-    """Processes with a list each, and a store between them."""
+    """Processes that each have a server list, and a store that they share."""
 
     def __init__(self, count, *servers):
         self.store = {}
-        self.ones = [DrainNotices(10.0) for _ in range(count)]
-        for one in self.ones:
-            one.filter_message(list_of(*servers, full=True))
+        self.processes = [DrainNotices(10.0) for _ in range(count)]
+        for process in self.processes:
+            process.filter_message(list_of(*servers, full=True))
 
-    def exchange(self, *which, now=0.0):
-        """Let processes exchange with the store, one after the other; returns what each learns, by server."""
+    def exchange(self, *numbers, now=0.0):
+        """Lets processes exchange with the store in turn; returns the changed states that each learns."""
         learned = []
-        for number in which:
-            one = self.ones[number]
-            heard = one.receive(list(self.store.values()), now)
-            learned.append({server["id"]: server["state"] for server in heard})
-            notices, expired_ids = one.outgoing(now)
+        for number in numbers:
+            process = self.processes[number]
+            changed = process.receive(list(self.store.values()), now)
+            learned.append({server["id"]: server["state"] for server in changed})
+            notices, expired_ids = process.outgoing(now)
             self.store |= {notice["id"]: notice for notice in notices}
             for name in expired_ids:
                 self.store.pop(name, None)
@@ -61,67 +61,75 @@
 
 
 def test_a_drain_and_a_return_reach_all_processes():
-    it = Installation(3, entry("s1"), entry("s2"))
-    it.ones[0].filter_message(list_of(entry("s1", "terminating")))
-    assert it.exchange(0, 1, 2) == [{}, {"s1": "terminating"}, {"s1": "terminating"}]
-    # an own list that lies behind does not undo it, whole or not
-    assert it.ones[1].filter_message(list_of(entry("s1"), full=True))["servers"][0]["state"] == "terminating"
-    it.ones[0].filter_message(list_of(entry("s1")))
-    assert it.exchange(0, 1, 2) == [{}, {"s1": "in_service"}, {"s1": "in_service"}]
-    # and drained once more
-    it.ones[0].filter_message(list_of(entry("s1", "terminating")))
-    assert it.exchange(0, 1) == [{}, {"s1": "terminating"}]
+    installation = Installation(3, entry("s1"), entry("s2"))
+    installation.processes[0].filter_message(list_of(entry("s1", "terminating")))
+    assert installation.exchange(0, 1, 2) == [{}, {"s1": "terminating"}, {"s1": "terminating"}]
+    # an outdated own list does not undo it, even a full one
+    assert (
+        installation.processes[1].filter_message(list_of(entry("s1"), full=True))["servers"][0]["state"]
+        == "terminating"
+    )
+    installation.processes[0].filter_message(list_of(entry("s1")))
+    assert installation.exchange(0, 1, 2) == [{}, {"s1": "in_service"}, {"s1": "in_service"}]
+    # a second drain is announced as well
+    installation.processes[0].filter_message(list_of(entry("s1", "terminating")))
+    assert installation.exchange(0, 1) == [{}, {"s1": "terminating"}]
 
 
 def test_a_server_missing_from_one_list_stays_in_the_others():
-    it = Installation(2, entry("s1"), entry("s2"))
-    it.ones[0].filter_message(list_of(full=True))
-    it.ones[0].filter_message(list_of(entry("s2", "terminated")))
-    assert it.exchange(0, 1) == [{}, {}] and not it.store
+    installation = Installation(2, entry("s1"), entry("s2"))
+    installation.processes[0].filter_message(list_of(full=True))
+    installation.processes[0].filter_message(list_of(entry("s2", "terminated")))
+    assert installation.exchange(0, 1) == [{}, {}] and not installation.store
 
 
 def test_a_restart_under_the_same_id_and_a_reused_address_create_notices():
-    it = Installation(2, entry("s1"), entry("s2", place="10.0.0.9:9"))
-    it.ones[0].filter_message(list_of(entry("s1", started=5)))
-    it.ones[0].filter_message(list_of(entry("s2", "terminated")))
-    it.ones[0].filter_message(list_of(entry("s7", place="10.0.0.9:9")))
-    assert it.exchange(0, 1) == [{}, {"s1": "terminating", "s2": "terminating"}]
-    # the new process under the old id is another one
-    assert it.ones[1].filter_message(list_of(entry("s1", started=5)))["servers"][0]["state"] == "in_service"
+    installation = Installation(2, entry("s1"), entry("s2", address="10.0.0.9:9"))
+    installation.processes[0].filter_message(list_of(entry("s1", started=5)))
+    installation.processes[0].filter_message(list_of(entry("s2", "terminated")))
+    installation.processes[0].filter_message(list_of(entry("s7", address="10.0.0.9:9")))
+    assert installation.exchange(0, 1) == [{}, {"s1": "terminating", "s2": "terminating"}]
+    # the notice does not apply to the new process under the same id
+    assert (
+        installation.processes[1].filter_message(list_of(entry("s1", started=5)))["servers"][0]["state"]
+        == "in_service"
+    )
 
 
-def test_a_late_drain_notice_is_corrected_by_the_return():
-    it = Installation(3, entry("s1"))
+def test_a_late_drain_notice_is_corrected_by_the_notice_of_the_return():
+    installation = Installation(3, entry("s1"))
     for state in ("terminating", "in_service"):
-        it.ones[0].filter_message(list_of(entry("s1", state)))
-        it.exchange(0)
-    it.ones[1].filter_message(list_of(entry("s1", "terminating")))
-    it.exchange(1)
-    it.ones[1].filter_message(list_of(entry("s1")))
-    it.exchange(1, 0)
-    assert it.exchange(2) == [{}] and not it.store["s1"]["leaves"]
+        installation.processes[0].filter_message(list_of(entry("s1", state)))
+        installation.exchange(0)
+    installation.processes[1].filter_message(list_of(entry("s1", "terminating")))
+    installation.exchange(1)
+    installation.processes[1].filter_message(list_of(entry("s1")))
+    installation.exchange(1, 0)
+    assert installation.exchange(2) == [{}] and not installation.store["s1"]["leaves"]
 
 
 def test_a_notice_that_a_concurrent_write_replaced_is_written_again():
-    it = Installation(2, entry("s1"))
-    for one in it.ones:
-        one.filter_message(list_of(entry("s1", "terminating")))
-    first = it.ones[1].outgoing(0.0)[0][0]
-    it.exchange(0)
-    it.ones[0].filter_message(list_of(entry("s1")))
-    it.exchange(0)
-    it.store["s1"] = first  # the other's write came late
-    it.exchange(0)
-    assert not it.store["s1"]["leaves"]
-
-
-def test_expired_notices_leave_the_store_and_still_count_for_their_readers():
-    it = Installation(2, entry("s1"))
-    it.ones[0].filter_message(list_of(entry("s1", "terminating")))
-    it.exchange(0, 1)
-    it.exchange(0, 1, now=3601.0)
-    assert not it.store
-    assert it.ones[1].filter_message(list_of(entry("s1")))["servers"][0]["state"] == "terminating"
+    installation = Installation(2, entry("s1"))
+    for process in installation.processes:
+        process.filter_message(list_of(entry("s1", "terminating")))
+    first = installation.processes[1].outgoing(0.0)[0][0]
+    installation.exchange(0)
+    installation.processes[0].filter_message(list_of(entry("s1")))
+    installation.exchange(0)
+    installation.store["s1"] = first  # the other process's write arrives late
+    installation.exchange(0)
+    assert not installation.store["s1"]["leaves"]
+
+
+def test_expired_notices_are_removed_and_still_apply_where_they_were_read():
+    installation = Installation(2, entry("s1"))
+    installation.processes[0].filter_message(list_of(entry("s1", "terminating")))
+    installation.exchange(0, 1)
+    installation.exchange(0, 1, now=3601.0)
+    assert not installation.store
+    assert (
+        installation.processes[1].filter_message(list_of(entry("s1")))["servers"][0]["state"] == "terminating"
+    )
 
 
 def test_malformed_notices_and_entries_are_ignored():
@@ -143,14 +151,14 @@
     ) == []
 
 
-def notice(name, turn=1):
-    return {"id": name, "started": 0, "leaves": True, "turn": turn}
+def notice(name, revision=1):
+    return {"id": name, "started": 0, "leaves": True, "turn": revision}
 
 
 def test_an_abandoned_exchange_that_ends_late_loses_no_notice(tmp_path):
-    """Its thread reads the notices, another exchange begins and ends, then the thread adds its own."""
+    """Its thread reads notices, another exchange begins and ends, then the thread adds what it read."""
 
-    class Late(DirectoryStore):
+    class LateStore(DirectoryStore):
         def changed_drain_notices_blocking(self):
             found = super().changed_drain_notices_blocking()
             if found and found[0]["id"] == "s1":
@@ -159,7 +167,7 @@
                 self.exchange_blocking("n0.1", {"name": "n0"}, 0, "")
             return found
 
-    store = Late(str(tmp_path))
+    store = LateStore(str(tmp_path))
     store.create()
     store.write_drain_notices_blocking([notice("s1")], [])
     store.exchange_blocking("n0.1", {"name": "n0"}, 0, "")
@@ -167,7 +175,7 @@
 
 
 def test_an_unreadable_status_or_notice_fails_no_exchange(tmp_path):
-    """Empty after a power loss, or of another program: skipped, and the rest counts."""
+    """An entry left empty by a power loss or written by another program is skipped, and the rest is read."""
     store = DirectoryStore(str(tmp_path))
     store.create()
     store.write_drain_notices_blocking([notice("s1")], [])
@@ -184,7 +192,7 @@
 @scenario
 async def test_an_unreadable_status_or_notice_in_etcd_fails_no_exchange():
     backend = Store()
-    member = Served(backend)
+    member = EtcdMember(backend)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(member.run)
         while not member.is_serving:
@@ -204,7 +212,7 @@
 @scenario
 async def test_notices_expire_from_a_store_that_only_relays_read(tmp_path):
     class RecordingStore(DirectoryStore):
-        """What the relay removes."""
+        """Records the notices that the relay removes."""
 
         removed: list = []
 
@@ -215,9 +223,9 @@
     store = RecordingStore(str(tmp_path / "store"))
     store.create()
     store.write_drain_notices_blocking([notice("s1")], [])
-    here = DirectoryStore(str(tmp_path / "here"))
-    here.create()
-    relay_store = RelayStore(store, here.path, 3.0, 10.0)
+    relayed = DirectoryStore(str(tmp_path / "here"))
+    relayed.create()
+    relay_store = RelayStore(store, relayed.path, 3.0, 10.0)
     await relay_store.exchange("relay.1", {"name": "relay"}, 0, "")
     fresh = tmp_path / "here" / "fresh"
     assert [one["id"] for one in orjson.loads(fresh.read_bytes())["words"]] == ["s1"] and not store.removed
@@ -229,17 +237,17 @@
 
 
 @scenario
-async def test_a_status_is_not_written_after_the_removal_of_a_process_that_ends(tmp_path):
-    class Slow(DirectoryStore):
-        """An exchange that stays in flight."""
+async def test_a_status_is_not_written_after_its_removal_by_a_stopping_process(tmp_path):
+    class SlowStore(DirectoryStore):
+        """Keeps an exchange in flight until `may_continue` is set."""
 
         def __init__(self, path):
             super().__init__(path)
-            self.began, self.goes_on, self.ended = trio.Event(), trio.Event(), trio.Event()
+            self.began, self.may_continue, self.ended = trio.Event(), trio.Event(), trio.Event()
 
         async def exchange(self, *arguments):
             self.began.set()
-            await self.goes_on.wait()
+            await self.may_continue.wait()
             try:
                 return await super().exchange(*arguments)
             finally:
@@ -252,7 +260,7 @@
         def adapt(self, effective):
             return AdaptedVersion({}, {}, {}, {})
 
-    store = Slow(str(tmp_path))
+    store = SlowStore(str(tmp_path))
     store.create()
     follower = VersionFollower(
         store,
@@ -270,29 +278,29 @@
             async with trio.open_nursery() as leaving:
                 leaving.start_soon(follower.leave)
                 await trio.testing.wait_all_tasks_blocked()
-                store.goes_on.set()
+                store.may_continue.set()
             await store.ended.wait()
             nursery.cancel_scope.cancel()
     assert store.statuses_blocking() == []
 
 
-# several processes
+# tests with several processes
 
 
-async def cut_off_from_its_list(store, lists, change):
-    async with running_rig(RigOptions(nodes=3, store=store, discovery=lists, bound_s=WITHIN)) as it:
+async def check_node_cut_off_from_its_list(store, discovery, change):
+    async with running_rig(RigOptions(nodes=3, store=store, discovery=discovery, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
         await it.wait_until(
             lambda: (
                 len({execution.server for execution in it.records.executions if execution.node == "n2"}) == 4
             ),
-            "n2 sends to all",
+            "n2 has sent to all servers",
         )
         it.faults.partition("n2", "list")
         changed_at = time.monotonic()
         change(it)
-        # from then on n2 sends nothing there: the stated time to be told in, and the grace
+        # after the agreement time and the drain grace, n2 sends nothing to the server
         last = changed_at + WITHIN + 2.0
         await it.wait_until(
             lambda: (
@@ -302,7 +310,7 @@
                 )
                 > 20
             ),
-            "n2 goes on with the others",
+            "n2 continues with the other servers",
         )
         late = [
             execution
@@ -317,23 +325,25 @@
         await kept(it, served=100)
 
 
-def moved(it):
-    """The others' lists say that another server is at the address of s3 by now."""
+def replace_s3(it):
+    """Makes the lists of the other nodes report another server at the address of s3."""
     for name in ("n0", "n1"):
-        known = it.discovery_services[name].entry("s3")
-        it.discovery_services[name].update(known._replace(state="terminated"))
-        it.discovery_services[name].update(known._replace(id="s9"))
+        entry_before = it.discovery_services[name].entry("s3")
+        it.discovery_services[name].update(entry_before._replace(state="terminated"))
+        it.discovery_services[name].update(entry_before._replace(id="s9"))
 
 
 @pytest.mark.parametrize(
-    "store, lists, change",
+    "store, discovery, change",
     [
         ("directory", "service", lambda it: it.faults.drain("s3")),
         ("etcd", "service", lambda it: it.faults.drain("s3")),
         ("relay", "service", lambda it: it.faults.drain("s3")),
         ("directory", "etcd", lambda it: it.faults.drain("s3")),
-        ("directory", "service", moved),
+        ("directory", "service", replace_s3),
     ],
 )
-def test_a_node_cut_off_from_its_list_leaves_a_server_within_the_agreement_time(store, lists, change):
-    trio.run(cut_off_from_its_list, store, lists, change)
+def test_a_node_cut_off_from_its_list_stops_using_a_server_within_the_agreement_time(
+    store, discovery, change
+):
+    trio.run(check_node_cut_off_from_its_list, store, discovery, change)
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -1,4 +1,4 @@
-"""Nodes and processors with workers, each a process, on one history of versions, judged from outside."""
+"""Nodes and processors with workers, each a process, follow one history of versions under faults."""
 
 import time
 
@@ -11,7 +11,7 @@
 
 
 @scenario
-async def test_nodes_and_processors_agree_though_a_processor_is_cut_off_through_a_change():
+async def test_a_processor_cut_off_during_a_change_keeps_serving_and_agrees_later():
     async with running_rig(RigOptions(nodes=1, processors=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
@@ -30,7 +30,7 @@
                 )
                 > 20
             ),
-            "p1 goes on serving",
+            "p1 continues to serve",
         )
         it.faults.heal("p1", "store")
         await it.versions.wait_until_agreed(number)
@@ -45,7 +45,7 @@
 
 
 @scenario
-async def test_a_processor_and_its_workers_that_stood_still_over_a_change_repeat_nothing():
+async def test_a_processor_stopped_with_its_workers_during_a_change_retries_nothing_unsafe():
     async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
@@ -56,14 +56,14 @@
         number = await it.versions.put("look has effects now", look__effect="fragile")
         assert await it.versions.wait_for_outcome(number) == "in force"
         await it.wait_until(
-            lambda: time.monotonic() > stopped + 3 * WITHIN, "three times the stated time is over"
+            lambda: time.monotonic() > stopped + 3 * WITHIN, "three times the agreement time has passed"
         )
         it.faults.resume("p0")
-        on = time.monotonic()
+        resumed = time.monotonic()
         await it.wait_until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "p0" and one.sent_at > on
+                    one.status == 200 and one.node == "p0" and one.sent_at > resumed
                     for one in it.records.requests.values()
                 )
                 > 20
@@ -75,7 +75,7 @@
 
 
 @scenario
-async def test_a_processor_that_is_killed_with_its_workers_holds_nothing_up_and_comes_back_into_line():
+async def test_a_processor_killed_with_its_workers_delays_no_change_and_agrees_after_a_restart():
     async with running_rig(RigOptions(nodes=1, processors=2, bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
@@ -91,7 +91,7 @@
 
 
 @scenario
-async def test_a_drain_that_the_nodes_list_tells_is_kept_by_a_processor_whose_list_is_silent():
+async def test_a_drain_in_the_nodes_list_reaches_a_processor_whose_list_is_silent():
     async with running_rig(RigOptions(nodes=1, processors=1, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
@@ -99,11 +99,11 @@
             lambda: (
                 len({execution.server for execution in it.records.executions if execution.node == "p0"}) == 4
             ),
-            "p0 sends to all",
+            "p0 has sent to all servers",
         )
         it.faults.partition("p0", "list")
         it.faults.drain("s3")
-        it.records.drained_at["s3"] += WITHIN  # it is told within that time, by the other's words
+        it.records.drained_at["s3"] += WITHIN  # it learns of the drain within that time, by the node's notice
         last = it.records.drained_at["s3"] + 2.0
         await it.wait_until(
             lambda: (
@@ -113,6 +113,6 @@
                 )
                 > 20
             ),
-            "p0 goes on with the others",
+            "p0 continues with the other servers",
         )
         await kept(it, served=100)
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -1,6 +1,6 @@
-"""Several nodes, each a process, with a fault between them that none is told of, judged from outside.
+"""Several nodes, each a process, with injected faults; checked from the records of clients and servers.
 
-Each test waits for what happens. A bound is looked up in the records, never waited out and hoped for.
+Each test waits for an event. Time bounds are checked in the records, never assumed after a fixed wait.
 """
 
 import os
@@ -18,21 +18,21 @@
 from wheatroute.rig.rig import running_rig
 from wheatroute.rig.settings import DEFAULT_SETTINGS, with_changes
 
-WITHIN = 1.5  # seconds
+WITHIN = 1.5  # agreement time in seconds
 MIX = {"look": 0.6, "change": 0.2, "buy": 0.2}
 
 
 def rough(it):
-    """Servers that end a tenth of what they have run without an answer: that is what repeats come of."""
+    """Makes servers reset the connection after a tenth of the requests they ran, which causes retries."""
     for server in it.servers.values():
         server.reset_ratio = 0.1
 
 
 async def repeated(it, node, kind="look", since=None):
-    """Waits until a node sends a request again that a server had begun: what it does while it may."""
+    """Waits until a node retries a request that a server had begun, which it does as long as it may."""
     since = time.monotonic() if since is None else since
 
-    def seen():
+    def has_retried():
         return any(
             len(runs) > 1
             and runs[0].request_class == kind
@@ -41,7 +41,7 @@
             for runs in it.records.executions_by_request().values()
         )
 
-    await it.wait_until(seen, f"{node} repeats {kind}")
+    await it.wait_until(has_retried, f"{node} retries {kind}")
 
 
 async def first_version(it):
@@ -51,7 +51,7 @@
 
 
 async def kept(it, **least):
-    """No promise was broken, once there was so much to judge by; and the figures."""
+    """Waits for the `least` counts in the summary, checks that no guarantee was violated, and returns it."""
     with trio.fail_after(20):
         while any(
             verdict.summary(it.records, time.monotonic(), WITHIN)[name] < value
@@ -73,7 +73,9 @@
         await repeated(it, "n2")
         it.faults.partition("n2", "store", way)
         number = await it.versions.put("look has effects now", look__effect="fragile")
-        assert await it.versions.wait_for_outcome(number) == "in force"  # one that is cut off holds nobody up
+        assert (
+            await it.versions.wait_for_outcome(number) == "in force"
+        )  # not delayed by the node that is cut off
         cut = time.monotonic()
         await it.wait_until(
             lambda: (
@@ -83,7 +85,7 @@
                 )
                 > 20
             ),
-            "n2 goes on serving",
+            "n2 continues to serve",
         )
         assert "phase=careful version=1" in it.processes["n2"].log
         it.faults.heal("n2", "store")
@@ -94,12 +96,12 @@
 @pytest.mark.parametrize(
     "store, way", [("directory", "both"), ("etcd", "both"), ("etcd", "there"), ("etcd", "back")]
 )
-def test_a_node_cut_off_through_a_whole_change_goes_on_carefully_and_within_the_stated_time(store, way):
+def test_a_node_cut_off_during_a_change_serves_conservatively_within_the_agreement_time(store, way):
     trio.run(through_a_change, store, way)
 
 
 @scenario
-async def test_a_process_that_stood_still_over_a_change_looks_at_the_clock_first():
+async def test_a_process_stopped_during_a_change_checks_the_clock_first():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(50, MIX)
@@ -109,17 +111,17 @@
         number = await it.versions.put("look has effects now", look__effect="fragile")
         assert await it.versions.wait_for_outcome(number) == "in force"
         put = it.records.versions[-1].published_at
-        # what comes meanwhile lies in its sockets, answers of servers among it
+        # meanwhile its sockets fill with requests and with responses of servers
         await it.wait_until(
-            lambda: time.monotonic() > put + 3 * WITHIN, "three times the stated time has gone by"
+            lambda: time.monotonic() > put + 3 * WITHIN, "three times the agreement time has passed"
         )
         it.faults.resume("n1")
-        gone_on = time.monotonic()
+        resumed = time.monotonic()
         await it.versions.wait_until_agreed(number)
         await it.wait_until(
             lambda: (
                 sum(
-                    execution.node == "n1" and execution.started_at > gone_on
+                    execution.node == "n1" and execution.started_at > resumed
                     for execution in it.records.executions
                 )
                 > 20
@@ -130,7 +132,7 @@
 
 
 @scenario
-async def test_from_effects_to_none_nobody_repeats_before_all_are_at_joint():
+async def test_when_a_class_becomes_idempotent_no_node_retries_before_all_are_joint():
     async with running_rig(
         RigOptions(
             nodes=3, bound_s=WITHIN, settings=with_changes(DEFAULT_SETTINGS, {"look__effect": "fragile"}, 3)
@@ -143,7 +145,7 @@
         put = time.monotonic()
         number = await it.versions.put("look has no effects", look__effect="retryable")
         assert await it.versions.wait_for_outcome(number) == "in force"
-        for name in ("n0", "n1"):  # clients hear of it: their form follows
+        for name in ("n0", "n1"):  # clients learn of the change and use the other form
             it.loads[name].set_class("look", 0.6, "retryable")
         await repeated(it, "n0")
         first = min(
@@ -151,7 +153,7 @@
             for runs in it.records.executions_by_request().values()
             if len(runs) > 1 and runs[0].request_class == "look"
         )
-        # not before n2's last confirmation was over: it was seen at most a question before the put
+        # not before n2's last confirmation expired, which was sent at most one exchange before the put
         assert first - put > 0.5 * WITHIN
         it.faults.heal("n2", "store")
         await it.versions.wait_until_agreed(number)
@@ -159,7 +161,7 @@
 
 
 @scenario
-async def test_what_can_be_used_at_one_place_only_never_comes_into_force_and_says_where():
+async def test_a_version_that_one_process_cannot_use_is_withdrawn_and_names_the_process():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.faults.kill("n1")
         document = it.files.read_node_file("n1")
@@ -176,11 +178,11 @@
 
 
 @pytest.mark.parametrize("phase", ["", "phase=joint", "event=settings-decided"])
-def test_all_of_the_store_is_gone_in_each_phase_and_nothing_is_lost(phase):
-    trio.run(store_gone, phase)
+def test_an_outage_of_the_whole_store_in_each_phase_loses_no_change(phase):
+    trio.run(check_store_outage, phase)
 
 
-async def store_gone(phase):
+async def check_store_outage(phase):
     async with running_rig(RigOptions(nodes=3, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
@@ -188,7 +190,7 @@
         for effect in ("fragile", "retryable"):
             before = sum(process.log.count(phase) for process in it.processes.values()) if phase else -1
             number = await it.versions.put("a change", look__effect=effect)
-            # put, and hardly anyone has heard of it; some have; somebody has judged that all have
+            # the version was put; or some process has read it; or some process has decided that all have
             await it.wait_until(
                 lambda before=before: (
                     sum(process.log.count(phase) for process in it.processes.values()) > before
@@ -202,7 +204,7 @@
                     it.processes[name].log.count("phase=careful") > count
                     for name, count in zip(it.names, counts, strict=True)
                 ),
-                "all are careful",
+                "all are conservative",
             )
             assert all(it.processes[name].is_alive for name in it.names)
             it.etcd.send_command("set", member=-1, silent=False)
@@ -212,18 +214,18 @@
 
 
 @scenario
-async def test_two_of_three_members_gone_or_one_that_lies_behind_hold_nothing_up():
+async def test_a_silent_and_a_lagging_member_of_three_delay_no_change():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
         it.etcd.send_command("set", member=0, silent=True)
-        it.etcd.send_command("set", member=1, behind=3)  # it cannot ask the others, and says so
+        it.etcd.send_command("set", member=1, behind=3)  # it cannot reach the others, and reports that
         number = await it.versions.put("a change", look__effect="fragile")
         assert await it.versions.wait_for_outcome(number) == "in force"
         await it.versions.wait_until_agreed(number)
 
 
 @scenario
-async def test_a_store_put_back_to_an_older_backup_takes_nobody_back():
+async def test_a_store_restored_from_an_older_backup_takes_no_process_back():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
@@ -235,7 +237,7 @@
         it.etcd.send_command("restore")
         await it.wait_until(
             lambda: all("phase=careful version=2" in it.processes[name].log for name in it.names),
-            "both are careful, and stay at what they acted on",
+            "both are conservative, and stay at their version",
         )
         for name in it.names:
             phases = [line for line in it.processes[name].log.splitlines() if "event=settings " in line]
@@ -245,7 +247,7 @@
 
 
 @scenario
-async def test_another_cluster_in_the_place_of_the_first_confirms_nothing():
+async def test_another_etcd_cluster_at_the_same_address_confirms_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
         it.etcd.send_command("clear", cluster=77)
@@ -254,34 +256,34 @@
                 "response from etcd cluster 4d, expected cluster 1" in it.processes[name].log
                 for name in it.names
             ),
-            "both say so",
+            "both have logged it",
         )
         await it.wait_until(
             lambda: all("phase=careful version=1" in it.processes[name].log for name in it.names),
-            "both are careful",
+            "both are conservative",
         )
 
 
 @scenario
-async def test_of_two_operators_at_once_one_is_told_and_neither_is_lost():
+async def test_of_two_concurrent_operators_one_gets_a_conflict_and_no_put_is_lost():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
-        it.faults.stop("n1")  # so that the first of them stays under way
-        asked = [
+        it.faults.stop("n1")  # so that the first put stays under way
+        commands = [
             it.launcher.start_settings_command(
                 "put", it.versions.settings_file(look__effect="fragile"), "--why", f"operator {i}"
             )
             for i in range(2)
         ]
-        await it.wait_until(lambda: not any(one.is_alive for one in asked), "both were answered")
-        assert sorted(one.exit_status for one in asked) == [0, 3]
-        refused = next(one for one in asked if one.exit_status == 3)
+        await it.wait_until(lambda: not any(one.is_alive for one in commands), "both commands have ended")
+        assert sorted(one.exit_status for one in commands) == [0, 3]
+        refused = next(one for one in commands if one.exit_status == 3)
         assert "version 2 by" in refused.log and "--over 2" in refused.log
-        over = it.launcher.start_settings_command(
+        replacement = it.launcher.start_settings_command(
             "put", it.versions.settings_file(look__hard_stop=1.9), "--why", "over it", "--over", "2"
         )
-        await it.wait_until(lambda: not over.is_alive, "it was put")
-        assert over.exit_status == 0
+        await it.wait_until(lambda: not replacement.is_alive, "it was put")
+        assert replacement.exit_status == 0
         it.faults.resume("n1")
         await it.versions.wait_until_agreed(3)
         history = await it.versions.read_history()
@@ -289,31 +291,31 @@
 
 
 @scenario
-async def test_a_put_whose_answer_is_lost_is_put_once_and_its_operator_hears_of_it():
+async def test_a_put_whose_response_is_lost_is_put_once_and_reported_as_put():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         await first_version(it)
         put = it.launcher.start_settings_command(
             "put", it.versions.settings_file(look__effect="fragile"), "--why", "once", link_name="operator"
         )
 
-        async def cut_when_it_is_there():
+        async def wait_until_put():
             while len((await it.versions.read_history()).versions) < 2:
                 await trio.sleep(0)
 
-        # answers come late, so that the cut falls between the record and its answer
+        # responses are delayed, so that the link is cut between the append and its response
         it.faults.impair("operator", "etcd", "back", delay=0.3)
         with trio.fail_after(20):
-            await cut_when_it_is_there()
+            await wait_until_put()
         it.faults.partition("operator", "etcd", "back")
         it.faults.reset_connections("operator", "etcd")
         it.faults.heal("operator", "etcd")
-        await it.wait_until(lambda: not put.is_alive, "the operator was answered")
+        await it.wait_until(lambda: not put.is_alive, "the command has ended")
         assert put.exit_status == 0 and "version 2 put" in put.log
         assert len((await it.versions.read_history()).versions) == 2
 
 
 @scenario
-async def test_a_program_that_dies_while_it_puts_leaves_a_whole_version_or_none():
+async def test_a_command_killed_during_a_put_leaves_a_whole_version_or_none():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
         for i in range(6):
@@ -329,7 +331,7 @@
 
 
 @scenario
-async def test_a_hundred_puts_in_ten_seconds_end_with_the_last_one_everywhere():
+async def test_after_a_hundred_puts_all_processes_act_on_the_last_one():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(30, MIX)
@@ -345,13 +347,13 @@
 
 
 @scenario
-async def test_a_node_that_starts_in_the_middle_of_a_change_counts_from_its_first_act_on():
+async def test_a_node_that_starts_during_a_change_is_joint_from_the_start():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
         await first_version(it)
         it.faults.kill("n2")
-        it.faults.stop("n1")  # the change stays open for as long as n1's confirmation lasts
+        it.faults.stop("n1")  # the change stays pending until n1's confirmation expires
         number = await it.versions.put("look has effects now", look__effect="fragile")
         await it.faults.start("n2")
         await it.wait_until(
@@ -359,7 +361,7 @@
                 "phase=joint version=1 joint=2" in it.processes["n2"].log
                 or "version=2" in it.processes["n2"].log
             ),
-            "n2 keeps within both",
+            "n2 is joint",
         )
         assert await it.versions.wait_for_outcome(number) == "in force"
         it.faults.resume("n1")
@@ -368,7 +370,7 @@
 
 
 @scenario
-async def test_a_node_that_starts_while_the_store_is_away_serves_carefully_and_repeats_nothing():
+async def test_a_node_that_starts_without_the_store_serves_conservatively_and_retries_nothing():
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         await first_version(it)
@@ -376,7 +378,7 @@
         assert await it.versions.wait_for_outcome(number) == "in force"
         it.faults.kill("n1")
         it.faults.partition("n1", "store")
-        await it.faults.start("n1")  # its own file still says that look has none
+        await it.faults.start("n1")  # its own file still declares look as retryable
         it.start_load(40, MIX)
         await it.wait_until(
             lambda: sum(one.node == "n1" and one.status == 200 for one in it.records.requests.values()) > 60,
@@ -391,21 +393,21 @@
 
 
 @scenario
-async def test_two_processes_of_one_name_both_count_and_are_told_of():
+async def test_two_processes_of_one_name_both_count_and_are_reported():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         await first_version(it)
-        double = it.launcher.start_duplicate("n1")
+        duplicate = it.launcher.start_duplicate("n1")
         await it.wait_until(
-            lambda: 'phase="in force" version=1' in double.log, "the second one was confirmed"
+            lambda: 'phase="in force" version=1' in duplicate.log, "the second one was confirmed"
         )
         rows = [row for row in (await it.versions.status()).processes if row.name == "n1"]
         assert len(rows) == 2 and all(row.is_duplicate for row in rows)
         number = await it.versions.put("a change", look__effect="fragile")
-        assert await it.versions.wait_for_outcome(number) == "in force" and "joint=2" in double.log
+        assert await it.versions.wait_for_outcome(number) == "in force" and "joint=2" in duplicate.log
 
 
 @scenario
-async def test_a_version_that_all_can_use_and_that_is_wrong_is_taken_back_within_the_stated_time():
+async def test_a_usable_but_wrong_version_is_reverted_within_the_agreement_time():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         it.start_load(40, {"look": 1.0})
         await first_version(it)
@@ -417,37 +419,37 @@
                 sum(one.sent_at > wrong and one.status in (502, 503) for one in it.records.requests.values())
                 > 20
             ),
-            "it refuses what comes",
+            "requests are refused",
         )
         asked = time.monotonic()
-        back = it.launcher.start_settings_command(
+        revert = it.launcher.start_settings_command(
             "back", "1", "--why", "it refuses everything", "--wait", "10"
         )
-        await it.wait_until(lambda: not back.is_alive, "it is back")
-        assert back.exit_status == 0 and "version 3: in force" in back.log
+        await it.wait_until(lambda: not revert.is_alive, "the version is reverted")
+        assert revert.exit_status == 0 and "version 3: in force" in revert.log
         await it.versions.wait_until_agreed(3)
-        # the command line's own start takes most of it
+        # the start of the command line takes most of this time
         assert (await it.versions.read_history()).versions[
             3
         ].parent == 2 and time.monotonic() - asked < 5 * WITHIN
-        well = time.monotonic()
+        reverted = time.monotonic()
         await it.wait_until(
             lambda: (
-                sum(one.sent_at > well and one.status == 200 for one in it.records.requests.values()) > 20
+                sum(one.sent_at > reverted and one.status == 200 for one in it.records.requests.values()) > 20
             ),
-            "it handles again",
+            "requests are served again",
         )
 
 
 @scenario
-async def test_a_machine_with_one_reader_agrees_like_the_others_and_is_careful_without_it():
+async def test_a_machine_with_a_relay_agrees_and_is_conservative_without_the_relay():
     async with running_rig(RigOptions(nodes=3, store="relay", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(50, MIX)
         await first_version(it)
         await repeated(it, "n1")
         links = {name: link.connection_count for name, link in it.links.items() if "etcd" in name}
-        assert links and all(name.startswith("relay-") for name in links)  # nobody else reads etcd
+        assert links and all(name.startswith("relay-") for name in links)  # only the relay connects to etcd
         assert {row.name for row in (await it.versions.status()).processes} == {
             "n0",
             "n1",
@@ -458,7 +460,7 @@
         number = await it.versions.put("look has effects now", look__effect="fragile")
         await it.wait_until(
             lambda: all("phase=careful version=1" in it.processes[name].log for name in it.names),
-            "all are careful",
+            "all are conservative",
         )
         it.faults.heal("relay", "etcd")
         assert await it.versions.wait_for_outcome(number) == "in force"
@@ -470,7 +472,7 @@
                 it.processes[name].log.count("phase=careful version=2") > count
                 for name, count in zip(it.names, counts, strict=True)
             ),
-            "careful again",
+            "all are conservative again",
         )
         it.processes["relay"].start()
         await it.versions.wait_until_agreed(number)
@@ -478,7 +480,7 @@
 
 
 @scenario
-async def test_a_process_that_ends_holds_no_change_up():
+async def test_a_process_that_ends_removes_its_status():
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN)) as it:
         await first_version(it)
         it.processes["n2"].send_signal(15)
@@ -487,7 +489,7 @@
         assert {row.name for row in (await it.versions.status()).processes} == {"n0", "n1"}
 
 
-def test_without_the_table_a_node_loads_none_of_it_and_has_one_thread_and_no_child():
+def test_without_an_agreement_a_node_loads_no_agreement_code_and_has_one_thread():
     async def run():
         async with running_rig(RigOptions(nodes=1, bound_s=WITHIN)) as it:
             document = it.files.read_node_file("n0")
@@ -509,7 +511,7 @@
     assert result.stdout.strip() == "[]"
 
 
-def test_the_rig_says_what_it_waited_for_and_ends_what_it_started():
+def test_a_rig_timeout_names_the_condition_and_ends_all_processes():
     pids = []
 
     async def run():
@@ -520,8 +522,10 @@
             with pytest.raises(RigError, match=r"^waited \d+\.\d s until pigs fly$") as raised:
                 await it.wait_until(lambda: False, "pigs fly", 0.1)
             ended = time.monotonic()
-            await it.wait_until(lambda: time.monotonic() > ended + 0.1, "the rig's own delay is measured")
-            # what the rig's loop was late is added: 0.1 s on a punctual machine, as 0.2 is not below 0.18
+            await it.wait_until(
+                lambda: time.monotonic() > ended + 0.1, "the delay of the rig's own event loop is measured"
+            )
+            # the delay of the rig's loop is added; without delay 0.1 s is reported, as 0.2 is not below 0.18
             waited_s = float(str(raised.value).split()[1])
             assert 0.1 <= waited_s < 0.18 + it.records.lateness.total_s(began, ended)
 
@@ -531,7 +535,7 @@
 
 
 @scenario
-async def test_a_node_follows_its_servers_in_etcd_and_keeps_drains_through_its_faults():
+async def test_a_node_follows_servers_in_etcd_and_keeps_drains_through_faults_of_etcd():
     async with running_rig(RigOptions(nodes=2, store="etcd", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
@@ -550,7 +554,7 @@
             row.list_revision > 1 and row.list_source == "etcd 1"
             for row in (await it.versions.status()).processes
         )
-        # counted by their keys, whatever number the settings have
+        # the nodes are counted by their keys in etcd, whatever number the settings have
         assert all(
             "event=peers" in it.processes[name].log and "nodes=2" in it.processes[name].log
             for name in it.names
@@ -559,7 +563,7 @@
 
 
 @scenario
-async def test_a_list_that_was_put_back_undoes_no_drain_and_is_followed_again_later():
+async def test_a_list_rolled_back_undoes_no_drain_and_is_followed_again_once_it_caught_up():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
@@ -571,22 +575,24 @@
         )
         it.discovery_services["n0"].roll_back(1)
         await it.wait_until(
-            lambda: "event=list-behind" in it.processes["n0"].log, "n0 sees that it lies behind"
+            lambda: "event=list-behind" in it.processes["n0"].log, "n0 notices that the list is behind"
         )
         behind = time.monotonic()
         await it.wait_until(
             lambda: sum(execution.started_at > behind + 2.5 for execution in it.records.executions) > 20,
-            "it goes on",
+            "it continues to serve",
         )
         for _ in range(2):
             it.faults.drain("s3")
-        await it.wait_until(lambda: "event=list-caught-up" in it.processes["n0"].log, "n0 follows it again")
+        await it.wait_until(
+            lambda: "event=list-caught-up" in it.processes["n0"].log, "n0 follows the list again"
+        )
         it.records.drained_at["s3"] = drained
         await kept(it, served=100)
 
 
 @scenario
-async def test_another_cluster_with_lower_numbers_takes_no_server_from_a_node_that_agrees():
+async def test_another_etcd_cluster_with_lower_revisions_removes_no_server():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
@@ -601,41 +607,41 @@
             lambda: all(
                 "cluster 4d answers in the place of 1" in it.processes[name].log for name in it.names
             ),
-            "both say so",
+            "both have logged it",
         )
         other = time.monotonic()
         await it.wait_until(
             lambda: (
                 sum(one.sent_at > other and one.status == 200 for one in it.records.requests.values()) > 60
             ),
-            "they serve by what they had",
+            "they serve with the servers that they had",
         )
         await kept(it, served=100)
 
 
 @scenario
-async def test_words_among_nodes_that_get_lost_repeated_late_and_out_of_order_break_nothing():
+async def test_lost_duplicated_delayed_and_reordered_peer_messages_violate_nothing():
     settings = with_changes(DEFAULT_SETTINGS, {"report__how": "probe", "allowed__probes": True}, 3)
     settings["allowed"]["peers"] = True
     async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, settings=settings, peers=True)) as it:
         it.start_load(40, MIX)
         for one, other in (("n0", "n1"), ("n0", "n2"), ("n1", "n2")):
             it.faults.impair(one, other, lose=0.3, repeat=0.3, reorder=0.3, delay=0.05)
-        words = [it.links[name] for name in ("n0-n1", "n0-n2", "n1-n2")]
+        peer_links = [it.links[name] for name in ("n0-n1", "n0-n2", "n1-n2")]
         await it.wait_until(
             lambda: all(
-                link.lost_count and link.duplicated_count and link.reordered_count for link in words[:2]
+                link.lost_count and link.duplicated_count and link.reordered_count for link in peer_links[:2]
             ),
-            "words were lost, repeated and out of order",
+            "peer messages were lost, duplicated and reordered",
         )
         it.faults.partition("n0", "n1", "there")
-        passed = words[1].passed_count
-        await it.wait_until(lambda: words[1].passed_count > passed, "the others still talk")
+        passed = peer_links[1].passed_count
+        await it.wait_until(lambda: peer_links[1].passed_count > passed, "the others still exchange messages")
         await kept(it, served=100)
 
 
 @scenario
-async def test_a_group_that_narrows_is_kept_to_within_the_stated_time():
+async def test_a_narrowed_deduplication_group_is_kept_within_the_agreement_time():
     async with running_rig(RigOptions(nodes=3, servers=6, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(60, {"change": 1.0})
@@ -645,14 +651,14 @@
         number = await it.versions.put("keys are a cell's", change__group="cell")
         assert await it.versions.wait_for_outcome(number) == "in force"
         await it.versions.wait_until_agreed(number, ["n0", "n1"])
-        await repeated(it, "n0", "change")  # inside the cell it still may
+        await repeated(it, "n0", "change")  # still allowed inside the cell
         it.faults.heal("n2", "store")
         await it.versions.wait_until_agreed(number)
         await kept(it, repeats=5)
 
 
 @scenario
-async def test_a_drain_is_not_undone_by_an_older_backup_of_the_store():
+async def test_a_drain_is_not_undone_by_an_older_backup_of_etcd():
     async with running_rig(RigOptions(nodes=2, store="directory", discovery="etcd", bound_s=WITHIN)) as it:
         it.start_load(40, MIX)
         await first_version(it)
@@ -669,21 +675,21 @@
         restored = time.monotonic()
         await it.wait_until(
             lambda: sum(execution.started_at > restored + 2.5 for execution in it.records.executions) > 20,
-            "they go on",
+            "they continue to serve",
         )
         await kept(it, served=100)
 
 
-def test_a_script_is_played_judged_and_drawn(tmp_path):
+def test_a_scenario_script_is_run_checked_and_plotted(tmp_path):
     script = tmp_path / "short.toml"
     text = open("examples/rig/cut_off.toml").read()
     script.write_text(text.replace("seconds = 12.0", "seconds = 5.0").replace("within = 2.0", "within = 1.5"))
     cli = [sys.executable, "-m", "wheatroute.cli", "rig"]
-    into = tmp_path / "kept"
-    done = subprocess.run([*cli, "run", str(script), "--into", str(into)], capture_output=True, text=True)
-    assert done.returncode == 0 and "no promise broken" in done.stdout, done.stdout + done.stderr
-    drawn = subprocess.run([*cli, "report", str(into)], capture_output=True, text=True, check=True)
-    assert (into / "timeline.png").stat().st_size > 10_000 and "report.md" in drawn.stdout
+    into = tmp_path / "run"
+    first = subprocess.run([*cli, "run", str(script), "--into", str(into)], capture_output=True, text=True)
+    assert first.returncode == 0 and "no promise broken" in first.stdout, first.stdout + first.stderr
+    report = subprocess.run([*cli, "report", str(into)], capture_output=True, text=True, check=True)
+    assert (into / "timeline.png").stat().st_size > 10_000 and "report.md" in report.stdout
     again = subprocess.run([*cli, "run", str(script), "--into", str(into)], capture_output=True, text=True)
     assert again.returncode == 2 and "holds something already" in again.stderr
     script.write_text(text.replace('do = "cut"', 'do = "chop"'))
@@ -692,7 +698,7 @@
 
 
 @scenario
-async def test_a_request_class_and_a_tenant_come_and_go_while_nodes_serve():
+async def test_request_classes_and_tenants_are_added_and_removed_while_nodes_serve():
     async with running_rig(RigOptions(nodes=2, bound_s=WITHIN)) as it:
         it.start_load(30, {"look": 1.0})
         await first_version(it)
@@ -701,7 +707,7 @@
         assert (await clients.send("peek")).status == 404
         look = it.settings["traffic-types"][0]
         number = await it.versions.put(
-            "peek comes",
+            "peek is added",
             **{
                 "traffic-types": [look, look | {"name": "peek"}],
                 "tenants": [{"name": "other", "portion": 1.0, "quota-rps": 500.0}],
@@ -717,7 +723,7 @@
 
 
 @scenario
-async def test_a_node_that_only_flaps_holds_no_change_up():
+async def test_a_node_with_a_flapping_link_to_the_store_delays_no_change():
     async with running_rig(RigOptions(nodes=3, store="etcd", bound_s=WITHIN)) as it:
         rough(it)
         it.start_load(40, MIX)
