--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -10,7 +10,7 @@
 import trio
 import trio.testing
 from async_scenarios import scenario
-from test_processes import MIX, WITHIN, first_version, kept
+from test_processes import AGREEMENT_TIME_S, REQUEST_MIX, check_guarantees, put_first_version
 
 from wheatroute.agreement import relay
 from wheatroute.agreement.adapter import AdaptedVersion
@@ -288,25 +288,27 @@
 
 
 async def check_node_cut_off_from_its_list(store, discovery, change):
-    async with running_rig(RigOptions(nodes=3, store=store, discovery=discovery, bound_s=WITHIN)) as it:
-        it.start_load(40, MIX)
-        await first_version(it)
-        await it.wait_until(
+    async with running_rig(
+        RigOptions(nodes=3, store=store, discovery=discovery, bound_s=AGREEMENT_TIME_S)
+    ) as rig:
+        rig.start_load(40, REQUEST_MIX)
+        await put_first_version(rig)
+        await rig.wait_until(
             lambda: (
-                len({execution.server for execution in it.records.executions if execution.node == "n2"}) == 4
+                len({execution.server for execution in rig.records.executions if execution.node == "n2"}) == 4
             ),
             "n2 has sent to all servers",
         )
-        it.faults.partition("n2", "list")
+        rig.faults.partition("n2", "list")
         changed_at = time.monotonic()
-        change(it)
+        change(rig)
         # after the agreement time and the drain grace, n2 sends nothing to the server
-        last = changed_at + WITHIN + 2.0
-        await it.wait_until(
+        last = changed_at + AGREEMENT_TIME_S + 2.0
+        await rig.wait_until(
             lambda: (
                 sum(
                     execution.node == "n2" and execution.started_at > last + 0.5
-                    for execution in it.records.executions
+                    for execution in rig.records.executions
                 )
                 > 20
             ),
@@ -314,32 +316,32 @@
         )
         late = [
             execution
-            for execution in it.records.executions
+            for execution in rig.records.executions
             if execution.node == "n2" and execution.server == "s3" and execution.started_at > last
         ]
         assert not late, f"{len(late)} late, the last after {late[-1].started_at - changed_at:.2f} s"
-        assert "s3:terminating" in it.processes["n2"].log
-        it.faults.heal("n2", "list")
-        if "s3" in it.records.drained_at:
-            it.records.drained_at["s3"] += WITHIN
-        await kept(it, served=100)
+        assert "s3:terminating" in rig.processes["n2"].log
+        rig.faults.heal("n2", "list")
+        if "s3" in rig.records.drained_at:
+            rig.records.drained_at["s3"] += AGREEMENT_TIME_S
+        await check_guarantees(rig, served=100)
 
 
-def replace_s3(it):
+def replace_s3(rig):
     """Makes the lists of the other nodes report another server at the address of s3."""
     for name in ("n0", "n1"):
-        entry_before = it.discovery_services[name].entry("s3")
-        it.discovery_services[name].update(entry_before._replace(state="terminated"))
-        it.discovery_services[name].update(entry_before._replace(id="s9"))
+        entry_before = rig.discovery_services[name].entry("s3")
+        rig.discovery_services[name].update(entry_before._replace(state="terminated"))
+        rig.discovery_services[name].update(entry_before._replace(id="s9"))
 
 
 @pytest.mark.parametrize(
     "store, discovery, change",
     [
-        ("directory", "service", lambda it: it.faults.drain("s3")),
-        ("etcd", "service", lambda it: it.faults.drain("s3")),
-        ("relay", "service", lambda it: it.faults.drain("s3")),
-        ("directory", "etcd", lambda it: it.faults.drain("s3")),
+        ("directory", "service", lambda rig: rig.faults.drain("s3")),
+        ("etcd", "service", lambda rig: rig.faults.drain("s3")),
+        ("relay", "service", lambda rig: rig.faults.drain("s3")),
+        ("directory", "etcd", lambda rig: rig.faults.drain("s3")),
         ("directory", "service", replace_s3),
     ],
 )
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -14,7 +14,7 @@
 from wheatroute.grpc.client import Channel, connected
 from wheatroute.rig.addresses import reserve_port
 
-WITHIN = 1.5
+AGREEMENT_TIME_S = 1.5
 
 
 def with_workers(test):
@@ -29,7 +29,7 @@
                 text = SETTINGS_TEXT.format(servers=server_tables()).replace(
                     'listen = "127.0.0.1:1"', f'listen = "127.0.0.1:{address[1]}"\nworkers = 2'
                 )
-                path.write_text(text + f'[agreement]\ndirectory = "{store}"\nwithin = {WITHIN}\n')
+                path.write_text(text + f'[agreement]\ndirectory = "{store}"\nwithin = {AGREEMENT_TIME_S}\n')
                 DirectoryStore(str(store)).create()
                 command = [sys.executable, "-m", "wheatroute.cli", "processor", str(path)]
                 with open(tmp_path / "log", "wb") as log:
@@ -92,9 +92,8 @@
         assert await workers.selects_server(f"safe-{n}", VIEW, 2)
     await workers.put(view="effectful")
     for n in range(6):
-        assert not await workers.selects_server(
-            f"safe-{n}", VIEW, 3
-        )  # may have run, so it must not run again
+        # may have run, so it must not run again
+        assert not await workers.selects_server(f"safe-{n}", VIEW, 3)
         assert await workers.selects_server(f"new-{n}", VIEW)
         assert not await workers.selects_server(f"new-{n}", VIEW, 2)
     await workers.put(view="pure")
@@ -121,7 +120,7 @@
             store, version_content.read_content(str(changed))[0], "while a worker is stopped"
         )
         assert (await operator.wait_for_outcome(store, version.number, 10.0)).state == "in force"
-        while time.monotonic() < stopped + 3 * WITHIN:
+        while time.monotonic() < stopped + 3 * AGREEMENT_TIME_S:
             await trio.sleep(0.05)
     finally:
         os.kill(pids[0], signal.SIGCONT)
