--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -65,9 +65,9 @@
 def conservative(settings: DecisionSettings) -> DecisionSettings:
     """Returns settings that every version allows, for a process that cannot tell which version is active.
 
-    A request is only sent again if it provably never ran, a request that may have run is not rejected, none
-    is hedged, and servers that are warming up get a quarter of the load. First attempts are not restricted:
-    they are as safe as under any version.
+    A request is only sent again if it provably never ran, a request that may have run is not rejected,
+    none is hedged, and servers that are warming up get a quarter of the load. First attempts are not
+    restricted: they are as safe as under any version.
     """
     return replace(
         settings,
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -1,9 +1,9 @@
 """The agreement protocol's state machine in one process. No I/O.
 
 It decides which versions of the settings the process may act on, until when, and when to activate a version.
-Its input are the times and the results of exchanges with the store, in seconds on a monotonic clock. It never
-acts on a version after its confirmation has expired, never activates a version while a process that counts
-is neither joint nor conservative, and never reverts to a state before a record that it has applied.
+Its inputs are the results of exchanges with the store and their times, in seconds on a monotonic clock. It
+never acts on a version after its confirmation has expired, never activates a version while a process that
+counts is neither joint nor conservative, and never reverts to a state before a record that it has applied.
 
 Why this is safe: A process writes its status, then reads the records, and acts on them until
 `confirmation_ttl_s` after it *sent* the status, less the clock drift. Records are only appended, one at a
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -51,7 +51,7 @@
     """Returns the minimum time in seconds between a process's reads of all statuses.
 
     The process of the lowest rank reads them often, the others less often, in case that process has stopped.
-    Otherwise the cost of these reads would grow with the square of the number of processes.
+    Otherwise the number of statuses read would grow with the square of the number of processes.
     """
     return exchange_interval_s * min(rank, EXCHANGES_PER_TTL / 2)
 
