--- a/tests/agreement/test_joint_settings.py
+++ b/tests/agreement/test_joint_settings.py
@@ -1,4 +1,4 @@
-"""The rules by which versions are joined, and the settings and errors that follow from them."""
+"""The rules by which versions are joined, and the joined settings and errors that result."""
 
 import dataclasses
 import inspect
@@ -55,11 +55,11 @@
     text = inspect.getsource(node_settings)
     assert set(re.findall(r'document\.get\("([a-z_]+)"[,)]', text)) <= set(join_rules.NODE_FILE_RULES)
     assert set(join_rules.FILE_KEYS) - {"rules"} <= {
-        key for key, rule in join_rules.FILE_RULES["File"].items() if rule != JoinRule.OWN
+        key for key, rule in join_rules.FILE_RULES["File"].items() if rule != JoinRule.PER_PROCESS
     }
 
 
-def test_a_difference_has_the_rule_of_its_key():
+def test_each_difference_has_the_rule_of_its_key():
     old = {
         "file": {
             "nodes": 1,
@@ -80,11 +80,11 @@
     assert {path: rule for path, _, _, rule in differences(old, new)} == {
         "file.nodes": JoinRule.MAXIMUM,
         "file.rules.cold_time": JoinRule.MAXIMUM,
-        "file.traffic_types.view.effect": JoinRule.STRICT,
-        "file.traffic_types.view.utility": JoinRule.FREE,
+        "file.traffic_types.view.effect": JoinRule.STRICTER,
+        "file.traffic_types.view.utility": JoinRule.MAY_DIFFER,
         "settings.tenants.c.name": JoinRule.ROUTE,
         "settings.tenants.c.quota-rps": JoinRule.MINIMUM,
-        "settings.tick": JoinRule.FIXED,
+        "settings.tick": JoinRule.RESTART_ONLY,
     }
 
 
@@ -113,7 +113,7 @@
         ]
 
 
-def test_bad_content_gets_a_line_for_each_error():
+def test_invalid_content_yields_one_line_for_each_error():
     errors = setting_errors(
         {
             "tick": 1,
@@ -124,9 +124,9 @@
         }
     )
     assert errors == [
-        "settings.traffic-types: two of the name 'a'",
-        "settings.traffic-types.a.colour: is no key that this program knows",
-        "settings.tenants: is no list of tables with names",
-        "settings.novel: is no key that this program knows",
-        "settings.allowed.peers: each process has its own",
+        "settings.traffic-types: duplicate name 'a'",
+        "settings.traffic-types.a.colour: unknown key",
+        "settings.tenants: must be a list of tables, each with a name",
+        "settings.novel: unknown key",
+        "settings.allowed.peers: specific to each process, so it must not be in a version",
     ]
