--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -51,7 +51,7 @@
 
 
 def bad(how: str) -> list[str]:
-    return [sys.executable, str(ROOT / "tests" / "rollout" / "bad.py"), how]
+    return [sys.executable, str(ROOT / "tests" / "rollout" / "faulty_node.py"), how]
 
 
 async def play(how: str, seed: int, kill: bool, out: list[dict[str, Any]]) -> None:
@@ -122,7 +122,9 @@
         "steps_twice": sum(count - 1 for count in steps.values()),
         "mixed": len({row.program for row in rows.values()}) - 1,
         "p99": took[int(0.99 * len(took))],
-        "nodes": sum('event="took over"' in it.processes[f"supervisor-{name}"].log for name in it.names),
+        "nodes": sum(
+            "event=candidate-promoted" in it.processes[f"supervisor-{name}"].log for name in it.names
+        ),
     }
 
 
--- a/tests/rollout/bad.py
+++ b/tests/rollout/faulty_node.py
@@ -1,4 +1,4 @@
-"""The program made bad on purpose: `python bad.py HOW` starts a node that does worse in one way."""
+"""The program made bad on purpose: `python faulty_node.py HOW` starts a node that does worse in one way."""
 
 import os
 import random
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -43,7 +43,7 @@
 
 
 def bad(how):
-    return [sys.executable, str(Path(__file__).with_name("bad.py")), how]
+    return [sys.executable, str(Path(__file__).with_name("faulty_node.py")), how]
 
 
 def told(**more):
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -244,7 +244,7 @@
             self.serving.signal(signal.SIGTERM)
             self.serving.since = time.monotonic()
             self.draining.append(self.serving)
-        self._log.info("took over", program=process.program, pid=process.pid)
+        self._log.info("candidate-promoted", program=process.program, pid=process.pid)
         self.serving, self.candidate = process, None
         self._last_error, self._last_program = "", process.program
 
