--- a/tests/rollout/test_rollout_progress.py
+++ b/tests/rollout/test_rollout_progress.py
@@ -35,7 +35,7 @@
         program=program,
         is_changing=is_changing,
         failed=list(failed),
-        trouble="",
+        last_error="",
         programs=[],
     )
 
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -244,7 +244,9 @@
             "n0 goes on serving",
         )
         it.processes["supervisor-n0"].start()
-        await it.wait_until(lambda: "event=found" in it.processes["supervisor-n0"].log, "it is found")
+        await it.wait_until(
+            lambda: "event=running-processes-found" in it.processes["supervisor-n0"].log, "it is found"
+        )
         assert it.processes["n0"].pids == pids and len(pids) == 1
         it.launcher.start_controller()
         await operator.start(one.store, told(), "a story")
--- a/tests/rollout/test_status_format.py
+++ b/tests/rollout/test_status_format.py
@@ -71,7 +71,7 @@
         program="v1",
         is_changing=False,
         failed=[FailedProgram(3, "v2")],
-        trouble="v2 ended, status 3",
+        last_error="v2 ended, status 3",
         crashes=1,
         programs=["v1", "v2"],
         applied_record=4,
--- a/wheatroute/rollout/canary_analysis.py
+++ b/wheatroute/rollout/canary_analysis.py
@@ -1,17 +1,21 @@
-"""Canary analysis: whether nodes with a new version do worse than the old ones beside them. No I/O.
-
-The result may be read at any moment. What has not been seen enough is never called worse or not worse. Both
-sides must have served during all intervals that are added.
-
-What is compared is the ratio of something bad at the new nodes less the ratio at the old ones *in the same
-seconds*, so that what both sides meet (a burst, a failing server, a site cut off) cancels out; less the
-same difference from before the change, as nodes have unlike traffic. After the change it is a mean of
-blocks with an asymptotic confidence sequence (Waudby-Smith, Arbour, Sinha, Kennedy, Ramdas: "Time-uniform
-central limit theory and asymptotic confidence sequences", Annals of Statistics 2024, the normal mixture),
-which holds for all moments together; before it, a confidence interval, as that is read once. The risk of a
-stage is split over all metrics, half of it on the whole traffic. A sequential probability ratio test needs
-two rates to tell apart and the size of the noise; here neither is known, and the noise is not that of
-independent trials.
+"""Canary analysis: tests whether nodes with a new version do worse than nodes with the old one. No I/O.
+
+The verdict may be read at any time. A metric without enough data is reported as such, never as worse or not
+worse. Both sides, the new nodes and the old ones, must have served during every interval that is added.
+
+The statistic of a metric is a difference of differences. The ratio of bad events at the old nodes is
+subtracted from the ratio at the new nodes *in the same seconds*, so that what affects both sides (a burst, a
+failing server, a partitioned site) cancels out. The same difference from before the change is subtracted from
+that, since the nodes' traffic differs.
+
+After the change the difference is a mean over blocks with an asymptotic confidence sequence (Waudby-Smith,
+Arbour, Sinha, Kennedy, Ramdas: "Time-uniform central limit theory and asymptotic confidence sequences",
+Annals of Statistics 2024, the normal mixture), which is valid at all times simultaneously. Before the change
+a confidence interval is enough, since it is read only once. The risk of a stage is split over all metrics,
+with half of it for the metrics of the whole traffic.
+
+A sequential probability ratio test is not used: it needs the two rates to distinguish and the size of the
+noise. Neither is known here, and the noise is not that of independent trials.
 """
 
 from __future__ import annotations
@@ -23,17 +27,23 @@
 from statistics import NormalDist
 from typing import Any
 
-MIN_BLOCK_TOTAL = 20.0  # of what is counted, on each side, before the two are compared
-MAX_BLOCK_INTERVALS = 10  # then a side with less is compared by what there is, if there is anything
-MIN_BLOCKS = 8  # before any verdict: the confidence sequence is asymptotic
-TIGHTEST_BLOCKS = 60.0  # number of blocks for which the confidence sequence is tightest
-# of a stage's risk: for the whole traffic and for its parts, each before and after the change
+# Total of a tally that each side must reach before a block is closed and the two sides are compared.
+MIN_BLOCK_TOTAL = 20.0
+# After this many intervals a block is closed with smaller totals, unless a side has nothing at all.
+MAX_BLOCK_INTERVALS = 10
+# Blocks needed before any verdict, because the confidence sequence is only asymptotically valid.
+MIN_BLOCKS = 8
+# Number of blocks for which the confidence sequence is tightest.
+TIGHTEST_BLOCKS = 60.0
+# Fraction of a stage's risk for each of four groups of metrics: those of the whole traffic and those of its
+# parts, each before and after the change.
 RISK_PER_GROUP = 0.25
-DRIFT_ALLOWANCE = 0.5  # part of a margin, for drift between the sides that the change does not cause
+# Fraction of a margin that is allowed for drift between the sides that the change does not cause.
+DRIFT_ALLOWANCE = 0.5
 
 
 class Verdict(StrEnum):
-    """On a stage, or on one metric."""
+    """The verdict on a stage or on one metric."""
 
     WORSE = "worse"
     NOT_WORSE = "not worse"
@@ -42,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Tally:
-    """An amount of something bad, and the total that it is compared with."""
+    """An amount of something bad (events, seconds, bytes) and the total to which it relates."""
 
     bad: float = 0.0
     total: float = 0.0
@@ -52,41 +62,45 @@
 
     @property
     def mean(self) -> float:
-        """The bad amount per unit of the total; 0 without any."""
+        """The bad amount per unit of the total; 0 if the total is 0."""
         return self.bad / self.total if self.total else 0.0
 
 
-Tallies = Mapping[str, Tally]  # by metric and part of the traffic: "refused class=buy"
+# Tallies by metric, with the part of the traffic after a space: "refused", "refused class=buy".
+Tallies = Mapping[str, Tally]
 
 
 def is_whole_traffic(metric: str) -> bool:
-    """Whether a metric is of the whole traffic, and not of a part of it."""
+    """Returns whether a metric covers the whole traffic rather than a part of it."""
     return " " not in metric
 
 
 def metric_name(metric: str) -> str:
-    """Return the metric without the part of the traffic: "refused" of "refused class=buy"."""
+    """Returns the metric without the part of the traffic: "refused" for "refused class=buy"."""
     return metric.split(" ", 1)[0]
 
 
 @dataclass
 class DifferenceSequence:
-    """The differences between both sides in one metric, block by block.
+    """Mean and variance of the difference between the two sides in one metric, over blocks of intervals.
 
-    With `is_fraction` a difference is that of two fractions, otherwise the relative difference of two values.
+    The difference of a block is new minus old if `is_fraction`, otherwise the relative difference new / old -
+    1.
     """
 
     is_fraction: bool = True
     count: int = 0
     mean: float = 0.0
-    squared_deviations: float = 0.0  # sum
-    sampling_variance: float = 0.0  # sum of the variance that random sampling alone gives
+    squared_deviations: float = 0.0  # sum over the blocks
+    # Sum over the blocks of the variance that random sampling alone would cause.
+    sampling_variance: float = 0.0
     new: Tally = Tally()
     old: Tally = Tally()
-    _open_block: tuple[Tally, Tally, int] = (Tally(), Tally(), 0)  # new, old, intervals
+    # The block that is not closed yet: tallies of the new and the old side, and the number of intervals.
+    _open_block: tuple[Tally, Tally, int] = (Tally(), Tally(), 0)
 
     def add(self, new: Tally, old: Tally) -> None:
-        """Add the tallies of both sides in one interval."""
+        """Adds the tallies of both sides for one interval, and closes the block if it is large enough."""
         block_new, block_old = self._open_block[0] + new, self._open_block[1] + old
         intervals = self._open_block[2] + 1
         smaller_total = min(block_new.total, block_old.total)
@@ -104,14 +118,18 @@
             difference = new.mean - old.mean
         else:
             difference = new.mean / old.mean - 1.0 if old.mean else 0.0
-        # Welford's algorithm
+        # Welford's algorithm.
         self.count += 1
         mean_before = self.mean
         self.mean += (difference - mean_before) / self.count
         self.squared_deviations += (difference - mean_before) * (difference - self.mean)
 
     def sequence_radius(self, risk: float) -> float:
-        """Return half the width of the confidence sequence, which holds at all moments but with this risk."""
+        """Returns half the width of the confidence sequence.
+
+        `risk` is the probability that the true difference is ever outside the sequence. Infinite if there are
+        fewer than `MIN_BLOCKS` blocks.
+        """
         if self.count < MIN_BLOCKS:
             return inf
         variance = self._variance()
@@ -120,20 +138,24 @@
         return sqrt(variance * 2.0 * scale / (self.count**2 * tuning) * log(sqrt(scale) / risk))
 
     def interval_radius(self, risk: float) -> float:
-        """Return half the width of the confidence interval for one moment that was chosen in advance."""
+        """Returns half the width of the confidence interval at one time that was fixed in advance.
+
+        `risk` is the probability that the true difference is outside. Infinite if there are fewer than
+        `MIN_BLOCKS` blocks.
+        """
         if self.count < MIN_BLOCKS:
             return inf
         return sqrt(self._variance() / self.count) * NormalDist().inv_cdf(1.0 - risk / 2.0)
 
     def _variance(self) -> float:
-        """Return the variance of a block, at least that of random sampling.
+        """Returns the variance of a block's difference, with that of random sampling as the lower bound.
 
-        A rare event that has not happened yet would otherwise seem to have no variance.
+        Without the bound, a rare event that has not happened yet would seem to have no variance.
         """
         return max(self.squared_deviations / (self.count - 1), self.sampling_variance / self.count)
 
     def to_stored(self) -> list[float]:
-        """Return plain data for the store, without the open block."""
+        """Returns the values for the store; the open block is left out."""
         return [
             float(self.is_fraction),
             self.count,
@@ -148,7 +170,7 @@
 
     @staticmethod
     def from_stored(values: list[float]) -> DifferenceSequence:
-        """Return the sequence that `to_stored` gave the values of."""
+        """Returns the sequence from the values that `to_stored` returned."""
         return DifferenceSequence(
             bool(values[0]),
             int(values[1]),
@@ -161,46 +183,50 @@
 
 
 def _bernoulli_variance(tally: Tally) -> float:
-    """Return the variance of one request, never zero: one more of each outcome is added (Laplace's rule)."""
+    """Returns the variance of one request's outcome.
+
+    It is never zero, since one request of each outcome is added (Laplace's rule of succession).
+    """
     fraction = (min(tally.bad, tally.total) + 1.0) / (tally.total + 2.0)
     return fraction * (1.0 - fraction)
 
 
 @dataclass(frozen=True)
 class Finding:
-    """The verdict on one metric with its evidence."""
+    """The verdict on one metric, with its evidence. Differences are new minus old."""
 
     metric: str
     verdict: Verdict
     difference_before: float  # before the change
-    difference_after: float
-    radius: float  # of both together
-    margin: float
-    new: float  # mean at each side
-    old: float
-    blocks: int
+    difference_after: float  # after the change
+    radius: float  # half the width of the confidence interval of the change, `after` minus `before`
+    margin: float  # by how much the new side may be worse
+    new: float  # mean of the new side after the change
+    old: float  # mean of the old side after the change
+    blocks: int  # after the change
 
     @property
     def distance_to_margin(self) -> float:
-        """How much larger the change could be before it exceeds the margin for certain."""
+        """How much the difference could still grow before it exceeds the margin with certainty."""
         return self.difference_before + self.margin + self.radius - self.difference_after
 
     @property
     def line(self) -> str:
-        """The finding as text, as it is stored with a step."""
+        """The finding as one line of text, which is stored as evidence with a step."""
         return (
-            f"{self.metric}: {self.verdict}: new {self.new:.4f}, old {self.old:.4f}; new less old "
+            f"{self.metric}: {self.verdict}: new {self.new:.4f}, old {self.old:.4f}; new minus old "
             f"{self.difference_after:+.4f}, before the change {self.difference_before:+.4f}, "
-            f"within {self.radius:.4f}; margin {self.margin:.4f}; {self.blocks} blocks"
+            f"+/- {self.radius:.4f}; margin {self.margin:.4f}; {self.blocks} blocks"
         )
 
 
 @dataclass
 class CanaryAnalysis:
-    """The analysis of one stage.
+    """Collects the differences between the two sides in one stage, and gives the verdict on it.
 
-    `margins` has by metric name how much worse the new side may be, `risk` is the probability of stopping a
-    good version in this stage, and metrics in `relative_metrics` are compared by their relative difference.
+    `margins` holds by how much the new side may be worse, by metric name. `risk` is the probability of
+    stopping a good version in this stage. The metrics in `relative_metrics` are compared by their relative
+    difference.
     """
 
     margins: Mapping[str, float]
@@ -210,7 +236,11 @@
     after: dict[str, DifferenceSequence] = field(default_factory=dict)
 
     def add_interval(self, new: Tallies, old: Tallies, is_changed: bool) -> None:
-        """Add what both sides did in an interval; `is_changed` once the new side runs the change."""
+        """Adds the tallies of both sides for one interval.
+
+        `is_changed` is true once the new side runs the new version. Only metrics that both sides have and
+        that have a margin are added.
+        """
         sequences = self.after if is_changed else self.before
         for metric in new.keys() & old.keys():
             name = metric_name(metric)
@@ -220,7 +250,7 @@
                 sequences[metric].add(new[metric], old[metric])
 
     def findings(self) -> list[Finding]:
-        """Return the findings on all metrics, the worst first."""
+        """Returns the findings on all metrics that were seen after the change, the worst first."""
         metrics = self.before.keys() | self.after.keys()
         whole_count = sum(map(is_whole_traffic, metrics))
         whole_risk = self.risk * (RISK_PER_GROUP / max(1, whole_count))
@@ -255,7 +285,11 @@
         )
 
     def verdict(self, required: frozenset[str]) -> tuple[Verdict, list[Finding]]:
-        """Return WORSE if any metric is, NOT_WORSE once all `required` ones are known not to be."""
+        """Returns the verdict on the stage, and the findings that support it.
+
+        WORSE if any metric is worse, with only those findings; NOT_WORSE if all `required` metrics are known
+        not to be worse; otherwise UNSURE.
+        """
         findings = self.findings()
         worse = [finding for finding in findings if finding.verdict == Verdict.WORSE]
         if worse:
@@ -264,9 +298,12 @@
         return (Verdict.NOT_WORSE if required and required <= not_worse else Verdict.UNSURE), findings
 
     def has_baseline(self, required: frozenset[str]) -> bool:
-        """Whether enough was seen before the change; without it no verdict is possible after."""
+        """Returns whether each of the `required` metrics has enough blocks from before the change.
+
+        Without them no verdict on the stage is possible, however long it is watched afterwards.
+        """
         return all(metric in self.before and self.before[metric].count >= MIN_BLOCKS for metric in required)
 
     def baseline_to_stored(self) -> dict[str, Any]:
-        """Return what was seen before the change, for another controller that continues."""
+        """Returns the differences from before the change, for a controller that takes over later."""
         return {metric: sequence.to_stored() for metric, sequence in self.before.items()}
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -1,8 +1,8 @@
-"""The controller of rollouts: reads all statuses, analyses the figures, appends the next step.
+"""The rollout controller: reads all statuses, analyses the nodes' figures and appends the next step.
 
-Any number of controllers may run: a step is a record that the store appends once, and a controller that dies
-leaves nothing that another needs but the store. Stale figures don't count, and no step is appended to a
-progress that was not read to its end. Does I/O through the rollout store.
+Any number of controllers may run at the same time, since each step is a record that the store appends only
+once. All state that a successor needs is in the store, so a controller may die at any time. Stale figures are
+ignored, and no step is appended until all records have been read. Does I/O through the rollout store.
 """
 
 from __future__ import annotations
@@ -31,11 +31,12 @@
 
 TURN_INTERVAL_S = 0.25
 STORE_TIMEOUT_S = 2.0
-LOGGED_FIELDS = ("kind", "stage", "reason", "how")  # of a step, by their stored keys
+# Fields of a step that are logged, by their stored keys.
+LOGGED_FIELDS = ("kind", "stage", "reason", "how")
 
 
 class Controller:
-    """One of the controllers of an installation."""
+    """One of the rollout controllers of an installation."""
 
     def __init__(self, store: VersionStore, log: Any) -> None:
         self._store, self._log = store, log
@@ -47,17 +48,19 @@
         self._heartbeat = 0
 
     async def run(self) -> None:
-        """Take turns until cancelled."""
+        """Takes a turn every `TURN_INTERVAL_S` until cancelled; failures of the store are logged."""
         while True:
             try:
                 with trio.fail_after(STORE_TIMEOUT_S):
                     await self.take_turn(time.monotonic())
             except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
-                self._log.warning("place", trouble=str(error) or "does not answer")
+                self._log.warning(
+                    "store-access-failed", error=str(error) or "the store did not answer in time"
+                )
             await trio.sleep(TURN_INTERVAL_S)
 
     async def take_turn(self, now: float) -> None:
-        """Read everything; append the next step if there is one and this controller is the first."""
+        """Reads all records and statuses; appends the next step if this controller is the acting one."""
         if not await self._read_progress(now):
             return
         statuses = await self._store.statuses()
@@ -84,7 +87,7 @@
             await self._append(step)
 
     async def _read_progress(self, now: float) -> bool:
-        """Write the own status and read new records; returns whether these were all."""
+        """Writes this controller's status and reads new records; returns whether all have been read."""
         self._heartbeat += 1
         status = ControllerStatus(
             incarnation=self.incarnation,
@@ -108,16 +111,16 @@
             step = self._watch.with_baseline(step)
         if await self._store.append(self.progress.encode(step)):
             fields = step_fields(step)
-            self._log.info("step", **{key: fields[key] for key in LOGGED_FIELDS if key in fields})
+            self._log.info("step-appended", **{key: fields[key] for key in LOGGED_FIELDS if key in fields})
 
     def _failure(self, supervisors: SupervisorStatuses, figures: Figures) -> str:
-        """Return what stops a rollout without statistics: a failure of the new program at a node."""
+        """Returns a failure of the new program that stops the rollout without statistics; empty if none."""
         plan, progress = self.progress.plan, self.progress
         if plan is None or progress.phase == Phase.ROLLING_BACK:
             return ""
         for name, status in supervisors.items():
             if FailedProgram(progress.number, plan.new) in status.failed:
-                return f"{name}: {status.trouble or plan.new + ' failed'}"
+                return f"{name}: {status.last_error or plan.new + ' failed'}"
         for name, reported in figures.items():
             is_new = reported.process.program == plan.new and progress.target(name) == plan.new
             if is_new and reported.requests.lost:
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -20,12 +20,12 @@
 
 
 def duration_bucket(seconds: float) -> int:
-    """Return the number of a duration's histogram bucket."""
+    """Returns the number of a duration's histogram bucket."""
     return floor(log(max(MIN_DURATION_S, seconds)) / log(BUCKET_RATIO))
 
 
 def total_durations(figures: Iterable[RequestFigures]) -> Durations:
-    """Return what was served since the nodes' starts, summed over all figures."""
+    """Returns what was served since the nodes' starts, summed over all figures."""
     totals: Durations = defaultdict(Counter)
     for one in figures:
         for name, counts in one.durations.items():
@@ -34,13 +34,13 @@
 
 
 def durations_between(before: RequestFigures, after: RequestFigures) -> Durations:
-    """Return what one process served between two of its figures."""
+    """Returns what one process served between two of its figures."""
     totals, totals_before = total_durations([after]), total_durations([before])
     return {name: counts - totals_before.get(name, Counter()) for name, counts in totals.items()}
 
 
 def slow_thresholds(totals: Durations, totals_before: Durations) -> dict[str, tuple[int, int]]:
-    """Return the buckets beyond which half, and a hundredth, of the requests since `totals_before` lie."""
+    """Returns the buckets beyond which half, and a hundredth, of the requests since `totals_before` lie."""
     thresholds = {}
     for name, all_counts in totals.items():
         counts = all_counts - totals_before.get(name, Counter())
@@ -59,7 +59,7 @@
 def tallies_between(
     before: NodeFigures, after: NodeFigures, site: str, thresholds: SlowThresholds
 ) -> dict[str, Tally]:
-    """Return by metric what a node did between two figures; nothing if its process has restarted."""
+    """Returns by metric what a node did between two figures; nothing if its process has restarted."""
     tallies: dict[str, Tally] = defaultdict(Tally)
     if before.process.incarnation != after.process.incarnation:
         return tallies
@@ -73,7 +73,7 @@
 
 
 def _add_outcomes(tallies: dict[str, Tally], before: RequestFigures, after: RequestFigures, site: str) -> int:
-    """Add the outcomes of requests, for the whole traffic and its parts; returns how many have ended."""
+    """Adds the outcomes of requests, for the whole traffic and its parts; returns how many have ended."""
     earlier = {(one.request_class, one.tenant): one for one in before.outcomes}
     total_ended, max_value = 0, max([MIN_VALUE, *after.values.values()])
     for totals in after.outcomes:
@@ -93,7 +93,7 @@
 
 
 def _outcome_tallies(outcomes: ClassOutcomes, value: float) -> dict[str, Tally]:
-    """Return by metric what the outcomes of a class and tenant add; `value` is that of a request."""
+    """Returns by metric what the outcomes of a class and tenant add; `value` is that of a request."""
     ended = outcomes.ended
     return {
         "worth": Tally(value * (ended - outcomes.in_time), value * ended),
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -68,7 +68,7 @@
         return figures_key(self._name, self._incarnation)
 
     def next_status(self) -> StoredStatus:
-        """Return the status with the figures of this moment and the next heartbeat."""
+        """Returns the status with the figures of this moment and the next heartbeat."""
         self._heartbeat += 1
         is_ready = self._discovery.has_full_list and (
             self._follower is None or not self._follower.member.effective.is_conservative
@@ -89,7 +89,7 @@
         return self.accounting.figures(now()) | process.to_stored()
 
     async def run(self) -> None:
-        """Write the status at intervals until cancelled; a failure is logged when it begins."""
+        """Writes the status at intervals until cancelled; a failure is logged when it begins."""
         async with running_store(self._store):
             is_failing = False
             while True:
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -31,7 +31,7 @@
         self._totals_at_begin: figures.Durations | None = None
 
     def measure_thresholds(self, reported: Iterable[NodeFigures], is_over: bool) -> None:
-        """Set the thresholds, once `is_over`, from what was served since the first call.
+        """Sets the thresholds, once `is_over`, from what was served since the first call.
 
         What was served before, as processes started, doesn't count.
         """
@@ -42,12 +42,12 @@
             self.thresholds = figures.slow_thresholds(totals, self._totals_at_begin)
 
     def begin_stage(self) -> None:
-        """Forget the thresholds, to measure them again before the next stage."""
+        """Forgets the thresholds, to measure them again before the next stage."""
         self.thresholds, self._totals_at_begin = {}, None
         self._recent.clear()
 
     def live_figures(self, reported: list[NodeFigures], now: float) -> dict[str, NodeFigures]:
-        """Return by node the figures of the process that serves, without those that are stale."""
+        """Returns by node the figures of the process that serves, without those that are stale."""
         live: dict[str, NodeFigures] = {}
         for one in reported:
             process = one.process
@@ -62,7 +62,7 @@
     def tallies_since_last(
         self, reported: Mapping[str, NodeFigures], sites: Mapping[str, str], unchanged: set[str]
     ) -> dict[str, dict[str, Tally]]:
-        """Return by node what it did since the last call; `unchanged` are the nodes without the change."""
+        """Returns by node what it did since the last call; `unchanged` are the nodes without the change."""
         tallies = {}
         thresholds = self._present_thresholds(reported, unchanged)
         for name, one in reported.items():
@@ -77,7 +77,7 @@
     def _present_thresholds(
         self, reported: Mapping[str, NodeFigures], unchanged: set[str]
     ) -> figures.SlowThresholds:
-        """Return the thresholds, with the recent median of the unchanged nodes where it is known."""
+        """Returns the thresholds, with the recent median of the unchanged nodes where it is known."""
         served: figures.Durations = defaultdict(Counter)
         for name in unchanged & reported.keys():
             after = reported[name]
--- a/wheatroute/rollout/node_process.py
+++ b/wheatroute/rollout/node_process.py
@@ -17,7 +17,7 @@
 
 
 def start_ticks(pid: int) -> int:
-    """Return when a process started, in clock ticks since boot; 0 if there is none, or only a zombie."""
+    """Returns when a process started, in clock ticks since boot; 0 if there is none, or only a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     except OSError:
@@ -26,7 +26,7 @@
 
 
 def find_process(incarnation: str) -> int:
-    """Return the id of the process that was started with this incarnation; 0 if there is none."""
+    """Returns the id of the process that was started with this incarnation; 0 if there is none."""
     variable = f"WHEATROUTE_START={incarnation}".encode()
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -64,16 +64,16 @@
         return f"status {self._child.returncode}" if self._child is not None else "unseen"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, if the process still runs."""
+        """Sends a signal, if the process still runs."""
         if self.is_alive:
             with suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
     def to_stored(self) -> StoredProcess:
-        """Return what the supervisor's state file holds of it."""
+        """Returns what the supervisor's state file holds of it."""
         return StoredProcess(self.program, self.incarnation, self.pid, self.ticks)
 
     @staticmethod
     def from_stored(stored: StoredProcess) -> NodeProcess:
-        """Return the process that an earlier supervisor stored."""
+        """Returns the process that an earlier supervisor stored."""
         return NodeProcess(stored.program, stored.incarnation, stored.pid, stored.start_ticks)
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -32,19 +32,19 @@
 
 
 async def read_progress(store: VersionStore) -> RolloutProgress:
-    """Read all records."""
+    """Reads all records."""
     progress = RolloutProgress()
     await read_records(store, progress)
     return progress
 
 
 async def supervisor_statuses(store: VersionStore) -> dict[str, SupervisorStatus]:
-    """Return the supervisors' statuses by node."""
+    """Returns the supervisors' statuses by node."""
     return statuses.supervisor_statuses(await store.statuses())
 
 
 async def start(store: VersionStore, plan: Plan, why: str) -> int:
-    """Start a rollout; returns its number.
+    """Starts a rollout; returns its number.
 
     Raises `InvalidInputError` unless each node of the plan has a supervisor with both programs, and runs the
     old one.
@@ -76,13 +76,13 @@
 
 
 async def hold(store: VersionStore, reason: str) -> int:
-    """Hold the rollout; returns the number of the record."""
+    """Holds the rollout; returns the number of the record."""
     step = HoldStep(reason=reason, author=getpass.getuser(), unix_time=time.time())
     return await _append(store, step)
 
 
 async def resume(store: VersionStore) -> int:
-    """Resume a held rollout; returns the number of the record."""
+    """Resumes a held rollout; returns the number of the record."""
     return await _append(store, ResumeStep(author=getpass.getuser(), unix_time=time.time()))
 
 
@@ -93,7 +93,7 @@
 
 
 async def _append(store: VersionStore, step: Step) -> int:
-    """Append a step once, also if the answer is lost; raises `ConflictError` if it is not allowed now."""
+    """Appends a step once, also if the answer is lost; raises `ConflictError` if it is not allowed now."""
     doubt = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
         try:
@@ -116,6 +116,6 @@
 
 
 async def read_status(store: VersionStore) -> RolloutStatus:
-    """Return the last rollout with its nodes and findings."""
+    """Returns the last rollout with its nodes and findings."""
     progress = await read_progress(store)
     return rollout_status(progress, await store.statuses())
--- a/wheatroute/rollout/operator_output.py
+++ b/wheatroute/rollout/operator_output.py
@@ -11,7 +11,7 @@
 
 
 def status_lines(status: RolloutStatus) -> list[str]:
-    """Format the result of `operator.read_status`."""
+    """Formats the result of `operator.read_status`."""
     if not status.rollout:
         return ["no rollout yet"]
     head = f"rollout {status.rollout}, {status.name}: {status.phase}"
@@ -33,7 +33,7 @@
 
 
 def log_lines(progress: RolloutProgress) -> list[str]:
-    """Format every step, with the evidence of each verdict."""
+    """Formats every step, with the evidence of each verdict."""
     lines = []
     for record in progress.records:
         fields = step_fields(record.step)
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -88,7 +88,7 @@
 
 
 def read_plan(path: str) -> Plan:
-    """Read a plan; raises `PlanError`."""
+    """Reads a plan; raises `PlanError`."""
     try:
         return parse_plan(tomllib.loads(Path(path).read_text(encoding="utf-8")), path)
     except OSError as error:
@@ -98,7 +98,7 @@
 
 
 def parse_plan(document: Any, path: str = "plan") -> Plan:
-    """Check a plan's document; raises `PlanError` with `path` in its lines."""
+    """Checks a plan's document; raises `PlanError` with `path` in its lines."""
     try:
         return Plan.model_validate(document)
     except ValidationError as error:
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -1,8 +1,9 @@
-"""The progress of rollouts: a chain of records, and what each node is to run by them. No I/O.
+"""State machine of rollouts: replays a chain of records and derives the program that each node runs. No I/O.
 
-A step is a record under the next number, which a store appends once: so two controllers, or one that died
-between two steps and its successor, never make a step twice. A rollout does not begin while another one runs,
-and does not continue after a stage without a verdict; every node always has a program.
+Each step is a record with the next number, and the store appends a number only once. So no step is taken
+twice, neither by two controllers at a time nor by the successor of one that died between two steps. A rollout
+does not start while another one is running, and does not continue past a stage that has no verdict. Every
+node always has a program to run.
 """
 
 from __future__ import annotations
@@ -37,11 +38,12 @@
 
 RECORD_FORMAT = 1
 
-SupervisorStatuses = Mapping[str, SupervisorStatus]  # by node
+# Statuses of the supervisors by node.
+SupervisorStatuses = Mapping[str, SupervisorStatus]
 
 
 class Phase(StrEnum):
-    """The phase of a rollout, as printed."""
+    """The phase of a rollout, as printed for operators."""
 
     NONE = "none"
     BEFORE_STAGE = "before a stage"
@@ -51,6 +53,7 @@
     ENDED = "ended"
 
 
+# Phases in which each kind of step is allowed; START is checked separately.
 _PHASES_FOR_STEP = {
     StepKind.STAGE: (Phase.BEFORE_STAGE,),
     StepKind.PASS: (Phase.IN_STAGE,),
@@ -63,40 +66,45 @@
 
 @dataclass
 class RolloutProgress:
-    """All rollouts of an installation, one after the other; its state is that of the last one."""
+    """The history of all rollouts of an installation, one after the other, and the state of the last one."""
 
-    head: int = 0
+    head: int = 0  # number of the last record
     head_digest: str = ""
     records: list[RolloutRecord] = field(default_factory=list)
     phase: Phase = Phase.NONE
     plan: Plan | None = None
-    number: int = 0  # of the rollout
-    stage: int = -1  # the present one, or the last one that had a verdict
-    has_passed: bool = False  # that stage was passed
-    reason: str = ""
-    resumed_after_stage: int = -1  # the last stage after which an operator has resumed
-    # the last stage after which an operator has resumed though too little was seen; -1: before the first
+    number: int = 0  # number of the rollout, which is that of its first record
+    # Index of the current stage, or of the last one that had a verdict; -1 before the first stage.
+    stage: int = -1
+    has_passed: bool = False  # whether that stage was passed
+    reason: str = ""  # why the rollout is held or was rolled back
+    # Index of the last stage after which an operator resumed.
+    resumed_after_stage: int = -1
+    # Index of the last stage after which an operator resumed although the baseline of the next stage was
+    # missing; -1 if that was before the first stage, -2 if it never happened.
     resumed_without_baseline: int = -2
-    _is_baseline_missing: bool = False  # held as too little was seen before the next stage
+    # Whether the rollout is held because there was too little data for a baseline of the next stage.
+    _is_baseline_missing: bool = False
 
     @property
     def is_running(self) -> bool:
-        """Whether a rollout has started and not ended."""
+        """Whether a rollout has started and has not ended."""
         return self.phase not in (Phase.NONE, Phase.ENDED)
 
     def next_record(self, kind: str, **fields: Any) -> StoredRecord:
-        """Return a document that would continue the chain; `fields` have the stored keys."""
+        """Returns the document of the next record in the chain; `fields` are named by their stored keys."""
         chain = {"format": RECORD_FORMAT, "seq": self.head + 1, "before": self.head_digest}
         return chain | {"kind": str(kind)} | fields
 
     def encode(self, step: Step) -> StoredRecord:
-        """Return the document of a step that would continue the chain; it is not applied."""
+        """Returns the document of a step as the next record in the chain, without applying it."""
         return self.next_record(**step_fields(step))
 
     def apply(self, document: StoredRecord) -> RolloutRecord:
-        """Apply the next record and return it; changes nothing if it cannot be applied.
+        """Applies the next record and returns it; changes nothing if it cannot be applied.
 
-        Raises `HistoryError` if it is not the next one, `MalformedDocumentError` if it is malformed.
+        Raises `HistoryError` if the record does not continue the chain, `StepNotAllowedError` if its step is
+        not allowed now, and `MalformedDocumentError` or `PlanError` if its content is malformed.
         """
         header = parse_header(document)
         self._check_header(header)
@@ -113,23 +121,23 @@
     def _check_header(self, header: StepHeader) -> None:
         if header.format != RECORD_FORMAT:
             raise HistoryError(
-                f"record {self.head + 1} has form {header.format!r}, this program knows {RECORD_FORMAT}"
+                f"record {self.head + 1} has format {header.format!r}, only {RECORD_FORMAT} is supported"
             )
         if header.number != self.head + 1 or header.previous_digest != self.head_digest:
             raise HistoryError(f"record {header.number!r} does not follow record {self.head}")
         if header.kind not in list(StepKind):
-            raise HistoryError(f"record {self.head + 1}: {header.kind!r} is nothing that this program knows")
+            raise HistoryError(f"record {self.head + 1}: unknown kind {header.kind!r}")
 
     def _step_error(self, kind: StepKind, stage: object) -> str:
-        """Return why a step is not allowed now; empty if it is."""
+        """Returns why a step is not allowed now; empty if it is allowed."""
         if kind == StepKind.START:
             return "another rollout is under way" if self.is_running else ""
         if not self.is_running:
-            return f"{kind}, and no rollout is under way"
+            return f"{kind} is not allowed: no rollout is under way"
         if kind in (StepKind.STAGE, StepKind.PASS):
             if stage != self.stage + (kind == StepKind.STAGE):
-                return f"{kind} {stage!r} out of its order"
-        return "" if self.phase in _PHASES_FOR_STEP[kind] else f"{kind} while {self.phase}"
+                return f"{kind} of stage {stage!r} is out of order"
+        return "" if self.phase in _PHASES_FOR_STEP[kind] else f"{kind} is not allowed in phase {self.phase}"
 
     def _apply_step(self, record: RolloutRecord) -> None:
         match record.step:
@@ -156,31 +164,32 @@
         self._is_baseline_missing = False
 
     def _apply_resume(self) -> None:
-        """A stage that was held counts as passed: an operator has looked at the evidence."""
+        """Resumes; a stage that was held counts as passed, since an operator has seen the evidence."""
         self.phase, self.has_passed, self.reason = Phase.BEFORE_STAGE, True, ""
         self.resumed_after_stage = self.stage
         if self._is_baseline_missing:
             self.resumed_without_baseline = self.stage
 
     def target(self, node: str) -> str | None:
-        """Return the program that a node is to run; None if the plan does not have the node."""
+        """Returns the program that a node is to run; None if the node is not in the plan."""
         if self.plan is None:
             return None
         for i, stage in enumerate(self.plan.stages):
             if node in stage.nodes:
                 was_rolled_back = self.phase == Phase.ENDED and bool(self.reason)
-                is_back = self.phase == Phase.ROLLING_BACK or was_rolled_back
-                return self.plan.new if i <= self.stage and not is_back else self.plan.old
+                is_rolled_back = self.phase == Phase.ROLLING_BACK or was_rolled_back
+                return self.plan.new if i <= self.stage and not is_rolled_back else self.plan.old
         return None
 
     def nodes(self) -> list[str]:
-        """Return the nodes in the order in which they change."""
+        """Returns the nodes in the order in which they change."""
         return [name for stage in self.plan.stages for name in stage.nodes] if self.plan else []
 
     def may_change(self, node: str, supervisors: SupervisorStatuses) -> bool:
-        """Whether a node may change now: at most `max_changing` nodes of the plan change at a time.
+        """Returns whether a node may change its program now.
 
-        A node that failed to change counts as done: it serves on with the program that it had.
+        Nodes change in the order of the plan, at most `max_changing` of them at a time. A node that failed to
+        change counts as done, since it keeps serving with the program that it had.
         """
         if self.plan is None:
             return False
@@ -197,8 +206,8 @@
         ]
         return len(ahead) < self.plan.max_changing and len(changing) < self.plan.max_changing
 
-    def is_changed(self, supervisors: SupervisorStatuses) -> bool:
-        """Whether every node runs its target alone."""
+    def all_nodes_on_target(self, supervisors: SupervisorStatuses) -> bool:
+        """Returns whether every node runs its target program and no other process besides."""
         return all(
             name in supervisors
             and supervisors[name].program == self.target(name)
@@ -207,7 +216,7 @@
         )
 
     def nodes_not_rolled_back(self, supervisors: SupervisorStatuses) -> list[str] | None:
-        """Return the nodes that failed to go back; None while some have not tried yet."""
+        """Returns the nodes that failed to roll back; None while some node is still rolling back."""
         failed = []
         for name in self.nodes():
             if name not in supervisors or supervisors[name].is_changing:
--- a/wheatroute/rollout/records.py
+++ b/wheatroute/rollout/records.py
@@ -108,18 +108,18 @@
 
 
 def parse_header(document: StoredRecord) -> StepHeader:
-    """Return what is checked of a document before it is parsed."""
+    """Returns what is checked of a document before it is parsed."""
     return parse(document, StepHeader)
 
 
 def parse_step(document: StoredRecord) -> Step:
-    """Return the step in a document; raises `MalformedDocumentError` if it is malformed."""
+    """Returns the step in a document; raises `MalformedDocumentError` if it is malformed."""
     with malformed_document_errors():
         step: Step = msgspec.convert(document, type=Step)
     return step
 
 
 def step_fields(step: Step) -> dict[str, Any]:
-    """Return the stored fields of a step, its kind first."""
+    """Returns the stored fields of a step, its kind first."""
     fields: dict[str, Any] = msgspec.to_builtins(step)
     return fields
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -43,7 +43,7 @@
         tenants: Mapping[str, int],
         class_settings: Sequence[RequestClass],
     ) -> None:
-        """Use other settings from here on."""
+        """Uses other settings from here on."""
         self._class_names = {number: name for name, number in request_classes.items()}
         self._tenant_names = {number: name for name, number in tenants.items()}
         self._class_settings = class_settings
@@ -85,7 +85,7 @@
         outcomes.client_left += 1
 
     def figures(self, now: float) -> StoredStatus:
-        """Return the sums since the start, by the names of classes and tenants, as stored."""
+        """Returns the sums since the start, by the names of classes and tenants, as stored."""
         lost = self._lost + sum(now > deadline + LOSS_DELAY_S for deadline in self._open.values())
         outcomes = [
             msgspec.structs.replace(
--- a/wheatroute/rollout/restart_backoff.py
+++ b/wheatroute/rollout/restart_backoff.py
@@ -18,7 +18,7 @@
         return now >= self._restart_at
 
     def process_ended(self, now: float, lived_s: float) -> None:
-        """Put off the restart of a process that has ended after `lived_s` seconds."""
+        """Puts off the restart of a process that has ended after `lived_s` seconds."""
         if lived_s >= STABLE_AFTER_S:
             self._backoff_s = MIN_RESTART_BACKOFF_S
         else:
--- a/wheatroute/rollout/rollout_status.py
+++ b/wheatroute/rollout/rollout_status.py
@@ -36,13 +36,13 @@
     findings: list[str]
 
     def to_document(self) -> dict[str, Any]:
-        """Return what `--json` prints."""
+        """Returns what `--json` prints."""
         document: dict[str, Any] = msgspec.to_builtins(self)
         return document
 
 
 def rollout_status(progress: RolloutProgress, documents: list[StoredStatus]) -> RolloutStatus:
-    """Return the status of the last rollout from its progress and all statuses in the store."""
+    """Returns the status of the last rollout from its progress and all statuses in the store."""
     supervisors = supervisor_statuses(documents)
     plan = progress.plan
     return RolloutStatus(
@@ -69,13 +69,13 @@
         target=target,
         program=supervisor.program,
         is_changing=supervisor.is_changing,
-        trouble=supervisor.trouble,
+        trouble=supervisor.last_error,
         crashes=supervisor.crashes,
     )
 
 
 def _findings(progress: RolloutProgress, documents: Iterable[StoredStatus]) -> list[str]:
-    """Return the findings of a controller; one that died may have left findings on an earlier record."""
+    """Returns the findings of a controller; one that died may have left findings on an earlier record."""
     for controller in controller_statuses(documents):
         if controller.findings and controller.applied_record == progress.head:
             return controller.findings
--- a/wheatroute/rollout/stage_watch.py
+++ b/wheatroute/rollout/stage_watch.py
@@ -1,4 +1,4 @@
-"""What one controller has seen of both sides in the present phase of a rollout. No I/O."""
+"""Watches both sides of a rollout, new and old nodes, in the current phase for one controller. No I/O."""
 
 from __future__ import annotations
 
@@ -14,32 +14,39 @@
 from wheatroute.rollout.records import HoldStep, PassStep, ResumeStep, StageStep, StartStep, Step
 from wheatroute.rollout.statuses import NodeFigures
 
-THRESHOLD_RATIO = 0.25  # part of the time before a stage in which the slow thresholds are measured
-MAX_FINDINGS = 20  # written into a status or a record
+# Fraction of the baseline time before a stage in which the thresholds of slow requests are measured.
+THRESHOLD_RATIO = 0.25
+# Most findings that are written into a status or a record.
+MAX_FINDINGS = 20
 
-Figures = Mapping[str, NodeFigures]  # by node
+# Figures by node.
+Figures = Mapping[str, NodeFigures]
 
 
 class StageWatch:
-    """Analyses the figures of a phase; `progress` is the controller's, which applies the records."""
+    """Feeds the nodes' figures of the current phase into the canary analysis of the stage.
+
+    `progress` is shared with the controller, which applies the records to it.
+    """
 
     def __init__(self, progress: RolloutProgress) -> None:
         self._progress = progress
         self._figures = FiguresWatch()
         self._analysis: CanaryAnalysis | None = None
-        self._watched_since = 0.0  # when it began to watch this phase; 0 before
+        # Time of the first interval of this phase that was added to the analysis; 0 if none was.
+        self._watched_since = 0.0
         self.findings: list[str] = []
 
     def watched_s(self, now: float) -> float:
-        """Return for how long this phase has been watched."""
+        """Returns for how many seconds this phase has been watched."""
         return now - self._watched_since if self._watched_since else 0.0
 
     def live_figures(self, reported: list[NodeFigures], now: float) -> dict[str, NodeFigures]:
-        """Return by node the figures of the process that serves, without those that are stale."""
+        """Returns the figures of each node's serving process, by node and without stale ones."""
         return self._figures.live_figures(reported, now)
 
     def with_baseline(self, step: StageStep) -> StageStep:
-        """Return a step with what was measured before the stage, for a controller that continues."""
+        """Returns the step with the baseline and thresholds, for a controller that takes over later."""
         if self._analysis is None:
             return step
         return msgspec.structs.replace(
@@ -49,7 +56,7 @@
         )
 
     def begin_phase(self, step: Step) -> None:
-        """Start to watch anew, as a step says."""
+        """Resets the analysis for the phase that a step begins; a step that holds keeps it."""
         if self._progress.plan is None or isinstance(step, HoldStep):
             return
         if isinstance(step, StartStep | PassStep | ResumeStep):
@@ -59,7 +66,7 @@
             self._begin_stage(step)
 
     def _begin_stage(self, step: StageStep) -> None:
-        """Continue from what the controller that took the step had measured."""
+        """Starts the analysis of a stage from the baseline that the controller stored with the step."""
         analysis = self._new_analysis()
         baseline = step.baseline or {}
         analysis.before = {
@@ -72,11 +79,11 @@
     def _new_analysis(self) -> CanaryAnalysis:
         plan = self._progress.plan
         assert plan is not None
-        # a controller that takes over begins a new analysis: half of the risk is left for that
+        # A controller that takes over starts a new analysis, so half of the risk is reserved for that.
         return CanaryAnalysis(plan.margins, plan.risk / (2.0 * len(plan.stages)), RELATIVE_METRICS)
 
     def _sides(self) -> tuple[set[str], set[str]]:
-        """Return the nodes of the present or next stage, and those without the change beside them."""
+        """Returns the new nodes, of the current or next stage, and the old nodes, of later stages."""
         progress, plan = self._progress, self._progress.plan
         assert plan is not None
         stage = progress.stage + (progress.phase == Phase.BEFORE_STAGE)
@@ -86,7 +93,11 @@
         return set(plan.stages[stage].nodes), unchanged
 
     def add_interval(self, supervisors: SupervisorStatuses, figures: Figures, now: float) -> None:
-        """Add what both sides did since the last turn to the analysis."""
+        """Adds what both sides did since the last call to the analysis.
+
+        Nothing is added while nodes of a stage are still changing, or while figures of a new node are
+        missing.
+        """
         progress, plan = self._progress, self._progress.plan
         if progress.phase == Phase.BEFORE_STAGE and plan is not None:
             is_over = self._watched_since and now - self._watched_since >= THRESHOLD_RATIO * plan.baseline_s
@@ -97,20 +108,20 @@
         if self._analysis is None or progress.phase not in (Phase.BEFORE_STAGE, Phase.IN_STAGE):
             return
         is_in_stage = progress.phase == Phase.IN_STAGE
-        if is_in_stage and not progress.is_changed(supervisors):
+        if is_in_stage and not progress.all_nodes_on_target(supervisors):
             return
         if not all(name in figures for name in new_nodes):
             return
         self._watched_since = self._watched_since or now
         new, old = _sum_tallies(tallies, new_nodes), _sum_tallies(tallies, old_nodes)
         if not old_nodes:
-            # the last stage has no unchanged nodes: it is compared with what its nodes did before
+            # The last stage has no unchanged nodes, so its nodes are compared with their own baseline.
             old = self._baseline_tallies(new) if is_in_stage else new
         if new and old:
             self._analysis.add_interval(new, old, is_in_stage)
 
     def _baseline_tallies(self, new: dict[str, Tally]) -> dict[str, Tally]:
-        """Return what the nodes of the last stage would have done by their means from before it."""
+        """Returns the tallies that the nodes of the last stage would have at their means from before it."""
         assert self._analysis is not None
         means = {metric: sequence.new.mean for metric, sequence in self._analysis.before.items()}
         return {
@@ -120,7 +131,7 @@
         }
 
     def verdict(self) -> tuple[Verdict, list[str]]:
-        """Return the verdict on the present stage, with a line for each finding."""
+        """Returns the verdict on the current stage with a line per finding; UNSURE outside of a stage."""
         plan = self._progress.plan
         if self._analysis is None or plan is None or self._progress.phase != Phase.IN_STAGE:
             return Verdict.UNSURE, []
@@ -129,7 +140,7 @@
         return verdict, self.findings[:MAX_FINDINGS]
 
     def has_baseline(self) -> bool:
-        """Whether enough was seen before the next stage for a verdict on it."""
+        """Returns whether there is enough data from before the next stage for a verdict on it."""
         plan, analysis = self._progress.plan, self._analysis
         if plan is None or analysis is None:
             return False
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -1,8 +1,9 @@
-"""The supervisor of a node: runs the program that the rollout names, the new process first beside the old.
+"""The supervisor of a node: runs the program that the rollout names and replaces it without downtime.
 
-The old process is not stopped before the new one is ready, and only processes that this supervisor or an
-earlier one started are ended. The node outlives its supervisor: a state file lets the next one find its
-processes. Does I/O through the rollout store, the state file and child processes.
+A new process starts as the candidate beside the serving one, which is not stopped before the candidate is
+ready. Only processes that were started by this supervisor or an earlier one are ended. The node outlives its
+supervisor: the next one finds the processes by a state file. Does I/O through the rollout store, the state
+file and child processes.
 """
 
 from __future__ import annotations
@@ -54,20 +55,26 @@
         self._progress = RolloutProgress()
         self._incarnation = secrets.token_hex(6)
         self._heartbeat = 0
-        self._last_program = settings.first_program  # the one that served last
-        self._starting: list[str] = []  # program and incarnation of the process that is started next
-        self._ended_keys: list[str] = []  # statuses of processes that have ended
+        self._last_program = settings.first_program  # the program that served last
+        # Program and incarnation of the process that was started last, stored before it starts.
+        self._starting: list[str] = []
+        # Keys of the stored figures of processes that have ended, which are to be removed.
+        self._ended_keys: list[str] = []
         self.serving: NodeProcess | None = None
-        self.candidate: NodeProcess | None = None  # beside the serving one, until it is ready
+        # The process that replaces the serving one as soon as it is ready.
+        self.candidate: NodeProcess | None = None
+        # Former serving processes that are stopping.
         self.draining: list[NodeProcess] = []
         self._failed: list[FailedProgram] = []
-        self._last_error = ""  # what went wrong last; "" once a candidate has taken over
+        # The last error, for the status; "" once a candidate has been promoted.
+        self._last_error = ""
         self._crashes = 0
         self._backoff = RestartBackoff()
-        self._supervisors: dict[str, SupervisorStatus] = {}  # by node
+        # Statuses of all supervisors by node, as last read.
+        self._supervisors: dict[str, SupervisorStatus] = {}
 
     async def run(self) -> None:
-        """Supervise until cancelled, which leaves the node serving."""
+        """Supervises the node until cancelled; its processes keep running after that."""
         self._read_state()
         async with running_store(self._store):
             while True:
@@ -77,7 +84,7 @@
                 await trio.sleep(TURN_INTERVAL_S)
 
     def _read_state(self) -> None:
-        """Find the processes that an earlier supervisor left running."""
+        """Adopts the processes that an earlier supervisor left running, as the state file has them."""
         state = read_state(self._settings.state_file)
         if state is None:
             return
@@ -86,12 +93,12 @@
             self._last_program = state.serving.program
         found = _stored_processes(state)
         alive = {name: process for name, process in found.items() if process.is_alive}
-        self.serving, self.candidate = alive.get("old"), alive.get("new")
+        self.serving, self.candidate = alive.get("serving"), alive.get("candidate")
         if self.serving is None and self.candidate is not None:
             self.serving, self.candidate = self.candidate, None
         draining = [NodeProcess.from_stored(stored) for stored in state.draining]
         self.draining = [process for process in draining if process.is_alive]
-        self._log.info("found", **{name: process.pid for name, process in alive.items()})
+        self._log.info("running-processes-found", **{name: process.pid for name, process in alive.items()})
 
     def _write_state(self) -> None:
         state = SupervisorState(
@@ -121,7 +128,7 @@
                 stderr=subprocess.STDOUT,
                 start_new_session=True,
             )
-        self._log.info("started", program=program, pid=child.pid)
+        self._log.info("process-started", program=program, pid=child.pid)
         return NodeProcess(program, incarnation, child.pid, start_ticks(child.pid), child)
 
     def _next_status(self) -> SupervisorStatus:
@@ -134,14 +141,14 @@
             program=self.serving.program if self.serving is not None else "",
             is_changing=self.candidate is not None or bool(self.draining),
             failed=self._failed,
-            trouble=self._last_error,
+            last_error=self._last_error,
             crashes=self._crashes,
             programs=sorted(self._settings.programs),
             applied_record=self._progress.head,
         )
 
     async def _exchange(self) -> list[StoredStatus] | None:
-        """Write the status and read the progress; returns all statuses, or None if the store failed."""
+        """Writes the status and reads new records; returns all statuses, or None if the store failed."""
         status = self._next_status()
         try:
             with trio.fail_after(STORE_TIMEOUT_S):
@@ -160,11 +167,16 @@
                 return statuses
         except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
             if self._last_error != str(error):
-                self._log.warning("place", trouble=str(error) or "does not answer")
+                self._log.warning(
+                    "store-access-failed", error=str(error) or "the store did not answer in time"
+                )
             return None
 
     def _take_turn(self, statuses: list[StoredStatus] | None) -> None:
-        """Check the processes once; without the store no change of the program is begun."""
+        """Checks all processes once: drains, restarts, promotes a candidate or starts one.
+
+        `statuses` is None if the store failed; then no change of the program begins.
+        """
         self.draining = [process for process in self.draining if self._is_still_draining(process)]
         if self.serving is not None and not self.serving.is_alive:
             self._handle_crash(self.serving)
@@ -177,7 +189,7 @@
             self._begin_change(self.serving)
 
     def _begin_change(self, serving: NodeProcess) -> None:
-        """Start a candidate, if the node is to run another program and may change now."""
+        """Starts a candidate if the node is to run another program and may change now."""
         wanted = self._wanted_program()
         if wanted == serving.program:
             return
@@ -185,10 +197,14 @@
             self.candidate = self._start(wanted)
 
     def _wanted_program(self) -> str:
-        """Return the program that the rollout names, unless it failed here or is not known here."""
+        """Returns the program that the node is to run.
+
+        That is the program that the rollout names, unless it has failed at this node or is missing in its
+        settings: then the old program of the plan instead of the new one, otherwise the one that runs.
+        """
         target = self._progress.target(self._settings.name)
         if target is not None and target not in self._settings.programs:
-            self._report_error(f"no program {target!r} here")
+            self._report_error(f"program {target!r} is not in the settings of this supervisor")
             self._add_failure(target)
         running = self.serving.program if self.serving is not None else self._last_program
         if target is None:
@@ -204,13 +220,17 @@
             self._failed.append(failed)
 
     def _report_error(self, error: str) -> None:
-        """Log an error, if it is another one than the last, and keep it for the status."""
+        """Logs an error and keeps it for the status, unless it is the same as the last one."""
         if error != self._last_error:
             self._last_error = error
-            self._log.warning("trouble", trouble=error)
+            self._log.warning("program-failed", error=error)
 
     def _handle_crash(self, process: NodeProcess) -> None:
-        """The serving process has ended: the candidate takes over, or it is restarted after a backoff."""
+        """Handles the end of the serving process: the candidate replaces it if there is one.
+
+        Without a candidate the process is restarted after the backoff. In a rollout the new program counts as
+        failed at this node.
+        """
         self._crashes += 1
         self._ended_keys.append(figures_key(self._settings.name, process.incarnation))
         self._report_error(f"{process.program} ended, {process.exit_text}")
@@ -225,21 +245,21 @@
             self.serving, self.candidate = self.candidate, None
 
     def _check_candidate(self, process: NodeProcess, statuses: list[StoredStatus]) -> None:
-        """Let the candidate take over once it is ready: then the serving process is told to stop."""
+        """Promotes the candidate once it is ready; gives it up if it has ended or is not ready in time."""
         if not process.is_alive:
             self._report_error(f"{process.program} did not come up: {process.exit_text}")
             self._add_failure(process.program)
             self.candidate = None
         elif is_process_ready(statuses, process.incarnation):
-            self._take_over(process)
+            self._promote(process)
         elif time.monotonic() - process.since > self._settings.ready_timeout_s:
-            self._report_error(f"{process.program} was not ready in {self._settings.ready_timeout_s:g} s")
+            self._report_error(f"{process.program} was not ready within {self._settings.ready_timeout_s:g} s")
             self._add_failure(process.program)
             process.signal(signal.SIGKILL)
             self.candidate = None
 
-    def _take_over(self, process: NodeProcess) -> None:
-        """Let a candidate serve in the place of the serving process, which drains."""
+    def _promote(self, process: NodeProcess) -> None:
+        """Makes the candidate the serving process; the former one gets SIGTERM and drains."""
         if self.serving is not None:
             self.serving.signal(signal.SIGTERM)
             self.serving.since = time.monotonic()
@@ -249,33 +269,34 @@
         self._last_error, self._last_program = "", process.program
 
     def _is_still_draining(self, process: NodeProcess) -> bool:
+        """Returns whether a process is still alive; kills it if it has exceeded the drain timeout."""
         if not process.is_alive:
             self._ended_keys.append(figures_key(self._settings.name, process.incarnation))
             return False
         if time.monotonic() - process.since > self._settings.drain_timeout_s:
-            self._report_error(f"{process.program} did not stop in {self._settings.drain_timeout_s:g} s")
+            self._report_error(f"{process.program} did not stop within {self._settings.drain_timeout_s:g} s")
             process.signal(signal.SIGKILL)
         return True
 
 
 def _stored_processes(state: SupervisorState) -> dict[str, NodeProcess]:
-    """Return the serving process as "old" and the candidate as "new", as far as the state has them."""
+    """Returns the processes in the state that are set, under the names "serving" and "candidate"."""
     found = {
         name: NodeProcess.from_stored(stored)
-        for name, stored in (("old", state.serving), ("new", state.candidate))
+        for name, stored in (("serving", state.serving), ("candidate", state.candidate))
         if stored is not None
     }
     if state.starting:
-        # the supervisor may have died after it started a process and before it stored its id
+        # The supervisor may have died after it started a process and before it stored the process id.
         program, incarnation = state.starting
         pid = find_process(incarnation)
         if pid and not any(process.pid == pid for process in found.values()):
-            found.setdefault("new", NodeProcess(program, incarnation, pid, start_ticks(pid)))
+            found.setdefault("candidate", NodeProcess(program, incarnation, pid, start_ticks(pid)))
     return found
 
 
 async def run_supervisor(settings: SupervisorSettings, log: Any) -> None:
-    """Run a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` where no store can be opened."""
+    """Runs a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` if the store cannot be opened."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Supervisor(settings, log).run)
--- a/wheatroute/rollout/supervisor_settings.py
+++ b/wheatroute/rollout/supervisor_settings.py
@@ -41,7 +41,7 @@
 
 
 def read_supervisor_settings(path: str) -> SupervisorSettings:
-    """Read the settings; raises `SupervisorSettingsError`."""
+    """Reads the settings; raises `SupervisorSettingsError`."""
     try:
         return SupervisorSettings.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as error:
--- a/wheatroute/rollout/supervisor_state.py
+++ b/wheatroute/rollout/supervisor_state.py
@@ -34,7 +34,7 @@
 
 
 def read_state(path: str) -> SupervisorState | None:
-    """Return the state that the last supervisor wrote, or None if there is none.
+    """Returns the state that the last supervisor wrote, or None if there is none.
 
     Raises `MalformedDocumentError` if it is malformed.
     """
@@ -46,7 +46,7 @@
 
 
 def write_state(path: str, state: SupervisorState) -> None:
-    """Replace the file atomically; raises `OSError`."""
+    """Replaces the file atomically; raises `OSError`."""
     temporary = Path(path + ".new")
     temporary.write_text(json.dumps(msgspec.to_builtins(state)))
     os.rename(temporary, path)
