--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -264,14 +264,14 @@
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and "old and new are one program" in done.stderr
+    assert done.returncode == 2 and '"old" and "new" must be different programs' in done.stderr
     path.write_text(path.read_text().replace('new = "a"', 'new = "b"'))
     done = subprocess.run(
         [*cli, "rollout", "--at", str(tmp_path / "r"), "start", str(path), "--why", "w"],
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and "n0: no supervisor has told of itself" in done.stderr
+    assert done.returncode == 2 and "n0: no supervisor has reported a status" in done.stderr
     done = subprocess.run([*cli, "keep", str(path)], capture_output=True, text=True)
     assert done.returncode == 2 and "programs" in done.stderr and "Traceback" not in done.stderr
     done = subprocess.run(
--- a/wheatroute/rollout/__init__.py
+++ b/wheatroute/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A change of the program that goes through the fleet in stages, and is taken back where it does worse."""
+"""Staged rollout of a new program version to the nodes, with canary analysis and automatic rollback."""
--- a/wheatroute/rollout/errors.py
+++ b/wheatroute/rollout/errors.py
@@ -1,4 +1,4 @@
-"""The errors of rollouts; those of the store and of operators' commands are in `agreement.errors`. No I/O."""
+"""Errors of rollouts; those of the store and of operators' commands are in `agreement.errors`. No I/O."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class PlanError(RolloutError):
-    """The plan cannot be used; the message has a line for each error."""
+    """The plan is invalid or cannot be read; the message has a line for each error."""
 
 
 class SupervisorSettingsError(RolloutError):
-    """The settings of a supervisor cannot be used; the message has a line for each error."""
+    """The settings of a supervisor are invalid or cannot be read; the message has a line for each error."""
 
 
 class StepNotAllowedError(RolloutError, HistoryError):
-    """A step does not follow from the state of the rollout; `reason` says why not."""
+    """A step is not allowed in the current state of the rollout; `reason` says why not."""
 
     def __init__(self, number: int, reason: str) -> None:
         super().__init__(f"record {number}: {reason}")
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a node as stored, and what the difference of two of them says. No I/O."""
+"""Derives tallies for canary analysis from the difference between two reports of a node's figures. No I/O."""
 
 from __future__ import annotations
 
@@ -9,23 +9,26 @@
 from wheatroute.rollout.canary_analysis import Tally
 from wheatroute.rollout.statuses import ClassOutcomes, NodeFigures, RequestFigures
 
-BUCKET_RATIO = 1.05  # of two neighbouring bounds of the duration histogram
+BUCKET_RATIO = 1.05  # ratio of two neighbouring bounds of the duration histogram
 MIN_DURATION_S = 1e-6
-MIN_VALUE = 1e-9  # of a request, where all classes have the value 0
-RELATIVE_METRICS = frozenset({"cpu", "memory", "connections"})  # compared by their relative difference
-
-Durations = dict[str, Counter[int]]  # by request class: how many requests were served in each bucket
-# by request class: buckets of the median and of the 99th percentile
+# Lower bound of the divisor that normalizes the values of requests, since all classes may have the value 0.
+MIN_VALUE = 1e-9
+# Metrics that are compared by their relative difference.
+RELATIVE_METRICS = frozenset({"cpu", "memory", "connections"})
+
+# Number of served requests by request class and histogram bucket.
+Durations = dict[str, Counter[int]]
+# Histogram buckets of the median and of the 99th percentile, by request class.
 SlowThresholds = Mapping[str, tuple[int, int]]
 
 
 def duration_bucket(seconds: float) -> int:
-    """Returns the number of a duration's histogram bucket."""
+    """Returns the number of the histogram bucket for a duration."""
     return floor(log(max(MIN_DURATION_S, seconds)) / log(BUCKET_RATIO))
 
 
 def total_durations(figures: Iterable[RequestFigures]) -> Durations:
-    """Returns what was served since the nodes' starts, summed over all figures."""
+    """Returns the number of requests served since the nodes' starts, summed over all figures."""
     totals: Durations = defaultdict(Counter)
     for one in figures:
         for name, counts in one.durations.items():
@@ -34,13 +37,16 @@
 
 
 def durations_between(before: RequestFigures, after: RequestFigures) -> Durations:
-    """Returns what one process served between two of its figures."""
+    """Returns the number of requests that a process served between two of its reports."""
     totals, totals_before = total_durations([after]), total_durations([before])
     return {name: counts - totals_before.get(name, Counter()) for name, counts in totals.items()}
 
 
 def slow_thresholds(totals: Durations, totals_before: Durations) -> dict[str, tuple[int, int]]:
-    """Returns the buckets beyond which half, and a hundredth, of the requests since `totals_before` lie."""
+    """Returns the buckets of the median and the 99th percentile, by request class.
+
+    Only requests served since `totals_before` count; a class without any is left out.
+    """
     thresholds = {}
     for name, all_counts in totals.items():
         counts = all_counts - totals_before.get(name, Counter())
@@ -59,7 +65,7 @@
 def tallies_between(
     before: NodeFigures, after: NodeFigures, site: str, thresholds: SlowThresholds
 ) -> dict[str, Tally]:
-    """Returns by metric what a node did between two figures; nothing if its process has restarted."""
+    """Returns the tallies of a node between two reports, by metric; empty if its process has restarted."""
     tallies: dict[str, Tally] = defaultdict(Tally)
     if before.process.incarnation != after.process.incarnation:
         return tallies
@@ -73,7 +79,10 @@
 
 
 def _add_outcomes(tallies: dict[str, Tally], before: RequestFigures, after: RequestFigures, site: str) -> int:
-    """Adds the outcomes of requests, for the whole traffic and its parts; returns how many have ended."""
+    """Adds the outcomes of requests to `tallies`, for the whole traffic and for its parts.
+
+    Returns how many requests have ended.
+    """
     earlier = {(one.request_class, one.tenant): one for one in before.outcomes}
     total_ended, max_value = 0, max([MIN_VALUE, *after.values.values()])
     for totals in after.outcomes:
@@ -93,7 +102,10 @@
 
 
 def _outcome_tallies(outcomes: ClassOutcomes, value: float) -> dict[str, Tally]:
-    """Returns by metric what the outcomes of a class and tenant add; `value` is that of a request."""
+    """Returns the tallies of the outcomes of a class and tenant, by metric.
+
+    `value` is the value of one request, relative to that of the most valuable class.
+    """
     ended = outcomes.ended
     return {
         "worth": Tally(value * (ended - outcomes.in_time), value * ended),
@@ -109,6 +121,7 @@
     after: RequestFigures,
     thresholds: SlowThresholds,
 ) -> None:
+    """Adds to `tallies` how many served requests were slower than each threshold."""
     for name, served in durations_between(before, after).items():
         total = served.total()
         for i, metric in enumerate(("slow", "slowest") if name in thresholds else ()):
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -1,7 +1,7 @@
-"""Reports a node's figures for canary analysis: its request accounting, its resources, whether it is ready.
+"""Reports a node's figures for canary analysis: its request counts, resource usage and readiness.
 
-A store that cannot be reached never delays the node. A node is ready once it has its full server list and,
-where it takes part in an agreement, a confirmation of its settings. Does I/O through the rollout store.
+An unreachable store never delays the node. A node is ready once it has its full server list and, if it takes
+part in an agreement, a confirmation of its settings. Does I/O through the rollout store.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from wheatroute.rollout.request_accounting import RequestAccounting
 from wheatroute.rollout.statuses import ProcessFigures, figures_key
 
-REPORT_INTERVAL_S = 0.5  # the finest resolution of the analysis
+REPORT_INTERVAL_S = 0.5  # limits the time resolution of the analysis
 STORE_TIMEOUT_S = 1.0
 PAGE_SIZE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class FiguresReporter:
-    """Reports the figures of one node.
+    """Writes the figures of one node to the rollout store.
 
-    The environment names the program that the node runs, and the incarnation by which its supervisor knows
-    it.
+    The program that the node runs, and the incarnation by which its supervisor identifies the process, come
+    from the environment.
     """
 
     def __init__(
@@ -64,11 +64,11 @@
 
     @property
     def key(self) -> str:
-        """The key of its status in the store."""
+        """The key of the node's status in the store."""
         return figures_key(self._name, self._incarnation)
 
     def next_status(self) -> StoredStatus:
-        """Returns the status with the figures of this moment and the next heartbeat."""
+        """Returns the status with the current figures and the next heartbeat."""
         self._heartbeat += 1
         is_ready = self._discovery.has_full_list and (
             self._follower is None or not self._follower.member.effective.is_conservative
@@ -89,7 +89,10 @@
         return self.accounting.figures(now()) | process.to_stored()
 
     async def run(self) -> None:
-        """Writes the status at intervals until cancelled; a failure is logged when it begins."""
+        """Writes the status every `REPORT_INTERVAL_S` until cancelled.
+
+        Of consecutive failures only the first one is logged.
+        """
         async with running_store(self._store):
             is_failing = False
             while True:
@@ -100,7 +103,9 @@
                 except (VersionStoreError, trio.TooSlowError) as error:
                     if not is_failing:
                         is_failing = True
-                        self._log.warning("figures-untold", trouble=str(error) or "the place does not answer")
+                        self._log.warning(
+                            "figures-report-failed", error=str(error) or "the store did not answer in time"
+                        )
                 await trio.sleep(REPORT_INTERVAL_S)
 
 
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -1,8 +1,8 @@
-"""Follows the nodes' figures over time: what each node did between two reads. No I/O.
+"""Follows the nodes' figures over time: derives what each node did between two reads. No I/O.
 
-A request is slow if it took longer than half of the requests at the nodes without the change, in the same
-seconds. By thresholds from before the stage alone nearly all requests of both sides would count as slow once
-the machines are busier, and the two sides could not be told apart.
+A request is slow if it took longer than the median at the unchanged nodes in the same seconds. With
+thresholds from before the stage alone, nearly all requests of both sides would count as slow once the
+machines are busier, and the two sides could not be told apart.
 """
 
 from __future__ import annotations
@@ -15,25 +15,32 @@
 from wheatroute.rollout.canary_analysis import Tally
 from wheatroute.rollout.statuses import NodeFigures
 
-STALE_FIGURES_S = 5.0  # without a new heartbeat, after which a process's figures do not count
-THRESHOLD_READS = 24  # reads over which the median of the unchanged nodes is taken
-MIN_THRESHOLD_REQUESTS = 40  # of a class in those reads; with fewer the median from before the stage counts
+# Time without a new heartbeat after which the figures of a process are ignored.
+STALE_FIGURES_S = 5.0
+# Number of reads over which the median of the unchanged nodes is taken.
+THRESHOLD_READS = 24
+# Requests of a class needed in those reads; with fewer the median from before the stage is used.
+MIN_THRESHOLD_REQUESTS = 40
 
 
 class FiguresWatch:
-    """The figures that one controller has read in this stage."""
+    """The figures that one controller has read, and the thresholds of slow requests in the current stage."""
 
     def __init__(self) -> None:
-        self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)  # of the unchanged nodes
-        self._before: dict[tuple[str, str], NodeFigures] = {}  # by node and incarnation
-        self._heartbeats: dict[tuple[str, str], SeenHeartbeat] = {}  # by node and incarnation
+        # Durations at the unchanged nodes in each of the last reads.
+        self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)
+        # Figures of the previous read, by node and incarnation.
+        self._before: dict[tuple[str, str], NodeFigures] = {}
+        # Last heartbeats by node and incarnation.
+        self._heartbeats: dict[tuple[str, str], SeenHeartbeat] = {}
+        # Histogram buckets of the median and of the 99th percentile from before the stage, by request class.
         self.thresholds: dict[str, tuple[int, int]] = {}
         self._totals_at_begin: figures.Durations | None = None
 
     def measure_thresholds(self, reported: Iterable[NodeFigures], is_over: bool) -> None:
-        """Sets the thresholds, once `is_over`, from what was served since the first call.
+        """Sets the thresholds from the requests served between the first call and that with `is_over`.
 
-        What was served before, as processes started, doesn't count.
+        Requests served before the first call, while processes were starting, are ignored.
         """
         totals = figures.total_durations(one.requests for one in reported)
         if self._totals_at_begin is None:
@@ -42,12 +49,15 @@
             self.thresholds = figures.slow_thresholds(totals, self._totals_at_begin)
 
     def begin_stage(self) -> None:
-        """Forgets the thresholds, to measure them again before the next stage."""
+        """Clears the thresholds, so that they are measured again before the next stage."""
         self.thresholds, self._totals_at_begin = {}, None
         self._recent.clear()
 
     def live_figures(self, reported: list[NodeFigures], now: float) -> dict[str, NodeFigures]:
-        """Returns by node the figures of the process that serves, without those that are stale."""
+        """Returns the figures of each node's serving process, by node and without stale ones.
+
+        Processes that are stopping are left out; if a node has several others, a ready one is preferred.
+        """
         live: dict[str, NodeFigures] = {}
         for one in reported:
             process = one.process
@@ -62,9 +72,9 @@
     def tallies_since_last(
         self, reported: Mapping[str, NodeFigures], sites: Mapping[str, str], unchanged: set[str]
     ) -> dict[str, dict[str, Tally]]:
-        """Returns by node what it did since the last call; `unchanged` are the nodes without the change."""
+        """Returns the tallies of each node since the last call; `unchanged` nodes run the old program."""
         tallies = {}
-        thresholds = self._present_thresholds(reported, unchanged)
+        thresholds = self._current_thresholds(reported, unchanged)
         for name, one in reported.items():
             key = name, one.process.incarnation
             if key in self._before:
@@ -74,10 +84,10 @@
         self._before = {(name, one.process.incarnation): one for name, one in reported.items()}
         return tallies
 
-    def _present_thresholds(
+    def _current_thresholds(
         self, reported: Mapping[str, NodeFigures], unchanged: set[str]
     ) -> figures.SlowThresholds:
-        """Returns the thresholds, with the recent median of the unchanged nodes where it is known."""
+        """Returns the thresholds; the median is the recent one where a class has enough requests."""
         served: figures.Durations = defaultdict(Counter)
         for name in unchanged & reported.keys():
             after = reported[name]
--- a/wheatroute/rollout/node_process.py
+++ b/wheatroute/rollout/node_process.py
@@ -1,7 +1,7 @@
 """A process of a node, which outlives the supervisor that started it. Reads /proc and sends signals.
 
-A process is identified by its id and its start time, so that an id that the system has given to another
-process is never signalled.
+A process is identified by its id and its start time, so that no other process that has reused the id is ever
+signalled.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def start_ticks(pid: int) -> int:
-    """Returns when a process started, in clock ticks since boot; 0 if there is none, or only a zombie."""
+    """Returns the start time of a process in clock ticks since boot; 0 if there is none or it is a zombie."""
     try:
         fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     except OSError:
@@ -26,7 +26,7 @@
 
 
 def find_process(incarnation: str) -> int:
-    """Returns the id of the process that was started with this incarnation; 0 if there is none."""
+    """Returns the id of the process that has this incarnation in its environment; 0 if there is none."""
     variable = f"WHEATROUTE_START={incarnation}".encode()
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -48,32 +48,34 @@
         child: subprocess.Popen[bytes] | None = None,
     ) -> None:
         self.program, self.incarnation, self.pid, self.ticks = program, incarnation, pid, ticks
+        # None if an earlier supervisor started the process.
         self._child = child
-        self.since = time.monotonic()  # of its start, or of the signal to stop
+        # Monotonic time at which the process was started or adopted; after SIGTERM, the time of that.
+        self.since = time.monotonic()
 
     @property
     def is_alive(self) -> bool:
-        """Whether the process still runs."""
+        """Whether the process is still running."""
         if self._child is not None and self._child.poll() is not None:
             return False
         return bool(self.ticks) and start_ticks(self.pid) == self.ticks
 
     @property
     def exit_text(self) -> str:
-        """How it ended, as far as that is known."""
-        return f"status {self._child.returncode}" if self._child is not None else "unseen"
+        """How the process ended; the status is only known for a child of this supervisor."""
+        return f"status {self._child.returncode}" if self._child is not None else "status unknown"
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal, if the process still runs."""
+        """Sends a signal if the process is still running."""
         if self.is_alive:
             with suppress(ProcessLookupError):
                 os.kill(self.pid, number)
 
     def to_stored(self) -> StoredProcess:
-        """Returns what the supervisor's state file holds of it."""
+        """Returns the process as it is kept in the supervisor's state file."""
         return StoredProcess(self.program, self.incarnation, self.pid, self.ticks)
 
     @staticmethod
     def from_stored(stored: StoredProcess) -> NodeProcess:
-        """Returns the process that an earlier supervisor stored."""
+        """Returns the process from the state file of an earlier supervisor."""
         return NodeProcess(stored.program, stored.incarnation, stored.pid, stored.start_ticks)
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -1,7 +1,7 @@
-"""What an operator does with rollouts: start, read, hold, resume, roll back. Behind `wheatroute rollout`.
+"""The operator's actions on rollouts: start, read, hold, resume, roll back. Used by `wheatroute rollout`.
 
-A rollout is not started if some supervisor lacks a program of its plan, and a step whose result is unknown is
-reported as that. Does I/O through the rollout store.
+A rollout is not started if any supervisor lacks a program of the plan. A step whose result is unknown is
+reported as such. Does I/O through the rollout store.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 async def read_progress(store: VersionStore) -> RolloutProgress:
-    """Reads all records."""
+    """Returns the state after all records in the store."""
     progress = RolloutProgress()
     await read_records(store, progress)
     return progress
@@ -44,10 +44,10 @@
 
 
 async def start(store: VersionStore, plan: Plan, why: str) -> int:
-    """Starts a rollout; returns its number.
+    """Starts a rollout and returns its number.
 
-    Raises `InvalidInputError` unless each node of the plan has a supervisor with both programs, and runs the
-    old one.
+    Raises `InvalidInputError` unless each node of the plan has a supervisor with both programs and runs the
+    old one, and `ConflictError` if another rollout is running.
     """
     if isinstance(store, DirectoryStore):
         store.create()
@@ -64,19 +64,19 @@
     errors = []
     for name in [name for stage in plan.stages for name in stage.nodes]:
         if name not in supervisors:
-            errors.append(f"{name}: no supervisor has told of itself")
+            errors.append(f"{name}: no supervisor has reported a status")
             continue
         supervisor = supervisors[name]
         missing = [program for program in (plan.old, plan.new) if program not in supervisor.programs]
         if missing:
-            errors.append(f"{name}: has no program {', '.join(missing)}")
+            errors.append(f"{name}: its supervisor has no program {', '.join(missing)}")
         elif supervisor.program != plan.old:
             errors.append(f"{name}: runs {supervisor.program or 'nothing'}, not {plan.old}")
     return errors
 
 
 async def hold(store: VersionStore, reason: str) -> int:
-    """Holds the rollout; returns the number of the record."""
+    """Holds the running rollout; returns the number of the record."""
     step = HoldStep(reason=reason, author=getpass.getuser(), unix_time=time.time())
     return await _append(store, step)
 
@@ -87,18 +87,22 @@
 
 
 async def roll_back(store: VersionStore, reason: str) -> int:
-    """Roll back; returns the number of the record."""
+    """Rolls back the running rollout; returns the number of the record."""
     step = RollBackStep(reason=reason, author=getpass.getuser(), unix_time=time.time())
     return await _append(store, step)
 
 
 async def _append(store: VersionStore, step: Step) -> int:
-    """Appends a step once, also if the answer is lost; raises `ConflictError` if it is not allowed now."""
-    doubt = ""
+    """Appends a step exactly once, even if a response of the store is lost; returns the number of its record.
+
+    Raises `ConflictError` if the step is not allowed now, and `StoreUnavailableError` if it could not be
+    appended or the result is unknown.
+    """
+    last_error = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
         try:
             progress = await read_progress(store)
-            if doubt and any(record.step.unix_time == step.unix_time for record in progress.records):
+            if last_error and any(record.step.unix_time == step.unix_time for record in progress.records):
                 return progress.head
             document = progress.encode(step)
             try:
@@ -108,14 +112,14 @@
             if await store.append(document):
                 return record.number
         except VersionStoreError as error:
-            doubt = str(error)
+            last_error = str(error)
             await trio.sleep(RETRY_INTERVAL_S)
-    if doubt:
-        raise StoreUnavailableError(f"not known whether it was added: {doubt}")
-    raise StoreUnavailableError("others were ahead")
+    if last_error:
+        raise StoreUnavailableError(f"unknown whether the step was appended: {last_error}")
+    raise StoreUnavailableError("the step was not appended: other records were appended first")
 
 
 async def read_status(store: VersionStore) -> RolloutStatus:
-    """Returns the last rollout with its nodes and findings."""
+    """Returns the status of the last rollout, with its nodes and findings."""
     progress = await read_progress(store)
     return rollout_status(progress, await store.statuses())
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -1,7 +1,7 @@
-"""The plan of a rollout: what changes, in which stages, and what stops it. Does file I/O.
+"""The plan of a rollout: the programs, the stages, and the margins that stop it. Does file I/O.
 
-A TOML file, checked as a whole; a plan never names a node twice. The keys of the file are those of the stored
-record too; a field whose name differs has its key as alias.
+A plan is a TOML file that is validated as a whole; no node may be in it twice. The stored record has the same
+keys as the file. A field whose name differs from its key has the key as its alias.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from wheatroute.rollout.errors import PlanError
 
 Seconds = Annotated[float, Field(gt=0.0, le=86400.0)]
-# by how much a metric may be worse: fractions; the last three relative to the old value
+# By how much each metric may be worse at the new nodes. The margins are fractions; the last three are
+# relative to the value at the old nodes.
 DEFAULT_MARGINS = {
     "worth": 0.01,
     "refused": 0.01,
@@ -30,65 +31,75 @@
 
 
 class Table(BaseModel):
-    """A table of the file; unknown keys are errors."""
+    """Base class of the tables in the file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, serialize_by_alias=True)
 
 
 class Stage(Table):
-    """Nodes that change together, at most `max_changing` at a time, and how long they are watched then."""
+    """The nodes of one stage, and for how long they are watched after their change.
+
+    The nodes change one after the other, at most `Plan.max_changing` at a time.
+    """
 
     name: str
     nodes: list[str] = Field(min_length=1)
+    # Shortest time before the stage may pass.
     min_watched_s: Seconds = Field(default=60.0, alias="least")
+    # Time after which a stage without a verdict ends with `Plan.step_when_unsure`.
     max_watched_s: Seconds = Field(default=600.0, alias="most")
-    is_held_after: bool = Field(default=False, alias="ask")  # until an operator resumes
+    # Whether the rollout is held after the stage until an operator resumes.
+    is_held_after: bool = Field(default=False, alias="ask")
 
     @model_validator(mode="after")
     def _check(self) -> Stage:
         if self.max_watched_s < self.min_watched_s:
-            raise ValueError("most is less than least")
+            raise ValueError('"most" must not be less than "least"')
         return self
 
 
 class Plan(Table):
-    """The file."""
+    """The plan of a rollout from the program `old` to the program `new`."""
 
     name: str = Field(min_length=1)
     old: str
     new: str
     stages: list[Stage] = Field(min_length=1)
-    # how long both sides are watched before a stage
+    # Time for which both sides are watched before each stage.
     baseline_s: Seconds = Field(default=60.0, alias="before")
-    max_changing: int = Field(default=1, ge=1, alias="away")  # nodes that change at a time
-    # for a new process to come up, confirm its settings and take over
+    # Most nodes that change at the same time.
+    max_changing: int = Field(default=1, ge=1, alias="away")
+    # Time for a new process to come up, confirm its settings and replace the old one.
     change_timeout_s: Seconds = Field(default=60.0, alias="patience")
-    risk: float = Field(default=0.01, gt=0.0, lt=0.5)  # of stopping a good version, over the whole rollout
-    # the step without a verdict at the end of a stage
+    # Probability of stopping a good version, over the whole rollout.
+    risk: float = Field(default=0.01, gt=0.0, lt=0.5)
+    # What happens if there is not enough data for a verdict at the end of a stage, or for a baseline before
+    # it: hold, go (continue) or back (roll back).
     step_when_unsure: Literal["hold", "go", "back"] = Field(default="hold", alias="unsure")
+    # By how much each metric may be worse; metrics that are not listed are not compared.
     margins: dict[str, float] = DEFAULT_MARGINS
-    # metrics that must be known not to be worse before a stage passes
+    # Metrics that must be known not to be worse before a stage passes.
     required_metrics: list[str] = Field(default=["worth", "refused", "terminated"], alias="watched")
 
     @model_validator(mode="after")
     def _check(self) -> Plan:
         if self.old == self.new:
-            raise ValueError("old and new are one program")
+            raise ValueError('"old" and "new" must be different programs')
         names = [name for stage in self.stages for name in stage.nodes]
         twice = sorted({name for name in names if names.count(name) > 1})
         if twice:
-            raise ValueError(f"in two stages: {', '.join(twice)}")
+            raise ValueError(f"nodes listed more than once: {', '.join(twice)}")
         unknown = sorted((self.margins.keys() | set(self.required_metrics)) - DEFAULT_MARGINS.keys())
         if unknown:
-            raise ValueError(f"not looked at: {', '.join(unknown)}; there is {', '.join(DEFAULT_MARGINS)}")
+            raise ValueError(f"unknown metrics: {', '.join(unknown)}; known are {', '.join(DEFAULT_MARGINS)}")
         without = sorted(set(self.required_metrics) - self.margins.keys())
         if without:
-            raise ValueError(f"watched without a margin: {', '.join(without)}")
+            raise ValueError(f'metrics in "watched" without a margin: {", ".join(without)}')
         return self
 
 
 def read_plan(path: str) -> Plan:
-    """Reads a plan; raises `PlanError`."""
+    """Reads a plan file; raises `PlanError` if it cannot be read or is invalid."""
     try:
         return parse_plan(tomllib.loads(Path(path).read_text(encoding="utf-8")), path)
     except OSError as error:
@@ -98,13 +109,13 @@
 
 
 def parse_plan(document: Any, path: str = "plan") -> Plan:
-    """Checks a plan's document; raises `PlanError` with `path` in its lines."""
+    """Validates the document of a plan; raises `PlanError`, whose lines begin with `path`."""
     try:
         return Plan.model_validate(document)
     except ValidationError as error:
         raise PlanError(
             "\n".join(
-                f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole'}: {one['msg']}"
+                f"{path}: {'.'.join(map(str, one['loc'])) or 'whole plan'}: {one['msg']}"
                 for one in error.errors()
             )
         ) from error
--- a/wheatroute/rollout/records.py
+++ b/wheatroute/rollout/records.py
@@ -1,7 +1,7 @@
-"""The steps of rollouts, and the documents in which a store keeps them. No I/O.
+"""The steps of rollouts, and the documents in which the store keeps them. No I/O.
 
-A document is a JSON object: the fields of its step, without those that have their default, and those that
-chain it to the record before.
+A document is a JSON object with the fields of its step, except those that have their default value, and with
+the fields that link it to the previous record.
 """
 
 from __future__ import annotations
@@ -14,15 +14,16 @@
 from wheatroute.agreement.documents import malformed_document_errors, parse
 from wheatroute.agreement.records import RecordHeader, StoredRecord
 
-StoredSequence = list[float]  # see `DifferenceSequence.to_stored`
+# The values that `DifferenceSequence.to_stored` returns.
+StoredSequence = list[float]
 
 
 class StepKind(StrEnum):
-    """The kind of a record, as stored."""
+    """The kind of a step, as stored."""
 
     START = "start"
-    STAGE = "stage"  # the nodes of the next stage change
-    PASS = "pass"  # the stage had a verdict
+    STAGE = "stage"  # the nodes of the next stage change their program
+    PASS = "pass"  # the stage is passed
     HOLD = "hold"
     RESUME = "go"
     ROLL_BACK = "back"
@@ -30,13 +31,13 @@
 
 
 class StepHeader(RecordHeader, frozen=True):
-    """What is checked of a record before the rest is read."""
+    """The fields of a record that are checked before its step is parsed."""
 
     stage: object = None
 
 
 class _Step(msgspec.Struct, frozen=True, kw_only=True, tag_field="kind", omit_defaults=True):
-    """A step, with its author and time if an operator took it, and the evidence if a controller did."""
+    """The common fields: author and time if an operator took the step, evidence if a controller did."""
 
     author: str | None = msgspec.field(name="by", default=None)
     unix_time: float | None = msgspec.field(name="when", default=None)
@@ -44,56 +45,61 @@
 
     @property
     def kind(self) -> StepKind:
-        """The kind, by which the stored form is told apart."""
+        """The kind of the step, which is the tag of its stored form."""
         return StepKind(str(self.__struct_config__.tag))
 
 
 class StartStep(_Step, frozen=True, kw_only=True, tag=StepKind.START.value):
-    """A rollout begins."""
+    """Starts a rollout."""
 
-    plan: Any  # parsed by `plan.parse_plan`
+    plan: Any  # document of the plan, see `plan.parse_plan`
     reason: str | None = msgspec.field(name="why", default=None)
 
 
 class StageStep(_Step, frozen=True, kw_only=True, tag=StepKind.STAGE.value):
-    """The nodes of a stage change; with what the controller measured before, for another that continues."""
+    """Starts a stage, whose nodes change their program.
 
-    stage: int
-    baseline: dict[str, StoredSequence] | None = msgspec.field(name="seen", default=None)  # by metric
-    # by request class: buckets of the median and of the 99th percentile
+    Contains what the controller measured before the stage, for a controller that takes over later.
+    """
+
+    stage: int  # index in the plan
+    # Differences between the two sides from before the stage, by metric.
+    baseline: dict[str, StoredSequence] | None = msgspec.field(name="seen", default=None)
+    # Histogram buckets of the median and of the 99th percentile, by request class.
     slow_thresholds: dict[str, tuple[int, int]] | None = msgspec.field(name="slow", default=None)
 
 
 class PassStep(_Step, frozen=True, kw_only=True, tag=StepKind.PASS.value):
-    """A stage had a verdict."""
+    """Passes a stage."""
 
     stage: int
 
 
 class HoldStep(_Step, frozen=True, kw_only=True, tag=StepKind.HOLD.value):
-    """Nothing more changes until an operator resumes."""
+    """Holds the rollout: no further node changes until an operator resumes."""
 
     reason: str
-    # too little was seen before the next stage for a verdict on it
+    # Whether the reason is too little data from before the next stage for a verdict on it.
     is_baseline_missing: bool = msgspec.field(name="unseen", default=False)
 
 
 class ResumeStep(_Step, frozen=True, kw_only=True, tag=StepKind.RESUME.value):
-    """An operator resumes."""
+    """Resumes a held rollout, by an operator's command."""
 
 
 class RollBackStep(_Step, frozen=True, kw_only=True, tag=StepKind.ROLL_BACK.value):
-    """All nodes go back to the old program."""
+    """Rolls back: all nodes return to the old program."""
 
     reason: str
+    # Whether the reason is too little data from before the next stage for a verdict on it.
     is_baseline_missing: bool = msgspec.field(name="unseen", default=False)
 
 
 class EndStep(_Step, frozen=True, kw_only=True, tag=StepKind.END.value):
-    """The rollout has ended."""
+    """Ends the rollout."""
 
     outcome: str | None = msgspec.field(name="how", default=None)
-    # nodes that failed to go back
+    # Nodes that failed to roll back.
     failed_nodes: list[str] | None = msgspec.field(name="mixed", default=None)
 
 
@@ -101,14 +107,14 @@
 
 
 class RolloutRecord(NamedTuple):
-    """A step under its number in the chain."""
+    """A step and its number in the chain."""
 
     number: int
     step: Step
 
 
 def parse_header(document: StoredRecord) -> StepHeader:
-    """Returns what is checked of a document before it is parsed."""
+    """Returns the header of a document; raises `MalformedDocumentError` if it is malformed."""
     return parse(document, StepHeader)
 
 
@@ -120,6 +126,6 @@
 
 
 def step_fields(step: Step) -> dict[str, Any]:
-    """Returns the stored fields of a step, its kind first."""
+    """Returns the fields of a step by their stored keys, with its kind first."""
     fields: dict[str, Any] = msgspec.to_builtins(step)
     return fields
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -1,7 +1,7 @@
 """Counts the outcomes of a node's requests, by request class and tenant. No I/O.
 
-The figures are sums since the node's start, so that a report that is lost or late loses nothing. A request is
-counted once, when it has ended.
+The counts are totals since the node's start, so that no request is missed when a report is lost or late. Each
+request is counted once, when it has ended.
 """
 
 from __future__ import annotations
@@ -17,12 +17,17 @@
 from wheatroute.rollout.figures import duration_bucket
 from wheatroute.rollout.statuses import ClassOutcomes, RequestFigures
 
-LOSS_DELAY_S = 0.3  # after its deadline a request without an answer counts as lost
+# Time after its deadline at which a request without a response counts as lost.
+LOSS_DELAY_S = 0.3
 SERVED_STATUS = 200
 
 
 class RequestAccounting:
-    """The accounting of one node. Request classes and tenants are the node's numbers by name."""
+    """Counts the requests of one node by outcome and by duration.
+
+    `request_classes` and `tenants` map names to the numbers that the node uses; `class_settings` is indexed
+    by the number of the class.
+    """
 
     def __init__(
         self,
@@ -30,11 +35,14 @@
         tenants: Mapping[str, int],
         class_settings: Sequence[RequestClass],
     ) -> None:
-        self._lost = 0  # of clients that have gone since
-        self._open: dict[int, float] = {}  # deadlines of requests that have not ended
-        # by the numbers of class and tenant; without their names
+        # Lost requests whose clients have closed their connections.
+        self._lost = 0
+        # Deadlines of the requests that have not ended, by request number.
+        self._open: dict[int, float] = {}
+        # Outcomes by the numbers of class and tenant; the names in them are not set.
         self._outcomes: dict[tuple[int, int], ClassOutcomes] = defaultdict(ClassOutcomes)
-        self._durations: dict[int, Counter[int]] = defaultdict(Counter)  # by class: counts by bucket
+        # Number of served requests by class number and bucket of duration.
+        self._durations: dict[int, Counter[int]] = defaultdict(Counter)
         self.update_settings(request_classes, tenants, class_settings)
 
     def update_settings(
@@ -43,18 +51,18 @@
         tenants: Mapping[str, int],
         class_settings: Sequence[RequestClass],
     ) -> None:
-        """Uses other settings from here on."""
+        """Replaces the settings; the counts are kept."""
         self._class_names = {number: name for name, number in request_classes.items()}
         self._tenant_names = {number: name for name, number in tenants.items()}
         self._class_settings = class_settings
 
     def request_accepted(self, exchange: Exchange) -> None:
-        """A request is to be answered."""
+        """Notes that a request was accepted and waits for its response."""
         if not exchange.is_complete:
             self._open[exchange.number] = exchange.deadline
 
     def request_answered(self, exchange: Exchange, now: float) -> None:
-        """A request has its answer."""
+        """Counts a request that has its response; `now` is on the clock of its deadline."""
         self._open.pop(exchange.number, None)
         outcomes = self._outcomes[exchange.request_class, exchange.tenant]
         outcomes.ended += 1
@@ -71,13 +79,13 @@
             outcomes.failed += 1
 
     def request_rejected(self, exchange: Exchange) -> None:
-        """A request was rejected for want of capacity before it was accepted."""
+        """Counts a request that was rejected for lack of capacity before it was accepted."""
         outcomes = self._outcomes[exchange.request_class, exchange.tenant]
         outcomes.ended += 1
         outcomes.rejected += 1
 
     def client_left(self, exchange: Exchange, now: float) -> None:
-        """The client of an open request has closed its connection; an overdue request counts as lost."""
+        """Counts an open request whose client has closed its connection; if it is overdue, also as lost."""
         self._lost += now > exchange.deadline + LOSS_DELAY_S
         self._open.pop(exchange.number, None)
         outcomes = self._outcomes[exchange.request_class, exchange.tenant]
@@ -85,7 +93,7 @@
         outcomes.client_left += 1
 
     def figures(self, now: float) -> StoredStatus:
-        """Returns the sums since the start, by the names of classes and tenants, as stored."""
+        """Returns the totals since the start, by the names of classes and tenants, as they are stored."""
         lost = self._lost + sum(now > deadline + LOSS_DELAY_S for deadline in self._open.values())
         outcomes = [
             msgspec.structs.replace(
--- a/wheatroute/rollout/restart_backoff.py
+++ b/wheatroute/rollout/restart_backoff.py
@@ -1,24 +1,25 @@
-"""How long a supervisor waits before it restarts a process that has ended. No I/O."""
+"""The backoff before a supervisor restarts a process that has ended. No I/O."""
 
 from __future__ import annotations
 
 MIN_RESTART_BACKOFF_S, MAX_RESTART_BACKOFF_S = 0.2, 30.0
-STABLE_AFTER_S = 30.0  # a process that has lived so long resets the backoff
+# A process that has lived this long resets the backoff.
+STABLE_AFTER_S = 30.0
 
 
 class RestartBackoff:
-    """An exponential backoff: doubled with each crash, up to a maximum. Times are monotonic seconds."""
+    """Exponential backoff, which doubles with each crash up to a maximum. Times are monotonic seconds."""
 
     def __init__(self) -> None:
         self._backoff_s = MIN_RESTART_BACKOFF_S
         self._restart_at = 0.0
 
     def is_over(self, now: float) -> bool:
-        """Whether the process may be restarted."""
+        """Returns whether the process may be restarted."""
         return now >= self._restart_at
 
     def process_ended(self, now: float, lived_s: float) -> None:
-        """Puts off the restart of a process that has ended after `lived_s` seconds."""
+        """Starts the backoff for a process that has ended after `lived_s` seconds."""
         if lived_s >= STABLE_AFTER_S:
             self._backoff_s = MIN_RESTART_BACKOFF_S
         else:
--- a/wheatroute/rollout/rollout_status.py
+++ b/wheatroute/rollout/rollout_status.py
@@ -1,4 +1,4 @@
-"""What an operator sees of the last rollout: its phase, and what each node runs. No I/O."""
+"""The status of the last rollout for operators: its phase, and the program of each node. No I/O."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from wheatroute.rollout.statuses import SupervisorStatus, controller_statuses, supervisor_statuses
 
 
-class NodeState(msgspec.Struct, frozen=True, kw_only=True):
-    """What a node of the plan runs; the keys are those of `--json`."""
+class NodeRolloutStatus(msgspec.Struct, frozen=True, kw_only=True):
+    """The program of a node in the plan and the state of its change; the keys are those of `--json`."""
 
     name: str
-    stage: str
-    target: str | None  # the program that it is to run
-    program: str = msgspec.field(name="runs", default="")
+    stage: str  # name of its stage
+    target: str | None  # program that the node is to run
+    program: str = msgspec.field(name="runs", default="")  # program that the node runs; "" for none
     is_changing: bool = msgspec.field(name="changing", default=False)
-    trouble: str = "no supervisor"
+    last_error: str = msgspec.field(name="trouble", default="no supervisor")
     crashes: int = 0
 
 
 class RolloutStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The last rollout; the keys are those of `--json`."""
+    """The status of the last rollout; the keys are those of `--json`."""
 
-    rollout: int  # number; 0 for none
+    rollout: int  # number of the rollout; 0 if there is none
     name: str
     phase: str
     stage: str
     reason: str
-    nodes: list[NodeState]
+    nodes: list[NodeRolloutStatus]
     findings: list[str]
 
     def to_document(self) -> dict[str, Any]:
-        """Returns what `--json` prints."""
+        """Returns the document that `--json` prints."""
         document: dict[str, Any] = msgspec.to_builtins(self)
         return document
 
@@ -52,7 +52,7 @@
         stage=plan.stages[progress.stage].name if plan and progress.stage >= 0 else "",
         reason=progress.reason,
         nodes=[
-            _node_state(name, stage.name, progress.target(name), supervisors.get(name))
+            _node_status(name, stage.name, progress.target(name), supervisors.get(name))
             for stage in (plan.stages if plan else ())
             for name in stage.nodes
         ],
@@ -60,22 +60,27 @@
     )
 
 
-def _node_state(name: str, stage: str, target: str | None, supervisor: SupervisorStatus | None) -> NodeState:
+def _node_status(
+    name: str, stage: str, target: str | None, supervisor: SupervisorStatus | None
+) -> NodeRolloutStatus:
     if supervisor is None:
-        return NodeState(name=name, stage=stage, target=target)
-    return NodeState(
+        return NodeRolloutStatus(name=name, stage=stage, target=target)
+    return NodeRolloutStatus(
         name=name,
         stage=stage,
         target=target,
         program=supervisor.program,
         is_changing=supervisor.is_changing,
-        trouble=supervisor.last_error,
+        last_error=supervisor.last_error,
         crashes=supervisor.crashes,
     )
 
 
 def _findings(progress: RolloutProgress, documents: Iterable[StoredStatus]) -> list[str]:
-    """Returns the findings of a controller; one that died may have left findings on an earlier record."""
+    """Returns the findings of a controller that has applied the last record.
+
+    Others are skipped, since a controller that died may have left findings on an earlier record.
+    """
     for controller in controller_statuses(documents):
         if controller.findings and controller.applied_record == progress.head:
             return controller.findings
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -228,8 +228,8 @@
     def _handle_crash(self, process: NodeProcess) -> None:
         """Handles the end of the serving process: the candidate replaces it if there is one.
 
-        Without a candidate the process is restarted after the backoff. In a rollout the new program counts as
-        failed at this node.
+        Without a candidate the process is restarted after the backoff. If it ran the new program of the
+        rollout, that program counts as failed at this node.
         """
         self._crashes += 1
         self._ended_keys.append(figures_key(self._settings.name, process.incarnation))
--- a/wheatroute/rollout/supervisor_state.py
+++ b/wheatroute/rollout/supervisor_state.py
@@ -1,4 +1,4 @@
-"""The state file of a supervisor, by which the next one finds the processes that run. Does file I/O."""
+"""The state file of a supervisor, by which the next one finds the running processes. Does file I/O."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 
 class StoredProcess(msgspec.Struct, frozen=True):
-    """A process of the node."""
+    """A process of the node, as kept in the state file."""
 
     program: str
     incarnation: str = msgspec.field(name="start")
     pid: int
-    start_ticks: int = msgspec.field(name="ticks")  # clock ticks since boot
+    start_ticks: int = msgspec.field(name="ticks")  # start time in clock ticks since boot
 
 
 class SupervisorState(msgspec.Struct, frozen=True, kw_only=True):
-    """The content of the file; keys that are missing in it have their defaults."""
+    """The content of the state file; missing keys have their defaults."""
 
     serving: StoredProcess | None = msgspec.field(name="old", default=None)
     candidate: StoredProcess | None = msgspec.field(name="new", default=None)
     draining: list[StoredProcess] = msgspec.field(name="leaving", default_factory=list)
     failed: list[FailedProgram] = msgspec.field(default_factory=list)
-    # program and incarnation of the process that was started last; [] before the first one
+    # Program and incarnation of the process that was started last; [] before the first one.
     starting: list[str] = msgspec.field(default_factory=list)
     crashes: int = 0
 
 
 def read_state(path: str) -> SupervisorState | None:
-    """Returns the state that the last supervisor wrote, or None if there is none.
+    """Returns the state that the last supervisor wrote, or None if the file cannot be read or is not JSON.
 
-    Raises `MalformedDocumentError` if it is malformed.
+    Raises `MalformedDocumentError` if its fields are malformed.
     """
     try:
         document = json.loads(Path(path).read_text())
@@ -46,7 +46,7 @@
 
 
 def write_state(path: str, state: SupervisorState) -> None:
-    """Replaces the file atomically; raises `OSError`."""
+    """Replaces the state file atomically; raises `OSError` if it cannot be written."""
     temporary = Path(path + ".new")
     temporary.write_text(json.dumps(msgspec.to_builtins(state)))
     os.rename(temporary, path)
