--- a/tests/rollout/faulty_node.py
+++ b/tests/rollout/faulty_node.py
@@ -1,4 +1,4 @@
-"""The program made bad on purpose: `python faulty_node.py HOW` starts a node that does worse in one way."""
+"""Starts a node with a deliberate fault, for tests of rollouts: `python faulty_node.py FAULT`."""
 
 import os
 import random
@@ -12,62 +12,62 @@
 from wheatroute.net.exchange import Response
 from wheatroute.net.request_handler import RequestHandler
 
-CHANCE = random.Random(1)
+RNG = random.Random(1)
 
 
-def refuses(share):
-    """Some requests are refused that need not be."""
+def reject_requests(fraction):
+    """Rejects a fraction of the requests without need."""
     add_request = BalancerDriver.add_request
 
-    def instead(self, exchange):
-        if CHANCE.random() < share:
+    def add_or_reject(self, exchange):
+        if RNG.random() < fraction:
             exchange.complete(Response(503, retry_after_s=0.1))
         else:
             add_request(self, exchange)
 
-    BalancerDriver.add_request = instead
+    BalancerDriver.add_request = add_or_reject
 
 
-def loses(share):
-    """Some requests are never answered, and the node does not know."""
+def drop_responses(fraction):
+    """Never sends the response to a fraction of the requests, without the node noticing."""
     respond = RequestHandler._respond
 
-    def instead(self, client):
-        if CHANCE.random() >= share:
+    def respond_or_drop(self, client):
+        if RNG.random() >= fraction:
             respond(self, client)
 
-    RequestHandler._respond = instead
+    RequestHandler._respond = respond_or_drop
 
 
-def late(seconds):
-    """All answers take longer."""
+def delay_responses(seconds):
+    """Delays all responses."""
     respond = RequestHandler._respond
 
-    async def after(self, client):
+    async def respond_later(self, client):
         await trio.sleep(seconds)
         if client.exchange is not None:
             respond(self, client)
 
-    RequestHandler._respond = lambda self, client: self.writer.nursery.start_soon(after, self, client)
+    RequestHandler._respond = lambda self, client: self.writer.nursery.start_soon(respond_later, self, client)
 
 
-def unready():
-    """It serves and never confirms anything."""
+def never_report_ready():
+    """Serves, but never reports that it is ready."""
     from wheatroute.rollout.figures_reporter import FiguresReporter
 
     next_status = FiguresReporter.next_status
     FiguresReporter.next_status = lambda self: next_status(self) | {"ready": False}
 
 
-HOW = {
+FAULTS = {
     "dies": lambda: sys.exit(3),
     "dies later": lambda: threading.Timer(2.5, os._exit, (4,)).start(),
-    "refuses": lambda: refuses(0.1),
-    "loses": lambda: loses(0.02),
-    "late": lambda: late(0.05),
-    "unready": unready,
+    "refuses": lambda: reject_requests(0.1),
+    "loses": lambda: drop_responses(0.02),
+    "late": lambda: delay_responses(0.05),
+    "unready": never_report_ready,
 }
 
 if __name__ == "__main__":
-    HOW[sys.argv[1]]()
+    FAULTS[sys.argv[1]]()
     sys.exit(node.main())
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis: single sequences, then simulated versions, good and bad, by seed."""
+"""Canary analysis of single sequences, and of simulated good and bad versions with fixed seeds."""
 
 import random
 from collections import Counter
@@ -10,31 +10,34 @@
 
 
 def test_an_event_that_has_not_happened_still_has_variance():
-    one = DifferenceSequence()
+    sequence = DifferenceSequence()
     for _ in range(8):
-        one.add(Tally(0, 20), Tally(0, 20))
-    assert one.mean == 0.0 and one.sequence_radius(0.01) > 0.02
-    again = DifferenceSequence.from_stored(one.to_stored())
-    assert again.sequence_radius(0.01) == one.sequence_radius(0.01)
+        sequence.add(Tally(0, 20), Tally(0, 20))
+    assert sequence.mean == 0.0 and sequence.sequence_radius(0.01) > 0.02
+    restored = DifferenceSequence.from_stored(sequence.to_stored())
+    assert restored.sequence_radius(0.01) == sequence.sequence_radius(0.01)
 
 
 def simulated_stop(seed, harm=0.0, share=0.1, rate=400, seconds=120, before=120, skew=0.003):
-    """A stage with bursts that both meet, and a node that differs a little by itself; when it stops."""
+    """Simulates a stage with bursts that hit both sides; returns the second in which it is stopped, or None.
+
+    The new side rejects `harm` more requests after the change, and differs by up to `skew` all the time.
+    """
     rng = random.Random(seed)
     analysis = CanaryAnalysis({"refused": 0.01, "worth": 0.02}, 0.005)
-    lean, burst = rng.uniform(-skew, skew), 0
+    bias, burst = rng.uniform(-skew, skew), 0
     for second in range(before + seconds):
         burst = rng.randrange(2, 9) if rng.random() < 0.04 else max(0, burst - 1)
         usual = 0.06 if burst else 0.005
         load = int(rate * rng.uniform(0.7, 1.3) * (1.5 if burst else 1.0))
 
-        def side(count, refused, extra=0.02):
-            bad = sum(rng.random() < refused for _ in range(count))
+        def side(count, rejected_fraction, extra=0.02):
+            bad = sum(rng.random() < rejected_fraction for _ in range(count))
             return {"refused": Tally(bad, count), "worth": Tally(bad + extra * count, count)}
 
-        mine = max(0.0, usual + lean) + (harm if second >= before else 0.0)
+        new_fraction = max(0.0, usual + bias) + (harm if second >= before else 0.0)
         analysis.add_interval(
-            side(int(load * share), mine), side(int(load * (1 - share)), usual), second >= before
+            side(int(load * share), new_fraction), side(int(load * (1 - share)), usual), second >= before
         )
         if second >= before and analysis.verdict(frozenset(analysis.margins))[0] == Verdict.WORSE:
             return second - before
@@ -52,17 +55,17 @@
 
 
 def verdict_on_busier_machines(seed, harm):
-    """A node that is slower by `harm` seconds, on machines that become several times as slow meanwhile."""
+    """Returns the verdict on a node that gets `harm` seconds slower as all machines slow down threefold."""
     rng, watch, analysis = random.Random(seed), FiguresWatch(), CanaryAnalysis({"slow": 0.3}, 0.005)
     times = {name: Counter() for name in "abc"}
-    stage = 140  # the look at which node a gets the change
+    stage_start = 140  # number of the read at which node a changes
 
-    def row(name, look):
+    def figures_of(name, read):
         process = ProcessFigures(
             name=name,
             incarnation=name,
             program="",
-            heartbeat=look,
+            heartbeat=read,
             is_ready=True,
             is_stopping=False,
             cpu_s=0.0,
@@ -72,24 +75,28 @@
         durations = {"look": dict(times[name])}
         return NodeFigures(process, RequestFigures(lost=0, outcomes=[], durations=durations, values={}))
 
-    for look in range(stage + 160):
-        usual = 0.02 if look < stage else 0.06
+    for read in range(stage_start + 160):
+        usual = 0.02 if read < stage_start else 0.06
         for name in times:
             for _ in range(7):
-                took = usual * rng.lognormvariate(0.0, 0.8) + harm * (name == "a" and look >= stage)
+                took = usual * rng.lognormvariate(0.0, 0.8) + harm * (name == "a" and read >= stage_start)
                 times[name][figures.duration_bucket(took)] += 1
-        statuses = {name: row(name, look) for name in times}
-        if look <= 30:
-            watch.measure_thresholds(statuses.values(), look == 30)
-        did = watch.tallies_since_last(statuses, {}, {"b", "c"})
-        if look > 30:
-            old = {what: did["b"][what] + did["c"][what] for what in did["b"]}
-            analysis.add_interval(did["a"], old, look >= stage)
+        statuses = {name: figures_of(name, read) for name in times}
+        if read <= 30:
+            watch.measure_thresholds(statuses.values(), read == 30)
+        tallies = watch.tallies_since_last(statuses, {}, {"b", "c"})
+        if read > 30:
+            old = {metric: tallies["b"][metric] + tallies["c"][metric] for metric in tallies["b"]}
+            analysis.add_interval(tallies["a"], old, read >= stage_start)
     return analysis.verdict(frozenset({"slow"}))[0]
 
 
 def test_a_slower_version_is_found_on_machines_that_become_busier():
-    """By the times of before the stage 9 of 10 answers of both sides are slow: it was held for good."""
+    """Guards against thresholds from before the stage only.
+
+    By those, 9 of 10 responses of both sides were slow once the machines were busier; no verdict was possible
+    and the rollout was held forever.
+    """
     assert [verdict_on_busier_machines(seed, harm=0.09) for seed in range(8)] == [Verdict.WORSE] * 8
 
 
--- a/tests/rollout/test_controllers_and_backoff.py
+++ b/tests/rollout/test_controllers_and_backoff.py
@@ -1,4 +1,4 @@
-"""The order among controllers, and the backoff before a restart."""
+"""Which controller acts, and the backoff before a process is restarted."""
 
 from wheatroute.rollout.controller_order import EXPIRED_TURNS, TAKEOVER_TURNS, ControllerOrder
 from wheatroute.rollout.restart_backoff import MAX_RESTART_BACKOFF_S, STABLE_AFTER_S, RestartBackoff
@@ -9,7 +9,7 @@
     return ControllerStatus(incarnation=incarnation, heartbeat=heartbeat, findings=[], applied_record=0)
 
 
-def test_a_controller_acts_once_those_before_it_have_been_silent():
+def test_a_controller_acts_once_those_before_it_have_no_new_heartbeats():
     order = ControllerOrder("b")
     turns = [order.is_first([controller("a", 1), controller("b", turn)]) for turn in range(EXPIRED_TURNS + 1)]
     assert turns == [False] * TAKEOVER_TURNS + [True] * (EXPIRED_TURNS + 1 - TAKEOVER_TURNS)
@@ -17,7 +17,7 @@
     assert not order.is_first([controller("a", 2), controller("b", 99)]) and order.expired_keys == []
 
 
-def test_a_restart_is_put_off_twice_as_long_with_each_crash_until_a_process_is_stable():
+def test_the_restart_backoff_doubles_with_each_crash_until_a_process_is_stable():
     backoff, waits = RestartBackoff(), []
     assert backoff.is_over(0.0)
     for _ in range(9):
--- a/tests/rollout/test_rollout_format.py
+++ b/tests/rollout/test_rollout_format.py
@@ -1,4 +1,7 @@
-"""Records of rollouts and a node's figures: as landing 12 wrote them."""
+"""Records of rollouts and a node's figures keep their stored format, which is fixed here byte for byte.
+
+The digests guard against changes that would break the chain of existing records.
+"""
 
 from types import SimpleNamespace
 
@@ -55,17 +58,17 @@
 }
 
 
-def test_a_plan_is_stored_as_before():
+def test_a_plan_keeps_its_stored_format():
     assert orjson.dumps(plan.parse_plan(PLAN).model_dump()) == orjson.dumps(PLAN)
 
 
-def test_the_records_of_a_rollout_follow_each_other_as_before():
+def test_records_keep_their_stored_format_and_digests():
     progress = RolloutProgress()
     phases = []
     for step, expected in zip(STEPS, DIGESTS, strict=True):
-        more = {name: value for name, value in step.items() if name != "kind"}
-        record = progress.next_record(StepKind(step["kind"]), **more)
-        assert list(record) == ["format", "seq", "before", "kind", *more]
+        fields = {name: value for name, value in step.items() if name != "kind"}
+        record = progress.next_record(StepKind(step["kind"]), **fields)
+        assert list(record) == ["format", "seq", "before", "kind", *fields]
         assert digest(record) == expected
         progress.apply(record)
         phases.append(str(progress.phase))
@@ -81,7 +84,7 @@
     ]
 
 
-def test_a_nodes_figures_are_written_as_before():
+def test_a_nodes_figures_keep_their_stored_format():
     accounting = RequestAccounting({"look": 0}, {"acme": 0}, [RequestClass(value=2.0, target_latency=1.0)])
     exchange = SimpleNamespace(
         number=1,
--- a/tests/rollout/test_rollout_functions.py
+++ b/tests/rollout/test_rollout_functions.py
@@ -1,4 +1,4 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""Unit tests of single functions without sockets or clocks."""
 
 from wheatroute.rollout import figures
 
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -1,4 +1,4 @@
-"""Rollouts by supervisors and controllers, each a process, judged from outside by servers and clients."""
+"""Rollouts by real supervisor and controller processes, checked by what clients and servers observe."""
 
 import subprocess
 import sys
@@ -14,14 +14,16 @@
 from wheatroute.rig.rig import running_rig
 from wheatroute.rollout import operator, plan
 
-WITHIN = 1.5  # seconds
+BOUND_S = 1.5  # time bound that the rig checks its rules with
 MIX = {"look": 0.6, "change": 0.2, "buy": 0.2}
 GOOD = [sys.executable, "-m", "wheatroute"]
-# No stage is passed before times are known to be no worse. On a laden machine a node stands still for
-# moments, and all its answers are slow then: at three times its cores the difference of two nodes varied four
-# times as much from block to block as by chance, and 24 s before with 40 s after left it within 0.35, where
-# 0.29 is needed (new 0.98, old 0.43). Each takes twice as long, so that this comes to some 0.25.
-TIMES_WATCHED = {
+# Plan settings for a fault in response times: no stage passes before these are known to be no worse.
+#
+# On an overloaded machine a node stalls for moments, during which all its responses are slow. With a load of
+# three times the machine's cores, the difference between two nodes varied four times as much from block to
+# block as random sampling explains. 24 s before the change with 40 s after it determined the difference to
+# within 0.35 only, where 0.29 is needed (new 0.98, old 0.43). Twice these times give about 0.25.
+LATENCY_PLAN = {
     "watched": ["worth", "refused", "terminated", "slow"],
     "before": 48.0,
     "stages": [
@@ -30,11 +32,12 @@
     ],
 }
 
-# A stage that may be watched for longer than a calm machine needs. At three times the cores fewer requests
-# come:
-# after 20 s the difference (new 0.096, old 0.000) was known within 0.067 to 0.073 only, where less than 0.04
-# is needed for a margin of 0.06, and the rollout was held in three of three plays.
-LONG_STAGES = {
+# Plan settings with stages that may be watched for longer than an idle machine needs.
+#
+# With a load of three times the machine's cores fewer requests arrive: after 20 s the difference (new 0.096,
+# old 0.000) was known to within 0.067 to 0.073 only, where less than 0.04 is needed for a margin of 0.06, and
+# the rollout was held in three of three runs.
+LONG_STAGES_PLAN = {
     "stages": [
         {"name": "one", "nodes": ["n0"], "least": 2.0, "most": 100.0},
         {"name": "rest", "nodes": ["n1", "n2"], "least": 2.0, "most": 100.0},
@@ -42,12 +45,13 @@
 }
 
 
-def bad(how):
-    return [sys.executable, str(Path(__file__).with_name("faulty_node.py")), how]
+def faulty(fault):
+    """Returns the command of a node with a fault of `faulty_node.py`."""
+    return [sys.executable, str(Path(__file__).with_name("faulty_node.py")), fault]
 
 
-def told(**more):
-    """A plan for three nodes in two stages."""
+def rollout_plan(**overrides):
+    """Returns a plan for three nodes in two stages."""
     stages = [
         {"name": "one", "nodes": ["n0"], "least": 2.0, "most": 20.0},
         {"name": "rest", "nodes": ["n1", "n2"], "least": 2.0, "most": 20.0},
@@ -62,50 +66,59 @@
             "patience": 10.0,
             "margins": {"worth": 0.2, "refused": 0.06, "terminated": 0.06, "slow": 0.3},
         }
-        | more
+        | overrides
     )
 
 
-def story(tell):
+def async_test(function):
+    """Makes a test function of an async function."""
+
     def run():
-        trio.run(tell)
+        trio.run(function)
 
-    run.__name__ = tell.__name__
+    run.__name__ = function.__name__
     return run
 
 
-class Story:
+class RolloutHarness:
     """A rig with supervisors, and the store of its rollouts."""
 
-    def __init__(self, it):
-        self.it, self.store = it, DirectoryStore(str(it.folder / "rollouts"))
+    def __init__(self, rig):
+        self.rig, self.store = rig, DirectoryStore(str(rig.folder / "rollouts"))
 
-    async def ready(self, rate=80):
-        number = await self.it.versions.put("the first")
-        await self.it.versions.wait_until_agreed(number)
-        await self.until(lambda rows: len(rows) == 3 and all(row.program == "old" for row in rows.values()))
-        self.it.start_load(rate, MIX)
-        await self.it.wait_until(
-            lambda: sum(one.status == 200 for one in self.it.records.requests.values()) > 100, "all serve"
+    async def start_load(self, rate=80):
+        """Waits until all nodes serve the old program, and starts the clients."""
+        number = await self.rig.versions.put("first version")
+        await self.rig.versions.wait_until_agreed(number)
+        await self.wait_for_supervisors(
+            lambda statuses: (
+                len(statuses) == 3 and all(status.program == "old" for status in statuses.values())
+            )
+        )
+        self.rig.start_load(rate, MIX)
+        await self.rig.wait_until(
+            lambda: sum(request.status == 200 for request in self.rig.records.requests.values()) > 100,
+            "100 requests have succeeded",
         )
 
-    async def until(self, what, patience=30.0):
-        """By the supervisors' rows, for what cannot be seen from outside: which program runs."""
-        with trio.fail_after(patience):
-            while not what(await operator.supervisor_statuses(self.store)):
+    async def wait_for_supervisors(self, condition, timeout_s=30.0):
+        """Waits for a condition on the supervisors' statuses, since clients cannot see which program runs."""
+        with trio.fail_after(timeout_s):
+            while not condition(await operator.supervisor_statuses(self.store)):
                 await trio.sleep(0.05)
 
-    async def ended(self, patience=60.0):
-        with trio.move_on_after(patience):
+    async def wait_until_ended(self, timeout_s=60.0):
+        """Returns the progress of the rollout once it has ended."""
+        with trio.move_on_after(timeout_s):
             while True:
                 progress = await operator.read_progress(self.store)
                 if progress.phase == "ended":
                     return progress
                 await trio.sleep(0.1)
-        raise AssertionError(f"not ended in {patience:g} s: {await self.standing()}")
+        raise AssertionError(f"the rollout has not ended in {timeout_s:g} s: {await self.describe()}")
 
-    async def standing(self):
-        """Where the rollout stands by the progress, the supervisors and the controllers."""
+    async def describe(self):
+        """Returns the state of the rollout with all records and statuses, for a failure message."""
         progress = await operator.read_progress(self.store)
         return "\n".join(
             [
@@ -115,166 +128,175 @@
             ]
         )
 
-    async def kept(self):
-        """No rule was broken by anyone."""
-        until = await self.it.stop_load()
-        await self.it.versions.read_history()
-        violations = verdict.find_violations(self.it.records, until, WITHIN)
+    async def check_rules(self):
+        """Stops the load and asserts that no node or server broke a rule."""
+        until = await self.rig.stop_load()
+        await self.rig.versions.read_history()
+        violations = verdict.find_violations(self.rig.records, until, BOUND_S)
         assert not violations, "\n".join([violations[0].rule, *violations[0].timeline])
 
 
-def kinds(progress):
-    return [one.step.kind for one in progress.records]
+def step_kinds(progress):
+    return [record.step.kind for record in progress.records]
 
 
-def not_served(found, names):
-    """Each request of these nodes that had another answer than 200, told as a line."""
-    ran = {one.request_id for one in found.executions}
+def failed_requests(records, nodes):
+    """Returns a line for each request of these nodes that had a response other than 200."""
+    executed = {execution.request_id for execution in records.executions}
     return [
-        f"{one.node} {one.request_class} {one.request_id} "
-        f"sent at {one.sent_at:.3f} with {one.timeout_s:.3f} s left, "
-        f"{one.status} after {one.ended_at - one.sent_at:.3f} s, "
-        f"{'ran' if one.request_id in ran else 'never ran'}"
-        for one in found.requests.values()
-        if one.node in names and one.ended_at and one.status not in (0, 200)
+        f"{request.node} {request.request_class} {request.request_id} "
+        f"sent at {request.sent_at:.3f} with {request.timeout_s:.3f} s left, "
+        f"{request.status} after {request.ended_at - request.sent_at:.3f} s, "
+        f"{'executed' if request.request_id in executed else 'never executed'}"
+        for request in records.requests.values()
+        if request.node in nodes and request.ended_at and request.status not in (0, 200)
     ]
 
 
-@story
-async def test_a_good_version_goes_through_all_stages_and_nobody_feels_it():
-    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
-        one = Story(it)
-        await one.ready()
-        it.launcher.start_controller()
-        number = await operator.start(one.store, told(), "a story")
-        progress = await one.ended()
+@async_test
+async def test_a_good_version_passes_all_stages_without_a_failed_request():
+    async with running_rig(RigOptions(nodes=3, bound_s=BOUND_S, programs={"old": GOOD, "new": GOOD})) as rig:
+        harness = RolloutHarness(rig)
+        await harness.start_load()
+        rig.launcher.start_controller()
+        number = await operator.start(harness.store, rollout_plan(), "a test")
+        progress = await harness.wait_until_ended()
         assert number == 1
-        assert kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
-        assert {row.program for row in (await operator.supervisor_statuses(one.store)).values()} == {"new"}
-        assert sum(one.status != 200 for one in it.records.requests.values() if one.status) == 0
-        await one.kept()
+        assert step_kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
+        assert {
+            status.program for status in (await operator.supervisor_statuses(harness.store)).values()
+        } == {"new"}
+        assert sum(request.status != 200 for request in rig.records.requests.values() if request.status) == 0
+        await harness.check_rules()
 
 
-@pytest.mark.parametrize("how, reason", [("dies", "did not come up: status 3"), ("unready", "was not ready")])
-def test_a_version_that_does_not_come_up_leaves_the_old_one_serving(how, reason):
-    async def tell():
+@pytest.mark.parametrize(
+    "fault, reason", [("dies", "did not come up: status 3"), ("unready", "was not ready")]
+)
+def test_a_version_that_does_not_come_up_leaves_the_old_one_serving(fault, reason):
+    async def run():
         async with running_rig(
-            RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": bad(how)})
-        ) as it:
-            one = Story(it)
-            await one.ready()
-            it.launcher.start_controller()
-            await operator.start(one.store, told(), "a story")
-            progress = await one.ended()
-            assert kinds(progress) == ["start", "stage", "back", "end"] and reason in progress.reason
-            rows = await operator.supervisor_statuses(one.store)
-            assert {row.program for row in rows.values()} == {"old"}
+            RigOptions(nodes=3, bound_s=BOUND_S, programs={"old": GOOD, "new": faulty(fault)})
+        ) as rig:
+            harness = RolloutHarness(rig)
+            await harness.start_load()
+            rig.launcher.start_controller()
+            await operator.start(harness.store, rollout_plan(), "a test")
+            progress = await harness.wait_until_ended()
+            assert step_kinds(progress) == ["start", "stage", "back", "end"] and reason in progress.reason
+            statuses = await operator.supervisor_statuses(harness.store)
+            assert {status.program for status in statuses.values()} == {"old"}
             assert progress.records[-1].step.failed_nodes == []
-            await one.kept()
+            await harness.check_rules()
 
-    trio.run(tell)
+    trio.run(run)
 
 
 @pytest.mark.parametrize(
-    "how, word", [("refuses", "refused"), ("late", "slow"), ("loses", "lost"), ("dies later", "new ended")]
+    "fault, word", [("refuses", "refused"), ("late", "slow"), ("loses", "lost"), ("dies later", "new ended")]
 )
-def test_a_version_that_does_worse_is_taken_back_from_the_one_node_that_had_it(how, word):
-    async def tell():
+def test_a_version_that_does_worse_is_taken_back_from_the_one_node_that_had_it(fault, word):
+    async def run():
         async with running_rig(
-            RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": bad(how)}, timeout_s=300.0)
-        ) as it:
-            one = Story(it)
-            await one.ready()
-            it.launcher.start_controller()
+            RigOptions(
+                nodes=3, bound_s=BOUND_S, programs={"old": GOOD, "new": faulty(fault)}, timeout_s=300.0
+            )
+        ) as rig:
+            harness = RolloutHarness(rig)
+            await harness.start_load()
+            rig.launcher.start_controller()
             await operator.start(
-                one.store, told(**(TIMES_WATCHED if word == "slow" else LONG_STAGES)), "a story"
+                harness.store,
+                rollout_plan(**(LATENCY_PLAN if word == "slow" else LONG_STAGES_PLAN)),
+                "a test",
             )
-            progress = await one.ended(200.0)
-            assert kinds(progress) == ["start", "stage", "back", "end"], progress.records
+            progress = await harness.wait_until_ended(200.0)
+            assert step_kinds(progress) == ["start", "stage", "back", "end"], progress.records
             assert word in progress.reason
-            assert {row.program for row in (await operator.supervisor_statuses(one.store)).values()} == {
-                "old"
-            }
-            # what the bad one did is its own; the other nodes' clients felt none of it
-            felt = not_served(it.records, ("n1", "n2"))
-            assert not felt, "\n".join([f"stages: {progress.records}", *felt])
-
-    trio.run(tell)
-
-
-@story
-async def test_controllers_killed_between_steps_leave_the_next_to_go_on_and_no_step_is_done_twice():
-    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
-        one = Story(it)
-        await one.ready()
-        await operator.start(one.store, told(), "a story")
-        seen = 0
+            assert {
+                status.program for status in (await operator.supervisor_statuses(harness.store)).values()
+            } == {"old"}
+            # Requests may fail at the faulty node n0, but not at the other nodes.
+            failed = failed_requests(rig.records, ("n1", "n2"))
+            assert not failed, "\n".join([f"stages: {progress.records}", *failed])
+
+    trio.run(run)
+
+
+@async_test
+async def test_the_next_controller_continues_after_killed_ones_and_no_step_is_taken_twice():
+    async with running_rig(RigOptions(nodes=3, bound_s=BOUND_S, programs={"old": GOOD, "new": GOOD})) as rig:
+        harness = RolloutHarness(rig)
+        await harness.start_load()
+        await operator.start(harness.store, rollout_plan(), "a test")
+        last_head = 0
         with trio.fail_after(90):
             while True:
-                name, other = it.launcher.start_controller(), it.launcher.start_controller()
-                while (progress := await operator.read_progress(one.store)).head == max(
-                    seen, 1
+                first, second = rig.launcher.start_controller(), rig.launcher.start_controller()
+                while (progress := await operator.read_progress(harness.store)).head == max(
+                    last_head, 1
                 ) and progress.phase != "ended":
                     await trio.sleep(0.05)
-                it.faults.kill(name)
-                it.faults.kill(other)
-                seen = progress.head
+                rig.faults.kill(first)
+                rig.faults.kill(second)
+                last_head = progress.head
                 if progress.phase == "ended":
                     break
-        assert kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
-        await one.kept()
-
-
-@story
-async def test_a_supervisor_that_dies_leaves_its_node_serving_and_the_next_one_finds_it():
-    async with running_rig(RigOptions(nodes=3, bound_s=WITHIN, programs={"old": GOOD, "new": GOOD})) as it:
-        one = Story(it)
-        await one.ready()
-        pids = it.processes["n0"].pids
-        it.processes["supervisor-n0"].kill()
-        dead = time.monotonic()
-        await it.wait_until(
+        assert step_kinds(progress) == ["start", "stage", "pass", "stage", "pass", "end"], progress.records
+        await harness.check_rules()
+
+
+@async_test
+async def test_a_node_keeps_serving_without_its_supervisor_and_the_next_one_finds_its_process():
+    async with running_rig(RigOptions(nodes=3, bound_s=BOUND_S, programs={"old": GOOD, "new": GOOD})) as rig:
+        harness = RolloutHarness(rig)
+        await harness.start_load()
+        pids = rig.processes["n0"].pids
+        rig.processes["supervisor-n0"].kill()
+        killed_at = time.monotonic()
+        await rig.wait_until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "n0" and one.sent_at > dead
-                    for one in it.records.requests.values()
+                    request.status == 200 and request.node == "n0" and request.sent_at > killed_at
+                    for request in rig.records.requests.values()
                 )
                 > 20
             ),
-            "n0 goes on serving",
+            "n0 keeps serving",
         )
-        it.processes["supervisor-n0"].start()
-        await it.wait_until(
-            lambda: "event=running-processes-found" in it.processes["supervisor-n0"].log, "it is found"
+        rig.processes["supervisor-n0"].start()
+        await rig.wait_until(
+            lambda: "event=running-processes-found" in rig.processes["supervisor-n0"].log,
+            "the process of n0 is found",
         )
-        assert it.processes["n0"].pids == pids and len(pids) == 1
-        it.launcher.start_controller()
-        await operator.start(one.store, told(), "a story")
-        assert kinds(await one.ended())[-1] == "end"
-        assert len(it.processes["n0"].pids) == 1 and it.processes["n0"].pids != pids
-        await one.kept()
+        assert rig.processes["n0"].pids == pids and len(pids) == 1
+        rig.launcher.start_controller()
+        await operator.start(harness.store, rollout_plan(), "a test")
+        assert step_kinds(await harness.wait_until_ended())[-1] == "end"
+        assert len(rig.processes["n0"].pids) == 1 and rig.processes["n0"].pids != pids
+        await harness.check_rules()
 
 
-def test_an_operator_reads_one_clear_line_for_what_cannot_be(tmp_path):
+def test_invalid_commands_are_rejected_with_an_error_message(tmp_path):
     cli = [sys.executable, "-m", "wheatroute.cli"]
     path = tmp_path / "plan.toml"
     path.write_text('name = "x"\nold = "a"\nnew = "a"\n[[stages]]\nname = "s"\nnodes = ["n0"]\n')
-    done = subprocess.run(
+    result = subprocess.run(
         [*cli, "rollout", "--at", str(tmp_path / "r"), "start", str(path), "--why", "w"],
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and '"old" and "new" must be different programs' in done.stderr
+    assert result.returncode == 2 and '"old" and "new" must be different programs' in result.stderr
     path.write_text(path.read_text().replace('new = "a"', 'new = "b"'))
-    done = subprocess.run(
+    result = subprocess.run(
         [*cli, "rollout", "--at", str(tmp_path / "r"), "start", str(path), "--why", "w"],
         capture_output=True,
         text=True,
     )
-    assert done.returncode == 2 and "n0: no supervisor has reported a status" in done.stderr
-    done = subprocess.run([*cli, "keep", str(path)], capture_output=True, text=True)
-    assert done.returncode == 2 and "programs" in done.stderr and "Traceback" not in done.stderr
-    done = subprocess.run(
+    assert result.returncode == 2 and "n0: no supervisor has reported a status" in result.stderr
+    result = subprocess.run([*cli, "keep", str(path)], capture_output=True, text=True)
+    assert result.returncode == 2 and "programs" in result.stderr and "Traceback" not in result.stderr
+    result = subprocess.run(
         [*cli, "rollout", "--at", str(tmp_path / "r"), "go"], capture_output=True, text=True
     )
-    assert done.returncode == 3 and "no rollout is under way" in done.stderr
+    assert result.returncode == 3 and "no rollout is under way" in result.stderr
--- a/tests/rollout/test_status_format.py
+++ b/tests/rollout/test_status_format.py
@@ -1,4 +1,4 @@
-"""Statuses in the rollout store and a supervisor's state file: as they were written before they had types."""
+"""Statuses in the rollout store and the supervisor's state file keep their stored format."""
 
 import json
 
@@ -98,7 +98,7 @@
     assert statuses.node_figures([SUPERVISOR, REQUESTS | PROCESS])[0].process == process
 
 
-def test_figures_are_read_and_written_as_before():
+def test_figures_keep_their_stored_format():
     (figures,) = statuses.node_figures([REQUESTS | PROCESS])
     assert orjson.dumps(figures.requests.to_stored()) == orjson.dumps(REQUESTS)
     assert figures.requests.durations == {"look": {-15: 1}}
@@ -115,7 +115,7 @@
         statuses.supervisor_statuses([without_program])
 
 
-def test_the_state_file_is_written_and_read_as_before(tmp_path):
+def test_the_state_file_keeps_its_format(tmp_path):
     path = str(tmp_path / "state")
     assert supervisor_state.read_state(path) is None
     state = SupervisorState(
