--- a/wheatroute/rollout/next_step.py
+++ b/wheatroute/rollout/next_step.py
@@ -67,6 +67,7 @@
 
 
 def _step_while_changing(progress: RolloutProgress, plan: Plan, observations: Observations) -> Step | None:
+    """Returns a rollback if the nodes of the stage have not changed in time."""
     stage = plan.stages[progress.stage]
     groups = len(stage.nodes) / plan.max_changing
     if observations.since_record_s <= plan.change_timeout_s * (EXTRA_CHANGE_TIMEOUTS + groups):
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -18,13 +18,13 @@
 # By how much each metric may be worse at the new nodes. The margins are fractions; the last three are
 # relative to the value at the old nodes.
 DEFAULT_MARGINS = {
-    "worth": 0.01,
-    "refused": 0.01,
-    "terminated": 0.005,
-    "slow": 0.05,
-    "slowest": 0.005,
-    "relays": 0.02,
-    "cpu": 0.25,
+    "worth": 0.01,  # value of the requests that were not served in time
+    "refused": 0.01,  # requests rejected for lack of capacity
+    "terminated": 0.005,  # requests that failed or whose client left
+    "slow": 0.05,  # requests slower than the old median
+    "slowest": 0.005,  # requests slower than the old 99th percentile
+    "relays": 0.02,  # requests with more than one attempt
+    "cpu": 0.25,  # CPU time per request
     "memory": 0.25,
     "connections": 0.5,
 }
@@ -115,7 +115,7 @@
     except ValidationError as error:
         raise PlanError(
             "\n".join(
-                f"{path}: {'.'.join(map(str, one['loc'])) or 'whole plan'}: {one['msg']}"
+                f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole plan'}: {one['msg']}"
                 for one in error.errors()
             )
         ) from error
--- a/wheatroute/rollout/supervisor_settings.py
+++ b/wheatroute/rollout/supervisor_settings.py
@@ -58,7 +58,7 @@
         raise SupervisorSettingsError(f"{path}: is not TOML: {error}") from error
     except ValidationError as error:
         lines = [
-            f"{path}: {'.'.join(map(str, one['loc'])) or 'whole file'}: {one['msg']}"
+            f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole file'}: {one['msg']}"
             for one in error.errors()
         ]
         raise SupervisorSettingsError("\n".join(lines)) from error
