--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -88,7 +88,7 @@
     def _finish_failed(self, call: Call, error: BaseException) -> None:
         status = _call_error_in(error)
         if status is None:
-            self._log.error("fault", exc_info=error)
+            self._log.error("unhandled-exception", exc_info=error)
             status = CallError(Status.INTERNAL, "a mistake in the server")
         call.finish(status.status, status.text)
 
@@ -153,7 +153,7 @@
         except (OSError, ssl.SSLError) as error:
             reason = f"broken: {getattr(error, 'reason', None) or error}"
         except Exception:
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
         finally:
             stream.close()
             self._open -= 1
@@ -207,7 +207,7 @@
             except CallError as error:
                 call.finish(error.status, error.text)
             except Exception:
-                self._log.exception("fault")
+                self._log.exception("unhandled-exception")
                 call.finish(Status.INTERNAL, "a mistake in the server")
         return NullReceiver()
 
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -54,7 +54,7 @@
             if attempt.scope.cancelled_caught:
                 outcome = self._outcome_of_cancelled(attempt, holder)
         except Exception:
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
             outcome = Outcome.UNKNOWN if holder.is_written else Outcome.UNCONNECTED
             holder.close_reason = CloseReason.FAULT
         self._pool.discard(holder.connection, holder.close_reason)
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -208,7 +208,7 @@
                 self._balancer.handle_events(moment, events, self)
             except Exception:
                 # An error in the balancer must not terminate the node or the exchanges that it holds.
-                self._log.exception("fault")
+                self._log.exception("unhandled-exception")
                 heappush(self._wakeups, moment + RETRY_AFTER_FAULT_S)
         for number in self._finished:
             self._exchanges.pop(number, None)
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -173,7 +173,7 @@
             reason = CloseReason.RESET
         except Exception:
             reason = CloseReason.FAULT
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
         finally:
             if connection is not None:
                 connection.close()
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -160,7 +160,7 @@
         except OSError:
             reason = client.close_reason or self._reason_of_end(client, CloseReason.RESET)
         except Exception:
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
         finally:
             client.close_reason = reason  # no pipelined request may be handled after this
             self._clients.mark_busy(client)
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -52,7 +52,7 @@
         except (OSError, MalformedError):
             outcome, holder.close_reason = Outcome.RESET, CloseReason.RESET
         except Exception:
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
         self._pool.discard(holder.connection, holder.close_reason)
         self._servers.end(server)
         self._driver.add_event(Event.PROBE_ENDED, server, outcome, now() - sent_at, report)
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -202,7 +202,7 @@
         try:
             self.writer.write(client, exchange.response)
         except Exception:  # must not propagate to the code that completed the exchange
-            self._log.exception("fault")
+            self._log.exception("unhandled-exception")
             client.end(CloseReason.FAULT)
 
     def _is_client_gone(self, client: ClientConnection) -> bool:
