--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -199,7 +199,7 @@
         def half_closed(self) -> None:
             self.call.finish()
 
-        def over(self, how: CallError) -> None: ...
+        def call_ended(self, outcome: CallError) -> None: ...
 
     listener = listen(("127.0.0.1", port))
     for _ in range(workers - 1):
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -49,7 +49,7 @@
         def end_stream_first(dispatcher, exchange, attempt):
             if not ended:
                 ended.append(1)
-                exchange.stream.over(CallError(Status.CANCELLED, "the proxy disconnected"))
+                exchange.stream.call_ended(CallError(Status.CANCELLED, "the proxy disconnected"))
             start_attempt(dispatcher, exchange, attempt)
 
         with mock.patch.object(Dispatcher, "start_attempt", end_stream_first):
--- a/wheatroute/grpc/async_call.py
+++ b/wheatroute/grpc/async_call.py
@@ -52,9 +52,9 @@
         self._half_closed = True
         self._changed.set()
 
-    def over(self, how: CallError) -> None:
+    def call_ended(self, outcome: CallError) -> None:
         """The call has ended."""
-        self.ended = how
+        self.ended = outcome
         self._changed.set()
         if not self.call.session.client_side:
             self.scope.cancel()
--- a/wheatroute/grpc/call.py
+++ b/wheatroute/grpc/call.py
@@ -39,7 +39,7 @@
     def half_closed(self) -> None:
         """The other side sends no more (servers only)."""
 
-    def over(self, how: CallError) -> None:
+    def call_ended(self, outcome: CallError) -> None:
         """The call has ended, and not by `finish` or `cancel` on this side. Called once, last."""
 
 
@@ -55,7 +55,7 @@
     def half_closed(self) -> None:
         """Ignored."""
 
-    def over(self, how: CallError) -> None:
+    def call_ended(self, outcome: CallError) -> None:
         """Ignored."""
 
 
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -109,7 +109,7 @@
         for session in list(self.sessions):
             session.drain()
 
-    def end(self, reason: str) -> None:
+    def close_connections(self, reason: str) -> None:
         """Closes all open connections."""
         for session in list(self.sessions):
             session.close(reason)
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -224,7 +224,7 @@
                 self.reset(call, h2.errors.ErrorCodes.CANCEL)
             else:
                 call.finish(error.status, error.text)
-            receiver.over(error)
+            receiver.call_ended(error)
 
     def _stream_ended(self, event: Any) -> None:
         call = self.calls.get(event.stream_id)
@@ -232,10 +232,10 @@
             return
         call.remote_end = True
         if self.client_side:
-            how = status_of(call.head)
-            if how.status == Status.OK and not call._assembler.is_between_messages:
-                how = CallError(Status.INTERNAL, "the answer ended inside a message")
-            self._end_call(call, how)
+            outcome = status_of(call.head)
+            if outcome.status == Status.OK and not call._assembler.is_between_messages:
+                outcome = CallError(Status.INTERNAL, "the answer ended inside a message")
+            self._end_call(call, outcome)
             return
         call.receiver.half_closed()
         self._end_if_responded(call)
@@ -350,8 +350,8 @@
         with suppress(h2.exceptions.ProtocolError, ValueError):
             self.h2.acknowledge_received_data(count, call.stream_id)
 
-    def _end_call(self, call: Call, how: CallError | None = None) -> None:
-        """Forgets a call; its receiver is notified of `how` it ended, if given."""
+    def _end_call(self, call: Call, outcome: CallError | None = None) -> None:
+        """Forgets a call; its receiver is notified of `outcome`, if given."""
         call.is_over = True
         self.calls.pop(call.stream_id, None)
         self._blocked_calls.pop(call.stream_id, None)
@@ -361,12 +361,12 @@
             call.unacknowledged = 0
         # a call and its receiver refer to each other: separated here, they need no garbage collection
         receiver, call.receiver = call.receiver, NULL_RECEIVER
-        if how is not None:
-            receiver.over(how)
+        if outcome is not None:
+            receiver.call_ended(outcome)
 
-    def _end_all(self, how: CallError) -> None:
+    def _end_all(self, outcome: CallError) -> None:
         for call in list(self.calls.values()):
-            self._end_call(call, how)
+            self._end_call(call, outcome)
 
     # the connection
 
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -130,7 +130,7 @@
         self._end()
         self.call.finish()
 
-    def over(self, how: CallError) -> None:
+    def call_ended(self, outcome: CallError) -> None:
         """Ends the attempt after the stream was cancelled or reset."""
         self._end()
 
--- a/wheatroute/processor/worker.py
+++ b/wheatroute/processor/worker.py
@@ -146,7 +146,7 @@
         with trio.move_on_after(self._max_deadline_s + STOP_GRACE_S):
             while self.server.sessions:
                 await trio.sleep(STOP_POLL_INTERVAL_S)
-        self.server.end("stopping")
+        self.server.close_connections("stopping")
 
     def reload(self) -> None:
         """Reads the file again and applies the settings that a running worker can change.
