--- a/wheatroute/grpc/async_call.py
+++ b/wheatroute/grpc/async_call.py
@@ -1,7 +1,6 @@
-"""A call for coroutines: messages are awaited, with backpressure by the stream's flow control.
+"""A call with an awaitable interface, with backpressure by the stream's flow control.
 
-Messages that were not read yet are buffered, up to the stream's window. A coroutine that waits is always
-woken by the end of the call.
+Unread messages are buffered, up to the stream's window. The end of the call wakes every waiting coroutine.
 """
 
 from __future__ import annotations
@@ -17,13 +16,14 @@
 
 
 class AsyncCall:
-    """Both directions of one call, of either side; a `Receiver`."""
+    """Sends and receives the messages of one call, as its client or its server; a `Receiver`."""
 
     def __init__(self, call: Call | None = None) -> None:
         self.call: Call
-        self.response_headers: dict[bytes, bytes] = {}  # empty until they came
+        self.response_headers: dict[bytes, bytes] = {}  # empty until received
         self.ended: CallError | None = None
-        self.scope = trio.CancelScope()  # in which a server's coroutine runs
+        # A server's method runs in this scope; the end of the call cancels it.
+        self.scope = trio.CancelScope()
         self._messages: deque[bytes] = deque()
         self._half_closed = False
         self._changed = trio.Event()
@@ -31,38 +31,38 @@
             self.attach(call)
 
     def attach(self, call: Call) -> None:
-        """Makes this the receiver's view of a call."""
+        """Binds this object to its call, and takes over the call's flow control."""
         self.call = call
         call.has_manual_flow_control = True
 
-    # the receiver
+    # Methods of the call's receiver.
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
-        """The response has begun."""
+        """Stores the headers of the response."""
         self.response_headers = headers
         self._changed.set()
 
     def message(self, message: bytes) -> None:
-        """A message came."""
+        """Buffers a message."""
         self._messages.append(message)
         self._changed.set()
 
     def half_closed(self) -> None:
-        """The peer sends no more messages."""
+        """Notes that the peer sends no more messages."""
         self._half_closed = True
         self._changed.set()
 
     def call_ended(self, outcome: CallError) -> None:
-        """The call has ended."""
+        """Notes the outcome of the call; cancels the method that serves it."""
         self.ended = outcome
         self._changed.set()
         if not self.call.session.client_side:
             self.scope.cancel()
 
-    # for coroutines
+    # Methods for coroutines.
 
     async def receive(self) -> bytes | None:
-        """The next message, None after the last one; raises `CallError` if the call failed."""
+        """Returns the next message, or None after the last one; raises `CallError` if the call failed."""
         while not self._messages:
             if self.ended is not None and self.ended.status != Status.OK:
                 raise self.ended
@@ -72,22 +72,28 @@
             await self._changed.wait()
         message = self._messages.popleft()
         if not self.call.is_over:
-            self.call.read(len(message))
+            self.call.mark_read(len(message))
             self.call.session.flush()
         return message
 
     async def send(self, message: bytes) -> None:
-        """Sends a message; waits until the messages before it fit the peer's windows."""
+        """Sends a message once all earlier ones have fit the peer's flow-control windows.
+
+        Raises `CallError` if the call has ended.
+        """
         call = self.call
         while call.unsent and not call.is_over:
             await trio.sleep(UNSENT_POLL_S)
         if call.is_over:
-            raise self.ended or CallError(Status.CANCELLED, "the call is over")
+            raise self.ended or CallError(Status.CANCELLED, "the call has ended")
         call.send(message)
         call.session.flush()
 
     async def wait_for_headers(self) -> dict[bytes, bytes]:
-        """The headers of the response (clients only); raises `CallError` if the call ends before."""
+        """Returns the headers of the response (clients only).
+
+        Raises `CallError` if the call ends before they are received.
+        """
         while not self.response_headers:
             if self.ended is not None:
                 raise self.ended
@@ -96,7 +102,7 @@
         return self.response_headers
 
     def half_close(self) -> None:
-        """Ends the request: no more messages are sent."""
+        """Ends the request (clients only): no more messages may be sent."""
         self.call.half_close()
         self.call.session.flush()
 
--- a/wheatroute/grpc/call.py
+++ b/wheatroute/grpc/call.py
@@ -1,7 +1,7 @@
-"""One gRPC call on a connection, of either side. No I/O: the session reads and writes the connection.
+"""One gRPC call on a connection, on the client or the server. No I/O: the session reads and writes.
 
-A call keeps the messages that do not fit the peer's flow-control windows yet, and notifies its receiver of
-what comes, in order.
+A call queues the messages that do not fit the peer's flow-control windows yet, and notifies its receiver of
+headers, messages and the end of the call, in order.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 import h2.errors
 
 from wheatroute.grpc.messages import (
-    MESSAGE_HEAD_BYTES,
+    MESSAGE_PREFIX_BYTES,
     Assembler,
     CallError,
     Headers,
@@ -28,42 +28,48 @@
 
 
 class Receiver(Protocol):
-    """Is notified of what comes on a call. No method may wait or raise."""
+    """Handles the events of a call. No method may block or raise."""
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
-        """The response has begun (clients only)."""
+        """Handles the headers of the response (clients only)."""
 
     def message(self, message: bytes) -> None:
-        """One complete message."""
+        """Handles one complete message."""
 
     def half_closed(self) -> None:
-        """The other side sends no more (servers only)."""
+        """Handles the end of the request: the client sends no more messages (servers only)."""
 
     def call_ended(self, outcome: CallError) -> None:
-        """The call has ended, and not by `finish` or `cancel` on this side. Called once, last."""
+        """Handles the end of the call, unless `finish` or `cancel` on this side caused it.
+
+        Called at most once, after all other events. `outcome` may have the status OK.
+        """
 
 
 class NullReceiver:
-    """A receiver that ignores everything."""
+    """Ignores all events."""
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
-        """Ignored."""
+        """Does nothing."""
 
     def message(self, message: bytes) -> None:
-        """Ignored."""
+        """Does nothing."""
 
     def half_closed(self) -> None:
-        """Ignored."""
+        """Does nothing."""
 
     def call_ended(self, outcome: CallError) -> None:
-        """Ignored."""
+        """Does nothing."""
 
 
 NULL_RECEIVER = NullReceiver()
 
 
 class Call:
-    """One stream, of either side."""
+    """One call: an HTTP/2 stream of a session, on the client or the server.
+
+    `head` holds the request's headers on a server, the response's headers or trailers on a client.
+    """
 
     __slots__ = (
         "stream_id",
@@ -86,23 +92,27 @@
     def __init__(self, stream_id: int, session: Session, head: dict[bytes, bytes]) -> None:
         self.stream_id, self.session, self.head = stream_id, session, head
         self.receiver: Receiver = NULL_RECEIVER
-        self.has_manual_flow_control = False  # its receiver calls `read` for each message
+        # Whether the receiver calls `mark_read` for each message; else a message counts as read at once.
+        self.has_manual_flow_control = False
+        # Whether this side and the peer have ended their direction, and whether the call has ended.
         self.local_end = self.remote_end = self.is_over = False
-        self.headers_sent = False  # of the response
+        self.headers_sent = False  # response headers
         self.never_ran = False  # the peer stated that it did not process the call
-        self.unread_messages = 0  # bytes of complete messages that its receiver has not read
-        self.unacknowledged = 0  # bytes that count against the windows until they are read
+        # Bytes of complete messages, with their prefixes, that the receiver has not read.
+        self.unread_messages = 0
+        # Received bytes that count against the flow-control windows until they are read.
+        self.unacknowledged = 0
         self._assembler = Assembler(session.limits.max_message_bytes)
         self._queue: deque[bytes] = deque()
         self._trailers: Headers | None = None
 
     @property
     def unsent(self) -> int:
-        """Bytes that do not fit the peer's windows yet."""
+        """The number of queued bytes, which do not fit the peer's flow-control windows yet."""
         return sum(map(len, self._queue))
 
     def send(self, message: bytes) -> None:
-        """Sends one message, as far as the windows allow now; does nothing on a call that is over."""
+        """Queues one message and sends what the flow-control windows allow; does nothing on an ended call."""
         if self.is_over or self.local_end:
             return
         session = self.session
@@ -113,7 +123,10 @@
         session.push(self)
 
     def finish(self, status: Status = Status.OK, text: str = "", extra: Headers | None = None) -> None:
-        """Ends an answer with its status (servers only); what was sent before goes out first."""
+        """Ends the response with a status (servers only), after all messages that are still queued.
+
+        `text` is the `grpc-message`; `extra` are further trailers.
+        """
         if self.is_over or self.local_end:
             return
         trailers = [(b"grpc-status", b"%d" % status), *(extra or [])]
@@ -124,18 +137,18 @@
         self.session.push(self)
 
     def half_close(self) -> None:
-        """Ends the request: no more messages are sent (clients only)."""
+        """Ends the request (clients only): no more messages may be sent."""
         if not self.is_over and not self.local_end:
             self._trailers, self.local_end = [], True
             self.session.push(self)
 
     def cancel(self, code: int = h2.errors.ErrorCodes.CANCEL) -> None:
-        """Ends the call at once; its receiver is not notified of anything more."""
+        """Resets the stream with an HTTP/2 error code; the receiver gets no further events."""
         self.session.reset(self, code)
 
-    def read(self, message_bytes: int) -> None:
-        """Notes that a message was read. Once all are, the windows are opened again."""
-        self.unread_messages -= message_bytes + MESSAGE_HEAD_BYTES
+    def mark_read(self, message_bytes: int) -> None:
+        """Notes that a message was read; enlarges the flow-control windows again once all are read."""
+        self.unread_messages -= message_bytes + MESSAGE_PREFIX_BYTES
         if self.unread_messages <= 0:
             self.session.acknowledge(self, self.unacknowledged)
             self.unacknowledged = 0
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -1,8 +1,8 @@
-"""The gRPC client: a connection to one address, which is kept up, and calls on it.
+"""The gRPC client: keeps a connection to one address open and makes calls on it.
 
-A lost connection is made anew with exponential backoff. A call is never sent twice: one that fails raises,
-with `never_ran` where the peer stated that it did not process it. Choosing another address is up to the
-caller.
+A lost connection is reopened with exponential backoff. A call is never retried: if it fails it raises, and
+`Call.never_ran` is set if the peer stated that it did not process the call. Trying another address is up to
+the caller.
 """
 
 from __future__ import annotations
@@ -23,13 +23,18 @@
 from wheatroute.grpc.messages import CallError, Headers, Status, encode_timeout
 from wheatroute.grpc.session import Session
 
-CONNECT_TIMEOUT_S = 2.0  # with the handshake
-MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 5.0  # between attempts to connect: doubled each time, half of it random
+CONNECT_TIMEOUT_S = 2.0  # for connecting and the TLS handshake
+# Delay between attempts to connect: doubled after each failure, half of it random.
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 5.0
 MAX_BACKOFF_DOUBLINGS = 10
 
 
 class Channel:
-    """Calls to one address over one connection, which is made anew when it is lost."""
+    """Makes calls to one address over one connection, which is reopened when it is lost.
+
+    `host` is the name that the server's certificate must have, and the calls' authority; by default the
+    address. `metadata` are headers of every call. `after_read` is called after the events of each read.
+    """
 
     def __init__(
         self,
@@ -39,7 +44,7 @@
         host: str | None = None,
         rng: random.Random | None = None,
         metadata: Headers | None = None,
-        burst: Callable[[], None] | None = None,
+        after_read: Callable[[], None] | None = None,
         max_backoff_s: float = MAX_BACKOFF_S,
     ) -> None:
         self._max_backoff_s = max_backoff_s
@@ -50,9 +55,9 @@
             host,
         )
         self.metadata: Headers = metadata or []
-        self.failed_attempts = 0  # to connect, since the last that succeeded
+        self.failed_attempts = 0  # consecutive failed attempts to connect
         self._rng = rng or random.Random(0)
-        self._burst = burst
+        self._after_read = after_read
         self._session: Session | None = None
         self._changed = trio.Event()
         self._last_error = "not connected yet"
@@ -64,13 +69,13 @@
         ]
 
     async def run(self) -> None:
-        """Keeps the connection up until it is cancelled."""
+        """Keeps the connection open until cancelled."""
         while True:
             try:
                 session = await self._connect()
             except (OSError, ssl.SSLError, trio.TooSlowError) as error:
                 self._last_error = str(error) or type(error).__name__
-                self._change(None)
+                self._set_session(None)
                 self.failed_attempts += 1
                 wait = min(
                     self._max_backoff_s, MIN_BACKOFF_S * 2 ** min(self.failed_attempts, MAX_BACKOFF_DOUBLINGS)
@@ -78,22 +83,22 @@
                 await trio.sleep(wait * (0.5 + 0.5 * self._rng.random()))
                 continue
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._announce, session)
+                nursery.start_soon(self._publish_when_ready, session)
                 await session.run()
                 nursery.cancel_scope.cancel()
             self._last_error = session.reason
-            self._change(None)
-            # backoff also for an address that accepts and closes at once
+            self._set_session(None)
+            # Back off also if the server accepts connections and closes them at once.
             self.failed_attempts += 1
             wait = min(self._max_backoff_s, MIN_BACKOFF_S * self.failed_attempts)
             await trio.sleep(wait * (0.5 + 0.5 * self._rng.random()))
 
-    async def _announce(self, session: Session) -> None:
+    async def _publish_when_ready(self, session: Session) -> None:
         await session.ready()
         self.failed_attempts = 0
-        self._change(session)
+        self._set_session(session)
 
-    def _change(self, session: Session | None) -> None:
+    def _set_session(self, session: Session | None) -> None:
         self._session = session
         self._changed.set()
         self._changed = trio.Event()
@@ -108,16 +113,16 @@
                     await trio.lowlevel.wait_writable(sock)
                     code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
                 if code:
-                    raise OSError(code, "no connection")
+                    raise OSError(code, "connect failed")
                 stream = ByteStream(sock, self.context, server_side=False, host=self.host or self.address[0])
                 await stream.handshake()
             except BaseException:
                 sock.close()
                 raise
-        return Session(stream, True, self.limits, burst=self._burst)
+        return Session(stream, True, self.limits, after_read=self._after_read)
 
     async def session(self) -> Session:
-        """The connection, once there is one that takes calls; waits without a limit."""
+        """Waits without a time limit for a connection that accepts calls, and returns it."""
         while self._session is None or self._session.is_draining or self._session.stream.closed:
             changed = self._changed
             with trio.move_on_after(MIN_BACKOFF_S):
@@ -126,14 +131,17 @@
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a connection that takes calls."""
+        """Whether there is a connection that accepts calls."""
         session = self._session
         return session is not None and not session.is_draining and not session.stream.closed
 
     def start(
         self, path: bytes, receiver: Receiver, timeout_s: float = inf, metadata: Headers | None = None
     ) -> None:
-        """Opens a call at once on the connection there is; raises `CallError` if there is none."""
+        """Starts a call on the open connection without waiting; raises `CallError` if there is none.
+
+        Sets the `call` of the receiver.
+        """
         if not self.is_connected or self._session is None:
             raise CallError(Status.UNAVAILABLE, self._last_error)
         head = [*self._head, (b":path", path), (b"te", b"trailers"), (b"content-type", b"application/grpc")]
@@ -149,9 +157,9 @@
     async def call(
         self, path: bytes, timeout_s: float = inf, metadata: Headers | None = None
     ) -> AsyncIterator[AsyncCall]:
-        """A call of any kind; it is cancelled if it is not over at the end of the block.
+        """Makes a call of any kind; if it has not ended at the end of the block it is cancelled.
 
-        Raises `CallError`, with DEADLINE_EXCEEDED once the time is over, also while connecting.
+        Raises `CallError`, with DEADLINE_EXCEEDED after `timeout_s`, which includes connecting.
         """
         async_call, began = AsyncCall(), trio.current_time()
         with trio.move_on_after(timeout_s) as limit:
@@ -162,27 +170,28 @@
             finally:
                 async_call.cancel()
         if limit.cancelled_caught:
-            raise CallError(Status.DEADLINE_EXCEEDED, "the call's time is over")
+            raise CallError(Status.DEADLINE_EXCEEDED, "the call timed out")
 
     async def unary_call(
         self, path: bytes, message: bytes, timeout_s: float = inf, metadata: Headers | None = None
     ) -> bytes:
-        """A unary call; returns the response message, raises `CallError`."""
+        """Makes a unary call and returns the response message; raises `CallError`."""
         async with self.call(path, timeout_s, metadata) as async_call:
             await async_call.send(message)
             async_call.half_close()
             response = await async_call.receive()
             if response is None:
-                raise CallError(Status.INTERNAL, "an response without a message")
+                raise CallError(Status.INTERNAL, "the response has no message")
+            # Wait for the status, which follows the message.
             while await async_call.receive() is not None:
-                pass  # the status comes after the message
+                pass
             return response
-        raise CallError(Status.DEADLINE_EXCEEDED, "the call's time is over")
+        raise CallError(Status.DEADLINE_EXCEEDED, "the call timed out")
 
 
 @asynccontextmanager
 async def connected(channel: Channel) -> AsyncIterator[Channel]:
-    """Runs a channel for the length of a block."""
+    """Keeps a channel connected for the duration of a block."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(channel.run)
         yield channel
--- a/wheatroute/grpc/limits.py
+++ b/wheatroute/grpc/limits.py
@@ -1,6 +1,6 @@
-"""What one connection may cost: limits of a peer, the reset budget and the keep-alive. No I/O.
+"""Resource limits of one connection: streams and bytes, the reset budget and the keep-alive. No I/O.
 
-Times are in seconds, of any clock that never goes back.
+Times are in seconds of any monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,24 +12,27 @@
 
 @dataclass(frozen=True)
 class ConnectionLimits:
-    """Limits of a peer: streams, bytes and resets; seconds for keep-alive."""
+    """Limits on what a peer may use of one connection, and the times of the keep-alive."""
 
-    max_streams: int = 1000  # open at a time
+    max_streams: int = 1000  # concurrently open
     max_message_bytes: int = 1 << 20
     max_header_list_bytes: int = 16384  # as HTTP/2 counts them (RFC 9113, 6.5.2)
     connection_window: int = 1 << 20  # unread bytes of one connection
     stream_window: int = 1 << 16  # unread bytes of one stream
-    max_backlog_bytes: int = 1 << 20  # unsent bytes, beyond which the peer is not read
-    max_resets: float = 400.0  # resets in reserve; one is added by each call that ends well
-    reset_rate: float = 100.0  # resets added a second
-    ping_interval_s: float = 30.0  # without anything received, after which the peer is pinged
-    ping_timeout_s: float = 10.0  # for its answer
+    # Unsent bytes above which nothing more is read from the peer.
+    max_backlog_bytes: int = 1 << 20
+    # Capacity of the reset budget; each completed call adds one reset.
+    max_resets: float = 400.0
+    reset_rate: float = 100.0  # resets per second that are added to the budget
+    # Time without received bytes after which a ping is sent.
+    ping_interval_s: float = 30.0
+    ping_timeout_s: float = 10.0  # from a ping to its acknowledgement
 
 
 class ResetBudget:
-    """Bounds how often a peer may open and reset streams, which costs the peer almost nothing.
+    """Limits how often a peer may open and reset streams, which costs the peer almost nothing.
 
-    A token bucket: each reset takes one; see CVE-2023-44487 ("rapid reset").
+    A token bucket: each reset takes one token. Protects against CVE-2023-44487 ("rapid reset").
     """
 
     def __init__(self, limits: ConnectionLimits, now: float) -> None:
@@ -37,23 +40,23 @@
         self._tokens, self._updated_at = limits.max_resets, now
 
     def count_reset(self, now: float) -> None:
-        """Counts a reset by the peer."""
+        """Takes a token for a reset by the peer."""
         added = (now - self._updated_at) * self._limits.reset_rate
         self._tokens = min(self._limits.max_resets, self._tokens + added) - 1.0
         self._updated_at = now
 
     def count_completed_call(self) -> None:
-        """Counts a call that ended well."""
+        """Adds a token for a call whose response was sent completely."""
         self._tokens = min(self._limits.max_resets, self._tokens + 1.0)
 
     @property
     def is_exhausted(self) -> bool:
-        """Whether the peer has reset more streams than it may."""
+        """Whether the peer has reset more streams than allowed."""
         return self._tokens < 0.0
 
 
 class KeepAliveAction(Enum):
-    """What is to be done on a connection."""
+    """What the session must do now to keep the connection alive."""
 
     NOTHING = "nothing"
     PING = "ping"
@@ -61,32 +64,32 @@
 
 
 class KeepAlive:
-    """Finds peers that are gone without closing the connection, which TCP may not notice for minutes."""
+    """Detects peers that disappeared without closing the connection, which TCP may miss for minutes."""
 
     def __init__(self, limits: ConnectionLimits, now: float) -> None:
         self._limits = limits
         self._last_received = now
-        self._ping_sent_at = inf  # of the ping that is not answered yet
+        self._ping_sent_at = inf  # time of the unacknowledged ping
 
     @property
     def check_interval_s(self) -> float:
-        """Seconds between two calls of `check`."""
+        """The time between two calls of `check`."""
         return min(self._limits.ping_interval_s, self._limits.ping_timeout_s) / 2
 
     def received(self, now: float) -> None:
-        """Notes that bytes came from the peer."""
+        """Notes that bytes were received from the peer."""
         self._last_received = now
 
     def ping_sent(self, now: float) -> None:
-        """Notes that a ping goes out."""
+        """Notes that a ping is sent."""
         self._ping_sent_at = now
 
     def ping_answered(self) -> None:
-        """Notes the answer to a ping."""
+        """Notes that the ping was acknowledged."""
         self._ping_sent_at = inf
 
     def check(self, now: float) -> KeepAliveAction:
-        """What is to be done now: anything that came after a ping answers it."""
+        """Returns what to do now; any bytes received after a ping count as its acknowledgement."""
         if self._last_received > self._ping_sent_at:
             self._ping_sent_at = inf
         if now - self._ping_sent_at > self._limits.ping_timeout_s:
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -1,7 +1,8 @@
-"""The gRPC server: listeners, connections and methods.
+"""The gRPC server: accepts connections and runs methods.
 
-A method is either a receiver that is notified of each message without a task, for what must be quick, or a
-coroutine that gets an `AsyncCall`. Connections are accepted up to a limit; every call gets a status.
+A method is either a receiver factory, whose receivers are notified of each message without a task of their
+own, for low latency, or a coroutine that gets an `AsyncCall`. Connections are accepted up to a limit; every
+call gets a status.
 """
 
 from __future__ import annotations
@@ -24,51 +25,56 @@
 
 BACKLOG = 1024
 HANDSHAKE_TIMEOUT_S = 3.0  # for TLS, and then for the peer's HTTP/2 settings
-ACCEPT_DEFERRAL_S = 0.002  # for each open connection, by which a process lets others accept first
-MAX_DEFERRED_CONNECTIONS = 50  # that count for the deferral
-ACCEPT_RETRY_S = 0.1  # after a failure to accept
-Opened = Callable[[Call], Receiver]
+# Delay of accepting, per open connection, that lets other processes accept first.
+ACCEPT_DEFERRAL_S = 0.002
+MAX_DEFERRED_CONNECTIONS = 50  # open connections beyond this do not add to the delay
+ACCEPT_RETRY_S = 0.1  # delay after a failure to accept
+ReceiverFactory = Callable[[Call], Receiver]
 Method = Callable[[AsyncCall], Awaitable[None]]
 
 
 class Server:
-    """Serves `methods`, by path. `burst` is called after the events of each read.
+    """Serves `methods`, which are receiver factories by path.
 
-    `shares_listener`: other processes accept from the same listener.
+    `after_read` is called after the events of each read of a connection. With `shares_listener` other
+    processes accept from the same listener.
     """
 
     def __init__(
         self,
-        methods: dict[bytes, Opened],
+        methods: dict[bytes, ReceiverFactory],
         limits: ConnectionLimits,
         log: Any,
         tls: ServerContext | None = None,
         max_connections: int = 512,
-        burst: Callable[[], None] | None = None,
+        after_read: Callable[[], None] | None = None,
         shares_listener: bool = False,
     ) -> None:
         self._shares_listener = shares_listener
         self._methods, self._limits, self._log, self._tls = methods, limits, log, tls
-        self._max_connections, self._burst = max_connections, burst
+        self._max_connections, self._after_read = max_connections, after_read
         self.sessions: set[Session] = set()
         self._stopping = trio.Event()
         self._connection_closed = trio.Event()
-        self._open = 0
+        self._open_count = 0
         self.nursery: trio.Nursery
 
-    def coroutine(self, method: Method) -> Opened:
-        """A method that is a coroutine; it ends the call when it returns or raises `CallError`."""
+    def coroutine(self, method: Method) -> ReceiverFactory:
+        """Returns a receiver factory that runs a coroutine for each call.
 
-        def opened(call: Call) -> Receiver:
+        The call ends when the coroutine returns or raises `CallError`, which gives its status.
+        """
+
+        def make_receiver(call: Call) -> Receiver:
             async_call = AsyncCall(call)
             self.nursery.start_soon(self._run, method, async_call, call)
             return async_call
 
-        return opened
+        return make_receiver
 
     async def _run(self, method: Method, async_call: AsyncCall, call: Call) -> None:
         try:
-            async_call.scope.deadline = trio.current_time() + deadline_of(call)
+            async_call.scope.deadline = trio.current_time() + timeout_of(call)
             with async_call.scope:
                 await method(async_call)
                 call.finish()
@@ -77,7 +83,7 @@
         except Exception as error:
             self._finish_failed(call, error)
         except BaseExceptionGroup as group:
-            # the server ends while tasks of the method do: only the cancellation is raised on
+            # The server is being cancelled while tasks of the method fail: re-raise only the cancellation.
             cancelled, rest = group.split(trio.Cancelled)
             if rest is not None:
                 self._finish_failed(call, rest)
@@ -93,7 +99,7 @@
         call.finish(status.status, status.text)
 
     async def run(self, listeners: list[socket.socket]) -> None:
-        """Serves until `stop` was called and every call is done."""
+        """Serves until `stop` is called and all calls have ended."""
         async with trio.open_nursery() as self.nursery:
             with trio.CancelScope() as self._accepting:
                 async with trio.open_nursery() as accepting:
@@ -103,20 +109,20 @@
                 listener.close()
 
     def stop(self) -> None:
-        """Graceful shutdown: no new connections and calls; open calls are answered."""
+        """Starts a graceful shutdown: rejects new connections and calls, and completes the open calls."""
         self._stopping.set()
         self._accepting.cancel()
         for session in list(self.sessions):
             session.drain()
 
     def close_connections(self, reason: str) -> None:
-        """Closes all open connections."""
+        """Closes all open connections at once; `reason` is logged."""
         for session in list(self.sessions):
             session.close(reason)
 
     async def _accept(self, listener: socket.socket) -> None:
         while True:
-            if self._open >= self._max_connections:
+            if self._open_count >= self._max_connections:
                 self._connection_closed = trio.Event()
                 await self._connection_closed.wait()
             try:
@@ -124,17 +130,17 @@
             except BlockingIOError:
                 await trio.lowlevel.wait_readable(listener)
                 if self._shares_listener:
-                    # so that the process with the fewest connections accepts first
-                    await trio.sleep(ACCEPT_DEFERRAL_S * min(self._open, MAX_DEFERRED_CONNECTIONS))
+                    # Wait, so that the process with the fewest connections accepts first.
+                    await trio.sleep(ACCEPT_DEFERRAL_S * min(self._open_count, MAX_DEFERRED_CONNECTIONS))
                 continue
             except ConnectionError:
                 continue
             except OSError as error:
-                # most often no descriptor is free: neither a crash nor a busy loop helps
-                self._log.warning("accept-failed", error=str(error), open=self._open)
+                # Most often no file descriptor is free; wait, as neither a crash nor a busy loop would help.
+                self._log.warning("accept-failed", error=str(error), open=self._open_count)
                 await trio.sleep(ACCEPT_RETRY_S)
                 continue
-            self._open += 1
+            self._open_count += 1
             peer = f"{address[0]}:{address[1]}" if isinstance(address, tuple) else "unix"
             self.nursery.start_soon(self._serve, sock, peer)
 
@@ -145,9 +151,9 @@
             with trio.move_on_after(HANDSHAKE_TIMEOUT_S) as limit:
                 await stream.handshake()
             if limit.cancelled_caught:
-                reason = "slow: no handshake in time"
+                reason = "slow: TLS handshake timed out"
             elif self._tls is not None and stream.protocol != "h2":
-                reason = "malformed: ALPN chose no h2"
+                reason = "malformed: ALPN did not select h2"
             else:
                 reason = await self._run_session(stream)
         except (OSError, ssl.SSLError) as error:
@@ -156,7 +162,7 @@
             self._log.exception("unhandled-exception")
         finally:
             stream.close()
-            self._open -= 1
+            self._open_count -= 1
             self._connection_closed.set()
             self._log.info(
                 "connection-closed",
@@ -167,7 +173,7 @@
             )
 
     async def _run_session(self, stream: ByteStream) -> str:
-        session = Session(stream, False, self._limits, self._call_opened, self._burst, self._log)
+        session = Session(stream, False, self._limits, self._call_opened, self._after_read, self._log)
         self.sessions.add(session)
         try:
             if self._stopping.is_set():
@@ -183,11 +189,11 @@
 
     @staticmethod
     async def _expect_settings(session: Session, scope: trio.CancelScope) -> None:
-        """Closes connections of peers that send no HTTP/2 settings."""
+        """Closes the connection if the peer sends no HTTP/2 settings in time."""
         with trio.move_on_after(HANDSHAKE_TIMEOUT_S):
             await session.ready()
             return
-        session.reason = "silent: no HTTP/2 in time"
+        session.reason = "silent: no HTTP/2 settings in time"
         scope.cancel()
 
     def _call_opened(self, call: Call) -> Receiver:
@@ -202,7 +208,7 @@
             call.finish(Status.UNIMPLEMENTED, "no such method")
         else:
             try:
-                deadline_of(call)
+                timeout_of(call)
                 return method(call)
             except CallError as error:
                 call.finish(error.status, error.text)
@@ -213,20 +219,26 @@
 
 
 def _call_error_in(error: BaseException) -> CallError | None:
-    """The `CallError` that a method raised, also in a nursery of its own; None for any other exception."""
+    """Returns the `CallError` that a method raised, also inside a nursery; None for other exceptions."""
     while isinstance(error, BaseExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error if isinstance(error, CallError) else None
 
 
-def deadline_of(call: Call) -> float:
-    """The seconds that a client allows for a call; infinite without `grpc-timeout`."""
+def timeout_of(call: Call) -> float:
+    """Returns the seconds that the client allows for a call; infinity without `grpc-timeout`.
+
+    Raises `CallError` for a malformed `grpc-timeout`.
+    """
     text = call.head.get(b"grpc-timeout")
     return parse_timeout(text) if text is not None else inf
 
 
 def listen(address: tuple[str, int], shared: bool = False) -> socket.socket:
-    """A listener; `shared` lets several processes listen at one address (SO_REUSEPORT)."""
+    """Opens a listener; `shared` lets several processes listen on one address (SO_REUSEPORT).
+
+    Raises `OSError`.
+    """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_STREAM)
     try:
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -1,8 +1,8 @@
-"""One HTTP/2 connection that carries gRPC calls, of either side (RFC 9113).
+"""One HTTP/2 connection that carries gRPC calls, on the client or the server (RFC 9113).
 
-The session runs the h2 state machine on a byte stream: the calls, flow control of stream and connection,
+The session runs the h2 state machine on a byte stream: calls, flow control of streams and of the connection,
 keep-alive and GOAWAY. Receivers are notified by plain method calls, in the order of events; what they send
-goes out after the events of one read, or with `flush`. A session never waits for a receiver, and buffers no
+is written after all events of one read, or by `flush`. A session never waits for a receiver, and buffers no
 more for a peer than the peer's windows and the limits allow.
 """
 
@@ -26,15 +26,17 @@
 from wheatroute.grpc.call import NULL_RECEIVER, Call, Receiver
 from wheatroute.grpc.goaway import MAX_STREAM_ID, GoawayFilter, goaway_frame, last_stream_id
 from wheatroute.grpc.limits import ConnectionLimits, KeepAlive, KeepAliveAction, ResetBudget
-from wheatroute.grpc.messages import MESSAGE_HEAD_BYTES, CallError, Headers, Status, status_of
+from wheatroute.grpc.messages import MESSAGE_PREFIX_BYTES, CallError, Headers, Status, status_from_headers
 
-STALLED_WRITE_TIMEOUT_S = 5.0  # in which a peer with a full backlog must read something
-DRAINED_CLIENT_TIMEOUT_S = 0.5  # in which a client that has all its responses closes the connection
+# Time within which a peer with a full backlog must read something.
+STALLED_WRITE_TIMEOUT_S = 5.0
+# Time within which a client that has all its responses should close a draining connection.
+DRAINED_CLIENT_TIMEOUT_S = 0.5
 BACKLOG_POLL_S = 0.01  # between two checks of a full backlog
 
 
 def _http2_connection(client_side: bool, limits: ConnectionLimits) -> h2.connection.H2Connection:
-    """The HTTP/2 state machine with the settings that this side sends."""
+    """Returns the HTTP/2 state machine with the settings that this side sends."""
     codes = h2.settings.SettingCodes
     initial_values = {codes.ENABLE_PUSH: 0} if client_side else {}
     initial_values |= {
@@ -56,10 +58,10 @@
 
 
 class Session:
-    """A connection and its calls.
+    """One HTTP/2 connection and its calls.
 
-    `opened(call)` returns the receiver of a call that the peer has opened; `burst()` is called after the
-    events of each read.
+    `make_receiver(call)` returns the receiver of a call that the peer has opened; `after_read()` is called
+    after the events of each read.
     """
 
     def __init__(
@@ -67,21 +69,28 @@
         stream: ByteStream,
         client_side: bool,
         limits: ConnectionLimits,
-        opened: Callable[[Call], Receiver] | None = None,
-        burst: Callable[[], None] | None = None,
+        make_receiver: Callable[[Call], Receiver] | None = None,
+        after_read: Callable[[], None] | None = None,
         log: Any = None,
     ) -> None:
-        self.stream, self.client_side, self.limits, self.opened = stream, client_side, limits, opened
+        self.stream, self.client_side, self.limits, self.make_receiver = (
+            stream,
+            client_side,
+            limits,
+            make_receiver,
+        )
         self.log = log
-        self._burst = burst
+        self._after_read = after_read
         self.h2 = _http2_connection(client_side, limits)
         self.calls: dict[int, Call] = {}
         self.is_draining = False  # a GOAWAY was sent or received: no new calls
         self.reason = "closed"  # why the session ended
-        self._drain_announced = False  # the first of two GOAWAYs was sent, see `drain`
+        self._drain_announced = False  # only the first of two GOAWAYs was sent, see `drain`
         self._last_stream_id = 0  # the highest that was processed
-        self._blocked_calls: dict[int, Call] = {}  # by flow control
-        self._raw_frames = b""  # to send beside those of h2
+        # Calls that wait for the peer's flow-control windows, by stream.
+        self._blocked_calls: dict[int, Call] = {}
+        # Frames made without h2, to be sent after its own.
+        self._raw_frames = b""
         self._goaways = GoawayFilter(client_side)
         self._resets = ResetBudget(limits, trio.current_time())
         self._keep_alive = KeepAlive(limits, trio.current_time())
@@ -89,7 +98,7 @@
         self._scope = trio.CancelScope()
 
     async def run(self) -> None:
-        """Reads until the connection ends; then all calls are ended, and the stream is closed."""
+        """Reads until the connection ends; then ends all calls and closes the byte stream."""
         try:
             with self._scope:
                 self.h2.initiate_connection()
@@ -106,19 +115,19 @@
             self.reason = f"broken: {group.exceptions[0]}"
         finally:
             self._end_all(CallError(Status.UNAVAILABLE, f"the connection is {self.reason}"))
-            if self._burst is not None:
-                self._burst()
+            if self._after_read is not None:
+                self._after_read()
             self.stream.close()
 
     def close(self, reason: str) -> None:
-        """Ends the connection without waiting for anything."""
+        """Closes the connection at once; `reason` says why."""
         self.reason = reason
         self._scope.cancel()
 
     async def _read(self) -> None:
         while True:
             if self.stream.backlog > self.limits.max_backlog_bytes and not await self._backlog_shrinks():
-                self.reason = "stuck: the other side reads nothing"
+                self.reason = "stuck: the peer reads nothing"
                 return
             data = await self.stream.read()
             if not data:
@@ -129,7 +138,7 @@
                 return
 
     async def _backlog_shrinks(self) -> bool:
-        """Waits until a peer with a full backlog has read of it; false if it does not in time."""
+        """Waits until the backlog is below its limit; false once the peer has read nothing for too long."""
         written, since = self.stream.written, trio.current_time()
         while self.stream.backlog > self.limits.max_backlog_bytes:
             await trio.sleep(BACKLOG_POLL_S)
@@ -140,7 +149,7 @@
         return True
 
     def _process(self, data: bytes) -> bool:
-        """Handles the events of one read; false if the connection must end."""
+        """Handles the events of one read; returns false if the connection must end."""
         try:
             for event in self.h2.receive_data(self._goaways.extract(data, self._goaway_received)):
                 handler = _HANDLERS.get(type(event))
@@ -149,20 +158,20 @@
                 if self._resets.is_exhausted:
                     break
         except (h2.exceptions.ProtocolError, ValueError) as error:
-            # h2 has its own GOAWAY with the reason ready to go out
+            # h2 has already queued a GOAWAY with the error code.
             self.reason = f"malformed: {error}"
             return False
         if self._resets.is_exhausted:
             self.reason = "flooded: too many resets"
             self._raw_frames += goaway_frame(self._last_stream_id, h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
             return False
-        if self._burst is not None:
-            self._burst()
+        if self._after_read is not None:
+            self._after_read()
         self.flush()
         return True
 
     def _goaway_received(self, payload: bytes) -> None:
-        """The peer takes no new calls; those above its last stream were never processed (RFC 9113, 6.8)."""
+        """Stops opening calls; ends those above the peer's last stream, which never ran (RFC 9113, 6.8)."""
         self.is_draining = True
         last = last_stream_id(payload)
         if not self.client_side:
@@ -171,10 +180,10 @@
             self.calls[stream_id].never_ran = True
             self._end_call(
                 self.calls[stream_id],
-                CallError(Status.UNAVAILABLE, "the server went away before it took this"),
+                CallError(Status.UNAVAILABLE, "the server sent GOAWAY before it processed the call"),
             )
 
-    # events
+    # Handlers of h2's events.
 
     def _request_received(self, event: Any) -> None:
         head = dict(event.headers)
@@ -185,8 +194,8 @@
             return
         self._last_stream_id = max(self._last_stream_id, event.stream_id)
         self.calls[event.stream_id] = call
-        if self.opened is not None:
-            call.receiver = self.opened(call)
+        if self.make_receiver is not None:
+            call.receiver = self.make_receiver(call)
 
     def _response_received(self, event: Any) -> None:
         call = self.calls.get(event.stream_id)
@@ -208,11 +217,11 @@
         try:
             messages = call._assembler.feed(event.data)
             if call.has_manual_flow_control:
-                call.unread_messages += sum(map(len, messages)) + MESSAGE_HEAD_BYTES * len(messages)
+                call.unread_messages += sum(map(len, messages)) + MESSAGE_PREFIX_BYTES * len(messages)
             if call.unread_messages:
                 call.unacknowledged += event.flow_controlled_length
             else:
-                # also for part of a message: one longer than the window would never become complete
+                # Also acknowledge part of a message: one longer than the window would never be completed.
                 self.acknowledge(call, event.flow_controlled_length)
             for message in messages:
                 call.receiver.message(message)
@@ -232,9 +241,9 @@
             return
         call.remote_end = True
         if self.client_side:
-            outcome = status_of(call.head)
+            outcome = status_from_headers(call.head)
             if outcome.status == Status.OK and not call._assembler.is_between_messages:
-                outcome = CallError(Status.INTERNAL, "the answer ended inside a message")
+                outcome = CallError(Status.INTERNAL, "the response ended inside a message")
             self._end_call(call, outcome)
             return
         call.receiver.half_closed()
@@ -247,7 +256,7 @@
         if call is not None:
             call.never_ran = event.error_code == h2.errors.ErrorCodes.REFUSED_STREAM
             status = Status.UNAVAILABLE if call.never_ran else Status.CANCELLED
-            self._end_call(call, CallError(status, f"reset by the other side, code {int(event.error_code)}"))
+            self._end_call(call, CallError(status, f"reset by the peer, error code {int(event.error_code)}"))
 
     def _window_updated(self, event: Any) -> None:
         calls = [self._blocked_calls[event.stream_id]] if event.stream_id in self._blocked_calls else []
@@ -264,21 +273,21 @@
         if self._drain_announced:
             self._announce_last_stream()
 
-    # calls
+    # Calls.
 
     async def ready(self) -> None:
-        """Waits for the peer's settings."""
+        """Waits for the peer's HTTP/2 settings."""
         await self._ready.wait()
 
     def open(self, headers: Headers, receiver: Receiver) -> Call:
-        """Opens a call (clients only); raises `CallError` if this connection takes none."""
+        """Opens a call (clients only); raises `CallError` if this connection accepts none."""
         if self.is_draining or self.stream.closed:
-            raise CallError(Status.UNAVAILABLE, "the connection takes no new calls")
+            raise CallError(Status.UNAVAILABLE, "the connection accepts no new calls")
         try:
             stream_id = self.h2.get_next_available_stream_id()
             self.h2.send_headers(stream_id, headers)
         except (h2.exceptions.ProtocolError, ValueError) as error:
-            # stream identifiers can run out (RFC 9113, 5.1.1); a new connection begins anew
+            # Stream identifiers can run out (RFC 9113, 5.1.1); a new connection has new ones.
             self.is_draining = self.is_draining or isinstance(error, h2.exceptions.NoAvailableStreamIDError)
             raise CallError(Status.UNAVAILABLE, str(error)) from error
         call = Call(stream_id, self, {})
@@ -287,7 +296,7 @@
         return call
 
     def push(self, call: Call) -> None:
-        """Sends what fits the windows of what a call has queued."""
+        """Sends as much of a call's queue as fits the flow-control windows, then its trailers."""
         if call.is_over:
             return
         http, stream_id, queue = self.h2, call.stream_id, call._queue
@@ -320,7 +329,7 @@
             self._end_if_responded(call)
 
     def _end_if_responded(self, call: Call) -> None:
-        """Ends a call whose response is complete, whatever its client still sends (RFC 9113, 8.1)."""
+        """Ends a server's call once its response is sent, even if the request is not (RFC 9113, 8.1)."""
         if (
             self.client_side
             or call.is_over
@@ -336,7 +345,7 @@
         self._end_call(call)
 
     def reset(self, call: Call, code: int) -> None:
-        """Resets the stream of a call with an HTTP/2 error code."""
+        """Resets the stream of a call with an HTTP/2 error code, unless the call has ended."""
         if call.is_over:
             return
         with suppress(h2.exceptions.ProtocolError):
@@ -344,14 +353,14 @@
         self._end_call(call)
 
     def acknowledge(self, call: Call, count: int) -> None:
-        """Opens the windows again for so many bytes that were read."""
+        """Enlarges the flow-control windows again by a number of bytes that were read."""
         if not count:
             return
         with suppress(h2.exceptions.ProtocolError, ValueError):
             self.h2.acknowledge_received_data(count, call.stream_id)
 
     def _end_call(self, call: Call, outcome: CallError | None = None) -> None:
-        """Forgets a call; its receiver is notified of `outcome`, if given."""
+        """Removes a call; notifies its receiver of `outcome`, if given."""
         call.is_over = True
         self.calls.pop(call.stream_id, None)
         self._blocked_calls.pop(call.stream_id, None)
@@ -359,7 +368,7 @@
         if call.unacknowledged:
             self.acknowledge(call, call.unacknowledged)
             call.unacknowledged = 0
-        # a call and its receiver refer to each other: separated here, they need no garbage collection
+        # A call and its receiver refer to each other: breaking the cycle avoids garbage collections.
         receiver, call.receiver = call.receiver, NULL_RECEIVER
         if outcome is not None:
             receiver.call_ended(outcome)
@@ -368,10 +377,10 @@
         for call in list(self.calls.values()):
             self._end_call(call, outcome)
 
-    # the connection
+    # The connection.
 
     def flush(self) -> None:
-        """Writes what is to be sent to the stream."""
+        """Writes all pending frames to the byte stream; ends a draining session without open calls."""
         data = self.h2.data_to_send()
         if self._raw_frames:
             data, self._raw_frames = data + self._raw_frames, b""
@@ -381,17 +390,18 @@
             except OSError as error:
                 self.close(f"broken: {error}")
         if self.is_draining and not self.calls and not self._drain_announced and self._scope.deadline == inf:
-            # the client closes first: a close with unread bytes would discard responses on their way
+            # Let the client close first: closing with unread bytes would discard responses in transit.
             self.reason = "drained"
             self._scope.deadline = trio.current_time() + (
                 0.0 if self.client_side else DRAINED_CLIENT_TIMEOUT_S
             )
 
     def drain(self) -> None:
-        """Takes no new calls; the session ends when the open ones are done.
+        """Starts to reject new calls; the session ends once all open calls have ended.
 
-        The first GOAWAY only announces the drain: calls that the peer sent before it read that are still
-        taken (graceful shutdown, RFC 9113, 6.8). The second one, after a ping, names the last stream.
+        The first GOAWAY only announces the drain: calls that the peer sent before it received that frame are
+        still accepted (graceful shutdown, RFC 9113, 6.8). The second one, sent once a ping is acknowledged,
+        names the last stream.
         """
         if self.is_draining:
             return
@@ -414,7 +424,7 @@
             await trio.sleep(self._keep_alive.check_interval_s)
             action = self._keep_alive.check(trio.current_time())
             if action == KeepAliveAction.CLOSE:
-                self.close("silent: no answer to a ping")
+                self.close("silent: a ping was not acknowledged")
             elif action == KeepAliveAction.PING:
                 self._ping()
                 self.flush()
--- a/wheatroute/standin/http2_client.py
+++ b/wheatroute/standin/http2_client.py
@@ -21,7 +21,7 @@
 DATA, HEADERS, RST_STREAM, SETTINGS, PING, GOAWAY, WINDOW_UPDATE = 0, 1, 3, 4, 6, 7, 8
 # flags; ACK is of SETTINGS and PING, END_STREAM of DATA and HEADERS
 END_STREAM, ACK, END_HEADERS = 1, 1, 4
-FRAME_HEAD_BYTES = 9
+FRAME_HEADER_BYTES = 9
 INITIAL_WINDOW_BYTES = 65535
 WINDOW_UPDATE_BYTES = 1 << 14  # read, after which the other side is allowed as many more
 CANCEL = 8  # error code of a reset
@@ -91,8 +91,8 @@
     def _handle_frames(self, buffer: bytes) -> bytes:
         """Handles the frames that are complete; returns the rest."""
         start = 0
-        while len(buffer) - start >= FRAME_HEAD_BYTES:
-            payload_start = start + FRAME_HEAD_BYTES
+        while len(buffer) - start >= FRAME_HEADER_BYTES:
+            payload_start = start + FRAME_HEADER_BYTES
             end = payload_start + int.from_bytes(buffer[start : start + 3], "big")
             if end > len(buffer):
                 break
