--- a/tests/etcd/test_etcd_functions.py
+++ b/tests/etcd/test_etcd_functions.py
@@ -28,4 +28,4 @@
     ) == (3, "in_service")
     with pytest.raises(ValueError) as error:
         server_keys._decode(b'{"addr": "10.1.0.18:8443", "state": "gone"}')
-    assert str(error.value) == "state is 'gone'"
+    assert str(error.value) == "\"state\" must be in_service or terminating, got 'gone'"
--- a/tests/grpc/test_sessions.py
+++ b/tests/grpc/test_sessions.py
@@ -341,7 +341,7 @@
                     await talk.send(b"before")
                     assert await talk.receive() == b"before"
                     (tmp_path / "key.pem").write_bytes(b"no key")
-                    with pytest.raises(tls.TlsError, match="no usable pair"):
+                    with pytest.raises(tls.TlsError, match="not a usable certificate and key"):
                         contexts.reload()
                     assert await once(place, trusted) == b"still"
                     pair(tmp_path, other)
--- a/wheatroute/byte_stream.py
+++ b/wheatroute/byte_stream.py
@@ -1,7 +1,7 @@
-"""A byte stream over a socket, with TLS or without, and a backlog of unsent bytes.
+"""A byte stream over a socket, with or without TLS, and a backlog of unsent bytes.
 
-Writing never waits: bytes that the socket does not take at once are kept, and `pump` sends them as the peer
-reads. The caller watches the backlog. No protocol above TLS is known here.
+Writes never block: bytes that the socket does not accept at once are kept in the backlog, and `pump` sends
+them as the peer reads. The caller must limit the backlog. Protocols above TLS are the caller's concern.
 """
 
 from __future__ import annotations
@@ -12,11 +12,14 @@
 
 import trio
 
-CHUNK_BYTES = 65536  # read or written at a time
+CHUNK_BYTES = 65536  # maximum size of one read or write
 
 
 class ByteStream:
-    """A non-blocking socket; `context` turns TLS on."""
+    """Reads and writes a non-blocking socket; a `context` enables TLS.
+
+    `host` is the name that the server's certificate must have.
+    """
 
     def __init__(
         self,
@@ -29,7 +32,7 @@
         sock.setblocking(False)
         with suppress(OSError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.written = 0  # bytes that the socket took
+        self.written = 0  # bytes that the socket has accepted
         self.closed = False
         self._backlog = bytearray()
         self._backlog_added = trio.Event()
@@ -40,21 +43,21 @@
 
     @property
     def backlog(self) -> int:
-        """Unsent bytes, as the peer does not read."""
+        """The number of unsent bytes, for which the peer's receive window has no room yet."""
         return len(self._backlog)
 
     @property
     def protocol(self) -> str | None:
-        """The protocol that ALPN chose."""
+        """The protocol that ALPN selected; None without TLS or ALPN."""
         return self._tls.selected_alpn_protocol() if self._tls else None
 
     @property
     def peer_certificate(self) -> bytes | None:
-        """The peer's certificate in DER form."""
+        """The peer's certificate in DER format; None without TLS or a certificate."""
         return self._tls.getpeercert(binary_form=True) if self._tls else None
 
     async def handshake(self) -> None:
-        """The TLS handshake; raises `OSError` (of which `ssl.SSLError` is one) if it fails."""
+        """Performs the TLS handshake, if any; raises `OSError` (its subclass `ssl.SSLError`) if it fails."""
         while self._tls is not None:
             try:
                 self._tls.do_handshake()
@@ -63,13 +66,13 @@
             except ssl.SSLWantReadError:
                 self._put(self._out.read())
                 if not await self._fill():
-                    raise ConnectionResetError("closed in the TLS handshake") from None
+                    raise ConnectionResetError("connection closed during the TLS handshake") from None
             except ssl.SSLError:
-                self._put(self._out.read())  # the alert that says why
+                self._put(self._out.read())  # the TLS alert with the reason
                 raise
 
     async def read(self) -> bytes:
-        """The next bytes; empty at the end of the peer's data."""
+        """Returns the next bytes; empty at the end of the peer's data."""
         if self._tls is None:
             return await self._receive()
         while True:
@@ -91,7 +94,8 @@
 
     async def _receive(self) -> bytes:
         while True:
-            # no attempt before the wait: there is seldom anything yet, and a futile call costs as much
+            # Wait before the first attempt: data is rarely available yet, and a failed recv costs as much
+            # as a successful one.
             await trio.lowlevel.wait_readable(self.sock)
             try:
                 return self.sock.recv(CHUNK_BYTES)
@@ -99,7 +103,7 @@
                 continue
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, or keeps them in the backlog; raises `OSError` once the connection is broken."""
+        """Sends bytes, or adds them to the backlog; raises `OSError` if the connection is broken."""
         if self._tls is not None:
             self._tls.write(data)
             data = self._out.read()
@@ -123,7 +127,7 @@
         self._backlog_added.set()
 
     async def pump(self) -> None:
-        """Sends the backlog for as long as the stream is open; runs beside the reader."""
+        """Sends the backlog until the stream is closed; must run concurrently with the reader."""
         while not self.closed:
             await self._backlog_added.wait()
             while self._backlog and not self.closed:
--- a/wheatroute/etcd/__init__.py
+++ b/wheatroute/etcd/__init__.py
@@ -1,1 +1,1 @@
-"""Servers and nodes by their keys in etcd (v3 API). Not imported unless the settings file names etcd."""
+"""Discovery of servers and nodes by their keys in etcd (v3 API); imported only if the settings name etcd."""
--- a/wheatroute/etcd/client.py
+++ b/wheatroute/etcd/client.py
@@ -1,7 +1,7 @@
 """A client of an etcd cluster: unary calls, leases and streams over several endpoints. Does I/O on trio.
 
-Invariant: a call that may have changed anything is never repeated unless it provably never ran; one that only
-reads is repeated at the next endpoint. Errors are `CallError`s of gRPC.
+Invariant: a write is never retried unless it provably never ran; a read is retried at the next endpoint.
+Errors are raised as gRPC's `CallError`.
 """
 
 from __future__ import annotations
@@ -23,10 +23,11 @@
 
 CALL_TIMEOUT_S = 1.0  # of a unary call at one endpoint
 STREAM_CONNECT_TIMEOUT_S = 0.5
-SUSPECTED_S = 5.0  # for which an endpoint that failed is avoided
-MAX_BACKOFF_S = 0.4  # until a lost connection is attempted again
-MAX_PAGE_KEYS = 1000  # read at a time
-FAILOVER_STATUSES = {  # after which another endpoint is asked
+SUSPECTED_S = 5.0  # time for which a failed endpoint is avoided
+MAX_BACKOFF_S = 0.4  # maximum delay before a lost connection is reopened
+MAX_PAGE_KEYS = 1000  # keys per range request of `range_all`
+# After these statuses another endpoint is tried.
+FAILOVER_STATUSES = {
     Status.UNAVAILABLE,
     Status.DEADLINE_EXCEEDED,
     Status.CANCELLED,
@@ -36,7 +37,7 @@
 
 
 class EtcdClient:
-    """A client of one cluster; `run` keeps connections to all endpoints."""
+    """Makes calls to one etcd cluster; `run` must be running, as it keeps connections to all endpoints."""
 
     def __init__(
         self,
@@ -51,7 +52,8 @@
             Channel(address, limits, context, rng=rng, max_backoff_s=MAX_BACKOFF_S) for address in addresses
         ]
         self._suspected_until = [0.0] * len(addresses)  # by endpoint
-        self._current = rng.randrange(len(addresses))  # so that nodes don't all use the same endpoint
+        # The first endpoint is random, so that nodes don't all use the same one.
+        self._current = rng.randrange(len(addresses))
         self._user, self._password = user, password
         self._token: bytes = b""
 
@@ -67,9 +69,10 @@
         return self._channels[self._current].address
 
     def mark_suspected(self, index: int) -> None:
-        """Avoids an endpoint for a while, for all users of the client.
+        """Avoids an endpoint for `SUSPECTED_S`, for all users of the client.
 
-        The next endpoint that is connected and not suspected is used, or that whose suspicion ends first.
+        Switches to the next endpoint that is not suspected, preferring a connected one; if all are suspected,
+        to a connected one whose suspicion ends first.
         """
         count, now = len(self._channels), trio.current_time()
         self._suspected_until[index] = now + SUSPECTED_S
@@ -92,8 +95,11 @@
         is_write: bool = False,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Any:
-        """Makes a unary call; raises `CallError` once all endpoints failed, or if it must not be repeated."""
-        error = CallError(Status.UNAVAILABLE, "no endpoint")
+        """Makes a unary call; raises `CallError` if it must not be retried, or failed at all endpoints.
+
+        `timeout_s` is that of each attempt.
+        """
+        error = CallError(Status.UNAVAILABLE, "no endpoint is available")
         has_renewed_token = False
         for _ in range(2 * len(self._channels)):
             call, index = AsyncCall(), self._current
@@ -125,12 +131,12 @@
             finally:
                 call.cancel()
             if response is None:
-                raise CallError(Status.INTERNAL, "an answer without a message")
+                raise CallError(Status.INTERNAL, "the response has no message")
             return response
-        raise CallError(Status.DEADLINE_EXCEEDED, "the call's time is over")
+        raise CallError(Status.DEADLINE_EXCEEDED, "the call timed out")
 
     async def _metadata(self) -> Headers:
-        """The headers of a call: the token, requested where there is none yet."""
+        """Returns the metadata of a call: the auth token, which is requested first if there is none."""
         if not self._user:
             return []
         if not self._token:
@@ -144,7 +150,7 @@
 
     @asynccontextmanager
     async def stream(self, path: str) -> AsyncIterator[AsyncCall]:
-        """A bidirectional stream at the endpoint in use, which is suspected if the stream fails."""
+        """Opens a bidirectional stream at the endpoint in use, which is suspected if the stream fails."""
         index, call = self._current, AsyncCall()
         channel = self._channels[index]
         try:
@@ -153,7 +159,7 @@
                 metadata = await self._metadata()
                 channel.start(path.encode(), call, inf, metadata)
             if timeout.cancelled_caught:
-                raise CallError(Status.DEADLINE_EXCEEDED, "no connection in time")
+                raise CallError(Status.DEADLINE_EXCEEDED, "connecting to the endpoint timed out")
             yield call
         except CallError as error:
             if error.status == Status.UNAUTHENTICATED:
@@ -165,16 +171,19 @@
             if hasattr(call, "call"):
                 call.cancel()
 
-    # calls
+    # Methods of etcd's API.
 
     async def range(self, key: bytes, end: bytes = b"", **options: Any) -> Any:
-        """Reads a key, or all keys from it to `end`."""
+        """Reads a key, or all keys from it up to, but not including, `end`."""
         return await self.call(
             f"{wire.KV}Range", wire.RangeRequest(key=key, range_end=end, **options), wire.RangeResponse
         )
 
     async def range_all(self, prefix: bytes, page_keys: int = MAX_PAGE_KEYS) -> tuple[Any, list[Any]]:
-        """Reads all keys with a prefix at one revision, in pages; returns the first header and the keys."""
+        """Reads all keys with a prefix at one revision, in pages.
+
+        Returns the header of the first page, which has the revision, and the keys with their values.
+        """
         end = wire.prefix_end(prefix)
         response = await self.range(prefix, end, limit=page_keys)
         header, kvs = response.header, list(response.kvs)
@@ -195,7 +204,7 @@
         )
 
     async def delete(self, key: bytes, end: bytes = b"") -> Any:
-        """Deletes a key, or all keys from it to `end`."""
+        """Deletes a key, or all keys from it up to, but not including, `end`."""
         return await self.call(
             f"{wire.KV}DeleteRange",
             wire.DeleteRangeRequest(key=key, range_end=end),
@@ -209,7 +218,7 @@
         return await self.call(f"{wire.KV}Txn", request, wire.TxnResponse, is_write=True)
 
     async def compact(self, revision: int) -> Any:
-        """Drops the history before a revision."""
+        """Compacts the history before a revision."""
         return await self.call(
             f"{wire.KV}Compact",
             wire.CompactionRequest(revision=revision),
@@ -218,7 +227,7 @@
         )
 
     async def grant(self, ttl_s: int) -> int:
-        """Makes a lease; returns its id."""
+        """Grants a lease; returns its id."""
         response = await self.call(
             f"{wire.LEASES}LeaseGrant",
             wire.LeaseGrantRequest(TTL=ttl_s),
@@ -237,11 +246,11 @@
         )
 
     async def status(self) -> Any:
-        """The status of the member at the endpoint in use."""
+        """Returns the status of the member at the endpoint in use."""
         return await self.call(wire.MAINTENANCE, wire.StatusRequest(), wire.StatusResponse)
 
 
 def _never_ran(call: AsyncCall) -> bool:
-    """Whether a call that failed provably didn't run; one that has no session never started."""
+    """Returns whether a failed call provably didn't run; a call without a session never started."""
     started = getattr(call, "call", None)
     return started is None or started.never_ran
--- a/wheatroute/etcd/discovery.py
+++ b/wheatroute/etcd/discovery.py
@@ -1,6 +1,6 @@
-"""Discovery by etcd in place of a list service: connects the follower with a node's numbering of servers.
+"""Discovery by etcd instead of a list service: applies the follower's changes to a node's list of servers.
 
-While etcd can't be reached the last servers stand. I/O is done by the follower.
+While etcd can't be reached the last known servers stay in use. The follower does the I/O.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class EtcdDiscovery(Discovery):
-    """The servers of a node, by their keys in etcd."""
+    """Discovers a node's servers by their keys in etcd."""
 
     def __init__(self, settings: NodeSettings, driver: BalancerDriver, servers: Upstream, log: Any) -> None:
         super().__init__(settings.discovery_settings, driver, servers, log)
@@ -36,7 +36,7 @@
 
     @property
     def list_version(self) -> tuple[str, int]:
-        """The cluster that is followed, and the revision up to which changes are applied."""
+        """The name of the followed cluster, and the revision up to which changes are applied."""
         return self._etcd.follower.source, self._etcd.follower.revision
 
     async def run(self) -> None:
@@ -44,7 +44,7 @@
         await self._etcd.run()
 
     async def leave(self) -> None:
-        """Removes this node's key, if etcd answers in time."""
+        """Removes this node's key, if etcd responds within `LEAVE_TIMEOUT_S`."""
         with trio.move_on_after(LEAVE_TIMEOUT_S):
             await self._etcd.leave()
 
@@ -53,10 +53,10 @@
         self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
     def watch(self, enable: bool) -> None:
-        """Does nothing: the follower's stream is always open."""
+        """Does nothing: the follower always has a watch stream."""
 
     def fetch(self) -> None:
-        """Does nothing: all changes have been applied."""
+        """Does nothing: the follower applies all changes as they occur."""
 
     def switch_service(self, address: tuple[str, int]) -> None:
-        """Does nothing: a list service that the file names as well isn't used."""
+        """Does nothing: with etcd a list service is not used, even if the settings file names one."""
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -1,8 +1,8 @@
 """Follows the keys under a prefix: reads all of them once, then applies every change. Does I/O on trio.
 
-A change is applied at most two seconds after it could be read: a stream without responses is asked for its
-progress, one that doesn't answer or lags behind is left for another endpoint. Invariant: while etcd can't be
-reached the last known state stands; no server is dropped.
+A change is applied at most two seconds after it could be read: the follower requests the progress of a stream
+without responses, and switches to another endpoint if the stream doesn't respond or lags behind. Invariant:
+while etcd can't be reached the last known state stays in use; no server is dropped.
 """
 
 from __future__ import annotations
@@ -21,18 +21,21 @@
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.clock import now
 
-PROGRESS_TIMEOUT_S = 0.3  # without a response until a stream is asked for its progress, and for its answer
+# Time without a response after which the stream's progress is requested, and then time for that response.
+PROGRESS_TIMEOUT_S = 0.3
 CHECK_INTERVAL_S = 0.5  # between two reads of the cluster's revision
-MAX_LAG_S = 2.0 * PROGRESS_TIMEOUT_S  # of a stream behind a revision that the cluster has reached
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.5  # between attempts, doubled each time, half of it random
+# Time for which a stream may lag behind a revision that the cluster has reached.
+MAX_LAG_S = 2.0 * PROGRESS_TIMEOUT_S
+# Delay between attempts: doubled after each failure, half of it random.
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.02, 0.5
 MAX_LOGGED_ERROR = 200  # characters
 
 
 class WatchedKeys(Protocol):
-    """The meaning of the keys under a prefix, without I/O.
+    """Interprets the keys under a prefix, without I/O.
 
-    Both methods return the change for the follower's callback, with the keys of a list service's body
-    (`full`, `servers`), and a line for each malformed value.
+    Both methods return the change for the follower's callback, with the fields of a list service's body
+    (`full`, `servers`), and an error message for each malformed value.
     """
 
     prefix: bytes
@@ -45,14 +48,14 @@
 
 
 class Position(NamedTuple):
-    """A cluster, and the revision of it up to which all changes are applied."""
+    """A cluster, and its revision up to which all changes are applied."""
 
     cluster_id: int
     revision: int
 
 
 class Follower:
-    """Follows the servers of a pool; calls `on_change` with each list and each change of a revision."""
+    """Follows keys, by default the servers of a pool; calls `on_change` for each list and each change."""
 
     def __init__(
         self,
@@ -66,11 +69,12 @@
         self._client, self._on_change, self._rng, self._log = client, on_change, rng, log
         self.keys: WatchedKeys = keys or ServerKeys(prefix)
         self.watch: Watch | None = None
-        self.list_count = self.stream_count = 0  # how often all keys were read, and streams opened
+        # How many times all keys were read, and how many streams were opened.
+        self.list_count = self.stream_count = 0
         self._backoff_s = INITIAL_BACKOFF_S
         self._progress = _ClusterProgress(client)
-        self._lost_position = Position(0, 0)  # of the watch before
-        self.is_pinned = False  # no other cluster is followed in the place of the first
+        self._lost_position = Position(0, 0)  # of the previous watch
+        self.is_pinned = False  # if true, a different cluster is never followed instead of the first one
 
     @property
     def revision(self) -> int:
@@ -79,26 +83,26 @@
 
     @property
     def source(self) -> str:
-        """The name of the cluster that is followed."""
+        """The name of the followed cluster."""
         return f"etcd {self.min_position.cluster_id:x}"
 
     @property
     def min_position(self) -> Position:
-        """The position behind which a pinned follower does not go."""
+        """The position of the current or last watch: an older revision of that cluster is never applied."""
         return Position(self.watch.cluster_id, self.revision) if self.watch else self._lost_position
 
     def resume_from(self, cluster_id: int, revision: int) -> None:
-        """Pins the follower to the position of the process before this one, from its snapshot."""
+        """Pins the follower to the position in the snapshot of the previous process."""
         self.is_pinned, self._lost_position = True, Position(cluster_id, revision)
 
     async def run(self) -> None:
-        """Keeps the connections of the client and follows; for a follower with a client of its own."""
+        """Runs the client and follows until cancelled; for a follower that doesn't share its client."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._client.run)
             nursery.start_soon(self.follow)
 
     async def follow(self) -> None:
-        """Follows until cancelled."""
+        """Follows until cancelled; the client must be running."""
         while True:
             try:
                 if self.watch is None:
@@ -111,7 +115,7 @@
                 self.watch, self._progress.cluster_revision = None, 0
             except CallError as error:
                 self._log.warning(
-                    "etcd",
+                    "etcd-request-failed",
                     error=str(error),
                     endpoint="{}:{}".format(*self._client.endpoint),
                     revision=self.revision,
@@ -119,12 +123,12 @@
                 await self._back_off()
 
     async def _back_off(self) -> None:
-        """Waits ever longer, and not in step with other nodes that lost the same endpoint."""
+        """Waits longer after each failure, with jitter as other nodes may have lost the same endpoint."""
         await trio.sleep(self._backoff_s * (0.5 + 0.5 * self._rng.random()))
         self._backoff_s = min(MAX_BACKOFF_S, 2.0 * self._backoff_s)
 
     async def _list(self) -> None:
-        """Reads all keys, and begins a watch behind them."""
+        """Reads all keys, and starts a watch from the next revision."""
         header, kvs = await self._client.range_all(self.keys.prefix)
         lost_position = self._lost_position
         if self.is_pinned and lost_position.cluster_id not in (0, header.cluster_id):
@@ -132,16 +136,16 @@
                 f"cluster {header.cluster_id:x} answers in the place of {lost_position.cluster_id:x}"
             )
         if header.cluster_id == lost_position.cluster_id and header.revision < lost_position.revision:
-            # an older state of the store would undo drains that were applied
+            # An older state of the store would undo drains that were already applied.
             raise MemberBehindError(
-                f"the cluster is at revision {header.revision}, it was at {lost_position.revision}"
+                f"the cluster is at revision {header.revision}, it was at {lost_position.revision} before"
             )
         self.list_count += 1
         self._apply(*self.keys.load(kvs, now()))
         self.watch = Watch(header.cluster_id, header.revision)
 
     async def _read_stream(self, watch: Watch) -> None:
-        """Reads one stream until it fails."""
+        """Opens a stream and applies its responses until it fails; raises its error."""
         self.stream_count += 1
         async with self._client.stream(wire.WATCH) as call:
             await call.send(watch.request(self.keys.prefix).SerializeToString())
@@ -161,7 +165,7 @@
                 message = await call.receive()
             if timeout.cancelled_caught:
                 if has_asked_progress:
-                    raise CallError(Status.UNAVAILABLE, "the stream is silent")
+                    raise CallError(Status.UNAVAILABLE, "the stream did not respond to a progress request")
                 has_asked_progress = True
                 request = wire.WatchRequest(progress_request=wire.WatchProgressRequest())
                 await call.send(request.SerializeToString())
@@ -172,7 +176,7 @@
             self._receive(wire.WatchResponse.FromString(message), watch)
 
     def _receive(self, response: Any, watch: Watch) -> None:
-        """Applies one response; raises `WatchLostError` or `MemberBehindError`."""
+        """Applies a response of the stream; raises `WatchLostError` or `MemberBehindError`."""
         for batch in watch.receive(response):
             self._apply(*self.keys.apply(batch.events, now()))
         if response.created:
@@ -190,19 +194,19 @@
 class _ClusterProgress:
     """Compares the progress of a stream with that of the cluster.
 
-    A member that is partitioned from the others answers, but sends no new events; this finds it.
+    Detects a member that is partitioned from the others: it still responds, but sends no new events.
     """
 
     def __init__(self, client: EtcdClient) -> None:
         self._client = client
-        self.cluster_revision = 0  # that the cluster has reached
-        self._reached_at = 0.0
+        self.cluster_revision = 0  # a revision that the cluster has reached
+        self._reached_at = 0.0  # when that was read, or when the stream was created if later
 
     async def run(self, watch: Watch) -> None:
-        """Reads the cluster's revision beside one stream; the result is kept for the next streams."""
+        """Reads the cluster's revision while one stream is open; the result is kept for later streams."""
         while True:
             try:
-                # a linearizable read, which a member that is partitioned from the others can't serve
+                # A linearizable read, which a member that is partitioned from the others can't serve.
                 response = await self._client.range(b"\0", limit=1, count_only=True)
             except CallError:
                 response = None
@@ -212,10 +216,13 @@
             await trio.sleep(CHECK_INTERVAL_S)
 
     def check_created(self, revision: int) -> None:
-        """Raises `MemberBehindError` for a member that begins a stream behind the cluster's revision."""
+        """Raises `MemberBehindError` if a member starts a stream behind the cluster's revision."""
         if revision < self.cluster_revision:
-            raise MemberBehindError(f"at revision {revision}, the cluster at {self.cluster_revision}")
-        self._reached_at = trio.current_time()  # the stream has as long to send what the member has
+            raise MemberBehindError(
+                f"the member is at revision {revision}, the cluster is at {self.cluster_revision}"
+            )
+        # The stream gets `MAX_LAG_S` from now on to send the events that the member has.
+        self._reached_at = trio.current_time()
 
     def check(self, watch: Watch) -> None:
         """Raises `MemberBehindError` if the stream lags behind the cluster's revision for too long."""
@@ -224,5 +231,6 @@
             and trio.current_time() - self._reached_at > MAX_LAG_S
         ):
             raise MemberBehindError(
-                f"at revision {watch.progress_revision}, the cluster at {self.cluster_revision}"
+                f"the stream is at revision {watch.progress_revision}, "
+                f"the cluster is at {self.cluster_revision}"
             )
--- a/wheatroute/etcd/membership.py
+++ b/wheatroute/etcd/membership.py
@@ -1,8 +1,8 @@
 """The number of nodes that send to the same servers, and the index of this one. A state machine without I/O.
 
-Invariant: the estimate is never below the true number for longer than a change takes to arrive. A node that
-appears counts at once, one that disappears counts on for `REMOVAL_DELAY_S`; without contact with etcd the
-last nodes count on. Times are in seconds of the steady clock.
+Invariant: the estimate is below the true number for no longer than a change takes to be received. A new node
+is counted at once, one that disappeared is still counted for `REMOVAL_DELAY_S`; while etcd can't be reached
+the last known nodes are counted. Times are in seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 from wheatroute.etcd import messages as wire
 
-REMOVAL_DELAY_S = 15.0  # for which a node that disappeared counts on, as it may be flapping
+# Time for which a node that disappeared is still counted, as it may be flapping.
+REMOVAL_DELAY_S = 15.0
 DECREASE_INTERVAL_S = 2.0  # between two decreases of the estimate, each by one node
-NO_EPOCH = -1  # of a node whose value is malformed
+NO_EPOCH = -1  # epoch of a node whose value is malformed
 
 
 class MembershipEstimate(NamedTuple):
-    """The number of nodes, and the index of this one among their sorted names, from 0."""
+    """The number of nodes, and the index of this one in their sorted names, from 0."""
 
     node_count: int
     node_index: int
 
 
 def decode_epoch(value: bytes) -> int | None:
-    """The epoch in a node's value; None if the value is malformed."""
+    """Returns the epoch in a node's value; None if the value is malformed."""
     try:
         return int(orjson.loads(value)["epoch"])
     except (orjson.JSONDecodeError, TypeError, KeyError, ValueError):
@@ -34,14 +35,18 @@
 
 
 class Membership:
-    """The nodes under a prefix: one key a node, the rest of it the name, with the epoch as value."""
+    """Counts the nodes under a prefix.
+
+    Each node has one key: the prefix and the node's name. Its value is a JSON object with the epoch: the time
+    at which the node's process started.
+    """
 
     def __init__(self, prefix: bytes, name: str, epoch: int) -> None:
         self.prefix, self.name, self.epoch = prefix, name, epoch
-        self.epochs: dict[str, int] = {}  # of the nodes that have a key
+        self.epochs: dict[str, int] = {}  # epochs of the nodes that have a key, by name
         self._disappeared_at: dict[str, float] = {}
         self._present = {name}
-        self._estimate, self._estimated_at = 1, 0.0  # the estimate, and when it changed last
+        self._estimate, self._estimated_at = 1, 0.0  # the estimate, and when it was last changed
 
     @property
     def key(self) -> bytes:
@@ -50,13 +55,13 @@
 
     @property
     def has_duplicate(self) -> bool:
-        """Whether another process has the key of this node's name; both count."""
+        """Whether another process has registered under this node's name; both are counted."""
         return self.epochs.get(self.name, self.epoch) != self.epoch
 
-    # as `WatchedKeys`
+    # Methods of `WatchedKeys`.
 
     def load(self, kvs: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        """Applies all keys of one revision; returns no servers, and a line for each malformed value."""
+        """Applies all keys of one revision; returns no servers, and an error for each malformed value."""
         errors: list[str] = []
         self.epochs = {}
         for kv in kvs:
@@ -65,7 +70,7 @@
         return {"full": True, "servers": []}, errors
 
     def apply(self, events: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        """Applies the events of one revision; returns no servers, and a line for each malformed value."""
+        """Applies the events of one revision; returns no servers, and an error for each malformed value."""
         errors: list[str] = []
         for event in events:
             if event.type == wire.DELETE:
@@ -79,17 +84,17 @@
         return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
 
     def _add(self, kv: Any, errors: list[str]) -> None:
-        """Adds a node, also one with a malformed value: the estimate must not be too low."""
+        """Adds a node, even if its value is malformed, as the estimate must not be too low."""
         name = self._name(kv.key)
         epoch = decode_epoch(kv.value)
         self.epochs[name] = NO_EPOCH if epoch is None else epoch
         if epoch is None:
-            errors.append(f"node {name}: no epoch")
+            errors.append(f"node {name}: the value has no valid epoch")
 
-    # the estimate
+    # The estimate.
 
     def update(self, names: list[str], now: float) -> None:
-        """Sets the nodes that are present; this one always is, whether it has its key or not."""
+        """Sets the nodes that are present; this node always is, even without a key."""
         present = {*names, self.name}
         for name in self._present - present:
             self._disappeared_at[name] = now
@@ -98,10 +103,11 @@
             self._disappeared_at.pop(name, None)
 
     def estimate(self, now: float) -> MembershipEstimate:
-        """The number of nodes that is assumed, and the index of this one.
+        """Returns the estimated number of nodes, and the index of this one.
 
-        It rises at once; it falls after a delay, and by one node at a time, so that the remaining nodes take
-        over the capacity of the others gradually and a cold or congested server sees no jump.
+        The estimate rises at once; it falls after a delay, and by one node at a time, so that the remaining
+        nodes take over the capacity of the others gradually, without a jump in the load of cold or congested
+        servers.
         """
         recent = {name for name, since in self._disappeared_at.items() if now - since < REMOVAL_DELAY_S}
         for name in set(self._disappeared_at) - recent:
--- a/wheatroute/etcd/messages.py
+++ b/wheatroute/etcd/messages.py
@@ -1,7 +1,7 @@
-"""The messages of etcd's v3 API that are used here, with the published names and numbers. Without I/O.
+"""The messages of etcd's v3 API that are used here, with the published names and numbers. No I/O.
 
-The table is taken from etcd's rpc.proto, kv.proto and auth.proto (API version 3); protobuf keeps fields that
-aren't in it as unknown. Each message is an attribute of this module, by its name.
+The table is taken from etcd's rpc.proto, kv.proto and auth.proto (API version 3); protobuf preserves fields
+that aren't in it as unknown fields. Each message class is an attribute of this module, by its name.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from google.protobuf import descriptor_pb2, descriptor_pool, message_factory
 
 PACKAGE = "etcdserverpb"
-# message: "name number type", with * for repeated and | for members of one choice
+# Message: fields as "name number type", where * marks a repeated field and | a member of the message's oneof.
 TABLE = """
 KeyValue: key 1 bytes, create_revision 2 int64, mod_revision 3 int64, version 4 int64, value 5 bytes,
   lease 6 int64
@@ -58,10 +58,11 @@
 StatusResponse: header 1 ResponseHeader, version 2 string, dbSize 3 int64, leader 4 uint64,
   raftIndex 5 uint64, raftTerm 6 uint64
 """
-PUT, DELETE = 0, 1  # types of an event
-NO_PUT, NO_DELETE = 0, 1  # filters of a watch
-EQUAL, GREATER, LESS, NOT_EQUAL = range(4)  # results to compare for
-VERSION, CREATE, MOD, VALUE, LEASE = range(5)  # what is compared
+PUT, DELETE = 0, 1  # Event.EventType
+NO_PUT, NO_DELETE = 0, 1  # WatchCreateRequest.FilterType: the events of a watch that are left out
+EQUAL, GREATER, LESS, NOT_EQUAL = range(4)  # Compare.CompareResult
+VERSION, CREATE, MOD, VALUE, LEASE = range(5)  # Compare.CompareTarget
+# Paths of methods, and the first part of the paths of services.
 KV, WATCH, LEASES = "/etcdserverpb.KV/", "/etcdserverpb.Watch/Watch", "/etcdserverpb.Lease/"
 AUTH, MAINTENANCE = "/etcdserverpb.Auth/Authenticate", "/etcdserverpb.Maintenance/Status"
 _FIELD = descriptor_pb2.FieldDescriptorProto
@@ -109,7 +110,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """The messages, by name."""
+    """Returns a message class by its name."""
     try:
         return MESSAGES[name]
     except KeyError:
@@ -117,6 +118,6 @@
 
 
 def prefix_end(prefix: bytes) -> bytes:
-    """The end of the range of all keys with a prefix, by etcd's convention."""
+    """Returns the `range_end` of all keys with a prefix, by etcd's convention."""
     stripped = prefix.rstrip(b"\xff")
     return stripped[:-1] + bytes((stripped[-1] + 1,)) if stripped else b"\0"
--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -1,7 +1,7 @@
-"""Registers this node in etcd under a lease, and reports the number of nodes. Does I/O on trio.
+"""Registers this node in etcd with a lease, and reports the number of nodes. Does I/O on trio.
 
-A node that can't renew its lease goes on serving with more caution towards cold servers, as the other nodes
-may not count it any more. Invariant: the key of a younger process of the same name is never overwritten.
+A node that can't renew its lease continues to serve, but sends less to cold servers, as the other nodes may
+no longer count it. Invariant: the key of a younger process of the same name is never overwritten.
 """
 
 from __future__ import annotations
@@ -22,15 +22,19 @@
 
 LEASE_TTL_S = 6
 RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
-RETRY_INTERVAL_S = 0.5  # after a registration that failed
+RETRY_INTERVAL_S = 0.5  # delay after a failed registration
 REPORT_INTERVAL_S = 0.5  # between two estimates of the number of nodes
 REVOKE_TIMEOUT_S = 1.0
+# Divisors of the load that this node sends to cold servers.
 USUAL_CAUTION = 1.0
-UNCOUNTED_CAUTION = 4.0  # divisor of what a node that others may not count sends to cold servers
+UNCOUNTED_CAUTION = 4.0  # while the other nodes may not count this one
 
 
 class Registrar:
-    """Keeps the key of this node; calls `on_change(node_count, node_index, caution)` when one changes."""
+    """Maintains this node's key; calls `on_change(node_count, node_index, caution)` when any of them changes.
+
+    `caution` divides the load that this node sends to cold servers.
+    """
 
     def __init__(
         self,
@@ -41,7 +45,7 @@
         rng: random.Random,
         log: Any,
     ) -> None:
-        """`attributes` are written with the epoch as the JSON value of this node's key."""
+        """Takes `attributes`, which are written with the epoch as the JSON value of this node's key."""
         self._client, self._membership, self._attributes = client, membership, attributes
         self._on_change, self._log = on_change, log
         self.follower = Follower(client, membership.prefix, lambda change: None, rng, log, membership)
@@ -50,7 +54,10 @@
         self._lease = 0
 
     async def run(self) -> None:
-        """Runs beside the follower of the servers, which shares the client."""
+        """Registers this node, renews its lease and reports changes until cancelled.
+
+        The client must be running; the follower of the servers shares it.
+        """
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.follower.follow)
             nursery.start_soon(self._report_changes)
@@ -59,17 +66,17 @@
                     await self._register()
                     await self._keep_alive()
                 except CallError as error:
-                    self._log.warning("not-registered", error=str(error))
+                    self._log.warning("registration-failed", error=str(error))
                     await trio.sleep(RETRY_INTERVAL_S)
 
     async def leave(self) -> None:
-        """Revokes the lease, so that the other nodes need not wait until it expires."""
+        """Revokes the lease, so that the other nodes need not wait for it to expire."""
         if self._lease:
             with trio.move_on_after(REVOKE_TIMEOUT_S):
                 try:
                     await self._client.revoke(self._lease)
                 except CallError:
-                    pass  # it expires by itself
+                    pass  # the lease will expire
 
     async def _register(self) -> None:
         membership, self._lease = self._membership, await self._client.grant(LEASE_TTL_S)
@@ -84,7 +91,7 @@
             if registered_epoch is not None and registered_epoch > membership.epoch:
                 await self._client.revoke(self._lease)
                 raise CallError(Status.ALREADY_EXISTS, f"a younger process has the name {membership.name!r}")
-            # the key of an older process of this name, most often this node before its restart
+            # The key is of an older process of this name, usually this node before a restart: overwrite it.
             is_unchanged = wire.Compare(
                 key=membership.key,
                 target=wire.MOD,
@@ -95,7 +102,7 @@
         self.renewed_at = now()
 
     async def _keep_alive(self) -> None:
-        """Renews the lease until that fails; raises `CallError`."""
+        """Renews the lease until that fails; then raises `CallError`."""
         async with self._client.stream(f"{wire.LEASES}LeaseKeepAlive") as call:
             while True:
                 sent_at = now()
@@ -103,9 +110,9 @@
                 with trio.move_on_after(RENEWAL_INTERVAL_S) as timeout:
                     message = await call.receive()
                 if timeout.cancelled_caught or message is None:
-                    raise CallError(Status.UNAVAILABLE, "the lease is not renewed")
+                    raise CallError(Status.UNAVAILABLE, "no response to a keep-alive of the lease")
                 if not wire.LeaseKeepAliveResponse.FromString(message).TTL:
-                    raise CallError(Status.NOT_FOUND, "the lease is lost")
+                    raise CallError(Status.NOT_FOUND, "the lease has expired or was revoked")
                 self.renewed_at = sent_at
                 await trio.sleep(RENEWAL_INTERVAL_S)
 
@@ -114,14 +121,15 @@
             report = (*self._membership.estimate(now()), self._caution())
             if report != self._reported:
                 self._reported = report
-                self._log.info("peers", nodes=report[0], node=report[1], caution=report[2])
+                self._log.info("node-count-changed", nodes=report[0], node=report[1], caution=report[2])
                 self._on_change(*report)
             await trio.sleep(REPORT_INTERVAL_S)
 
     def _caution(self) -> float:
-        """More than usual if the other nodes may not count this one.
+        """Returns the divisor of the load for cold servers, higher while other nodes may not count this one.
 
-        The lease may have expired that long ago, and the others have counted this node on for a while.
+        That is the case some time after the lease may have expired, as the others count a node for
+        `REMOVAL_DELAY_S` after it disappeared; half of that is kept in reserve.
         """
         may_be_uncounted = now() - self.renewed_at > LEASE_TTL_S + REMOVAL_DELAY_S / 2
         return UNCOUNTED_CAUTION if may_be_uncounted or self._membership.has_duplicate else USUAL_CAUTION
--- a/wheatroute/etcd/server_keys.py
+++ b/wheatroute/etcd/server_keys.py
@@ -1,10 +1,10 @@
 """The servers of a pool by their keys in etcd. A state machine without I/O.
 
-Under the pool's prefix there is a key for each server; its id is the rest of the key, its value JSON:
+Each server has one key: the pool's prefix and the server's id. Its value is JSON:
 
     {"addr": "10.1.0.18:8443", "zone": "a", "kind": "m2", "cell": 3, "state": "in_service", "started_ms": 0}
 
-Only `addr` is required; `state` is in_service or terminating. Results have the form of the list service's
+Only `addr` is required; `state` is in_service or terminating. Changes have the format of the list service's
 body, so that both are handled alike. Invariant: a malformed value changes nothing.
 """
 
@@ -21,14 +21,14 @@
 
 
 class ServerKeys:
-    """The servers of a pool, as of the last revision that was applied."""
+    """Holds the servers of a pool as of the last applied revision, by id."""
 
     def __init__(self, prefix: bytes) -> None:
         self.prefix = prefix
         self.entries: dict[str, dict[str, Any]] = {}
 
     def load(self, kvs: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        """Applies all keys of one revision; returns the full list, and a line for each malformed value."""
+        """Applies all keys of one revision; returns the full list, and an error for each malformed value."""
         errors: list[str] = []
         entries: dict[str, dict[str, Any]] = {}
         for kv in kvs:
@@ -39,7 +39,10 @@
         return {"full": True, "servers": list(entries.values())}, errors
 
     def apply(self, events: list[Any], now: float) -> tuple[dict[str, Any], list[str]]:
-        """Applies the events of one revision; returns changed and removed servers, and malformed values."""
+        """Applies the events of one revision.
+
+        Returns the changed and removed servers, and an error for each malformed value.
+        """
         errors: list[str] = []
         changed: dict[str, dict[str, Any]] = {}
         for event in events:
@@ -58,7 +61,7 @@
         return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
 
     def _entry(self, kv: Any, now: float, errors: list[str]) -> dict[str, Any] | None:
-        """The entry of a key; for a malformed value the last valid one, if there is one."""
+        """Returns the entry of a key; for a malformed value the last valid entry, or None."""
         name = self._name(kv.key)
         previous = self.entries.get(name)
         try:
@@ -69,26 +72,26 @@
         if previous is not None and previous["addr"] == entry["addr"]:
             entry["started_ms"] = max(entry["started_ms"], previous["started_ms"])
         elif previous is not None and entry["started_ms"] <= previous["started_ms"]:
-            # a new process under an old key must not get the load of a warm one
+            # A new process under an old key must not get the load of a warm server.
             entry["started_ms"] = int(now * 1000)
         return {"id": name} | entry
 
 
 def _decode(value: bytes) -> dict[str, Any]:
-    """The validated fields of a value; raises `ValueError` with the reason."""
+    """Returns the validated fields of a value; raises `ValueError` with the reason."""
     try:
         fields = orjson.loads(value)
     except orjson.JSONDecodeError as error:
-        raise ValueError("no JSON") from error
+        raise ValueError("the value is not valid JSON") from error
     if not isinstance(fields, dict):
-        raise ValueError("no object")
+        raise ValueError("the value must be a JSON object")
     parse_address(fields.get("addr"))
     state = fields.get("state", "in_service")
     if state not in STATES:
-        raise ValueError(f"state is {state!r}")
+        raise ValueError(f'"state" must be in_service or terminating, got {state!r}')
     for key, kind in (("zone", str), ("kind", str), ("cell", int), ("started_ms", int)):
         if not isinstance(fields.get(key, kind()), kind) or isinstance(fields.get(key), bool):
-            raise ValueError(f"{key} is {fields[key]!r}")
+            raise ValueError(f'"{key}" must be of type {kind.__name__}, got {fields[key]!r}')
     return {
         "addr": fields["addr"],
         "zone": fields.get("zone", ""),
--- a/wheatroute/etcd/services.py
+++ b/wheatroute/etcd/services.py
@@ -1,4 +1,4 @@
-"""The parts of etcd's use in one worker, made by the settings file: client, follower and registrar."""
+"""The etcd client, follower and registrar of one process, made from its settings."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EtcdServices:
-    """Follows the servers, and registers this node where the settings name a prefix for nodes."""
+    """Follows the servers, and registers this node if the settings have a prefix for nodes."""
 
     def __init__(
         self,
@@ -31,11 +31,14 @@
         log: Any,
         is_pinned: bool = False,
     ) -> None:
-        """Raises `OSError` or `TlsError` for files that can't be used."""
+        """Raises `OSError` or `TlsError` for a password or TLS file that can't be used.
+
+        With `is_pinned` the follower never switches to a different cluster.
+        """
         tls = settings.tls
         context = client_context(tls.authorities, tls.certificate, tls.key) if tls else None
         password = Path(settings.password_file).read_text().strip() if settings.password_file else ""
-        # seeded by the node's name, so that nodes differ in their first endpoints and in their backoff
+        # Seeded with the node's name, so that nodes differ in their first endpoints and their backoff.
         rng = random.Random(name)
         addresses = [parse_address(endpoint) for endpoint in settings.endpoints]
         self.client = EtcdClient(addresses, rng, settings.user, password, context)
@@ -47,7 +50,7 @@
             self._registrar = Registrar(self.client, self.membership, {}, on_peers, rng, log)
 
     async def run(self) -> None:
-        """Runs until cancelled."""
+        """Runs the client, the follower and the registrar until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.client.run)
             nursery.start_soon(self.follower.follow)
--- a/wheatroute/etcd/watch.py
+++ b/wheatroute/etcd/watch.py
@@ -1,7 +1,7 @@
-"""One watch over many streams: which events may be applied. A state machine without I/O.
+"""One watch that continues over several streams: which events may be applied. A state machine without I/O.
 
-Invariant: events are given out by complete revisions, in order, each revision once. Where the history is
-lost, or another cluster answers, the watch raises `WatchLostError`.
+Invariant: events are returned by complete revisions, in order, each revision once. If the history was
+compacted, or another cluster responds, the watch raises `WatchLostError`.
 """
 
 from __future__ import annotations
@@ -13,33 +13,34 @@
 
 
 class WatchLostError(Exception):
-    """The watch can't go on from where it was: all keys must be read anew."""
+    """The watch can't be resumed: all keys must be read again."""
 
 
 class MemberBehindError(CallError):
-    """The member lags behind what was already applied: another one must be asked."""
+    """The member lags behind a revision that was already seen: another member must be used."""
 
     def __init__(self, text: str) -> None:
         super().__init__(Status.UNAVAILABLE, text)
 
 
 class Batch(NamedTuple):
-    """All events of one revision in the watched range."""
+    """All events of one revision in the watched range of keys."""
 
     revision: int
     events: list[Any]
 
 
 class Watch:
-    """A watch of one cluster, from the revision after that of a listing on."""
+    """Watches one cluster, starting after the revision at which all keys were read."""
 
     def __init__(self, cluster_id: int, revision: int) -> None:
         self.cluster_id, self.next_revision = cluster_id, revision + 1
-        self.progress_revision = revision  # up to which the member has sent all events, by its own statement
+        # The revision up to which the member has stated that it sent all events.
+        self.progress_revision = revision
         self._fragments: list[Any] = []  # events of a revision that isn't complete yet
 
     def request(self, prefix: bytes, watch_id: int = 1) -> Any:
-        """The request for a new stream; fragments of a lost stream are dropped, as they come again."""
+        """Returns the request for a new stream; drops fragments of a lost one, as they are sent again."""
         self._fragments = []
         return wire.WatchRequest(
             create_request=wire.WatchCreateRequest(
@@ -65,7 +66,8 @@
         if response.created:
             if header.revision < self.next_revision - 1:
                 raise MemberBehindError(
-                    f"at revision {header.revision}, {self.next_revision - 1} was told before"
+                    f"the member is at revision {header.revision}, "
+                    f"revision {self.next_revision - 1} was received before"
                 )
             return []
         if not response.events and not response.fragment and not self._fragments:
@@ -78,19 +80,20 @@
         return self._batches(events)
 
     def _cancellation(self, response: Any) -> WatchLostError:
-        """The error of a watch that the member has cancelled."""
+        """Returns the error for a watch that the member has canceled."""
         if response.compact_revision:
             return WatchLostError(
-                f"history before revision {response.compact_revision} is gone, {self.next_revision} was next"
+                f"history before revision {response.compact_revision} was compacted, "
+                f"revision {self.next_revision} was next"
             )
-        return WatchLostError(f"the watch was ended: {response.cancel_reason or 'no reason given'}")
+        return WatchLostError(f"the member canceled the watch: {response.cancel_reason or 'no reason given'}")
 
     def _batches(self, events: list[Any]) -> list[Batch]:
         batches: list[Batch] = []
         for event in events:
             revision = event.kv.mod_revision
             if revision < self.next_revision:
-                continue  # received before the last stream failed
+                continue  # already received on an earlier stream
             if not batches or batches[-1].revision != revision:
                 batches.append(Batch(revision, []))
             batches[-1].events.append(event)
--- a/wheatroute/tls.py
+++ b/wheatroute/tls.py
@@ -1,7 +1,7 @@
 """TLS contexts from files: certificate, key and certificate authorities.
 
-Files that are no use raise a `TlsError` of one line. A context that is reloaded replaces the present one
-only if it is valid; open connections go on. Keys are never logged.
+Unusable files raise a `TlsError` with a message of one line. A reloaded context replaces the current one only
+if it is valid; open connections are kept. Keys are never logged.
 """
 
 from __future__ import annotations
@@ -12,13 +12,16 @@
 
 
 class TlsError(Exception):
-    """Files that do not make a valid context; the text is one line for the operator."""
+    """The files do not make a valid context; the message is one line for the operator."""
 
 
 def server_context(
     certificate: str, key: str, client_authorities: str = "", protocols: Sequence[str] = ("h2",)
 ) -> ssl.SSLContext:
-    """A context for listening; with `client_authorities` clients must have a certificate of theirs."""
+    """Returns a context for a listener.
+
+    With `client_authorities` clients must have a certificate signed by one of them. Raises `TlsError`.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     _load_pair(context, certificate, key)
@@ -32,7 +35,7 @@
 def client_context(
     authorities: str = "", certificate: str = "", key: str = "", protocols: Sequence[str] = ("h2",)
 ) -> ssl.SSLContext:
-    """A context for connecting; without `authorities` the system's are used."""
+    """Returns a context for connecting; without `authorities` the system's are used. Raises `TlsError`."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     if authorities:
@@ -49,11 +52,11 @@
     for path in (certificate, key):
         _check_readable(path)
     try:
-        # otherwise an encrypted key would ask for its pass phrase on the terminal, and block
+        # Without a password an encrypted key would prompt for its pass phrase on the terminal, and block.
         context.load_cert_chain(certificate, key, password=lambda: b"")
     except (ssl.SSLError, ValueError) as error:
-        reason = getattr(error, "reason", None) or "no pair in PEM form"
-        raise TlsError(f"{certificate} and {key} are no usable pair: {reason}") from error
+        reason = getattr(error, "reason", None) or "not a pair in PEM format"
+        raise TlsError(f"{certificate} and {key} are not a usable certificate and key: {reason}") from error
 
 
 def _load_authorities(context: ssl.SSLContext, path: str) -> None:
@@ -61,7 +64,7 @@
     try:
         context.load_verify_locations(path)
     except ssl.SSLError as error:
-        raise TlsError(f"{path} holds no usable authorities: {error.reason}") from error
+        raise TlsError(f"{path} contains no usable certificate authorities: {error.reason}") from error
 
 
 def _check_readable(path: str) -> None:
@@ -72,7 +75,7 @@
 
 
 class ServerContext:
-    """The present context of one listener, which can be reloaded."""
+    """Holds the current context of one listener, and reloads it."""
 
     def __init__(
         self, certificate: str, key: str, client_authorities: str = "", protocols: Sequence[str] = ("h2",)
@@ -81,5 +84,5 @@
         self.current = server_context(*self._arguments)
 
     def reload(self) -> None:
-        """Reads the files again; raises `TlsError` and keeps the present context if they are not valid."""
+        """Reads the files again; raises `TlsError` and keeps the current context if they are not valid."""
         self.current = server_context(*self._arguments)
