--- a/wheatroute/standin/__init__.py
+++ b/wheatroute/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems on the other side of our fronts, for tests, benchmarks and demonstrations."""
+"""Stand-ins for external systems, an etcd cluster and a proxy, for tests, benchmarks and demonstrations."""
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -1,6 +1,6 @@
 """A stand-in for etcd: members that serve a cluster's store over gRPC, with faults on demand.
 
-It keeps to the published v3 API for what it serves: keys, transactions, leases, watches and tokens.
+It implements a part of the published v3 API: keys, transactions, leases, watches and auth tokens.
 """
 
 from __future__ import annotations
@@ -27,13 +27,16 @@
 STREAM_DROPPED = "the stand-in dropped the stream"
 VERSION = "3.5.0"
 MAX_MESSAGE_BYTES = 64 << 20
-EXPIRY_INTERVAL_S = 0.05  # between two looks for expired leases
+EXPIRY_INTERVAL_S = 0.05  # between two checks for expired leases
 
 Method = Callable[[AsyncCall], Awaitable[None]]
 
 
 class Member:
-    """One endpoint of the cluster, which listens from its creation on. With `users` it asks for tokens."""
+    """One member of the cluster; its listener is open from its creation on.
+
+    If there are `users`, passwords by name, calls must carry an auth token.
+    """
 
     def __init__(
         self,
@@ -43,10 +46,10 @@
     ) -> None:
         self.store = store
         self.faults = MemberFaults()
-        self.users = users or {}  # passwords by name
+        self.users = users or {}
         self.tokens: set[str] = set()
-        self.watch_stream_count = 0  # since its creation
-        self.call_count = 0  # unary ones, since its creation
+        self.watch_stream_count = 0  # opened since the member's creation
+        self.call_count = 0  # unary calls since the member's creation
         self._streams: set[trio.CancelScope] = set()
         self._listener = listen(address)
         self.address: tuple[str, int] = self._listener.getsockname()[:2]
@@ -55,16 +58,16 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether the member has begun to serve."""
+        """Whether the member has started to serve, even if it was stopped since."""
         return self._server is not None
 
     @property
     def open_stream_count(self) -> int:
-        """How many watch and keep-alive streams are open."""
+        """The number of open watch and keep-alive streams."""
         return len(self._streams)
 
     async def run(self) -> None:
-        """Serves until `stop`; a member that was stopped may run again at its address."""
+        """Serves until `stop` is called; a stopped member may run again, with the same address."""
         if self._listener.fileno() < 0:
             self._listener = self._listen_again()
         self._running = trio.CancelScope()
@@ -97,12 +100,12 @@
         return listen(self.address)
 
     def stop(self) -> None:
-        """Ends at once: connections are reset, new ones refused."""
+        """Stops at once: resets all connections and refuses new ones."""
         self._running.cancel()
         self._listener.close()
 
     def drop_streams(self) -> None:
-        """Drops every watch and keep-alive stream."""
+        """Ends every watch and keep-alive stream with an error."""
         for scope in list(self._streams):
             scope.cancel()
 
@@ -112,7 +115,10 @@
             self.store.expire_leases()
 
     async def _receive(self, call: AsyncCall, message_type: Any) -> Any:
-        """The request of a unary call; an unresponsive member never gets so far. Raises `CallError`."""
+        """Returns the request of a unary call; never returns while the member is unresponsive.
+
+        Raises `CallError` if the call has no valid token.
+        """
         self.call_count += 1
         message = await call.receive()
         if self.faults.is_unresponsive:
@@ -125,11 +131,11 @@
             raise CallError(Status.UNAUTHENTICATED, BAD_TOKEN)
 
     def _check_leader(self) -> None:
-        """A member that lags cannot ask the others: it fails what needs them."""
+        """Raises `CallError` if the member lags: it is partitioned from the others, and has no leader."""
         if self.faults.revision_lag:
             raise CallError(Status.UNAVAILABLE, NO_LEADER)
 
-    # unary methods
+    # Unary methods.
 
     async def _range(self, call: AsyncCall) -> None:
         request = await self._receive(call, wire.RangeRequest)
@@ -153,7 +159,7 @@
     async def _compact(self, call: AsyncCall) -> None:
         request = await self._receive(call, wire.CompactionRequest)
         self.store.compact(request.revision)
-        self.store.notify()  # watches of what was dropped are cancelled
+        self.store.notify()  # watches of compacted revisions are canceled
         await _send(call, wire.CompactionResponse(header=self.store.header()))
 
     async def _grant_lease(self, call: AsyncCall) -> None:
@@ -177,7 +183,7 @@
         self.tokens.add(token)
         await _send(call, wire.AuthenticateResponse(header=self.store.header(), token=token))
 
-    # streams
+    # Streaming methods.
 
     async def _keep_alive(self, call: AsyncCall) -> None:
         async with self._stream():
@@ -195,7 +201,7 @@
 
     @asynccontextmanager
     async def _stream(self) -> AsyncIterator[None]:
-        """A stream that `drop_streams` ends, which its client hears of by a `CallError`."""
+        """Runs a stream in a scope that `drop_streams` cancels; then raises `CallError` for its client."""
         scope = trio.CancelScope()
         self._streams.add(scope)
         try:
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -1,7 +1,6 @@
-"""The store of a stand-in for etcd: keys by revision, leases and transactions. Free of I/O.
+"""The store of a stand-in for etcd: keys by revision, leases and transactions. No I/O.
 
-It keeps to the published v3 API for what it serves, and stores nothing beyond its process. Leases are on a
-clock that a test can move.
+It implements a part of the published v3 API, in memory only. Leases use a clock that a test can control.
 """
 
 from __future__ import annotations
@@ -19,71 +18,76 @@
 COMPACTED = "etcdserver: mvcc: required revision has been compacted"
 FUTURE = "etcdserver: mvcc: required revision is a future revision"
 NO_LEASE = "etcdserver: requested lease not found"
-COMPARE_TARGETS = ("version", "create_revision", "mod_revision", "value", "lease")  # by Compare.target
+# Fields of a key, in the order of Compare.CompareTarget.
+COMPARE_TARGETS = ("version", "create_revision", "mod_revision", "value", "lease")
 FIRST_LEASE_ID = 7001
 
 
-Message = Any  # of `wire`, whose classes are made at import: requests, responses, keys and events
+# A message class of `wire`; these are made at import and have no static type.
+Message = Any
 
 
 class HistoryEntry(NamedTuple):
-    """An event and the revision that it belongs to."""
+    """An event and its revision."""
 
     revision: int
     event: Message
 
 
 class RevisionEvents(NamedTuple):
-    """Events of one revision."""
+    """The events of one revision."""
 
     revision: int
     events: list[Message]
 
 
 class Lease(NamedTuple):
-    """A lease; `expires_at` is of the store's clock."""
+    """A lease; `expires_at` is a time of the store's clock."""
 
     ttl_s: float
     expires_at: float
 
 
 class _WriteResult(NamedTuple):
-    """The response of a write, and whether it changed anything, which takes a revision."""
+    """The response to a write, and whether it changed anything and so takes a revision."""
 
     response: Message
     has_changed: bool
 
 
 class Store:
-    """Keys by revision. `clock` gives seconds, for leases."""
+    """Holds all keys and their history by revision, and leases; `clock` returns seconds for the leases."""
 
     def __init__(self, cluster_id: int = 1, clock: Callable[[], float] = time.monotonic) -> None:
         self.cluster_id = cluster_id
         self.clock = clock
         self.revision = 1
         self.compact_revision = 0
-        self.history: list[HistoryEntry] = []  # in the order of revisions
+        self.history: list[HistoryEntry] = []  # ordered by revision
         self.keys: dict[bytes, Message] = {}
         self.leases: dict[int, Lease] = {}
         self._last_lease_id = FIRST_LEASE_ID - 1
         self._waiters: list[trio.Event] = []
 
     def next_change(self) -> trio.Event:
-        """An event that is set at the next `notify`."""
+        """Returns an event that the next `notify` sets."""
         event = trio.Event()
         self._waiters.append(event)
         return event
 
     def notify(self) -> None:
-        """Wakes all that wait for a change."""
+        """Wakes all tasks that wait for a change."""
         waiters, self._waiters = self._waiters, []
         for event in waiters:
             event.set()
 
-    # reading
+    # Reads.
 
     def keys_at(self, revision: int) -> dict[bytes, Message]:
-        """All keys as of a revision, 0 for now; raises `CallError`."""
+        """Returns all keys as of a revision, 0 for the current one.
+
+        Raises `CallError` for a compacted or future revision.
+        """
         if not revision or revision == self.revision:
             return self.keys
         if revision > self.revision:
@@ -101,7 +105,7 @@
         return keys
 
     def range(self, request: Message, lag: int = 0) -> Message:
-        """Answers a range request, as a member that lags so many revisions; raises `CallError`."""
+        """Answers a range request as a member that lags `lag` revisions; raises `CallError`."""
         revision = request.revision or (max(1, self.revision - lag) if lag else 0)
         found = [
             kv
@@ -116,7 +120,7 @@
         return response
 
     def events_since(self, revision: int, key: bytes, range_end: bytes) -> list[RevisionEvents]:
-        """The events of a range from a revision on."""
+        """Returns the events of a range of keys from a revision on."""
         start = bisect_right(self.history, revision - 1, key=lambda entry: entry.revision)
         found: list[RevisionEvents] = []
         for entry in self.history[start:]:
@@ -127,23 +131,23 @@
         return found
 
     def header(self, lag: int = 0) -> Message:
-        """The header of a response of a member that lags so many revisions."""
+        """Returns the response header of a member that lags `lag` revisions."""
         return wire.ResponseHeader(
             cluster_id=self.cluster_id, member_id=1, raft_term=2, revision=max(1, self.revision - lag)
         )
 
-    # writing
+    # Writes.
 
     def put(self, request: Message) -> Message:
-        """Answers a put request; raises `CallError` if its lease is not known."""
+        """Applies a put request; raises `CallError` if its lease does not exist."""
         return self._write(lambda revision: self._put(request, revision))
 
     def delete(self, request: Message) -> Message:
-        """Answers a delete request."""
+        """Applies a delete request."""
         return self._write(lambda revision: self._delete(request, revision))
 
     def _write(self, apply: Callable[[int], _WriteResult]) -> Message:
-        """Applies a write at the next revision, which it takes if it changes anything."""
+        """Applies a write at the next revision; the store's revision rises only if anything changed."""
         result = apply(self.revision + 1)
         if result.has_changed:
             self.revision += 1
@@ -180,13 +184,13 @@
         return _WriteResult(response, bool(deleted))
 
     def txn(self, request: Message) -> Message:
-        """Applies a transaction at one revision; raises `CallError`."""
-        succeeded = all(self._compare(one) for one in request.compare)
+        """Applies a transaction at one revision; raises `CallError` if one of its operations fails."""
+        succeeded = all(self._compare(comparison) for comparison in request.compare)
         operations = request.success if succeeded else request.failure
         response = wire.TxnResponse(succeeded=succeeded)
 
         def apply(revision: int) -> _WriteResult:
-            changes = [self._apply(one, response.responses.add(), revision) for one in operations]
+            changes = [self._apply(operation, response.responses.add(), revision) for operation in operations]
             return _WriteResult(response, any(changes))
 
         return self._write(apply)
@@ -212,12 +216,15 @@
         target = COMPARE_TARGETS[comparison.target]
         actual = getattr(kv, target) if kv else 0
         expected = getattr(comparison, target)
-        # by Compare.result: EQUAL, GREATER, LESS, NOT_EQUAL
+        # In the order of Compare.CompareResult: EQUAL, GREATER, LESS, NOT_EQUAL.
         results = (actual == expected, actual > expected, actual < expected, actual != expected)
         return results[comparison.result]
 
     def compact(self, revision: int) -> None:
-        """Drops the history before a revision, except what its keys stand on; raises `CallError`."""
+        """Drops the history before a revision, except the events that its keys depend on.
+
+        Raises `CallError` for a compacted or future revision.
+        """
         if revision <= self.compact_revision:
             raise CallError(Status.OUT_OF_RANGE, COMPACTED)
         if revision > self.revision:
@@ -229,10 +236,10 @@
         ]
         self.compact_revision = revision
 
-    # leases
+    # Leases.
 
     def grant_lease(self, request: Message) -> Message:
-        """Answers a request for a lease."""
+        """Grants a lease."""
         if not request.ID:
             self._last_lease_id += 1
         lease_id = request.ID or self._last_lease_id
@@ -240,7 +247,7 @@
         return wire.LeaseGrantResponse(header=self.header(), ID=lease_id, TTL=request.TTL)
 
     def keep_alive(self, lease_id: int) -> Message:
-        """Renews a lease; the response has a TTL of 0 for one that is not known."""
+        """Renews a lease; the response has a TTL of 0 if the lease does not exist."""
         lease = self.leases.get(lease_id)
         if lease is not None:
             self.leases[lease_id] = Lease(lease.ttl_s, self.clock() + lease.ttl_s)
@@ -248,7 +255,7 @@
         return wire.LeaseKeepAliveResponse(header=self.header(), ID=lease_id, TTL=ttl_s)
 
     def revoke_lease(self, lease_id: int) -> Message:
-        """Revokes a lease and deletes its keys; raises `CallError` if it is not known."""
+        """Revokes a lease and deletes its keys; raises `CallError` if it does not exist."""
         if lease_id not in self.leases:
             raise CallError(Status.NOT_FOUND, NO_LEASE)
         del self.leases[lease_id]
@@ -262,21 +269,24 @@
         return self._write(delete_keys)
 
     def expire_leases(self) -> None:
-        """Revokes the leases whose time is over."""
+        """Revokes all expired leases."""
         for lease_id, lease in list(self.leases.items()):
             if lease.expires_at <= self.clock():
                 self.revoke_lease(lease_id)
 
 
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
-    """Whether a key is in a range of etcd: no end for one key, a zero byte for all from the start on."""
+    """Returns whether a key is in a range of etcd's API.
+
+    An empty `end` means the key `start` alone, a zero byte all keys from `start` on.
+    """
     if not end:
         return key == start
     return key >= start and (end == b"\0" or key < end)
 
 
 def without_value(kv: Message) -> Message:
-    """A copy of a key without its value."""
+    """Returns a copy of a key without its value."""
     copy = wire.KeyValue()
     copy.CopyFrom(kv)
     copy.value = b""
--- a/wheatroute/standin/etcd_watch.py
+++ b/wheatroute/standin/etcd_watch.py
@@ -1,4 +1,4 @@
-"""One watch stream of a stand-in etcd member: any number of watches, notified in the order of revisions."""
+"""A watch stream of a stand-in etcd member: any number of watches, notified in the order of revisions."""
 
 from __future__ import annotations
 
@@ -12,21 +12,23 @@
 from wheatroute.standin.etcd_store import COMPACTED, Message, Store
 
 UNLIMITED = 10**9
-NO_WATCH = -1  # the watch id of a response that is about none
+NO_WATCH = -1  # watch id of a response that does not belong to a watch
 
 
 @dataclass
 class MemberFaults:
-    """What a test makes a member do."""
+    """The faults that a test injects into a member."""
 
-    is_unresponsive: bool = False  # it takes what comes and says nothing
-    revision_lag: int = 0  # revisions that the member does not have yet
-    max_fragment_events: int = UNLIMITED  # events of a revision beyond which a watch is sent fragments
-    fragments_before_drop: int = -1  # after which a stream is dropped, once; -1 for never
+    is_unresponsive: bool = False  # accepts requests, but sends no responses
+    revision_lag: int = 0  # number of latest revisions that the member does not have
+    # Most events in a response to a watch; a revision with more is sent in fragments.
+    max_fragment_events: int = UNLIMITED
+    # Number of responses after which a stream is dropped, once; -1 for never.
+    fragments_before_drop: int = -1
 
 
 class _Watch:
-    """A watch, and the revision that it is to be sent next."""
+    """A watch, and the next revision to be sent to it."""
 
     def __init__(self, request: Message, next_revision: int) -> None:
         self.key: bytes = request.key
@@ -34,11 +36,11 @@
         self.has_fragments: bool = request.fragment
         self.next_revision = next_revision
         self._wants_previous: bool = request.prev_kv
-        # a filter names the type of events that is left out, by the numbers of the types
+        # Types of events that are left out; a filter has the number of the type that it leaves out.
         self._filtered_types = set(request.filters)
 
     def select(self, events: list[Message]) -> list[Message]:
-        """The events that the watch asked for, as it asked for them."""
+        """Returns the events that the watch has requested, with previous values if requested."""
         return [self._project(event) for event in events if event.type not in self._filtered_types]
 
     def _project(self, event: Message) -> Message:
@@ -48,7 +50,7 @@
 
 
 class WatchStream:
-    """Serves one stream."""
+    """Serves the watches of one stream."""
 
     def __init__(self, call: AsyncCall, store: Store, faults: MemberFaults) -> None:
         self._call = call
@@ -57,7 +59,7 @@
         self._watches: dict[int, _Watch] = {}
 
     async def run(self) -> None:
-        """Serves the stream until the client ends it; raises `CallError` for a fault that ends it."""
+        """Serves the stream until the client ends it; raises `CallError` if an injected fault drops it."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._notify)
             while (message := await self._call.receive()) is not None:
@@ -78,9 +80,10 @@
         elif kind == "cancel_request":
             response = self._cancel(request.cancel_request.watch_id)
         else:
-            response = wire.WatchResponse(header=self._header(), watch_id=NO_WATCH)  # a progress notice
+            # A progress request.
+            response = wire.WatchResponse(header=self._header(), watch_id=NO_WATCH)
         await self._send(response)
-        self._store.notify()  # a new watch may have events to be sent
+        self._store.notify()  # a new watch may need events of past revisions
 
     def _create(self, request: Message) -> Message:
         watch_id = request.watch_id or len(self._watches) + 1
@@ -99,7 +102,7 @@
         return wire.WatchResponse(header=self._header(), watch_id=watch_id, canceled=True)
 
     async def _notify(self) -> None:
-        """Sends events to all watches, whenever the store has changed."""
+        """Sends new events to all watches whenever the store changes."""
         while True:
             change = self._store.next_change()
             for watch_id, watch in list(self._watches.items()):
@@ -130,7 +133,7 @@
         )
 
     async def _send_events(self, watch_id: int, watch: _Watch, events: list[Message]) -> None:
-        """Sends the events of one revision, in fragments if there are many."""
+        """Sends the events of one revision, in fragments if there are too many for one response."""
         size = self._faults.max_fragment_events if watch.has_fragments else UNLIMITED
         for start in range(0, len(events), size):
             end = start + size
--- a/wheatroute/standin/ext_proc_messages.py
+++ b/wheatroute/standin/ext_proc_messages.py
@@ -1,4 +1,4 @@
-"""The messages that a proxy exchanges with an external processor, by Envoy's published protocol. No I/O."""
+"""The messages between a proxy and an external processor, in Envoy's published protocol. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest
 
 PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-DESTINATION = "x-gateway-destination-endpoint"  # header in which a decision names the server
+DESTINATION = "x-gateway-destination-endpoint"  # header that has the server's address in a decision
 
 
 class RequestClass(NamedTuple):
@@ -17,14 +17,15 @@
     method: str
 
 
-IDEMPOTENT, KEYED, NON_IDEMPOTENT = range(3)  # places in `REQUEST_CLASSES`
+# Indexes in `REQUEST_CLASSES`; a keyed request has an idempotency key.
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = range(3)
 REQUEST_CLASSES = (RequestClass("view", "GET"), RequestClass("amend", "POST"), RequestClass("place", "POST"))
 
 
 def request_headers(
     request_id: str, request_class: int, attempt: int, timeout_s: float = 2.0, **more: str
 ) -> bytes:
-    """The first message of a stream; `more` are further headers by name."""
+    """Returns the first message of a stream; `more` are further headers by name."""
     name, method = REQUEST_CLASSES[request_class]
     headers = {
         ":method": method,
@@ -46,7 +47,10 @@
 
 
 def response_headers(status: int, **more: str) -> bytes:
-    """The message with a server's response headers; an underscore in a name of `more` stands for a hyphen."""
+    """Returns the message with a server's response headers.
+
+    `more` are further headers by name, with underscores in place of hyphens.
+    """
     headers = {":status": str(status), "content-type": "text/plain"} | more
     message = ProcessingRequest()
     _add_headers(message.response_headers, {key.replace("_", "-"): value for key, value in headers.items()})
@@ -61,7 +65,7 @@
 
 
 def destination(response: Any) -> str:
-    """The server that a decision names as `HOST:PORT`; empty for none."""
+    """Returns the server in a decision as `HOST:PORT`; empty if it names none."""
     for option in response.request_headers.response.header_mutation.set_headers:
         if option.header.key == DESTINATION:
             return bytes(option.header.raw_value).decode()
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -1,8 +1,9 @@
-"""A stand-in for a proxy that asks an external processor for each request, with the servers behind it.
+"""A stand-in for a proxy that calls an external processor for each request, and for the servers behind it.
 
-An open loop of requests over a few connections, and simulated servers of unequal speed. It records how long
-each decision took, and how many decisions a request got. It speaks the published protocol over a client of
-its own, and never asks before the time that its rate gives, nor waits for a decision to ask again.
+It generates an open-loop load over a few connections, with simulated servers of unequal speed, and records
+the latency of each decision and the number of decisions for each request. It uses the published protocol with
+a lightweight client. It never sends a request before its scheduled time, nor waits for a decision to send the
+next one.
 
     python -m wheatroute.standin.proxy 127.0.0.1:9002 --rate 500 --seconds 10
 """
@@ -44,26 +45,30 @@
     (b"te", b"trailers"),
     (b"content-type", b"application/grpc"),
 ]
-SPIN_S = 0.0015  # before something is due in which the clock is watched in place of sleeping
-CONNECT_INTERVAL_S = 0.1  # so that processes that share a listener share the connections
-END_TIMEOUT_S = 5.0  # after the last request in which streams may still end
-IDLE_SLEEP_S = 0.01  # after the last request, while nothing is due
+# For this long before an action is due the proxy polls the clock instead of sleeping.
+SPIN_S = 0.0015
+# Delay between connections, so that processes that share a listener get similar numbers of connections.
+CONNECT_INTERVAL_S = 0.1
+END_TIMEOUT_S = 5.0  # time after the last request within which open streams may still end
+IDLE_SLEEP_S = 0.01  # sleep after the last request, while no action is due
 MAX_DELAY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-SERVICE_TIME_S = 0.01  # of the fastest servers, alone
-SPEEDS = 3  # of servers: ports in turn take this time once, twice, thrice
-CONGESTION_REQUESTS = 50  # at a server that double its time
+SERVICE_TIME_S = 0.01  # of the fastest servers, without congestion
+# Classes of servers, assigned to ports in turn: they take the service time once, twice or three times.
+SPEEDS = 3
+CONGESTION_REQUESTS = 50  # requests in flight at a server that double its service time
 MAX_ATTEMPTS = 2
-MAX_RESPONSES = 2  # of the processor on a stream: a decision, and one for the response's headers
+# Messages of the processor on a stream: a decision, and a response to the server's response headers.
+MAX_RESPONSES = 2
 
 
 def histogram() -> HdrHistogram:
-    """A histogram of delays in microseconds."""
+    """Returns an empty histogram of delays in microseconds."""
     return HdrHistogram(1, MAX_DELAY_US, SIGNIFICANT_DIGITS)
 
 
 class Attempt:
-    """One attempt of a request: a stream to the processor, and a response of the server that it names."""
+    """One attempt of a request: a stream to the processor, and the response of the chosen server."""
 
     __slots__ = (
         "proxy",
@@ -86,14 +91,14 @@
         self.server = ""
 
     def start(self, client: Http2Client) -> None:
-        """Opens the stream with the request's headers."""
+        """Opens the stream and sends the request's headers."""
         message = request_headers(self.request_id, self.request_class, self.number)
         self.client = client
         self.started_at = time.perf_counter()
         self.stream_id = client.open_call(message, self)
 
     def on_message(self, message: bytes) -> None:
-        """Handles a response of the processor."""
+        """Handles a message of the processor."""
         if self.response_count == 0:
             self.proxy.record_delay(time.perf_counter() - self.started_at)
         self.response_count += 1
@@ -110,61 +115,64 @@
             self.proxy.count["answers_too_many"] += 1
 
     def on_end(self, status: int) -> None:
-        """The stream has ended."""
+        """Reports the end of the stream to the proxy."""
         self.proxy.on_end(self, status)
 
 
 class Schedule:
-    """What is due later, in the order of its time."""
+    """Runs actions at given times, in the order of these times."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._added_count = 0  # orders what is due at the same time
+        self._added_count = 0  # orders actions that are due at the same time
 
     def add(self, due: float, action: Callable[[], None]) -> None:
-        """Has an action run at a time of trio's clock."""
+        """Schedules an action for a time of trio's clock."""
         self._added_count += 1
         heappush(self._heap, (due, self._added_count, action))
 
     def run_due(self, now: float) -> None:
-        """Runs what is due."""
+        """Runs all actions that are due."""
         while self._heap and self._heap[0][0] <= now:
             heappop(self._heap)[2]()
 
     @property
     def next_due(self) -> float:
-        """When the next action is due; infinity for none."""
+        """The time at which the next action is due; infinity if there is none."""
         return self._heap[0][0] if self._heap else float("inf")
 
 
 @dataclass(frozen=True)
 class LoadOptions:
-    """The load of a proxy."""
+    """The load that a proxy generates."""
 
-    rate: float  # requests a second
+    rate: float  # requests per second
     duration_s: float
     connections: int
     seed: int
-    vanish_ratio: float = 0.0  # of requests whose end the processor is never told
+    # Fraction of attempts whose stream is reset, so that the processor never learns their outcome.
+    vanish_ratio: float = 0.0
 
 
 class Proxy:
-    """Sends requests at random times of an even rate, whatever becomes of those before."""
+    """Sends requests at random times with a constant mean rate, independent of earlier requests' outcomes."""
 
     def __init__(self, address: tuple[str, int], options: LoadOptions) -> None:
         self.delays = histogram()
         self.count: Counter[str] = Counter()
-        self.decided_at: dict[str, list[float]] = {}  # by server, of the machine's monotonic clock
+        # Times of the decisions by server, in seconds of the monotonic clock.
+        self.decided_at: dict[str, list[float]] = {}
         self._options = options
         self._rng = random.Random(options.seed)
         self._clients = [Http2Client(address, CALL_HEADERS) for _ in range(options.connections)]
         self._schedule = Schedule()
-        self._unsafe_decisions: Counter[str] = Counter()  # by request, of those that are not idempotent
+        # Number of decisions by request id, for requests that are not idempotent.
+        self._unsafe_decisions: Counter[str] = Counter()
         self._in_flight: Counter[str] = Counter()  # by server
-        self._open_count = 0  # streams
+        self._open_count = 0  # number of open streams
 
     async def run(self) -> None:
-        """Sends requests for the given time, and waits for their ends."""
+        """Sends requests for the given time, then waits for the open streams to end."""
         async with trio.open_nursery() as nursery:
             for client in self._clients:
                 await client.connect()
@@ -201,11 +209,11 @@
         Attempt(self, request_id, request_class, number).start(client)
 
     def record_delay(self, delay_s: float) -> None:
-        """Records how long a decision took."""
+        """Records the latency of a decision."""
         self.delays.record_value(max(1, int(delay_s * 1e6)))
 
     def on_decision(self, attempt: Attempt) -> None:
-        """Sends an attempt to the server that was named, which responds, or vanishes, after a while."""
+        """Sends an attempt to the chosen server; schedules its response, or a reset of the stream."""
         self.count["decisions"] += 1
         if attempt.request_class == NON_IDEMPOTENT:
             self._unsafe_decisions[attempt.request_id] += 1
@@ -217,7 +225,10 @@
         self._schedule.add(trio.current_time() + service_time_s, lambda: action(attempt))
 
     def _draw_service_time(self, server: str) -> float:
-        """Seconds that a server takes: servers differ by their ports, and are slower the more they have."""
+        """Returns a random service time in seconds; it rises with the server's number of requests in flight.
+
+        Servers differ in speed by their ports.
+        """
         port = int(server.rsplit(":", 1)[1])
         congestion = 1 + self._in_flight[server] / CONGESTION_REQUESTS
         return SERVICE_TIME_S * (1 + port % SPEEDS) * self._rng.uniform(0.5, 1.5) * congestion
@@ -229,7 +240,7 @@
             attempt.client.send(attempt.stream_id, response_headers(200, endpoint_load_metrics=load))
 
     def _vanish(self, attempt: Attempt) -> None:
-        """Ends the stream without a response's headers, and tries once more under the same request id."""
+        """Resets the stream without response headers, and retries with the same request id if allowed."""
         self._in_flight[attempt.server] -= 1
         self.count["vanished"] += 1
         attempt.client.cancel(attempt.stream_id)
@@ -246,7 +257,10 @@
             self.count[f"ended_{Status(status).name.lower() if status >= 0 else 'reset'}"] += 1
 
     def report(self) -> dict[str, Any]:
-        """What was seen, as a JSON object."""
+        """Returns the counts and the encoded histogram as a JSON object.
+
+        `unsafe_twice` is the number of non-idempotent requests with more than one decision.
+        """
         return {
             "count": dict(self.count),
             "delays": self.delays.encode().decode(),
@@ -255,9 +269,9 @@
 
 
 async def _sleep_until_shortly_before(due: float, now: float) -> None:
-    """Sleeps, or where it is due soon only lets other tasks run.
+    """Sleeps until `SPIN_S` before a time, or only lets other tasks run if that time has come.
 
-    The system's timer knows whole milliseconds only: requests would be sent in clumps.
+    The system's timer has a resolution of one millisecond: without this requests would be sent in bursts.
     """
     if due - now > SPIN_S:
         await trio.sleep_until(due - SPIN_S)
@@ -266,7 +280,7 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Collects rarely, so that collections do not show as delays of the processor."""
+    """Makes garbage collections rare, so that they are not measured as delays of the processor."""
     gc.freeze()
     gc.set_threshold(10000, 20, 50)
 
@@ -280,16 +294,16 @@
 
 
 @click.command()
-@click.argument("place")
-@click.option("--rate", type=float, default=500.0, help="requests a second")
+@click.argument("address")
+@click.option("--rate", type=float, default=500.0, help="requests per second")
 @click.option("--seconds", type=float, default=5.0)
 @click.option("--connections", type=int, default=2)
 @click.option("--seed", type=int, default=1)
-@click.option("--vanish", type=float, default=0.0, help="share of requests whose end is never told")
-@click.option("--seen", type=click.Path(), help="writes there when each server was decided for")
-@click.option("--json", "as_json", is_flag=True, help="one JSON object, the histogram encoded")
+@click.option("--vanish", type=float, default=0.0, help="fraction of attempts whose stream is reset")
+@click.option("--seen", type=click.Path(), help="file for the times of the decisions by server, as JSON")
+@click.option("--json", "as_json", is_flag=True, help="print one JSON object with the encoded histogram")
 def main(
-    place: str,
+    address: str,
     rate: float,
     seconds: float,
     connections: int,
@@ -298,8 +312,8 @@
     seen: str | None,
     as_json: bool,
 ) -> None:
-    """Asks the external processor at PLACE for decisions and says what it saw."""
-    host, _, port = place.rpartition(":")
+    """Sends requests to the external processor at ADDRESS and prints the results."""
+    host, _, port = address.rpartition(":")
     proxy = Proxy((host, int(port)), LoadOptions(rate, seconds, connections, seed, vanish))
     _tune_garbage_collection()
     trio.run(proxy.run)
