--- a/tests/etcd/test_etcd_functions.py
+++ b/tests/etcd/test_etcd_functions.py
@@ -5,7 +5,7 @@
 from wheatroute.etcd import membership, messages, server_keys
 
 
-def test_membership_membership():
+def test_membership_estimate():
     peers = membership.Membership(b"nodes/", "b", 5)
     peers.update(["a", "b", "c"], 0.0)
     assert peers.estimate(0.0) == (3, 1)
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -1,4 +1,4 @@
-"""Servers followed through etcd: a scenario for each way in which the watch, a member or a value can fail."""
+"""The follower of servers in etcd: one scenario for each way in which a watch, member or value can fail."""
 
 import json
 import random
@@ -29,7 +29,7 @@
 
 
 class FollowedServers:
-    """The changes that a follower reported, and the states of the servers after them."""
+    """Records the changes that a follower reports, and the resulting states of the servers."""
 
     def __init__(self):
         self.changes, self.states, self.changed_at = [], {}, {}
@@ -47,7 +47,7 @@
 
 @asynccontextmanager
 async def cluster(member_count=1, store=None, **options):
-    """Members of one store, a follower of its servers, and what it reported."""
+    """Runs members of one store and a follower of its servers, whose reports are recorded."""
     store = store or Store()
     members = [Member(store, **options) for _ in range(member_count)]
     client = EtcdClient(
@@ -67,7 +67,7 @@
 
 
 async def put_and_wait(store, servers, name, state="in_service", timeout_s=2.0, **fields):
-    """Puts a change and waits until it is reported, which must be within two seconds."""
+    """Puts a server and waits until the follower reports it, by default for at most two seconds."""
     began = trio.current_time()
     put(store, name, state=state, **fields)
     await until(
@@ -87,7 +87,7 @@
         await put_and_wait(store, servers, "s1", "terminating", port=7001)
         store.delete(wire.DeleteRangeRequest(key=PREFIX + b"s2"))
         await until(lambda: "s2" not in servers.states)
-        # a transaction is one revision: its changes are reported together
+        # A transaction is one revision: its changes are reported together.
         before = len(servers.changes)
         store.txn(
             wire.TxnRequest(
@@ -106,33 +106,36 @@
 
 
 @scenario
-async def test_a_follower_does_not_go_behind_the_position_of_the_process_before_it():
+async def test_a_follower_does_not_apply_revisions_older_than_the_position_of_its_predecessor():
     store = Store()
     put(store, "s0")
     async with cluster(store=store) as (store, members, follower, servers, _):
         await until(lambda: servers.changes)
         cluster_id, revision = follower.min_position
         assert (cluster_id, revision) == (store.cluster_id, store.revision)
-    store = Store()  # an older backup of it: s0 is drained later, which the process before had applied
+    # An older backup of the store: s0 was drained after it, which the previous process had applied.
+    store = Store()
     put(store, "s0")
-    later = FollowedServers()
+    servers = FollowedServers()
     member = Member(store)
-    follower = Follower(EtcdClient([member.address], random.Random(1)), PREFIX, later, random.Random(2), LOG)
+    follower = Follower(
+        EtcdClient([member.address], random.Random(1)), PREFIX, servers, random.Random(2), LOG
+    )
     follower.resume_from(store.cluster_id, store.revision + 2)
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
             nursery.start_soon(member.run)
             nursery.start_soon(follower.run)
             await until(lambda: member.call_count >= 3)
-            assert not later.changes
+            assert not servers.changes
             put(store, "s0", state="terminating")
             put(store, "s1", 7001)
-            await until(lambda: later.states == {"s0": "terminating", "s1": "in_service"})
+            await until(lambda: servers.states == {"s0": "terminating", "s1": "in_service"})
             nursery.cancel_scope.cancel()
 
 
 @scenario
-async def test_a_broken_watch_resumes_where_it_was_and_reports_nothing_twice():
+async def test_a_broken_watch_resumes_at_its_revision_and_reports_nothing_twice():
     async with cluster() as (store, members, follower, servers, _):
         await until(lambda: members[0].watch_stream_count == 1)
         for n in range(30):
@@ -146,7 +149,7 @@
 
 
 @scenario
-async def test_a_break_between_the_fragments_of_a_revision_applies_none_of_it_until_it_is_complete():
+async def test_a_revision_whose_stream_breaks_between_fragments_is_applied_only_once_it_is_complete():
     async with cluster() as (store, members, follower, servers, _):
         await until(lambda: members[0].watch_stream_count == 1)
         faults = members[0].faults
@@ -167,7 +170,7 @@
 
 
 @scenario
-async def test_a_compaction_leads_to_a_new_list_without_the_servers_deleted_meanwhile():
+async def test_after_a_compaction_all_keys_are_read_again_and_deleted_servers_removed():
     async with cluster() as (store, members, follower, servers, nursery):
         put(store, "stays")
         put(store, "goes", 7001)
@@ -184,7 +187,7 @@
 
 
 @scenario
-async def test_a_long_outage_of_etcd_removes_no_server_and_a_drain_after_it_is_applied_at_once():
+async def test_an_outage_of_etcd_removes_no_server_and_a_drain_during_it_is_applied_soon_after():
     async with cluster() as (store, members, follower, servers, nursery):
         put(store, "a")
         await until(lambda: servers.states)
@@ -199,7 +202,7 @@
 
 
 @scenario
-async def test_a_member_that_accepts_and_says_nothing_is_left_for_another():
+async def test_an_unresponsive_member_is_replaced_by_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         await until(lambda: servers.changes and any(member.watch_stream_count for member in members))
         member = next(member for member in members if member.watch_stream_count)
@@ -209,17 +212,17 @@
 
 
 @scenario
-async def test_a_member_that_lags_behind_is_left_for_another():
+async def test_a_member_that_lags_behind_is_replaced_by_another():
     async with cluster(member_count=3) as (store, members, follower, servers, _):
         put(store, "a")
         await until(lambda: servers.states and any(member.watch_stream_count for member in members))
         member = next(member for member in members if member.watch_stream_count)
-        member.faults.revision_lag = 1  # it is partitioned just before the next change
+        member.faults.revision_lag = 1  # the member is partitioned just before the next change
         await put_and_wait(store, servers, "a", "terminating")
 
 
 @scenario
-async def test_another_cluster_at_the_same_address_is_listed_anew():
+async def test_all_keys_are_read_again_from_a_different_cluster_at_the_same_address():
     async with cluster() as (store, members, follower, servers, nursery):
         for n in range(5):
             put(store, f"old{n}", 7000 + n)
@@ -254,7 +257,7 @@
 
 
 @scenario
-async def test_a_server_at_another_address_under_its_old_key_counts_as_new():
+async def test_a_server_whose_address_changes_counts_as_newly_started():
     async with cluster() as (store, _, follower, servers, _):
         put(store, "a", 7000, started_ms=5)
         await until(lambda: servers.states)
@@ -276,7 +279,7 @@
 
 
 @scenario
-async def test_a_value_changed_many_times_ends_as_it_was_put_last():
+async def test_a_value_that_changes_many_times_ends_as_last_written():
     async with cluster() as (store, _, follower, servers, _):
         await until(lambda: follower.stream_count)
         for n in range(2000):
@@ -318,16 +321,16 @@
 
 @scenario
 async def test_an_expired_lease_deletes_its_keys():
-    moment = [0.0]
-    async with cluster(store=Store(clock=lambda: moment[0])) as (store, _, follower, servers, _):
+    current_time = [0.0]
+    async with cluster(store=Store(clock=lambda: current_time[0])) as (store, _, follower, servers, _):
         client = follower._client
         lease = await client.grant(10)
         await client.put(PREFIX + b"a", value(7000), lease)
         await until(lambda: servers.states)
-        moment[0] = 9.0
+        current_time[0] = 9.0
         store.keep_alive(lease)
-        moment[0] = 18.0
+        current_time[0] = 18.0
         await put_and_wait(store, servers, "b", port=7001)
         assert "a" in servers.states
-        moment[0] = 19.5
+        current_time[0] = 19.5
         await until(lambda: "a" not in servers.states)
--- a/tests/etcd/test_registrar.py
+++ b/tests/etcd/test_registrar.py
@@ -1,4 +1,4 @@
-"""Nodes that register and count each other: when they appear, disappear, flap, or share a name."""
+"""Nodes that register and count each other, and nodes that appear, disappear, flap or share a name."""
 
 import random
 from contextlib import asynccontextmanager
@@ -18,7 +18,7 @@
 LOG = structlog.get_logger()
 
 
-def test_more_nodes_count_at_once_and_fewer_slowly():
+def test_the_estimate_rises_at_once_and_falls_slowly():
     peers = Membership(PREFIX, "c", 1)
     peers.update([f"n{i}" for i in range(9)], 0.0)
     assert peers.estimate(0.0) == (10, 0)
@@ -60,7 +60,10 @@
 
 @asynccontextmanager
 async def nodes(*names):
-    """Registrars in one cluster by name and epoch; `reports` are the last ones of each."""
+    """Runs a registrar in one cluster for each name; `reports` has the last report of each.
+
+    The yielded `start(name, epoch, key)` starts another one, stored under `key`.
+    """
     store = Store()
     member, reports, registrars = Member(store), {}, {}
     with trio.fail_after(30):
@@ -103,18 +106,17 @@
         await until(lambda: [reports.get(name, (0,))[0] for name in "abcd"] == [4] * 4)
         await registrars["d"].leave()
         await until(lambda: PREFIX + b"d" not in store.keys)
-        assert reports["a"][0] == 4  # it counts on for a while
+        assert reports["a"][0] == 4  # a node that left is still counted for a while
 
 
 @scenario
-async def test_a_reregistrars_node_takes_its_own_key_and_an_older_one_does_not():
+async def test_a_younger_process_takes_over_the_key_of_its_name_and_an_older_one_does_not():
     async with nodes("a") as (store, _, reports, registrars, scopes, start):
         await until(lambda: PREFIX + b"a" in store.keys)
         start("a", epoch=7, key="younger")
         await until(lambda: b"7" in store.keys[PREFIX + b"a"].value)
-        await until(
-            lambda: reports.get("a") == (2, 0, 4.0)
-        )  # the older process counts both, with more caution
+        # The older process counts both, and sends less to cold servers.
+        await until(lambda: reports.get("a") == (2, 0, 4.0))
         await until(lambda: reports.get("younger") == (1, 0, 1.0))
         start("a", epoch=3, key="oldest")
         await until(lambda: reports.get("oldest", (0, 0, 0))[2] == 4.0)
@@ -122,7 +124,7 @@
 
 
 @scenario
-async def test_a_node_whose_lease_is_lost_registers_anew():
+async def test_a_node_whose_lease_is_lost_registers_again():
     async with nodes("a", "b") as (store, member, reports, registrars, scopes, start):
         await until(lambda: len(store.keys) == 2 and reports.get("b", (0,))[0] == 2)
         lease = registrars["a"]._lease
--- a/tests/etcd/test_watch.py
+++ b/tests/etcd/test_watch.py
@@ -1,4 +1,4 @@
-"""Watches and server keys without I/O, and the stand-in for etcd under a client of another project."""
+"""Watches and server keys without I/O, and the stand-in for etcd with the client of another project."""
 
 import asyncio
 import random
@@ -24,28 +24,28 @@
     return wire.WatchResponse(header=header, events=events, **more)
 
 
-def test_any_break_and_repeat_of_a_history_gives_each_revision_once_complete_and_in_order():
+def test_streams_that_break_anywhere_give_each_revision_once_complete_and_in_order():
     rng = random.Random(3)
     for _ in range(300):
         history = [(r, [event(b"k%d" % n, r) for n in range(rng.randint(1, 4))]) for r in range(11, 31)]
         watch, batches = Watch(7, 10), []
-        while (
-            watch.next_revision <= 30
-        ):  # a stream from the requested revision on, in fragments, broken somewhere
+        # Each pass is one stream from the requested revision on, which may break after any response.
+        while watch.next_revision <= 30:
             start = watch.request(b"k").create_request.start_revision
             events = [event for r, revision in history if r >= start for event in revision]
             broken_at = rng.randrange(len(events) + 1)
-            for index, event_ in enumerate(events):
+            for index, sent_event in enumerate(events):
                 if index == broken_at and rng.random() < 0.5:
                     break
                 is_last = (
-                    index + 1 == len(events) or events[index + 1].kv.mod_revision != event_.kv.mod_revision
+                    index + 1 == len(events)
+                    or events[index + 1].kv.mod_revision != sent_event.kv.mod_revision
                 )
-                batches += watch.receive(response(event_, fragment=not is_last))
+                batches += watch.receive(response(sent_event, fragment=not is_last))
         assert [(batch.revision, len(batch.events)) for batch in batches] == [(r, len(e)) for r, e in history]
 
 
-def test_the_end_of_a_watch_has_its_reason():
+def test_the_error_of_a_lost_watch_has_the_reason():
     watch = Watch(7, 10)
     with pytest.raises(WatchLostError, match="history before revision 20"):
         watch.receive(response(canceled=True, compact_revision=20))
@@ -59,7 +59,7 @@
         watch.receive(other)
 
 
-def test_progress_is_recorded_and_applies_nothing():
+def test_a_progress_response_is_recorded_and_changes_nothing():
     watch = Watch(7, 10)
     assert watch.receive(response(revision=40, watch_id=-1)) == []
     assert (watch.progress_revision, watch.next_revision) == (40, 11)
@@ -71,8 +71,8 @@
     assert change["servers"] == [] and errors == []
 
 
-def test_the_stand_in_serves_a_client_of_the_registry():
-    """Put, get, a prefix, a transaction, a lease, a watch and its end."""
+def test_the_stand_in_works_with_the_aetcd_client():
+    """Put, get, a prefix, a transaction, a lease, a watch and its cancellation, and a deletion."""
     store, ready, done = Store(), threading.Event(), threading.Event()
     addresses = []
 
@@ -85,19 +85,19 @@
             await trio.to_thread.run_sync(done.wait)
             nursery.cancel_scope.cancel()
 
-    async def use():
+    async def run_client():
         async with aetcd.Client(*addresses[0]) as client:
             await client.put(b"/a/1", b"one")
             await client.put(b"/a/2", b"two")
             assert (await client.get(b"/a/1")).value == b"one"
             assert await client.get(b"/none") is None
             assert [kv.value async for kv in as_aiter(await client.get_prefix(b"/a/"))] == [b"one", b"two"]
-            won, _ = await client.transaction(
+            succeeded, _ = await client.transaction(
                 compare=[client.transactions.value(b"/a/1") == b"one"],
                 success=[client.transactions.put(b"/a/1", b"uno")],
                 failure=[client.transactions.put(b"/a/1", b"never")],
             )
-            assert won and (await client.get(b"/a/1")).value == b"uno"
+            assert succeeded and (await client.get(b"/a/1")).value == b"uno"
             lease = await client.lease(30)
             await client.put(b"/a/3", b"three", lease)
             watch = await client.watch_prefix(b"/a/")
@@ -112,7 +112,7 @@
     thread.start()
     try:
         ready.wait(10)
-        asyncio.run(asyncio.wait_for(use(), 20))
+        asyncio.run(asyncio.wait_for(run_client(), 20))
     finally:
         done.set()
         thread.join()
--- a/tests/grpc/test_grpc_functions.py
+++ b/tests/grpc/test_grpc_functions.py
@@ -1,4 +1,4 @@
-"""What single functions give, one after the other; no sockets, no clock."""
+"""Single functions of the package, without sockets or a clock."""
 
 import pytest
 
@@ -6,19 +6,19 @@
 
 
 def test_messages_assembler():
-    parts = messages.Assembler()
+    assembler = messages.Assembler()
     assert (
-        parts.feed(messages.frame_message(b"ab") + messages.frame_message(b"") + b"\x00\x00"),
-        parts.feed(b"\x00\x00\x01c"),
-        parts.is_between_messages,
+        assembler.feed(messages.frame_message(b"ab") + messages.frame_message(b"") + b"\x00\x00"),
+        assembler.feed(b"\x00\x00\x01c"),
+        assembler.is_between_messages,
     ) == ([b"ab", b""], [b"c"], True)
 
 
 def test_messages_parse_timeout():
     assert (messages.parse_timeout(b"250m"), messages.parse_timeout(b"2S")) == (0.25, 2.0)
-    with pytest.raises(messages.CallError) as trouble:
+    with pytest.raises(messages.CallError) as caught:
         messages.parse_timeout(b"-1S")
-    assert str(trouble.value) == "INVALID_ARGUMENT: no usable grpc-timeout"
+    assert str(caught.value) == "INVALID_ARGUMENT: no usable grpc-timeout"
 
 
 def test_messages_encode_timeout():
--- a/tests/standin/test_standin_functions.py
+++ b/tests/standin/test_standin_functions.py
@@ -1,9 +1,9 @@
-"""What single functions of the stand-ins give; no sockets, no clock."""
+"""Single functions of the stand-ins, without sockets or a clock."""
 
 from wheatroute.standin import etcd_store, http2_client
 
 
-def test_etcd_within():
+def test_etcd_store_in_range():
     assert (
         etcd_store.in_range(b"a", b"a", b""),
         etcd_store.in_range(b"b", b"a", b"b"),
