--- a/wheatroute/etcd/client.py
+++ b/wheatroute/etcd/client.py
@@ -21,7 +21,7 @@
 from wheatroute.grpc.limits import ConnectionLimits
 from wheatroute.grpc.messages import CallError, Headers, Status
 
-CALL_TIMEOUT_S = 1.0  # of a unary call at one endpoint
+CALL_TIMEOUT_S = 1.0  # default timeout of a unary call at one endpoint
 STREAM_CONNECT_TIMEOUT_S = 0.5
 SUSPECTED_S = 5.0  # time for which a failed endpoint is avoided
 MAX_BACKOFF_S = 0.4  # maximum delay before a lost connection is reopened
@@ -51,7 +51,7 @@
         self._channels = [
             Channel(address, limits, context, rng=rng, max_backoff_s=MAX_BACKOFF_S) for address in addresses
         ]
-        self._suspected_until = [0.0] * len(addresses)  # by endpoint
+        self._suspected_until = [0.0] * len(addresses)  # time until which each endpoint is avoided
         # The first endpoint is random, so that nodes don't all use the same one.
         self._current = rng.randrange(len(addresses))
         self._user, self._password = user, password
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -23,7 +23,7 @@
 
 # Time without a response after which the stream's progress is requested, and then time for that response.
 PROGRESS_TIMEOUT_S = 0.3
-CHECK_INTERVAL_S = 0.5  # between two reads of the cluster's revision
+CHECK_INTERVAL_S = 0.5  # interval between two reads of the cluster's revision
 # Time for which a stream may lag behind a revision that the cluster has reached.
 MAX_LAG_S = 2.0 * PROGRESS_TIMEOUT_S
 # Delay between attempts: doubled after each failure, half of it random.
@@ -73,7 +73,7 @@
         self.list_count = self.stream_count = 0
         self._backoff_s = INITIAL_BACKOFF_S
         self._progress = _ClusterProgress(client)
-        self._lost_position = Position(0, 0)  # of the previous watch
+        self._lost_position = Position(0, 0)  # position of the previous watch
         self.is_pinned = False  # if true, a different cluster is never followed instead of the first one
 
     @property
--- a/wheatroute/etcd/membership.py
+++ b/wheatroute/etcd/membership.py
@@ -15,7 +15,7 @@
 
 # Time for which a node that disappeared is still counted, as it may be flapping.
 REMOVAL_DELAY_S = 15.0
-DECREASE_INTERVAL_S = 2.0  # between two decreases of the estimate, each by one node
+DECREASE_INTERVAL_S = 2.0  # interval between two decreases of the estimate, each by one node
 NO_EPOCH = -1  # epoch of a node whose value is malformed
 
 
--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -23,7 +23,7 @@
 LEASE_TTL_S = 6
 RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
 RETRY_INTERVAL_S = 0.5  # delay after a failed registration
-REPORT_INTERVAL_S = 0.5  # between two estimates of the number of nodes
+REPORT_INTERVAL_S = 0.5  # interval between two estimates of the number of nodes
 REVOKE_TIMEOUT_S = 1.0
 # Divisors of the load that this node sends to cold servers.
 USUAL_CAUTION = 1.0
--- a/wheatroute/grpc/async_call.py
+++ b/wheatroute/grpc/async_call.py
@@ -12,7 +12,7 @@
 from wheatroute.grpc.call import Call
 from wheatroute.grpc.messages import CallError, Status
 
-UNSENT_POLL_S = 0.001  # between two checks whether messages were sent
+UNSENT_POLL_S = 0.001  # interval between two checks whether earlier messages were sent
 
 
 class AsyncCall:
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -23,7 +23,7 @@
 from wheatroute.grpc.messages import CallError, Headers, Status, encode_timeout
 from wheatroute.grpc.session import Session
 
-CONNECT_TIMEOUT_S = 2.0  # for connecting and the TLS handshake
+CONNECT_TIMEOUT_S = 2.0  # time for connecting and the TLS handshake
 # Delay between attempts to connect: doubled after each failure, half of it random.
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 5.0
 MAX_BACKOFF_DOUBLINGS = 10
--- a/wheatroute/grpc/limits.py
+++ b/wheatroute/grpc/limits.py
@@ -16,7 +16,7 @@
 
     max_streams: int = 1000  # concurrently open
     max_message_bytes: int = 1 << 20
-    max_header_list_bytes: int = 16384  # as HTTP/2 counts them (RFC 9113, 6.5.2)
+    max_header_list_bytes: int = 16384  # size as defined by HTTP/2 (RFC 9113, 6.5.2)
     connection_window: int = 1 << 20  # unread bytes of one connection
     stream_window: int = 1 << 16  # unread bytes of one stream
     # Unsent bytes above which nothing more is read from the peer.
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -24,7 +24,7 @@
 from wheatroute.tls import ServerContext
 
 BACKLOG = 1024
-HANDSHAKE_TIMEOUT_S = 3.0  # for TLS, and then for the peer's HTTP/2 settings
+HANDSHAKE_TIMEOUT_S = 3.0  # time for the TLS handshake, and then for the peer's HTTP/2 settings
 # Delay of accepting, per open connection, that lets other processes accept first.
 ACCEPT_DEFERRAL_S = 0.002
 MAX_DEFERRED_CONNECTIONS = 50  # open connections beyond this do not add to the delay
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -32,7 +32,7 @@
 STALLED_WRITE_TIMEOUT_S = 5.0
 # Time within which a client that has all its responses should close a draining connection.
 DRAINED_CLIENT_TIMEOUT_S = 0.5
-BACKLOG_POLL_S = 0.01  # between two checks of a full backlog
+BACKLOG_POLL_S = 0.01  # interval between two checks of a full backlog
 
 
 def _http2_connection(client_side: bool, limits: ConnectionLimits) -> h2.connection.H2Connection:
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -27,7 +27,7 @@
 STREAM_DROPPED = "the stand-in dropped the stream"
 VERSION = "3.5.0"
 MAX_MESSAGE_BYTES = 64 << 20
-EXPIRY_INTERVAL_S = 0.05  # between two checks for expired leases
+EXPIRY_INTERVAL_S = 0.05  # interval between two checks for expired leases
 
 Method = Callable[[AsyncCall], Awaitable[None]]
 
--- a/wheatroute/standin/http2_client.py
+++ b/wheatroute/standin/http2_client.py
@@ -64,7 +64,7 @@
         self._encoder = Encoder()
         self._decoder = Decoder()
         self._next_stream_id = 1
-        self._calls: dict[int, _Call] = {}  # by stream
+        self._calls: dict[int, _Call] = {}  # open calls by stream id
         self._unacknowledged_bytes = 0  # data read since the last WINDOW_UPDATE
         self._window_bytes = INITIAL_WINDOW_BYTES  # the connection's window for data to the server
         self._stream: ByteStream
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -53,7 +53,7 @@
 IDLE_SLEEP_S = 0.01  # sleep after the last request, while no action is due
 MAX_DELAY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
-SERVICE_TIME_S = 0.01  # of the fastest servers, without congestion
+SERVICE_TIME_S = 0.01  # mean service time of the fastest servers without congestion
 # Classes of servers, assigned to ports in turn: they take the service time once, twice or three times.
 SPEEDS = 3
 CONGESTION_REQUESTS = 50  # requests in flight at a server that double its service time
@@ -168,7 +168,7 @@
         self._schedule = Schedule()
         # Number of decisions by request id, for requests that are not idempotent.
         self._unsafe_decisions: Counter[str] = Counter()
-        self._in_flight: Counter[str] = Counter()  # by server
+        self._in_flight: Counter[str] = Counter()  # requests in flight by server
         self._open_count = 0  # number of open streams
 
     async def run(self) -> None:
