--- a/tests/etcd/test_etcd_functions.py
+++ b/tests/etcd/test_etcd_functions.py
@@ -5,7 +5,7 @@
 from wheatroute.etcd import membership, messages, server_keys
 
 
-def test_membership_membership():
+def test_membership_estimate():
     peers = membership.Membership(b"nodes/", "b", 5)
     peers.update(["a", "b", "c"], 0.0)
     assert peers.estimate(0.0) == (3, 1)
@@ -28,4 +28,4 @@
     ) == (3, "in_service")
     with pytest.raises(ValueError) as error:
         server_keys._decode(b'{"addr": "10.1.0.18:8443", "state": "gone"}')
-    assert str(error.value) == "state is 'gone'"
+    assert str(error.value) == "\"state\" must be in_service or terminating, got 'gone'"
