--- a/tests/rig/test_client_load.py
+++ b/tests/rig/test_client_load.py
@@ -1,4 +1,4 @@
-"""Clients and servers of the rig face to face: what both sides record of a request."""
+"""Clients of the rig connected to a server: what both sides record about a request."""
 
 import pytest
 import trio
@@ -11,7 +11,7 @@
 
 
 async def send(request_class, **ratios):
-    """One request of a class to a server that fails these ratios of requests; the records."""
+    """Sends one request to a server that fails these ratios of requests; returns the records."""
     records = RunRecords()
     server = Server("s0", "a", 0, records, 1)
     for name, ratio in ratios.items():
@@ -38,16 +38,16 @@
     assert request.sent_at <= execution.started_at <= request.ended_at
 
 
-def test_a_server_that_answers_with_an_error():
+def test_an_error_response_is_recorded_on_both_sides():
     async def run():
         return await send("look", error_ratio=1.0)
 
     records = trio.run(run)
-    assert [one.status for one in records.requests.values()] == [500]
-    assert [one.outcome for one in records.executions] == [ExecutionOutcome.ERROR]
+    assert [request.status for request in records.requests.values()] == [500]
+    assert [execution.outcome for execution in records.executions] == [ExecutionOutcome.ERROR]
 
 
-def test_a_connection_that_breaks_loses_the_request():
+def test_a_request_whose_connection_breaks_is_lost():
     async def run():
         return await send("look", reset_ratio=1.0)
 
@@ -55,4 +55,4 @@
     (request,) = records.requests.values()
     assert (request.status, request.response_count) == (-1, 0)
     assert lost_requests(records, request.ended_at) == [request]
-    assert [one.outcome for one in records.executions] == [ExecutionOutcome.RESET]
+    assert [execution.outcome for execution in records.executions] == [ExecutionOutcome.RESET]
--- a/tests/rig/test_discovery_service.py
+++ b/tests/rig/test_discovery_service.py
@@ -1,4 +1,4 @@
-"""What a node is told by the rig's discovery service: the full list, changes, and an older state."""
+"""What the rig's discovery service sends to a node: the full list, changes, and the list after a rollback."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 @scenario
-async def test_a_node_is_told_the_full_list_then_changes_and_all_again_after_a_roll_back():
+async def test_a_node_gets_the_full_list_then_changes_and_the_full_list_after_a_rollback():
     service = DiscoveryService()
     service.update(ENTRY)
     with trio.fail_after(10.0):
@@ -21,12 +21,12 @@
             stream = await trio.open_tcp_stream(*await listen(service.serve, nursery))
             connection = HttpConnection(stream)
 
-            async def ask(query):
+            async def get(query):
                 await stream.send_all(f"GET /servers{query} HTTP/1.1\r\nHost: rig\r\n\r\n".encode())
                 response = await connection.read_message()
                 return json.loads(response.body)
 
-            full = await ask("")
+            full = await get("")
             assert (full["version"], full["full"]) == (2, True)
             assert full["servers"] == [
                 {
@@ -40,15 +40,15 @@
                     "started_ms": 0,
                 }
             ]
-            assert await ask("?after=2&wait_ms=0") == {"version": 2, "full": False, "servers": []}
+            assert await get("?after=2&wait_ms=0") == {"version": 2, "full": False, "servers": []}
             nursery.start_soon(update_later, service)
-            changed = await ask("?after=2&wait_ms=9000")  # answered by the change
+            changed = await get("?after=2&wait_ms=9000")  # waits for the change
             assert (changed["version"], changed["full"]) == (3, False)
-            assert [one["state"] for one in changed["servers"]] == [TERMINATING]
+            assert [server["state"] for server in changed["servers"]] == [TERMINATING]
             service.roll_back(1)
-            rolled_back = await ask("?after=3&wait_ms=9000")
+            rolled_back = await get("?after=3&wait_ms=9000")
             assert (rolled_back["version"], rolled_back["full"]) == (2, True)
-            assert [one["state"] for one in rolled_back["servers"]] == [IN_SERVICE]
+            assert [server["state"] for server in rolled_back["servers"]] == [IN_SERVICE]
             nursery.cancel_scope.cancel()
 
 
--- a/tests/rig/test_etcd_commands.py
+++ b/tests/rig/test_etcd_commands.py
@@ -1,4 +1,4 @@
-"""The commands to the stand-in etcd cluster, by the words that scenario files use."""
+"""The commands to the stand-in etcd cluster, with the keys and values that scenario files use."""
 
 import json
 
@@ -25,9 +25,9 @@
     assert not any(member.faults.is_unresponsive for member in members)
 
 
-def test_a_backup_is_restored_also_as_another_cluster():
+def test_a_backup_can_be_restored_as_another_cluster():
     store, _, send = cluster()
-    assert send("restore") == {"trouble": "nothing was kept"}
+    assert send("restore") == {"trouble": 'no backup to restore: the command "keep" makes one'}
     send("put", key="a", value="1")
     assert send("keep") == {}
     send("put", key="b", value="2")
@@ -37,8 +37,8 @@
     assert (store.keys, store.history, store.revision, store.cluster_id) == ({}, [], 1, 77)
 
 
-def test_what_is_no_command_is_answered_and_changes_nothing():
+def test_an_invalid_command_gets_an_error_and_changes_nothing():
     store, _, send = cluster()
-    for answer in (send("fly"), send("set", member=0, odd=1), send("set", silent=True), send("clear")):
-        assert answer["trouble"]
+    for response in (send("fly"), send("set", member=0, odd=1), send("set", silent=True), send("clear")):
+        assert response["trouble"]
     assert store.revision == 1
--- a/tests/rig/test_processor_file.py
+++ b/tests/rig/test_processor_file.py
@@ -6,13 +6,13 @@
 from wheatroute.rig.settings import DEFAULT_SETTINGS
 
 
-def test_the_file_has_the_settings_by_its_own_keys():
+def test_the_file_has_the_settings_under_the_processors_keys():
     instance = ProcessorInstance(name="p0", number=2, workers=3, listen="h:1", discovery_service="h:2")
     document = tomllib.loads(processor_file(DEFAULT_SETTINGS | {"dcs": ["a"]}, 4, instance))
     assert (document["name"], document["node"], document["nodes"]) == ("p0", 2, 4)
     (pool,) = document["pools"]
     assert (pool["list_service"], pool["zones"], pool["rules"]["cold_time"]) == ("h:2", ["a"], 9.0)
-    assert [one["effect"] for one in document["traffic_types"]] == ["pure", "receipted", "effectful"]
+    assert [table["effect"] for table in document["traffic_types"]] == ["pure", "receipted", "effectful"]
     assert document["traffic_types"][2] == {
         "paths": ["/buy"],
         "effect": "effectful",
--- a/tests/rig/test_rig_lateness.py
+++ b/tests/rig/test_rig_lateness.py
@@ -1,4 +1,4 @@
-"""What the rig's own loop was late is measured, bounded, and not taken for the program's delay."""
+"""The delay of the rig's own event loop is measured, excused up to a limit, and not blamed on the program."""
 
 import time
 
@@ -24,11 +24,11 @@
     return records
 
 
-def test_an_answer_that_is_late_on_a_punctual_rig_is_lost():
-    assert [one.request_id for one in lost_requests(records_of(ended=12.9), until=20.0)] == ["r1"]
+def test_a_late_response_on_a_punctual_rig_is_lost():
+    assert [request.request_id for request in lost_requests(records_of(ended=12.9), until=20.0)] == ["r1"]
 
 
-def test_an_answer_that_is_late_by_what_the_rig_was_is_excused_and_told():
+def test_a_response_no_later_than_the_delay_of_the_rig_is_excused_and_reported():
     records = records_of(ended=12.9, delays=[(11.0, 0.4), (12.9, 0.3)])
     assert not lost_requests(records, until=20.0) and len(excused_requests(records)) == 1
     assert summary(records, 20.0, 1.5)["rig_late_ms"] == 400.0
@@ -38,21 +38,21 @@
     assert lost_requests(records_of(ended=12.9, delays=[(9.9, 0.9), (14.0, 0.9)]), until=20.0)
 
 
-def test_no_more_is_excused_than_stated():
+def test_the_excused_delay_is_limited():
     delays = [(10.0 + 0.5 * n, 0.5) for n in range(1, 12)]
     records = records_of(ended=12.3 + MAX_EXCUSED_S + 0.1, delays=delays)
     assert records.lateness.excused_s(10.0, 16.0) == MAX_EXCUSED_S
     assert lost_requests(records, until=20.0)
 
 
-def test_a_request_without_any_answer_is_lost_however_late_the_rig():
+def test_a_request_without_a_response_is_lost_however_late_the_rig_is():
     records = records_of(ended=13.0, delays=[(12.0, 2.0)])
     records.requests["r1"].status = records.requests["r1"].response_count = 0
     assert lost_requests(records, until=20.0)
 
 
 @scenario
-async def test_a_busy_loop_is_noticed():
+async def test_the_delay_of_a_busy_loop_is_measured():
     lateness = LoopLateness()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(lateness.run)
--- a/tests/rig/test_rig_links.py
+++ b/tests/rig/test_rig_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: what passes, what a fault does, and that all of it comes after healing."""
+"""Links between processes: what passes, what each fault does, and that held data arrives after healing."""
 
 import trio
 from async_scenarios import scenario, until
@@ -15,7 +15,7 @@
         await stream.send_all(data)
 
 
-def test_parameters_by_the_words_of_scenario_files():
+def test_parameters_by_the_keys_of_scenario_files():
     faults = LinkFaults()
     faults.impair("back", delay=0.1, trickle=5.0, lose=0.2, repeat=0.3, reorder=0.4)
     fault = faults[Direction.BACKWARD]
@@ -29,7 +29,7 @@
 
 
 @scenario
-async def test_a_partitioned_stream_goes_on_once_it_is_healed():
+async def test_a_partitioned_stream_continues_after_healing():
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
             received = []
@@ -47,7 +47,8 @@
             link.faults.partition("there")
             ((far_end, sent_at),) = link.sent_at.items()
             await stream.send_all(b"b")
-            await until(lambda: link.sent_at[far_end] > sent_at)  # the link has it, and holds it back
+            # the link has received the data, and holds it back
+            await until(lambda: link.sent_at[far_end] > sent_at)
             assert received == [b"a"]
             link.faults.heal()
             assert await stream.receive_some() == b"b" and link.connection_count == 1
@@ -77,8 +78,8 @@
     with trio.fail_after(10.0):
         async with trio.open_nursery() as nursery:
             sockets = [trio.socket.socket(type=trio.socket.SOCK_DGRAM) for _ in range(2)]
-            for one in sockets:
-                await one.bind(("127.0.0.1", 0))
+            for end_socket in sockets:
+                await end_socket.bind(("127.0.0.1", 0))
             link = DatagramLink("n0-n1", (sockets[0].getsockname(), sockets[1].getsockname()), 1)
             nursery.start_soon(link.run)
             link.faults.impair("there", reorder=1.0, repeat=1.0)
--- a/tests/rig/test_scenario.py
+++ b/tests/rig/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: the keys that operators write, and what is said of a file that is wrong."""
+"""Scenario files: the keys that operators write, the errors for an invalid file, and the stored run."""
 
 import json
 
@@ -76,23 +76,32 @@
 @pytest.mark.parametrize(
     "text, line",
     [
-        ("name = [", "is not TOML"),
+        ("name = [", "invalid TOML"),
         ("", "name: Field required"),
-        ('name = "x"\nnodes = 0', "the whole: Value error, neither nodes nor processors: nobody would serve"),
+        (
+            'name = "x"\nnodes = 0',
+            'whole file: Value error, at least one of "nodes" and "processors" must be above 0',
+        ),
         ('name = "x"\nbound_s = 1.0', "bound_s: Extra inputs are not permitted"),
         ('name = "x"\nwithin = 0.1', "within: Input should be greater than 0.2"),
-        ('name = "x"\n[[steps]]\nat = 1\ndo = "cut"\none = "n0"', "Value error, cut wants one and other"),
-        ('name = "x"\n[[steps]]\nat = 1\ndo = "kill"', "Value error, kill wants one"),
+        (
+            'name = "x"\n[[steps]]\nat = 1\ndo = "cut"\none = "n0"',
+            'Value error, the action "cut" requires the keys "one" and "other"',
+        ),
+        (
+            'name = "x"\n[[steps]]\nat = 1\ndo = "kill"',
+            'Value error, the action "kill" requires the key "one"',
+        ),
         ('name = "x"\n[[steps]]\nat = 1\ndo = "chop"', "steps.0.do: Input should be 'cut', 'heal'"),
     ],
 )
-def test_what_is_said_of_a_wrong_file(tmp_path, text, line):
-    with pytest.raises(ScenarioError) as caught:
+def test_errors_of_an_invalid_file(tmp_path, text, line):
+    with pytest.raises(ScenarioError) as error:
         read(tmp_path, text)
-    assert line in str(caught.value)
+    assert line in str(error.value)
 
 
-def test_a_run_is_stored_by_its_keys_and_read_back(tmp_path):
+def test_a_run_is_stored_under_its_keys_and_read_back(tmp_path):
     scenario = read(tmp_path, FILE)
     records = RunRecords()
     outcome = ExecutionOutcome.ANSWERED
--- a/tests/rig/test_verdict.py
+++ b/tests/rig/test_verdict.py
@@ -1,4 +1,4 @@
-"""Each rule of the rig's verdict, on records with one violation of it and on records without."""
+"""Each rule of the rig's verdict, on records that violate it once and on records that don't."""
 
 import pytest
 
@@ -16,16 +16,19 @@
 from wheatroute.rig.verdict import find_violations, summary
 
 UNTIL, BOUND_S = 20.0, 1.5
-FREE = RepeatPolicy(Idempotency.IDEMPOTENT, DeduplicationGroup.ALL, 0.0)
-UNSAFE = RepeatPolicy(Idempotency.NON_IDEMPOTENT, DeduplicationGroup.ALL, 0.0)
+IDEMPOTENT = RepeatPolicy(Idempotency.IDEMPOTENT, DeduplicationGroup.ALL, 0.0)
+NON_IDEMPOTENT = RepeatPolicy(Idempotency.NON_IDEMPOTENT, DeduplicationGroup.ALL, 0.0)
 
 
 def execution(started_at, server="s0", cell=0):
     return Execution(started_at, server, "a", cell, "n0", "r1", "look", ExecutionOutcome.ANSWERED, started_at)
 
 
-def records_of(*executions, status=200, ended_at=11.0, policies=(FREE,)):
-    """A request of 10 s to 11 s, its executions, and versions of 1 s, 2 s and so on that came into force."""
+def records_of(*executions, status=200, ended_at=11.0, policies=(IDEMPOTENT,)):
+    """Returns records of a request and its executions, and of versions that came into force.
+
+    The request lasts from 10 s to 11 s; the versions were published at 1 s, 2 s and so on.
+    """
     records = RunRecords(executions=list(executions))
     records.requests["r1"] = ClientRequest(10.0, "n0", "r1", "look", 2.0, status, ended_at, 1)
     for number, policy in enumerate(policies, 1):
@@ -45,13 +48,13 @@
 
 
 def test_a_repeat_that_no_version_allows():
-    records = records_of(execution(10.1), execution(10.5), policies=[FREE, UNSAFE])
-    # the first version was replaced for all long before
+    records = records_of(execution(10.1), execution(10.5), policies=[IDEMPOTENT, NON_IDEMPOTENT])
+    # all processes knew the second version long before the repeat
     assert rules(records) == ["an effect twice (1)", "an act that contradicts later than 1.5 s (1)"]
 
 
 def test_a_repeat_within_the_bound_after_a_change_is_only_counted():
-    records = records_of(execution(10.1), execution(10.5), policies=[FREE, UNSAFE])
+    records = records_of(execution(10.1), execution(10.5), policies=[IDEMPOTENT, NON_IDEMPOTENT])
     records.versions[1].published_at, records.versions[1].ended_at = 10.0, 10.9
     figures = summary(records, UNTIL, BOUND_S)
     assert rules(records) == []
@@ -65,21 +68,23 @@
         (RepeatPolicy(Idempotency.KEYED, DeduplicationGroup.ZONE, 1.0), True),
         (RepeatPolicy(Idempotency.KEYED, DeduplicationGroup.CELL, 1.0), False),
         (RepeatPolicy(Idempotency.KEYED, DeduplicationGroup.ALL, 0.1), False),
-        (UNSAFE, False),
+        (NON_IDEMPOTENT, False),
     ],
 )
 def test_a_keyed_repeat_is_allowed_in_its_group_and_window(policy, is_allowed):
     assert policy.allows(execution(10.0), execution(10.5, "s1", cell=1)) == is_allowed
 
 
-def test_what_settings_leave_out_counts_as_the_strictest():
+def test_a_missing_or_unknown_value_counts_as_the_strictest():
     assert RepeatPolicy.from_settings({}).idempotency is Idempotency.NON_IDEMPOTENT
-    odd = RepeatPolicy.from_settings({"effect": "dedup", "group": "odd"})
-    assert odd == RepeatPolicy(Idempotency.KEYED, DeduplicationGroup.CELL, 0.0) and odd.may_forbid_repeat
+    policy = RepeatPolicy.from_settings({"effect": "dedup", "group": "odd"})
+    assert (
+        policy == RepeatPolicy(Idempotency.KEYED, DeduplicationGroup.CELL, 0.0) and policy.may_forbid_repeat
+    )
 
 
 def test_a_rejection_of_a_request_that_may_have_run():
-    assert rules(records_of(execution(10.1), status=503, policies=[UNSAFE])) == [
+    assert rules(records_of(execution(10.1), status=503, policies=[NON_IDEMPOTENT])) == [
         "refused though it may have run (1)"
     ]
     assert rules(records_of(execution(10.1), status=503)) == []
@@ -96,7 +101,7 @@
     assert rules(records) == []
 
 
-def test_an_execution_after_the_grace_of_a_drain():
+def test_an_execution_after_the_grace_period_of_a_drain():
     records = records_of(execution(10.1))
     records.drained_at["s0"] = 7.5
     assert rules(records) == ["a drain was not kept (1)"]
--- a/wheatroute/rig/__init__.py
+++ b/wheatroute/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Several processes of the program on loopback, with faults between them, judged from outside."""
+"""A test rig: runs several processes on loopback, injects faults, and judges the processes from outside."""
--- a/wheatroute/rig/addresses.py
+++ b/wheatroute/rig/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses on loopback: their text, and ports that are held for processes which start later."""
+"""Loopback addresses: their text form, and ports reserved for processes that start later."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 
 
 def host_port(address: Address) -> str:
-    """The address as `HOST:PORT`."""
+    """Returns the address as `HOST:PORT`."""
     host, port = address
     return f"{host}:{port}"
 
 
 def reserve_port(kind: int = socket.SOCK_STREAM) -> socket.socket:
-    """Holds a port that the kernel chooses, without listening: a process that reuses addresses still can.
+    """Reserves a port that the kernel chooses, without listening on it.
 
-    Guards against a port that is given to a connection between its choice and its process's start.
+    A process that sets SO_REUSEADDR can still listen on the port. Without the reservation, the kernel could
+    give the port to a connection between its choice and the start of its process.
     """
     reserved = socket.socket(socket.AF_INET, kind)
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/wheatroute/rig/builder.py
+++ b/wheatroute/rig/builder.py
@@ -1,4 +1,4 @@
-"""Builds a rig by its options: etcd cluster, nodes, processors behind proxies, supervisors, clients."""
+"""Builds a rig from its options: etcd cluster, nodes, processors behind proxies, supervisors, clients."""
 
 from __future__ import annotations
 
@@ -32,10 +32,11 @@
         self._components = components
         self._options = components.options
         self._nursery = nursery
-        self._peer_listeners: dict[str, Address] = {}  # where nodes hear each other's datagrams
+        # by node or processor: the address at which it receives datagrams of its peers
+        self._peer_listeners: dict[str, Address] = {}
 
     async def build(self) -> None:
-        """Builds and starts all of it; raises `RigError` if a process does not come up."""
+        """Adds and starts all processes; raises `RigError` if one of them does not start to listen."""
         if self._components.etcd is not None:
             self._components.etcd.start()
         if isinstance(self._components.backend, RelayBackend):
@@ -51,7 +52,8 @@
 
     async def _start_all(self) -> None:
         for process in self._components.processes.values():
-            if process.name not in ("etcd", "relay"):  # which run already
+            # etcd and the relay have been started before
+            if process.name not in ("etcd", "relay"):
                 process.start()
         for name in self._options.names:
             await self._wait_for_log(
@@ -70,7 +72,7 @@
         self._components.processes[process.name] = process
 
     async def _start_relay(self, backend: RelayBackend) -> None:
-        """Starts the one reader of etcd on this machine, through links of its own."""
+        """Starts the relay, the only process on this machine that reads etcd; it has its own links."""
         options = ["--into", str(backend.directory), "--within", str(self._options.bound_s), "--name", "here"]
         command = cli_command("settings", "--at", backend.url("relay"), "relay", *options)
         relay = Process("relay", command, self._components.files.log("relay"))
@@ -79,14 +81,17 @@
         await self._wait_for_log("relay", 'phase="in force"', 1, "the relay was confirmed")
 
     def _link_peers(self) -> None:
-        """Links any two of the nodes and processors for datagrams."""
+        """Adds a datagram link between any two of the nodes and processors."""
         self._peer_listeners = {name: free_datagram_address() for name in self._options.names}
-        for one, other in itertools.combinations(self._peer_listeners, 2):
-            ends = self._peer_listeners[one], self._peer_listeners[other]
-            self._components.network.add_datagram_link(f"{one}-{other}", ends, self._options.seed)
+        for first, second in itertools.combinations(self._peer_listeners, 2):
+            ends = self._peer_listeners[first], self._peer_listeners[second]
+            self._components.network.add_datagram_link(f"{first}-{second}", ends, self._options.seed)
 
     async def _add_discovery_service(self, name: str) -> Address:
-        """Adds a process's discovery service, and links of its own to it and to all servers."""
+        """Adds a process's discovery service; returns its address.
+
+        The process reaches the service and all servers through its own links.
+        """
         service = self._components.discovery.add_process(name)
         for server in self._components.servers.values():
             address = await self._link_server(server, name)
@@ -102,14 +107,12 @@
         return link.address
 
     def _add_load(self, name: str, address: Address) -> None:
-        """Adds the clients of a node or proxy."""
-        entrance = self._components.network.add_link(f"callers-{name}", address).address
-        load = ClientLoad(name, entrance, self._components.records, self._options.seed)
+        """Adds the clients of a node or proxy, and their link to it."""
+        link_address = self._components.network.add_link(f"callers-{name}", address).address
+        load = ClientLoad(name, link_address, self._components.records, self._options.seed)
         self._components.loads[name] = load
         self._nursery.start_soon(load.run)
 
-    # processors
-
     async def _add_processor(self, number: int, name: str) -> None:
         discovery = await self._add_discovery_service(name)
         listener = self._components.network.reserve_address()
@@ -129,15 +132,14 @@
         await self._add_gateway(name, listener)
 
     async def _add_gateway(self, name: str, processor: Address) -> None:
-        """Adds the proxy before a processor, and its clients."""
-        from wheatroute.rig.gateway import Gateway  # its libraries are needed with processors only
+        """Adds the proxy in front of a processor, and its clients."""
+        # imported here because its libraries are needed only with processors
+        from wheatroute.rig.gateway import Gateway
 
         gateway = Gateway(self._components.network.add_link(f"proxy-{name}", processor).address)
         self._nursery.start_soon(gateway.run)
         self._add_load(name, await listen(gateway.serve, self._nursery))
 
-    # nodes
-
     async def _add_node(self, number: int, name: str) -> None:
         discovery = await self._add_discovery_service(name)
         listener = self._components.network.reserve_address()
@@ -157,7 +159,7 @@
     def _node_document(
         self, number: int, name: str, listener: Address, discovery: Address
     ) -> dict[str, object]:
-        """The settings file of a node."""
+        """Returns the settings file of a node, as a document."""
         own_settings = {
             "me": number,
             "balancers": len(self._options.names),
@@ -183,7 +185,7 @@
         return document
 
     def _add_supervisor(self, number: int, node: str, programs: dict[str, list[str]]) -> None:
-        """Adds a node's supervisor, a process of its own, and the node as what it runs."""
+        """Adds a node's supervisor as a process, and the node as the program that the supervisor runs."""
         files = self._components.files
         name = f"supervisor-{node}"
         text = supervisor_file(node, self._options.zone_of(number), programs, files)
--- a/wheatroute/rig/client_load.py
+++ b/wheatroute/rig/client_load.py
@@ -1,4 +1,4 @@
-"""The clients of one node of the rig: send requests at their own rate, and record each response."""
+"""The clients of one node of the rig: they send requests at a given rate, and record each response."""
 
 from __future__ import annotations
 
@@ -14,24 +14,26 @@
 from wheatroute.rig.loop_lateness import MAX_EXCUSED_S
 from wheatroute.rig.run_records import IDEMPOTENCY, NO_RESPONSE, ClientRequest, RunRecords
 
-LATE_RESPONSE_WAIT_S = 1.0  # beyond its deadline that a client waits, to see a response that comes late
-IDLE_CHECK_INTERVAL_S = 0.02  # at a rate of 0
+# A client waits for this long after the deadline of a request, to record a response that is late.
+LATE_RESPONSE_WAIT_S = 1.0
+# How often the rate is checked while it is 0.
+IDLE_CHECK_INTERVAL_S = 0.02
 DEFAULT_TIMEOUT_S = 2.0
 BODY = b"go"
 
 
 class ClassLoad(NamedTuple):
-    """How often a request class is drawn, and how its requests look."""
+    """The weight by which a request class is drawn, and the idempotency of its requests."""
 
     weight: float
     idempotency: Idempotency
 
 
 class ClientLoad:
-    """An open loop: sends at its rate, however long responses take."""
+    """An open-loop load: sends requests at its rate, however long responses take."""
 
     def __init__(self, node: str, address: Address, records: RunRecords, seed: int) -> None:
-        self.rate = 0.0  # requests a second; 0 for none
+        self.rate = 0.0  # requests per second; 0 for none
         self.timeout_s = DEFAULT_TIMEOUT_S
         self._node = node
         self._address = address
@@ -42,11 +44,11 @@
         self._request_count = 0
 
     def set_class(self, name: str, weight: float, effect: str) -> None:
-        """Gives a request class its weight; `effect` is the word of the settings for its idempotency."""
+        """Sets the weight of a request class; `effect` is the value of this key in the class's settings."""
         self._classes[name] = ClassLoad(weight, IDEMPOTENCY[effect])
 
     def clear_classes(self) -> None:
-        """Takes all request classes out."""
+        """Removes all request classes."""
         self._classes.clear()
 
     async def run(self) -> None:
@@ -63,7 +65,7 @@
                 nursery.start_soon(self.send)
 
     async def send(self, request_class: str = "") -> ClientRequest:
-        """Sends one request and waits for its end; without a class, one is drawn by the weights."""
+        """Sends one request and waits until it ends; without a class, draws one by the weights."""
         request_class = request_class or self._draw_class()
         self._request_count += 1
         request_id = f"{self._node}-{self._request_count:06x}"
@@ -97,7 +99,8 @@
     async def _exchange(self, request: ClientRequest, message: bytes) -> None:
         """Sends a request and records its response, on an idle connection if there is one.
 
-        An idle connection may have been closed before the request was read: then a new one is used.
+        The other side may have closed an idle connection before it read the request: then the request is sent
+        again, on a new connection.
         """
         if self._idle and await self._exchange_on(self._idle.pop(), request, message):
             return
@@ -110,14 +113,14 @@
             request.status = NO_RESPONSE
 
     async def _exchange_on(self, connection: HttpConnection, request: ClientRequest, message: bytes) -> bool:
-        """Whether a response came on this connection."""
+        """Returns whether a response arrived on this connection."""
         try:
             await connection.stream.send_all(message)
             response = await connection.read_message()
         except CONNECTION_ERRORS:
             response = None
         except BaseException:
-            connection.stream.socket.close()  # the client gives up
+            connection.stream.socket.close()  # cancelled: the client stops waiting
             raise
         if response is None:
             await connection.stream.aclose()
--- a/wheatroute/rig/components.py
+++ b/wheatroute/rig/components.py
@@ -1,4 +1,4 @@
-"""The components of a rig, and how they are put together before any process serves."""
+"""The components of a rig, and their creation before any process runs."""
 
 from __future__ import annotations
 
@@ -23,12 +23,15 @@
 
 @dataclass
 class RigComponents:
-    """What several modules of the rig work with. Processes, loads and links are added as it is built."""
+    """The state that several modules of the rig share.
+
+    Processes, loads and links are added while the rig is built.
+    """
 
     options: RigOptions
     folder: Path
     files: ProcessFiles
-    settings: Settings  # of all nodes at the start
+    settings: Settings  # the initial settings of all nodes
     records: RunRecords
     network: Network
     servers: dict[str, Server]
@@ -39,14 +42,14 @@
     loads: dict[str, ClientLoad] = field(default_factory=dict)  # by node or processor
 
     def close(self) -> None:
-        """Ends all processes, and frees reserved ports."""
+        """Kills all processes, and releases the reserved ports."""
         for process in self.processes.values():
             process.kill()
         self.network.close()
 
 
 def create_components(options: RigOptions, folder: Path, nursery: trio.Nursery) -> RigComponents:
-    """Creates the components; no process runs yet."""
+    """Creates the components, without starting a process."""
     settings = deepcopy(options.settings or DEFAULT_SETTINGS) | {"dcs": options.zone_names}
     files = ProcessFiles(folder)
     records = RunRecords()
--- a/wheatroute/rig/datagram_link.py
+++ b/wheatroute/rig/datagram_link.py
@@ -1,4 +1,4 @@
-"""A link for datagrams between two processes: lost, duplicated, late and out of order on demand."""
+"""A datagram link between two processes, which can lose, duplicate, delay and reorder datagrams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 class DatagramLink:
-    """Each end knows the other by an address of its own on this link: it sends there and hears from there."""
+    """Forwards datagrams between two ends.
+
+    Each end knows the other by an address on this link: it sends to it, and receives datagrams from it.
+    """
 
     def __init__(self, name: str, ends: tuple[Address, Address], seed: int) -> None:
         self.name = name
@@ -27,22 +30,24 @@
         self.reordered_count = 0
         self._ends = ends
         self._rng = random.Random(f"{seed}/{name}")
-        self._reorder_buffer: list[bytes] = [b"", b""]  # by direction: goes out after the next one
+        # by direction: a datagram that is to be sent after the next one
+        self._reorder_buffer: list[bytes] = [b"", b""]
         self._sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in ends]
-        for one in self._sockets:
-            one.bind((LOOPBACK, 0))
-        # the address by which each end knows the other
-        self.addresses: list[Address] = [one.getsockname() for one in self._sockets]
+        for link_socket in self._sockets:
+            link_socket.bind((LOOPBACK, 0))
+        # by end: the address by which the end knows the other end
+        self.addresses: list[Address] = [link_socket.getsockname() for link_socket in self._sockets]
 
     async def run(self) -> None:
-        """Carries datagrams until it is cancelled."""
-        first, second = (trio.socket.from_stdlib_socket(one) for one in self._sockets)
+        """Forwards datagrams until it is cancelled."""
+        first, second = (trio.socket.from_stdlib_socket(link_socket) for link_socket in self._sockets)
         async with trio.open_nursery() as nursery:
-            # what an end sends to its address goes out to the other end from that one's address
-            nursery.start_soon(self._carry, first, second, Direction.FORWARD, nursery)
-            nursery.start_soon(self._carry, second, first, Direction.BACKWARD, nursery)
+            # A datagram that an end sends to its address on the link is received on one socket and sent from
+            # the other one, so that the other end receives it from the address by which it knows the sender.
+            nursery.start_soon(self._forward, first, second, Direction.FORWARD, nursery)
+            nursery.start_soon(self._forward, second, first, Direction.BACKWARD, nursery)
 
-    async def _carry(self, source: Any, sink: Any, direction: Direction, nursery: trio.Nursery) -> None:
+    async def _forward(self, source: Any, sink: Any, direction: Direction, nursery: trio.Nursery) -> None:
         destination = self._ends[direction.opposite]
         while True:
             data, _ = await source.recvfrom(MAX_DATAGRAM_BYTES)
@@ -51,7 +56,7 @@
                 nursery.start_soon(self._send, sink, datagram, destination, delay_s)
 
     def _impaired(self, data: bytes, direction: Direction) -> list[bytes]:
-        """The datagrams that go out for one that came in."""
+        """Returns the datagrams to send after one was received: none, one or several."""
         fault = self.faults[direction]
         if fault.is_partitioned or self._rng.random() < fault.loss:
             self.lost_count += 1
--- a/wheatroute/rig/discovery.py
+++ b/wheatroute/rig/discovery.py
@@ -1,4 +1,4 @@
-"""What each process of the rig is told of the servers: by a discovery service each, and by etcd if used."""
+"""Announces the servers to each process of the rig: by its discovery service, and by etcd if that is used."""
 
 from __future__ import annotations
 
@@ -9,32 +9,34 @@
 from wheatroute.rig.etcd_process import EtcdProcess
 from wheatroute.rig.server import Server
 
-ETCD_SERVERS = "/servers"  # before a node's name, the keys of the servers that it is told
+# Prefix of the servers' keys, followed by the name of the node to which the servers are announced.
+ETCD_SERVERS = "/servers"
+# Prefix of the nodes' keys.
 ETCD_NODES = "/members/"
 
 
 class Discovery:
-    """The servers as each process is told them: by addresses of links of its own."""
+    """The servers that are announced to each process, with the addresses of its own links to them."""
 
     def __init__(self, etcd: EtcdProcess | None) -> None:
         self.services: dict[str, DiscoveryService] = {}  # by process
-        self._etcd = etcd  # if nodes read the servers there
+        self._etcd = etcd  # set if nodes read the servers from etcd
         self._entries: dict[tuple[str, str], ServerEntry] = {}  # by process and server
 
     def add_process(self, name: str) -> DiscoveryService:
-        """Adds a process; returns its service."""
+        """Adds a process; returns its discovery service."""
         service = self.services[name] = DiscoveryService()
         return service
 
     def add_server(self, process: str, server: Server, address: Address) -> None:
-        """Tells a process of a server."""
+        """Announces a server to a process, at the address of a link."""
         entry = self._entries[process, server.name] = ServerEntry(
             id=server.name, addr=host_port(address), zone=server.zone, cell=server.cell
         )
         self._update(process, entry)
 
     def set_state(self, server: str, state: str) -> None:
-        """Tells all processes of a server's state."""
+        """Announces a server's state to all processes."""
         for process in self.services:
             self._update(process, self._entries[process, server]._replace(state=state))
 
@@ -47,5 +49,5 @@
 
 
 def etcd_servers_table(process: str, endpoints: list[str]) -> dict[str, object]:
-    """The table `servers` of a node's settings file, for a node that reads the servers in etcd."""
+    """Returns the table `servers` of the settings file of a node that reads the servers from etcd."""
     return {"etcd": endpoints, "prefix": f"{ETCD_SERVERS}/{process}/", "nodes_prefix": ETCD_NODES}
--- a/wheatroute/rig/discovery_service.py
+++ b/wheatroute/rig/discovery_service.py
@@ -1,4 +1,4 @@
-"""The discovery service of one node of the rig: tells it the servers by HTTP, with long polls for changes."""
+"""The discovery service of one node of the rig: serves the list of servers by HTTP, with long polling."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatroute.rig.http_connection import HttpConnection
 
 IN_SERVICE, TERMINATING = "in_service", "terminating"  # states of a server
-NO_VERSION = -1  # the version that a node names which has no list yet
+NO_VERSION = -1  # the version that a node sends while it has no list
 
 
 class ServerEntry(NamedTuple):
-    """A server, by the keys of the service."""
+    """An entry of the list of servers; the fields are the keys of the service's JSON."""
 
     id: str
     addr: str
@@ -28,27 +28,27 @@
 
 
 class _VersionedEntry(NamedTuple):
-    """An entry of the list, and the version of the list since which it is so."""
+    """An entry of the list, and the version of the list in which the entry changed last."""
 
     entry: ServerEntry
     since: int
 
 
 class DiscoveryService:
-    """A list of servers with its version, as it is told to one node."""
+    """A versioned list of servers, as it is served to one node."""
 
     def __init__(self) -> None:
         self._version = 1
         self._entries: dict[str, _VersionedEntry] = {}  # by server
-        self._previous: dict[str, _VersionedEntry] = {}  # what each entry was before its last change
+        self._previous: dict[str, _VersionedEntry] = {}  # by server: the entry before its last change
         self._changed = trio.Event()
 
     def entry(self, server: str) -> ServerEntry:
-        """The entry of a server."""
+        """Returns the entry of a server."""
         return self._entries[server].entry
 
     def update(self, entry: ServerEntry) -> None:
-        """Sets the entry of a server."""
+        """Sets the entry of a server, in a new version of the list."""
         server = entry.id
         self._previous[server] = self._entries.get(server, _VersionedEntry(entry, 0))
         self._version += 1
@@ -56,9 +56,9 @@
         self._notify()
 
     def roll_back(self, versions: int) -> None:
-        """Returns to an older state, as a service that was restored from a backup.
+        """Goes back by a number of versions, like a service that was restored from a backup.
 
-        A node that has a newer version is told the full list.
+        A node that has a newer version then gets the full list.
         """
         self._version -= versions
         for server, current in list(self._entries.items()):
@@ -71,7 +71,10 @@
         changed.set()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves one connection of a node: `?after=VERSION&wait_ms=…` waits so long for a newer version."""
+        """Serves one connection of a node.
+
+        With `?after=VERSION&wait_ms=MS`, waits up to that time for a version other than VERSION.
+        """
         connection = HttpConnection(stream)
         while (request := await connection.read_message()) is not None:
             query = dict(parse_qsl(urlsplit(request.path).query))
@@ -84,5 +87,7 @@
     def _response(self, after: int) -> bytes:
         if after > self._version:
             after = NO_VERSION
-        servers = [one.entry._asdict() for one in self._entries.values() if one.since > after]
+        servers = [
+            versioned.entry._asdict() for versioned in self._entries.values() if versioned.since > after
+        ]
         return json.dumps({"version": self._version, "full": after < 0, "servers": servers}).encode()
--- a/wheatroute/rig/etcd_cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -1,7 +1,8 @@
-"""A stand-in etcd cluster in a process of its own: `python -m wheatroute.rig.etcd_cluster MEMBERS`.
+"""A stand-in etcd cluster in a separate process: `python -m wheatroute.rig.etcd_cluster MEMBERS`.
 
-Takes commands as JSON lines on standard input, and ends with its input. Prints the members' addresses first,
-then an answer a line: an empty object, or one with `trouble`.
+Prints the members' addresses first. Then reads commands from standard input, one JSON object per line, until
+the input ends. Prints a line with the response to each command: an empty object, or one with an error under
+the key `trouble`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from wheatroute.standin.etcd_store import HistoryEntry, Store
 
 ALL_MEMBERS = -1
-FAULTS = {  # fields of `MemberFaults` by the words of commands and scenario files
+FAULTS = {  # fields of `MemberFaults`, by the key in commands and scenario files
     "silent": "is_unresponsive",
     "behind": "revision_lag",
     "fragment_at": "max_fragment_events",
@@ -29,7 +30,7 @@
 
 
 class Backup(NamedTuple):
-    """The store at some time."""
+    """A copy of the store at some time."""
 
     keys: dict[bytes, Any]
     history: list[HistoryEntry]
@@ -37,7 +38,10 @@
 
 
 class Commands:
-    """What the cluster can be told to do: the public methods, with their parameters, are the commands."""
+    """The commands that the cluster accepts.
+
+    The names of the public methods and of their parameters are those of the commands.
+    """
 
     def __init__(self, members: list[Member]) -> None:
         self._members = members
@@ -45,32 +49,35 @@
         self._backup: Backup | None = None
 
     def set(self, member: int, **faults: Any) -> None:
-        """Sets faults of a member by the keys of `FAULTS`; -1 for all members."""
-        for one in self._members if member == ALL_MEMBERS else [self._members[member]]:
+        """Sets faults of a member by the keys of `FAULTS`; the member -1 means all members."""
+        for affected in self._members if member == ALL_MEMBERS else [self._members[member]]:
             for name, value in faults.items():
-                setattr(one.faults, FAULTS[name], value)
+                setattr(affected.faults, FAULTS[name], value)
             if faults.get("silent"):
-                one.drop_streams()
+                affected.drop_streams()
 
     def put(self, key: str, value: str) -> None:
-        """Puts a key."""
+        """Sets the value of a key."""
         self._store.put(wire.PutRequest(key=key.encode(), value=value.encode()))
 
     def keep(self) -> None:
-        """Makes a backup."""
+        """Makes a backup of the store, in place of an earlier backup."""
         keys = copy.deepcopy(self._store.keys)
         self._backup = Backup(keys, list(self._store.history), self._store.revision)
 
     def restore(self, cluster: int = 0) -> None:
-        """Restores the backup; with an id, as another cluster. Raises `ValueError` if there is none."""
+        """Restores the backup, and sets the cluster's id to `cluster` if that is not 0.
+
+        Raises `ValueError` if there is no backup.
+        """
         if self._backup is None:
-            raise ValueError("nothing was kept")
+            raise ValueError('no backup to restore: the command "keep" makes one')
         self._replace(copy.deepcopy(self._backup.keys), list(self._backup.history), self._backup.revision)
         if cluster:
             self._store.cluster_id = cluster
 
     def clear(self, cluster: int) -> None:
-        """Makes it another, empty cluster."""
+        """Turns the cluster into an empty one with another id."""
         self._replace({}, [], 1)
         self._store.cluster_id = cluster
 
@@ -83,7 +90,7 @@
 
 
 def run_command(commands: Commands, line: str) -> dict[str, str]:
-    """Runs the command of a line; returns the answer."""
+    """Runs the command in a JSON line; returns the response."""
     arguments = json.loads(line)
     try:
         getattr(commands, arguments.pop("order"))(**arguments)
@@ -93,7 +100,7 @@
 
 
 async def main(member_count: int) -> None:
-    """Serves the members, and runs commands from standard input."""
+    """Runs the members, and the commands from standard input until it ends."""
     store = Store()
     members = [Member(store) for _ in range(member_count)]
     commands = Commands(members)
@@ -112,5 +119,6 @@
 
 
 if __name__ == "__main__":
-    structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))  # stdout is for answers
+    # standard output is for responses to commands
+    structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     trio.run(main, int(sys.argv[1]))
--- a/wheatroute/rig/etcd_process.py
+++ b/wheatroute/rig/etcd_process.py
@@ -1,4 +1,4 @@
-"""The process of the stand-in etcd cluster, and the commands that it takes; see `etcd_cluster`."""
+"""The process of the stand-in etcd cluster, which is controlled by commands; see `etcd_cluster`."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatroute.rig.addresses import Address, host_port
 from wheatroute.rig.processes import ROOT, Process, RigError
 
-NO_ANSWER = b'{"trouble": "it is gone"}'
+CLUSTER_ENDED = b'{"trouble": "the process of the cluster has ended"}'
 
 
 class EtcdProcess(Process):
-    """The members of the cluster are at `addresses` after the start."""
+    """The process of the cluster; after the start, `addresses` has the addresses of its members."""
 
     def __init__(self, member_count: int, log: Path) -> None:
         command = [sys.executable, "-m", "wheatroute.rig.etcd_cluster", str(member_count)]
@@ -37,15 +37,18 @@
         self.addresses = [(host, port) for host, port in json.loads(self._process.stdout.readline())]
 
     def send_command(self, order: str, **arguments: Any) -> None:
-        """Has the cluster do something, see `etcd_cluster.Commands`; raises `RigError` if it cannot."""
+        """Sends a command to the cluster, see `etcd_cluster.Commands`; raises `RigError` if it fails.
+
+        `order` is the name of the command, and is called so in scenario files too.
+        """
         assert self._process is not None and self._process.stdin and self._process.stdout
         self._process.stdin.write(json.dumps({"order": order} | arguments).encode() + b"\n")
         self._process.stdin.flush()
-        answer = json.loads(self._process.stdout.readline() or NO_ANSWER)
-        if answer:
-            raise RigError(f"etcd: {answer['trouble']}")
+        response = json.loads(self._process.stdout.readline() or CLUSTER_ENDED)
+        if response:
+            raise RigError(f"the command to the etcd cluster failed: {response['trouble']}")
 
 
 def etcd_url(addresses: list[Address], prefix: str) -> str:
-    """The URL of a version store in etcd, as the command line takes it."""
+    """Returns the URL of a version store in etcd, as the command line accepts it."""
     return f"etcd://{','.join(map(host_port, addresses))}{prefix}"
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -1,6 +1,6 @@
-"""Fault injection: what a rig does to links, processes and servers. The program is told of none of it.
+"""Injects faults into the links, processes and servers of a rig, without notifying the program.
 
-Records when each fault began and ended, by which a run is judged.
+Records when each fault begins and ends; a run is judged by these records.
 """
 
 from __future__ import annotations
@@ -18,14 +18,21 @@
 from wheatroute.rig.version_backend import VersionBackend
 from wheatroute.rig.waiting import wait_until
 
-STORE = "store"  # stands for the place of the versions, whatever it is
-LISTENING = "event=listening"  # in the log of a process that serves requests
-RESUME_S = 0.5  # in which a node that was stopped comes back to its requests
-OPEN_DOWNTIME_S = 60.0  # for which a node still down at the end of the load counts as down
+# The name of the version store in faults, whichever kind of store it is.
+STORE = "store"
+# What a process logs when it begins to serve requests.
+LISTENING = "event=listening"
+# A resumed node counts as down for this long, until it handles its requests again.
+RESUME_GRACE_S = 0.5
+# A node that is still down at the end of the load counts as down for this long.
+OPEN_DOWNTIME_S = 60.0
 
 
 class FaultInjector:
-    """Faults by the names of processes and servers. `direction` is a key of `link_fault.DIRECTIONS`."""
+    """Injects faults, by the names of processes and servers.
+
+    `direction` is a key of `link_fault.DIRECTIONS`.
+    """
 
     def __init__(
         self,
@@ -42,63 +49,66 @@
         self._processes = processes
         self._discovery = discovery
         self._backend = backend
-        self._down_since: dict[str, float] = {}  # by process, stopped or killed
+        self._down_since: dict[str, float] = {}  # by process: when it was stopped or killed
 
     def record(self, text: str) -> None:
-        """Records a fault with the time."""
+        """Records a fault with the current time."""
         self._records.record_fault(time.monotonic(), text)
 
-    def partition(self, one: str, other: str, direction: str = "both") -> None:
-        """Cuts the links between two processes, or a process and the `store`."""
-        self.record(f"cut {one} {other} {direction}")
+    def partition(self, process: str, other: str, direction: str = "both") -> None:
+        """Partitions the links between two processes, or between a process and the `store`."""
+        self.record(f"cut {process} {other} {direction}")
         if other == STORE:
-            self._backend.partition(one, direction)
+            self._backend.partition(process, direction)
             return
-        for link in self._network.between(one, other):
+        for link in self._network.between(process, other):
             link.faults.partition(direction)
 
-    def heal(self, one: str, other: str) -> None:
-        """Ends all faults of the links between two processes, or a process and the `store`."""
-        self.record(f"heal {one} {other}")
+    def heal(self, process: str, other: str) -> None:
+        """Ends all faults of the links between two processes, or between a process and the `store`."""
+        self.record(f"heal {process} {other}")
         if other == STORE:
-            self._backend.heal(one)
+            self._backend.heal(process)
             return
-        for link in self._network.between(one, other):
+        for link in self._network.between(process, other):
             link.faults.heal()
 
-    def impair(self, one: str, other: str, direction: str = "both", **parameters: float) -> None:
-        """Delays, throttles, loses, duplicates or reorders, by the keys of `link_fault.PARAMETERS`."""
-        self.record(f"spoil {one} {other} {direction} {parameters}")
-        for link in self._network.between(one, other):
+    def impair(self, process: str, other: str, direction: str = "both", **parameters: float) -> None:
+        """Delays, throttles, drops, duplicates or reorders the data between two processes.
+
+        The names of the parameters are the keys of `link_fault.PARAMETERS`.
+        """
+        self.record(f"spoil {process} {other} {direction} {parameters}")
+        for link in self._network.between(process, other):
             link.faults.impair(direction, **parameters)
 
-    def reset_connections(self, one: str, other: str) -> None:
+    def reset_connections(self, process: str, other: str) -> None:
         """Resets the connections between two processes."""
-        self.record(f"reset {one} {other}")
-        for link in self._network.between(one, other):
+        self.record(f"reset {process} {other}")
+        for link in self._network.between(process, other):
             if isinstance(link, TcpLink):
                 link.reset_connections()
 
     def stop(self, name: str) -> None:
-        """Stops a process and those that it started with SIGSTOP."""
+        """Stops a process and the processes that it started, with SIGSTOP."""
         self.record(f"stop {name}")
         self._down_since[name] = time.monotonic()
         self._processes[name].send_group_signal(signal.SIGSTOP)
 
     def resume(self, name: str) -> None:
-        """Lets a stopped process go on."""
+        """Resumes a stopped process, with SIGCONT."""
         self.record(f"continue {name}")
-        self._record_downtime(name, time.monotonic() + RESUME_S)
+        self._record_downtime(name, time.monotonic() + RESUME_GRACE_S)
         self._processes[name].send_group_signal(signal.SIGCONT)
 
     def kill(self, name: str) -> None:
-        """Kills a process and those that it started."""
+        """Kills a process and the processes that it started."""
         self.record(f"kill {name}")
         self._down_since[name] = time.monotonic()
         self._processes[name].kill()
 
     async def start(self, name: str) -> None:
-        """Starts a process and waits until it listens; raises `RigError` if it does not."""
+        """Starts a process and waits until it listens; raises `RigError` if it does not begin to listen."""
         self.record(f"start {name}")
         process = self._processes[name]
         expected = process.log.count(LISTENING) + self._options.process_count(name)
@@ -120,13 +130,16 @@
         self._records.downtimes += [Downtime(since, until, name) for name, since in self._down_since.items()]
 
     def drain(self, server: str) -> None:
-        """Tells all processes that a server terminates; what it begins after the grace breaks a rule."""
+        """Notifies all processes that a server terminates.
+
+        Executions that it starts after the grace period violate a rule.
+        """
         self.record(f"drain {server}")
         self._records.drained_at[server] = time.monotonic()
         self._discovery.set_state(server, TERMINATING)
 
     def undrain(self, server: str) -> None:
-        """Tells all processes that a server that was to terminate stays in service."""
+        """Notifies all processes that a server which was to terminate stays in service."""
         self.record(f"take back {server}")
         self._records.drained_at.pop(server, None)
         self._discovery.set_state(server, IN_SERVICE)
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -1,7 +1,7 @@
-"""A proxy of the rig: asks an external processor for each request, and carries it to the server it names.
+"""A proxy of the rig: asks an external processor for a server for each attempt, and forwards the request.
 
-It must never send a request to a server that the processor has not named for that attempt, nor hide the end
-of an attempt from it.
+It must never send a request to a server that the processor has not chosen for that attempt, nor hide the end
+of an attempt from the processor.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from wheatroute.rig.processor_file import MAX_ATTEMPTS
 from wheatroute.standin.ext_proc_messages import PATH, destination, response_headers
 
-CONNECT_TIMEOUT_S = 0.2  # of a connection to a server
-MAX_BACKOFF_S = 0.2  # between two connections to the processor
+CONNECT_TIMEOUT_S = 0.2  # for connecting to a server
+MAX_BACKOFF_S = 0.2  # between two attempts to connect to the processor
 DEFAULT_TIMEOUT = "2000m"
 
 
@@ -31,17 +31,17 @@
 
 
 class Gateway:
-    """A proxy before one processor."""
+    """A proxy in front of one processor."""
 
     def __init__(self, processor: Address) -> None:
         self._channel = Channel(processor, max_backoff_s=MAX_BACKOFF_S)
 
     async def run(self) -> None:
-        """Keeps the connection to the processor until it is cancelled."""
+        """Maintains the connection to the processor until it is cancelled."""
         await self._channel.run()
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Serves a client's connection: one request after the other."""
+        """Serves a client's connection, one request at a time."""
         connection = HttpConnection(stream)
         while (request := await connection.read_message()) is not None:
             timeout_s = int(request.headers.get("request-timeout", DEFAULT_TIMEOUT).rstrip("m")) / 1000
@@ -61,7 +61,10 @@
         return _Response(502, b"no answer")
 
     async def _attempt(self, request: HttpMessage, attempt: int) -> _Response | None:
-        """One attempt; None if the server did not respond. Its stream is then cancelled."""
+        """Makes one attempt; returns None if the server did not respond.
+
+        The attempt's stream to the processor is cancelled in that case.
+        """
         async with self._channel.call(PATH) as call:
             await call.send(_request_headers(request, attempt))
             decision = ProcessingResponse.FromString(await call.receive() or b"")
@@ -75,7 +78,7 @@
 
 
 async def _report_response(call: AsyncCall, status: int) -> None:
-    """Tells the processor of a server's response headers, which ends the stream."""
+    """Reports a server's response headers to the processor, which ends the stream."""
     with suppress(CallError):
         await call.send(response_headers(status))
         await call.receive()
@@ -83,7 +86,7 @@
 
 
 async def _forward(request: HttpMessage, server: str) -> HttpMessage | None:
-    """The response of a server; None if it gives none, or cannot be reached."""
+    """Forwards a request to a server; returns the response, None without one or if connecting failed."""
     host, _, port = server.rpartition(":")
     try:
         with trio.fail_after(CONNECT_TIMEOUT_S):
@@ -99,7 +102,7 @@
 
 
 def _request_headers(request: HttpMessage, attempt: int) -> bytes:
-    """The first message of a stream to the processor."""
+    """Returns the first message of a stream to the processor: the headers of the request."""
     method, path, _ = request.start_line.split(" ")
     message = ProcessingRequest()
     pseudo_headers = {
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one connection, as the rig's own clients and servers read and write it."""
+"""HTTP/1.1 on one connection, for the rig's own clients and servers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 MAX_HEAD_BYTES = 65536
 RECEIVE_BYTES = 65536
 LISTEN_BACKLOG = 512
-# a peer that hangs up, or what is no HTTP (a header that is no number)
+# The peer closed the connection, or sent invalid HTTP (ValueError: a header that is not a number).
 CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, ValueError)
 
 
 class HttpMessage(NamedTuple):
-    """A request or a response; the names of headers are in lower case."""
+    """A request or a response; header names are in lower case."""
 
     start_line: str
     headers: dict[str, str]
@@ -36,14 +36,17 @@
 
 
 class HttpConnection:
-    """Messages on one connection; bodies have a `Content-Length`, or are empty."""
+    """Reads and writes messages on one connection; a body has a `Content-Length`, or is empty."""
 
     def __init__(self, stream: trio.SocketStream) -> None:
         self.stream = stream
         self._buffer = b""
 
     async def read_message(self) -> HttpMessage | None:
-        """The next message; None at the end of the stream, even within one, or if a head is too long."""
+        """Returns the next message.
+
+        Returns None at the end of the stream, even within a message, or if the head of a message is too long.
+        """
         while b"\r\n\r\n" not in self._buffer:
             if len(self._buffer) > MAX_HEAD_BYTES or not await self._read_more():
                 return None
@@ -64,7 +67,7 @@
         return bool(data)
 
     async def send_response(self, status: int, body: bytes, **headers: str) -> None:
-        """Sends a response; an underscore in a header's name stands for a hyphen."""
+        """Sends a response; underscores in the names of headers become hyphens."""
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         await self.stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
--- a/wheatroute/rig/link_fault.py
+++ b/wheatroute/rig/link_fault.py
@@ -1,6 +1,6 @@
-"""Faults of a link between two processes, by direction. Free of I/O.
+"""Faults of a link between two processes, by direction. Does no I/O.
 
-A fault holds for what is open and for what comes after it, until `heal`.
+A fault applies to open and to new connections, until `heal`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Direction(IntEnum):
-    """Which way something passes a link."""
+    """The direction in which data passes a link."""
 
     FORWARD = 0  # to the target; on a datagram link from its first end to its second
     BACKWARD = 1
@@ -23,7 +23,7 @@
         return Direction(1 - self)
 
 
-DIRECTIONS = {  # by the word of scenario files
+DIRECTIONS = {  # by the value of `way` in scenario files
     "there": (Direction.FORWARD,),
     "back": (Direction.BACKWARD,),
     "both": (Direction.FORWARD, Direction.BACKWARD),
@@ -32,17 +32,18 @@
 
 @dataclass
 class LinkFault:
-    """What one direction of a link does to what passes it."""
+    """The fault of one direction of a link; without arguments, none."""
 
     is_partitioned: bool = False
     delay_s: float = 0.0
-    bytes_per_second: float = 0.0  # 0 for no limit; streams only
-    loss: float = 0.0  # probabilities, of datagrams only
+    bytes_per_second: float = 0.0  # streams only; 0 for no limit
+    # loss, duplication and reordering are probabilities, and apply to datagrams only
+    loss: float = 0.0
     duplication: float = 0.0
     reordering: float = 0.0
 
 
-PARAMETERS = {  # by the word of scenario files
+PARAMETERS = {  # names of fields of `LinkFault`, by the key in `how` of scenario files
     "cut": "is_partitioned",
     "delay": "delay_s",
     "trickle": "bytes_per_second",
@@ -60,22 +61,22 @@
         self._healed = trio.Event()
 
     def __getitem__(self, direction: Direction) -> LinkFault:
-        """The fault of a direction, as it is now."""
+        """Returns the current fault of a direction."""
         return self._by_direction[direction]
 
     def partition(self, direction: str) -> None:
-        """Lets nothing pass, and tells nobody; `direction` is a key of `DIRECTIONS`."""
-        for one in DIRECTIONS[direction]:
-            self._by_direction[one].is_partitioned = True
+        """Blocks all data without notifying either end; `direction` is a key of `DIRECTIONS`."""
+        for affected in DIRECTIONS[direction]:
+            self._by_direction[affected].is_partitioned = True
 
     def impair(self, direction: str, **parameters: float) -> None:
-        """Sets parameters of the faults, by the keys of `PARAMETERS`; other ones have no effect."""
-        for one in DIRECTIONS[direction]:
+        """Sets parameters of the faults, by the keys of `PARAMETERS`; other keys have no effect."""
+        for affected in DIRECTIONS[direction]:
             for name in PARAMETERS.keys() & parameters.keys():
-                setattr(self._by_direction[one], PARAMETERS[name], parameters[name])
+                setattr(self._by_direction[affected], PARAMETERS[name], parameters[name])
 
     def heal(self) -> None:
-        """Ends all faults."""
+        """Ends the faults of both directions."""
         self._by_direction = [LinkFault(), LinkFault()]
         healed, self._healed = self._healed, trio.Event()
         healed.set()
@@ -91,7 +92,7 @@
             await self._healed.wait()
 
     async def wait_to_pass(self, direction: Direction) -> None:
-        """Waits for a direction's delay, and until it is not partitioned."""
+        """Waits for the delay of a direction, and until the direction is not partitioned."""
         if self[direction].delay_s:
             await trio.sleep(self[direction].delay_s)
         while self[direction].is_partitioned:
--- a/wheatroute/rig/loop_lateness.py
+++ b/wheatroute/rig/loop_lateness.py
@@ -1,8 +1,8 @@
-"""How late the rig's own event loop is, so that its verdicts don't take that for the program's delay.
+"""Measures the delay of the rig's own event loop, so that verdicts don't mistake it for the program's delay.
 
-Clients, proxies, links and servers of a rig share one loop. On a loaded machine each of them runs late, and
-an answer is then read, or a deadline noticed, later than it came. A probe on the same loop measures by how
-much. Times are of the monotonic clock, in seconds.
+Clients, proxies, links and servers of a rig share one event loop. On a loaded machine each of them runs late,
+and a response is then read, or a deadline noticed, later than it came. A probe on the same loop measures by
+how much. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -13,20 +13,23 @@
 
 import trio
 
-PROBE_INTERVAL_S = 0.01  # that the probe asks to sleep
-MIN_DELAY_S = 0.002  # below which a wake-up counts as punctual
-MAX_EXCUSED_S = 1.0  # of its own delay that the rig allows for one request
+# For how long the probe asks to sleep.
+PROBE_INTERVAL_S = 0.01
+# The probe counts as punctual if it wakes up with at most this delay.
+MIN_DELAY_S = 0.002
+# The rig excuses the delay of one request by at most this much of its own delay.
+MAX_EXCUSED_S = 1.0
 
 
 @dataclass
 class LoopLateness:
-    """When the probe woke late, in order of time, and by how much."""
+    """When the probe woke up late, in order of time, and by how much."""
 
     woke_at: list[float] = field(default_factory=list)
     delays_s: list[float] = field(default_factory=list)
 
     async def run(self) -> None:
-        """Measures until it is cancelled."""
+        """Measures the delay until it is cancelled."""
         while True:
             due = time.monotonic() + PROBE_INTERVAL_S
             await trio.sleep_until(trio.current_time() + PROBE_INTERVAL_S)
@@ -34,21 +37,24 @@
             self.record(now, now - due)
 
     def record(self, now: float, delay_s: float) -> None:
-        """The probe woke at `now`, so much later than it asked for."""
+        """Records that the probe woke up at `now`, `delay_s` later than it asked for."""
         if delay_s > MIN_DELAY_S:
             self.woke_at.append(now)
             self.delays_s.append(delay_s)
 
     def excused_s(self, start: float, end: float) -> float:
-        """What a request between two moments is excused: the loop's delay, at most `MAX_EXCUSED_S`."""
+        """Returns how much delay of a request between two times is excused.
+
+        That is the delay of the event loop, but at most `MAX_EXCUSED_S`.
+        """
         return min(MAX_EXCUSED_S, self.total_s(start, end))
 
     def total_s(self, start: float, end: float) -> float:
-        """By how much the loop was late between two moments."""
+        """Returns the total delay of the event loop between two times."""
         first = bisect_left(self.woke_at, start)
         last = bisect_left(self.woke_at, end)
         while last < len(self.woke_at) and self.woke_at[last] - self.delays_s[last] < end:
-            last += 1  # a delay that began in the span and ended after it
+            last += 1  # a delay that began before `end` and ended after it
         delays = zip(self.woke_at[first:last], self.delays_s[first:last], strict=True)
         return sum(max(0.0, min(end, woke) - max(start, woke - delay)) for woke, delay in delays)
 
--- a/wheatroute/rig/network.py
+++ b/wheatroute/rig/network.py
@@ -1,7 +1,7 @@
-"""The links between all processes of a rig, by name, and the ports that are held for processes yet to start.
+"""The links between the processes of a rig, by name, and the ports reserved for processes that start later.
 
-A link is named `FROM-TO` by what it connects, as `n0-s1`; several links to one target have numbers, as
-`n0-etcd2`.
+A link is named `FROM-TO` after its two ends, for example `n0-s1`; several links to one target are numbered,
+for example `n0-etcd2`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Network:
-    """Links run in the nursery from when they are added."""
+    """Creates links and finds them by their ends; a link runs in the nursery from when it is added."""
 
     def __init__(self, nursery: trio.Nursery) -> None:
         self.links: dict[str, TcpLink | DatagramLink] = {}
@@ -31,26 +31,26 @@
         return link
 
     def add_links(self, name: str, targets: list[Address]) -> list[Address]:
-        """Adds a TCP link to each of several targets, with their numbers after the name."""
+        """Adds a TCP link to each target, named `name` plus a number; returns the links' addresses."""
         return [self.add_link(f"{name}{i}", target).address for i, target in enumerate(targets)]
 
     def add_datagram_link(self, name: str, ends: tuple[Address, Address], seed: int) -> None:
-        """Adds a link for datagrams between two processes."""
+        """Adds a datagram link between two processes."""
         link = self.links[name] = DatagramLink(name, ends, seed)
         self._nursery.start_soon(link.run)
 
-    def between(self, one: str, other: str) -> list[TcpLink | DatagramLink]:
-        """The links of two processes, in either direction; `etcd` stands for all its members.
+    def between(self, process: str, other: str) -> list[TcpLink | DatagramLink]:
+        """Returns the links between two processes, in either direction; `etcd` means all its members.
 
         Raises `RigError` if there is none.
         """
-        found = [link for name, link in self.links.items() if _connects(name, one, other)]
+        found = [link for name, link in self.links.items() if _connects(name, process, other)]
         if not found:
-            raise RigError(f"there is no link between {one} and {other}")
+            raise RigError(f"no link connects {process} and {other}")
         return found
 
     def peer_addresses(self, node: str) -> list[Address]:
-        """Where a node reaches the others by datagrams."""
+        """Returns the addresses at which a node reaches its peers by datagrams."""
         return [
             link.addresses[node != name.split("-")[0]]
             for name, link in self.links.items()
@@ -58,28 +58,29 @@
         ]
 
     def reserve_address(self) -> Address:
-        """An address on which a process can listen that starts later."""
+        """Returns an address on which a process that starts later can listen; reserved until `close`."""
         reserved = reserve_port()
         self._reserved.append(reserved)
         address: Address = reserved.getsockname()
         return address
 
     def close(self) -> None:
-        """Frees the reserved ports."""
+        """Releases the reserved ports."""
         for reserved in self._reserved:
             reserved.close()
 
 
 def free_datagram_address() -> Address:
-    """An address for datagrams that is free now.
+    """Returns an address for datagrams that is free now.
 
-    It is not held, as nobody could share it; hardly anyone else asks for one.
+    The address is not reserved, because a process could not bind it meanwhile. It is unlikely to be lost,
+    because other programs rarely take a port for datagrams.
     """
     with reserve_port(socket.SOCK_DGRAM) as reserved:
         address: Address = reserved.getsockname()
     return address
 
 
-def _connects(name: str, one: str, other: str) -> bool:
+def _connects(name: str, process: str, other: str) -> bool:
     first, _, second = name.partition("-")
-    return (first == one and second.startswith(other)) or (first == other and second.startswith(one))
+    return (first == process and second.startswith(other)) or (first == other and second.startswith(process))
--- a/wheatroute/rig/options.py
+++ b/wheatroute/rig/options.py
@@ -1,4 +1,4 @@
-"""What a rig is made of, as whoever starts it says, and the names that follow from it."""
+"""The options of a rig, and the names of its processes and servers that follow from them."""
 
 from __future__ import annotations
 
@@ -16,23 +16,30 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RigOptions:
-    """The shape of a rig. Nodes are n0.., processors p0.., servers s0.., zones a..."""
+    """The shape of a rig.
+
+    Nodes are named n0, n1 and so on, processors p0, p1, servers s0, s1, and zones a, b.
+    """
 
     nodes: int = 3
     servers: int = 4
     zones: int = 1
-    processors: int = 0  # each behind a proxy of its own
-    workers: int = 2  # of each processor
-    store: StoreKind = "directory"  # where versions are; with relay in etcd, read by one process for all
+    processors: int = 0  # each behind its own proxy
+    workers: int = 2  # processes of each processor
+    # where the versions are stored; `relay` means etcd, read by one process for all others
+    store: StoreKind = "directory"
     etcd_members: int = 3
-    discovery: DiscoveryKind = "service"  # where nodes read the servers; processors always ask a service
-    peers: bool = False  # whether nodes tell each other by datagrams what servers hold
-    programs: dict[str, list[str]] | None = None  # with these, supervisors run the nodes; the first one first
-    settings: Settings | None = None  # as the platform gives them; by default those of `settings`
+    # where nodes read the servers; processors always use a discovery service
+    discovery: DiscoveryKind = "service"
+    peers: bool = False  # whether nodes exchange the loads of servers by datagrams
+    # commands of programs by name; if set, supervisors run the nodes, with the first program at the start
+    programs: dict[str, list[str]] | None = None
+    # settings with the keys of the platform; by default `settings.DEFAULT_SETTINGS`
+    settings: Settings | None = None
     bound_s: float = 2.0  # time in which a change of settings has to reach all processes
     seed: int = 1
-    timeout_s: float = 120.0  # after which the whole rig is ended
-    folder: Path | None = None  # for logs and files; by default one that is deleted with the rig
+    timeout_s: float = 120.0  # time after which the whole rig is ended
+    folder: Path | None = None  # for logs and files; by default a folder that is deleted with the rig
 
     @property
     def zone_names(self) -> list[str]:
@@ -40,7 +47,7 @@
         return [chr(ord("a") + i) for i in range(self.zones)]
 
     def zone_of(self, number: int) -> str:
-        """The zone of a node or server by its number."""
+        """Returns the zone of the node or server with this number."""
         return self.zone_names[number % self.zones]
 
     @property
@@ -55,19 +62,19 @@
 
     @property
     def names(self) -> list[str]:
-        """The names of all that serve requests."""
+        """The names of all nodes and processors, which serve requests."""
         return self.node_names + self.processor_names
 
     def process_count(self, name: str) -> int:
-        """How many processes serve requests under a name."""
+        """Returns how many processes serve requests under a name."""
         return self.workers if name in self.processor_names else 1
 
     def status_names(self, name: str) -> list[str]:
-        """The names under which processes of this name write their status to the store."""
+        """Returns the names under which processes of this name write their status to the store."""
         count = self.process_count(name)
         return [f"{name}-{i}" for i in range(count)] if count > 1 else [name]
 
     @property
     def has_etcd(self) -> bool:
-        """Whether a stand-in etcd cluster is needed."""
+        """Whether the rig needs a stand-in etcd cluster."""
         return self.store != "directory" or self.discovery == "etcd"
--- a/wheatroute/rig/process_files.py
+++ b/wheatroute/rig/process_files.py
@@ -1,4 +1,4 @@
-"""The files of a rig's processes in its folder: settings files and logs."""
+"""The settings files and logs of a rig's processes, in the folder of the rig."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class ProcessFiles:
-    """Files by the name of the process."""
+    """Finds, reads and writes files by the name of the process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
 
     def log(self, name: str) -> Path:
-        """Where a process logs."""
+        """Returns the path of a process's log."""
         return self.folder / f"{name}.log"
 
     def node_file(self, name: str) -> Path:
-        """The settings file of a node (JSON)."""
+        """Returns the path of a node's settings file (JSON)."""
         return self.folder / f"{name}.json"
 
     def write_node_file(self, name: str, document: dict[str, object]) -> None:
@@ -38,5 +38,5 @@
 
 
 def toml_entries(table: dict[str, object]) -> list[str]:
-    """The lines of a TOML table of strings, numbers and arrays, which are written as in JSON."""
+    """Returns the lines of a TOML table of strings, numbers and arrays, which are written as in JSON."""
     return [f"{key} = {json.dumps(value)}" for key, value in table.items()]
--- a/wheatroute/rig/processor_file.py
+++ b/wheatroute/rig/processor_file.py
@@ -1,4 +1,4 @@
-"""The settings file of an external processor (TOML), for settings by the keys of the platform."""
+"""The settings file of an external processor (TOML), made from settings with the keys of the platform."""
 
 from __future__ import annotations
 
@@ -7,10 +7,12 @@
 
 from wheatroute.rig.settings import Settings
 
-EFFECTS = {"retryable": "pure", "dedup": "receipted", "fragile": "effectful"}  # platform's word: the file's
+# Values of `effect` in the file, by the value in the platform's settings.
+EFFECTS = {"retryable": "pure", "dedup": "receipted", "fragile": "effectful"}
 POOL = "shop"
 MAX_ATTEMPTS = 4
-RULE_KEYS = {  # of the file: of the platform
+# Keys of the platform's settings, by the key in the file.
+RULE_KEYS = {
     "cold_time": "cold",
     "cold_share": "cold-share",
     "drain_grace": "drain-grace",
@@ -24,7 +26,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ProcessorInstance:
-    """What differs between processors. Versions have none of it: the defaults then fill the file."""
+    """The settings that differ between processors.
+
+    Versions don't contain any of them: the file of a version has the defaults.
+    """
 
     name: str = "any"
     number: int = 0
@@ -34,7 +39,7 @@
 
 
 def processor_file(settings: Settings, node_count: int, instance: ProcessorInstance) -> str:
-    """The text of the file."""
+    """Returns the text of the file."""
     lines = [
         f"name = {json.dumps(instance.name)}",
         f"nodes = {node_count}",
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -1,7 +1,7 @@
-"""The rig: starts processes of the program and everything around them on loopback, and ends all of it.
+"""The rig: starts processes of the program and everything around them on loopback, and ends all of them.
 
-It must never leave a process behind, whatever goes wrong, nor end one that it did not start; it tells the
-program of no fault.
+It must never leave a process running, whatever fails, nor end a process that it did not start. It doesn't
+notify the program of any fault.
 """
 
 from __future__ import annotations
@@ -25,13 +25,16 @@
 from wheatroute.rig.versions import VersionPublisher
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S, wait_until
 
-DRAIN_SLACK_S = 1.5  # beyond the longest deadline in which the last requests end
+# The last requests have to end within the longest timeout of a request plus this time.
+DRAIN_SLACK_S = 1.5
 CHECK_INTERVAL_S = 0.02
 
 
 class Rig:
-    """Nodes, processors behind a proxy each, servers, a store for versions, clients of each node, and a link
-    between any two processes."""
+    """Nodes, processors with a proxy each, servers, a store for versions, and clients of each node.
+
+    Any two processes are connected by a link, into which faults can be injected.
+    """
 
     def __init__(self, components: RigComponents) -> None:
         self.names = components.options.names
@@ -60,23 +63,23 @@
 
     @property
     def etcd(self) -> EtcdProcess:
-        """The process of the stand-in etcd cluster; only with one."""
+        """The process of the stand-in etcd cluster; only valid if `has_etcd`."""
         assert self._etcd is not None
         return self._etcd
 
     @property
     def has_etcd(self) -> bool:
-        """Whether there is a stand-in etcd cluster."""
+        """Whether the rig runs a stand-in etcd cluster."""
         return self._etcd is not None
 
     async def wait_until(
         self, condition: Callable[[], object], description: str, timeout_s: float = WAIT_TIMEOUT_S
     ) -> None:
-        """See `waiting.wait_until`."""
+        """Waits until a condition is true, see `waiting.wait_until`."""
         await wait_until(self.records.lateness, condition, description, timeout_s)
 
     def start_load(self, rate: float, class_weights: dict[str, float], timeout_s: float = 2.0) -> None:
-        """Has the clients of each node send `rate` requests a second, of classes drawn by their weights."""
+        """Makes the clients of each node send `rate` requests per second, of classes drawn by weight."""
         effects = {table["name"]: table["effect"] for table in self.settings["traffic-types"]}
         for load in self.loads.values():
             load.clear_classes()
@@ -86,7 +89,7 @@
             load.timeout_s = timeout_s
 
     async def stop_load(self) -> float:
-        """Stops the clients, and waits for the ends of requests under way; returns the time after that."""
+        """Stops the clients and waits for the requests in flight to end; returns the time after that."""
         for load in self.loads.values():
             load.rate = 0.0
         requests = self.records.requests
@@ -100,7 +103,7 @@
 
 @asynccontextmanager
 async def running_rig(options: RigOptions) -> AsyncIterator[Rig]:
-    """A rig that is built and runs, for as long as the context or `timeout_s`; then all of it is ended."""
+    """Builds and runs a rig until the context ends, at most for `timeout_s`; then ends all of it."""
     with ExitStack() as cleanup:
         folder = cleanup.enter_context(_run_folder(options.folder))
         with trio.fail_after(options.timeout_s):
@@ -114,11 +117,11 @@
 
 
 @contextmanager
-def _run_folder(kept: Path | None) -> Iterator[Path]:
-    """The folder of a run: one that is kept, or a temporary one."""
-    if kept is not None:
-        kept.mkdir(parents=True, exist_ok=True)
-        yield kept
+def _run_folder(folder: Path | None) -> Iterator[Path]:
+    """Yields the folder of a run: the given one, which is kept, or a temporary one, which is deleted."""
+    if folder is not None:
+        folder.mkdir(parents=True, exist_ok=True)
+        yield folder
         return
     temporary = Path(tempfile.mkdtemp(prefix="wheatroute-rig-"))
     try:
--- a/wheatroute/rig/run_folder.py
+++ b/wheatroute/rig/run_folder.py
@@ -1,6 +1,6 @@
-"""The folder of a run: `records.json` and `summary.json`, beside the logs and files of its processes.
+"""The folder of a run: `records.json` and `summary.json`, next to the logs and files of its processes.
 
-Their keys are older than the names in the code and stay.
+The keys in these two files are older than the names in the code, and must not change.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 class RunClock(NamedTuple):
     """When the load of a run began."""
 
-    started_at: float  # of the monotonic clock, as all times of the records
-    started_unix_s: float  # of the time of day, as the processes' logs have it
+    started_at: float  # monotonic clock, as for all times in the records
+    started_unix_s: float  # Unix time, as the processes' logs have it
 
 
 @dataclass(frozen=True)
 class StoredRun:
-    """What is read of a run that was stored."""
+    """The data of a stored run that is read back."""
 
     name: str
     process_names: list[str]  # of nodes and processors
@@ -47,17 +47,17 @@
     violations: list[Violation],
     summary: dict[str, object],
 ) -> None:
-    """Stores a run that ended at `until`."""
+    """Writes the records and the summary of a run that ended at `until`."""
     document = {
         "began": clock.started_at,
         "wall": clock.started_unix_s,
         "until": until,
         "script": scenario.model_dump(by_alias=True),
-        "ran": [_stored_execution(one) for one in records.executions],
-        "asked": [_stored_request(one) for one in records.requests.values()],
-        "versions": [_stored_version(one) for one in records.versions],
+        "ran": [_stored_execution(execution) for execution in records.executions],
+        "asked": [_stored_request(request) for request in records.requests.values()],
+        "versions": [_stored_version(version) for version in records.versions],
         "faults": records.faults,
-        "stories": [[one.rule, one.request_id, one.timeline] for one in violations],
+        "stories": [[violation.rule, violation.request_id, violation.timeline] for violation in violations],
     }
     (folder / RECORDS).write_text(json.dumps(document))
     (folder / SUMMARY).write_text(json.dumps(summary, indent=1))
@@ -74,19 +74,19 @@
         process_names=nodes + processors,
         duration_s=script["seconds"],
         clock=RunClock(document["began"], document["wall"]),
-        requests=[_read_request(one) for one in document["asked"]],
-        publication_times=[one["put"] for one in document["versions"]],
-        faults=[InjectedFault(*one) for one in document["faults"]],
+        requests=[_read_request(stored) for stored in document["asked"]],
+        publication_times=[stored["put"] for stored in document["versions"]],
+        faults=[InjectedFault(*stored) for stored in document["faults"]],
     )
 
 
 def read_violations(folder: Path) -> list[Violation]:
-    """The violations of a stored run."""
-    return [Violation(*one) for one in json.loads((folder / RECORDS).read_text())["stories"]]
+    """Reads the violations of a stored run."""
+    return [Violation(*stored) for stored in json.loads((folder / RECORDS).read_text())["stories"]]
 
 
 def read_summary(folder: Path) -> dict[str, object]:
-    """The summary of a stored run; raises `FileNotFoundError` if the folder has none."""
+    """Reads the summary of a stored run; raises `FileNotFoundError` if the folder has none."""
     summary: dict[str, object] = json.loads((folder / SUMMARY).read_text())
     return summary
 
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -1,7 +1,7 @@
-"""The ledger of a run: what its servers and clients saw, and what was done to it. Free of I/O.
+"""The records of a run: what its servers and clients observed, and which faults were injected. Does no I/O.
 
-Never asks the program what it did: a request is known by its id, at servers and at clients. Times are the
-rig's own, of the monotonic clock, in seconds. `verdict` judges a run by this ledger.
+The program is never asked what it did: servers and clients identify a request by its id. Times are seconds of
+the rig's own monotonic clock. `verdict` judges a run by these records.
 """
 
 from __future__ import annotations
@@ -14,23 +14,26 @@
 from wheatroute.rig.loop_lateness import LoopLateness
 from wheatroute.rig.settings import Settings
 
-IDEMPOTENCY = {  # by the word of the settings
+IDEMPOTENCY = {  # by the value of `effect` in the settings
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.KEYED,
     "fragile": Idempotency.NON_IDEMPOTENT,
 }
-_DEDUPLICATION_GROUPS = {
+_DEDUPLICATION_GROUPS = {  # by the value of `group` in the settings
     "all": DeduplicationGroup.ALL,
     "zone": DeduplicationGroup.ZONE,
     "cell": DeduplicationGroup.CELL,
 }
-IN_FORCE = "in force"  # states of a version, as the history of versions words them
-WAS_IN_FORCE = "was"  # how the state of a version begins that was in force once
-NO_RESPONSE = -1  # status of a request whose connection broke
+# The state of the version in force, as the history of versions gives it.
+IN_FORCE = "in force"
+# The start of the state of a version that was in force earlier.
+WAS_IN_FORCE = "was"
+# The status of a request whose connection broke.
+NO_RESPONSE = -1
 
 
 class ExecutionOutcome(StrEnum):
-    """What a server did after having run a request."""
+    """What a server did after it had run a request."""
 
     ANSWERED = "answered"
     ERROR = "error"
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """A server read a whole request and began to run it."""
+    """One execution of a request: a server has read the whole request and begins to run it."""
 
     started_at: float
     server: str
@@ -50,12 +53,12 @@
     request_id: str
     request_class: str
     outcome: ExecutionOutcome
-    sent_at: float  # when the node's last byte of it was received by the kernel
+    sent_at: float  # when the kernel received the last byte of the request from the node
 
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request of a client and its response; status 0 while there is none, -1 for a broken connection."""
+    """A request of a client and its response; status 0 means no response so far, -1 a broken connection."""
 
     sent_at: float
     node: str
@@ -68,7 +71,7 @@
 
 
 class RepeatPolicy(NamedTuple):
-    """Whether and where a request class lets a request run again."""
+    """Whether a request class allows a request to be executed again, and on which servers."""
 
     idempotency: Idempotency
     deduplication_group: DeduplicationGroup
@@ -76,7 +79,7 @@
 
     @classmethod
     def from_settings(cls, table: Settings) -> RepeatPolicy:
-        """The policy of a class's table in the settings; an unknown value counts as the strictest."""
+        """Returns the policy of a class's table in the settings; an unknown value counts as the strictest."""
         return cls(
             IDEMPOTENCY.get(table.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             _DEDUPLICATION_GROUPS.get(table.get("group", "all"), DeduplicationGroup.CELL),
@@ -84,7 +87,7 @@
         )
 
     def allows(self, first: Execution, repeat: Execution) -> bool:
-        """Whether a request that `first` had begun may run again as `repeat`."""
+        """Returns whether a request that was executed as `first` may be executed again as `repeat`."""
         if self.idempotency is Idempotency.NON_IDEMPOTENT:
             return False
         if self.idempotency is Idempotency.IDEMPOTENT:
@@ -99,7 +102,7 @@
 
     @property
     def may_forbid_repeat(self) -> bool:
-        """Whether some server may not run a request again that another one had begun."""
+        """Whether there may be a server that must not run a request which another server has started."""
         if self.idempotency is Idempotency.KEYED:
             return self.deduplication_group is not DeduplicationGroup.ALL
         return self.idempotency is Idempotency.NON_IDEMPOTENT
@@ -107,12 +110,12 @@
 
 @dataclass(slots=True)
 class PublishedVersion:
-    """A version of the settings as the operator knows it."""
+    """A version of the settings, as its operator sees it."""
 
     number: int
     repeat_policies: dict[str, RepeatPolicy]  # by request class
     published_at: float
-    ended_at: float = 0.0  # when its outcome was known, 0 before
+    ended_at: float = 0.0  # when its outcome became known; 0 before
     state: str = ""
 
     @property
@@ -122,7 +125,7 @@
 
 
 class Downtime(NamedTuple):
-    """A span in which a node was killed or stopped."""
+    """A period in which a node was killed or stopped."""
 
     started_at: float
     ended_at: float
@@ -130,7 +133,7 @@
 
 
 class InjectedFault(NamedTuple):
-    """A fault that the rig caused, or its end."""
+    """A fault that the rig injected, or the end of one."""
 
     at: float
     text: str
@@ -138,28 +141,30 @@
 
 @dataclass
 class RunRecords:
-    """Everything that was seen in a run."""
+    """Everything that was observed in a run."""
 
     executions: list[Execution] = field(default_factory=list)
     requests: dict[str, ClientRequest] = field(default_factory=dict)  # by request id
     versions: list[PublishedVersion] = field(default_factory=list)
     faults: list[InjectedFault] = field(default_factory=list)
     downtimes: list[Downtime] = field(default_factory=list)
-    drained_at: dict[str, float] = field(default_factory=dict)  # by server: since when nothing may reach it
-    lateness: LoopLateness = field(default_factory=LoopLateness)  # of the rig that writes these records
+    # by server: when its drain was announced; after a grace period, no more requests may reach the server
+    drained_at: dict[str, float] = field(default_factory=dict)
+    # the delay of the event loop of the rig that writes these records
+    lateness: LoopLateness = field(default_factory=LoopLateness)
 
     def record_fault(self, now: float, text: str) -> None:
-        """Records a fault that the rig causes or ends now."""
+        """Records a fault that the rig injects or ends at `now`."""
         self.faults.append(InjectedFault(now, text))
 
     def executions_by_request(self) -> dict[str, list[Execution]]:
-        """Executions by request id, each request's in the order of time."""
+        """Returns the executions by request id, those of each request in order of time."""
         by_request: dict[str, list[Execution]] = {}
-        for execution in sorted(self.executions, key=lambda one: one.started_at):
+        for execution in sorted(self.executions, key=lambda execution: execution.started_at):
             by_request.setdefault(execution.request_id, []).append(execution)
         return by_request
 
 
 def repeat_policies(settings: Settings) -> dict[str, RepeatPolicy]:
-    """The policies of all request classes of the settings, by class."""
+    """Returns the policies of all request classes of the settings, by the name of the class."""
     return {table["name"]: RepeatPolicy.from_settings(table) for table in settings["traffic-types"]}
--- a/wheatroute/rig/run_report.py
+++ b/wheatroute/rig/run_report.py
@@ -1,6 +1,6 @@
-"""The report of a stored run: its summary as text, and a timeline of service, versions and faults.
+"""The report of a stored run: its summary as text, and a plot of served requests, versions and faults.
 
-What processes acted on is drawn by their logs; the verdict never comes from a log.
+The plot shows which versions processes acted on according to their logs; the verdict never uses a log.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class LoggedPhase(NamedTuple):
-    """From when on a process acted on a version, by its log; seconds since the load began."""
+    """When a process began to act on a version, according to its log; in seconds since the load began."""
 
     start_s: float
     phase: str
@@ -31,9 +31,9 @@
 
 
 def summary_lines(summary: dict[str, object], folder: Path) -> list[str]:
-    """The table at the end of a run, and the timeline of the first violation."""
-    shown = [[key, str(value)] for key, value in summary.items() if key not in ("name", "broken")]
-    lines = [f"{summary['name']}: {folder}", *table(shown)]
+    """Returns the table that is printed at the end of a run, and the timeline of the first violation."""
+    rows = [[key, str(value)] for key, value in summary.items() if key not in ("name", "broken")]
+    lines = [f"{summary['name']}: {folder}", *table(rows)]
     violations = read_violations(folder)
     if not violations:
         return [*lines, "no promise broken"]
@@ -42,7 +42,10 @@
 
 
 def write_report(folder: Path) -> Path:
-    """Writes `report.md` and the timeline of a stored run; raises `FileNotFoundError` if there is none."""
+    """Writes `report.md` and the plot of a stored run, and returns the path of `report.md`.
+
+    Raises `FileNotFoundError` if the folder has no stored run.
+    """
     run = read_run(folder)
     summary = read_summary(folder)
     _draw_timeline(run, folder)
@@ -71,7 +74,7 @@
 
 
 def _draw_service(axis: Any, run: StoredRun) -> None:
-    """Draws the share of requests that were served at each process, by the second of their sending."""
+    """Plots the ratio of requests that each process served, by the second in which they were sent."""
     for name in run.process_names:
         sent: Counter[int] = Counter()
         served: Counter[int] = Counter()
@@ -83,13 +86,13 @@
         seconds = sorted(sent)
         ratios = [served[second] / sent[second] for second in seconds]
         axis.plot(seconds, ratios, drawstyle="steps-post", label=name)
-    axis.set_ylabel("share served, by second")
+    axis.set_ylabel("ratio of requests served, by second")
     axis.set_ylim(0.0, 1.05)
     axis.legend(loc="lower left")
 
 
 def _draw_phases(axis: Any, run: StoredRun, folder: Path) -> None:
-    """Draws a row for each process with the versions that it acted on."""
+    """Draws a row for each process, with the versions that it acted on."""
     names = run.process_names
     for row, name in enumerate(names):
         phases = _read_phases(folder / f"{name}.log", run.clock.started_unix_s)
@@ -99,7 +102,7 @@
             axis.barh(row, end - phase.start_s, left=phase.start_s, color=colour, height=0.6)
             axis.text(max(0.0, phase.start_s), row, str(phase.version), va="center", fontsize=7)
     axis.set_yticks(range(len(names)), names)
-    axis.set_xlabel("seconds; green in force, orange joint, red careful, as the logs say")
+    axis.set_xlabel("seconds; green: in force, orange: joint, red: careful (from the logs)")
 
 
 def _mark_faults(service: Any, phases: Any, run: StoredRun) -> None:
@@ -111,10 +114,10 @@
 
 
 def _read_phases(log: Path, started_unix_s: float) -> list[LoggedPhase]:
-    """What a process acted on, by its log."""
+    """Reads from a process's log which versions it acted on."""
     phases = []
     for line in log.read_text(errors="replace").splitlines():
-        if found := _PHASE_LINE.search(line):
-            logged_at = datetime.fromisoformat(found[1].replace("Z", "+00:00")).timestamp()
-            phases.append(LoggedPhase(logged_at - started_unix_s, found[2].strip('"'), int(found[3])))
+        if match := _PHASE_LINE.search(line):
+            logged_at = datetime.fromisoformat(match[1].replace("Z", "+00:00")).timestamp()
+            phases.append(LoggedPhase(logged_at - started_unix_s, match[2].strip('"'), int(match[3])))
     return phases
--- a/wheatroute/rig/scenario.py
+++ b/wheatroute/rig/scenario.py
@@ -1,6 +1,7 @@
-"""A scenario of the rig: its shape, load, servers and steps in time, as a TOML file gives them. No other I/O.
+"""Scenario files of the rig (TOML): its processes, load and servers, and the steps in time.
 
-The keys of the file are the aliases of the fields.
+The keys of a file are the aliases of the fields, or their names where they have no alias. Reading the file is
+the only I/O of this module.
 """
 
 from __future__ import annotations
@@ -14,21 +15,22 @@
 
 from wheatroute.rig.options import RigOptions, StoreKind
 
-MAX_BUILD_S = 120.0  # beyond twice the duration, in which a run has to end
+# A run has to end within twice its duration plus this time.
+MAX_BUILD_S = 120.0
 
 
 class ScenarioError(Exception):
-    """The file cannot be used: a line for each thing that is wrong."""
+    """A scenario file that cannot be used; the message has a line for each problem."""
 
 
 class Table(BaseModel):
-    """A table of a scenario file; unknown keys are errors."""
+    """The base of the tables of a scenario file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class ClientsTable(Table):
-    """The clients of each node: requests a second, weights of the request classes, time for a response."""
+    """The clients of each node: requests per second, weights of the request classes, timeout of a request."""
 
     rate: float = Field(default=50.0, ge=0.0, le=500.0)
     class_weights: dict[str, float] = Field(default={"look": 0.6, "change": 0.2, "buy": 0.2}, alias="mix")
@@ -36,7 +38,7 @@
 
 
 class ServersTable(Table):
-    """How many servers there are, how long they run a request, and which part of the requests they fail."""
+    """The number of servers, their mean service time, and the ratios of requests that they fail."""
 
     count: int = Field(default=4, ge=1, le=64)
     mean_service_time_s: float = Field(default=0.01, gt=0.0, alias="takes")
@@ -46,7 +48,7 @@
 
 
 class Action(StrEnum):
-    """What a step does, by the words of the file."""
+    """What a step does; the values are those of the key `do` in the file."""
 
     PARTITION = "cut"
     HEAL = "heal"
@@ -66,29 +68,31 @@
 
 
 class Step(Table):
-    """Something that is done at a time, in seconds since the clients began."""
+    """An action at a time, in seconds since the clients started."""
 
     at_s: float = Field(ge=0.0, alias="at")
     action: Action = Field(alias="do")
-    target: str = Field(default="", alias="one")  # a process, or for a drain a server
+    target: str = Field(default="", alias="one")  # a process; for a drain, a server
     other: str = ""  # the process at the other end of a link, or `store`
     direction: Literal["both", "there", "back"] = Field(default="both", alias="way")
-    parameters: dict[str, Any] = Field(default={}, alias="how")  # of a link's fault, or a command to etcd
-    changes: dict[str, Any] = Field(default={}, alias="change")  # of settings, see `with_changes`
+    # the parameters of a link fault, or a command to the etcd cluster
+    parameters: dict[str, Any] = Field(default={}, alias="how")
+    # changed settings by path, see `settings.with_changes`
+    changes: dict[str, Any] = Field(default={}, alias="change")
     reason: str = Field(default="a step of the script", alias="why")
-    over: int = 0  # a pending version that may be replaced
+    over: int = 0  # the number of a pending version that the new one may replace
 
     @model_validator(mode="after")
     def _check_operands(self) -> Step:
         if self.action in LINK_ACTIONS and not (self.target and self.other):
-            raise ValueError(f"{self.action} wants one and other")
+            raise ValueError(f'the action "{self.action}" requires the keys "one" and "other"')
         if self.action in TARGET_ACTIONS and not self.target:
-            raise ValueError(f"{self.action} wants one")
+            raise ValueError(f'the action "{self.action}" requires the key "one"')
         return self
 
 
 class Scenario(Table):
-    """The whole file; without nodes there are processors."""
+    """A scenario file. At least one node or processor is required."""
 
     name: str
     seed: int = 1
@@ -107,11 +111,11 @@
     @model_validator(mode="after")
     def _check_processes(self) -> Scenario:
         if not self.nodes + self.processors:
-            raise ValueError("neither nodes nor processors: nobody would serve")
+            raise ValueError('at least one of "nodes" and "processors" must be above 0')
         return self
 
     def rig_options(self, folder: Path) -> RigOptions:
-        """The options of the scenario's rig, which keeps its files in a folder."""
+        """Returns the options of the scenario's rig, which keeps its files in `folder`."""
         return RigOptions(
             nodes=self.nodes,
             servers=self.servers.count,
@@ -128,15 +132,16 @@
 
 
 def read_scenario(path: str) -> Scenario:
-    """Reads and checks a scenario; raises `ScenarioError`."""
+    """Reads and validates a scenario file; raises `ScenarioError` if it cannot be used."""
     try:
         return Scenario.model_validate(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as error:
         raise ScenarioError(f"{path}: cannot be read: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ScenarioError(f"{path}: is not TOML: {error}") from error
+        raise ScenarioError(f"{path}: invalid TOML: {error}") from error
     except ValidationError as error:
         lines = [
-            f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole'}: {one['msg']}" for one in error.errors()
+            f"{path}: {'.'.join(map(str, details['loc'])) or 'whole file'}: {details['msg']}"
+            for details in error.errors()
         ]
         raise ScenarioError("\n".join(lines)) from error
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -1,4 +1,4 @@
-"""Plays a scenario: builds its rig, applies load and steps, judges the records and stores the run."""
+"""Plays a scenario: builds its rig, applies the load and the steps, judges the records and stores the run."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 from wheatroute.rig.scenario import Action, Scenario, ServersTable, Step
 
 PROGRESS_INTERVAL_S = 0.2
-OUTCOME_TIMEOUT_S = 60.0  # of a version that a step publishes
+# How long a step that publishes a version waits for the version's outcome.
+OUTCOME_TIMEOUT_S = 60.0
 
-ProgressCallback = Callable[[float], None]  # takes the part of the load that is over, 0 to 1
+# Receives the fraction of the load's duration that has passed, 0 to 1.
+ProgressCallback = Callable[[float], None]
 
 
 async def play(
-    scenario: Scenario, folder: Path, on_progress: ProgressCallback = lambda part: None
+    scenario: Scenario, folder: Path, on_progress: ProgressCallback = lambda fraction: None
 ) -> dict[str, object]:
-    """Plays a scenario and stores the run in a folder; returns its summary."""
+    """Plays a scenario and stores the run in `folder`; returns its summary."""
     async with running_rig(scenario.rig_options(folder)) as rig:
         _configure_servers(rig, scenario.servers)
         await _publish_first_version(rig)
@@ -34,7 +36,7 @@
         until = await rig.stop_load()
         await _record_versions(rig)
         on_progress(1.0)
-        return _store(rig, scenario, folder, clock, until)
+        return _store_run(rig, scenario, folder, clock, until)
 
 
 def _configure_servers(rig: Rig, table: ServersTable) -> None:
@@ -67,7 +69,8 @@
         for step in sorted(steps, key=lambda step: step.at_s):
             await trio.sleep(max(0.0, started_at + step.at_s - time.monotonic()))
             if step.action is Action.PUT:
-                nursery.start_soon(_publish, rig, step)  # later steps don't wait for its outcome
+                # in a task of its own, so that later steps don't wait for the version's outcome
+                nursery.start_soon(_publish, rig, step)
             else:
                 await _perform(rig, step)
 
@@ -106,7 +109,7 @@
 
 def _send_to_etcd(rig: Rig, command: dict[str, Any]) -> None:
     if not rig.has_etcd:
-        raise RigError("the store is a directory: there is no etcd to give orders to")
+        raise RigError('the action "etcd" requires an etcd cluster, but the store of this rig is a directory')
     rig.faults.record(f"etcd {command}")
     rig.etcd.send_command(**command)
 
@@ -115,10 +118,13 @@
     try:
         await rig.versions.read_history()
     except (VersionStoreError, trio.TooSlowError):
-        pass  # the store was left partitioned: what was recorded by then stands
+        # the scenario left the store partitioned: the versions recorded so far are kept
+        pass
 
 
-def _store(rig: Rig, scenario: Scenario, folder: Path, clock: RunClock, until: float) -> dict[str, object]:
+def _store_run(
+    rig: Rig, scenario: Scenario, folder: Path, clock: RunClock, until: float
+) -> dict[str, object]:
     violations = verdict.find_violations(rig.records, until, scenario.bound_s)
     summary = verdict.summary(rig.records, until, scenario.bound_s) | {
         "name": scenario.name,
--- a/wheatroute/rig/server.py
+++ b/wheatroute/rig/server.py
@@ -1,4 +1,4 @@
-"""A server of the rig: runs requests, records each one, and fails a part of them on demand."""
+"""A simulated server of the rig: runs requests, records each one, and fails a given ratio of them."""
 
 from __future__ import annotations
 
@@ -13,20 +13,23 @@
 from wheatroute.rig.run_records import Execution, ExecutionOutcome, RunRecords
 
 MEAN_SERVICE_TIME_S = 0.01
-LOAD_PATH = "GET /metrics/load "  # how the request of a node begins that asks for the load
+LOAD_PATH = "GET /metrics/load "  # the start of a node's request for the load report
 
 
 class Server:
-    """Runs each request for a random time, and then fails some: ratios from 0 to 1, at most 1 in all."""
+    """Runs each request for a random time, then fails some of them.
+
+    The ratios of failed requests are from 0 to 1, and their sum is at most 1.
+    """
 
     def __init__(self, name: str, zone: str, cell: int, records: RunRecords, seed: int) -> None:
         self.name = name
         self.zone = zone
         self.cell = cell
         self.mean_service_time_s = MEAN_SERVICE_TIME_S
-        self.reset_ratio = 0.0  # of the requests: the connection is closed without a response
-        self.error_ratio = 0.0  # answered with status 500
-        self.unanswered_ratio = 0.0  # never answered, with the connection left open
+        self.reset_ratio = 0.0  # requests whose connection is closed without a response
+        self.error_ratio = 0.0  # requests answered with status 500
+        self.unanswered_ratio = 0.0  # requests never answered, with the connection left open
         self._in_flight = 0
         self._records = records
         self._rng = random.Random(f"{seed}/{name}")
@@ -34,7 +37,7 @@
     async def serve(self, stream: trio.SocketStream, node: str, sent_at: Mapping[Address, float]) -> None:
         """Serves one connection of a node.
 
-        `sent_at` says when the last bytes on a connection left the node, by the address of its far end.
+        `sent_at` maps the address of a connection's peer to the time at which its last bytes left the node.
         """
         connection = HttpConnection(stream)
         peer: Address = stream.socket.getpeername()
@@ -42,7 +45,7 @@
             if request.start_line.startswith(LOAD_PATH):
                 await connection.send_response(200, self._load_report().encode())
                 continue
-            # recorded in the moment in which the request is complete
+            # the execution is recorded as soon as the whole request has been read
             now = time.monotonic()
             outcome = self._draw_outcome()
             self._record(request, node, now, sent_at.get(peer, now), outcome)
--- a/wheatroute/rig/settings.py
+++ b/wheatroute/rig/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a run starts with, by the keys of the platform, and changes of them."""
+"""The initial settings of a run, with the keys of the platform, and changes to them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,8 @@
 from copy import deepcopy
 from typing import Any
 
-Settings = dict[str, Any]  # a document of the settings, or a table of it, by the keys of the platform
+# A document of settings, or a table of it, with the keys of the platform.
+Settings = dict[str, Any]
 
 DEFAULT_SETTINGS: Settings = {
     "balancers": 1,
@@ -74,10 +75,10 @@
 
 
 def with_changes(settings: Settings, changes: Mapping[str, object], node_count: int) -> Settings:
-    """Settings for all nodes, with changes by path.
+    """Returns the settings for all nodes, with changes by path.
 
-    `look__effect` is the key `effect` of the request class, tenant or table `look`; a single underscore
-    stands for a hyphen. A path without two underscores is a key of the settings themselves.
+    The path `look__effect` means the key `effect` of the request class, tenant or table `look`; a single
+    underscore in such a key becomes a hyphen. A path without a double underscore is a top-level key.
     """
     changed = deepcopy(settings) | {"balancers": node_count}
     changed.pop("me", None)
@@ -92,7 +93,7 @@
 
 
 def _table_of(settings: Settings, name: str) -> Settings:
-    """The request class, the tenant or else the table of a name, added if there is none."""
+    """Returns the request class, the tenant or else the table of this name, which is added if missing."""
     for key in ("traffic-types", "tenants"):
         for table in settings.get(key, []):
             if table["name"] == name:
--- a/wheatroute/rig/supervisor.py
+++ b/wheatroute/rig/supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor of a node, which runs the programs of rollouts: its settings file."""
+"""The settings file of a node's supervisor, which runs the programs of rollouts."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from wheatroute.rig.process_files import ProcessFiles, toml_entries
 
 ROLLOUTS = "rollouts"  # the directory of the rollouts in the rig's folder
-READY_TIMEOUT_S = 10.0  # in which a program has to come up
+READY_TIMEOUT_S = 10.0  # time in which a program has to become ready
 
 
 def rollout_directory(folder: Path) -> str:
-    """Where supervisors and controllers of a rig find the rollouts."""
+    """Returns the directory of the rollouts, for the supervisors and controllers of a rig."""
     return str(folder / ROLLOUTS)
 
 
 def supervisor_file(node: str, zone: str, programs: dict[str, list[str]], files: ProcessFiles) -> str:
-    """The text of the supervisor's settings file (TOML). The first of the programs runs first."""
+    """Returns the text of a supervisor's settings file (TOML); it runs the first of the programs at first."""
     table = {
         "name": node,
         "site": zone,
--- a/wheatroute/rig/tcp_link.py
+++ b/wheatroute/rig/tcp_link.py
@@ -1,7 +1,8 @@
-"""A TCP link between two processes that can be made to fail.
+"""A TCP link between two processes, into which faults can be injected.
 
-Each link has a listener of its own. It must never reorder or change bytes of a stream, nor hold more of a
-partitioned stream than the two sides' buffers: what nobody takes stays with its sender, as on a network.
+Each link has its own listener. It must never reorder or change the bytes of a stream, nor hold more of a
+partitioned stream than the buffers of the two sides: data that is not received stays with its sender, as on a
+network.
 """
 
 from __future__ import annotations
@@ -18,24 +19,24 @@
 
 RECEIVE_BYTES = 65536
 LISTEN_BACKLOG = 512
-THROTTLE_INTERVAL_S = 0.05  # between two pieces of a throttled stream
+THROTTLE_INTERVAL_S = 0.05  # between two chunks of a throttled stream
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
-SO_TIMESTAMPNS = 35  # Linux, socket(7): each receive tells when the kernel took the bytes
-TIMESTAMP = struct.Struct("qq")  # seconds and nanoseconds of the time of day
+SO_TIMESTAMPNS = 35  # Linux, see socket(7): each receive reports when the kernel received the bytes
+TIMESTAMP = struct.Struct("qq")  # seconds and nanoseconds of the Unix time
 ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESTAMP.size)
 STREAM_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 class TcpLink:
-    """Whoever connects to `address` reaches `target` through it."""
+    """Forwards each connection to `address` to `target`."""
 
     def __init__(self, name: str, target: Address) -> None:
         self.name = name
         self.target = target
         self.faults = LinkFaults()
         self.connection_count = 0  # accepted since the start
-        # By the address of the far end's connection, when its last bytes were sent, of the monotonic clock.
-        # Kept after its end, as they may be read later.
+        # When the last bytes on a connection were sent (monotonic clock), by the address from which the link
+        # connected to the target. Kept after the end of a connection, as the bytes may be read later.
         self.sent_at: dict[Address, float] = {}
         self._open: set[trio.SocketStream] = set()
         self._listener = _listening_socket()
@@ -49,7 +50,7 @@
             stream.socket.close()
 
     async def run(self) -> None:
-        """Carries connections until it is cancelled."""
+        """Forwards connections until it is cancelled."""
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self._listener))
         async with trio.open_nursery() as nursery:
             await trio.serve_listeners(self._serve, [listener], handler_nursery=nursery)
@@ -63,14 +64,14 @@
             self._open.add(far)
             try:
                 async with far:
-                    await self._carry(near, far)
+                    await self._forward(near, far)
             finally:
                 self._open.discard(far)
         self._open.discard(near)
         with suppress(OSError):
             near.socket.close()
 
-    async def _carry(self, near: trio.SocketStream, far: trio.SocketStream) -> None:
+    async def _forward(self, near: trio.SocketStream, far: trio.SocketStream) -> None:
         far_address: Address = far.socket.getsockname()
         async with trio.open_nursery() as nursery:
 
@@ -78,7 +79,8 @@
                 try:
                     await self._pump(source, sink, direction, far_address)
                 except STREAM_ERRORS:
-                    # one side is gone: so is the other, but not before the partition ends that hides it
+                    # One side has closed, so both connections are closed, but not before the end of a
+                    # partition, which hides the close from the other side.
                     await self.faults.wait_to_pass(direction)
                     nursery.cancel_scope.cancel()
 
@@ -88,7 +90,7 @@
     async def _pump(
         self, source: trio.SocketStream, sink: trio.SocketStream, direction: Direction, far_address: Address
     ) -> None:
-        """Carries one direction to its end."""
+        """Forwards one direction until the end of its stream."""
         while True:
             data, sent_at = await _receive(source)
             if direction is Direction.FORWARD and data:
@@ -121,9 +123,9 @@
 
 
 async def _receive(source: trio.SocketStream) -> tuple[bytes, float]:
-    """The next bytes, and the time of the monotonic clock at which the kernel took the last of them.
+    """Returns the next bytes, and the time (monotonic clock) at which the kernel received the last of them.
 
-    This process may be busy: when it comes to read them says little of when they were sent.
+    This process may be busy, so that the time when it reads the bytes says little about when they were sent.
     """
     data, ancillary, _, _ = await source.socket.recvmsg(RECEIVE_BYTES, ANCILLARY_BYTES)
     now = time.monotonic()
--- a/wheatroute/rig/verdict.py
+++ b/wheatroute/rig/verdict.py
@@ -1,6 +1,7 @@
-"""The verdict on a run by its records: the rules that it broke, and its figures. Free of I/O.
+"""Judges a run by its records: finds the rules that it violated, and computes its summary. Does no I/O.
 
-A rule is checked by what servers and clients saw alone, never by a log or a statement of the program.
+Rules are checked only against what servers and clients observed, never against a log or a status that the
+program reports.
 """
 
 from __future__ import annotations
@@ -18,24 +19,29 @@
     RunRecords,
 )
 
-ANSWER_SLACK_S = 0.05  # by which an answer may be later than its request's deadline, as the protocol has it
-RIG_SLACK_S = 0.25  # on top of that, for the rig's own threads and links
-DRAIN_GRACE_S = 2.0  # in which a drained server may still be sent requests
-TIMELINE_LEAD_S = 30.0  # before a request's first event from which on a timeline shows versions and faults
-TIMELINE_TAIL_S = 1.0  # after its last event
+# By this much the protocol lets a response arrive after the deadline of its request.
+ANSWER_SLACK_S = 0.05
+# Further allowance for the delay of the rig's own threads and links, on top of ANSWER_SLACK_S.
+RIG_SLACK_S = 0.25
+# How long a server may still get requests after its drain was announced.
+DRAIN_GRACE_S = 2.0
+# A request's timeline shows the versions and faults from this long before the request's first event ...
+TIMELINE_LEAD_S = 30.0
+# ... until this long after its last event.
+TIMELINE_TAIL_S = 1.0
 
 
 class Contradiction(NamedTuple):
-    """A repeat that a version forbids which had been published before."""
+    """A repeated execution that violates a version of the settings which had already been published."""
 
-    delay_s: float  # from the version's publication to the repeat
+    delay_s: float  # time from the version's publication to the repeat
     execution: Execution
     version: PublishedVersion
 
 
 @dataclass
 class Violation:
-    """A rule that a run broke, with the timeline of the first request that broke it."""
+    """A rule that a run violated, with the timeline of the first request that violated it."""
 
     rule: str
     request_id: str
@@ -43,7 +49,10 @@
 
 
 def contradictions(records: RunRecords) -> list[Contradiction]:
-    """Repeats that the newest version at their time does not allow. Only those that came into force count."""
+    """Returns the repeats that the newest version at their time does not allow.
+
+    Only versions that came into force count.
+    """
     found = []
     versions = [version for version in records.versions if version.became_active]
     for first, repeat in _repeats(records):
@@ -58,10 +67,10 @@
 
 
 def unsafe_repeats(records: RunRecords) -> list[Execution]:
-    """Repeats that no version allows which could be in force at their time: wrong in any case.
+    """Returns the repeats that no version allows which could be in force at their time: always wrong.
 
-    A version may still be acted on until the one after it is known by all, so what one of the versions around
-    a moment allows is not unsafe; it may be one of `contradictions`.
+    Processes may act on a version until all of them know the next one. A repeat that any of the versions
+    around its time allows is therefore not unsafe, but it may be one of `contradictions`.
     """
     found = []
     for first, repeat in _repeats(records):
@@ -72,7 +81,10 @@
 
 
 def rejected_after_execution(records: RunRecords) -> list[ClientRequest]:
-    """Requests that were rejected though a server began them and no version lets them repeat freely."""
+    """Returns requests that were rejected although a server had started them.
+
+    Requests that a version in force at the time lets be repeated on every server are left out.
+    """
     found = []
     for request_id, executions in records.executions_by_request().items():
         request = records.requests.get(request_id)
@@ -87,7 +99,7 @@
 
 
 def _repeats(records: RunRecords) -> list[tuple[Execution, Execution]]:
-    """The first execution of a request with each later one of it."""
+    """Returns each later execution of a request, in a pair with the request's first one."""
     return [
         (executions[0], repeat)
         for executions in records.executions_by_request().values()
@@ -96,14 +108,14 @@
 
 
 def _possible_policies(
-    records: RunRecords, first: float, last: float, request_class: str
+    records: RunRecords, start: float, end: float, request_class: str
 ) -> list[RepeatPolicy]:
-    """A class's policies in all versions that some process may act on between two moments."""
-    published = [version for version in records.versions if version.published_at <= last]
+    """Returns a class's policies in all versions that a process may act on between two times."""
+    published = [version for version in records.versions if version.published_at <= end]
     known_to_all = [
         i
         for i, version in enumerate(published)
-        if version.state == IN_FORCE and 0.0 < version.ended_at <= first
+        if version.state == IN_FORCE and 0.0 < version.ended_at <= start
     ]
     possible = published[known_to_all[-1] :] if known_to_all else published
     return [
@@ -114,55 +126,57 @@
 
 
 def lost_requests(records: RunRecords, until: float) -> list[ClientRequest]:
-    """Requests without exactly one response in time, but for those whose node was killed or stopped.
+    """Returns requests without exactly one response in time, except those whose node was killed or stopped.
 
-    `until` is the end of the run: what is due later is not judged. The time by which the rig's own loop was
-    late while a request was on its way is added to that request's deadline.
+    `until` is the end of the run: requests whose deadline is later are not judged. The delay of the rig's own
+    event loop while a request was in flight is added to that request's deadline.
     """
     return [request for request in records.requests.values() if _is_lost(records, request, until)]
 
 
 def _is_lost(records: RunRecords, request: ClientRequest, until: float) -> bool:
-    due = _due(request) + records.lateness.excused_s(request.sent_at, request.ended_at or until)
-    # one whose connection broke is lost at once, whatever time it had left
-    if due > until and request.status >= 0:
+    deadline = _response_deadline(request) + records.lateness.excused_s(
+        request.sent_at, request.ended_at or until
+    )
+    # a request whose connection broke is lost at once, however much time it had left
+    if deadline > until and request.status >= 0:
         return False
-    if _is_excused_by_downtime(records, request, due):
+    if _is_excused_by_downtime(records, request, deadline):
         return False
-    return request.response_count != 1 or request.status <= 0 or request.ended_at > due
+    return request.response_count != 1 or request.status <= 0 or request.ended_at > deadline
 
 
-def _is_excused_by_downtime(records: RunRecords, request: ClientRequest, due: float) -> bool:
+def _is_excused_by_downtime(records: RunRecords, request: ClientRequest, deadline: float) -> bool:
     return any(
         downtime.node == request.node
-        and downtime.started_at - ANSWER_SLACK_S <= due
+        and downtime.started_at - ANSWER_SLACK_S <= deadline
         and request.sent_at <= downtime.ended_at
         for downtime in records.downtimes
     )
 
 
-def _due(request: ClientRequest) -> float:
-    """The last moment for a request's response, on a rig that is punctual."""
+def _response_deadline(request: ClientRequest) -> float:
+    """Returns the latest time for a request's response, if the rig itself is not late."""
     return request.sent_at + request.timeout_s + ANSWER_SLACK_S + RIG_SLACK_S
 
 
 def excused_requests(records: RunRecords) -> list[ClientRequest]:
-    """Requests whose response came late by no more than the rig's own loop was."""
+    """Returns requests whose response was late, but by no more than the delay of the rig's own event loop."""
     return [
         request
         for request in records.requests.values()
         if request.response_count == 1
         and request.status > 0
-        and _due(request)
+        and _response_deadline(request)
         < request.ended_at
-        <= _due(request) + records.lateness.excused_s(request.sent_at, request.ended_at)
+        <= _response_deadline(request) + records.lateness.excused_s(request.sent_at, request.ended_at)
     ]
 
 
 def sent_after_response(records: RunRecords) -> list[Execution]:
-    """Executions whose attempt was sent after the request's response had come back.
+    """Returns executions whose attempt was sent after the response to the request had arrived.
 
-    By when they were sent: the rig may come late to read what was sent before.
+    The time of sending counts, because the rig may be late to read an attempt that was sent earlier.
     """
     return [
         execution
@@ -174,7 +188,10 @@
 
 
 def executions_after_drain(records: RunRecords) -> list[Execution]:
-    """What servers began after the grace since all nodes were told that they drain."""
+    """Returns executions that began after the grace period of the server's drain.
+
+    The grace period starts when all nodes are notified of the drain.
+    """
     tolerance_s = DRAIN_GRACE_S + ANSWER_SLACK_S + RIG_SLACK_S
     return [
         execution
@@ -183,8 +200,8 @@
     ]
 
 
-def misread_requests(records: RunRecords) -> list[ClientRequest]:
-    """Requests answered as invalid, though every version has their class."""
+def requests_rejected_as_invalid(records: RunRecords) -> list[ClientRequest]:
+    """Returns requests that were rejected as invalid, although every version has their request class."""
     return [
         request
         for request in records.requests.values()
@@ -193,7 +210,10 @@
 
 
 def timeline(records: RunRecords, request_id: str) -> list[str]:
-    """One request, as servers and clients saw it, with the versions and faults around it: a line an event."""
+    """Returns the events of one request as servers and clients saw them, one per line.
+
+    Includes the versions and faults around the request.
+    """
     events = _request_events(records, request_id)
     if not events:
         return []
@@ -217,22 +237,22 @@
         if request.status:
             text = f"answered {request.status}" if request.status > 0 else "no answer"
             events.append((request.ended_at, text))
-    for one in records.executions:
-        if one.request_id == request_id:
-            text = f"begun at {one.server} (cell {one.cell}) for {one.node}: {one.outcome}"
-            events.append((one.started_at, text))
+    for run in records.executions:
+        if run.request_id == request_id:
+            text = f"begun at {run.server} (cell {run.cell}) for {run.node}: {run.outcome}"
+            events.append((run.started_at, text))
     return events
 
 
 def find_violations(records: RunRecords, until: float, bound_s: float) -> list[Violation]:
-    """Every rule that the run broke, with the timeline of the first request that broke it.
+    """Returns every rule that the run violated, with the timeline of the first request that violated it.
 
-    `until` is the end of the run; within `bound_s` a change of settings has to reach all processes.
+    `until` is the end of the run. A change of settings has to reach all processes within `bound_s`.
     """
-    late = [one.execution for one in contradictions(records) if one.delay_s > bound_s]
+    late = [found.execution for found in contradictions(records) if found.delay_s > bound_s]
     by_rule: dict[str, list[ClientRequest] | list[Execution]] = {
         "a request was lost or answered twice": lost_requests(records, until),
-        "a good request was taken for none": misread_requests(records),
+        "a good request was taken for none": requests_rejected_as_invalid(records),
         "a drain was not kept": executions_after_drain(records),
         "an effect twice": unsafe_repeats(records),
         "refused though it may have run": rejected_after_execution(records),
@@ -247,7 +267,7 @@
 
 
 def summary(records: RunRecords, until: float, bound_s: float) -> dict[str, Any]:
-    """The figures of a run by the names under which `summary.json` and the command line give them."""
+    """Returns the figures of a run, under the names that `summary.json` and the command line use."""
     found = contradictions(records)
     statuses = Counter(request.status for request in records.requests.values())
     return {
@@ -255,12 +275,12 @@
         "served": statuses[200],
         "refused": statuses[503],
         "failed": statuses[502],
-        "misread": len(misread_requests(records)),
+        "misread": len(requests_rejected_as_invalid(records)),
         "begun": len(records.executions),
         "repeats": len(_repeats(records)),
         "contradictions": len(found),
-        "late_contradictions": sum(one.delay_s > bound_s for one in found),
-        "worst_contradiction_ms": round(1000 * max((one.delay_s for one in found), default=0.0), 1),
+        "late_contradictions": sum(repeat.delay_s > bound_s for repeat in found),
+        "worst_contradiction_ms": round(1000 * max((repeat.delay_s for repeat in found), default=0.0), 1),
         "bound_ms": round(1000 * bound_s, 1),
         "lost": len(lost_requests(records, until)),
         "undrained": len(executions_after_drain(records)),
--- a/wheatroute/rig/version_backend.py
+++ b/wheatroute/rig/version_backend.py
@@ -1,4 +1,4 @@
-"""Where the versions of a rig's settings are stored, and how each process reaches them."""
+"""The stores for the versions of a rig's settings, and how each process reaches them."""
 
 from __future__ import annotations
 
@@ -14,30 +14,33 @@
 from wheatroute.rig.etcd_process import EtcdProcess, etcd_url
 from wheatroute.rig.network import Network
 
-PREFIX = "/rig"  # of the versions' keys in etcd
+PREFIX = "/rig"  # prefix of the versions' keys in etcd
 
 
 class VersionBackend(Protocol):
-    """A place for versions."""
+    """A store for versions, from which each process can be partitioned."""
 
     def agreement_table(self, name: str) -> dict[str, object]:
-        """The table `agreement` of a process's settings file."""
+        """Returns the table `agreement` of a process's settings file."""
 
     def operator_store(self) -> AbstractAsyncContextManager[VersionStore]:
-        """The operator's own way to the versions, with no link between: a context."""
+        """Returns a context with the operator's own access to the store, without a link in between."""
 
     def url(self, link_name: str = "") -> str:
-        """The URL for the command line; with a name, through links of that name, which can be cut."""
+        """Returns the URL for the command line.
+
+        With `link_name`, the URL leads through links of that name, which can be partitioned.
+        """
 
     def partition(self, name: str, direction: str) -> None:
-        """Cuts a process off."""
+        """Partitions a process from the store."""
 
     def heal(self, name: str) -> None:
-        """Ends that."""
+        """Ends the partition of a process."""
 
 
 class DirectoryBackend:
-    """A directory; each process has a symbolic link of its own to it, which can be taken away."""
+    """A directory; each process reaches it by its own symbolic link, which can be removed."""
 
     def __init__(self, folder: Path, bound_s: float) -> None:
         self._folder = folder
@@ -57,15 +60,15 @@
         yield DirectoryStore(str(self._directory))
 
     def url(self, link_name: str = "") -> str:
-        """See `VersionBackend`; there are no links."""
+        """See `VersionBackend`; there are no network links."""
         return str(self._directory)
 
     def partition(self, name: str, direction: str) -> None:
-        """Takes a process's symbolic link away, which cuts both ways."""
+        """Removes a process's symbolic link, which always partitions both directions."""
         self._link(name).unlink()
 
     def heal(self, name: str) -> None:
-        """Makes a process's symbolic link again."""
+        """Restores a process's symbolic link."""
         self._add_link(name)
 
     def _add_link(self, name: str) -> None:
@@ -76,7 +79,7 @@
 
 
 class EtcdBackend:
-    """A stand-in etcd cluster; each process reaches each member through a link of its own."""
+    """A stand-in etcd cluster; each process reaches each member through its own link."""
 
     def __init__(self, etcd: EtcdProcess, network: Network, bound_s: float) -> None:
         self._etcd = etcd
@@ -113,7 +116,10 @@
 
 
 class RelayBackend(EtcdBackend):
-    """A stand-in etcd cluster that one process, the relay, reads for all others, by a directory."""
+    """A stand-in etcd cluster that one process, the relay, reads for all others.
+
+    The others read the directory that the relay writes.
+    """
 
     def __init__(self, etcd: EtcdProcess, network: Network, bound_s: float, directory: Path) -> None:
         super().__init__(etcd, network, bound_s)
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -1,4 +1,4 @@
-"""Versions of a rig's settings as its operator publishes them, and what store and processes say of them."""
+"""Publishes versions of a rig's settings as an operator does, and reads the status of store and processes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class VersionPublisher:
-    """The operator's side of versions, by a way to the store that no fault of the rig's links touches."""
+    """The operator's access to versions, which no fault of the rig's links affects."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         self._folder = folder
 
     async def read_history(self) -> History:
-        """Reads the history from the store, and records its versions, also those that others published."""
+        """Reads the history from the store, and records its versions, including those published by others."""
         async with self._backend.operator_store() as store:
             history = await operator.read_history(store)
         known = {version.number for version in self._records.versions}
@@ -55,7 +55,7 @@
         return history
 
     def settings_file(self, **changes: object) -> str:
-        """Writes a file for the command line with changed settings, see `with_changes`; returns its path."""
+        """Writes changed settings to a file for the command line, see `with_changes`; returns its path."""
         path = self._folder / f"settings{len(list(self._folder.iterdir()))}.json"
         path.write_text(json.dumps({"settings": self._changed(changes)}))
         return str(path)
@@ -66,7 +66,7 @@
     async def put(self, reason: str = "a change", over: int = 0, **changes: object) -> int:
         """Publishes changed settings, see `with_changes`; returns the version's number.
 
-        `over` is a pending version that may be replaced.
+        `over` is the number of a pending version that the new one may replace.
         """
         settings = self._changed(changes)
         published_at = time.monotonic()
@@ -78,7 +78,7 @@
         return version.number
 
     def _content(self, settings: Settings) -> Settings:
-        """The content of a version: for nodes, and for processors if there are any."""
+        """Returns the content of a version: for nodes, and for processors if there are any."""
         content: Settings = {"settings": settings}
         if self._options.processors:
             path = self._folder / "put.toml"
@@ -87,7 +87,10 @@
         return content
 
     async def wait_for_outcome(self, number: int, timeout_s: float = WAIT_TIMEOUT_S) -> str:
-        """Waits until it is known what becomes of a version; returns its state."""
+        """Waits until the outcome of a version is known; returns its state.
+
+        Raises `trio.TooSlowError` after the timeout.
+        """
         with trio.fail_after(timeout_s):
             async with self._backend.operator_store() as store:
                 while True:
@@ -108,16 +111,16 @@
                 published.ended_at = published.ended_at or time.monotonic()
 
     async def status(self) -> AgreementStatus:
-        """The versions and what each process acts on."""
+        """Returns the versions, and which of them each process acts on."""
         async with self._backend.operator_store() as store:
             return await operator.agreement_status(store)
 
     async def wait_until_agreed(
         self, number: int, names: list[str] | None = None, timeout_s: float = WAIT_TIMEOUT_S
     ) -> None:
-        """Waits until all processes of these names act on a version alone; by default all that serve.
+        """Waits until all processes of these names act on one version alone.
 
-        Raises `RigError` when that takes too long.
+        By default, waits for all nodes and processors. Raises `RigError` after the timeout.
         """
         expected = [
             status_name
@@ -135,9 +138,12 @@
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
     async def _newest_statuses(self) -> dict[str, ProcessState]:
-        """The status of each process by name; of several processes of a name the one confirmed last."""
+        """Returns the status by process name; of several processes of a name, that of the last confirmed."""
         processes = (await self.status()).processes
-        return {one.name: one for one in sorted(processes, key=lambda one: -one.confirmed_ago_s)}
+        return {
+            process.name: process
+            for process in sorted(processes, key=lambda process: -process.confirmed_ago_s)
+        }
 
 
 def _acts_on(status: ProcessState | None, number: int) -> bool:
--- a/wheatroute/rig/waiting.py
+++ b/wheatroute/rig/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting for something that processes of the rig do, with allowance for the rig's own delay."""
+"""Waits for a condition of the rig's processes, with allowance for the rig's own delay."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from wheatroute.rig.loop_lateness import LoopLateness
 from wheatroute.rig.processes import RigError
 
-WAIT_TIMEOUT_S = 20.0  # for a process to come up, or for what a run waits for
+WAIT_TIMEOUT_S = 20.0  # for the start of a process, or another condition that a run waits for
 CHECK_INTERVAL_S = 0.01
 
 
@@ -20,9 +20,9 @@
     description: str,
     timeout_s: float = WAIT_TIMEOUT_S,
 ) -> None:
-    """Waits until a condition is true; raises `RigError` when that takes too long.
+    """Waits until a condition is true; raises `RigError` after the timeout.
 
-    What this process was late meanwhile is added to the timeout, at most once that timeout.
+    The delay of this process's event loop meanwhile is added to the timeout, at most the timeout once more.
     """
     start = time.monotonic()
     while not condition():
