--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -15,7 +15,7 @@
 
 from wheatroute.fleet import baselines, closed_forms, plan, report, scenarios  # noqa: E402
 from wheatroute.fleet.experiment import Run  # noqa: E402
-from wheatroute.fleet.policies import DESIGN, decisions_factory  # noqa: E402
+from wheatroute.fleet.policies import DESIGN, decision_maker_factory  # noqa: E402
 from wheatroute.fleet.queue_simulation import simulate_queues  # noqa: E402
 from wheatroute.fleet.runner import play_run, play_runs  # noqa: E402
 from wheatroute.fleet.world import World  # noqa: E402
@@ -58,7 +58,7 @@
         "callers": {"load": 0.5},
     }
     started_at = time.perf_counter()
-    world = World(plan.parse_plan(fleet), 1, decisions_factory(DESIGN)).play()
+    world = World(plan.parse_plan(fleet), 1, decision_maker_factory(DESIGN)).run()
     elapsed_s = time.perf_counter() - started_at
     return {
         "servers": servers,
--- a/tests/fleet/emulated_runs.py
+++ b/tests/fleet/emulated_runs.py
@@ -1,7 +1,7 @@
 """Small emulated runs for the tests of this folder."""
 
 from wheatroute.fleet import plan
-from wheatroute.fleet.policies import DESIGN, decisions_factory
+from wheatroute.fleet.policies import DESIGN, decision_maker_factory
 from wheatroute.fleet.world import World
 
 KINDS = [
@@ -19,15 +19,15 @@
 }
 
 
-def new_world(policy=DESIGN, seed=1, make_decisions=None, **changes):
+def new_world(policy=DESIGN, seed=1, make_decision_maker=None, **changes):
     """A run of the small plan with changes, built and not played."""
     fleet = plan.parse_plan({**SMALL, **changes})
-    return World(fleet, seed, make_decisions or decisions_factory(policy))
+    return World(fleet, seed, make_decision_maker or decision_maker_factory(policy))
 
 
-def play(policy=DESIGN, seed=1, make_decisions=None, **changes):
+def play(policy=DESIGN, seed=1, make_decision_maker=None, **changes):
     """A run of the small plan with changes, played."""
-    return new_world(policy, seed, make_decisions, **changes).play()
+    return new_world(policy, seed, make_decision_maker, **changes).run()
 
 
 def one_tier(**changes):
--- a/tests/fleet/test_closed_forms.py
+++ b/tests/fleet/test_closed_forms.py
@@ -51,7 +51,7 @@
 
     def choose(servers):
         first, second = (servers[int(rng.random() * len(servers))] for _ in range(2))
-        return first if first.held <= second.held else second
+        return first if first.held_jobs <= second.held_jobs else second
 
     tails = [
         simulate_queues(100, 1, "in_turn", 0.8, "exponential", 1.0, JOBS, seed, choose=choose).tail
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -6,7 +6,7 @@
 from wheatroute.cli import main
 from wheatroute.fleet import plan, scenarios
 from wheatroute.fleet.experiment import read_experiment, set_by_path
-from wheatroute.fleet.policies import decisions_factory
+from wheatroute.fleet.policies import decision_maker_factory
 from wheatroute.fleet.records import RUNS_FILE
 from wheatroute.fleet.runner import run_experiment
 from wheatroute.fleet.world import World
@@ -79,9 +79,9 @@
 
 def test_a_story_changes_nothing_of_its_run():
     fleet = plan.parse_plan({**scenarios.day("crash", 8), "length": 8.0})
-    plain, traced = (World(fleet, 1, decisions_factory("design")) for _ in range(2))
+    plain, traced = (World(fleet, 1, decision_maker_factory("design")) for _ in range(2))
     traced.trace.request_index = 40
-    assert plain.play().engine.call_count == traced.play().engine.call_count and traced.trace.lines
+    assert plain.run().engine.call_count == traced.run().engine.call_count and traced.trace.lines
 
 
 def test_values_are_set_by_path():
--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -16,7 +16,7 @@
     losses = []
     world = World(
         plan.parse_plan({**told, "length": 6.0}), seed, loss_accounting.loss_noting_factory(losses)
-    ).play()
+    ).run()
     assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
     return results.figures(world), losses
 
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -70,6 +70,6 @@
     ],
 )
 def test_a_broken_rule_is_seen_with_its_story(violation, rule, changes):
-    world = play(make_decisions=partial(rule_breaker, violation), **changes)
+    world = play(make_decision_maker=partial(rule_breaker, violation), **changes)
     assert world.rules.counts[rule] > 0
     assert any(broken.rule == rule and "node" in broken.story for broken in world.rules.violations)
--- a/wheatroute/fleet/baselines/true_state.py
+++ b/wheatroute/fleet/baselines/true_state.py
@@ -14,7 +14,7 @@
         """Jobs with one more, for each core of speed 1; infinite for a server that does nothing."""
         server = self.node.servers[number]
         speed = server.current_speed() if server.is_alive else 0.0
-        return (server.held + 1) / (server.cores * speed) if speed > 0.0 else inf
+        return (server.held_jobs + 1) / (server.cores * speed) if speed > 0.0 else inf
 
     def choose(self, candidates: list[int], class_number: int) -> int:
         """The server with the least load; ties at random."""
--- a/wheatroute/fleet/event_batches.py
+++ b/wheatroute/fleet/event_batches.py
@@ -8,7 +8,7 @@
 from wheatroute.fleet.engine import Engine
 
 
-class Decisions(Protocol):
+class DecisionMaker(Protocol):
     """The decision module, or a baseline in its place."""
 
     def handle_events(self, now: float, events: EventBatch, writer: CommandWriter) -> None:
@@ -23,10 +23,10 @@
         self._events: list[EventFields] = []
         self._is_due = False
         self._is_closed = False
-        self._decisions: Decisions | None = None
+        self._decisions: DecisionMaker | None = None
         self._writer: CommandWriter | None = None
 
-    def attach(self, decisions: Decisions, writer: CommandWriter) -> None:
+    def attach(self, decisions: DecisionMaker, writer: CommandWriter) -> None:
         """Sets who handles the events, and who takes the commands."""
         self._decisions = decisions
         self._writer = writer
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -131,7 +131,7 @@
         """Ends a server once it holds nothing, or at the latest moment."""
         if not server.is_alive:
             return
-        if server.held and self._engine.now < latest:
+        if server.held_jobs and self._engine.now < latest:
             self._engine.call_later(DRAIN_CHECK_INTERVAL_S, self._end_drained, server, latest)
         else:
             self._membership.kill_server(server)
--- a/wheatroute/fleet/loss_accounting.py
+++ b/wheatroute/fleet/loss_accounting.py
@@ -21,7 +21,7 @@
 from wheatroute.balancing.tenant_quotas import TenantQuotas
 from wheatroute.decide import Balancer
 from wheatroute.fleet import results
-from wheatroute.fleet.nodes import DecisionsFactory, Node
+from wheatroute.fleet.nodes import DecisionMakerFactory, Node
 from wheatroute.fleet.requests import ClientRequest, RequestOutcome
 from wheatroute.fleet.world import World
 
@@ -98,8 +98,8 @@
                 self._state.now - self._arrived_at.get(request.number, self._state.now),
                 limiter.limit if limiter.limit < inf else UNLIMITED,
                 limiter.in_flight,
-                sum(one.held < one.cores for one in servers) / max(1, len(servers)),
-                sum(one.held / one.cores for one in servers) / max(1, len(servers)),
+                sum(one.held_jobs < one.cores for one in servers) / max(1, len(servers)),
+                sum(one.held_jobs / one.cores for one in servers) / max(1, len(servers)),
             )
         )
 
@@ -122,7 +122,7 @@
         super().close(request, kept)
 
 
-def loss_noting_factory(losses: list[LossCause]) -> DecisionsFactory:
+def loss_noting_factory(losses: list[LossCause]) -> DecisionMakerFactory:
     """A factory of balancers that add each request that they give up to `losses`."""
 
     def make(node: Node, settings: DecisionSettings, rng: Random) -> Balancer:
--- a/wheatroute/fleet/membership.py
+++ b/wheatroute/fleet/membership.py
@@ -6,7 +6,7 @@
 from wheatroute.fleet import random_streams
 from wheatroute.fleet.calls import CallGraph
 from wheatroute.fleet.decision_settings import decision_settings
-from wheatroute.fleet.nodes import DecisionsFactory, Node, NodeEnvironment
+from wheatroute.fleet.nodes import DecisionMakerFactory, Node, NodeEnvironment
 from wheatroute.fleet.requests import RequestOutcome
 from wheatroute.fleet.server_factory import ServerFactory
 from wheatroute.fleet.server_list import ServerList
@@ -23,7 +23,7 @@
         self,
         environment: NodeEnvironment,
         seed: int,
-        make_decisions: DecisionsFactory,
+        make_decision_maker: DecisionMakerFactory,
         tiers: list[list[Server]],
         server_list: ServerList,
         calls: CallGraph,
@@ -35,7 +35,7 @@
         self._plan = environment.plan
         self._engine = environment.engine
         self._seed = seed
-        self._make_decisions = make_decisions
+        self._make_decision_maker = make_decision_maker
         self._factory = ServerFactory(self._plan, seed, self._engine)
         self._call_nodes = calls.call_nodes
 
@@ -83,7 +83,7 @@
         incarnation = beside.incarnation if beside is not None else 0
         rng = random_streams.stream(self._seed, "node", depth, number, incarnation)
         settings = decision_settings(self._plan, depth, number, zone, node_count)
-        node.host(self._make_decisions(node, settings, rng))
+        node.host(self._make_decision_maker(node, settings, rng))
         self.server_list.send_full(node)
         return node
 
--- a/wheatroute/fleet/node_requests.py
+++ b/wheatroute/fleet/node_requests.py
@@ -95,7 +95,7 @@
         request.attempts.append(attempt)
         request.in_flight += 1
         if self._trace.follows(request):
-            held = f"which holds {server.held}"
+            held = f"which holds {server.held_jobs}"
             self._add_to_trace(request, f"attempt {attempt.number} to server {server.address}, {held}")
         time_left_s = request.deadline_at - self._engine.now
         timeout_s = min(timeout_s, time_left_s) if timeout_s else time_left_s
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -15,7 +15,7 @@
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.fleet.connections import ConnectionPool
 from wheatroute.fleet.engine import Engine
-from wheatroute.fleet.event_batches import Decisions, EventBatcher
+from wheatroute.fleet.event_batches import DecisionMaker, EventBatcher
 from wheatroute.fleet.network import Address, SimulatedNetwork
 from wheatroute.fleet.node_commands import NodeCommandWriter
 from wheatroute.fleet.node_requests import NodeRequests, RuleObserver
@@ -93,7 +93,7 @@
             self._requests.attempt_ended,
         )
 
-    def host(self, decisions: Decisions) -> None:
+    def host(self, decisions: DecisionMaker) -> None:
         """Sets the decisions, which are made for this node."""
         engine = self._environment.engine
         writer = NodeCommandWriter(
@@ -164,4 +164,4 @@
         return unanswered
 
 
-DecisionsFactory = Callable[[Node, DecisionSettings, Random], Decisions]
+DecisionMakerFactory = Callable[[Node, DecisionSettings, Random], DecisionMaker]
--- a/wheatroute/fleet/policies.py
+++ b/wheatroute/fleet/policies.py
@@ -7,8 +7,8 @@
 from wheatroute.balancing.settings import DecisionSettings
 from wheatroute.decide import Balancer
 from wheatroute.fleet.baselines import BASELINES
-from wheatroute.fleet.event_batches import Decisions
-from wheatroute.fleet.nodes import DecisionsFactory, Node
+from wheatroute.fleet.event_batches import DecisionMaker
+from wheatroute.fleet.nodes import DecisionMakerFactory, Node
 
 DESIGN = "design"  # the decision module as it is shipped
 
@@ -23,10 +23,10 @@
     return name == DESIGN or name in BASELINES
 
 
-def decisions_factory(name: str) -> DecisionsFactory:
+def decision_maker_factory(name: str) -> DecisionMakerFactory:
     """Makes the decisions of nodes by a policy; KeyError if there is none of this name."""
     return _make_balancer if name == DESIGN else BASELINES[name]
 
 
-def _make_balancer(node: Node, settings: DecisionSettings, rng: Random) -> Decisions:
+def _make_balancer(node: Node, settings: DecisionSettings, rng: Random) -> DecisionMaker:
     return Balancer(settings, rng)
--- a/wheatroute/fleet/probes.py
+++ b/wheatroute/fleet/probes.py
@@ -44,7 +44,7 @@
         if server.is_hanging:
             self._on_result(server.number, AttemptOutcome.TIMED_OUT, elapsed_s, None)
             return
-        report = {"held": float(server.held), "latency": self._estimated_latency_s(server)}
+        report = {"held": float(server.held_jobs), "latency": self._estimated_latency_s(server)}
         self._on_result(server.number, AttemptOutcome.SERVED, elapsed_s, report)
 
     def _estimated_latency_s(self, server: Server) -> float:
@@ -53,4 +53,4 @@
         if speed <= 0.0:
             return LATENCY_OF_A_STOPPED_SERVER_S
         mean_work_s = self._plan.mean_work_s() * server.tier.work
-        return mean_work_s * max(1.0, server.held / server.cores) / speed
+        return mean_work_s * max(1.0, server.held_jobs / server.cores) / speed
--- a/wheatroute/fleet/queue_simulation.py
+++ b/wheatroute/fleet/queue_simulation.py
@@ -110,7 +110,7 @@
     def _sample_lengths(self) -> None:
         self._sampled += len(self._servers)
         for server in self._servers:
-            for length in range(min(MAX_LENGTH - 1, server.held) + 1):
+            for length in range(min(MAX_LENGTH - 1, server.held_jobs) + 1):
                 self._tail[length] += 1
 
 
--- a/wheatroute/fleet/runner.py
+++ b/wheatroute/fleet/runner.py
@@ -13,7 +13,7 @@
 from wheatroute.fleet import results
 from wheatroute.fleet.experiment import Experiment, Run, expand_runs
 from wheatroute.fleet.plan import parse_plan
-from wheatroute.fleet.policies import decisions_factory
+from wheatroute.fleet.policies import decision_maker_factory
 from wheatroute.fleet.records import (
     MAX_LATENCY_US,
     RUNS_FILE,
@@ -29,7 +29,7 @@
 
 def play_run(run: Run) -> RunRecord:
     """Plays one run."""
-    world = World(parse_plan(run.fleet), run.seed, decisions_factory(run.policy)).play()
+    world = World(parse_plan(run.fleet), run.seed, decision_maker_factory(run.policy)).run()
     return RunRecord(
         run_id=run.run_id,
         point=run.point,
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -57,7 +57,7 @@
         self.incarnation = 0
         self.is_alive = True
         self.open_connections = 0
-        self.held = 0  # jobs in service, queued or blocked on a call
+        self.held_jobs = 0  # jobs in service, queued or blocked on a call
         self.in_service = 0  # slots taken
         self.error_rate = 0.0  # fraction of jobs that fail at once, by a fault
         self.collapse = CollapseMonitor(tier.collapse, model.cores, engine.now)
@@ -79,7 +79,7 @@
         job.incarnation = self.incarnation
         job.accepted_at = self._engine.now
         self._jobs[job] = None
-        self.held += 1
+        self.held_jobs += 1
         if self.error_rate and self._rng.random() < self.error_rate:
             self._engine.call_later(ERROR_DELAY_S, self._fail_at_once, job)
         elif self.in_service < self.slots:
@@ -141,7 +141,7 @@
             self._processor.remove(job)
         job.state = JobState.ENDED
         if job.owner is not None:
-            self.held -= 1
+            self.held_jobs -= 1
             if state == JobState.QUEUED:
                 self._queue.remove(job)
             else:
@@ -212,11 +212,11 @@
     def _refresh_report(self) -> None:
         plan = self.tier.reports
         if plan is not None:
-            self.reporter.refresh(self.held, plan)
+            self.reporter.refresh(self.held_jobs, plan)
             self._engine.call_later(plan.interval_s, self._refresh_report)
 
     def _observe_load(self) -> None:
-        self.collapse.observe(self._engine.now, self.held, self._processor.running)
+        self.collapse.observe(self._engine.now, self.held_jobs, self._processor.running)
 
     def _reschedule(self) -> None:
         self._processor.reschedule(self.current_speed(), self._thrash_slowdown())
@@ -237,7 +237,7 @@
         self._jobs.clear()
         self._queue.clear()
         self._processor.clear()
-        self.in_service = self.held = self.open_connections = 0
+        self.in_service = self.held_jobs = self.open_connections = 0
         self.is_alive = False
         self.incarnation += 1
         self.collapse.process_ended()
--- a/wheatroute/fleet/traced_run.py
+++ b/wheatroute/fleet/traced_run.py
@@ -5,7 +5,7 @@
 from wheatroute.fleet import results
 from wheatroute.fleet.experiment import expand_runs, read_experiment
 from wheatroute.fleet.plan import PlanError, parse_plan
-from wheatroute.fleet.policies import decisions_factory, is_policy
+from wheatroute.fleet.policies import decision_maker_factory, is_policy
 from wheatroute.fleet.requests import ClientRequest
 from wheatroute.fleet.world import World
 
@@ -19,9 +19,9 @@
     if not is_policy(policy):
         raise PlanError([f"{path}: no policy {policy!r}"])
     run = next(expand_runs(experiment))
-    world = World(parse_plan(run.fleet), seed, decisions_factory(policy))
+    world = World(parse_plan(run.fleet), seed, decision_maker_factory(policy))
     world.trace.request_index = number
-    world.play()
+    world.run()
     requests = world.clients.requests
     if number >= len(requests):
         raise PlanError([f"{path}: the run has requests 0 to {len(requests) - 1}"])
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -9,7 +9,7 @@
 from wheatroute.fleet.faults import FaultInjector
 from wheatroute.fleet.membership import Membership
 from wheatroute.fleet.network import SimulatedNetwork
-from wheatroute.fleet.nodes import DecisionsFactory, NodeEnvironment
+from wheatroute.fleet.nodes import DecisionMakerFactory, NodeEnvironment
 from wheatroute.fleet.plan import FleetPlan
 from wheatroute.fleet.rules import RuleChecker
 from wheatroute.fleet.server_list import ServerList
@@ -22,13 +22,13 @@
 
 
 class World:
-    """The parts of one run; `make_decisions` makes the decisions of each node.
+    """The parts of one run; `make_decision_maker` makes the decisions of each node.
 
     Streams of random numbers are named after their purpose, so that their order of creation has no effect;
     the order in which calls are scheduled has.
     """
 
-    def __init__(self, plan: FleetPlan, seed: int, make_decisions: DecisionsFactory) -> None:
+    def __init__(self, plan: FleetPlan, seed: int, make_decision_maker: DecisionMakerFactory) -> None:
         self.plan = plan
         self.engine = Engine(START)
         self.network = SimulatedNetwork(plan.network, random_streams.stream(seed, "network"))
@@ -41,13 +41,13 @@
         environment = NodeEnvironment(
             plan, self.engine, self.network, calls, server_list, self.rules, self.trace
         )
-        self.membership = Membership(environment, seed, make_decisions, self.tiers, server_list, calls)
+        self.membership = Membership(environment, seed, make_decision_maker, self.tiers, server_list, calls)
         self.membership.build()
         self.clients = ClientPopulation(plan, seed, self.engine, self.membership.entry_nodes, self.rules)
         self.faults = FaultInjector(plan, seed, self.engine, self.membership, self.network)
         self.membership.update_periodically()
 
-    def play(self) -> World:
+    def run(self) -> World:
         """Plays the plan's duration, and on until requests that arrived within it are answered."""
         self.clients.begin()
         max_deadline_s = max(request_class.deadline_s for request_class in self.plan.request_classes)
