--- a/wheatroute/fleet/__init__.py
+++ b/wheatroute/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""An emulator of the systems we serve, in virtual time; hosts the decisions as they are shipped."""
+"""Discrete-event simulation of a fleet of nodes and servers that runs the production decision module."""
--- a/wheatroute/fleet/arrivals.py
+++ b/wheatroute/fleet/arrivals.py
@@ -1,4 +1,4 @@
-"""Moments at which requests arrive: recorded, even, or a Poisson process of changing rate. No I/O."""
+"""Arrival times of requests: recorded, evenly spaced, or a Poisson process with varying rate. No I/O."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 from wheatroute.fleet.plan import FleetPlan, LoadWave
 
-MIN_RATE = 1e-9  # requests per second
+MIN_RATE = 1e-9  # requests per second; limits the interval between evenly spaced arrivals
 
 
 class ArrivalProcess:
-    """Arrivals of a whole run, in seconds since its start. They are an open workload: no response matters."""
+    """Generates the arrival times of a run, in seconds since its start.
+
+    The workload is open: arrivals do not depend on responses.
+    """
 
     def __init__(self, plan: FleetPlan, rng: Random) -> None:
         self._clients = plan.clients
@@ -21,7 +24,7 @@
         self._rng = rng
 
     def rate(self, elapsed_s: float) -> float:
-        """Requests per second, so long after the start."""
+        """Returns the requests per second at `elapsed_s` seconds after the start."""
         clients = self._clients
         phase = 2.0 * pi * elapsed_s / clients.swing_period_s
         rate = self._mean_rate * (1.0 + clients.swing * sin(phase))
@@ -29,16 +32,16 @@
             rate *= _wave_factor(wave, elapsed_s)
         return rate
 
-    def moments(self) -> Iterator[float]:
-        """Moments of arrival, in order."""
+    def times(self) -> Iterator[float]:
+        """Returns the arrival times in ascending order."""
         if self._clients.recorded_arrivals_s:
             return self._recorded()
         return self._even() if self._clients.arrivals == "even" else self._poisson()
 
     def _recorded(self) -> Iterator[float]:
-        for moment in sorted(self._clients.recorded_arrivals_s):
-            if moment < self._duration_s:
-                yield moment
+        for arrival_time in sorted(self._clients.recorded_arrivals_s):
+            if arrival_time < self._duration_s:
+                yield arrival_time
 
     def _even(self) -> Iterator[float]:
         elapsed_s = 0.0
@@ -47,7 +50,10 @@
             elapsed_s += 1.0 / max(self.rate(elapsed_s), MIN_RATE)
 
     def _poisson(self) -> Iterator[float]:
-        """By thinning: P. Lewis and G. Shedler, "Simulation of Nonhomogeneous Poisson Processes", 1979."""
+        """Draws a Poisson process by thinning.
+
+        P. Lewis and G. Shedler, "Simulation of Nonhomogeneous Poisson Processes", 1979.
+        """
         max_rate = self._mean_rate * (1.0 + self._clients.swing)
         for wave in self._clients.waves:
             max_rate *= max(1.0, wave.factor)
--- a/wheatroute/fleet/baselines/__init__.py
+++ b/wheatroute/fleet/baselines/__init__.py
@@ -1,7 +1,7 @@
-"""Routing policies from the literature, to compare the decision module with. Never used by the product.
+"""Routing policies from the literature, as baselines for the decision module. Never used in production.
 
-They keep the rules on retries and drains, and nothing else: no limits, no early rejection, and no health
-check but one that all share, which leaves a server out for a second after a refused connection.
+They follow the rules on retries and drains and do nothing else: no concurrency limits and no early rejection.
+Their only health check, common to all, excludes a server for one second after a refused connection.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     TrueStateTwoChoices,
 )
 
-# by the names that experiment files and the command line use; these never change
+# Policies by the names in experiment files and on the command line; these names must never change.
 BASELINES: dict[str, type[Policy]] = {
     "random": RandomChoice,
     "round_robin": RoundRobin,
--- a/wheatroute/fleet/baselines/hedging.py
+++ b/wheatroute/fleet/baselines/hedging.py
@@ -11,18 +11,18 @@
 from wheatroute.fleet.nodes import Node
 
 HEDGE_DELAY = 0.5  # as a fraction of the target latency
-ROUNDING_S = 1e-9
+ROUNDING_S = 1e-9  # tolerance for rounding errors in times
 
 
 class HedgeTimer(NamedTuple):
-    """When a request is to be hedged."""
+    """Time at which a request is hedged."""
 
-    due: float
+    due_at: float
     number: int
 
 
 class DelayedHedging(RandomChoice):
-    """A hedge to another server after a fixed time."""
+    """Chooses at random and hedges to another server after a fixed fraction of the target latency."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
         super().__init__(node, settings, rng)
@@ -39,14 +39,14 @@
     def timer_due(self, writer: CommandWriter) -> None:
         """Sends the hedges that are due."""
         now = self.now + ROUNDING_S
-        due = [timer for timer in self._timers if timer.due <= now]
-        self._timers = [timer for timer in self._timers if timer.due > now]
+        due = [timer for timer in self._timers if timer.due_at <= now]
+        self._timers = [timer for timer in self._timers if timer.due_at > now]
         for timer in due:
             self.hedge(timer.number, writer)
 
 
 class ImmediateHedging(RandomChoice):
-    """Two attempts of every idempotent request, at once."""
+    """Sends two attempts of every idempotent request to random servers immediately."""
 
     def first_attempt_sent(self, number: int, writer: CommandWriter) -> None:
         """Sends the second attempt."""
--- a/wheatroute/fleet/baselines/oblivious.py
+++ b/wheatroute/fleet/baselines/oblivious.py
@@ -1,4 +1,4 @@
-"""Policies that know nothing of servers: random and round robin. No I/O."""
+"""Policies that ignore the state of servers: random and round robin. No I/O."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from wheatroute.fleet.baselines.policy import Policy
 from wheatroute.fleet.nodes import Node
 
-FIRST_TURNS = 1_000_000  # round robin begins at a random one
+MAX_START_TURN = 1_000_000  # round robin starts at a random turn below this
 
 
 class RandomChoice(Policy):
-    """A server drawn uniformly."""
+    """Chooses servers uniformly at random."""
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """A uniform draw."""
+        """Chooses a server uniformly at random."""
         return candidates[int(self.rng.random() * len(candidates))]
 
 
 class RoundRobin(Policy):
-    """Servers in turn; each node begins at a place of its own."""
+    """Chooses servers in turn; each node starts at a random turn."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
         super().__init__(node, settings, rng)
-        self._turn = int(rng.random() * FIRST_TURNS)
+        self._turn = int(rng.random() * MAX_START_TURN)
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """The next server in turn."""
+        """Chooses the next server in turn."""
         self._turn += 1
         return candidates[self._turn % len(candidates)]
--- a/wheatroute/fleet/baselines/policy.py
+++ b/wheatroute/fleet/baselines/policy.py
@@ -1,4 +1,4 @@
-"""Base of all baseline policies: life of a request behind the decision module's interface. No I/O."""
+"""Base class of the baseline policies: request lifecycle behind the decision module's interface. No I/O."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.requests import NEVER_RAN
 
-EXCLUSION_S = 1.0  # for which a server is left out after a refused connection
-TICKS_BEFORE_DEADLINE = 2  # that a policy has to be done by
+EXCLUSION_S = 1.0  # for which a server is excluded after a refused connection
+TICKS_BEFORE_DEADLINE = 2  # attempts must end this many ticks before the request's deadline
 
 
 class PendingRequest:
-    """What a policy keeps of one request."""
+    """Holds the state of one request."""
 
     __slots__ = (
         "class_number",
@@ -39,59 +39,59 @@
 
     def __init__(self, class_number: int, latest_at: float) -> None:
         self.class_number = class_number
-        self.latest_at = latest_at  # moment after which no attempt is sent
-        self.servers: list[int] = []  # of its attempts, in order
+        self.latest_at = latest_at  # time from which no attempt is sent
+        self.servers: list[int] = []  # server of each attempt, in order
         self.in_flight = 0
         self.may_have_run = False
         self.is_over = False
-        self.first_server = -1  # of the first attempt that may have run, or is in flight
+        self.first_server = -1  # server of the first attempt that may have run or is in flight; -1: none
 
 
 class Policy:
-    """Sends each request at once to the server that `choose` says, and again where that is allowed."""
+    """Sends each request immediately to the server that `choose` returns, and retries where allowed."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
         self.node = node
         self.settings = settings
         self.rng = rng
         self.request_classes = settings.request_classes
-        self.live: list[int] = []  # servers that the list says are live, in order
-        self.in_flight: dict[int, int] = {}  # attempts of this node by server
+        self.live: list[int] = []  # servers that are live according to the list, in order of their numbers
+        self.in_flight: dict[int, int] = {}  # number of this node's attempts in flight by server
         self.now = 0.0
         self._states: dict[int, ServerState] = {}
         self._excluded_until: dict[int, float] = {}
         self._pending: dict[int, PendingRequest] = {}
 
-    # what policies differ in
+    # methods that policies override
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """Chooses one of the servers that may get the request."""
+        """Chooses the server for an attempt from `candidates`."""
         raise NotImplementedError
 
-    def learn(
+    def record_outcome(
         self, server: int, class_number: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
     ) -> None:
-        """Takes note of the end of an attempt."""
+        """Is called when an attempt has ended."""
 
     def admits(self, class_number: int, time_left_s: float, candidates: list[int]) -> bool:
-        """Whether a request is taken at all; one that is not is rejected."""
+        """Returns whether to accept a request; it is rejected otherwise."""
         return True
 
     def first_attempt_sent(self, number: int, writer: CommandWriter) -> None:
-        """A request's first attempt was sent."""
+        """Is called after a request's first attempt was sent."""
 
     def timer_due(self, writer: CommandWriter) -> None:
-        """A moment given to `CommandWriter.wake_at` has come."""
+        """Is called when a time passed to `CommandWriter.wake_at` has come."""
 
     def probe_ended(
         self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
     ) -> None:
-        """A probe was answered, or was not."""
+        """Is called with the result of a probe."""
 
     # events
 
     def handle_events(self, now: float, events: EventBatch, writer: CommandWriter) -> None:
-        """Handles a batch of events, as `Balancer.handle_events`."""
+        """Handles a batch of events in the same way as `Balancer.handle_events`."""
         self.now = now
         for event, *fields in events:
             self._handle_event(event, tuple(fields), writer)
@@ -146,7 +146,7 @@
             return
         request.in_flight -= 1
         self.in_flight[server] -= 1
-        self.learn(server, request.class_number, outcome, elapsed_s, report)
+        self.record_outcome(server, request.class_number, outcome, elapsed_s, report)
         if outcome == AttemptOutcome.UNCONNECTED:
             self._excluded_until[server] = self.now + EXCLUSION_S
         request.may_have_run = request.may_have_run or outcome not in NEVER_RAN
@@ -160,7 +160,10 @@
     # attempts
 
     def candidates(self, request: PendingRequest) -> list[int]:
-        """The servers that may get an attempt of this request: each at most once, and not excluded ones."""
+        """Returns the live servers that may get an attempt of this request: each at most once, none excluded.
+
+        Once a keyed request may have run, only servers of its deduplication group remain.
+        """
         candidates = [
             server
             for server in self.live
@@ -175,7 +178,7 @@
         return candidates
 
     def _group_number(self, number: int, class_number: int) -> int:
-        """The deduplication group of a server."""
+        """Returns the number of the server's deduplication group for a request class."""
         server = self.node.servers[number]
         group = self.request_classes[class_number].deduplication_group
         if group == DeduplicationGroup.ALL:
@@ -197,7 +200,7 @@
         writer.attempt(number, server, request.latest_at - self.now)
 
     def hedge(self, number: int, writer: CommandWriter) -> None:
-        """Sends one more attempt of an idempotent request that is in flight."""
+        """Sends one more attempt of an idempotent request that is in flight, if that is allowed."""
         request = self._pending.get(number)
         if request is None or request.is_over or not request.in_flight:
             return
@@ -221,7 +224,7 @@
     # ends
 
     def _give_up(self, number: int, request: PendingRequest, writer: CommandWriter) -> None:
-        """Rejects a request if it may come again, else fails it."""
+        """Rejects a request if its client may safely retry it, else fails it."""
         has_run = request.may_have_run or request.in_flight
         if not has_run or self._is_idempotent(request):
             writer.reject(number, 0.0)
@@ -230,7 +233,7 @@
         self._close(number, writer)
 
     def _close(self, number: int, writer: CommandWriter) -> None:
-        """Ends a request and cancels its attempts; it is kept until these have ended."""
+        """Ends a request and cancels its attempts; its state is kept until these have ended."""
         request = self._pending.get(number)
         if request is None:
             return
--- a/wheatroute/fleet/baselines/probing.py
+++ b/wheatroute/fleet/baselines/probing.py
@@ -1,4 +1,4 @@
-"""Choice by a pool of recent probes: requests in flight and latency. No I/O.
+"""Choice by a pool of recent probe results, with the servers' requests and latency. No I/O.
 
 After B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", 2024.
 """
@@ -13,25 +13,25 @@
 from wheatroute.fleet.baselines.policy import Policy
 from wheatroute.fleet.nodes import Node
 
-POOL_SIZE = 16  # probe results
+POOL_SIZE = 16  # number of probe results kept
 PROBES_PER_REQUEST = 3
-MAX_AGE_S = 1.0  # of a probe result
-HOT_QUANTILE = 0.84  # of the requests held; servers above it are hot
-HELD_SAMPLES = 100  # that this quantile is taken over
-MIN_USABLE = 2  # probe results; with fewer the choice is random
+MAX_AGE_S = 1.0  # age up to which a probe result is usable
+HOT_QUANTILE = 0.84  # servers that hold more requests than this quantile of the samples are hot
+HELD_SAMPLES = 100  # number of latest probe results that HOT_QUANTILE is computed over
+MIN_USABLE = 2  # with fewer usable probe results the choice is random
 
 
 class ProbeResult(NamedTuple):
     """A server's answer to a probe."""
 
-    moment: float
+    received_at: float
     server: int
-    held: float  # requests
-    latency_s: float  # that the server estimates
+    held_jobs: float  # requests that the server holds
+    latency_s: float  # as estimated by the server
 
 
 class PooledProbing(Policy):
-    """The quickest of the servers that are not hot, or the one with the fewest requests if all are."""
+    """Chooses the fastest of the servers that are not hot, or the one with the fewest requests if all are."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
         super().__init__(node, settings, rng)
@@ -41,7 +41,7 @@
     def probe_ended(
         self, server: int, outcome: AttemptOutcome, elapsed_s: float, report: Report | None
     ) -> None:
-        """Adds the result to the pool, in place of the oldest if that is full."""
+        """Adds the result to the pool and drops the oldest one if the pool is full."""
         if outcome != AttemptOutcome.SERVED or not report:
             return
         held = report["held"]
@@ -51,18 +51,18 @@
             self._pool.pop(0)
 
     def first_attempt_sent(self, number: int, writer: CommandWriter) -> None:
-        """Probes random servers, for requests to come."""
+        """Probes random servers for later requests."""
         for _ in range(PROBES_PER_REQUEST):
             if self.live:
                 writer.probe(self.live[int(self.rng.random() * len(self.live))])
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """The server of the best usable result, which is used up; a random one if too few are usable."""
+        """Chooses the server of the best usable result and removes it; random if too few are usable."""
         allowed = set(candidates)
         usable = [
             result
             for result in self._pool
-            if self.now - result.moment < MAX_AGE_S and result.server in allowed
+            if self.now - result.received_at < MAX_AGE_S and result.server in allowed
         ]
         if len(usable) < MIN_USABLE:
             return candidates[int(self.rng.random() * len(candidates))]
@@ -73,15 +73,17 @@
 
     def _best(self, results: list[ProbeResult]) -> ProbeResult:
         hot_above = self._hot_threshold()
-        cold = [result for result in results if result.held <= hot_above]
+        cold = [result for result in results if result.held_jobs <= hot_above]
         if cold:
             return min(cold, key=lambda result: result.latency_s)
-        return min(results, key=lambda result: result.held)
+        return min(results, key=lambda result: result.held_jobs)
 
     def _hot_threshold(self) -> float:
         count = len(self._held_samples)
         return sorted(self._held_samples)[min(count - 1, int(count * HOT_QUANTILE))]
 
     def _count_sent(self, server: int) -> None:
-        """What a server is sent now, other results of it count as held."""
-        self._pool = [result._replace(held=result.held + (result.server == server)) for result in self._pool]
+        """Adds a request sent to a server to the requests held in its other results."""
+        self._pool = [
+            result._replace(held_jobs=result.held_jobs + (result.server == server)) for result in self._pool
+        ]
--- a/wheatroute/fleet/baselines/true_state.py
+++ b/wheatroute/fleet/baselines/true_state.py
@@ -1,4 +1,4 @@
-"""Policies that see the true state of all servers, which no real node can: upper bounds. No I/O."""
+"""Policies that see the true state of all servers, as upper bounds: no real node can see it. No I/O."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 
 class JoinShortestQueue(Policy):
-    """The server with the least held over its speed; servers that are dead or hang are seen."""
+    """Chooses the server with the fewest jobs relative to its speed; knows which servers are dead or hang."""
 
     def load(self, number: int) -> float:
-        """Jobs with one more, for each core of speed 1; infinite for a server that does nothing."""
+        """Returns the jobs per core of speed 1 with one more job; infinite for a server that does no work."""
         server = self.node.servers[number]
         speed = server.current_speed() if server.is_alive else 0.0
         return (server.held_jobs + 1) / (server.cores * speed) if speed > 0.0 else inf
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """The server with the least load; ties at random."""
+        """Chooses the server with the least load, at random in a tie."""
         return min(candidates, key=lambda server: (self.load(server), self.rng.random()))
 
 
 class TrueStateTwoChoices(JoinShortestQueue):
-    """Power of two choices by true state, the policy of the mean-field results."""
+    """Applies power of two choices to the true state, the policy that mean-field results describe."""
 
     def choose(self, candidates: list[int], class_number: int) -> int:
-        """The one of two draws with less load; the first in a tie."""
+        """Draws two servers and chooses the one with less load, the first in a tie."""
         first, second = (candidates[int(self.rng.random() * len(candidates))] for _ in range(2))
         return min(first, second, key=self.load)
 
 
 class TrueStateAdmission(JoinShortestQueue):
-    """Join the shortest queue, with admission control: about the best that a policy can do."""
+    """Joins the shortest queue and adds admission control: about the best that a policy can do."""
 
     def admits(self, class_number: int, time_left_s: float, candidates: list[int]) -> bool:
-        """Whether the server with the least load would answer within the target latency, in the mean."""
+        """Returns whether the least loaded server would on average answer within the target latency."""
         if not candidates:
             return False
         least_load = min(map(self.load, candidates))
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -1,7 +1,7 @@
-"""Clients: what they request and when, and what they do when a node rejects or fails a request. No I/O.
+"""Clients: the requests that they send, and their retries when a node rejects or fails a request. No I/O.
 
-All tries of a client are one request. Arrivals, tenants and sizes come from random streams that no decision
-touches, so that policies on one seed meet the same requests.
+All tries of a client count as one request. Arrivals, tenants and sizes come from random streams that no
+decision affects, so that all policies get the same requests for the same seed.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
 from wheatroute.fleet.tenant_quotas import TenantQuotas
 
 MAX_BACKOFF_S = 2.0
-RECONNECT_DELAY_S = 0.05  # until a client whose connection was refused tries another node
+# Delay before a client whose connection was refused, or that found no node, connects again.
+RECONNECT_DELAY_S = 0.05
 
 
 class TimeoutObserver(Protocol):
-    """Hears of clients that got no answer in time."""
+    """Is notified of clients that received no answer in time."""
 
     def client_timed_out(self, request: NodeRequest) -> None:
-        """A client has waited as long as it said it would."""
+        """Is called when a client's timeout and the slack of the rules have passed without an answer."""
 
 
 class ClientPopulation:
-    """All clients of a run; `requests` are theirs in the order of arrival."""
+    """Sends the requests of all clients of a run; `requests` lists them in the order of arrival."""
 
     def __init__(
         self,
@@ -56,29 +57,29 @@
             distributions.distribution(request_class.distribution, 1.0, request_class.cv)
             for request_class in plan.request_classes
         ]
-        # cumulative
+        # Both lists hold cumulative weights, for `bisect`.
         self._class_weights = list(accumulate(one.weight for one in plan.request_classes))
         self._tenant_weights = list(accumulate(one.portion * one.usage for one in plan.tenants))
 
     # arrivals
 
     def begin(self) -> None:
-        """Schedules the first arrival; each one schedules the next."""
-        self._schedule_next(self._arrivals.moments())
+        """Schedules the first arrival; each arrival schedules the next one."""
+        self._schedule_next(self._arrivals.times())
 
-    def _schedule_next(self, moments: Iterator[float]) -> None:
-        moment = next(moments, None)
-        if moment is not None:
-            self._engine.call_at(self.start + moment, self._arrive, moments)
+    def _schedule_next(self, arrival_times: Iterator[float]) -> None:
+        arrival_time = next(arrival_times, None)
+        if arrival_time is not None:
+            self._engine.call_at(self.start + arrival_time, self._arrive, arrival_times)
 
-    def _arrive(self, moments: Iterator[float]) -> None:
-        self._schedule_next(moments)
+    def _arrive(self, arrival_times: Iterator[float]) -> None:
+        self._schedule_next(arrival_times)
         request = self._new_request()
         self.requests.append(request)
         self._try(request)
 
     def _new_request(self) -> ClientRequest:
-        """Draws a request; the order of the draws is part of what a seed means."""
+        """Draws a request; the order of the draws must stay, else a seed gives other requests."""
         rng, now = self._request_rng, self._engine.now
         class_number = bisect(self._class_weights, rng.random() * self._class_weights[-1])
         tenant = -1
@@ -90,7 +91,7 @@
         request_class = self._plan.request_classes[class_number]
         request.target_at = now + request_class.target_latency_s
         request.deadline_at = now + request_class.deadline_s
-        request.heeds_retry_advice = rng.random() < self._plan.clients.retry_advice_compliance
+        request.honors_retry_after = rng.random() < self._plan.clients.retry_advice_compliance
         request.is_within_quota = self._quotas.take(tenant, now)
         return request
 
@@ -98,7 +99,8 @@
 
     def _try(self, request: ClientRequest) -> None:
         now = self._engine.now
-        node = self._balancer.choose(request.zone, now)  # drawn even if there is no time left
+        # Drawn even if no time is left, so that the draws do not depend on it.
+        node = self._balancer.choose(request.zone, now)
         deadline_s = self._plan.request_classes[request.class_number].deadline_s
         timeout_s = min(self._plan.clients.client_timeout * deadline_s, request.deadline_at - now)
         if request.is_over or timeout_s <= 0.0:
@@ -108,10 +110,10 @@
             self._try_again(request, RequestOutcome.UNREACHED, RECONNECT_DELAY_S)
             return
         latency_s = self._plan.clients.latency_s
-        self._engine.call_later(latency_s, self._reach, request, node, timeout_s - latency_s)
+        self._engine.call_later(latency_s, self._arrive_at_node, request, node, timeout_s - latency_s)
 
-    def _reach(self, request: ClientRequest, node: Node, time_left_s: float) -> None:
-        """A try comes to its node."""
+    def _arrive_at_node(self, request: ClientRequest, node: Node, time_left_s: float) -> None:
+        """Delivers a try to its node."""
         if not node.is_alive:
             self._try_again(request, RequestOutcome.UNREACHED, RECONNECT_DELAY_S)
             return
@@ -119,7 +121,7 @@
 
         def on_answer(outcome: RequestOutcome, retry_after_s: float) -> None:
             latency_s = self._plan.clients.latency_s
-            self._engine.call_later(latency_s, self._answered, request, number, outcome, retry_after_s)
+            self._engine.call_later(latency_s, self._receive_answer, request, number, outcome, retry_after_s)
 
         node_request = node.receive(request, 0, time_left_s, request.tenant, number > 1, on_answer)
         wait_s = time_left_s + self._plan.rules.answer_slack_s
@@ -133,35 +135,38 @@
         if not request.is_over and request.tries == number:
             self._try_again(request, RequestOutcome.LEFT, 0.0)
 
-    def _answered(
+    def _receive_answer(
         self, request: ClientRequest, number: int, outcome: RequestOutcome, retry_after_s: float
     ) -> None:
-        """The answer to a try comes to the client; one to an earlier try counts only if it was served."""
+        """Handles the answer to a try; an answer to an earlier try counts only if it is SERVED."""
         if request.is_over:
             return
         if outcome is RequestOutcome.SERVED:
-            self._end(request, outcome)
+            self._finish(request, outcome)
         elif request.tries == number:
             request_class = self._plan.request_classes[request.class_number]
             if outcome is RequestOutcome.REJECTED or request_class.idempotency != "effectful":
                 self._try_again(request, outcome, self._backoff_s(request, retry_after_s))
             else:
-                self._end(request, outcome)
+                self._finish(request, outcome)
 
     def _backoff_s(self, request: ClientRequest, retry_after_s: float) -> float:
-        """Exponential backoff with jitter, and no less than a node's advice if the client heeds it."""
+        """Returns the exponential backoff with jitter, or `retry_after_s` if longer and the client honors it.
+
+        The result is at most MAX_BACKOFF_S.
+        """
         jitter = 0.5 + self._backoff_rng.random()
         backoff_s = self._plan.clients.backoff_s * 2 ** (request.tries - 1) * jitter
-        if request.heeds_retry_advice:
+        if request.honors_retry_after:
             backoff_s = max(backoff_s, retry_after_s)
         return min(backoff_s, MAX_BACKOFF_S)
 
     def _try_again(self, request: ClientRequest, outcome: RequestOutcome, delay_s: float) -> None:
-        """Tries again after a delay, unless that is too late or the retries are used up."""
+        """Retries after a delay, unless the deadline passes before that or no retries are left."""
         now = self._engine.now
         request.outcome = outcome
         request.ended_at = now
-        # a refused connection costs no retry
+        # A refused connection does not count as a retry.
         is_free = outcome is RequestOutcome.UNREACHED
         has_retries = is_free or request.tries <= self._plan.clients.max_retries
         if has_retries and now + delay_s < request.deadline_at:
@@ -169,7 +174,7 @@
         else:
             request.is_over = True
 
-    def _end(self, request: ClientRequest, outcome: RequestOutcome) -> None:
+    def _finish(self, request: ClientRequest, outcome: RequestOutcome) -> None:
         request.is_over = True
         request.outcome = outcome
         request.ended_at = self._engine.now
--- a/wheatroute/fleet/connections.py
+++ b/wheatroute/fleet/connections.py
@@ -1,4 +1,4 @@
-"""Connections of a node to servers: idle ones are kept for reuse. No I/O."""
+"""Connections of a node to servers, including the idle ones that are kept for reuse. No I/O."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from wheatroute.fleet.engine import Engine
 from wheatroute.fleet.servers import Server
 
-IDLE_TIMEOUT_MARGIN = 0.9  # fraction of the servers' idle timeout for which a connection is reused
+# Fraction of the servers' idle timeout after which an idle connection is no longer reused.
+IDLE_TIMEOUT_MARGIN = 0.9
 
 
 class IdleConnection(NamedTuple):
-    """An open connection without a request."""
+    """An open connection without a request, idle since the time `since`."""
 
-    since: float
+    idle_since: float
     incarnation: int  # of the server when it was opened
 
 
 class ConnectionPool:
-    """Counts connections at the servers and keeps the idle ones by server; the last used is reused first."""
+    """Counts connections at the servers and keeps idle ones for reuse, the most recently used first."""
 
     def __init__(self, engine: Engine, servers: list[Server], idle_timeout_s: float) -> None:
         self._engine = engine
@@ -27,23 +28,23 @@
         self._idle: dict[int, list[IdleConnection]] = {}
 
     def take_idle(self, server: Server) -> bool:
-        """Takes an idle connection that is still open, closing those that aren't; False if there is none."""
+        """Takes an idle connection that is still usable, closing those that aren't; False if none is left."""
         idle = self._idle.get(server.number)
         while idle:
             connection = idle.pop()
             is_same_process = connection.incarnation == server.incarnation
-            if is_same_process and self._engine.now - connection.since < self._max_idle_s:
+            if is_same_process and self._engine.now - connection.idle_since < self._max_idle_s:
                 return True
             self.close(server, connection.incarnation)
         return False
 
     def open(self, server: Server) -> None:
-        """A new connection, which costs the server work."""
+        """Opens a connection, which costs the server some work."""
         server.open_connections += 1
         server.add_background_work(server.tier.connection_work_s)
 
     def release(self, server: Server, incarnation: int) -> None:
-        """A connection's request has ended: it is idle."""
+        """Returns a connection to the pool after its request has ended."""
         connection = IdleConnection(self._engine.now, incarnation)
         self._idle.setdefault(server.number, []).append(connection)
 
@@ -59,6 +60,6 @@
 
     @staticmethod
     def close(server: Server, incarnation: int) -> None:
-        """Closes one connection; those of an earlier process ended with it."""
+        """Closes one connection; a connection to an earlier process is already closed."""
         if incarnation == server.incarnation:
             server.open_connections -= 1
--- a/wheatroute/fleet/distributions.py
+++ b/wheatroute/fleet/distributions.py
@@ -1,4 +1,4 @@
-"""Probability distributions by mean and coefficient of variation. No I/O.
+"""Probability distributions with a given mean and coefficient of variation. No I/O.
 
 Exponential, log-normal, bounded Pareto (M. Harchol-Balter, "The Effect of Heavy-Tailed Job Size
 Distributions on Computer System Design", 1999), bimodal, and none (constant).
@@ -15,7 +15,7 @@
 
 
 def _pareto_moments(alpha: float, upper: float) -> tuple[float, float]:
-    """Mean and mean square of a bounded Pareto on [1, upper]."""
+    """Returns the mean and mean square of a bounded Pareto distribution on [1, upper]."""
 
     def moment(k: float) -> float:
         scale = alpha / (1.0 - upper**-alpha)
@@ -27,7 +27,7 @@
 
 
 def _pareto_shape(cv: float) -> float:
-    """The exponent with this coefficient of variation, found by bisection."""
+    """Returns the bounded Pareto exponent for a coefficient of variation, found by bisection."""
     low, high = 0.2, 30.0
     for _ in range(60):
         alpha = (low + high) / 2
@@ -37,27 +37,30 @@
 
 
 def distribution(name: str, mean: float, cv: float = 1.0) -> Callable[[float], float]:
-    """A function from a uniform draw to one of this distribution; ValueError for an unknown name."""
+    """Returns a function from a uniform draw to a draw from the distribution with this name.
+
+    Raises ValueError for an unknown name.
+    """
     if name == "none" or cv <= 0.0 or mean <= 0.0:
         return lambda draw: mean
     if name == "exponential":
         return lambda draw: -mean * log(1.0 - draw)
     if name == "lognormal":
         square = log(1.0 + cv * cv)
-        middle, deviation = log(mean) - square / 2, sqrt(square)
-        return lambda draw: exp(middle + deviation * _NORMAL.inv_cdf(draw))
+        mu, sigma = log(mean) - square / 2, sqrt(square)
+        return lambda draw: exp(mu + sigma * _NORMAL.inv_cdf(draw))
     if name == "pareto":
         alpha = _pareto_shape(cv)
         minimum = mean / _pareto_moments(alpha, PARETO_RANGE)[0]
         probability_range = 1.0 - PARETO_RANGE**-alpha
         return lambda draw: minimum * (1.0 - draw * probability_range) ** (-1.0 / alpha)
     if name == "bimodal":
-        # short values are half the mean; the long value and its probability follow from mean and variation
+        # Short values are half the mean; the long value and its probability follow from the mean and `cv`.
         short = mean / 2
         long = mean + cv * cv * mean * mean / (mean - short)
         long_probability = (mean - short) / (long - short)
         return lambda draw: long if draw >= 1.0 - long_probability else short
-    raise ValueError(f"no distribution {name!r}")
+    raise ValueError(f"unknown distribution {name!r}")
 
 
 DISTRIBUTIONS = ("none", "exponential", "lognormal", "pareto", "bimodal")
--- a/wheatroute/fleet/engine.py
+++ b/wheatroute/fleet/engine.py
@@ -1,7 +1,7 @@
 """Discrete-event engine: virtual time and the calls that are scheduled in it. No I/O.
 
-Calls due at the same moment are made in the order in which they were scheduled. The engine reads no clock and
-draws no random number: a run is a function of what is put in.
+Calls that are due at the same time are made in the order in which they were scheduled. The engine reads no
+clock and draws no random number, so a run depends only on the calls that are scheduled.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 from heapq import heapify, heappop, heappush
 from typing import Any
 
-COMPACT_AT = 1000  # cancelled calls from which on the schedule is compacted
+# The schedule is compacted once it contains more cancelled calls than this and they outnumber the others.
+COMPACT_AT = 1000
 
 
 class ScheduledCall:
-    """A call that is due; `callback` is None once it was made or cancelled."""
+    """A scheduled call; `callback` is None once the call was made or cancelled."""
 
     __slots__ = ("callback", "arguments")
 
@@ -23,34 +24,34 @@
         self.arguments = arguments
 
     def clear(self) -> None:
-        """Lets go of the callback and of what it holds."""
+        """Drops the references to the callback and its arguments, so that their objects can be freed."""
         self.callback = None
         self.arguments = ()
 
 
 class Engine:
-    """The schedule of one run; moments are seconds of virtual time."""
+    """Runs the scheduled calls of one simulation in the order of virtual time, in seconds."""
 
     def __init__(self, start: float = 0.0) -> None:
         self.now = start
-        self.call_count = 0  # calls made
-        self._schedule: list[tuple[float, int, ScheduledCall]] = []  # heap by moment and sequence number
+        self.call_count = 0  # number of calls made so far
+        self._schedule: list[tuple[float, int, ScheduledCall]] = []  # heap of (moment, sequence number, call)
         self._sequence = 0
-        self._cancelled = 0  # calls cancelled that are still in the schedule
+        self._cancelled = 0  # number of cancelled calls that are still in the schedule
 
     def call_at(self, moment: float, callback: Callable[..., None], *arguments: Any) -> ScheduledCall:
-        """Schedules a call, at once if the moment has passed; returns what `cancel` takes."""
+        """Schedules a call and returns a handle for `cancel`; a moment in the past means now."""
         self._sequence += 1
         call = ScheduledCall(callback, arguments)
         heappush(self._schedule, (max(moment, self.now), self._sequence, call))
         return call
 
     def call_later(self, delay_s: float, callback: Callable[..., None], *arguments: Any) -> ScheduledCall:
-        """Schedules a call in so many seconds; see `call_at`."""
+        """Schedules a call after `delay_s` seconds; see `call_at`."""
         return self.call_at(self.now + delay_s, callback, *arguments)
 
     def cancel(self, call: ScheduledCall | None) -> None:
-        """Cancels a call; without effect on None and on one that was made or cancelled before."""
+        """Cancels a call; does nothing for None and for a call that was already made or cancelled."""
         if call is None or call.callback is None:
             return
         call.clear()
@@ -59,13 +60,13 @@
             self._compact()
 
     def _compact(self) -> None:
-        """Removes cancelled calls, so that time-outs that never come due don't fill the schedule."""
+        """Removes cancelled calls, so that cancelled timeouts don't fill the schedule."""
         self._schedule = [entry for entry in self._schedule if entry[2].callback is not None]
         heapify(self._schedule)
         self._cancelled = 0
 
     def run(self, until: float) -> None:
-        """Makes all calls that are due before or at `until`, and ends at that moment."""
+        """Makes all calls that are due at or before `until` and sets the time to `until`."""
         while self._schedule and self._schedule[0][0] <= until:
             moment, _, call = heappop(self._schedule)
             callback, arguments = call.callback, call.arguments
--- a/wheatroute/fleet/entry_balancer.py
+++ b/wheatroute/fleet/entry_balancer.py
@@ -1,4 +1,4 @@
-"""The load balancer between clients and entry nodes: by weight, in the client's zone if it can. No I/O."""
+"""The load balancer between clients and entry nodes: weighted, preferring the client's zone. No I/O."""
 
 from __future__ import annotations
 
@@ -9,30 +9,34 @@
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import FleetPlan
 
-DETECTION_DELAY_S = 2.0  # until a dead node is left out
+DETECTION_DELAY_S = 2.0  # from the first time a dead node is considered until it is excluded
 
 
 class EntryBalancer:
-    """Chooses a node for each try of a client; notices a dead node late."""
+    """Chooses a node for each try of a client; excludes a dead node only after the detection delay."""
 
     def __init__(self, plan: FleetPlan, entry_nodes: list[Node], rng: Random) -> None:
         self._entry_nodes = entry_nodes
         self._rng = rng
-        self._excluded_from: dict[int, float] = {}  # by number of a dead node: when it is left out
+        # By number of a dead node: the time from which it is excluded.
+        self._excluded_from: dict[int, float] = {}
         self._weights = _skewed_weights(plan.nodes, plan.clients.node_skew, rng)
 
     def choose(self, zone: int, now: float) -> Node | None:
-        """A node for a client in this zone, which may be dead until that is noticed; None if none is left."""
-        used = [node for node in self._entry_nodes if node.zone == zone and self._is_used(node, now)]
-        used = used or [node for node in self._entry_nodes if self._is_used(node, now)]
-        if not used:
+        """Chooses a node for a client in this zone; None if no node is eligible.
+
+        The node may be dead if that is not detected yet.
+        """
+        eligible = [node for node in self._entry_nodes if node.zone == zone and self._is_eligible(node, now)]
+        eligible = eligible or [node for node in self._entry_nodes if self._is_eligible(node, now)]
+        if not eligible:
             return None
-        weights = list(accumulate(self._weights[node.number] for node in used))
+        weights = list(accumulate(self._weights[node.number] for node in eligible))
         if not weights[-1]:
-            return used[0]
-        return used[bisect(weights, self._rng.random() * weights[-1])]
+            return eligible[0]
+        return eligible[bisect(weights, self._rng.random() * weights[-1])]
 
-    def _is_used(self, node: Node, now: float) -> bool:
+    def _is_eligible(self, node: Node, now: float) -> bool:
         if node.is_alive:
             self._excluded_from.pop(node.number, None)
             return True
@@ -40,7 +44,7 @@
 
 
 def _skewed_weights(count: int, skew: float, rng: Random) -> list[float]:
-    """Weights from the least to the busiest node, which has `skew` times the mean, in random order."""
+    """Returns weights in random order, up to that of the busiest node, which is `skew` times the mean."""
     ranks = list(range(count))
     rng.shuffle(ranks)
     least = max(0.0, 2.0 - skew)
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -1,7 +1,7 @@
-"""Fault injection: what goes wrong in a run, when, and what comes back. No I/O.
+"""Fault injection: applies the faults of a plan at their times and ends them. No I/O.
 
-Which servers or nodes a fault strikes comes from a random stream of its own for each fault, so that another
-fault or policy changes nothing of it.
+Each fault draws the servers or nodes that it affects from its own random stream, so that other faults and the
+policy do not change them.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from wheatroute.fleet.server_speed import HANG_FAULT
 from wheatroute.fleet.servers import Server
 
-DRAIN_TIMEOUT_S = 8.0  # that a drained server has to finish what it holds
-DRAIN_CHECK_DELAY_S = 1.0  # until it is first checked whether it has,
-DRAIN_CHECK_INTERVAL_S = 0.25  # and between further checks
-MIN_NEIGHBOUR_SPEED = 0.01  # what a neighbour leaves of a machine, at least
+DRAIN_TIMEOUT_S = 8.0  # time that a draining server has to finish its jobs
+DRAIN_CHECK_DELAY_S = 1.0  # from the start of a drain to the first check whether the server is idle
+DRAIN_CHECK_INTERVAL_S = 0.25  # between later checks whether it is idle
+MIN_NEIGHBOUR_SPEED = 0.01  # least fraction of its speed that a machine with a noisy neighbour keeps
 
 Handler = Callable[[FaultPlan, str, Random], None]
 
 
 class FaultInjector:
-    """Schedules all faults of a plan."""
+    """Schedules all faults of a plan; the methods named after kinds of faults apply them."""
 
     def __init__(
         self,
@@ -66,7 +66,10 @@
     # targets
 
     def _choose_servers(self, fault: FaultPlan, fraction: float, rng: Random) -> list[Server]:
-        """A fraction of the servers of each tier that are alive, in the fault's zone if it names one."""
+        """Chooses a fraction of the live servers of each tier that the fault affects.
+
+        Only servers in the fault's zone are chosen if it names one.
+        """
         chosen = []
         for depth, tier in enumerate(self._membership.tiers):
             if fault.tier not in (ALL_TIERS, depth):
@@ -79,10 +82,10 @@
     def _is_in_zone(self, fault: FaultPlan, server: Server) -> bool:
         return not fault.zone or self._zones[server.zone] == fault.zone
 
-    # servers that end
+    # servers and nodes that end
 
     def _crash(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Processes end; the list is told, and they come back cold."""
+        """Crashes servers: their removal is announced, and they restart cold after the fault's duration."""
         servers = self._choose_servers(fault, fault.fraction, rng)
         self._kill_servers(servers, fault.duration_s, is_silent=False)
 
@@ -93,7 +96,7 @@
             self._engine.call_later(duration_s, self._membership.restart_server, server)
 
     def _zone_loss(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """All servers and nodes of a zone end without a word; they come back cold."""
+        """Ends all servers and nodes of a zone without resetting connections; they restart cold later."""
         servers = self._choose_servers(fault, 1.0, rng)
         self._kill_servers(servers, fault.duration_s, is_silent=True)
         for node in list(self._membership.entry_nodes):
@@ -101,7 +104,7 @@
                 self._kill_node(node, fault.duration_s)
 
     def _node_loss(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Entry nodes end, and start again."""
+        """Ends some entry nodes; they restart after the fault's duration."""
         alive = [node for node in self._membership.entry_nodes if node.is_alive]
         rng.shuffle(alive)
         for node in alive[: ceil(fault.fraction * len(alive))]:
@@ -112,7 +115,7 @@
         self._engine.call_later(duration_s, self._membership.restart_entry_node, node.number)
 
     def _deploy(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Servers are drained, finish and end, a batch at a time; cold successors start as they drain."""
+        """Drains servers in batches and ends them when idle; a cold replacement starts with each drain."""
         servers = self._choose_servers(fault, fault.fraction, rng)
         batches = max(1, round(fault.duration_s / fault.interval_s))
         for number, server in enumerate(servers):
@@ -124,46 +127,46 @@
             return
         self._membership.replace_server(server)
         self._membership.announce(server, ServerState.DRAINING)
-        latest = self._engine.now + DRAIN_TIMEOUT_S
-        self._engine.call_later(DRAIN_CHECK_DELAY_S, self._end_drained, server, latest)
+        deadline = self._engine.now + DRAIN_TIMEOUT_S
+        self._engine.call_later(DRAIN_CHECK_DELAY_S, self._end_drained, server, deadline)
 
-    def _end_drained(self, server: Server, latest: float) -> None:
-        """Ends a server once it holds nothing, or at the latest moment."""
+    def _end_drained(self, server: Server, deadline: float) -> None:
+        """Ends a server once it holds no jobs, or at the time `deadline`."""
         if not server.is_alive:
             return
-        if server.held_jobs and self._engine.now < latest:
-            self._engine.call_later(DRAIN_CHECK_INTERVAL_S, self._end_drained, server, latest)
+        if server.held_jobs and self._engine.now < deadline:
+            self._engine.call_later(DRAIN_CHECK_INTERVAL_S, self._end_drained, server, deadline)
         else:
             self._membership.kill_server(server)
             self._membership.announce(server, ServerState.REMOVED)
 
-    # servers that do worse
+    # degraded servers
 
     def _hang(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Servers take requests and answer nothing."""
+        """Hangs servers: they accept requests and answer none."""
         self._slow_down(self._choose_servers(fault, fault.fraction, rng), HANG_FAULT, 0.0, fault.duration_s)
 
     def _slow(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Some servers are slower by a factor."""
+        """Slows down some servers by a factor."""
         servers = self._choose_servers(fault, fault.fraction, rng)
         self._slow_down(servers, name, 1.0 / max(1.0, fault.severity), fault.duration_s)
 
     def _shared_slow(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """All servers are slower by a factor, as with a shared dependency."""
+        """Slows down all servers by a factor, like a slow shared dependency."""
         servers = self._choose_servers(fault, 1.0, rng)
         self._slow_down(servers, name, 1.0 / max(1.0, fault.severity), fault.duration_s)
 
     def _slow_down(self, servers: list[Server], name: str, factor: float, duration_s: float) -> None:
-        self._set_factor(servers, name, factor)
-        self._engine.call_later(duration_s, self._set_factor, servers, name, 1.0)
+        self._set_fault_factor(servers, name, factor)
+        self._engine.call_later(duration_s, self._set_fault_factor, servers, name, 1.0)
 
-    def _set_factor(self, servers: list[Server], name: str, factor: float) -> None:
+    def _set_fault_factor(self, servers: list[Server], name: str, factor: float) -> None:
         for server in servers:
             if server.is_alive:
                 server.set_fault_factor(name, factor)
 
     def _errors(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Servers fail a fraction of their requests at once."""
+        """Makes servers fail a fraction of their requests immediately."""
         servers = self._choose_servers(fault, fault.fraction, rng)
         self._set_error_rate(servers, min(1.0, fault.severity))
         self._engine.call_later(fault.duration_s, self._set_error_rate, servers, 0.0)
@@ -173,37 +176,37 @@
             server.error_rate = error_rate
 
     def _pauses(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Servers pause again and again, as with garbage collection."""
+        """Pauses servers repeatedly, like garbage collection."""
         self._alternate(fault, name, rng, 0.0, fault.severity, fault.interval_s)
 
     def _neighbour(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """A neighbour takes a fraction of each machine from time to time."""
+        """Slows down machines from time to time, like a noisy neighbour that takes a fraction of each."""
         factor = max(MIN_NEIGHBOUR_SPEED, 1.0 - fault.severity)
         self._alternate(fault, name, rng, factor, fault.interval_s, fault.interval_s)
 
     def _alternate(
         self, fault: FaultPlan, name: str, rng: Random, factor: float, on_s: float, off_s: float
     ) -> None:
-        """Changes speeds by a factor and back, with phases of half to one and a half times these lengths."""
+        """Alternates speeds between a factor and normal; phases last 0.5 to 1.5 times `on_s` and `off_s`."""
         end = self._engine.now + fault.duration_s
 
-        def begin(server: Server) -> None:
+        def apply(server: Server) -> None:
             if self._engine.now < end and server.is_alive:
                 server.set_fault_factor(name, factor)
-                self._engine.call_later(on_s * (0.5 + rng.random()), stop, server)
+                self._engine.call_later(on_s * (0.5 + rng.random()), revert, server)
 
-        def stop(server: Server) -> None:
+        def revert(server: Server) -> None:
             if server.is_alive:
                 server.set_fault_factor(name, 1.0)
-                self._engine.call_later(off_s * (0.5 + rng.random()), begin, server)
+                self._engine.call_later(off_s * (0.5 + rng.random()), apply, server)
 
         for server in self._choose_servers(fault, fault.fraction, rng):
-            self._engine.call_later(off_s * rng.random(), begin, server)
+            self._engine.call_later(off_s * rng.random(), apply, server)
 
     # network and list
 
     def _list_late(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Changes of the server list arrive later."""
+        """Delays changes of the server list."""
         self._add_list_delay(fault.severity)
         self._engine.call_later(fault.duration_s, self._add_list_delay, -fault.severity)
 
@@ -211,7 +214,7 @@
         self._membership.server_list.extra_delay_s += delay_s
 
     def _cut_off(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """A zone, or some servers where the fault names no zone, can't be reached."""
+        """Cuts off the fault's zone, or some servers if it names no zone, from the network."""
         if fault.zone:
             self._network.partition(name, frozenset([self._zones.index(fault.zone)]))
         else:
@@ -220,6 +223,6 @@
         self._engine.call_later(fault.duration_s, self._network.repair, name)
 
     def _lossy(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """A fraction of the responses is lost."""
+        """Loses a fraction of the responses."""
         self._network.lose_responses(name, min(1.0, fault.severity))
         self._engine.call_later(fault.duration_s, self._network.repair, name)
--- a/wheatroute/fleet/membership.py
+++ b/wheatroute/fleet/membership.py
@@ -1,4 +1,4 @@
-"""The servers and nodes of an emulated fleet: who exists, and how they start and end. No I/O."""
+"""The servers and nodes of a simulated fleet: which exist, and how they start and end. No I/O."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 
 class Membership:
-    """All servers by tier, the entry nodes, and the nodes beside servers for their calls.
+    """Creates, starts and ends servers, entry nodes and the sidecar nodes that send the calls of servers.
 
-    `tiers` is filled here and shared with the server list. The number of a server is never given to another.
+    `tiers` holds all servers by tier; it is filled here and shared with the server list. A server's number is
+    never reused for another one.
     """
 
     def __init__(
@@ -37,7 +38,7 @@
         self._seed = seed
         self._make_decision_maker = make_decision_maker
         self._factory = ServerFactory(self._plan, seed, self._engine)
-        self._call_nodes = calls.call_nodes
+        self._sidecar_nodes = calls.sidecar_nodes
 
     def build(self) -> None:
         """Builds all servers and nodes of the plan."""
@@ -48,10 +49,10 @@
             self.entry_nodes.append(self._start_node(0, number, number % zones, None))
         for tier in self.tiers[:-1]:
             for server in tier:
-                self._start_call_node(server)
+                self._start_sidecar_node(server)
 
     def update_periodically(self) -> None:
-        """Updates servers that change by themselves, now and from then on."""
+        """Updates the servers that change with time alone, now and every UPDATE_INTERVAL_S."""
         for depth, tier in enumerate(self._plan.tiers):
             for server in self.tiers[depth]:
                 if tier.collapse is not None or server.warmup_share() < 1.0:
@@ -61,64 +62,66 @@
     # nodes
 
     def senders(self, depth: int) -> list[Node]:
-        """The nodes that send to a tier and are alive."""
+        """Returns the live nodes that send to a tier."""
         if depth == 0:
             return [node for node in self.entry_nodes if node.is_alive]
         return [
-            node for address, node in self._call_nodes.items() if address.depth == depth - 1 and node.is_alive
+            node
+            for address, node in self._sidecar_nodes.items()
+            if address.depth == depth - 1 and node.is_alive
         ]
 
     def kill_entry_node(self, node: Node) -> None:
-        """An entry node dies with the requests that it held."""
+        """Ends an entry node; its open requests are lost."""
         for request in node.die():
             request.on_answer(RequestOutcome.LOST, 0.0)
 
     def restart_entry_node(self, number: int) -> None:
-        """Starts an entry node again, with decisions that know nothing."""
+        """Starts an entry node again, with a new decision maker that has no state."""
         self.entry_nodes[number] = self._start_node(0, number, self.entry_nodes[number].zone, None)
 
-    def _start_node(self, depth: int, number: int, zone: int, beside: Server | None) -> Node:
-        node = Node(self._environment, depth, number, zone, self.tiers[depth], beside)
+    def _start_node(self, depth: int, number: int, zone: int, sidecar_of: Server | None) -> Node:
+        node = Node(self._environment, depth, number, zone, self.tiers[depth], sidecar_of)
         node_count = self._plan.nodes if depth == 0 else len(self.tiers[depth - 1])
-        incarnation = beside.incarnation if beside is not None else 0
+        incarnation = sidecar_of.incarnation if sidecar_of is not None else 0
         rng = random_streams.stream(self._seed, "node", depth, number, incarnation)
         settings = decision_settings(self._plan, depth, number, zone, node_count)
-        node.host(self._make_decision_maker(node, settings, rng))
+        node.attach(self._make_decision_maker(node, settings, rng))
         self.server_list.send_full(node)
         return node
 
-    def _start_call_node(self, server: Server) -> None:
+    def _start_sidecar_node(self, server: Server) -> None:
         node = self._start_node(server.depth + 1, server.number, server.zone, server)
-        self._call_nodes[server.address] = node
+        self._sidecar_nodes[server.address] = node
 
     # servers
 
     def kill_server(self, server: Server, is_silent: bool = False) -> None:
-        """A server's process dies with the node beside it.
+        """Ends a server's process and its sidecar node.
 
-        With `is_silent` the machine is gone too: connections don't break, they time out.
+        With `is_silent` the whole machine fails: connections don't break, they time out.
         """
         for job in server.die():
             if job.owner is not None and not is_silent:
                 job.owner.server_died(job)
-        node = self._call_nodes.get(server.address)
+        node = self._sidecar_nodes.get(server.address)
         if node is not None:
             node.die()
 
     def restart_server(self, server: Server) -> None:
-        """Starts a server cold, under its number, and announces it."""
+        """Starts a server cold, with its existing number, and announces it as live."""
         server.start()
         if server.depth + 1 < len(self._plan.tiers):
-            self._start_call_node(server)
+            self._start_sidecar_node(server)
         self.announce(server, ServerState.LIVE)
 
     def replace_server(self, server: Server) -> None:
-        """Starts a new server of the same model and zone."""
+        """Starts a new server of the same model and zone; the old server keeps running."""
         tier = self.tiers[server.depth]
         successor = self._factory.build_successor(server, len(tier))
         tier.append(successor)
         self.restart_server(successor)
 
     def announce(self, server: Server, state: ServerState) -> None:
-        """Tells the nodes that send to a server its new state."""
+        """Announces a server's new state to the nodes that send to it."""
         self.server_list.announce(server, state, self.senders(server.depth))
--- a/wheatroute/fleet/network.py
+++ b/wheatroute/fleet/network.py
@@ -1,7 +1,7 @@
 """The network between machines: latency, loss and partitions. No I/O.
 
-Machines are known by their zone and address; what is sent is not known here. Each call of `message_delay` or
-`loses_response` draws random numbers, so it is made once for each message.
+Machines are identified by zone and address; the content of messages is not modelled here. Each call of
+`message_delay` or `loses_response` draws random numbers, so call it only once for each message.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Address(NamedTuple):
-    """Address of a machine in the network: a tier's depth (-1 for entry nodes) and a number in it."""
+    """Address of a machine in the network: depth of its tier (-1 for entry nodes) and number there."""
 
     depth: int
     number: int
@@ -24,41 +24,43 @@
 
 
 class SimulatedNetwork:
-    """One-way latencies in seconds; `inf` for a message that never arrives."""
+    """Computes the delays of messages and applies the network faults of a run."""
 
     def __init__(self, plan: NetworkPlan, rng: Random) -> None:
         self._plan = plan
         self._rng = rng
-        # by fault
-        self._partitions: dict[str, frozenset[int]] = {}  # zones cut off from all others
-        self._isolated: dict[str, frozenset[Address]] = {}  # addresses that nothing reaches or leaves
-        self._loss_rates: dict[str, float] = {}  # fraction of responses lost
+        # The network faults in effect, by name of the fault.
+        self._partitions: dict[str, frozenset[int]] = {}  # zones that are cut off from all others
+        self._isolated: dict[str, frozenset[Address]] = {}  # addresses that can neither send nor receive
+        self._loss_rates: dict[str, float] = {}  # fraction of the responses that are lost
 
-    def latency(self, a: int, b: int) -> float:
-        """A draw of the latency between two zones, in seconds."""
+    def latency(self, from_zone: int, to_zone: int) -> float:
+        """Draws the one-way latency between two zones, in seconds."""
         plan = self._plan
-        base_s = plan.zone_latency_s if a == b else plan.cross_zone_latency_s
+        base_s = plan.zone_latency_s if from_zone == to_zone else plan.cross_zone_latency_s
         if not plan.jitter:
             return base_s
-        # half of the jitter is taken off, and an exponential of that mean added
+        # Subtracts half of the jitter and adds an exponential draw with that mean: the mean stays `base_s`.
         return base_s * (1.0 - plan.jitter / 2 - plan.jitter / 2 * log(1.0 - self._rng.random()))
 
-    def reaches(self, a: int, b: int, *addresses: Address) -> bool:
-        """Whether messages between two zones and these addresses arrive at all."""
-        if a != b and any((a in zones) != (b in zones) for zones in self._partitions.values()):
+    def reaches(self, from_zone: int, to_zone: int, *addresses: Address) -> bool:
+        """Returns whether messages between two zones and these addresses arrive."""
+        if from_zone != to_zone and any(
+            (from_zone in zones) != (to_zone in zones) for zones in self._partitions.values()
+        ):
             return False
         return not any(address in isolated for isolated in self._isolated.values() for address in addresses)
 
-    def message_delay(self, a: int, b: int, *addresses: Address) -> float:
-        """The delay of one message, in seconds."""
-        return self.latency(a, b) if self.reaches(a, b, *addresses) else inf
+    def message_delay(self, from_zone: int, to_zone: int, *addresses: Address) -> float:
+        """Returns the delay of one message in seconds, `inf` if it never arrives."""
+        return self.latency(from_zone, to_zone) if self.reaches(from_zone, to_zone, *addresses) else inf
 
     def loses_response(self) -> bool:
-        """Whether one response is lost."""
+        """Draws whether one response is lost."""
         return bool(self._loss_rates) and self._rng.random() < max(self._loss_rates.values())
 
     def partition(self, fault: str, zones: frozenset[int]) -> None:
-        """Cuts zones off from all others until `repair`."""
+        """Cuts off zones from all others until `repair`."""
         self._partitions[fault] = zones
 
     def isolate(self, fault: str, addresses: frozenset[Address]) -> None:
@@ -70,7 +72,7 @@
         self._loss_rates[fault] = fraction
 
     def repair(self, fault: str) -> None:
-        """Ends what a fault has begun."""
+        """Ends the effects of a fault."""
         self._partitions.pop(fault, None)
         self._isolated.pop(fault, None)
         self._loss_rates.pop(fault, None)
--- a/wheatroute/fleet/node_commands.py
+++ b/wheatroute/fleet/node_commands.py
@@ -1,4 +1,4 @@
-"""Commands of a node's decisions, carried out. No I/O."""
+"""Executes the commands of a node's decision maker. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class NodeCommandWriter:
-    """The `CommandWriter` of one node, which says what each command means."""
+    """Implements `CommandWriter` for one simulated node: each command takes effect when it is written."""
 
     def __init__(
         self,
@@ -38,45 +38,45 @@
         self._prober = prober
         self._fetch_list = fetch_list
 
-    def attempt(self, request: int, server: int, time_out: float) -> None:
-        """Sends an attempt."""
-        self._requests.start_attempt(request, server, time_out, self._transport)
+    def attempt(self, request: int, server: int, timeout_s: float) -> None:
+        """Sends an attempt; with a timeout of 0 it lasts until the request's deadline."""
+        self._requests.start_attempt(request, server, timeout_s, self._transport)
 
     def cancel(self, request: int, n: int) -> None:
         """Cancels an attempt."""
         self._requests.cancel_attempt(request, n, self._transport)
 
-    def reject(self, request: int, stay_away: float) -> None:
-        """Rejects a request, with the seconds after which it may come again."""
-        self._requests.answer(request, RequestOutcome.REJECTED, stay_away)
+    def reject(self, request: int, retry_after_s: float) -> None:
+        """Rejects a request and tells the client to retry after `retry_after_s` seconds."""
+        self._requests.answer(request, RequestOutcome.REJECTED, retry_after_s)
 
     def fail(self, request: int) -> None:
         """Fails a request."""
         self._requests.answer(request, RequestOutcome.FAILED)
 
     def wake_at(self, moment: float) -> None:
-        """Schedules an event batch."""
+        """Schedules an `Event.TIMER_DUE`."""
         self._engine.call_at(moment, self._events.add, Event.TIMER_DUE)
 
     def probe(self, server: int) -> None:
         """Probes a server."""
         self._prober.probe(self._servers[server])
 
-    def send_loads(self, figures: Mapping[int, float]) -> None:
-        """Does nothing: nodes of emulated fleets have no peers."""
+    def send_loads(self, loads: Mapping[int, float]) -> None:
+        """Does nothing: simulated nodes don't exchange loads."""
 
     def watch(self, enable: bool) -> None:
-        """Sends the full list; changes are sent to all nodes anyway."""
+        """Fetches the full list on enabling; changes are sent to all nodes in any case."""
         if enable:
             self._fetch_list()
 
     def fetch(self) -> None:
-        """Sends the full list."""
+        """Fetches the full list."""
         self._fetch_list()
 
     def close(self, server: int) -> None:
-        """Closes idle connections to a server."""
+        """Closes the idle connections to a server."""
         self._connections.close_idle(server)
 
     def log(self, text: str) -> None:
-        """Does nothing: emulated fleets have no operators."""
+        """Does nothing: a simulated fleet has no operators to read a log."""
--- a/wheatroute/fleet/node_requests.py
+++ b/wheatroute/fleet/node_requests.py
@@ -1,7 +1,7 @@
 """Requests at one node, with their attempts, from arrival to answer. No I/O.
 
-Each attempt ends with one `Event.ATTEMPT_ENDED`, each request with one answer. A wrong command goes to the
-observer of the rules and changes nothing of the emulator's own state.
+Each attempt ends with one `Event.ATTEMPT_ENDED` and each request with one answer. An incorrect command is
+reported to the observer of the rules and does not corrupt the state of the simulator.
 """
 
 from __future__ import annotations
@@ -20,20 +20,20 @@
 
 
 class RuleObserver(Protocol):
-    """Sees what nodes do, before it takes effect."""
+    """Is notified of the attempts and answers of nodes before they take effect."""
 
     def attempt_sent(self, request: NodeRequest, attempt: Attempt, drain_notified_at: float | None) -> None:
-        """An attempt that is not among the request's attempts yet.
+        """Is called before an attempt is added to the attempts of its request.
 
-        `drain_notified_at` is when the node was told that the server drains or is removed; None: it was not.
+        `drain_notified_at` is when the node was notified that the server drains or is removed, else None.
         """
 
     def request_answered(self, request: NodeRequest, outcome: RequestOutcome) -> None:
-        """A rejection or failure that is not the request's outcome yet."""
+        """Is called with a rejection or failure before it becomes the outcome of the request."""
 
 
 class NodeRequests:
-    """The requests of one node; `open_requests` has them by number until all their attempts have ended."""
+    """Manages the requests of one node; `open_requests` keeps each until its attempts have ended too."""
 
     def __init__(
         self,
@@ -60,25 +60,27 @@
     def receive(
         self,
         client_request: ClientRequest,
-        call: int,
+        call_number: int,
         time_left_s: float,
         tenant: int,
         is_repeated: bool,
         on_answer: Callable[[RequestOutcome, float], None],
     ) -> NodeRequest:
-        """A request comes in, with so many seconds to its deadline."""
+        """Receives a request whose deadline is in `time_left_s` seconds."""
         number = self._received
         self._received += 1
         deadline_at = self._engine.now + time_left_s
-        request = NodeRequest(self._address, number, client_request, call, deadline_at, tenant, on_answer)
+        request = NodeRequest(
+            self._address, number, client_request, call_number, deadline_at, tenant, on_answer
+        )
         self.open_requests[number] = request
         if self._trace.follows(request):
-            self._add_to_trace(request, f"comes in with {time_left_s:.3f} s left")
+            self._add_to_trace(request, f"arrives with {time_left_s:.3f} s left")
         self._events.add(Event.ARRIVED, number, request.class_number, time_left_s, tenant, is_repeated)
         return request
 
     def client_left(self, request: NodeRequest) -> None:
-        """Nobody waits for the request any more."""
+        """Handles that the client has disconnected or given up."""
         if not request.is_answered:
             request.outcome = RequestOutcome.LEFT
             self._events.add(Event.CLIENT_LEFT, request.number)
@@ -95,7 +97,7 @@
         request.attempts.append(attempt)
         request.in_flight += 1
         if self._trace.follows(request):
-            held = f"which holds {server.held_jobs}"
+            held = f"which holds {server.held_jobs} jobs"
             self._add_to_trace(request, f"attempt {attempt.number} to server {server.address}, {held}")
         time_left_s = request.deadline_at - self._engine.now
         timeout_s = min(timeout_s, time_left_s) if timeout_s else time_left_s
@@ -105,7 +107,7 @@
             transport.send(attempt, timeout_s)
 
     def cancel_attempt(self, number: int, attempt_number: int, transport: AttemptTransport) -> None:
-        """Cancels an attempt; without effect if it has ended."""
+        """Cancels an attempt; does nothing if the attempt has ended or does not exist."""
         request = self.open_requests.get(number)
         if request is None or attempt_number >= len(request.attempts):
             return
@@ -114,12 +116,12 @@
             transport.cancel(attempt)
 
     def attempt_ended(self, attempt: Attempt, report: Report | None) -> None:
-        """An attempt has its outcome."""
+        """Handles the end of an attempt and answers the request if the attempt was SERVED."""
         request, outcome = attempt.request, attempt.outcome
         elapsed_s = self._engine.now - attempt.sent_at
         request.in_flight -= 1
         if outcome is not None and self._trace.follows(request):
-            text = f"attempt {attempt.number} ends: {outcome.name} after {elapsed_s:.3f} s"
+            text = f"attempt {attempt.number} ended: {outcome.name} after {elapsed_s:.3f} s"
             self._add_to_trace(request, text)
         if outcome == AttemptOutcome.SERVED and not request.is_answered:
             self._send_answer(request, RequestOutcome.SERVED, 0.0)
@@ -136,7 +138,7 @@
         self._forget_if_done(request)
 
     def answer(self, number: int, outcome: RequestOutcome, retry_after_s: float = 0.0) -> None:
-        """Rejects or fails a request."""
+        """Answers a request with a rejection or failure."""
         request = self.open_requests[number]
         self._observer.request_answered(request, outcome)
         if not request.is_answered:
@@ -144,7 +146,7 @@
             self._forget_if_done(request)
 
     def abandon_all(self, transport: AttemptTransport) -> list[NodeRequest]:
-        """The node ends: leaves all attempts in flight; returns the requests that were not answered."""
+        """Abandons all attempts in flight, as the node ends; returns the requests that were not answered."""
         requests = list(self.open_requests.values())
         for request in requests:
             for attempt in request.attempts:
@@ -161,7 +163,7 @@
 
     def _forget_if_done(self, request: NodeRequest) -> None:
         if request.is_answered and request.in_flight <= 0:
-            # after the present batch, as a command of it may name the request
+            # Deferred until after the current batch, because one of its commands may name the request.
             self._engine.call_at(self._engine.now, self._forget, request.number)
 
     def _forget(self, number: int) -> None:
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -1,7 +1,7 @@
-"""Emulated nodes: each hosts one instance of the decision module, or a baseline in its place. No I/O.
+"""Simulated nodes: each hosts one instance of the decision module or of a baseline policy. No I/O.
 
-A node puts together what the network side of a real one consists of, and keeps when it was told of drains. It
-decides nothing.
+A node combines the parts that replace the network side of a real node, and records when it was notified of
+drains. It makes no decisions itself.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from wheatroute.fleet.trace import RequestTrace
 from wheatroute.fleet.transport import AttemptTransport, JobSource
 
-ENTRY_DEPTH = -1  # depth in the addresses of nodes that clients send to
+ENTRY_DEPTH = -1  # depth in the addresses of entry nodes, which clients send to
 
 
 class ListSource(Protocol):
-    """Where nodes get the server list from."""
+    """Provides nodes with the server list."""
 
     def send_full(self, node: Node) -> None:
-        """Sends a node the full list of the servers that it sends to."""
+        """Sends a node the full list of the servers of its tier."""
 
 
 @dataclass(frozen=True, slots=True)
 class NodeEnvironment:
-    """What all nodes of a run share."""
+    """Holds the objects that all nodes of a run share."""
 
     plan: FleetPlan
     engine: Engine
@@ -50,7 +50,10 @@
 
 
 class Node:
-    """One node before the servers of one tier; `depth` is that tier's."""
+    """One node that sends requests to the servers of the tier at `depth`.
+
+    `sidecar_of` is the server whose calls it sends, or None for an entry node.
+    """
 
     def __init__(
         self,
@@ -59,16 +62,17 @@
         number: int,
         zone: int,
         servers: list[Server],
-        beside: Server | None,
+        sidecar_of: Server | None,
     ) -> None:
         self.depth = depth
         self.number = number
         self.zone = zone
-        self.servers = servers  # of its tier, by number; new ones are appended
-        self.address = Address(ENTRY_DEPTH, number) if beside is None else beside.address
+        self.servers = servers  # of its tier, indexed by server number; new ones are appended
+        self.address = Address(ENTRY_DEPTH, number) if sidecar_of is None else sidecar_of.address
         self.is_alive = True
         self._environment = environment
-        self._drain_notices: dict[int, float] = {}  # when it was told that a server drains or is removed
+        # By server: when this node was notified that the server drains or is removed.
+        self._drain_notices: dict[int, float] = {}
         engine, plan = environment.engine, environment.plan
         self._events = EventBatcher(engine)
         self._requests = NodeRequests(
@@ -79,7 +83,7 @@
             self._events,
             environment.observer,
             environment.trace,
-            f"entry node {number}" if beside is None else f"node of server {self.address}",
+            f"entry node {number}" if sidecar_of is None else f"node of server {self.address}",
         )
         self._connections = ConnectionPool(engine, servers, plan.network.idle_timeout_s)
         self._transport = AttemptTransport(
@@ -93,8 +97,8 @@
             self._requests.attempt_ended,
         )
 
-    def host(self, decisions: DecisionMaker) -> None:
-        """Sets the decisions, which are made for this node."""
+    def attach(self, decision_maker: DecisionMaker) -> None:
+        """Sets the decision maker, which must have been created for this node."""
         engine = self._environment.engine
         writer = NodeCommandWriter(
             engine,
@@ -106,36 +110,38 @@
             Prober(engine, self._environment.plan, self._transport, self._probe_ended),
             self._fetch_list,
         )
-        self._events.attach(decisions, writer)
+        self._events.attach(decision_maker, writer)
 
     @property
     def requests(self) -> dict[int, NodeRequest]:
-        """Requests by number, until all their attempts have ended."""
+        """The requests by number; each is kept until it and all its attempts have ended."""
         return self._requests.open_requests
 
     def mean_call_work_s(self, class_number: int) -> float:
-        """Mean work of a request class at its servers, in seconds on a core of speed 1."""
+        """Returns the mean work of a request class at the node's tier, in seconds on a core of speed 1."""
         return self._environment.plan.mean_call_work_s(class_number, self.depth)
 
     def receive(
         self,
         client_request: ClientRequest,
-        call: int,
+        call_number: int,
         time_left_s: float,
         tenant: int,
         is_repeated: bool,
         on_answer: Callable[[RequestOutcome, float], None],
     ) -> NodeRequest:
-        """A request comes in, with so many seconds to its deadline; see `NodeRequest` for the others."""
-        return self._requests.receive(client_request, call, time_left_s, tenant, is_repeated, on_answer)
+        """Receives a request whose deadline is in `time_left_s` seconds; see `NodeRequest` for the rest."""
+        return self._requests.receive(
+            client_request, call_number, time_left_s, tenant, is_repeated, on_answer
+        )
 
     def client_left(self, request: NodeRequest) -> None:
-        """Nobody waits for the request any more."""
+        """Handles that the client has disconnected or given up."""
         if self.is_alive:
             self._requests.client_left(request)
 
     def list_received(self, entries: list[ListEntry], is_full: bool) -> None:
-        """The list service tells the full list or changes of it."""
+        """Receives the full server list, or changes of it, from the list service."""
         if not self.is_alive:
             return
         for entry in entries:
@@ -155,7 +161,10 @@
         self._events.add(Event.PROBE_ENDED, server, outcome, elapsed_s, report)
 
     def die(self) -> list[NodeRequest]:
-        """Ends the node; returns the requests it had not answered. Its attempts go on at the servers."""
+        """Ends the node and returns the requests that it had not answered.
+
+        Its attempts in flight are abandoned; they continue at the servers unless these cancel them.
+        """
         self.is_alive = False
         self._events.close()
         self._transport.close()
--- a/wheatroute/fleet/probes.py
+++ b/wheatroute/fleet/probes.py
@@ -1,4 +1,4 @@
-"""Probes of servers by a node: answered beside the queue, with the server's present load. No I/O."""
+"""Probes of servers by a node: they bypass the queue and report the server's current load. No I/O."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from wheatroute.fleet.servers import Server
 from wheatroute.fleet.transport import AttemptTransport
 
-LATENCY_OF_A_STOPPED_SERVER_S = 1e9
+STOPPED_SERVER_LATENCY_S = 1e9  # reported by a server whose speed is 0
 
 
 class Prober:
-    """Sends the probes of one node; `on_result` gets the server, outcome, seconds passed and report."""
+    """Sends the probes of one node; `on_result` gets the server, outcome, elapsed seconds and report."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._on_result = on_result
 
     def probe(self, server: Server) -> None:
-        """Sends one probe."""
+        """Sends one probe to a server."""
         delay_s = self._transport.delay_to(server)
         if delay_s == inf or not server.is_alive:
             timeout_s = self._plan.network.connect_timeout_s
@@ -48,9 +48,9 @@
         self._on_result(server.number, AttemptOutcome.SERVED, elapsed_s, report)
 
     def _estimated_latency_s(self, server: Server) -> float:
-        """What a server would tell of its latency: the jobs of each core over the core's speed."""
+        """Returns the latency that a server reports: mean work times jobs per core, over a core's speed."""
         speed = server.current_speed()
         if speed <= 0.0:
-            return LATENCY_OF_A_STOPPED_SERVER_S
+            return STOPPED_SERVER_LATENCY_S
         mean_work_s = self._plan.mean_work_s() * server.tier.work
         return mean_work_s * max(1.0, server.held_jobs / server.cores) / speed
--- a/wheatroute/fleet/processor.py
+++ b/wheatroute/fleet/processor.py
@@ -1,7 +1,7 @@
-"""The cores of an emulated server, shared equally by the jobs in service (processor sharing). No I/O.
+"""The cores of a simulated server, shared equally by the jobs in service (processor sharing). No I/O.
 
-Kept by virtual time: all jobs in service advance alike, so the one with the least virtual end is the next to
-be done, and an arrival or an end costs one step on a heap, however many are in service.
+The implementation uses virtual time: all jobs in service advance at the same rate, so the job with the lowest
+virtual end finishes next. An arrival or a completion costs one heap operation, however many are in service.
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 
 
 class Processor:
-    """Serves stages of jobs; `on_stage_end` is called with each job whose stage is done.
+    """Serves stages of jobs and calls `on_stage_end` with each job whose stage is done.
 
-    After each change of the jobs in service or of the speed, `reschedule` has to be called.
+    `reschedule` must be called after each change of the jobs in service or of the speed.
     """
 
     def __init__(self, engine: Engine, cores: int, on_stage_end: Callable[[Job], None]) -> None:
         self.cores = cores
-        self.running = 0  # jobs in service
+        self.running = 0  # number of jobs in service
         self._engine = engine
         self._on_stage_end = on_stage_end
-        self._virtual_time = 0.0  # work that each job in service has received since the start, in seconds
-        self._rate = 0.0  # of virtual time, per second
+        self._virtual_time = 0.0  # work received by a job that was always in service, in seconds
+        self._rate = 0.0  # seconds of virtual time per second
         self._updated_at = engine.now
-        self._ends: list[tuple[float, int, Job]] = []  # heap by virtual end; jobs that stopped stay in it
+        self._ends: list[tuple[float, int, Job]] = []  # heap by virtual end; may contain stopped jobs
         self._sequence = 0
         self._next_end: ScheduledCall | None = None
 
     def advance(self) -> None:
-        """Brings virtual time up to now; to be called before the rate changes."""
+        """Advances virtual time to now; must be called before the rate changes."""
         now = self._engine.now
         self._virtual_time += (now - self._updated_at) * self._rate
         self._updated_at = now
 
     def add(self, job: Job) -> None:
-        """Begins the job's present stage."""
+        """Starts the current stage of a job."""
         self.advance()
         self.running += 1
         job.state = JobState.RUNNING
@@ -47,22 +47,22 @@
         heappush(self._ends, (job.virtual_end, self._sequence, job))
 
     def remove(self, job: Job) -> None:
-        """Takes a job out of service, whether its stage is done or not."""
+        """Removes a job from service, whether or not its stage is done."""
         self.advance()
         job.state = JobState.BLOCKED
         self.running -= 1
 
     def clear(self) -> None:
-        """Forgets all jobs; their states are the caller's to set."""
+        """Removes all jobs without changing their states, which the caller must set."""
         self._ends.clear()
         self.running = 0
 
     def restart(self) -> None:
-        """Begins again after a time without a process."""
+        """Resumes when the server's process starts again; no virtual time passes without a process."""
         self._updated_at = self._engine.now
 
     def reschedule(self, core_speed: float, slowdown: float) -> None:
-        """Sets the rate by a core's speed and a factor on durations, and when the next stage ends."""
+        """Sets the rate from a core's speed and a factor on durations, and schedules the next stage end."""
         ends = self._ends
         while ends and ends[0][2].state != JobState.RUNNING:
             heappop(ends)
--- a/wheatroute/fleet/random_streams.py
+++ b/wheatroute/fleet/random_streams.py
@@ -1,8 +1,8 @@
-"""Random streams: one for each purpose, all from one seed. No I/O.
+"""Random streams: one for each purpose, all derived from one seed. No I/O.
 
-Two policies that are compared meet the same arrivals, works and faults whatever they decide, as long as no
-stream is asked for a number of draws that depends on a decision. Streams of a node's own decisions are
-named after it.
+Policies that are compared get the same arrivals, work and faults whatever they decide, provided that the
+number of draws from a stream never depends on a decision. The decision maker of each node has its own stream,
+which is named after the node.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 
 def stream(seed: int, *purpose: object) -> Random:
-    """The stream of one purpose; the same on every machine."""
+    """Returns the random stream for a purpose; the draws are the same on every machine."""
     return Random("/".join(map(str, (seed, *purpose))))
 
 
 def uniform(*numbers: int) -> float:
-    """A draw from (0, 1), a function of these numbers (mixer of SplitMix64, Steele et al., 2014)."""
+    """Returns a draw from (0, 1) that depends only on `numbers` (SplitMix64 mixer, Steele et al., 2014)."""
     state = 0
     for number in numbers:
         state = (state + number + 0x9E3779B97F4A7C15) & _MASK
--- a/wheatroute/fleet/server_factory.py
+++ b/wheatroute/fleet/server_factory.py
@@ -1,4 +1,4 @@
-"""Builds the servers of a plan: models by their weights, zones in turn, speeds by draw. No I/O."""
+"""Builds the servers of a plan: models by weight, zones in rotation, speeds at random. No I/O."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from wheatroute.fleet.plan import FleetPlan, Tier
 from wheatroute.fleet.servers import Placement, Server
 
-CELL_SIZE = 4  # servers with successive numbers
+CELL_SIZE = 4  # servers in a cell; their numbers are consecutive
 
 
 class ServerFactory:
-    """Builds servers; each one draws from random streams of its own."""
+    """Builds servers; each server gets its own random stream."""
 
     def __init__(self, plan: FleetPlan, seed: int, engine: Engine) -> None:
         self._plan = plan
@@ -21,7 +21,7 @@
         self._engine = engine
 
     def build_tier(self, depth: int) -> list[Server]:
-        """The servers with which a tier begins."""
+        """Returns the initial servers of a tier."""
         rng = random_streams.stream(self._seed, "servers", depth)
         models = _models_by_weight(self._plan.tiers[depth])
         rng.shuffle(models)
@@ -32,7 +32,7 @@
         ]
 
     def build_successor(self, server: Server, number: int) -> Server:
-        """A server of the same model and zone under a new number."""
+        """Returns a new server of the same model and zone with another number."""
         rng = random_streams.stream(self._seed, "successor", server.depth, server.number)
         placement = Placement(server.depth, number, server.zone, server.model, number // CELL_SIZE)
         return self._build(placement, rng)
@@ -49,14 +49,17 @@
 
 
 def _models_by_weight(tier: Tier) -> list[int]:
-    """A model for each server; each next one is the furthest behind its weight, whatever the tier's size."""
+    """Returns the index of a model for each server, in proportion to the models' weights at any tier size.
+
+    Each server gets the model that is furthest behind its weight so far.
+    """
     weights = sum(model.weight for model in tier.models)
     deficits = [0.0] * len(tier.models)
     chosen = []
     for _ in range(tier.servers):
         for number, model in enumerate(tier.models):
             deficits[number] += model.weight / weights
-        furthest = max(range(len(deficits)), key=lambda number: deficits[number])
-        deficits[furthest] -= 1.0
-        chosen.append(furthest)
+        most_behind = max(range(len(deficits)), key=lambda number: deficits[number])
+        deficits[most_behind] -= 1.0
+        chosen.append(most_behind)
     return chosen
--- a/wheatroute/fleet/server_speed.py
+++ b/wheatroute/fleet/server_speed.py
@@ -1,31 +1,31 @@
-"""Speed of an emulated server's cores: warm-up after a start, and what faults make of it. No I/O."""
+"""Speed of a simulated server's cores, as changed by warm-up after a start and by faults. No I/O."""
 
 from __future__ import annotations
 
 from wheatroute.fleet.plan import Tier
 
-HANG_FAULT = "hang"  # name of the fault under which a server answers nothing, probes included
+HANG_FAULT = "hang"  # name of the fault that stops a server from answering anything, including probes
 
 
 class ServerSpeed:
-    """Speed of a core, in multiples of the speed that work is measured on; without collapse."""
+    """Computes the speed of a core, where 1 is the speed that work is expressed in; ignores collapse."""
 
     def __init__(self, tier: Tier, base: float) -> None:
-        self.base = base  # when warm and well
-        self.started_at = 0.0  # of the process; 0: long ago
+        self.base = base  # when warmed up and without faults
+        self.started_at = 0.0  # start of the process; 0 means long ago
         self._warmup_s = tier.warmup_s
         self._warmup_initial_share = tier.warmup_initial_share
-        self._fault_factors: dict[str, float] = {}  # by fault
+        self._fault_factors: dict[str, float] = {}  # by name of the fault
 
     def current(self, now: float) -> float:
-        """The speed at present; 0 while the server hangs or pauses."""
+        """Returns the current speed; 0 while the server hangs or pauses."""
         speed = self.base * self.warmup_share(now)
         for factor in self._fault_factors.values():
             speed *= factor
         return speed
 
     def warmup_share(self, now: float) -> float:
-        """The fraction of its speed that the server has, by the time since its start."""
+        """Returns the fraction of its full speed that the server has reached since its start."""
         if not self.started_at:
             return 1.0
         progress = (now - self.started_at) / (self._warmup_s or 1.0)
@@ -34,7 +34,7 @@
         return self._warmup_initial_share + (1.0 - self._warmup_initial_share) * progress
 
     def set_fault_factor(self, fault: str, factor: float) -> None:
-        """A fault begins (a factor on the speed) or ends (1)."""
+        """Sets the factor of a fault on the speed; 1 ends the fault."""
         if factor == 1.0:
             self._fault_factors.pop(fault, None)
         else:
@@ -42,13 +42,13 @@
 
     @property
     def is_hanging(self) -> bool:
-        """Whether the server answers nothing."""
+        """Whether a fault makes the server answer nothing."""
         return HANG_FAULT in self._fault_factors
 
     def process_ended(self) -> None:
-        """Faults end with the process that they have struck."""
+        """Removes all faults, which end with the process that they affect."""
         self._fault_factors.clear()
 
     def process_started(self, now: float) -> None:
-        """A new process begins cold."""
+        """Starts the warm-up of a new process."""
         self.started_at = now
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -1,7 +1,7 @@
-"""Emulated servers: admission, slots and queue, speed, start and end of their processes. No I/O.
+"""Simulated servers: admission, slots and queue, speed, start and end of their processes. No I/O.
 
-A server does the work that it is given and never decides where work goes. It knows nothing of requests but
-the work of each stage of a job; what happens between stages (calls to the next tier) is its owner's.
+A server executes the work that it is given and never decides where work goes. It knows nothing of a request
+but the work of each stage of its job; the owner of the job handles the calls to the next tier between stages.
 """
 
 from __future__ import annotations
@@ -21,22 +21,23 @@
 from wheatroute.fleet.processor import Processor
 from wheatroute.fleet.server_speed import ServerSpeed
 
-UPDATE_INTERVAL_S = 0.25  # between updates of what changes by itself: warm-up, collapse and recovery
-ERROR_DELAY_S = 0.001  # until a job that fails at once has failed
+# Interval between updates of what changes with time alone: warm-up, collapse and recovery.
+UPDATE_INTERVAL_S = 0.25
+ERROR_DELAY_S = 0.001  # from the acceptance of a job that fails immediately to its error
 
 
 class Placement(NamedTuple):
-    """Where a server stands, as numbers."""
+    """Identifies a server and where it runs."""
 
-    depth: int  # of its tier
-    number: int  # in the tier
+    depth: int  # index of its tier
+    number: int  # index in its tier
     zone: int
     model: int  # index into `Tier.models`
     cell: int
 
 
 class Server:
-    """One server; `incarnation` counts its processes, to tell what belongs to an earlier one."""
+    """One server; `incarnation` counts its processes, to recognize jobs and connections of earlier ones."""
 
     def __init__(
         self,
@@ -44,7 +45,7 @@
         placement: Placement,
         tier: Tier,
         model: ServerModel,
-        speed: float,  # of a core when warm and well
+        speed: float,  # of a core when warmed up and without faults
         rng: Random,
     ) -> None:
         self.depth, self.number, self.zone, self.model, self.cell = placement
@@ -57,9 +58,9 @@
         self.incarnation = 0
         self.is_alive = True
         self.open_connections = 0
-        self.held_jobs = 0  # jobs in service, queued or blocked on a call
-        self.in_service = 0  # slots taken
-        self.error_rate = 0.0  # fraction of jobs that fail at once, by a fault
+        self.held_jobs = 0  # number of jobs in service, queued or blocked on a call
+        self.in_service = 0  # number of slots in use
+        self.error_rate = 0.0  # fraction of jobs that fail immediately, set by a fault
         self.collapse = CollapseMonitor(tier.collapse, model.cores, engine.now)
         self.reporter = LoadReporter(rng)
         self._engine = engine
@@ -67,12 +68,12 @@
         self._speed = ServerSpeed(tier, speed)
         self._processor = Processor(engine, model.cores, self._stage_ended)
         self._queue: deque[Job] = deque()
-        self._jobs: dict[Job, None] = {}  # a set that keeps its order
+        self._jobs: dict[Job, None] = {}  # used as an ordered set
 
     # jobs
 
     def accept(self, job: Job) -> bool:
-        """Takes a job on; False if all slots and the queue are full: then it never runs."""
+        """Accepts a job; returns False, and never runs the job, if all slots and the queue are full."""
         if self.in_service >= self.slots and len(self._queue) >= self.queue_capacity:
             return False
         self._observe_load()
@@ -81,7 +82,7 @@
         self._jobs[job] = None
         self.held_jobs += 1
         if self.error_rate and self._rng.random() < self.error_rate:
-            self._engine.call_later(ERROR_DELAY_S, self._fail_at_once, job)
+            self._engine.call_later(ERROR_DELAY_S, self._fail_immediately, job)
         elif self.in_service < self.slots:
             self.in_service += 1
             self._run(job)
@@ -91,18 +92,18 @@
         return True
 
     def add_background_work(self, work_s: float) -> None:
-        """Work that belongs to no request, such as a handshake: it slows what is in service."""
+        """Adds work that belongs to no request, such as a handshake; it slows down the jobs in service."""
         if self.is_alive and work_s:
             self._run(Job([work_s], None))
 
     def run_next_stage(self, job: Job) -> None:
-        """The call between two stages was served: the next stage begins."""
+        """Starts the next stage of a job, after the call between the two stages was served."""
         if self._holds(job):
             job.stage += 1
             self._run(job)
 
     def fail(self, job: Job) -> None:
-        """Ends a job with an error, as the call between two stages was not served or it is too late."""
+        """Ends a job with an error, since a call between its stages was not served or its deadline passed."""
         if self._holds(job):
             self._end(job)
             self.reporter.count_failed()
@@ -110,7 +111,7 @@
                 job.owner.job_done(job, AttemptOutcome.ERROR)
 
     def cancel(self, job: Job) -> None:
-        """Stops a job that nobody waits for, if it is one that the tier can stop."""
+        """Stops a job whose client no longer waits, if the tier can cancel jobs in its state."""
         if not self._holds(job):
             return
         cancellable = self.tier.cancellable
@@ -123,7 +124,7 @@
     def _holds(self, job: Job) -> bool:
         return job.state != JobState.ENDED and job.incarnation == self.incarnation
 
-    def _fail_at_once(self, job: Job) -> None:
+    def _fail_immediately(self, job: Job) -> None:
         if self._holds(job):
             self.in_service += 1
             self.fail(job)
@@ -133,7 +134,7 @@
         self._reschedule()
 
     def _end(self, job: Job) -> None:
-        """Takes out a job, and begins queued ones in its place."""
+        """Removes a job and starts queued jobs in the free slots."""
         self._observe_load()
         state = job.state
         self._jobs.pop(job, None)
@@ -170,34 +171,34 @@
 
     @property
     def started_at(self) -> float:
-        """When its process started; 0: long ago."""
+        """When its process started; 0 means long ago."""
         return self._speed.started_at
 
     @property
     def is_hanging(self) -> bool:
-        """Whether it answers nothing."""
+        """Whether a fault makes it answer nothing."""
         return self._speed.is_hanging
 
     def current_speed(self) -> float:
-        """Speed of a core at present, with warm-up, faults and collapse; 0 while it hangs."""
+        """Returns the current speed of a core, including warm-up, faults and collapse; 0 while it hangs."""
         return self._speed.current(self._engine.now) / self.collapse.slowdown
 
     def warmup_share(self) -> float:
-        """The fraction of its speed that it has, by the time since its start."""
+        """Returns the fraction of its full speed that the server has reached since its start."""
         return self._speed.warmup_share(self._engine.now)
 
     def capacity(self) -> float:
-        """Seconds of work per second that it does when warm and well."""
+        """Returns the seconds of work per second that it does when warmed up and without faults."""
         return self.cores * self._speed.base
 
     def set_fault_factor(self, fault: str, factor: float) -> None:
-        """A fault begins (a factor on the speed) or ends (1)."""
+        """Sets the factor of a fault on the speed; 1 ends the fault."""
         self._processor.advance()
         self._speed.set_fault_factor(fault, factor)
         self._reschedule()
 
     def update(self) -> None:
-        """Takes up what changes by itself: warm-up, collapse and recovery."""
+        """Applies the changes that come with time alone: warm-up, collapse and recovery."""
         if not self.is_alive:
             return
         self._observe_load()
@@ -206,7 +207,7 @@
         self._reschedule()
 
     def start_reports(self, delay_s: float) -> None:
-        """Refreshes the load report after a delay, and then every interval."""
+        """Refreshes the load report after a delay, and then once every report interval."""
         self._engine.call_later(delay_s, self._refresh_report)
 
     def _refresh_report(self) -> None:
@@ -222,14 +223,14 @@
         self._processor.reschedule(self.current_speed(), self._thrash_slowdown())
 
     def _thrash_slowdown(self) -> float:
-        """What too many requests in service cost, as a factor on the duration of all work."""
+        """Returns the factor on the duration of all work due to too many requests in service."""
         excess = self.in_service / self.cores / self.tier.thrash_threshold
         return 1.0 + self.tier.thrash * log2(excess) if excess > 1.0 else 1.0
 
     # processes
 
     def die(self) -> list[Job]:
-        """Ends the process; returns the jobs that it held, in the order in which it accepted them."""
+        """Ends the process and returns the jobs that it held, in the order in which they were accepted."""
         self._processor.advance()
         lost = sorted(self._jobs, key=lambda job: (job.accepted_at, job.virtual_end))
         for job in lost:
@@ -246,7 +247,7 @@
         return lost
 
     def start(self) -> None:
-        """Begins a new process, cold."""
+        """Starts a new process, which begins cold."""
         self.is_alive = True
         self._speed.process_started(self._engine.now)
         self._processor.restart()
--- a/wheatroute/fleet/tenant_quotas.py
+++ b/wheatroute/fleet/tenant_quotas.py
@@ -1,14 +1,14 @@
-"""Whether requests are within their tenants' quotas, as seen over the whole fleet. No I/O."""
+"""Checks requests against the quotas of their tenants, counted over the whole fleet. No I/O."""
 
 from __future__ import annotations
 
 from wheatroute.fleet.plan import FleetPlan
 
-BURST_S = 1.0  # seconds of its quota that a tenant can save up
+BURST_S = 1.0  # seconds of quota that a tenant can accumulate
 
 
 class TenantQuotas:
-    """A token bucket for each tenant."""
+    """Keeps a token bucket for each tenant; a request costs one token."""
 
     def __init__(self, plan: FleetPlan, now: float) -> None:
         quota = plan.quota()
@@ -17,7 +17,7 @@
         self._updated_at = [now] * len(self._rates)
 
     def take(self, tenant: int, now: float) -> bool:
-        """Takes a token; False if there is none. Without a tenant (-1) there is no quota."""
+        """Takes a token and returns True, or False if none is left; -1 means no tenant and so no quota."""
         if tenant < 0:
             return True
         rate = self._rates[tenant]
--- a/wheatroute/fleet/transport.py
+++ b/wheatroute/fleet/transport.py
@@ -1,6 +1,6 @@
-"""The way of an attempt to a server and back: connection, latency, timeout, reset, cancellation. No I/O.
+"""Transport of attempts to servers and back: connection, latency, timeout, reset, cancellation. No I/O.
 
-Each attempt that is sent ends once, with a call of `on_end`.
+Each attempt that is sent ends exactly once with a call of `on_end`, unless the node ends first.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class JobSource(Protocol):
-    """Makes the jobs that attempts are for servers."""
+    """Creates the jobs that servers run for attempts."""
 
     def job_for(self, attempt: Attempt, transport: AttemptTransport) -> Job:
-        """The job of an attempt; its response goes through `transport`."""
+        """Creates the job of an attempt; its response is sent through `transport`."""
 
 
 class AttemptTransport:
-    """Sends the attempts of one node."""
+    """Sends the attempts of one node and receives their responses."""
 
     def __init__(
         self,
@@ -51,20 +51,20 @@
         self._is_closed = False
 
     def delay_to(self, server: Server) -> float:
-        """The delay of one message to a server, in seconds; `inf` if it does not arrive."""
+        """Returns the delay of one message to a server in seconds, `inf` if it never arrives."""
         return self._network.message_delay(self._zone, server.zone, self._address, server.address)
 
     def _delay_from(self, server: Server) -> float:
         return self._network.message_delay(server.zone, self._zone, server.address, self._address)
 
     def close(self) -> None:
-        """The node has ended: nothing comes back any more."""
+        """Drops all further responses, because the node has ended."""
         self._is_closed = True
 
     # from the node to the server
 
     def send(self, attempt: Attempt, timeout_s: float) -> None:
-        """Sends an attempt, on an idle connection or a new one."""
+        """Sends an attempt on an idle connection or a new one; it times out after `timeout_s`."""
         attempt.timeout = self._engine.call_later(timeout_s, self._timed_out, attempt)
         if self._connections.take_idle(attempt.server):
             attempt.has_connection = True
@@ -73,20 +73,20 @@
             self._connect(attempt)
 
     def _connect(self, attempt: Attempt) -> None:
-        """Opens a connection, which takes round trips."""
+        """Opens a connection, which takes several round trips, and writes the attempt to it."""
         server = attempt.server
         delay_s = self.delay_to(server)
         if delay_s == inf:
-            self._engine.call_later(self._plan.connect_timeout_s, self._unconnected, attempt)
+            self._engine.call_later(self._plan.connect_timeout_s, self._connect_failed, attempt)
         elif not server.is_alive or server.open_connections >= server.max_connections:
-            self._engine.call_later(2 * delay_s, self._unconnected, attempt)
+            self._engine.call_later(2 * delay_s, self._connect_failed, attempt)
         else:
             self._connections.open(server)
             attempt.has_connection = True
             attempt.incarnation = server.incarnation
             self._engine.call_later(2 * delay_s * self._plan.handshake_round_trips, self._write, attempt)
 
-    def _unconnected(self, attempt: Attempt) -> None:
+    def _connect_failed(self, attempt: Attempt) -> None:
         if not attempt.is_over:
             self.end(attempt, AttemptOutcome.UNCONNECTED)
 
@@ -99,14 +99,14 @@
             self._engine.call_later(delay_s, self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
-        """The attempt's last byte comes to the server."""
+        """Delivers an attempt that has arrived completely to the server."""
         server = attempt.server
         if not server.is_alive or server.incarnation != attempt.incarnation:
             if not attempt.is_over:
                 self.end(attempt, AttemptOutcome.RESET if server.is_alive else AttemptOutcome.UNCONNECTED)
             return
         if attempt.is_over:
-            return  # cancelled on the way: it never runs
+            return  # cancelled in transit, so it never runs
         job = self._jobs.job_for(attempt, self)
         if server.accept(job):
             attempt.job = job
@@ -116,7 +116,7 @@
     # from the server to the node
 
     def respond(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """The server sends the response, with its load report."""
+        """Sends the response of the server, with its load report."""
         server = attempt.server
         delay_s = self._delay_from(server)
         if delay_s < inf and not (outcome == AttemptOutcome.SERVED and self._network.loses_response()):
@@ -132,7 +132,7 @@
         self.end(attempt, outcome, report)
 
     def server_died(self, attempt: Attempt) -> None:
-        """The process that held the attempt has ended: its connection breaks."""
+        """Breaks the connection of an attempt, because the process that held it has ended."""
         if attempt.is_over or self._is_closed:
             return
         delay_s = self._delay_from(attempt.server)
@@ -146,7 +146,7 @@
     # ends
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome, report: Report | None = None) -> None:
-        """Ends an attempt, and its connection unless `abandon` follows."""
+        """Ends an attempt; closes its connection except after TIMED_OUT or WITHDRAWN, when `abandon` does."""
         attempt.is_over = True
         attempt.outcome = outcome
         self._engine.cancel(attempt.timeout)
@@ -155,18 +155,18 @@
         self._on_end(attempt, report)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Ends an attempt that the node doesn't wait for any more."""
+        """Ends an attempt that the node no longer waits for."""
         self.end(attempt, AttemptOutcome.WITHDRAWN)
         self.abandon(attempt)
 
     def _timed_out(self, attempt: Attempt) -> None:
         if not attempt.is_over:
-            # one that was not written whole has never run
+            # An attempt that was not written completely has never run.
             self.end(attempt, AttemptOutcome.TIMED_OUT if attempt.is_written else AttemptOutcome.MOOT)
             self.abandon(attempt)
 
     def abandon(self, attempt: Attempt) -> None:
-        """Closes the connection of an attempt; the server hears of it one latency later."""
+        """Closes the connection of an attempt; the server cancels the job one network latency later."""
         attempt.is_over = True
         self._close_connection(attempt)
         job = attempt.job
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -1,4 +1,4 @@
-"""One run of a plan: builds its parts, connects them and plays them. No I/O."""
+"""One simulation run of a plan: builds its parts, connects them and runs them. No I/O."""
 
 from __future__ import annotations
 
@@ -16,16 +16,17 @@
 from wheatroute.fleet.servers import Server
 from wheatroute.fleet.trace import RequestTrace
 
-START = 1000.0  # moment at which a run begins, as 0 means long ago
-DEADLINES_AFTER_END = 1.5  # for which a run goes on after its last arrival,
-SECONDS_AFTER_END = 1.0  # and so much longer
+START = 1000.0  # virtual time at which a run begins; not 0, because 0 means long ago
+# After the plan's duration a run continues for this many times the longest deadline, plus these seconds.
+DEADLINES_AFTER_END = 1.5
+SECONDS_AFTER_END = 1.0
 
 
 class World:
-    """The parts of one run; `make_decision_maker` makes the decisions of each node.
+    """Holds the parts of one run; `make_decision_maker` creates the decision maker of each node.
 
-    Streams of random numbers are named after their purpose, so that their order of creation has no effect;
-    the order in which calls are scheduled has.
+    Random streams are named after their purpose, so the order in which they are created has no effect. The
+    order in which calls are scheduled does have one.
     """
 
     def __init__(self, plan: FleetPlan, seed: int, make_decision_maker: DecisionMakerFactory) -> None:
@@ -48,7 +49,7 @@
         self.membership.update_periodically()
 
     def run(self) -> World:
-        """Plays the plan's duration, and on until requests that arrived within it are answered."""
+        """Runs the plan for its duration, then until the requests that arrived in it have been answered."""
         self.clients.begin()
         max_deadline_s = max(request_class.deadline_s for request_class in self.plan.request_classes)
         rest_s = DEADLINES_AFTER_END * max_deadline_s + SECONDS_AFTER_END
