--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,7 +17,7 @@
 from wheatroute.fleet.experiment import Run  # noqa: E402
 from wheatroute.fleet.policies import DESIGN, decisions_factory  # noqa: E402
 from wheatroute.fleet.queue_simulation import simulate_queues  # noqa: E402
-from wheatroute.fleet.runner import play_run, play_runs  # noqa: E402
+from wheatroute.fleet.runner import simulate_run, simulate_runs  # noqa: E402
 from wheatroute.fleet.world import World  # noqa: E402
 
 TRUE_STATE = ("shortest_queue", "two_true_choices", "top")
@@ -73,8 +73,8 @@
 
 def same_bytes():
     """Whether two plays of a day with faults are one to the byte."""
-    run = Run(run_id="-", point={}, policy=DESIGN, seed=1, fleet=scenarios.day("crash", 8))
-    first, second = (hashlib.sha256(play_run(run).encode()).hexdigest() for _ in range(2))
+    run = Run(run_id="-", point={}, policy=DESIGN, seed=1, fleet=scenarios.scenario_plan("crash", 8))
+    first, second = (hashlib.sha256(simulate_run(run).encode()).hexdigest() for _ in range(2))
     return first == second
 
 
@@ -86,14 +86,14 @@
             point={"day": day, "size": size},
             policy=policy,
             seed=seed,
-            fleet=scenarios.day(day, scenarios.SIZES[size]),
+            fleet=scenarios.scenario_plan(day, scenarios.SIZES[size]),
         )
         for size in sizes
         for day in days
         for policy in policies
         for seed in range(1, seeds + 1)
     ]
-    return list(play_runs(runs, workers))
+    return list(simulate_runs(runs, workers))
 
 
 def main():
@@ -132,10 +132,10 @@
             3,
         )
     else:
-        days, played_at = list(scenarios.DAYS), args.size.split(",")
+        days, played_at = list(scenarios.SCENARIOS), args.size.split(",")
         policies, seeds = [DESIGN, *sorted(baselines.BASELINES)], args.seeds
     records = decisions(days, played_at, policies, seeds, args.workers)
-    page = report.page("The design beside every baseline", records)
+    page = report.markdown_report("The design beside every baseline", records)
     write(page)
     if args.into:
         Path(args.into).write_text(page, encoding="utf-8")
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -78,7 +78,7 @@
 
 
 def test_a_story_changes_nothing_of_its_run():
-    fleet = plan.parse_plan({**scenarios.day("crash", 8), "length": 8.0})
+    fleet = plan.parse_plan({**scenarios.scenario_plan("crash", 8), "length": 8.0})
     plain, traced = (World(fleet, 1, decisions_factory("design")) for _ in range(2))
     traced.trace.request_index = 40
     assert plain.play().engine.call_count == traced.play().engine.call_count and traced.trace.lines
--- a/tests/fleet/test_recorded_figures.py
+++ b/tests/fleet/test_recorded_figures.py
@@ -7,7 +7,7 @@
 import pytest
 
 from wheatroute.fleet.experiment import Run
-from wheatroute.fleet.runner import play_run
+from wheatroute.fleet.runner import simulate_run
 from wheatroute.fleet.stored_keys import to_stored
 
 FLEET = {
@@ -125,7 +125,7 @@
     fault = {"at": 2.0, "length": 2.5, "part": 0.4, **FAULTS[policy]}
     fleet = {**FLEET, "faults": [fault]}
     run = Run(run_id="-", point={}, policy=policy, seed=7, fleet=fleet)
-    figures = to_stored(play_run(run).figures)
+    figures = to_stored(simulate_run(run).figures)
     recorded = RECORDED[policy]
     assert list(figures) == list(recorded)
     assert figures["events"] == recorded["events"]
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -3,7 +3,7 @@
 from wheatroute.fleet.experiment import Run
 from wheatroute.fleet.records import RUNS_FILE, decode_record, read_records, stored_lines
 from wheatroute.fleet.rules import Rule, Violation
-from wheatroute.fleet.runner import play_run
+from wheatroute.fleet.runner import simulate_run
 
 FLEET = {
     "length": 2.0,
@@ -42,13 +42,13 @@
 
 
 def test_the_same_run_is_stored_under_the_same_keys():
-    record, stored = play_run(RUN), decode_record(LINE)
+    record, stored = simulate_run(RUN), decode_record(LINE)
     assert (record.violations, record.value_by_second) == (stored.violations, stored.value_by_second)
     assert record.encode().count(b'":') == LINE.count(b'":')
 
 
 def test_lines_are_read_by_run_without_one_that_was_cut_short(tmp_path):
-    other = play_run(Run(run_id="0a", point={}, policy="random", seed=1, fleet=FLEET))
+    other = simulate_run(Run(run_id="0a", point={}, policy="random", seed=1, fleet=FLEET))
     (tmp_path / RUNS_FILE).write_bytes(other.encode() + b"\n" + LINE + b"\n" + LINE[:40])
     assert list(stored_lines(tmp_path)) == ["0a", "1f"]
     assert read_records(tmp_path) == [other, decode_record(LINE)]
--- a/tests/fleet/test_scenarios.py
+++ b/tests/fleet/test_scenarios.py
@@ -6,14 +6,17 @@
 
 
 def test_a_day_follows_from_its_name_and_size():
-    assert (scenarios.day("calm", 100)["nodes"], scenarios.day("crash", 8)["faults"][0]["kind"]) == (
+    assert (
+        scenarios.scenario_plan("calm", 100)["nodes"],
+        scenarios.scenario_plan("crash", 8)["faults"][0]["kind"],
+    ) == (
         20,
         "crash",
     )
 
 
 def test_every_day_is_a_whole_plan_at_every_size():
-    for name in scenarios.DAYS:
+    for name in scenarios.SCENARIOS:
         for size in scenarios.SIZES.values():
-            assert plan.parse_plan(scenarios.day(name, size)).capacity() > size
-    assert orjson.dumps(scenarios.DAYS)
+            assert plan.parse_plan(scenarios.scenario_plan(name, size)).capacity() > size
+    assert orjson.dumps(scenarios.SCENARIOS)
--- a/wheatroute/commands/fleet.py
+++ b/wheatroute/commands/fleet.py
@@ -58,7 +58,7 @@
     records = read_records(into)
     if not records:
         exit_with_error(f"{folder}: contains no records of runs")
-    text = report.page(into.name, records)
+    text = report.markdown_report(into.name, records)
     for name in report.draw_plots(records, into) if plots else ():
         text += f"\n![{name}]({name})\n"
     into.joinpath("report.md").write_text(text, encoding="utf-8")
--- a/wheatroute/fleet/report.py
+++ b/wheatroute/fleet/report.py
@@ -78,7 +78,7 @@
     return groups
 
 
-def page(name: str, runs: list[RunRecord], baseline: str = DESIGN) -> str:
+def markdown_report(name: str, runs: list[RunRecord], baseline: str = DESIGN) -> str:
     """The report in Markdown; values of policies are compared with those of `baseline`."""
     lines = [
         f"# {name}",
--- a/wheatroute/fleet/runner.py
+++ b/wheatroute/fleet/runner.py
@@ -27,7 +27,7 @@
 MICROSECONDS = 1e6  # in a second
 
 
-def play_run(run: Run) -> RunRecord:
+def simulate_run(run: Run) -> RunRecord:
     """Plays one run."""
     world = World(parse_plan(run.fleet), run.seed, decisions_factory(run.policy)).play()
     return RunRecord(
@@ -70,7 +70,7 @@
     with path.open("ab") as file:
         if path.stat().st_size and not path.read_bytes().endswith(b"\n"):
             file.write(b"\n")  # ends a line that was cut short
-        for done, record in enumerate(play_runs(missing, workers), 1):
+        for done, record in enumerate(simulate_runs(missing, workers), 1):
             line = record.encode()
             lines[record.run_id] = line
             file.write(line + b"\n")
@@ -82,11 +82,11 @@
     return len(missing)
 
 
-def play_runs(runs: list[Run], workers: int) -> Iterator[RunRecord]:
+def simulate_runs(runs: list[Run], workers: int) -> Iterator[RunRecord]:
     """Plays runs in so many processes; records come as they are done."""
     if workers <= 1:
-        yield from map(play_run, runs)
+        yield from map(simulate_run, runs)
         return
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        for future in as_completed([pool.submit(play_run, run) for run in runs]):
+        for future in as_completed([pool.submit(simulate_run, run) for run in runs]):
             yield future.result()
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -56,7 +56,7 @@
 
 
 # what each day changes of clients and faults
-DAYS: dict[str, dict[str, Any]] = {
+SCENARIOS: dict[str, dict[str, Any]] = {
     "calm": {"callers": {"load": 0.5, "swing": 0.2}},
     "rush": {"callers": {"load": 0.5, "waves": [{"at": 6.0, "length": 5.0, "times": 1.8, "rise": 0.5}]}},
     "overload": {"callers": {"load": 1.2}},
@@ -81,9 +81,9 @@
 }
 
 
-def day(name: str, servers: int) -> dict[str, Any]:
+def scenario_plan(name: str, servers: int) -> dict[str, Any]:
     """The tables of a plan for one day, with so many servers in each tier; KeyError for an unknown day."""
-    changes = DAYS[name]
+    changes = SCENARIOS[name]
     tier = {"servers": servers, "models": MODELS, "reports": {}, "slots": 24, "queue": 200, "thrash": 0.1}
     return {
         "name": f"{name} {servers}",
