--- a/tests/fleet/emulated_runs.py
+++ b/tests/fleet/simulated_runs.py
@@ -1,18 +1,18 @@
-"""Small emulated runs for the tests of this folder."""
+"""Small simulated runs for the tests in this folder."""
 
 from wheatroute.fleet import plan
 from wheatroute.fleet.policies import DESIGN, decisions_factory
 from wheatroute.fleet.world import World
 
-KINDS = [
+REQUEST_CLASSES = [
     {"name": "look", "work": 0.1},
     {"name": "change", "work": 0.1, "effect": "receipted", "group": "cell"},
     {"name": "buy", "work": 0.1, "effect": "effectful"},
 ]
-SMALL = {
+SMALL_PLAN = {
     "length": 12.0,
     "nodes": 4,
-    "kinds": KINDS,
+    "kinds": REQUEST_CLASSES,
     "callers": {"load": 0.4, "retries": 1},
     "network": {"zones": ["x", "y"], "list_delay": 0.5},
     "tiers": [{"name": "front", "servers": 8}, {"name": "back", "servers": 10}],
@@ -20,21 +20,21 @@
 
 
 def new_world(policy=DESIGN, seed=1, make_decisions=None, **changes):
-    """A run of the small plan with changes, built and not played."""
-    fleet = plan.parse_plan({**SMALL, **changes})
+    """Builds a run of the small plan with changes, without simulating it."""
+    fleet = plan.parse_plan({**SMALL_PLAN, **changes})
     return World(fleet, seed, make_decisions or decisions_factory(policy))
 
 
-def play(policy=DESIGN, seed=1, make_decisions=None, **changes):
-    """A run of the small plan with changes, played."""
+def simulate(policy=DESIGN, seed=1, make_decisions=None, **changes):
+    """Simulates a run of the small plan with changes; returns the run."""
     return new_world(policy, seed, make_decisions, **changes).play()
 
 
 def one_tier(**changes):
-    """Changes that leave one tier."""
+    """Returns changes that leave one tier in the plan."""
     return {"tiers": [{"name": "only", "servers": 6, **changes}]}
 
 
 def fault(kind, **settings):
-    """The faults table of a plan with one fault."""
+    """Returns the faults table of a plan with one fault."""
     return [{"kind": kind, "at": 3.0, "length": 4.0, "part": 0.4, **settings}]
--- a/tests/fleet/test_closed_forms.py
+++ b/tests/fleet/test_closed_forms.py
@@ -1,4 +1,4 @@
-"""The emulator's servers against closed forms, at a size for CI."""
+"""Compares the simulated servers with closed forms of queueing theory, with few enough jobs for CI."""
 
 from random import Random
 
@@ -10,8 +10,8 @@
 JOBS, SEEDS = 40_000, (1, 2, 3)
 
 
-def mean(figures):
-    return sum(figures) / len(figures)
+def mean(values):
+    return sum(values) / len(values)
 
 
 @pytest.mark.parametrize(
@@ -31,14 +31,14 @@
     assert mean(measured) == pytest.approx(expected, rel=0.03)
 
 
-def test_many_cores_have_the_mean_time_of_erlangs_second_formula():
+def test_many_cores_have_the_mean_time_of_the_erlang_c_formula():
     measured = [
         simulate_queues(1, 4, "in_turn", 0.7, "exponential", 1.0, JOBS, seed).mean_time_s for seed in SEEDS
     ]
     assert mean(measured) == pytest.approx(closed_forms.mmc(0.7, 1.0, 4), rel=0.02)
 
 
-def test_a_full_queue_turns_away_the_share_of_the_closed_form():
+def test_a_full_queue_rejects_the_fraction_of_the_closed_form():
     measured = [
         simulate_queues(1, 2, "in_turn", 0.9, "exponential", 1.0, JOBS, seed, queue_capacity=3).rejected
         for seed in SEEDS
@@ -46,7 +46,7 @@
     assert mean(measured) == pytest.approx(closed_forms.mmck(0.9, 2, 5), rel=0.05)
 
 
-def test_two_choices_have_the_tail_of_the_mean_field():
+def test_two_choices_have_the_tail_of_the_mean_field_limit():
     rng = Random(5)
 
     def choose(servers):
--- a/tests/fleet/test_engine.py
+++ b/tests/fleet/test_engine.py
@@ -1,9 +1,9 @@
-"""The engine of virtual time."""
+"""Tests the engine of virtual time."""
 
 from wheatroute.fleet.engine import Engine
 
 
-def test_calls_are_made_in_order_but_for_cancelled_ones():
+def test_calls_are_made_in_order_except_cancelled_ones():
     engine, calls = Engine(), []
     engine.call_at(2.0, calls.append, "b")
     engine.call_at(1.0, calls.append, "a")
--- a/tests/fleet/test_experiment.py
+++ b/tests/fleet/test_experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: kept whole, gone on with, the same by any number of workers; their reports and stories."""
+"""Tests experiments: stored runs, resuming, any number of workers, reports and traces."""
 
 import pytest
 from click.testing import CliRunner
@@ -32,7 +32,7 @@
     return path
 
 
-def test_any_number_of_workers_keeps_the_same_bytes(file, tmp_path):
+def test_any_number_of_workers_stores_the_same_bytes(file, tmp_path):
     experiment = read_experiment(str(file))
     assert run_experiment(experiment, tmp_path / "one", 1) == 8
     assert run_experiment(experiment, tmp_path / "three", 3) == 8
@@ -40,44 +40,46 @@
     assert one == three and len(one.splitlines()) == 8
 
 
-def test_an_experiment_that_was_cut_off_goes_on_where_it_was(file, tmp_path):
+def test_an_interrupted_experiment_is_resumed(file, tmp_path):
     experiment = read_experiment(str(file))
     run_experiment(experiment, tmp_path / "whole", 1)
     whole = (tmp_path / "whole" / RUNS_FILE).read_bytes()
-    cut = tmp_path / "cut"
-    cut.mkdir()
-    (cut / RUNS_FILE).write_bytes(whole[: len(whole) // 2])  # in the middle of a line
-    played = run_experiment(experiment, cut, 1)
-    assert 3 <= played <= 5 and (cut / RUNS_FILE).read_bytes() == whole
+    interrupted = tmp_path / "interrupted"
+    interrupted.mkdir()
+    (interrupted / RUNS_FILE).write_bytes(whole[: len(whole) // 2])  # ends in the middle of a line
+    simulated = run_experiment(experiment, interrupted, 1)
+    assert 3 <= simulated <= 5 and (interrupted / RUNS_FILE).read_bytes() == whole
 
 
-def test_the_command_line_plays_reports_and_tells_a_story(file, tmp_path):
+def test_the_command_line_runs_reports_and_traces_an_experiment(file, tmp_path):
     run = CliRunner().invoke(main, ["fleet", "run", str(file), "--workers", "1"])
     assert run.exit_code == 0 and "8 runs played, 8 kept" in run.output
-    made = CliRunner().invoke(main, ["fleet", "report", str(tmp_path / "tiny")])
-    page = (tmp_path / "tiny" / "report.md").read_text()
-    assert made.exit_code == 0 and "## callers.load 0.6" in page and "| random |" in page
+    reported = CliRunner().invoke(main, ["fleet", "report", str(tmp_path / "tiny")])
+    markdown = (tmp_path / "tiny" / "report.md").read_text()
+    assert reported.exit_code == 0 and "## callers.load 0.6" in markdown and "| random |" in markdown
     assert (tmp_path / "tiny" / "sweep_0.svg").exists()
-    story = CliRunner().invoke(main, ["fleet", "trace", str(file), "--command", "3"])
-    assert story.exit_code == 0 and "attempt 0 to server" in story.output and "node of server" in story.output
+    traced = CliRunner().invoke(main, ["fleet", "trace", str(file), "--command", "3"])
+    assert (
+        traced.exit_code == 0 and "attempt 0 to server" in traced.output and "node of server" in traced.output
+    )
 
 
 @pytest.mark.parametrize(
     "old, new, message",
     [
-        ('"random"', '"randomly"', "no 'randomly'; there are design"),
-        ('"callers.load"', '"tiers.7.servers"', "nothing is at"),
+        ('"random"', '"randomly"', "unknown policy 'randomly'; known policies: design"),
+        ('"callers.load"', '"tiers.7.servers"', "'tiers.7.servers' is not a path in the plan"),
         ("nodes = 2", "nodes = 0", "nodes: Input should be greater"),
         ("[fleet]", "[fleet", "Expected"),
     ],
 )
-def test_a_file_that_is_no_use_is_told_in_one_line(file, old, new, message):
+def test_an_invalid_file_is_reported(file, old, new, message):
     file.write_text(FILE.replace(old, new))
     run = CliRunner().invoke(main, ["fleet", "run", str(file)])
     assert run.exit_code == 2 and message in run.output
 
 
-def test_a_story_changes_nothing_of_its_run():
+def test_tracing_does_not_change_a_run():
     fleet = plan.parse_plan({**scenarios.scenario_plan("crash", 8), "length": 8.0})
     plain, traced = (World(fleet, 1, decisions_factory("design")) for _ in range(2))
     traced.trace.request_index = 40
--- a/tests/fleet/test_faults.py
+++ b/tests/fleet/test_faults.py
@@ -1,8 +1,8 @@
-"""Rules that the decision module keeps through each fault."""
+"""Tests that the balancer keeps the rules during each kind of fault."""
 
 import pytest
 
-from fleet.emulated_runs import fault, play
+from fleet.simulated_runs import fault, simulate
 from wheatroute.fleet import results
 from wheatroute.fleet.rules import Rule
 
@@ -26,7 +26,7 @@
         ("lossy", {"size": 0.1}),
     ],
 )
-def test_the_design_keeps_its_rules_through_each_fault(kind, settings):
-    world = play(faults=fault(kind, **settings))
+def test_the_balancer_keeps_the_rules_during_each_fault(kind, settings):
+    world = simulate(faults=fault(kind, **settings))
     assert world.rules.counts == dict.fromkeys(Rule, 0), world.rules.violations
     assert results.figures(world).served > 0.8
--- a/tests/fleet/test_imports.py
+++ b/tests/fleet/test_imports.py
@@ -1,4 +1,4 @@
-"""Modules of the emulator build on each other in one direction, from the plan to the world."""
+"""Tests that the modules of the simulated fleet have no import cycles and are layered from plan to world."""
 
 import ast
 from graphlib import TopologicalSorter
@@ -17,7 +17,8 @@
 
 
 def imported(tree):
-    for node in ast.walk(tree):  # imports in functions and for types alone count too
+    # Imports in functions and under TYPE_CHECKING count too.
+    for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module is not None:
@@ -25,14 +26,14 @@
             yield from (f"{node.module}.{alias.name}" for alias in node.names)
 
 
-def test_no_modules_import_each_other():
+def test_modules_have_no_import_cycles():
     trees = dict(modules())
     graph = {
         name: {target.removeprefix(PACKAGE) for target in imported(tree) if target.startswith(PACKAGE)}
         & trees.keys()
         for name, tree in trees.items()
     }
-    order = list(TopologicalSorter(graph).static_order())  # raises CycleError
-    ladder = ["plan", "engine", "servers", "nodes", "clients", "world"]
-    assert [name for name in order if name in ladder[2:]] == ladder[2:]
+    order = list(TopologicalSorter(graph).static_order())  # raises CycleError for a cycle
+    layers = ["plan", "engine", "servers", "nodes", "clients", "world"]
+    assert [name for name in order if name in layers[2:]] == layers[2:]
     assert max(order.index("plan"), order.index("engine")) < order.index("servers")
--- a/tests/fleet/test_plan.py
+++ b/tests/fleet/test_plan.py
@@ -1,8 +1,8 @@
-"""Plan files: keys that stay, whatever the fields are called in the code, and what is said of mistakes."""
+"""Tests plan files: keys stay the same whatever the names of the fields, and mistakes are reported."""
 
 import pytest
 
-from fleet.emulated_runs import SMALL, fault
+from fleet.simulated_runs import SMALL_PLAN, fault
 from wheatroute.fleet import plan
 
 KEYS = {
@@ -97,19 +97,19 @@
 
 
 @pytest.mark.parametrize("table", sorted(KEYS))
-def test_the_keys_of_a_table_stay(table):
+def test_the_keys_of_a_table_do_not_change(table):
     fields = getattr(plan, table).model_fields
     assert [field.alias or name for name, field in fields.items()] == KEYS[table]
 
 
-def test_the_name_of_a_field_is_no_key_of_the_file():
+def test_the_name_of_an_aliased_field_is_not_a_key():
     with pytest.raises(plan.PlanError, match="max_attempts: Extra inputs are not permitted"):
         plan.parse_plan({"tiers": [{"name": "only", "servers": 1}], "max_attempts": 3})
 
 
-def test_a_file_that_is_wrong_is_told_in_a_line_for_each_mistake():
+def test_an_invalid_file_is_reported_with_a_line_for_each_mistake():
     with pytest.raises(plan.PlanError) as raised:
-        plan.parse_plan({**SMALL, "nodes": 0, "spare": 1, "faults": [{"kind": "fire", "at": 0.0}]})
+        plan.parse_plan({**SMALL_PLAN, "nodes": 0, "spare": 1, "faults": [{"kind": "fire", "at": 0.0}]})
     assert len(raised.value.lines) == 3 and "nodes" in raised.value.lines[0]
     with pytest.raises(plan.PlanError, match="zone 'q'"):
-        plan.parse_plan({**SMALL, "faults": fault("zone_loss", zone="q")})
+        plan.parse_plan({**SMALL_PLAN, "faults": fault("zone_loss", zone="q")})
--- a/tests/fleet/test_random_streams.py
+++ b/tests/fleet/test_random_streams.py
@@ -1,4 +1,4 @@
-"""Random streams and draws by number."""
+"""Tests random streams and random numbers that are derived from keys."""
 
 from wheatroute.fleet import random_streams
 
@@ -11,7 +11,7 @@
     )
 
 
-def test_a_uniform_draw_depends_on_all_numbers():
+def test_a_uniform_draw_depends_on_all_keys_and_their_order():
     assert (
         0.0 < random_streams.uniform(1, 2) < 1.0,
         random_streams.uniform(1, 2) == random_streams.uniform(1, 2),
--- a/tests/fleet/test_recorded_figures.py
+++ b/tests/fleet/test_recorded_figures.py
@@ -1,7 +1,7 @@
-"""Small runs with fixed seeds have the figures that they have always had, to the last event.
+"""Tests that small runs with fixed seeds reproduce their recorded figures, down to the number of events.
 
-The policies are baselines, so that a change of the decision module changes nothing here. A difference means
-that the emulator plays something else: that is a change to be explained, never a figure to be renewed alone.
+The policies are baselines, so that changes to the balancer have no effect here. A difference means that the
+simulation itself has changed: explain that change, and never update a recorded figure without it.
 """
 
 import pytest
--- a/tests/fleet/test_records.py
+++ b/tests/fleet/test_records.py
@@ -1,4 +1,4 @@
-"""Records of runs: bytes of an earlier version, and nothing lost on the way to a file and back."""
+"""Tests stored records of runs: compatibility with an earlier version, and lossless encoding and decoding."""
 
 from wheatroute.fleet.experiment import Run
 from wheatroute.fleet.records import RUNS_FILE, decode_record, read_records, stored_lines
@@ -17,7 +17,7 @@
     "faults": [{"kind": "crash", "at": 0.1, "length": 0.2, "part": 1.0}],
 }
 RUN = Run(run_id="1f", point={"callers.load": 0.3}, policy="random", seed=2, fleet=FLEET)
-# what this run was stored as before the fields had names other than their keys
+# the record of this run as stored by an earlier version, in which the fields were named like their keys
 LINE = (
     b'{"run":"1f","point":{"callers.load":0.3},"policy":"random","seed":2,"figures":{"commands":4,'
     b'"utility":1.0,"handled":1.0,"bounced":0.0,"terminated":0.0,"left":0.0,"late":0.0,"by_kind":[1.0],'
@@ -47,7 +47,7 @@
     assert record.encode().count(b'":') == LINE.count(b'":')
 
 
-def test_lines_are_read_by_run_without_one_that_was_cut_short(tmp_path):
+def test_lines_are_read_by_run_and_a_truncated_line_is_skipped(tmp_path):
     other = simulate_run(Run(run_id="0a", point={}, policy="random", seed=1, fleet=FLEET))
     (tmp_path / RUNS_FILE).write_bytes(other.encode() + b"\n" + LINE + b"\n" + LINE[:40])
     assert list(stored_lines(tmp_path)) == ["0a", "1f"]
--- a/tests/fleet/test_report.py
+++ b/tests/fleet/test_report.py
@@ -1,4 +1,4 @@
-"""Medians and their intervals."""
+"""Tests medians and their confidence intervals."""
 
 from random import Random
 
@@ -16,9 +16,9 @@
     assert (report.median([3.0, 1.0, 2.0]), report.median([4.0, 1.0])) == (2.0, 2.5)
 
 
-def test_intervals_hold_the_median_as_often_as_they_say():
-    rng, held, confidence = Random(1), 0, 0.0
+def test_intervals_cover_the_median_as_often_as_their_confidence_states():
+    rng, covered, confidence = Random(1), 0, 0.0
     for _ in range(2000):
         low, high, confidence = report.interval([rng.random() for _ in range(12)])
-        held += low <= 0.5 <= high
-    assert confidence >= 0.95 and held / 2000 > 0.94
+        covered += low <= 0.5 <= high
+    assert confidence >= 0.95 and covered / 2000 > 0.94
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -1,16 +1,16 @@
-"""Each of the four rules is seen to be broken by a policy made for it."""
+"""Tests that the checks detect a violation of each of the four rules, by policies made for it."""
 
 from dataclasses import replace
 from functools import partial
 
 import pytest
 
-from fleet.emulated_runs import fault, play
+from fleet.simulated_runs import fault, simulate
 from wheatroute.fleet import baselines
 
 
 class RuleBreaker(baselines.RandomChoice):
-    """Breaks one of the rules on purpose."""
+    """Violates the rule that `violation` selects."""
 
     violation = ""
 
@@ -28,18 +28,20 @@
         if self.violation == "drained":
             self.live = list(range(len(self.node.servers)))
         if self.violation == "forgets":
-            forgotten = [
+            abandoned = [
                 number
                 for number, request in self._pending.items()
                 if request.in_flight and self.rng.random() < 0.5
             ]
-            for number in forgotten:
+            for number in abandoned:
                 self.node.requests[number].in_flight += 1
                 del self._pending[number]
 
     def choose(self, candidates, class_number):
-        cold = [server for server in candidates if self.node.servers[server].warmup_share() < 1.0]
-        return cold[0] if self.violation == "cold" and cold else super().choose(candidates, class_number)
+        warming = [server for server in candidates if self.node.servers[server].warmup_share() < 1.0]
+        return (
+            warming[0] if self.violation == "cold" and warming else super().choose(candidates, class_number)
+        )
 
 
 def rule_breaker(violation, *arguments):
@@ -69,7 +71,7 @@
         ("forgets", 1, {"faults": fault("hang", part=1.0, length=30.0)}),
     ],
 )
-def test_a_broken_rule_is_seen_with_its_story(violation, rule, changes):
-    world = play(make_decisions=partial(rule_breaker, violation), **changes)
+def test_a_violation_is_detected_and_described(violation, rule, changes):
+    world = simulate(make_decisions=partial(rule_breaker, violation), **changes)
     assert world.rules.counts[rule] > 0
-    assert any(broken.rule == rule and "node" in broken.story for broken in world.rules.violations)
+    assert any(found.rule == rule and "node" in found.description for found in world.rules.violations)
--- a/tests/fleet/test_servers.py
+++ b/tests/fleet/test_servers.py
@@ -1,21 +1,21 @@
-"""Servers that crash, warm up, collapse and are overloaded."""
+"""Tests servers that crash, warm up, collapse and are overloaded."""
 
-from fleet.emulated_runs import KINDS, fault, new_world, one_tier, play
+from fleet.simulated_runs import REQUEST_CLASSES, fault, new_world, one_tier, simulate
 from wheatroute.fleet.requests import RequestOutcome
 
 
-def test_a_crashed_server_comes_back_cold():
+def test_a_crashed_server_restarts_cold():
     world = new_world(faults=fault("crash", part=0.1, tier=0, length=2.0))
     world.clients.begin()
     world.engine.run(1004.0)
     assert sum(not server.is_alive for server in world.tiers[0]) == 1
     world.engine.run(1005.5)
-    back = [server for server in world.tiers[0] if server.started_at]
-    assert len(back) == 1 and 0.4 <= back[0].warmup_share() < 0.6
+    restarted = [server for server in world.tiers[0] if server.started_at]
+    assert len(restarted) == 1 and 0.4 <= restarted[0].warmup_share() < 0.6
 
 
-def test_a_server_that_holds_too_much_turns_slow_until_it_was_idle():
-    world = play(
+def test_a_server_that_holds_too_many_requests_collapses_until_it_was_idle():
+    world = simulate(
         "random",
         length=20.0,
         **one_tier(collapse={"span": 1.0, "rest": 1.0}),
@@ -25,13 +25,13 @@
     assert all(not server.collapse.is_collapsed for server in world.tiers[0])
 
 
-def test_an_overload_outlives_its_trigger_where_clients_retry_without_end():
+def test_an_overload_outlasts_its_trigger_if_clients_retry_many_times():
     def served_at_the_end(retries):
-        world = play(
+        world = simulate(
             "random",
             length=40.0,
             nodes=2,
-            kinds=KINDS[:1],
+            kinds=REQUEST_CLASSES[:1],
             callers={
                 "load": 0.7,
                 "retries": retries,
--- a/tests/fleet/test_world.py
+++ b/tests/fleet/test_world.py
@@ -1,4 +1,4 @@
-"""Whole runs: the same in, the same out; and how policies compare."""
+"""Tests whole runs: they are reproducible, and policies compare as expected."""
 
 import json
 import os
@@ -6,21 +6,21 @@
 import sys
 from pathlib import Path
 
-from fleet.emulated_runs import fault, play
+from fleet.simulated_runs import fault, simulate
 from wheatroute.fleet import results
 from wheatroute.fleet.stored_keys import to_stored
 
 
-def test_the_same_file_and_seed_give_the_same_figures_in_any_process():
-    expected = json.dumps(to_stored(results.figures(play(faults=fault("crash")))))
-    text = (
+def test_the_same_plan_and_seed_give_the_same_figures_in_any_process():
+    expected = json.dumps(to_stored(results.figures(simulate(faults=fault("crash")))))
+    script = (
         "import json, sys; sys.path[:0] = [%r, %r]; from fleet.test_world import *;"
-        "print(json.dumps(to_stored(results.figures(play(faults=fault('crash'))))))"
+        "print(json.dumps(to_stored(results.figures(simulate(faults=fault('crash'))))))"
     )
     here = Path(__file__).parent.parent
     for salt in ("1", "2"):
         again = subprocess.run(
-            [sys.executable, "-c", text % (str(here), str(here.parent))],
+            [sys.executable, "-c", script % (str(here), str(here.parent))],
             check=True,
             capture_output=True,
             text=True,
@@ -29,21 +29,21 @@
         assert again.stdout.strip() == expected
 
 
-def test_policies_that_are_compared_meet_the_same_requests():
+def test_compared_policies_get_the_same_requests():
     first, second = (
         [(request.arrived_at, request.class_number, request.size) for request in world.clients.requests]
-        for world in (play(), play("random"))
+        for world in (simulate(), simulate("random"))
     )
     assert first == second
 
 
-def test_true_state_serves_best_and_the_design_comes_between():
-    tight = {
+def test_true_state_beats_random_choice_and_the_balancer_is_not_worse_than_random():
+    tight_target = {
         "callers": {"load": 0.75},
         "length": 20.0,
         "kinds": [{"name": "look", "work": 0.1, "target_time": 0.5}],
     }
     random, shortest_queue = (
-        results.figures(play(name, **tight)).value for name in ("random", "shortest_queue")
+        results.figures(simulate(name, **tight_target)).value for name in ("random", "shortest_queue")
     )
-    assert random < shortest_queue and results.figures(play(**tight)).value > random - 0.02
+    assert random < shortest_queue and results.figures(simulate(**tight_target)).value > random - 0.02
--- a/wheatroute/fleet/collapse.py
+++ b/wheatroute/fleet/collapse.py
@@ -1,4 +1,4 @@
-"""Collapse of an emulated server that held too much for too long, and its recovery. No I/O.
+"""Collapse of a simulated server that held too many requests for too long, and its recovery. No I/O.
 
 Bronson et al., "Metastable Failures in Distributed Systems", 2021.
 """
@@ -11,61 +11,61 @@
 
 
 class CollapseMonitor:
-    """Whether one server is collapsed, by its smoothed load; it never is where `plan` is None."""
+    """Determines from its smoothed load whether a server is collapsed; it never is if `plan` is None."""
 
     def __init__(self, plan: Collapse | None, cores: int, now: float) -> None:
-        self.count = 0  # collapses so far
+        self.count = 0  # number of collapses so far
         self._plan = plan
         self._cores = cores
-        self._since = -inf  # -inf: not collapsed
-        self._held = 0.0  # requests held, smoothed over the plan's window
-        self._utilization = 0.0  # fraction of busy cores, smoothed over the recovery window
+        self._collapsed_at = -inf  # start of the present collapse; -inf: not collapsed
+        self._mean_held = 0.0  # requests held, smoothed over the plan's window
+        self._mean_utilization = 0.0  # fraction of busy cores, smoothed over the recovery window
         self._observed_at = now
 
     @property
     def is_collapsed(self) -> bool:
-        """Whether the server is slow at present."""
-        return self._since > -inf
+        """Returns whether the server is collapsed at present."""
+        return self._collapsed_at > -inf
 
     @property
     def slowdown(self) -> float:
-        """Factor on the duration of all work at present."""
+        """Returns the present factor on the duration of all work."""
         return self._plan.slowdown if self._plan is not None and self.is_collapsed else 1.0
 
     def observe(self, now: float, held: int, running: int) -> None:
-        """Smooths the load up to now; to be called before it changes."""
+        """Updates the smoothed load up to now; must be called before the load changes."""
         if self._plan is None:
             return
         elapsed = now - self._observed_at
-        self._held += (held - self._held) * (1.0 - exp(-elapsed / self._plan.window_s))
+        self._mean_held += (held - self._mean_held) * (1.0 - exp(-elapsed / self._plan.window_s))
         utilization = min(1.0, running / self._cores)
         weight = 1.0 - exp(-elapsed / self._plan.recovery_window_s)
-        self._utilization += (utilization - self._utilization) * weight
+        self._mean_utilization += (utilization - self._mean_utilization) * weight
         self._observed_at = now
 
     def update(self, now: float) -> None:
-        """Begins or ends a collapse, by the load observed."""
+        """Starts or ends a collapse, depending on the smoothed load."""
         plan = self._plan
         if plan is None:
             return
         if self.is_collapsed:
-            if self._has_recovered(plan, now - self._since):
-                self._since = -inf
-        elif self._held > self._cores + plan.threshold * sqrt(self._cores):
-            self._since = now
-            self._utilization = 1.0
+            if self._has_recovered(plan, now - self._collapsed_at):
+                self._collapsed_at = -inf
+        elif self._mean_held > self._cores + plan.threshold * sqrt(self._cores):
+            self._collapsed_at = now
+            self._mean_utilization = 1.0
             self.count += 1
 
     def _has_recovered(self, plan: Collapse, elapsed: float) -> bool:
-        was_idle = self._utilization < plan.recovery_utilization and elapsed > plan.recovery_window_s
+        was_idle = self._mean_utilization < plan.recovery_utilization and elapsed > plan.recovery_window_s
         return was_idle or elapsed > plan.max_duration_s
 
     def process_ended(self) -> None:
-        """The server's process has ended, and a collapse with it."""
-        self._since = -inf
-        self._held = 0.0
+        """Ends a collapse, because the server's process has ended."""
+        self._collapsed_at = -inf
+        self._mean_held = 0.0
 
     def process_started(self, now: float) -> None:
-        """A new process begins without load."""
+        """Resets the smoothed load for a new process."""
         self._observed_at = now
-        self._utilization = 0.0
+        self._mean_utilization = 0.0
--- a/wheatroute/fleet/decision_settings.py
+++ b/wheatroute/fleet/decision_settings.py
@@ -1,4 +1,4 @@
-"""The decision settings of the nodes that a plan describes. No I/O."""
+"""Derives the decision settings of nodes from a plan. No I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     "zone": DeduplicationGroup.ZONE,
     "cell": DeduplicationGroup.CELL,
 }
-REPORTED = ("held", "rate", "error_rate")  # figures of `LoadReporter.report`
+REPORTED_NAMES = ("held", "rate", "error_rate")  # names of the values in `LoadReporter.report`
 MAX_RETRY_AFTER_S = 2.0
 LIST_MAX_AGE_S = 10.0
 MAX_OPEN_CONNECTIONS = 20_000
@@ -25,7 +25,7 @@
 def decision_settings(
     plan: FleetPlan, depth: int, number: int, zone: int, node_count: int
 ) -> DecisionSettings:
-    """The settings of one of `node_count` nodes that send to the tier at this depth."""
+    """Returns the settings of node `number` of the `node_count` nodes that send to the tier at this depth."""
     tier, network, rules = plan.tiers[depth], plan.network, plan.rules
     quota = plan.quota()
     has_reports = tier.reports is not None
@@ -64,7 +64,7 @@
         overload_multiple=rules.overload_multiple,
         list_on_request=False,
         work_counts=False,
-        reported=list(REPORTED) if has_reports else [],
+        reported=list(REPORTED_NAMES) if has_reports else [],
         request_classes=[_request_class(request_class) for request_class in plan.request_classes],
         tenants=[TenantQuota(tenant.portion, tenant.portion * quota) for tenant in plan.tenants],
     )
--- a/wheatroute/fleet/experiment.py
+++ b/wheatroute/fleet/experiment.py
@@ -1,6 +1,6 @@
-"""Experiments: a file names a fleet, policies, seeds and sweeps, which make a list of runs. Reads files.
+"""Experiments: a file with a fleet, policies, seeds and sweeps, expanded into a list of runs. Reads files.
 
-A run is identified by what it is made of, so that an experiment that was stopped goes on where it was.
+The id of a run is a hash of its plan, policy and seed, so that an interrupted experiment can be resumed.
 """
 
 from __future__ import annotations
@@ -23,38 +23,39 @@
 
 
 class Sweep(Table):
-    """Several values for one key of the fleet's file; in its path, numbers are places in a list."""
+    """Lists several values for one key of the plan; numbers in the key's path are indexes of a list."""
 
     key: Name
     values: Annotated[list[Any], Field(min_length=1)]
 
 
 class Experiment(Table):
-    """An experiment file."""
+    """Describes an experiment: the root table of an experiment file."""
 
     name: Name = "experiment"
     policies: Annotated[list[Name], Field(min_length=1)] = [DESIGN]
-    seeds: Annotated[int, Field(ge=1, le=10_000)] = 5  # how many
+    seeds: Annotated[int, Field(ge=1, le=10_000)] = 5  # number of seeds
     first_seed: int = 1
     sweeps: list[Sweep] = []
-    fleet: dict[str, Any]  # tables of a plan
+    fleet: dict[str, Any]  # tables of the plan
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run of an experiment."""
+    """Describes one run of an experiment."""
 
     run_id: str
     point: dict[str, Any]  # the swept keys and their values
     policy: str
     seed: int
-    fleet: dict[str, Any]  # tables of the plan, with the point's values
+    fleet: dict[str, Any]  # tables of the plan, with the values of the point
 
 
 def read_experiment(path: str) -> Experiment:
-    """The experiment of a TOML file; its `fleet` is a table, or the path of a plan file beside it.
+    """Reads an experiment from a TOML file.
 
-    Raises PlanError with a line for each problem of the file or of any plan that follows from it.
+    The key `fleet` is a table or the path of a plan file, relative to the experiment file. Raises PlanError
+    with a line for each problem in the file or in any plan that it expands to.
     """
     tables = read_toml(Path(path), path)
     if isinstance(tables.get("fleet"), str):
@@ -66,16 +67,18 @@
     unknown = [policy for policy in experiment.policies if not is_policy(policy)]
     if unknown:
         known = ", ".join(policy_names())
-        raise PlanError([f"{path}: policies: no {policy!r}; there are {known}" for policy in unknown])
+        raise PlanError(
+            [f"{path}: policies: unknown policy {policy!r}; known policies: {known}" for policy in unknown]
+        )
     for run in expand_runs(experiment):
         parse_plan(run.fleet, path)
     return experiment
 
 
 def set_by_path(tables: dict[str, Any], key: str, value: Any) -> None:
-    """Sets a value by its path, as in `tiers.0.servers`; creates tables that are missing.
+    """Sets the value at a path such as `tiers.0.servers`; creates missing tables.
 
-    Raises KeyError, IndexError, ValueError or TypeError if the path doesn't fit.
+    Raises KeyError, IndexError, ValueError or TypeError if the path doesn't match the tables.
     """
     *parents, last = key.split(".")
     target: Any = tables
@@ -88,7 +91,7 @@
 
 
 def expand_runs(experiment: Experiment) -> Iterator[Run]:
-    """All runs, by points of the sweeps, then policies, then seeds."""
+    """Yields all runs, ordered by points of the sweeps, then policies, then seeds."""
     for values in product(*(sweep.values for sweep in experiment.sweeps)):
         point = {sweep.key: value for sweep, value in zip(experiment.sweeps, values, strict=True)}
         fleet = _fleet_at(experiment, point)
@@ -103,11 +106,11 @@
         try:
             set_by_path(fleet, key, value)
         except (KeyError, IndexError, ValueError, TypeError):
-            raise PlanError([f"sweeps: nothing is at {key!r}"]) from None
+            raise PlanError([f"sweeps: {key!r} is not a path in the plan"]) from None
     return fleet
 
 
 def _run_id(fleet: dict[str, Any], policy: str, seed: int) -> str:
-    """A hash of what a run is made of."""
-    made_of = orjson.dumps([fleet, policy, seed], option=orjson.OPT_SORT_KEYS)
-    return hashlib.blake2b(made_of, digest_size=RUN_ID_BYTES).hexdigest()
+    """Returns a hash of everything that determines a run."""
+    identity = orjson.dumps([fleet, policy, seed], option=orjson.OPT_SORT_KEYS)
+    return hashlib.blake2b(identity, digest_size=RUN_ID_BYTES).hexdigest()
--- a/wheatroute/fleet/loss_accounting.py
+++ b/wheatroute/fleet/loss_accounting.py
@@ -1,8 +1,8 @@
-"""Loss accounting: which step of the decisions gave up a request, what the node knew, and what was true.
+"""Loss accounting: why the balancer gave up requests, with its own state and the true state of the servers.
 
-Wraps the decision module as it is shipped: notes who called `FinalAnswers.finish` and joins it with the true
-state of the servers. Changes no decision. For finding causes in the emulator, never used by the product. No
-I/O.
+Wraps the shipped balancer: records which method called `FinalAnswers.finish`, together with the true state of
+the simulated servers. Changes no decision. Serves the analysis of simulated runs; the product never uses it.
+No I/O.
 """
 
 from __future__ import annotations
@@ -25,67 +25,69 @@
 from wheatroute.fleet.requests import ClientRequest, RequestOutcome
 from wheatroute.fleet.world import World
 
-# by the method of the decisions that gave up; those not named here are named by the method itself
+# Causes by the name of the method that gave up the request. For any other method, its name is the cause.
 CAUSES = {
     "arrived": "too late on arrival",
-    "_run_timers": "time ran out",
-    "shed": "foretold wait",
-    "_retry": "no further attempt",
-    "drain": "waiting",
+    "_run_timers": "timed out",
+    "shed": "predicted wait too long",
+    "_retry": "no retry allowed",
+    "drain": "queued",
 }
-UNLIMITED = -1.0  # `LossCause.limit` of a node without one
-NEXT_TRY_S = 0.5  # a loss so much later belongs to another try of the client
-MAX_TRIES_TOLD_APART = 3
+UNLIMITED = -1.0  # `LossCause.limit` of a node without a limit
+NEXT_TRY_GAP_S = 0.5  # a loss that is later than the previous one by more than this belongs to another try
+MAX_TRIES_REPORTED = 3  # requests with more tries are counted with those that have this many
 
 
 @dataclass(slots=True)
 class LossCause:
-    """Why a node gave up one request."""
+    """Holds why a node gave up one request, and the state at that time."""
 
-    moment: float
-    depth: int  # of the tier that the node sends to
-    client_request: int  # its index
+    lost_at: float
+    depth: int  # depth of the tier that the node sends to
+    client_request: int  # index of the client's request
     class_number: int
     cause: str
-    attempts: int  # of the request before
-    waited_s: float  # since it came to this node
+    attempts: int  # number of attempts that were sent for the request
+    waited_s: float  # time since the request arrived at the node
     limit: float  # the node's concurrency limit
-    in_flight: int  # attempts of the node
-    idle_fraction: float  # of the tier's servers with a free core, in truth
-    mean_load: float  # jobs held by a server of the tier over its cores, in truth
+    in_flight: int  # the node's attempts in flight
+    idle_fraction: float  # true fraction of the tier's servers that have a free core
+    mean_load: float  # true mean number of jobs per core over the tier's servers
 
 
-class LossNotingBalancer(Balancer):
-    """The decision module with a note at each request that it gives up."""
+class LossRecordingBalancer(Balancer):
+    """Extends the balancer: records each request that it gives up."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random, losses: list[LossCause]) -> None:
         super().__init__(settings, rng)
         self._node, self._losses = node, losses
-        self._arrived_at: dict[int, float] = {}  # requests that are neither closed nor given up
+        self._arrived_at: dict[int, float] = {}  # arrival times of requests that are not closed
 
         self._handlers[Event.ARRIVED] = self._arrived
 
     def _make_final_answers(self, state: BalancerState, quotas: TenantQuotas) -> FinalAnswers:
-        return LossNotingAnswers(self, state, quotas)
+        return LossRecordingAnswers(self, state, quotas)
 
-    def _arrived(self, number: int, *more: Any) -> None:
+    def _arrived(self, number: int, *rest: Any) -> None:
         self._arrived_at[number] = self._state.now
-        self._components.lifecycle.arrived(number, *more)
+        self._components.lifecycle.arrived(number, *rest)
 
     def forget_arrival(self, request: Request) -> None:
-        """Forgets when a request arrived that is closed."""
+        """Forgets the arrival time of a request that is closed."""
         self._arrived_at.pop(request.number, None)
 
-    def note_loss(self, request: Request, caller: str) -> None:
-        """Notes that a request is given up, by the name of the method that gives it up."""
+    def record_loss(self, request: Request, caller: str) -> None:
+        """Records that a request is given up; `caller` is the name of the method that gives it up."""
         cause = CAUSES.get(caller, caller)
         if caller == "_run_timers":
-            back = ", attempt back" if request.servers else ", never sent"
-            cause += ", attempt out" if request.attempts_in_flight else back
+            not_in_flight = ", attempts ended" if request.servers else ", never sent"
+            cause += ", attempt in flight" if request.attempts_in_flight else not_in_flight
         elif caller == "_retry":
-            last = self._node.requests[request.number].attempts
-            cause += ", after " + "/".join(str(one.outcome.name) for one in last if one.outcome is not None)
-        servers = [one for one in self._node.servers if one.is_alive]
+            attempts = self._node.requests[request.number].attempts
+            cause += ", after " + "/".join(
+                str(attempt.outcome.name) for attempt in attempts if attempt.outcome is not None
+            )
+        servers = [server for server in self._node.servers if server.is_alive]
         limiter = self._components.limiter
         self._losses.append(
             LossCause(
@@ -98,59 +100,59 @@
                 self._state.now - self._arrived_at.get(request.number, self._state.now),
                 limiter.limit if limiter.limit < inf else UNLIMITED,
                 limiter.in_flight,
-                sum(one.held < one.cores for one in servers) / max(1, len(servers)),
-                sum(one.held / one.cores for one in servers) / max(1, len(servers)),
+                sum(server.held < server.cores for server in servers) / max(1, len(servers)),
+                sum(server.held / server.cores for server in servers) / max(1, len(servers)),
             )
         )
 
 
-class LossNotingAnswers(FinalAnswers):
-    """The final answers of a node, with a note at each request that it gives up."""
+class LossRecordingAnswers(FinalAnswers):
+    """Extends the final answers of a node: records each request that the node gives up."""
 
-    def __init__(self, balancer: LossNotingBalancer, state: BalancerState, quotas: TenantQuotas) -> None:
+    def __init__(self, balancer: LossRecordingBalancer, state: BalancerState, quotas: TenantQuotas) -> None:
         super().__init__(state, quotas)
         self._balancer = balancer
 
     def finish(self, request: Request) -> None:
-        """Notes the loss, by its caller, and gives the final answer."""
-        self._balancer.note_loss(request, sys._getframe(1).f_code.co_name)
+        """Records the loss with the name of the calling method, and gives the final answer."""
+        self._balancer.record_loss(request, sys._getframe(1).f_code.co_name)
         super().finish(request)
 
     def close(self, request: Request, kept: int = -1) -> None:
-        """Ends a request and cancels its attempts in flight but `kept`."""
+        """Ends a request and cancels its attempts in flight except number `kept`; -1 keeps none."""
         self._balancer.forget_arrival(request)
         super().close(request, kept)
 
 
-def loss_noting_factory(losses: list[LossCause]) -> DecisionsFactory:
-    """A factory of balancers that add each request that they give up to `losses`."""
+def loss_recording_factory(losses: list[LossCause]) -> DecisionsFactory:
+    """Returns a factory of balancers that append each request that they give up to `losses`."""
 
     def make(node: Node, settings: DecisionSettings, rng: Random) -> Balancer:
-        return LossNotingBalancer(node, settings, rng, losses)
+        return LossRecordingBalancer(node, settings, rng, losses)
 
     return make
 
 
 class LossByCause(NamedTuple):
-    """What all requests with one cause have lost."""
+    """Holds the value that was lost to one cause."""
 
     cause: str
-    lost: float  # as a fraction of the value of all requests
+    lost: float  # lost value as a fraction of the offered value of all requests
     requests: int
 
 
 def losses_by_cause(world: World, losses: list[LossCause]) -> list[LossByCause]:
-    """Value lost to each cause, the greatest first.
+    """Returns the value lost to each cause, the largest loss first.
 
-    The cause of a request is the deepest node that gave it up in its last try; of one that was served late,
-    the number of its tries; of any other, its outcome.
+    A request that was served late is counted by its number of tries. One that nodes gave up is counted by the
+    loss at the deepest of these nodes in its last try, any other by its outcome.
     """
     causes = _deepest_causes(losses)
     lost: dict[str, float] = {}
     counts: dict[str, int] = {}
     total = 0.0
     for request in world.clients.requests:
-        offered, earned = results.value(world, request)
+        offered, earned = results.request_value(world, request)
         total += offered
         if earned < offered:
             cause = _cause_of(request, causes.get(request.index))
@@ -161,11 +163,11 @@
 
 
 def _deepest_causes(losses: list[LossCause]) -> dict[int, LossCause]:
-    """By client request: the deepest loss of the last try, which is why the nodes above gave up."""
+    """Returns the deepest loss of each request's last try, because of which the nodes above gave up."""
     causes: dict[int, LossCause] = {}
     for loss in losses:
         known = causes.get(loss.client_request)
-        is_next_try = known is not None and loss.moment > known.moment + NEXT_TRY_S
+        is_next_try = known is not None and loss.lost_at > known.lost_at + NEXT_TRY_GAP_S
         if known is None or loss.depth >= known.depth or is_next_try:
             causes[loss.client_request] = loss
     return causes
@@ -173,7 +175,7 @@
 
 def _cause_of(request: ClientRequest, loss: LossCause | None) -> str:
     if request.outcome is RequestOutcome.SERVED:
-        return f"late, tries {min(request.tries, MAX_TRIES_TOLD_APART)}"
+        return f"late, tries {min(request.tries, MAX_TRIES_REPORTED)}"
     if loss is not None:
         return f"tier {loss.depth}: {loss.cause}"
     return request.outcome.value or "open"
--- a/wheatroute/fleet/policies.py
+++ b/wheatroute/fleet/policies.py
@@ -1,4 +1,4 @@
-"""Policies that an experiment can name: the decision module and the baselines. No I/O."""
+"""Policies that an experiment can name: the shipped balancer and the baselines. No I/O."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from wheatroute.fleet.event_batches import Decisions
 from wheatroute.fleet.nodes import DecisionsFactory, Node
 
-DESIGN = "design"  # the decision module as it is shipped
+DESIGN = "design"  # policy name of the shipped balancer, `wheatroute/decide.py`
 
 
 def policy_names() -> list[str]:
-    """All names, the decision module first."""
+    """Returns the names of all policies, that of the shipped balancer first."""
     return [DESIGN, *sorted(BASELINES)]
 
 
 def is_policy(name: str) -> bool:
-    """Whether there is a policy of this name."""
+    """Returns whether there is a policy with this name."""
     return name == DESIGN or name in BASELINES
 
 
 def decisions_factory(name: str) -> DecisionsFactory:
-    """Makes the decisions of nodes by a policy; KeyError if there is none of this name."""
+    """Returns a factory for the decisions of nodes under a policy; raises KeyError for an unknown name."""
     return _make_balancer if name == DESIGN else BASELINES[name]
 
 
--- a/wheatroute/fleet/queue_simulation.py
+++ b/wheatroute/fleet/queue_simulation.py
@@ -1,4 +1,4 @@
-"""Emulated servers alone under Poisson arrivals, to be compared with `closed_forms.py`. No I/O."""
+"""Simulated servers without a network under Poisson arrivals, to compare with `closed_forms.py`. No I/O."""
 
 from __future__ import annotations
 
@@ -14,47 +14,47 @@
 from wheatroute.fleet.random_streams import stream
 from wheatroute.fleet.servers import Placement, Server
 
-NO_BOUND = 10**6  # jobs; never reached
-MAX_LENGTH = 64  # of a tail
-SAMPLE_EVERY = 8  # arrivals
-WARMUP_FRACTION = 10  # one of so many jobs comes before the figures begin
-END = 1e12  # moment after all jobs have ended
+UNBOUNDED = 10**6  # number of jobs that no run reaches
+MAX_TAIL_LENGTH = 64  # number of queue lengths in `QueueStatistics.tail`
+ARRIVALS_PER_SAMPLE = 8  # queue lengths are sampled once per this number of arrivals
+WARMUP_DIVISOR = 10  # the first 1 / WARMUP_DIVISOR of the jobs don't count
+END_AT = 1e12  # time that is later than the end of all jobs
 
 
 @dataclass(frozen=True, slots=True)
-class QueueFigures:
-    """What a run of queues had."""
+class QueueStatistics:
+    """Holds the results of a run."""
 
-    mean_time_s: float  # in the system
-    rejected: float  # fraction of the arrivals
-    tail: list[float]  # fraction of the servers that hold at least 0, 1, 2, ... jobs, as arrivals see it
+    mean_time_s: float  # mean time of a job in the system
+    rejected: float  # fraction of the arrivals that were rejected
+    tail: list[float]  # fraction of the servers that hold at least 0, 1, 2, ... jobs, sampled at arrivals
 
 
 class TimedJobOwner:
-    """Owner of a job that notes how long it was in the system."""
+    """Owner of a job; records how long the job was in the system."""
 
     def __init__(self, engine: Engine, times: list[float] | None) -> None:
         self._engine = engine
-        self._times = times  # None: a job that doesn't count
+        self._times = times  # None: the job doesn't count
         self._arrived_at = engine.now
 
     def stage_done(self, job: Job) -> None:
-        """Jobs have one stage."""
+        """Does nothing, because jobs have one stage."""
 
     def job_done(self, job: Job, outcome: AttemptOutcome) -> None:
-        """Notes the time."""
+        """Records the time that the job was in the system."""
         if self._times is not None:
             self._times.append(self._engine.now - self._arrived_at)
 
     def cancelled(self, job: Job) -> None:
-        """Nothing is cancelled here."""
+        """Does nothing, because no job is cancelled."""
 
     def server_died(self, job: Job) -> None:
-        """Servers don't end here."""
+        """Does nothing, because servers don't die here."""
 
 
 class QueueSimulation:
-    """Servers that are alike, and the jobs that arrive at them."""
+    """Simulates identical servers and the jobs that arrive at them."""
 
     def __init__(
         self,
@@ -70,30 +70,30 @@
         self._engine = engine
         self._rng = rng
         self._rate = rate  # arrivals per second
-        self._work = work  # from a uniform draw to seconds
+        self._work = work  # maps a uniform random number to seconds of work
         self._jobs = jobs
-        self._choose = choose  # None: at random
+        self._choose = choose  # None: servers are chosen at random
         self._arrived = 0
-        self._warmup_jobs = jobs // WARMUP_FRACTION
+        self._warmup_jobs = jobs // WARMUP_DIVISOR
         self._times: list[float] = []
-        self._tail = [0] * MAX_LENGTH
-        self._sampled = 0  # servers
+        self._tail = [0] * MAX_TAIL_LENGTH  # counts of sampled servers by the minimum number of jobs
+        self._sampled_servers = 0
         self._rejected = 0
 
-    def run(self) -> QueueFigures:
-        """Plays all arrivals to their end."""
+    def run(self) -> QueueStatistics:
+        """Simulates all arrivals until their jobs have ended."""
         self._engine.call_later(0.0, self._arrive)
-        self._engine.run(END)
-        return QueueFigures(
+        self._engine.run(END_AT)
+        return QueueStatistics(
             sum(self._times) / len(self._times),
             self._rejected / (self._jobs - self._warmup_jobs),
-            [count / max(1, self._sampled) for count in self._tail],
+            [count / max(1, self._sampled_servers) for count in self._tail],
         )
 
     def _arrive(self) -> None:
         self._arrived += 1
         is_counted = self._arrived > self._warmup_jobs
-        if is_counted and self._arrived % SAMPLE_EVERY == 0:
+        if is_counted and self._arrived % ARRIVALS_PER_SAMPLE == 0:
             self._sample_lengths()
         server = self._choose_server()
         owner = TimedJobOwner(self._engine, self._times if is_counted else None)
@@ -108,9 +108,9 @@
         return self._servers[int(self._rng.random() * len(self._servers))]
 
     def _sample_lengths(self) -> None:
-        self._sampled += len(self._servers)
+        self._sampled_servers += len(self._servers)
         for server in self._servers:
-            for length in range(min(MAX_LENGTH - 1, server.held) + 1):
+            for length in range(min(MAX_TAIL_LENGTH - 1, server.held) + 1):
                 self._tail[length] += 1
 
 
@@ -123,20 +123,22 @@
     cv: float,
     jobs: int,
     seed: int,
-    queue_capacity: int = NO_BOUND,
+    queue_capacity: int = UNBOUNDED,
     choose: Callable[[list[Server]], Server] | None = None,
-) -> QueueFigures:
-    """Plays Poisson arrivals at servers that are alike; the work of a job has a mean of 1 s."""
+) -> QueueStatistics:
+    """Simulates Poisson arrivals at identical servers; the mean work of a job is 1 s."""
     engine = Engine()
     rng = stream(seed, "queues")
-    # not validated: the bounds of plans don't apply here
+    # `model_copy` skips the validation, because the bounds of plans don't apply here.
     tier = Tier(name="queue", servers=1).model_copy(
-        update={"discipline": discipline, "slots_per_core": NO_BOUND, "queue_per_core": queue_capacity}
+        update={"discipline": discipline, "slots_per_core": UNBOUNDED, "queue_per_core": queue_capacity}
     )
     model = ServerModel(name="one", cores=cores)
-    alike = [Server(engine, Placement(0, i, 0, 0, 0), tier, model, 1.0, rng) for i in range(servers)]
-    for server in alike:
+    identical_servers = [
+        Server(engine, Placement(0, i, 0, 0, 0), tier, model, 1.0, rng) for i in range(servers)
+    ]
+    for server in identical_servers:
         server.queue_capacity = queue_capacity
     work = distribution(distribution_name, 1.0, cv)
     rate = load * cores * servers
-    return QueueSimulation(alike, engine, rng, rate, work, jobs, choose).run()
+    return QueueSimulation(identical_servers, engine, rng, rate, work, jobs, choose).run()
--- a/wheatroute/fleet/records.py
+++ b/wheatroute/fleet/records.py
@@ -1,6 +1,7 @@
-"""Records of runs, as they are stored: one JSON line for each. Reads files.
+"""Stored records of runs, one line of JSON per run. Reads files.
 
-Fields whose keys in the file differ carry the key. Keys and their order never change.
+A field whose key in the file differs from its name has the key in its metadata. Keys and their order never
+change.
 """
 
 from __future__ import annotations
@@ -17,27 +18,27 @@
 from wheatroute.fleet.stored_keys import KEY, from_stored, to_stored
 
 RUNS_FILE = "runs.jsonl"
-MAX_LATENCY_US = 3_600_000_000  # that a histogram of latencies reaches to
-HISTOGRAM_DIGITS = 3  # significant ones
+MAX_LATENCY_US = 3_600_000_000  # upper end of the latency histograms
+HISTOGRAM_DIGITS = 3  # significant decimal digits
 
 
 @dataclass(frozen=True, slots=True)
 class RunRecord:
-    """What is stored of one run."""
+    """Holds what is stored about one run."""
 
     run_id: str = field(metadata={KEY: "run"})
     point: dict[str, Any]  # the swept keys and their values
     policy: str
     seed: int
     figures: Figures
-    violations: list[Violation] = field(metadata={KEY: "broken"})  # the first of them
-    # fraction earned, by the second of arrival
+    violations: list[Violation] = field(metadata={KEY: "broken"})  # the first violations only
+    # fraction of the offered value that was earned, by the second in which requests arrived
     value_by_second: list[float] = field(metadata={KEY: "by_second"})
-    # of served requests, in microseconds, as an encoded histogram
+    # encoded histogram of the latencies of served requests, in microseconds
     latencies: str = field(metadata={KEY: "delays"})
 
     def encode(self) -> bytes:
-        """The record's line, without its end."""
+        """Returns the record's line without the line break."""
         stored = to_stored(self)
         stored["figures"] = to_stored(self.figures)
         stored["broken"] = [tuple(violation) for violation in self.violations]
@@ -45,7 +46,7 @@
 
 
 def decode_record(line: bytes) -> RunRecord:
-    """The record of a line; KeyError if a key is missing."""
+    """Decodes the record in a line; raises KeyError if a key is missing."""
     stored = orjson.loads(line)
     stored["figures"] = from_stored(Figures, stored["figures"])
     stored["broken"] = [Violation(Rule(rule), *rest) for rule, *rest in stored["broken"]]
@@ -53,12 +54,12 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram of latencies, in microseconds."""
+    """Returns an empty histogram of latencies in microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, HISTOGRAM_DIGITS)
 
 
 def stored_lines(folder: Path) -> dict[str, bytes]:
-    """The lines of a folder's file by run, without their ends; one that was cut short is left out."""
+    """Returns the lines of a folder's file by run id, without line breaks; skips a truncated line."""
     lines = {}
     path = folder / RUNS_FILE
     for line in path.read_bytes().splitlines() if path.exists() else ():
@@ -70,5 +71,5 @@
 
 
 def read_records(folder: Path) -> list[RunRecord]:
-    """All records of a folder; KeyError if one lacks a key."""
+    """Returns all records of a folder; raises KeyError if a key is missing from a record."""
     return [decode_record(line) for line in stored_lines(folder).values()]
--- a/wheatroute/fleet/report.py
+++ b/wheatroute/fleet/report.py
@@ -1,8 +1,8 @@
-"""The report of an experiment: tables with intervals, paired by seed, and plots. Writes the plots' files.
+"""The report of an experiment: tables with confidence intervals, paired by seed, and plots. Writes the plots.
 
-Intervals are of the median over seeds, by order statistics and the binomial distribution, which assumes no
-shape. Differences are taken seed by seed, as two policies on one seed meet the same requests. Runs of
-different points of the sweeps are never mixed.
+The intervals are for the median over seeds. They follow from order statistics and the binomial distribution
+and assume no shape of the distribution. Differences between policies are taken per seed, because all policies
+get the same requests for the same seed. Runs at different points of the sweeps are never mixed.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from wheatroute.fleet.policies import DESIGN
 from wheatroute.fleet.records import RunRecord, new_histogram
 
-CONFIDENCE = 0.95  # wanted of intervals
+CONFIDENCE = 0.95  # intended confidence of the intervals
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_S = 1e6
 
 Point = tuple[tuple[str, str], ...]  # swept keys and their values
 RunsByPolicy = dict[str, list[RunRecord]]
 
 
 class Column(NamedTuple):
-    """A column of the report: a field of `Figures`, and its title."""
+    """Describes a column of the report: a field of `Figures` and its title."""
 
     field: str
     title: str
@@ -44,22 +44,25 @@
 
 
 class Interval(NamedTuple):
-    """An interval that holds the median with some confidence."""
+    """Holds a confidence interval for a median; `confidence` is the probability that it covers the median."""
 
     low: float
     high: float
     confidence: float
 
 
-def median(figures: Sequence[float]) -> float:
-    """The median of at least one figure."""
-    ordered, half = sorted(figures), len(figures) // 2
+def median(values: Sequence[float]) -> float:
+    """Returns the median of at least one value."""
+    ordered, half = sorted(values), len(values) // 2
     return ordered[half] if len(ordered) % 2 else (ordered[half - 1] + ordered[half]) / 2
 
 
-def interval(figures: Sequence[float], confidence: float = CONFIDENCE) -> Interval:
-    """The narrowest interval for the median with this confidence; less confidence if figures are few."""
-    ordered, n = sorted(figures), len(figures)
+def interval(values: Sequence[float], confidence: float = CONFIDENCE) -> Interval:
+    """Returns the narrowest interval that covers the median with at least this confidence.
+
+    If there are too few values for this confidence, the interval is their range with its lower confidence.
+    """
+    ordered, n = sorted(values), len(values)
     best = Interval(ordered[0], ordered[-1], 1.0 - 2.0 * 0.5**n)
     for k in range(1, n // 2):
         reached = 1.0 - 2.0 * sum(comb(n, i) for i in range(k + 1)) / 2**n
@@ -70,7 +73,7 @@
 
 
 def group_runs(runs: list[RunRecord]) -> dict[Point, RunsByPolicy]:
-    """Runs by point of the sweeps and by policy, in the order in which they come."""
+    """Returns the runs by point of the sweeps and by policy, in the order of `runs`."""
     groups: dict[Point, RunsByPolicy] = {}
     for run in runs:
         point = tuple((key, str(value)) for key, value in run.point.items())
@@ -78,19 +81,19 @@
     return groups
 
 
-def markdown_report(name: str, runs: list[RunRecord], baseline: str = DESIGN) -> str:
-    """The report in Markdown; values of policies are compared with those of `baseline`."""
+def markdown_report(name: str, runs: list[RunRecord], reference: str = DESIGN) -> str:
+    """Returns the report in Markdown; the policy `reference` is the one that the others are compared with."""
     lines = [
         f"# {name}",
         "",
-        f"{len(runs)} runs. Medians over seeds; in brackets the interval that holds "
-        "the median at 95% (at what is said where runs are too few for that).",
+        f"{len(runs)} runs. Medians over seeds; in brackets the 95% confidence interval of the median "
+        "(with its confidence where there are too few runs for 95%).",
         "",
     ]
     for point, policies in group_runs(runs).items():
         if point:
             lines += ["## " + _title(point), ""]
-        lines += [*_figures_table(policies, baseline), "", *_latency_table(policies), ""]
+        lines += [*_figures_table(policies, reference), "", *_latency_table(policies), ""]
     return "\n".join(lines)
 
 
@@ -98,35 +101,35 @@
     return ", ".join(f"{key} {value}" for key, value in point)
 
 
-def _figures_table(policies: RunsByPolicy, baseline: str) -> list[str]:
+def _figures_table(policies: RunsByPolicy, reference: str) -> list[str]:
     titles = " | ".join(column.title for column in COLUMNS)
     lines = [
         f"| policy | {titles} | less the design's worth | broken rules |",
         "| --- |" + " --- |" * (len(COLUMNS) + 2),
     ]
-    baseline_values = {run.seed: run.figures.value for run in policies.get(baseline, [])}
+    reference_values = {run.seed: run.figures.value for run in policies.get(reference, [])}
     for policy, runs in policies.items():
         cells = [_cell([getattr(run.figures, column.field) for run in runs]) for column in COLUMNS]
         differences = [
-            run.figures.value - baseline_values[run.seed] for run in runs if run.seed in baseline_values
+            run.figures.value - reference_values[run.seed] for run in runs if run.seed in reference_values
         ]
-        cells.append(_cell(differences) if differences and policy != baseline else "-")
+        cells.append(_cell(differences) if differences and policy != reference else "-")
         cells.append(str(sum(sum(run.figures.violations) for run in runs)))
         lines.append(f"| {policy} | " + " | ".join(cells) + " |")
     return lines
 
 
-def _cell(figures: list[float]) -> str:
-    """A median with its interval, and that one's confidence if it is less than wanted."""
-    if len(figures) == 1:
-        return f"{median(figures):.3g}"
-    low, high, confidence = interval(figures)
+def _cell(values: list[float]) -> str:
+    """Returns a median with its interval, and the interval's confidence if it is below `CONFIDENCE`."""
+    if len(values) == 1:
+        return f"{median(values):.3g}"
+    low, high, confidence = interval(values)
     note = "" if confidence >= CONFIDENCE else f" at {100 * confidence:.0f}%"
-    return f"{median(figures):.3g} [{low:.3g}, {high:.3g}{note}]"
+    return f"{median(values):.3g} [{low:.3g}, {high:.3g}{note}]"
 
 
 def merged_latencies(runs: list[RunRecord]) -> HdrHistogram:
-    """The latencies of all runs in one histogram, in microseconds."""
+    """Returns one histogram of the latencies of all runs, in microseconds."""
     histogram = new_histogram()
     for run in runs:
         histogram.decode_and_add(run.latencies)
@@ -142,7 +145,7 @@
     for policy, runs in policies.items():
         histogram = merged_latencies(runs)
         cells = [
-            f"{histogram.get_value_at_percentile(percentile) / MICROSECONDS:.3f}"
+            f"{histogram.get_value_at_percentile(percentile) / MICROSECONDS_PER_S:.3f}"
             for percentile in PERCENTILES
         ]
         lines.append(f"| {policy} | " + " | ".join(cells) + " |")
@@ -153,11 +156,11 @@
 
 
 def draw_plots(runs: list[RunRecord], folder: Path) -> list[str]:
-    """Draws value over time at each point, and over each swept key, as SVG; returns the files' names."""
+    """Draws the value over time per point and over each swept key, as SVG; returns the names of the files."""
     import matplotlib
 
     matplotlib.use("svg")
-    matplotlib.rcParams["svg.hashsalt"] = "wheatroute"  # the same bytes each time
+    matplotlib.rcParams["svg.hashsalt"] = "wheatroute"  # makes the files reproducible byte by byte
     names = []
     for number, (point, policies) in enumerate(group_runs(runs).items()):
         names.append(_draw_over_time(point, policies, folder / f"time_{number}.svg"))
@@ -183,7 +186,7 @@
         for run in runs:
             if run.policy == policy:
                 values.setdefault(run.point[key], []).append(run.figures.value)
-        medians = [median(figures) for figures in values.values()]
+        medians = [median(samples) for samples in values.values()]
         axes.plot([str(value) for value in values], medians, "o-", label=policy)
     axes.set(xlabel=key, ylabel="worth")
     return _save(figure, axes, path)
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -1,7 +1,7 @@
-"""Figures of a run, from the accounts of its clients and servers. No I/O.
+"""Figures of a run, computed from the state of its clients and servers. No I/O.
 
-A request counts once, with all its client's tries. Requests that arrive before the plan's warm-up ends don't
-count.
+A request counts once, whatever the number of its client's tries. Requests that arrive before the end of the
+plan's warm-up don't count.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from wheatroute.fleet.stored_keys import KEY
 from wheatroute.fleet.world import World
 
-ROUNDING_S = 1e-9  # of moments that follow from sums
+ROUNDING_S = 1e-9  # tolerance for rounding errors of times that are computed as sums
 UNANSWERED = (
     RequestOutcome.LEFT,
     RequestOutcome.LOST,
@@ -23,8 +23,8 @@
 )
 
 
-class Value(NamedTuple):
-    """What a request could earn, and what it did."""
+class RequestValue(NamedTuple):
+    """Holds the value that a request offered and the value that it earned."""
 
     offered: float
     earned: float
@@ -32,74 +32,81 @@
 
 @dataclass(slots=True)
 class ValueSum:
-    """Values of several requests together."""
+    """Sums the values of several requests."""
 
     offered: float = 0.0
     earned: float = 0.0
 
-    def add(self, value: Value) -> None:
-        """Adds one request's."""
+    def add(self, value: RequestValue) -> None:
+        """Adds the value of one request."""
         self.offered += value.offered
         self.earned += value.earned
 
     def fraction_earned(self) -> float:
-        """The part that was earned; 1 where nothing was offered."""
+        """Returns the fraction of the offered value that was earned; 1 if none was offered."""
         return self.earned / self.offered if self.offered else 1.0
 
 
-def value(world: World, request: ClientRequest) -> Value:
-    """The value of one request: whole within its target latency, a part of it until its deadline."""
+def request_value(world: World, request: ClientRequest) -> RequestValue:
+    """Returns the value of one request.
+
+    A response within the target latency earns all of it, one until the deadline the class's `late_value`.
+    """
     request_class = world.plan.request_classes[request.class_number]
     excess_factor = 1.0 if request.is_within_quota else world.plan.clients.excess_value_factor
     offered = request_class.value * excess_factor
     if request.outcome is not RequestOutcome.SERVED:
-        return Value(offered, 0.0)
+        return RequestValue(offered, 0.0)
     if request.ended_at <= request.target_at + ROUNDING_S:
-        return Value(offered, offered)
+        return RequestValue(offered, offered)
     is_in_time = request.ended_at <= request.deadline_at + ROUNDING_S
-    return Value(offered, offered * (request_class.late_value if is_in_time else 0.0))
+    return RequestValue(offered, offered * (request_class.late_value if is_in_time else 0.0))
 
 
 def quantile(ordered: list[float], fraction: float) -> float:
-    """A quantile of ordered figures; 0 where there are none."""
+    """Returns a quantile of sorted values; 0 if there are none."""
     return ordered[min(len(ordered) - 1, int(len(ordered) * fraction))] if ordered else 0.0
 
 
 def counted_requests(world: World) -> list[ClientRequest]:
-    """The requests that arrived after the warm-up."""
+    """Returns the requests that arrived after the warm-up."""
     counted_from = world.clients.start + world.plan.warmup_s
     return [request for request in world.clients.requests if request.arrived_at >= counted_from]
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Figures of one run; fractions are of the requests that count unless said otherwise.
+    """Holds the figures of one run.
 
-    `unanswered` includes requests whose node was lost or not reached.
+    Unless stated otherwise, fractions are relative to the requests that count. `unanswered` includes requests
+    whose node died or could not be reached.
     """
 
     requests: int = field(metadata={KEY: "commands"})
-    value: float = field(metadata={KEY: "utility"})  # fraction earned of the value offered
+    value: float = field(metadata={KEY: "utility"})  # fraction of the offered value that was earned
     served: float = field(metadata={KEY: "handled"})
     rejected: float = field(metadata={KEY: "bounced"})
     failed: float = field(metadata={KEY: "terminated"})
     unanswered: float = field(metadata={KEY: "left"})
-    late: float  # served after their target latency
-    value_by_class: list[float] = field(metadata={KEY: "by_kind"})  # fraction earned
-    value_by_tenant: list[float] = field(metadata={KEY: "by_customer"})  # fraction earned within quotas
-    latency_p50_s: float = field(metadata={KEY: "p50"})  # of served requests, with all tries
+    late: float  # requests served after their target latency
+    # fraction of the offered value that was earned, by request class
+    value_by_class: list[float] = field(metadata={KEY: "by_kind"})
+    # fraction earned by each tenant's requests within its quota
+    value_by_tenant: list[float] = field(metadata={KEY: "by_customer"})
+    # quantiles of the latency of served requests, over all their tries
+    latency_p50_s: float = field(metadata={KEY: "p50"})
     latency_p95_s: float = field(metadata={KEY: "p95"})
     latency_p99_s: float = field(metadata={KEY: "p99"})
-    tries: float  # of a request, in the mean
-    collapses: int  # of servers
-    violations: list[int] = field(metadata={KEY: "breaks"})  # of each of the four rules
-    # work sent to a warming server, of its budget
+    tries: float  # mean number of tries per request
+    collapses: int  # number of collapses of servers
+    violations: list[int] = field(metadata={KEY: "breaks"})  # number of violations of each of the four rules
+    # maximum work sent to a warming server, as a fraction of its budget
     max_warmup_load: float = field(metadata={KEY: "worst_cold"})
-    events: int  # calls made by the engine
+    events: int  # number of calls that the engine made
 
 
 def figures(world: World) -> Figures:
-    """The figures of a run that was played."""
+    """Returns the figures of a completed run."""
     requests = counted_requests(world)
     count = max(1, len(requests))
     values = _values(world, requests)
@@ -127,21 +134,21 @@
     )
 
 
-class _Values(NamedTuple):
+class _ValueSums(NamedTuple):
     total: ValueSum
     by_class: list[ValueSum]
     by_tenant: list[ValueSum]
 
 
-def _values(world: World, requests: list[ClientRequest]) -> _Values:
-    """Sums of values; those beyond a tenant's quota count for the total and the class alone."""
-    values = _Values(
+def _values(world: World, requests: list[ClientRequest]) -> _ValueSums:
+    """Sums the values of requests; those beyond a tenant's quota don't count for the tenant."""
+    values = _ValueSums(
         ValueSum(),
         [ValueSum() for _ in world.plan.request_classes],
         [ValueSum() for _ in world.plan.tenants],
     )
     for request in requests:
-        earned = value(world, request)
+        earned = request_value(world, request)
         values.total.add(earned)
         values.by_class[request.class_number].add(earned)
         if request.is_within_quota and request.tenant >= 0:
@@ -150,11 +157,11 @@
 
 
 def value_by_second(world: World) -> list[float]:
-    """The fraction of value earned by the requests that arrived in each second of the run."""
+    """Returns the fraction of the value earned by the requests that arrived in each second of the run."""
     seconds: list[ValueSum] = []
     for request in world.clients.requests:
         second = int(request.arrived_at - world.clients.start)
         while len(seconds) <= second:
             seconds.append(ValueSum())
-        seconds[second].add(value(world, request))
+        seconds[second].add(request_value(world, request))
     return [earned.fraction_earned() for earned in seconds]
--- a/wheatroute/fleet/runner.py
+++ b/wheatroute/fleet/runner.py
@@ -1,6 +1,6 @@
-"""Plays the runs of an experiment in several processes, and stores their records. Writes files.
+"""Simulates the runs of an experiment in several processes and stores their records. Writes files.
 
-Neither the number of processes nor the order in which they are done shows in what is stored.
+The stored file depends neither on the number of processes nor on the order in which runs complete.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from wheatroute.fleet.requests import RequestOutcome
 from wheatroute.fleet.world import World
 
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_S = 1e6
 
 
 def simulate_run(run: Run) -> RunRecord:
-    """Plays one run."""
+    """Simulates one run and returns its record."""
     world = World(parse_plan(run.fleet), run.seed, decisions_factory(run.policy)).play()
     return RunRecord(
         run_id=run.run_id,
@@ -46,7 +46,7 @@
     histogram = new_histogram()
     for request in world.clients.requests:
         if request.outcome is RequestOutcome.SERVED:
-            latency_us = int((request.ended_at - request.arrived_at) * MICROSECONDS)
+            latency_us = int((request.ended_at - request.arrived_at) * MICROSECONDS_PER_S)
             histogram.record_value(min(MAX_LATENCY_US, max(1, latency_us)))
     encoded: bytes = histogram.encode()
     return encoded.decode("ascii")
@@ -58,9 +58,11 @@
     workers: int,
     on_progress: Callable[[int, int], None] = lambda done, total: None,
 ) -> int:
-    """Plays the runs that are not stored yet, and returns their number; lines end up in the runs' order.
+    """Simulates the runs that are not stored yet, stores their records and returns their number.
 
-    `on_progress` is called after each run with the runs played and all that are to be played.
+    Each record is appended as soon as its run completes; at the end the file is rewritten in the order of
+    the runs. After each run, `on_progress` is called with the number of completed runs and the number of runs
+    to simulate.
     """
     folder.mkdir(parents=True, exist_ok=True)
     runs = list(expand_runs(experiment))
@@ -69,7 +71,8 @@
     path = folder / RUNS_FILE
     with path.open("ab") as file:
         if path.stat().st_size and not path.read_bytes().endswith(b"\n"):
-            file.write(b"\n")  # ends a line that was cut short
+            # Terminates the partial line that an interrupted experiment left.
+            file.write(b"\n")
         for done, record in enumerate(simulate_runs(missing, workers), 1):
             line = record.encode()
             lines[record.run_id] = line
@@ -83,7 +86,7 @@
 
 
 def simulate_runs(runs: list[Run], workers: int) -> Iterator[RunRecord]:
-    """Plays runs in so many processes; records come as they are done."""
+    """Simulates runs in `workers` processes; yields records in the order of completion."""
     if workers <= 1:
         yield from map(simulate_run, runs)
         return
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -1,18 +1,18 @@
-"""Scenarios: ten days at any size, to compare policies on, from a calm one to the loss of a zone. No I/O.
+"""Ten scenarios at any size to compare policies on, from a calm one to the loss of a zone. No I/O.
 
-A day is a plan under the keys of plan files. It is given by its name and by the number of servers in each
-tier; all else follows. Days are never fitted to a policy: each one changes one thing.
+A scenario is a plan, under the keys of plan files, that depends only on its name and on the number of servers
+in each tier. Scenarios are never fitted to a policy: each one changes one thing.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-SIZES = {"small": 8, "middle": 100, "large": 1000}  # servers in each tier
+SIZES = {"small": 8, "middle": 100, "large": 1000}  # servers in each tier, by the name of the size
 MAX_NODES = 200
 SERVERS_PER_NODE = 5
 
-KINDS: list[dict[str, Any]] = [
+REQUEST_CLASSES: list[dict[str, Any]] = [
     {
         "name": "look",
         "share": 3.0,
@@ -55,7 +55,7 @@
     return {"kind": kind, "at": 6.0, "length": 8.0, **settings}
 
 
-# what each day changes of clients and faults
+# changes of each scenario to the clients and the faults, by the name of the scenario
 SCENARIOS: dict[str, dict[str, Any]] = {
     "calm": {"callers": {"load": 0.5, "swing": 0.2}},
     "rush": {"callers": {"load": 0.5, "waves": [{"at": 6.0, "length": 5.0, "times": 1.8, "rise": 0.5}]}},
@@ -82,13 +82,16 @@
 
 
 def scenario_plan(name: str, servers: int) -> dict[str, Any]:
-    """The tables of a plan for one day, with so many servers in each tier; KeyError for an unknown day."""
+    """Returns the tables of a scenario's plan; `servers` is the number of servers in each tier.
+
+    Raises KeyError for an unknown scenario.
+    """
     changes = SCENARIOS[name]
     tier = {"servers": servers, "models": MODELS, "reports": {}, "slots": 24, "queue": 200, "thrash": 0.1}
     return {
         "name": f"{name} {servers}",
         "length": 24.0,
-        "kinds": KINDS,
+        "kinds": REQUEST_CLASSES,
         "nodes": max(2, min(MAX_NODES, servers // SERVERS_PER_NODE)),
         "tiers": [
             {"name": "front", "work": 0.5, "collapse": {}, **tier},
--- a/wheatroute/fleet/stored_keys.py
+++ b/wheatroute/fleet/stored_keys.py
@@ -1,6 +1,6 @@
-"""Dataclasses that are stored under keys other than their fields' names. No I/O.
+"""Conversion of dataclasses whose stored keys differ from the names of their fields. No I/O.
 
-A field with another key has it in its metadata: `field(metadata={KEY: "commands"})`. Keys never change.
+A field whose key differs has it in its metadata: `field(metadata={KEY: "commands"})`. Keys never change.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 def to_stored(instance: DataclassInstance) -> dict[str, Any]:
-    """The values of a dataclass instance by key, in the order of its fields."""
-    return {one.metadata.get(KEY, one.name): getattr(instance, one.name) for one in fields(instance)}
+    """Returns the values of a dataclass instance by key, in the order of its fields."""
+    return {item.metadata.get(KEY, item.name): getattr(instance, item.name) for item in fields(instance)}
 
 
-def from_stored(kind: type[Instance], stored: dict[str, Any]) -> Instance:
-    """A dataclass of this kind from values by key; unknown keys are left out, KeyError if one is missing."""
-    values = {one.name: stored[one.metadata.get(KEY, one.name)] for one in fields(kind)}
-    return kind(**values)
+def from_stored(dataclass_type: type[Instance], stored: dict[str, Any]) -> Instance:
+    """Builds an instance from values by key; ignores unknown keys, raises KeyError if one is missing."""
+    values = {item.name: stored[item.metadata.get(KEY, item.name)] for item in fields(dataclass_type)}
+    return dataclass_type(**values)
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -1,4 +1,4 @@
-"""Trace of one client request through all nodes. A run has the same events with and without it. No I/O."""
+"""Trace of one client request through all nodes. Tracing doesn't change the events of a run. No I/O."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestTrace:
-    """Lines about one client request; `request_index` is NO_REQUEST where none is traced."""
+    """Collects lines about the client request `request_index`; NO_REQUEST: about none."""
 
     def __init__(self, engine: Engine) -> None:
         self.request_index = NO_REQUEST
@@ -18,11 +18,11 @@
         self._start = engine.now
 
     def follows(self, request: NodeRequest) -> bool:
-        """Whether this request is traced; asked before a line is made, as lines cost time."""
+        """Returns whether the request is traced; checked before a line is built, because that takes time."""
         return request.client_request.index == self.request_index
 
     def add(self, node_name: str, depth: int, request: NodeRequest, text: str) -> None:
-        """Adds a line with the seconds since the run's start, indented by the node's depth."""
+        """Adds a line with the time since the run's start in seconds, indented by the node's depth."""
         elapsed_s = self._engine.now - self._start
         indent = "  " * depth
         self.lines.append(f"{elapsed_s:9.3f} s  {indent}{node_name}, request {request.number}: {text}")
--- a/wheatroute/fleet/traced_run.py
+++ b/wheatroute/fleet/traced_run.py
@@ -1,4 +1,4 @@
-"""The trace of one request of an experiment: its run is played again. Reads the experiment's file."""
+"""Traces one request of an experiment by repeating its run. Reads the experiment's file."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 
 
 def trace_request(path: str, policy: str, seed: int, number: int) -> list[str]:
-    """Lines for request `number`, in order of arrival, at the first point of the experiment's sweeps.
+    """Repeats the run at the first point of the experiment's sweeps; returns the trace of one request.
 
-    Raises PlanError if the file is not valid, or has no such policy or request.
+    `number` is the request's index in the order of arrival. Raises PlanError if the file is invalid or if the
+    policy or the request doesn't exist.
     """
     experiment = read_experiment(path)
     if not is_policy(policy):
-        raise PlanError([f"{path}: no policy {policy!r}"])
+        raise PlanError([f"{path}: unknown policy {policy!r}"])
     run = next(expand_runs(experiment))
     world = World(parse_plan(run.fleet), seed, decisions_factory(policy))
     world.trace.request_index = number
     world.play()
     requests = world.clients.requests
     if number >= len(requests):
-        raise PlanError([f"{path}: the run has requests 0 to {len(requests) - 1}"])
+        raise PlanError([f"{path}: no request {number}: the run has requests 0 to {len(requests) - 1}"])
     request = requests[number]
-    return [_beginning(world, request), *world.trace.lines, _end(world, request)]
+    return [_first_line(world, request), *world.trace.lines, _last_line(world, request)]
 
 
-def _beginning(world: World, request: ClientRequest) -> str:
+def _first_line(world: World, request: ClientRequest) -> str:
     request_class = world.plan.request_classes[request.class_number]
     tenants = world.plan.tenants
-    tenant = tenants[request.tenant].name if tenants else "nobody"
+    tenant = tenants[request.tenant].name if tenants else "no tenant"
     quota = "within" if request.is_within_quota else "beyond"
     return (
         f"request {request.index}: {request_class.name} of {tenant}, "
-        f"{request.size:.2f} times its type's work, {quota} its share"
+        f"{request.size:.2f} times the mean work of its class, {quota} its quota"
     )
 
 
-def _end(world: World, request: ClientRequest) -> str:
-    offered, earned = results.value(world, request)
+def _last_line(world: World, request: ClientRequest) -> str:
+    offered, earned = results.request_value(world, request)
     target_latency_s = world.plan.request_classes[request.class_number].target_latency_s
     return (
         f"{request.outcome.value or 'open'} after {request.ended_at - request.arrived_at:.3f} s "
-        f"in {request.tries} tries (target {target_latency_s} s): {earned:.2f} of {offered:.2f}"
+        f"in {request.tries} tries (target {target_latency_s} s): value {earned:.2f} of {offered:.2f}"
     )
