--- a/wheatroute/cluster/configuration.py
+++ b/wheatroute/cluster/configuration.py
@@ -90,7 +90,11 @@
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """A tenant: the API keys of its clients, and its rate limit in `unit` per second with a burst."""
+    """A tenant: the API keys of its clients, and its rate limit in `unit` per second with a burst.
+
+    `unit` is "token_usage" or "requests". With "token_usage", `uncached_tokens` is the charge for a request
+    that doesn't state its number of tokens.
+    """
 
     name: str
     api_keys: tuple[str, ...] = ()
--- a/wheatroute/cluster/messages.py
+++ b/wheatroute/cluster/messages.py
@@ -61,8 +61,8 @@
 class Update(msgspec.Struct, frozen=True):
     """The response to a long poll: everything newer than the versions in the request.
 
-    `control_hosts` are the control nodes to poll next, the primary first. `configuration_change` is a
-    difference (see `wheatroute.cluster.distribution`), None if the configuration is unchanged.
+    `control_hosts` are the hosts of all control nodes that the sender knows, sorted. `configuration_change`
+    is a difference (see `wheatroute.cluster.distribution`), None if the configuration is unchanged.
     """
 
     epoch: int
--- a/wheatroute/control/changes.py
+++ b/wheatroute/control/changes.py
@@ -62,7 +62,7 @@
 
 
 def encode_state(state: ConfigurationState) -> bytes:
-    """Encodes a state, compressed because each write sends it in full to every member's link and disk."""
+    """Encodes a state, compressed because each write sends it in full to every member and to its disk."""
     return zlib.compress(msgspec.msgpack.encode(state), COMPRESSION_LEVEL)
 
 
--- a/wheatroute/control/configuration_store.py
+++ b/wheatroute/control/configuration_store.py
@@ -79,9 +79,10 @@
         return state
 
     async def _wait_for_earlier_commit(self) -> None:
-        """Waits for the commit of an earlier write, as after each view change.
+        """Waits until the newest document is committed.
 
-        Raises `RequestError` if that takes too long.
+        It may not be: an earlier write may be in progress, and after each view change the new leader has to
+        commit the document again. Raises `RequestError` if that takes too long.
         """
         loop, core = asyncio.get_running_loop(), self._replicator.core
         end = loop.time() + EARLIER_COMMIT_TIMEOUT_S
--- a/wheatroute/control/failure_detector.py
+++ b/wheatroute/control/failure_detector.py
@@ -40,8 +40,8 @@
     def report(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
         """Records a node's report, which replaces its earlier one.
 
-        `unresponsive_for` maps each unresponsive server to the seconds without a response; servers that it
-        doesn't contain respond to the node.
+        `unresponsive_for` maps each unresponsive server to the seconds without a response; all other servers
+        respond to the node.
         """
         for server in [server for server, nodes in self._reports.items() if node in nodes]:
             del self._reports[server][node]
--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -41,7 +41,7 @@
 
     @property
     def control_hosts(self) -> tuple[str, ...]:
-        """The hosts of all control nodes, the primary first."""
+        """The hosts of all control nodes that this node knows, sorted."""
         return self._replicator.core.hosts
 
     @property
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -48,6 +48,7 @@
     """
 
     def __init__(self, slack: float, excess: float, is_first: bool) -> None:
+        # initial levels of a tenant's buckets, as fractions of their capacities
         self._limit_level, self._excess_level = (1.0, 1.0) if is_first else (INITIAL_LEVEL, 0.0)
         self._tenants: dict[str, TenantBuckets] = {}
         # levels to apply once their tenant is configured
@@ -185,7 +186,8 @@
     ) -> QuotaGrant:
         """Grants a node the tokens that it requests, and some in advance while the bucket is well filled.
 
-        `known_fraction` is the fraction of all nodes whose demand is known.
+        If the buckets hold too few tokens, none are granted, and `QuotaGrant.wait_s` is the time until they
+        hold enough. `known_fraction` is the fraction of all nodes whose demand is known.
         """
         buckets = self._tenants.get(tenant)
         if buckets is None:  # no limit in this configuration; the node may have an older one
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -1,11 +1,12 @@
 """The registry of servers, maintained from their heartbeats. A state machine without I/O.
 
-Only the primary keeps it; a new primary rebuilds it from heartbeats. Until a primary has listened for
-`SETTLING_HEARTBEATS`, a server without a heartbeat is unknown, not removed.
+Only the primary keeps it; a new primary starts from the instances that the previous one shared, if it has
+received them, and rebuilds the rest from heartbeats. Until a primary has listened for `SETTLING_HEARTBEATS`,
+a server without a heartbeat is unknown, not removed.
 
-States of an instance: READY <-> UNRESPONSIVE by heartbeats; either -> DRAINING -> REMOVED. DRAINING and
-REMOVED are final, since an incarnation that drains always ends. All times are in seconds of the monotonic
-clock.
+States of an instance: READY <-> UNRESPONSIVE, by missed heartbeats or suspicion and by new heartbeats; either
+-> DRAINING; any of these -> REMOVED. REMOVED is final, and DRAINING leads to REMOVED only, since an
+incarnation that drains always ends. All times are in seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -72,7 +73,7 @@
         self._heartbeat_s = heartbeat_s
         self._entries: dict[str, _Entry] = {}
         self._change_count = 0
-        self._newest_pruned_change = 0  # newest version among the instances that were forgotten
+        self._newest_pruned_change = 0  # number of the newest change of an instance that was forgotten
         self._listening_since = now
         self._last_check = now
 
@@ -90,7 +91,10 @@
         return now - self._listening_since > SETTLING_HEARTBEATS * self._heartbeat_s
 
     def restore(self, now: float, instances: tuple[Instance, ...]) -> None:
-        """Restores the previous primary's registry; instances without a heartbeat are soon removed."""
+        """Restores the instances that the previous primary shared.
+
+        An instance from which no heartbeat arrives within `SETTLING_HEARTBEATS` is removed.
+        """
         for instance in instances:
             entry = _Entry(self._with_new_version(instance), -1, now)
             entry.is_unconfirmed = True
@@ -134,7 +138,10 @@
         return True
 
     def remove(self, now: float, identity: str) -> bool:
-        """Removes a server that deregisters; returns whether it was not removed yet."""
+        """Removes a server that deregisters; returns whether it was not removed yet.
+
+        An unknown server is recorded as removed, so that a late heartbeat doesn't register it.
+        """
         entry = self._entries.get(identity)
         if entry is None:
             removed = Instance(
@@ -181,7 +188,11 @@
         return changed
 
     def changes(self, since: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
-        """Returns the instances that changed since a version, and whether they are the full registry."""
+        """Returns the instances that changed since a version, and whether they are the full registry.
+
+        The full registry is returned for a version of another epoch, a version above the present one, and one
+        that is older than a change of a forgotten instance.
+        """
         instances = [entry.instance for entry in self._entries.values()]
         if (
             since.epoch != self._epoch
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -55,7 +55,7 @@
         await self.replicator.stop()
         self._polls.close()
 
-    # replication
+    # callbacks of the replicator, and maintenance
 
     def _on_commit(self, document: Document) -> None:
         """Applies a committed document; never on a replica, as only a leader's core emits `Committed`."""
@@ -95,7 +95,7 @@
                 self._sharing.share_registry()
                 self._sharing.share_levels(loop.time())
 
-    # operators
+    # requests of operators
 
     async def change(self, change: Change) -> int:
         """Applies a change to the configuration; see `ConfigurationStore.change`."""
@@ -105,10 +105,13 @@
         """Returns the newest configuration as JSON; see `ConfigurationStore.read`."""
         return await self._store.read()
 
-    # servers
+    # requests of servers
 
     async def heartbeat(self, identity: str, heartbeat: ServerHeartbeat) -> None:
-        """Applies a server's heartbeat; if the server drains, returns once all members of the view know."""
+        """Applies a server's heartbeat; if the server drains, returns once all members of the view know it.
+
+        Raises `RequestError` if this node can't respond as the primary, or if a drain isn't acknowledged.
+        """
         self.leadership.require_primary()
         if self.state.registry.heartbeat(asyncio.get_running_loop().time(), identity, heartbeat):
             self._polls.notify_all()
@@ -116,13 +119,16 @@
             await self._sharing.replicate_departure()
 
     async def deregister(self, identity: str) -> None:
-        """Removes a server that shuts down; returns once all members of the view know."""
+        """Removes a server that shuts down; returns once all members of the view know it.
+
+        Raises `RequestError` as `heartbeat` does for a drain.
+        """
         self.leadership.require_primary()
         if self.state.registry.remove(asyncio.get_running_loop().time(), identity):
             self._polls.notify_all()
         await self._sharing.replicate_departure()
 
-    # edge nodes
+    # requests of edge nodes
 
     async def updates(self, request: UpdateRequest) -> Update | NotPrimary:
         """Handles an edge node's long poll; see `UpdatePolls.poll`."""
--- a/wheatroute/control/soft_state.py
+++ b/wheatroute/control/soft_state.py
@@ -1,6 +1,7 @@
-"""Soft state of the primary, which it sends to the other control nodes without a write, for the next primary.
+"""Soft state of the primary: not part of the replicated document, but sent to the other control nodes.
 
-Messages and their encoding, no I/O. `soft_state_sharing` sends them.
+The next primary starts from it. Defines the payloads and their encoding, without I/O; `soft_state_sharing`
+sends them.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 def make_soft_state(
     instances: tuple[Instance, ...], levels: dict[str, BucketLevels], edge_node_count: int
 ) -> SoftState:
-    """Builds the soft state from these instances, bucket levels by tenant and number of edge nodes."""
+    """Builds the soft state; `levels` are the levels of both buckets of each tenant, by name."""
     limits = {tenant: level.limit for tenant, level in levels.items()}
     excesses = {tenant: level.excess for tenant, level in levels.items()}
     return SoftState(instances, limits, excesses, edge_node_count)
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -20,7 +20,7 @@
 from wheatroute.control.edge_nodes import NODE_LOST_S
 from wheatroute.control.prior_usage import PriorUsage
 
-# A node is granted its own demand of this many seconds in advance, while the bucket is well filled.
+# While the bucket is well filled, a node is also granted the tokens that it demands in this many seconds.
 ADVANCE_S = 0.25
 # Fraction of a bucket's capacity, below which nothing is granted in advance.
 ADVANCE_MIN_LEVEL = 0.5
@@ -244,7 +244,10 @@
         return True
 
     def seconds_until(self, tokens: float) -> float:
-        """Seconds until the limit's bucket holds these tokens; the excess bucket counts if they exceed it."""
+        """Seconds until the limit's bucket holds these tokens.
+
+        If they exceed its capacity, the tokens in the excess bucket count too.
+        """
         missing = tokens - self.limit.tokens
         if tokens > self.limit.capacity:
             missing -= self.excess.tokens
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -166,8 +166,8 @@
     def _is_own_response(self, fields: dict[bytes, bytes], connection: StreamConnection) -> bool:
         """Returns whether a response belongs to this request, by its `Request-Id`.
 
-        A response without an id does if no other request was ever written on its connection. Otherwise it
-        cannot be attributed, and MalformedError is raised.
+        A response without an id belongs to it if no other request was ever written on the connection.
+        Otherwise it cannot be attributed, and MalformedError is raised.
         """
         response_id = fields.get(b"request-id", b"")
         if not response_id:
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -16,8 +16,8 @@
 from wheatroute.edge.usage_reporter import UsageReporter
 
 POLL_WAIT_S = 0.7  # seconds for which the primary may hold a poll
-FIRST_POLL_WAIT_S = 0.3  # the same, while this node has no configuration
-POLL_MARGIN_S = 0.45  # seconds beyond that after which a poll has failed
+FIRST_POLL_WAIT_S = 0.3  # seconds for which it may hold a poll of a node without a configuration
+POLL_MARGIN_S = 0.45  # seconds beyond `POLL_WAIT_S` after which a poll without a response has failed
 HOST_BACKOFF_S = 0.06  # mean pause after a failed poll, before the next host is polled
 
 
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -86,7 +86,10 @@
         self.ejected_until = now + backoff_s
 
     def record_response(self, now: float, is_error: bool) -> None:
-        """Records a response; ejects a server whose error rate is too high, however fast it responds."""
+        """Records a response, which ends an ejection.
+
+        If it is an error and the error rate is too high, the server is ejected, however fast it responds.
+        """
         self.last_response_at = now
         self.consecutive_failures = 0
         self.error_rate += ERROR_SMOOTHING * (is_error - self.error_rate)
--- a/wheatroute/edge/main.py
+++ b/wheatroute/edge/main.py
@@ -18,7 +18,7 @@
 
 POOL_CHECK_INTERVAL_S = 0.5  # seconds between two checks of idle connections to servers
 MAX_FAILED_PROBES = 2  # failed readiness probes after which the platform sends no new clients
-PROBE_TIMEOUT_S = 2.4  # maximum time that the platform takes for those probes
+PROBE_TIMEOUT_S = 2.4  # maximum time that the platform takes for `MAX_FAILED_PROBES` probes
 DRAIN_DELAY_S = 0.3  # time for connections that clients were already opening
 SHUTDOWN_MARGIN_S = 0.5  # time between the end of the shutdown and the platform's kill of the process
 POLL_INTERVAL_S = 0.05  # seconds between two checks of a shutdown condition
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -16,7 +16,7 @@
 IDLE_TIMEOUT_FRACTION = 0.9  # fraction of a server's idle timeout for which connections are reused
 DEFAULT_IDLE_TIMEOUT_S = 60.0  # idle timeout assumed for servers that do not announce one
 MIN_IDLE_TIMEOUT_S = 0.5  # a connection closed after a shorter idle time counts as broken
-# Fraction of the connections that a service's servers accept that is used, divided evenly among the nodes.
+# Fraction of the connections accepted by a server that all edge nodes use together, in equal parts.
 CAPACITY_FRACTION = 0.9
 MIN_CAPACITY = 2  # connections to each server that a node may always open
 MAX_ANSWERED_IDS = 200  # number of ids that a connection remembers; it is closed if it needs more
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class IdleConnection:
-    """A connection without a request, and the time since when it is idle."""
+    """A connection without a request, and the time from which it has been idle."""
 
     since: float
     connection: StreamConnection
@@ -41,7 +41,8 @@
 class StreamConnectionPool:
     """Pools the connections of one node by server, and reuses the most recently used idle one first.
 
-    At `max_connections` open connections to all servers, an idle one is closed for each new one.
+    While `max_connections` or more are open, to all servers together, each new connection closes the one that
+    has been idle for longest.
     """
 
     def __init__(self, max_connections: int) -> None:
--- a/wheatroute/edge/prefix_cache.py
+++ b/wheatroute/edge/prefix_cache.py
@@ -48,7 +48,7 @@
 
 
 class PreferredServers:
-    """Remembers which server was ranked first when a prefix key was last drawn."""
+    """Remembers, for each prefix key, which server was ranked first by the last draw (see `selection`)."""
 
     def __init__(self) -> None:
         self._server_ids: OrderedDict[str, str] = OrderedDict()  # keyed by prefix key
--- a/wheatroute/edge/primary_client.py
+++ b/wheatroute/edge/primary_client.py
@@ -90,7 +90,7 @@
                     timeout=httpx.Timeout(read_timeout_s, connect=connect_timeout_s),
                 )
         except (httpx.HTTPError, trio.TooSlowError, OSError) as error:
-            # A broken connection does not mean that the host is down, which may answer the next message.
+            # A broken connection does not mean that the host is down: it may answer the next message.
             if not isinstance(error, BROKEN_CONNECTION_ERRORS):
                 self.failed_at = trio.current_time()
             self._switch_host_from(host)
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -3,9 +3,9 @@
 Invariant: every grant of the primary is taken out of the tenant's single token bucket, so the leases of all
 nodes add up to the rate limit. A node is isolated while it has no contact with a primary. For a tenant,
 isolation begins when a lease request gets no response, and ends with the next grant. An isolated node uses
-local tokens: the local rate and burst of its last grant, and an even share of what the operators' rule allows
-beyond the limit. It reports their usage to the next primary, which takes it out of the bucket. Unused local
-tokens are kept until the next isolation; they cannot be used while a primary answers.
+local tokens: the local rate and burst of its last grant, and an even share of the allowed usage beyond the
+limit (`bounds.quota_slack`). It reports their usage to the next primary, which takes it out of the bucket.
+Unused local tokens are kept until the next isolation; they cannot be used while a primary answers.
 """
 
 from __future__ import annotations
@@ -20,15 +20,16 @@
 from wheatroute.edge.usage_history import UsageHistory
 
 DEMAND_WINDOW_S = 4.0  # window over which the demand of a tenant's clients is measured
-MAX_LEASE_S = 0.4  # tokens for this many seconds of that demand stay leased; surplus is returned
-MAX_LOCAL_BURST_S = 2.0  # an isolated node saves up at most the local rate times this
+MAX_LEASE_S = 0.4  # tokens for this many seconds of a tenant's demand stay leased; surplus is returned
+MAX_LOCAL_BURST_S = 2.0  # an isolated node saves up at most this many seconds of its local rate
 LOCAL_RATE_TTL_S = 3.0  # maximum age, when isolation begins, of a grant whose local rate is used
 # Fraction of an even share of the rate limit. It is the local rate of an isolated node without a valid one:
 # no grant was received yet, the last one was too old (LOCAL_RATE_TTL_S), or its local rate is 0.
 DEFAULT_LOCAL_RATE_FRACTION = 0.5
-# Tokens for this many seconds of that rate may be used in advance, else a large request would never fit.
+# Tokens for this many seconds of this default rate may be used in advance, else a large request would never
+# fit.
 DEFAULT_LOCAL_BURST_S = 1.0
-# Fraction of what the rule allows beyond the limit that all isolated nodes together may use.
+# Fraction of `bounds.quota_slack` that all isolated nodes together may use.
 LOCAL_SLACK_FRACTION = 0.3
 
 
@@ -68,7 +69,8 @@
         self.granted_tokens = 0.0
         self.demand_rate = 0.0  # tokens per second that clients requested, as of `demand_updated_at`
         self.demand_updated_at = 0.0
-        self.retry_after_s = 0.0  # seconds until the bucket holds tokens again, according to the last grant
+        # `wait_s` of the last grant: seconds until the bucket holds the requested tokens
+        self.retry_after_s = 0.0
         # Rate (tokens per second) and burst (tokens) of the last grant, for use in isolation.
         self.local_rate = 0.0
         self.local_burst = 0.0
@@ -97,14 +99,18 @@
 
 
 class QuotaLeases:
-    """Holds the leases of all tenants; `window_s` is the window of the operators' rule, in seconds."""
+    """Holds the leases of all tenants.
+
+    `window_s` (`bounds.quota_window_s`) is the window of the quota rule, in seconds: the recent usage covers
+    one window, and the local burst is credited at most once per window.
+    """
 
     def __init__(self, window_s: float) -> None:
         self.window_s = window_s
         self._leases: dict[str, QuotaLease] = {}
 
     def set_window(self, window_s: float) -> None:
-        """Changes the window of the operators' rule, in seconds."""
+        """Changes the window of the quota rule, in seconds."""
         self.window_s = window_s
         for lease in self._leases.values():
             lease.usage.set_span(window_s)
@@ -218,10 +224,11 @@
     # Local tokens in isolation
 
     def refill_isolated(self, tenant: Tenant, now: float, edge_node_count: int, slack: float) -> None:
-        """Refills the local tokens of an isolated node; `slack` is the rule's allowance beyond the limit.
+        """Refills the local tokens of an isolated node.
 
-        The local rate accrues from the last grant on. The local burst and the share of the slack are credited
-        as isolation begins, but at most once per window.
+        `slack` is the allowed usage beyond the limit, in tokens (`bounds.quota_slack`). The local
+        rate accrues from the last grant on. The local burst and the share of the slack are credited as
+        isolation begins, but at most once per window.
         """
         lease = self._lease(tenant.name)
         slack_share = LOCAL_SLACK_FRACTION * slack / max(1, edge_node_count)
--- a/wheatroute/edge/request.py
+++ b/wheatroute/edge/request.py
@@ -74,7 +74,7 @@
     def prefix_key(self) -> str | None:
         """Id of the last prefix block that other requests may share, None without prefix blocks.
 
-        This is the last but one block, because the last one belongs to this request or its session alone,
+        This is the second to last block, because the last one belongs to this request or its session alone,
         unless it is the only one.
         """
         if not self.prefix_blocks:
--- a/wheatroute/edge/retry_budget.py
+++ b/wheatroute/edge/retry_budget.py
@@ -4,7 +4,8 @@
 
 from collections import deque
 
-# Fraction of the configured ratio that is used: the requests that allow a retry may fall into another window.
+# Fraction of the configured ratio that is used, because a window that contains a retry may not contain all
+# requests that allowed it.
 RATIO_FRACTION = 0.7
 SLACK_FRACTION = 0.7  # fraction of the configured slack that is used, divided evenly among the nodes
 
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -41,9 +41,10 @@
 
 
 class ServerSelector:
-    """Ranks the servers of all services by their latency, load, health and cached prefixes, as known here.
+    """Ranks the servers of all services by their latency, load, health and cached prefixes.
 
-    `cache_ttl_s` is the time in seconds within which a repeated prefill of the same prompt has a price.
+    It uses what this node knows of them. `cache_ttl_s` (`bounds.again_s`) is the time in seconds within which
+    a repeated prefill of the same prompt is penalized.
     """
 
     def __init__(self, cache_ttl_s: float, rng: Random, clock: Callable[[], float]) -> None:
@@ -58,7 +59,7 @@
         self._clock = clock
 
     def set_cache_ttl(self, cache_ttl_s: float) -> None:
-        """Changes the time within which a repeated prefill has a price; the prefix index is kept."""
+        """Changes the time in seconds for which a repeated prefill is penalized; keeps the prefix index."""
         self.prefix_cache.set_ttl(CACHE_TTL_FACTOR * cache_ttl_s)
 
     def set_response_timeout(self, p95_s: float) -> None:
@@ -68,8 +69,9 @@
     def record_latency(self, server: Server, tokens: float, latency_s: float) -> None:
         """Updates the prefill model and the weights by one time to first token.
 
-        `tokens` is the number of prompt tokens that the server had to prefill before. The weights use the
-        latency in multiples of the expected one, else one long prompt would make a server look slow.
+        `tokens` is the number of prompt tokens that the server had to prefill before the first token. The
+        weights use the latency in multiples of the expected one, else one long prompt would make a server
+        look slow.
         """
         model = self._prefill_model(server.instance.service)
         expected_s = model.predict(tokens)
--- a/wheatroute/edge/usage_reporter.py
+++ b/wheatroute/edge/usage_reporter.py
@@ -1,7 +1,7 @@
 """Reports this node's demand for quota tokens, server load and unresponsive servers to the primary.
 
 A report is sent at once when a request needs tokens, and periodically otherwise. The response contains grants
-and the load that other nodes have at the servers.
+and the load that other nodes put on the servers.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 
 REPORT_TIMEOUT_S = 0.25
 REPORT_INTERVAL_S = 0.3  # minimum mean interval between two reports of one node
-# Mean interval between two reports of any nodes, since the rate of all reports determines the primary's load.
+# Minimum mean interval between two reports of any nodes, since the rate of all reports determines the load of
+# the primary.
 REPORT_SPACING_S = 0.01
 MIN_INTERVAL_JITTER, INTERVAL_JITTER_RANGE = 0.8, 0.4  # the interval is multiplied by 0.8 to 1.2
 MAX_LEASE_ATTEMPTS = 2  # the second goes to the primary that another host has named
-LEASE_BACKOFF_S = 0.3  # time after a host did not answer in which no request waits for a lease
+LEASE_BACKOFF_S = 0.3  # time for which no request waits for a lease after a host did not answer
 
 
 class UsageReporter:
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -105,7 +105,7 @@
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """The hosts of all control nodes known to this node."""
+        """The hosts of all control nodes known to this node, sorted."""
         hosts = self._leader.all_hosts() if self.is_leading else self._state.all_hosts()
         return tuple(sorted(hosts))
 
--- a/wheatroute/replication/effects.py
+++ b/wheatroute/replication/effects.py
@@ -25,14 +25,17 @@
 
 @dataclass(frozen=True)
 class Committed:
-    """Every member has acknowledged this document: it may be shown to callers and served."""
+    """Every member has acknowledged this document: responses to callers may be based on it."""
 
     document: Document
 
 
 @dataclass(frozen=True)
 class WriteDone:
-    """The write request with this number is committed, or this node will never acknowledge it."""
+    """The write request with this number is done.
+
+    `is_committed`: whether its document is committed. If not, this node will never acknowledge it.
+    """
 
     request: int
     is_committed: bool
--- a/wheatroute/replication/replicator.py
+++ b/wheatroute/replication/replicator.py
@@ -104,7 +104,11 @@
         loop.create_task(self._run_scrubs())
 
     async def stop(self) -> None:
-        """Takes part until other nodes have taken over this node's roles, or its time is up, then stops."""
+        """Announces that this node leaves, and stops once other nodes have taken over its roles.
+
+        It stops without that `STOP_RESERVE_S` before the end of the grace period (`bounds.grace_s`), but not
+        before it has waited for `MIN_STOP_TIMEOUT_S`.
+        """
         loop = asyncio.get_running_loop()
         started_at = loop.time()
         timeout_s = max(MIN_STOP_TIMEOUT_S, self._settings.bounds.grace_s - STOP_RESERVE_S)
@@ -138,7 +142,10 @@
         )
 
     async def confirm_leadership(self, timeout_s: float) -> bool:
-        """Whether, after this call, a majority of voters confirms in time that this node still leads."""
+        """Returns whether a majority of voters confirms within `timeout_s` that this node still leads.
+
+        Only answers to heartbeats that are sent after this call count.
+        """
         request = next(self._request_numbers)
         return await self._await_result(
             request, timeout_s, lambda now: self.core.confirm_leadership(now, request)
@@ -173,7 +180,7 @@
 
     @property
     def bucket_levels_at(self) -> float:
-        """Time of the loop at which the bucket levels, or the soft state after them, arrived."""
+        """Event loop time at which the bucket levels, or the soft state after them, arrived."""
         return self._soft_state.bucket_levels_at
 
     def replicate_soft_state(self, payload: bytes) -> SoftStateVersion:
@@ -188,9 +195,9 @@
         self._soft_state.publish_bucket_levels(payload)
 
     async def wait_for_soft_state_acks(self, version: SoftStateVersion, timeout_s: float) -> bool:
-        """Waits until every member of the view has acknowledged this soft state, as one of them leads next.
+        """Waits until every member of the view has acknowledged this soft state.
 
-        Returns False if that takes longer than `timeout_s`.
+        One of them leads next and starts from it. Returns False if that takes longer than `timeout_s`.
         """
         return await self._soft_state.wait_for_acks(version, timeout_s)
 
--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -2,7 +2,7 @@
 
 The newest soft state is kept in memory, and written to disk in the background. Bucket levels are kept in
 memory only; they are newer than the soft state before them. Messages may be lost: soft state is sent again
-until every member of the view has acknowledged it, while lost bucket levels are made up for by the next ones.
+until every member of the view has acknowledged it, while lost bucket levels are replaced by the next ones.
 """
 
 from __future__ import annotations
@@ -41,7 +41,8 @@
         self._changed = asyncio.Event()
         self.payload = payload
         self.bucket_levels = b""  # the newest bucket levels received after `payload`; empty if there are none
-        self.bucket_levels_at = -inf  # time of the loop at which the bucket levels, or the payload, arrived
+        # event loop time at which the bucket levels, or the payload, arrived
+        self.bucket_levels_at = -inf
 
     # on the leader
 
--- a/wheatroute/replication/voter.py
+++ b/wheatroute/replication/voter.py
@@ -53,6 +53,7 @@
         state = self._state
         if proposer == base.primary or base.epoch < state.view.epoch:
             return 0.0
+        # A leader's own vote is bound while it has a lease; other nodes may ask again after a heartbeat.
         if state.is_leading:
             return timing.HEARTBEAT_INTERVAL_S if self._leader.has_lease(state.now) else 0.0
         return self._lease_grant.remaining_s(state.now, base)
--- a/wheatroute/system.py
+++ b/wheatroute/system.py
@@ -19,10 +19,11 @@
 
 BAD_SETTINGS_STATUS = 2
 LISTEN_FAILED_STATUS = 1
+# The keys of `listen` that each role requires.
 REQUIRED_ADDRESSES = {
     "edge": ("front", "ready"),
     "control": ("control",),
-}  # required keys of `listen` by role
+}
 
 
 def _read_settings(role: str) -> tuple[Settings, Logger]:
