--- a/tests/control/simulated_cluster.py
+++ b/tests/control/simulated_cluster.py
@@ -71,7 +71,7 @@
         self.rng = rng
         self.write_s = DISK_WRITE_S
         self._busy_until = 0.0
-        self.incarnation = 0  # number of the process that writes
+        self.incarnation = 0  # number of the process that uses this disk
 
     def submit(self, function, *arguments):
         loop, future, incarnation = asyncio.get_running_loop(), Future(), self.incarnation
--- a/tests/control/test_control_nodes.py
+++ b/tests/control/test_control_nodes.py
@@ -241,7 +241,7 @@
         await asyncio.sleep(0.01)
     while b"i-1" not in joined._storage.read_soft_state():
         await asyncio.sleep(0.01)
-    # otherwise the nodes that could decide without the leader would be those of the previous view
+    # Without this wait, the nodes that could decide without the leader would be those of the previous view.
     for one in HOSTS:
         while joined.core.identity not in (await nodes.read_record(one)).acceptor.view.members:
             await asyncio.sleep(0.01)
@@ -277,7 +277,8 @@
         await asyncio.get_running_loop().run_in_executor(service.replicator._executor, damage)
         while not any(record.message == "record-damaged" for record in caplog.records):
             await asyncio.sleep(0.01)
-        while b"document" not in service.replicator._storage._written:  # until it is rewritten
+        # The scrub removes a damaged value from `_written`; the next write adds it again.
+        while b"document" not in service.replicator._storage._written:
             await asyncio.sleep(0.01)
         await nodes.kill(host)
         await nodes.start(host, bootstrap=False)
--- a/tests/control/test_many_changes.py
+++ b/tests/control/test_many_changes.py
@@ -61,7 +61,7 @@
 
 
 def max_file_bytes(folder, changes):
-    """The maximum size of the store during `changes` writes of the full state, and its last record."""
+    """Writes the full state `changes` times; returns the maximum size of the file, and the last record."""
     disk, state, max_bytes = LmdbStorage(str(folder), DISK_MB), first_state(), 0
     for number in range(changes):
         state = next_state(state)
--- a/tests/control/test_quotas.py
+++ b/tests/control/test_quotas.py
@@ -179,7 +179,7 @@
 class SimulatedTenant:
     """Six nodes whose clients request five times the limit, in virtual time, and their usage.
 
-    The figures are those of the day adomako-fx scale-2, on which the rule QUOTA was violated.
+    The numbers are those of adomako-fx scale-2, a run in which the quota rule (QUOTA) was violated.
     """
 
     RATE, BURST, SLACK, EXCESS, WINDOW = 115_787.0, 115_787.0, 190_000.0, 0.1, 8.0
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -141,12 +141,12 @@
     stream.socket.setsockopt(trio.socket.SOL_SOCKET, trio.socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
 
 
-def break_off_after(part, how):
-    """Returns a script that sends part of a response, and then closes or resets the connection."""
+def break_off_after(part, ending):
+    """Returns a script that sends part of a response, and then ends the connection by a close or a reset."""
 
     async def script(stream, fields):
         await stream.send_all(part.replace(b"{id}", fields["request-id"].encode()))
-        if how == "reset":
+        if ending == "reset":
             reset_on_close(stream)
         return False
 
@@ -162,16 +162,19 @@
 UNFRAMED = HALF_HEAD + b"Server-Signature: s1\r\n\r\nno length"
 
 
-@pytest.mark.parametrize("how", ("close", "reset"))
+@pytest.mark.parametrize("ending", ("close", "reset"))
 @pytest.mark.parametrize(
     "part", (b"", HALF_HEAD, HALF_BODY, UNFRAMED), ids=("nothing", "head", "body", "open")
 )
-def test_a_request_whose_response_breaks_off_is_retried_only_if_idempotent(part, how):
+def test_a_request_whose_response_breaks_off_is_retried_only_if_idempotent(part, ending):
     @scenario
     async def script():
         for kept in (False, True):
             before = [respond(b"warm")] if kept else []
-            first, second = ScriptedServer("i-1", *before, break_off_after(part, how)), ScriptedServer("i-2")
+            first, second = (
+                ScriptedServer("i-1", *before, break_off_after(part, ending)),
+                ScriptedServer("i-2"),
+            )
             async with running_edge(first, second) as edge:
                 edge.node.selector.rank = rank_by_id
                 for _ in before:
@@ -182,8 +185,8 @@
             assert request_ids(second) == []
         # An idempotent request is retried once, at the other server.
         first, second = (
-            ScriptedServer("i-1", break_off_after(part, how)),
-            ScriptedServer("i-2", break_off_after(part, how)),
+            ScriptedServer("i-1", break_off_after(part, ending)),
+            ScriptedServer("i-2", break_off_after(part, ending)),
         )
         async with running_edge(first, second) as edge:
             first.scripts.append(respond(b"again"))
@@ -195,11 +198,14 @@
 
 
 class EarlyServer(ScriptedServer):
-    """Responds as soon as it has the head of a request; `then` handles the rest of the body."""
+    """Sends `data` as soon as it has the head of a request; `handle_rest` handles the rest of the body.
 
-    def __init__(self, identity, data, then):
+    `handle_rest` is called with the server, the stream, and the number of bytes of the body that remain.
+    """
+
+    def __init__(self, identity, data, handle_rest):
         super().__init__(identity)
-        self.data, self.then = data, then
+        self.data, self.handle_rest = data, handle_rest
         self.request_ids_seen, self.bodies_read = [], 0
         self.ended = trio.Event()
 
@@ -212,7 +218,9 @@
         self.request_ids_seen.append(fields[b"request-id"].decode())
         await stream.send_all(self.data.replace(b"{id}", fields[b"request-id"]))
         try:
-            await self.then(self, stream, int(fields[b"content-length"]) - len(head.split(b"\r\n\r\n", 1)[1]))
+            await self.handle_rest(
+                self, stream, int(fields[b"content-length"]) - len(head.split(b"\r\n\r\n", 1)[1])
+            )
         finally:
             self.ended.set()
 
--- a/tests/edge/test_client_connections.py
+++ b/tests/edge/test_client_connections.py
@@ -69,7 +69,7 @@
         await slow.send_all(request("/stream/1"))
         await until(lambda: sent)
         seen, stalled = 0, 0
-        # until 30 requests of other clients in a row have passed without progress of the slow client's stream
+        # Ends once 30 requests in a row of other clients were answered without progress of the slow stream.
         while stalled < 30:
             seen, stalled = (len(sent), 0) if len(sent) > seen else (seen, stalled + 1)
             assert status(await edge.exchange(request("/plain/1", identity=f"r{seen}-{stalled}"))) == 200
--- a/tests/edge/test_control_client.py
+++ b/tests/edge/test_control_client.py
@@ -155,8 +155,8 @@
         edge.node.quotas.apply_grant("small", QuotaGrant(0.0, 0.0, 100.0), trio.current_time() - 1.0)
         edge.primary.respond = answer_nothing
         assert status(await edge.exchange(body)) == 200
-        answered = [status(await edge.exchange(body)) for _ in range(10)]
-        assert 200 in answered and 429 in answered
+        statuses = [status(await edge.exchange(body)) for _ in range(10)]
+        assert 200 in statuses and 429 in statuses
         assert len(lease_requests) <= 1  # none if a periodic report got no response before
 
 
--- a/tests/edge/test_edge_role.py
+++ b/tests/edge/test_edge_role.py
@@ -103,7 +103,7 @@
         begun = trio.current_time()
         os.kill(os.getpid(), signal.SIGTERM)
         await edge.ended.wait()
-        assert trio.current_time() - begun < 4.0  # `grace_s`
+        assert trio.current_time() - begun < 4.0  # `grace_s` in `edge.role`
         response += await read_all(stream)
     assert LAST_CHUNK not in response
 
@@ -122,20 +122,20 @@
 @scenario
 async def test_a_changed_settings_file_is_applied_with_or_without_a_signal_during_a_stream(tmp_path):
     path = tmp_path / "settings.yaml"
-    go_on = trio.Event()
+    may_continue = trio.Event()
 
     async def script(stream, fields):
         head = STREAM_HEAD.replace(b"{id}", fields["request-id"].encode())
         await stream.send_all(head + chunk(b"id: 1\ndata: a\n\n"))
-        await go_on.wait()
+        await may_continue.wait()
         await stream.send_all(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(edge_main, "CHECK_INTERVAL_S", 0.01)
-        await check_changes_during_a_stream(path, script, go_on)
+        await check_changes_during_a_stream(path, script, may_continue)
 
 
-async def check_changes_during_a_stream(path, script, go_on):
+async def check_changes_during_a_stream(path, script, may_continue):
     async with running(ScriptedServer("i-1", script), seeds_file=path) as edge:
         await until(lambda: edge.node.is_ready)
         stream = await trio.open_tcp_stream("127.0.0.1", edge.port)
@@ -152,7 +152,7 @@
         assert all(budget._ratio < 0.1 for budget in edge.node._retry_budgets.values())
         write_settings(retry_ratio=0.1, grace_s=4.5)  # without a signal
         await until(lambda: edge.node.settings.bounds.grace_s == 4.5)
-        go_on.set()
+        may_continue.set()
         response += await read_all(stream)
         assert response.endswith(chunk(b"id: 2\ndata: b\n\n") + LAST_CHUNK) and not edge.ended.is_set()
 
--- a/tests/edge/test_recent_usage.py
+++ b/tests/edge/test_recent_usage.py
@@ -23,9 +23,8 @@
     assert not recent.has_primary_changed("a")
     report = recent.make_report("edge-1", "a", {}, 1.0)
     assert report.recent_usage_span_s == 1.0
-    assert (
-        sum(report.tenants["t"].recent_usage) == 0
-    )  # 60 of 100 tokens used, 40 still leased, 100 refunded before
+    # 60 of 100 tokens were used, 40 are still leased, and 100 were refunded before.
+    assert sum(report.tenants["t"].recent_usage) == 0
     recent.record_response("a", report, response(epoch=1))
     assert not recent.is_due("a")
     later = recent.make_report("edge-1", "a", {"t": quotas.demand("t", 5.0, 0.0, 1.0)}, 1.0)
--- a/tests/replication/histories.py
+++ b/tests/replication/histories.py
@@ -95,44 +95,44 @@
     def inject_fault(self):
         if self.sim.now > self.duration_s - FAULT_FREE_S:
             return
-        kind = self.rng.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
-        if kind not in MACHINE_FAULTS:
-            getattr(self, kind)()
+        fault = self.rng.choice(MACHINE_FAULTS + CLUSTER_FAULTS)
+        if fault not in MACHINE_FAULTS:
+            getattr(self, fault)()
         elif len(self.lost_hosts()) < self.tolerate:
-            self.fail_machine(kind)
+            self.fail_machine(fault)
         self.sim.at(0.05 + 1.6 * self.rng.random() ** 2, self.inject_fault)
 
     # faults of one machine
 
-    def fail_machine(self, kind):
+    def fail_machine(self, fault):
         sim = self.sim
         serving = sim.serving()
         candidates = [name for name in sorted(sim.hosts) if name not in self.leaving]
-        name = self.rng.choice(serving if serving and kind == "kill leader" else candidates)
+        name = self.rng.choice(serving if serving and fault == "kill leader" else candidates)
         if name in self.leaving:
             return
         self.lost_until[name] = FOREVER
         partitions = set()
-        if kind in ("kill", "kill leader"):
+        if fault in ("kill", "kill leader"):
             sim.kill(name)
-        elif kind in ("wipe", "wipe in succession"):
+        elif fault in ("wipe", "wipe in succession"):
             sim.wipe(name)
-        elif kind == "slow disk":
+        elif fault == "slow disk":
             sim.hosts[name].disk_delay = 0.9
-        elif kind == "full disk":
+        elif fault == "full disk":
             sim.hosts[name].is_disk_failing = True
-        elif kind == "freeze" and sim.hosts[name].core is not None:
+        elif fault == "freeze" and sim.hosts[name].core is not None:
             sim.freeze(name)
-        elif kind == "remove":
+        elif fault == "remove":
             sim.at(0.5 + self.rng.random(), lambda: self.count_until_replaced(self.new_machine(), name))
             sim.kill(name)
             del sim.hosts[name]
             return
-        elif kind in ("isolate", "one-way partition"):
-            partitions = self.isolate(name, both=kind == "isolate" or self.rng.random() < 0.5)
+        elif fault in ("isolate", "one-way partition"):
+            partitions = self.isolate(name, both=fault == "isolate" or self.rng.random() < 0.5)
         recovery_delay_s = 0.2 + 3.0 * self.rng.random()
         sim.at(recovery_delay_s, lambda: self.recover(name, frozenset(partitions)))
-        if kind == "wipe in succession":
+        if fault == "wipe in succession":
             # The next disk is lost at the moment at which this machine no longer counts as lost.
             sim.at(
                 recovery_delay_s + SYNC_S,
@@ -210,7 +210,8 @@
     def extend_losses(self, duration_s):
         """Extends the time for which lost machines count as lost.
 
-        Machines that have just returned don't get in sync while leaders fail in addition to what may be lost.
+        Otherwise too much could be lost: machines that have just returned don't get in sync while leaders
+        fail too.
         """
         for name in self.lost_hosts():
             self.lost_until[name] = max(self.lost_until[name], self.sim.now + duration_s + SYNC_S)
--- a/tests/replication/lease_model.py
+++ b/tests/replication/lease_model.py
@@ -26,7 +26,7 @@
 OTHER = View(2, "b/0", VIEW.members, VIEW.voters)
 VOTERS = ("b/0", "c/0")  # the voters other than the leader
 
-Ages = tuple[tuple[str, int], ...]  # by voter
+Ages = tuple[tuple[str, int], ...]  # pairs of a voter and an age in steps
 
 
 class State(NamedTuple):
@@ -112,10 +112,10 @@
     )
 
 
-def _without(ages: Ages, one: tuple[str, int]) -> Ages:
-    left = list(ages)
-    left.remove(one)
-    return tuple(left)
+def _without(ages: Ages, entry: tuple[str, int]) -> Ages:
+    remaining = list(ages)
+    remaining.remove(entry)
+    return tuple(remaining)
 
 
 def _without_heartbeat(state: State, heartbeat: tuple[str, int]) -> State:
--- a/tests/replication/lease_mutants.py
+++ b/tests/replication/lease_mutants.py
@@ -54,7 +54,7 @@
 
 
 def voters_in_sync_or_not(view, nodes, synced, tolerate, now):
-    """Fills free places and replaces lost voters by any node that answers, in sync or not."""
+    """Adds missing voters and replaces lost ones, by any node that answers, in sync or not."""
     answering = [node.identity for node in nodes.values() if node.can_replicate(now)]
     return _VOTERS(view, nodes, answering, tolerate, now)
 
--- a/tests/replication/membership_beyond.py
+++ b/tests/replication/membership_beyond.py
@@ -33,7 +33,7 @@
 
 
 def wiped(*numbers: int) -> Losses:
-    """These disks are lost at the same time."""
+    """Losses of these disks at the same time."""
 
     def losses(world: World) -> World:
         for number in numbers:
@@ -44,7 +44,10 @@
 
 
 def wiped_in_turn(*numbers: int) -> Losses:
-    """Each disk is lost as soon as the one before is in sync again, before the time of `sync_s` is over."""
+    """Losses of these disks in turn, each as soon as the machine of the one before is in sync again.
+
+    That is before the machine no longer counts as lost (`simulation.SYNC_S`).
+    """
 
     def losses(world: World) -> World:
         for number in numbers:
@@ -59,7 +62,7 @@
 
 
 def wiped_and_settled(*numbers: int) -> Losses:
-    """Each disk is lost after a fault-free period since the loss before."""
+    """Losses of these disks in turn, with a fault-free period after each."""
 
     def losses(world: World) -> World:
         for number in numbers:
@@ -70,7 +73,7 @@
 
 
 def down_then_wiped(down: int, *numbers: int) -> Losses:
-    """One machine goes down, and the others write without it; then these disks are lost."""
+    """Losses of these disks after the machine `down` went down and the others wrote without it."""
 
     def losses(world: World) -> World:
         world = model.settle(model.end(world, down))
@@ -83,7 +86,7 @@
 
 
 def removed(*numbers: int) -> Losses:
-    """These machines are removed for good at the same time; empty ones replace them."""
+    """Losses of these machines for good at the same time; machines with empty disks replace them."""
 
     def losses(world: World) -> World:
         for number in numbers:
--- a/tests/replication/membership_explore.py
+++ b/tests/replication/membership_explore.py
@@ -212,8 +212,8 @@
 
 def _reachable_voters(world: World, number: int, view: View) -> list[int]:
     """The numbers of the machines at the addresses of voters that this machine reaches."""
-    places = [world.machine_of(voter) for voter in view.voters]
-    return sorted({place for place in places if place is not None and world.reaches(number, place)})
+    others = [world.machine_of(voter) for voter in view.voters]
+    return sorted({other for other in others if other is not None and world.reaches(number, other)})
 
 
 def _leader_steps(world: World, number: int, bounds: Bounds) -> Iterator[Step]:
@@ -376,12 +376,12 @@
         return machine._replace(record=record, leader_state=self._leading(machine), incarnation=incarnation)
 
     def _leading(self, machine: Machine) -> LeaderState | None:
-        """Forgets the versions of machines that are down, since they have been silent for long."""
+        """Forgets the versions of machines that are down, since they have been unresponsive for long."""
         if machine.leader_state is None:
             return None
-        here = [other for other in self.world.machines if other.up and other is not machine]
+        others = [other for other in self.world.machines if other.up and other is not machine]
         document = self._document(machine.document)
-        versions = tuple((other.identity, document.version) for other in here)
+        versions = tuple((other.identity, document.version) for other in others)
         return LeaderState(document, versions, machine.leader_state.proposed)
 
     def _view(self, view: View) -> View:
@@ -514,9 +514,9 @@
     down = [n for n, machine in enumerate(world.machines) if not machine.up and not machine.is_removed]
     if len(down) > world.tolerate:
         world, down = _start_all(world, down), []
-    led = any(machine.leader_state for machine in world.machines)
+    has_leader = any(machine.leader_state for machine in world.machines)
     for start in [world] if not down else [world, _start_all(world, down)]:
-        for first in range(1 if led else len(world.up())):
+        for first in range(1 if has_leader else len(world.up())):
             settled_world = _settled_world(episode, start, first, trace)
             episode.settled_worlds_found.setdefault(settled_world, trace)
 
--- a/tests/replication/membership_model.py
+++ b/tests/replication/membership_model.py
@@ -123,14 +123,14 @@
 def first_world(machines: int, tolerate: int, seeds: int = 3) -> World:
     """Returns the world at the first start of the whole system, on empty disks."""
     view = genesis_view(tuple(f"h{number}" for number in range(seeds)))
-    new_proposal = []
+    started = []
     for number in range(machines):
         if number < seeds:
             record = new_record(genesis_identity(f"h{number}"), AcceptorRecord(view))
         else:
             record = new_record(f"h{number}/1", AcceptorRecord(NO_VIEW))
-        new_proposal.append(Machine(record))
-    return World(tuple(new_proposal), tolerate, decided=(view,), disks_made=1)
+        started.append(Machine(record))
+    return World(tuple(started), tolerate, decided=(view,), disks_made=1)
 
 
 # learning
@@ -377,7 +377,7 @@
 def _store_attempt(world: World, number: int, new_proposal: proposal.Proposal, attempt: Attempt) -> World:
     machine = world.machines[number]
     if machine.attempt is None:
-        return world  # it has learned a newer view
+        return world  # the machine has learned a newer view, which ended its attempt
     kept = attempt._replace(
         view=new_proposal.view,
         promises=tuple(sorted(new_proposal._promises.items())),
--- a/tests/replication/mutants.py
+++ b/tests/replication/mutants.py
@@ -267,8 +267,8 @@
     "a version used twice": core_with(write=version_reused),
     "a leader that ignores its deposition": core_with(_learn=learns_nothing_from_deposal),
 }
-# Faults that random histories show too rarely for a test: history 432 of an earlier version of the histories
-# showed the first; no history of a run of 150 s, whose number was not counted, showed the second.
+# Faults that random histories show too rarely for a test. The first was shown by history 432 of an earlier
+# version of the histories; the second by none of the histories of a 150 s run, which were not counted.
 RARE = {
     "a takeover that treats every voter as in sync": core_with(follower={"choose_takeover": takeover_of_all}),
     "acknowledgements of any epoch": core_with(
--- a/tests/replication/simulation.py
+++ b/tests/replication/simulation.py
@@ -54,7 +54,8 @@
         self.incarnation = 0
         self.disk_delay = 0.002
         self.is_disk_failing = False
-        self.rate, self.offset = 1.0, 0.0  # of its monotonic clock against virtual time
+        # Its monotonic clock shows `offset` plus `rate` times the virtual time, in seconds.
+        self.rate, self.offset = 1.0, 0.0
         self.is_frozen = False
         self.queued = []  # messages that arrived while the process was frozen
 
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -1,4 +1,7 @@
-"""No two leaders hold a lease at once under partitions, restarts and late messages; each lease rule alone."""
+"""No two leaders hold a lease at once, under partitions, restarts and late messages.
+
+Further tests check each lease rule on a single node, and commits while the next view is being decided.
+"""
 
 from contextlib import nullcontext
 from random import Random
@@ -137,6 +140,7 @@
 
 
 def node(name, view, record=None, seed=1):
+    """Returns the core of a node that starts at the time 10.0, in `view` and with an empty document."""
     core = ReplicationCore(
         record
         or NodeRecord(f"{name}/0", AcceptorRecord(view), new_record("", AcceptorRecord(view)).document),
@@ -148,9 +152,12 @@
     return core
 
 
-def sent(effects, kind):
+def sent(effects, message_type):
+    """Returns the messages of this type among the effects."""
     return [
-        effect.message for effect in effects if isinstance(effect, Send) and isinstance(effect.message, kind)
+        effect.message
+        for effect in effects
+        if isinstance(effect, Send) and isinstance(effect.message, message_type)
     ]
 
 
--- a/tests/replication/test_membership.py
+++ b/tests/replication/test_membership.py
@@ -52,5 +52,5 @@
 
 @pytest.mark.parametrize("name", TABLE)
 def test_the_outcome_of_more_losses_than_tolerated(name):
-    machines, tolerate, losses, left = TABLE[name]
-    assert outcome(machines, tolerate, losses) == left
+    machines, tolerate, losses, expected = TABLE[name]
+    assert outcome(machines, tolerate, losses) == expected
--- a/tests/replication/test_mutants.py
+++ b/tests/replication/test_mutants.py
@@ -8,7 +8,7 @@
 MAX_HISTORIES = 500  # a fault that so many histories don't show counts as not detected
 
 
-def found_by(make_core=None):
+def first_violation(make_core=None):
     """Returns the message of the violated invariant, None if there is none, and the number of histories."""
     for seed in range(MAX_HISTORIES):
         try:
@@ -20,12 +20,12 @@
 
 @pytest.mark.parametrize("name", MUTANTS)
 def test_a_fault_in_the_core_is_detected(name):
-    message, _ = found_by(MUTANTS[name])
+    message, _ = first_violation(MUTANTS[name])
     assert message is not None
 
 
 @pytest.mark.parametrize("name", RULES)
 def test_a_fault_in_the_choice_of_views_is_detected(name):
     with with_rule(name):
-        message, _ = found_by()
+        message, _ = first_violation()
     assert message is not None
--- a/tests/replication/test_voting.py
+++ b/tests/replication/test_voting.py
@@ -29,9 +29,10 @@
             )
             for number, name in ((1, "a"), (2, "b"))
         ]
+        # Triples of the voter to or from which a message is sent, the index of its proposal, and the message.
         self.in_flight = [
-            (voter, item, proposal.prepare_request())
-            for item, proposal in enumerate(self.proposals)
+            (voter, number, proposal.prepare_request())
+            for number, proposal in enumerate(self.proposals)
             for voter in VOTERS
         ]
         self.decided = set()
@@ -68,7 +69,7 @@
         return record.promised.number, record.accepted.number, progress, tuple(in_flight)
 
     def deliver(self, index):
-        """Delivers one message in flight; the answers are in flight then."""
+        """Delivers one message in flight, and adds the answer or the requests that follow from it."""
         voter, number, message = self.in_flight.pop(index)
         proposal, acceptor = self.proposals[number], self.acceptors[voter]
         if isinstance(message, Prepare | Accept):
