--- a/tests/control/test_isolation_and_prior_usage.py
+++ b/tests/control/test_isolation_and_prior_usage.py
@@ -90,7 +90,7 @@
     # used at once, more than two seconds ago: the rate has filled the bucket since then
     usage.add([0.0] * 8 + [600.0], 0.0)
     assert usage.max_level(RATE, BURST) == BURST
-    usage.add([400.0] * 4, 0.0)  # and after that more than the rate
+    usage.add([400.0] * 4, 0.0)  # used in the last second: more than the rate
     assert usage.max_level(RATE, BURST) == pytest.approx(BURST + RATE * 3.5 * USAGE_SLOT_S - 1600)
     later = PriorUsage()
     later.add([0.0, 0.0, 400.0], 2 * USAGE_SLOT_S)  # reported half a second later
--- a/tests/edge/test_attempt.py
+++ b/tests/edge/test_attempt.py
@@ -93,7 +93,7 @@
 
 @scenario
 async def test_a_connection_on_which_a_request_was_rejected_never_carries_it_again():
-    """By its id, a late copy of the rejection would be taken for the response to the second attempt."""
+    """A late copy of the rejection has the same id as the response to a second attempt would have."""
     server = ScriptedServer("i-1", respond(b"kept"), respond_raw(REJECTION, keep=True))
     async with running_edge(server) as edge:
         await edge.exchange(request("/plain/0", identity="r0"))
--- a/tests/edge/test_instances.py
+++ b/tests/edge/test_instances.py
@@ -43,7 +43,7 @@
     instances.ACKNOWLEDGE_TIMEOUT_S = instances.ACKNOWLEDGE_CHECK_INTERVAL_S = 0.0
     good, unreachable = ScriptedServer("i-2"), ScriptedServer("i-1")
     try:
-        # Nobody reads from this socket, so bytes beyond its receive buffer are never acknowledged.
+        # Nothing reads from this socket, so bytes beyond its receive buffer are never acknowledged.
         with socket.socket() as unread_socket:
             unread_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             unread_socket.bind(("127.0.0.1", 0))
--- a/tests/replication/histories.py
+++ b/tests/replication/histories.py
@@ -169,7 +169,7 @@
         self.lost_until[lost] = self.sim.now + SYNC_S
         return successor
 
-    # faults that occur no matter what is lost already
+    # faults that don't depend on which machines are lost already
 
     def power_failure(self):
         for name in self.sim.hosts:
--- a/tests/replication/membership_model.py
+++ b/tests/replication/membership_model.py
@@ -6,7 +6,7 @@
 each call so that tests can inject faults into it: `acceptor.Acceptor`, `proposal.Proposal`,
 `takeover.takeover_view`, `reconfiguration.next_view`, `departure.released_nodes`, `commit.may_commit` and
 `lease.grants`. No vote is bound by a lease here, since the safety of acknowledged writes must not depend on
-clocks; leases have an exploration of their own (`lease_model`).
+clocks; leases are explored separately (`lease_model`).
 """
 
 from __future__ import annotations
--- a/tests/replication/test_leases.py
+++ b/tests/replication/test_leases.py
@@ -232,7 +232,7 @@
 
 
 def commit_beside_a_new_member(seed, make_core=ReplicationCore):
-    """A leader adds a member, whose vote it receives but which doesn't get the next write; the leader dies.
+    """Kills a leader that adds a member, whose vote it has received but which doesn't get the next write.
 
     Returns the simulation after its recovery.
     """
--- a/wheatroute/cluster/messages.py
+++ b/wheatroute/cluster/messages.py
@@ -35,7 +35,8 @@
     slots: int
     state: InstanceState
     changed: int  # number of the registry's version at the last change of this instance
-    warmup_remaining_ms: float = msgspec.field(name="cold_until_ms", default=0.0)  # as of its last heartbeat
+    # remaining warm-up time at the heartbeat that changed this instance last; not updated as it decreases
+    warmup_remaining_ms: float = msgspec.field(name="cold_until_ms", default=0.0)
     models: tuple[str, ...] = ()
 
 
--- a/wheatroute/cluster/settings.py
+++ b/wheatroute/cluster/settings.py
@@ -30,7 +30,7 @@
 
 
 class FailureTolerance(msgspec.Struct, frozen=True):
-    """How many of the counted machines, zones or regions may fail at the same time."""
+    """How many of the counted machines, zones or regions may fail at one time; only `machines` is used."""
 
     machines: int = 0
     zones: int = 0
@@ -38,22 +38,25 @@
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The bounds of the service rules; names ending in `_s` are seconds, those in `_ms` milliseconds."""
+    """The bounds of the service rules; names ending in `_s` are seconds, those in `_ms` milliseconds.
+
+    The edge and control roles use only the fields that have a comment.
+    """
 
     contact_ms: float = 3000.0
     ack_timeout_ms: float = 4000.0
     drain_ms: float = 2000.0
-    grace_s: float = 8.0
+    grace_s: float = 8.0  # time from the stop signal until the platform kills the process
     converge_ms: float = 2000.0
     downgrade_ms: float = 250.0
-    retry_ratio: float = 0.2
-    retry_window_s: float = 10.0
-    retry_slack: float = 0.0
-    quota_window_s: float = 8.0
-    quota_excess: float = 0.0
-    quota_slack: float = 0.0
+    retry_ratio: float = 0.2  # retries per request to a service
+    retry_window_s: float = 10.0  # window in which retries and requests are counted
+    retry_slack: float = 0.0  # retries to a service beyond the ratio, in one window
+    quota_window_s: float = 8.0  # window in which a tenant's usage is counted
+    quota_excess: float = 0.0  # allowed usage beyond a tenant's limit, as a fraction of the limit
+    quota_slack: float = 0.0  # allowed usage beyond that, in tokens
     pass_ms: float = 120.0
-    again_s: float = 10.0
+    again_s: float = 10.0  # time for which a repeated prefill of the same prompt is penalized
     reuse_s: float = 2.0
 
 
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -24,8 +24,8 @@
     def __init__(self, now: float = 0.0, previous_count: int = 0) -> None:
         self._started_at = now
         self._previous_count = previous_count
-        self._last_contact: dict[str, float] = {}  # of counted nodes
-        self._lost: dict[str, float] = {}  # last contact of lost nodes
+        self._last_contact: dict[str, float] = {}  # time of the last contact of each node that counts
+        self._lost: dict[str, float] = {}  # time of the last contact of each lost node
         self._ever_seen: set[str] = set()
         self._ever_reported: set[str] = set()  # nodes whose demand is known
         self._loads: dict[str, dict[str, ServerLoad]] = {}  # node -> server -> load
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -35,7 +35,11 @@
 
 
 class ServerHeartbeat(msgspec.Struct, frozen=True):
-    """The JSON body of a server's heartbeat; field names are the JSON keys."""
+    """The JSON body of a server's heartbeat; field names are the JSON keys.
+
+    `seq` grows with each heartbeat of an incarnation; a heartbeat with a smaller one is ignored as outdated.
+    With any other `state` than "ready", the server drains. `cold_ms` is the remaining warm-up time.
+    """
 
     backend: str
     addr: str
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -1,6 +1,7 @@
 """Keeps this node's configuration and servers up to date by long polls of the primary.
 
-A poll carries the versions in force on this node, and is answered once the primary has newer ones.
+A poll carries the versions in force on this node, and is answered once the primary has newer ones, or after
+the time that the poll names.
 """
 
 from __future__ import annotations
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -34,7 +34,7 @@
         self._proposer = proposer
         self._voter = voter
         self._last_heartbeat_at = state.now
-        self._newest_heartbeat: Heartbeat | None = None  # of the current view's primary
+        self._newest_heartbeat: Heartbeat | None = None  # last received from this view's primary
         self._next_join_at = state.now
         self._next_lease_ended_at = state.now
         # The first timeout is shorter than later ones: when the whole system starts, there is no primary that
--- a/wheatroute/replication/proposer.py
+++ b/wheatroute/replication/proposer.py
@@ -2,8 +2,8 @@
 
 Transitions: none -> preparing (`propose`) -> accepting (a majority promised) -> decided (a majority voted).
 An attempt also ends when a newer view is learned, when a voter has promised a higher number, when leases bind
-too many votes, and after `timing.PROPOSAL_TIMEOUT_S`; after the last three, the next one starts after a
-random delay. Source: see `proposal`.
+too many votes, and after `timing.PROPOSAL_TIMEOUT_S`. After the last three, the next one starts after a
+random delay, which begins when the leases have ended. Source: see `proposal`.
 """
 
 from __future__ import annotations
