--- a/wheatroute/cluster/messages.py
+++ b/wheatroute/cluster/messages.py
@@ -35,7 +35,8 @@
     slots: int
     state: InstanceState
     changed: int  # number of the registry's version at the last change of this instance
-    warmup_remaining_ms: float = msgspec.field(name="cold_until_ms", default=0.0)  # as of its last heartbeat
+    # remaining warm-up time at the heartbeat that changed this instance last; not updated as it decreases
+    warmup_remaining_ms: float = msgspec.field(name="cold_until_ms", default=0.0)
     models: tuple[str, ...] = ()
 
 
@@ -61,8 +62,8 @@
 class Update(msgspec.Struct, frozen=True):
     """The response to a long poll: everything newer than the versions in the request.
 
-    `control_hosts` are the control nodes to poll next, the primary first. `configuration_change` is a
-    difference (see `wheatroute.cluster.distribution`), None if the configuration is unchanged.
+    `control_hosts` are the hosts of all control nodes that the sender knows, sorted. `configuration_change`
+    is a difference (see `wheatroute.cluster.distribution`), None if the configuration is unchanged.
     """
 
     epoch: int
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -1,6 +1,7 @@
 """Keeps this node's configuration and servers up to date by long polls of the primary.
 
-A poll carries the versions in force on this node, and is answered once the primary has newer ones.
+A poll carries the versions in force on this node, and is answered once the primary has newer ones, or after
+the time that the poll names.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 from wheatroute.edge.usage_reporter import UsageReporter
 
 POLL_WAIT_S = 0.7  # seconds for which the primary may hold a poll
-FIRST_POLL_WAIT_S = 0.3  # the same, while this node has no configuration
-POLL_MARGIN_S = 0.45  # seconds beyond that after which a poll has failed
+FIRST_POLL_WAIT_S = 0.3  # seconds for which it may hold a poll of a node without a configuration
+POLL_MARGIN_S = 0.45  # seconds beyond `POLL_WAIT_S` after which a poll without a response has failed
 HOST_BACKOFF_S = 0.06  # mean pause after a failed poll, before the next host is polled
 
 
