--- a/wheatroute/byte_stream.py
+++ b/wheatroute/byte_stream.py
@@ -72,7 +72,11 @@
                 raise
 
     async def read(self) -> bytes:
-        """Returns the next bytes; empty at the end of the peer's data."""
+        """Returns the next bytes; empty at the end of the peer's data.
+
+        Raises `OSError` if the connection is broken, and `trio.ClosedResourceError` if `close` is called
+        while it waits.
+        """
         if self._tls is None:
             return await self._receive()
         while True:
--- a/wheatroute/etcd/client.py
+++ b/wheatroute/etcd/client.py
@@ -51,7 +51,8 @@
         self._channels = [
             Channel(address, limits, context, rng=rng, max_backoff_s=MAX_BACKOFF_S) for address in addresses
         ]
-        self._suspected_until = [0.0] * len(addresses)  # time until which each endpoint is avoided
+        # By endpoint: the time of trio's clock until which it is avoided.
+        self._suspected_until = [0.0] * len(addresses)
         # The first endpoint is random, so that nodes don't all use the same one.
         self._current = rng.randrange(len(addresses))
         self._user, self._password = user, password
@@ -71,8 +72,9 @@
     def mark_suspected(self, index: int) -> None:
         """Avoids an endpoint for `SUSPECTED_S`, for all users of the client.
 
-        Switches to the next endpoint that is not suspected, preferring a connected one; if all are suspected,
-        to a connected one whose suspicion ends first.
+        If it is the endpoint in use, switches to the next endpoint that is not suspected, preferring a
+        connected one. If all are suspected, prefers a connected one, and then the one whose suspicion ends
+        first.
         """
         count, now = len(self._channels), trio.current_time()
         self._suspected_until[index] = now + SUSPECTED_S
@@ -95,9 +97,10 @@
         is_write: bool = False,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> Any:
-        """Makes a unary call; raises `CallError` if it must not be retried, or failed at all endpoints.
+        """Makes a unary call; `timeout_s` limits each attempt.
 
-        `timeout_s` is that of each attempt.
+        Raises `CallError` if the call must not be retried, or if as many attempts as twice the number of
+        endpoints have failed.
         """
         error = CallError(Status.UNAVAILABLE, "no endpoint is available")
         has_renewed_token = False
@@ -174,7 +177,10 @@
     # Methods of etcd's API.
 
     async def range(self, key: bytes, end: bytes = b"", **options: Any) -> Any:
-        """Reads a key, or all keys from it up to, but not including, `end`."""
+        """Reads a key, or all keys from it up to, but not including, `end`.
+
+        `options` are further fields of the `RangeRequest`.
+        """
         return await self.call(
             f"{wire.KV}Range", wire.RangeRequest(key=key, range_end=end, **options), wire.RangeResponse
         )
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -73,7 +73,7 @@
         self.list_count = self.stream_count = 0
         self._backoff_s = INITIAL_BACKOFF_S
         self._progress = _ClusterProgress(client)
-        self._lost_position = Position(0, 0)  # position of the previous watch
+        self._lost_position = Position(0, 0)  # position of the previous watch; zeros if there was none
         self.is_pinned = False  # if true, a different cluster is never followed instead of the first one
 
     @property
@@ -92,7 +92,7 @@
         return Position(self.watch.cluster_id, self.revision) if self.watch else self._lost_position
 
     def resume_from(self, cluster_id: int, revision: int) -> None:
-        """Pins the follower to the position in the snapshot of the previous process."""
+        """Pins the follower to a position, that in the snapshot of the previous process."""
         self.is_pinned, self._lost_position = True, Position(cluster_id, revision)
 
     async def run(self) -> None:
@@ -128,7 +128,11 @@
         self._backoff_s = min(MAX_BACKOFF_S, 2.0 * self._backoff_s)
 
     async def _list(self) -> None:
-        """Reads all keys, and starts a watch from the next revision."""
+        """Reads all keys, and starts a watch from the next revision.
+
+        Raises `MemberBehindError` if the keys are older than the lost position, or if the follower is pinned
+        and another cluster responds.
+        """
         header, kvs = await self._client.range_all(self.keys.prefix)
         lost_position = self._lost_position
         if self.is_pinned and lost_position.cluster_id not in (0, header.cluster_id):
--- a/wheatroute/etcd/membership.py
+++ b/wheatroute/etcd/membership.py
@@ -37,8 +37,8 @@
 class Membership:
     """Counts the nodes under a prefix.
 
-    Each node has one key: the prefix and the node's name. Its value is a JSON object with the epoch: the time
-    at which the node's process started.
+    Each node has one key: the prefix and the node's name. Its value is a JSON object with the epoch: the Unix
+    time in milliseconds at which the node's process started.
     """
 
     def __init__(self, prefix: bytes, name: str, epoch: int) -> None:
--- a/wheatroute/etcd/messages.py
+++ b/wheatroute/etcd/messages.py
@@ -77,6 +77,7 @@
 
 
 def _compile(table: str) -> dict[str, Any]:
+    """Returns the message classes of a table in the format of `TABLE`, by name."""
     file = descriptor_pb2.FileDescriptorProto(name="wheatroute/etcd.proto", package=PACKAGE, syntax="proto3")
     for line in table.replace(",\n", ",").strip().splitlines():
         name, _, fields = line.partition(":")
@@ -91,19 +92,20 @@
     }
 
 
-def _add(message: Any, name: str, number: str, kind: str) -> None:
+def _add(message: Any, name: str, number: str, type_name: str) -> None:
+    """Adds a field to a message; `type_name` may start with a mark as in `TABLE`."""
     field = message.field.add(name=name, number=int(number), label=_FIELD.LABEL_OPTIONAL)
-    if kind.startswith("*"):
+    if type_name.startswith("*"):
         field.label = _FIELD.LABEL_REPEATED
-    elif kind.startswith("|"):
+    elif type_name.startswith("|"):
         if not message.oneof_decl:
             message.oneof_decl.add(name="choice")
         field.oneof_index = 0
-    kind = kind.lstrip("*|")
-    if kind in _SCALARS:
-        field.type = _SCALARS[kind]
+    type_name = type_name.lstrip("*|")
+    if type_name in _SCALARS:
+        field.type = _SCALARS[type_name]
     else:
-        field.type, field.type_name = _FIELD.TYPE_MESSAGE, f".{PACKAGE}.{kind}"
+        field.type, field.type_name = _FIELD.TYPE_MESSAGE, f".{PACKAGE}.{type_name}"
 
 
 MESSAGES = _compile(TABLE)
--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -21,6 +21,7 @@
 from wheatroute.net.clock import now
 
 LEASE_TTL_S = 6
+# Delay between a renewal of the lease and the next one, and timeout of each renewal.
 RENEWAL_INTERVAL_S = LEASE_TTL_S / 3
 RETRY_INTERVAL_S = 0.5  # delay after a failed registration
 REPORT_INTERVAL_S = 0.5  # interval between two estimates of the number of nodes
@@ -49,7 +50,8 @@
         self._client, self._membership, self._attributes = client, membership, attributes
         self._on_change, self._log = on_change, log
         self.follower = Follower(client, membership.prefix, lambda change: None, rng, log, membership)
-        self.renewed_at = -REMOVAL_DELAY_S  # when the lease was last known to be valid
+        # When the lease was last known to be valid; before the first registration, a time that is long ago.
+        self.renewed_at = -REMOVAL_DELAY_S
         self._reported = (0, 0, 0.0)
         self._lease = 0
 
@@ -79,6 +81,7 @@
                     pass  # the lease will expire
 
     async def _register(self) -> None:
+        """Writes this node's key with a new lease; raises `CallError` if a younger process has the key."""
         membership, self._lease = self._membership, await self._client.grant(LEASE_TTL_S)
         value = orjson.dumps(self._attributes | {"epoch": membership.epoch})
         put = wire.RequestOp(request_put=wire.PutRequest(key=membership.key, value=value, lease=self._lease))
@@ -90,7 +93,9 @@
             registered_epoch = decode_epoch(kvs[0].value) if kvs else None
             if registered_epoch is not None and registered_epoch > membership.epoch:
                 await self._client.revoke(self._lease)
-                raise CallError(Status.ALREADY_EXISTS, f"a younger process has the name {membership.name!r}")
+                raise CallError(
+                    Status.ALREADY_EXISTS, f"a younger process is registered as node {membership.name!r}"
+                )
             # The key is of an older process of this name, usually this node before a restart: overwrite it.
             is_unchanged = wire.Compare(
                 key=membership.key,
--- a/wheatroute/etcd/server_keys.py
+++ b/wheatroute/etcd/server_keys.py
@@ -4,8 +4,9 @@
 
     {"addr": "10.1.0.18:8443", "zone": "a", "kind": "m2", "cell": 3, "state": "in_service", "started_ms": 0}
 
-Only `addr` is required; `state` is in_service or terminating. Changes have the format of the list service's
-body, so that both are handled alike. Invariant: a malformed value changes nothing.
+Only `addr` is required; `state` is in_service or terminating; `started_ms` is the Unix time in milliseconds
+at which the server's process started, 0 for long ago. Changes have the format of the list service's body, so
+that both are handled alike. Invariant: a malformed value changes nothing.
 """
 
 from __future__ import annotations
@@ -46,35 +47,35 @@
         errors: list[str] = []
         changed: dict[str, dict[str, Any]] = {}
         for event in events:
-            name = self._name(event.kv.key)
+            server_id = self._server_id(event.kv.key)
             if event.type == wire.DELETE:
-                removed = self.entries.pop(name, None)
+                removed = self.entries.pop(server_id, None)
                 if removed is not None:
-                    changed[name] = removed | {"state": "terminated"}
+                    changed[server_id] = removed | {"state": "terminated"}
                 continue
             entry = self._entry(event.kv, now, errors)
-            if entry is not None and entry != self.entries.get(name):
-                self.entries[name] = changed[name] = entry
+            if entry is not None and entry != self.entries.get(server_id):
+                self.entries[server_id] = changed[server_id] = entry
         return {"full": False, "servers": list(changed.values())}, errors
 
-    def _name(self, key: bytes) -> str:
+    def _server_id(self, key: bytes) -> str:
         return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
 
     def _entry(self, kv: Any, now: float, errors: list[str]) -> dict[str, Any] | None:
         """Returns the entry of a key; for a malformed value the last valid entry, or None."""
-        name = self._name(kv.key)
-        previous = self.entries.get(name)
+        server_id = self._server_id(kv.key)
+        previous = self.entries.get(server_id)
         try:
             entry = _decode(kv.value)
         except ValueError as error:
-            errors.append(f"{name}: {error}")
+            errors.append(f"server {server_id}: {error}")
             return previous
         if previous is not None and previous["addr"] == entry["addr"]:
             entry["started_ms"] = max(entry["started_ms"], previous["started_ms"])
         elif previous is not None and entry["started_ms"] <= previous["started_ms"]:
             # A new process under an old key must not get the load of a warm server.
             entry["started_ms"] = int(now * 1000)
-        return {"id": name} | entry
+        return {"id": server_id} | entry
 
 
 def _decode(value: bytes) -> dict[str, Any]:
@@ -89,9 +90,9 @@
     state = fields.get("state", "in_service")
     if state not in STATES:
         raise ValueError(f'"state" must be in_service or terminating, got {state!r}')
-    for key, kind in (("zone", str), ("kind", str), ("cell", int), ("started_ms", int)):
-        if not isinstance(fields.get(key, kind()), kind) or isinstance(fields.get(key), bool):
-            raise ValueError(f'"{key}" must be of type {kind.__name__}, got {fields[key]!r}')
+    for key, expected in (("zone", str), ("kind", str), ("cell", int), ("started_ms", int)):
+        if not isinstance(fields.get(key, expected()), expected) or isinstance(fields.get(key), bool):
+            raise ValueError(f'"{key}" must be of type {expected.__name__}, got {fields[key]!r}')
     return {
         "addr": fields["addr"],
         "zone": fields.get("zone", ""),
--- a/wheatroute/etcd/services.py
+++ b/wheatroute/etcd/services.py
@@ -27,13 +27,15 @@
         settings: EtcdSettings,
         name: str,
         on_servers: Callable[[dict[str, Any]], None],
-        on_peers: Callable[[int, int, float], None],
+        on_node_count: Callable[[int, int, float], None],
         log: Any,
         is_pinned: bool = False,
     ) -> None:
         """Raises `OSError` or `TlsError` for a password or TLS file that can't be used.
 
-        With `is_pinned` the follower never switches to a different cluster.
+        `name` is that of the node. `on_servers` is called with each change, see `WatchedKeys`, and
+        `on_node_count` with the number of nodes, the index of this one and its caution, see `Registrar`. With
+        `is_pinned` the follower never switches to a different cluster.
         """
         tls = settings.tls
         context = client_context(tls.authorities, tls.certificate, tls.key) if tls else None
@@ -47,7 +49,7 @@
         self.membership: Membership | None = None
         if settings.nodes_prefix:
             self.membership = Membership(settings.nodes_prefix.encode(), name, int(now() * 1000))
-            self._registrar = Registrar(self.client, self.membership, {}, on_peers, rng, log)
+            self._registrar = Registrar(self.client, self.membership, {}, on_node_count, rng, log)
 
     async def run(self) -> None:
         """Runs the client, the follower and the registrar until cancelled."""
--- a/wheatroute/grpc/async_call.py
+++ b/wheatroute/grpc/async_call.py
@@ -21,7 +21,7 @@
     def __init__(self, call: Call | None = None) -> None:
         self.call: Call
         self.response_headers: dict[bytes, bytes] = {}  # empty until received
-        self.ended: CallError | None = None
+        self.ended: CallError | None = None  # the outcome; None while the call is open
         # A server's method runs in this scope; the end of the call cancels it.
         self.scope = trio.CancelScope()
         self._messages: deque[bytes] = deque()
--- a/wheatroute/grpc/call.py
+++ b/wheatroute/grpc/call.py
@@ -96,7 +96,7 @@
         self.has_manual_flow_control = False
         # Whether this side and the peer have ended their direction, and whether the call has ended.
         self.local_end = self.remote_end = self.is_over = False
-        self.headers_sent = False  # response headers
+        self.headers_sent = False  # whether the response headers were sent (servers only)
         self.never_ran = False  # the peer stated that it did not process the call
         # Bytes of complete messages, with their prefixes, that the receiver has not read.
         self.unread_messages = 0
@@ -147,7 +147,10 @@
         self.session.reset(self, code)
 
     def mark_read(self, message_bytes: int) -> None:
-        """Notes that a message was read; enlarges the flow-control windows again once all are read."""
+        """Notes that a message was read; enlarges the flow-control windows again once all are read.
+
+        `message_bytes` is the length of the message without its prefix.
+        """
         self.unread_messages -= message_bytes + MESSAGE_PREFIX_BYTES
         if self.unread_messages <= 0:
             self.session.acknowledge(self, self.unacknowledged)
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -1,6 +1,7 @@
 """The gRPC client: keeps a connection to one address open and makes calls on it.
 
-A lost connection is reopened with exponential backoff. A call is never retried: if it fails it raises, and
+A lost connection is reopened with a delay, and failed attempts to connect are repeated with exponential
+backoff. A call is never retried: if it fails it raises, and
 `Call.never_ran` is set if the peer stated that it did not process the call. Trying another address is up to
 the caller.
 """
@@ -24,9 +25,10 @@
 from wheatroute.grpc.session import Session
 
 CONNECT_TIMEOUT_S = 2.0  # time for connecting and the TLS handshake
-# Delay between attempts to connect: doubled after each failure, half of it random.
+# Delay before the next attempt to connect, half of it random. It doubles with each failed attempt to connect,
+# and rises linearly with the number of failures after a connection that was closed.
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 5.0
-MAX_BACKOFF_DOUBLINGS = 10
+MAX_BACKOFF_DOUBLINGS = 10  # limits the exponent, as the number of failures has no limit
 
 
 class Channel:
@@ -34,6 +36,7 @@
 
     `host` is the name that the server's certificate must have, and the calls' authority; by default the
     address. `metadata` are headers of every call. `after_read` is called after the events of each read.
+    `max_backoff_s` limits the delay between attempts to connect.
     """
 
     def __init__(
@@ -55,7 +58,8 @@
             host,
         )
         self.metadata: Headers = metadata or []
-        self.failed_attempts = 0  # consecutive failed attempts to connect
+        # Failed attempts to connect and closed connections since a connection was last ready for calls.
+        self.failed_attempts = 0
         self._rng = rng or random.Random(0)
         self._after_read = after_read
         self._session: Session | None = None
--- a/wheatroute/grpc/goaway.py
+++ b/wheatroute/grpc/goaway.py
@@ -13,7 +13,9 @@
 GOAWAY_FRAME_TYPE = 7
 FRAME_HEADER_BYTES = 9
 MAX_GOAWAY_BYTES = 4096  # payload; a GOAWAY may carry debug data
-MAX_STREAM_ID = 2**31 - 1  # last stream in a GOAWAY that only announces the final one
+# The highest possible stream. A GOAWAY with it announces that the peer should open no more streams; a second
+# GOAWAY then names the last stream that is processed.
+MAX_STREAM_ID = 2**31 - 1
 
 
 def goaway_frame(last_stream_id: int, code: int) -> bytes:
--- a/wheatroute/grpc/limits.py
+++ b/wheatroute/grpc/limits.py
@@ -14,14 +14,15 @@
 class ConnectionLimits:
     """Limits on what a peer may use of one connection, and the times of the keep-alive."""
 
-    max_streams: int = 1000  # concurrently open
+    max_streams: int = 1000  # streams that may be open at the same time
     max_message_bytes: int = 1 << 20
     max_header_list_bytes: int = 16384  # size as defined by HTTP/2 (RFC 9113, 6.5.2)
-    connection_window: int = 1 << 20  # unread bytes of one connection
-    stream_window: int = 1 << 16  # unread bytes of one stream
-    # Unsent bytes above which nothing more is read from the peer.
+    # Flow-control windows: the bytes that the peer may send before this side has read earlier ones.
+    connection_window: int = 1 << 20
+    stream_window: int = 1 << 16
+    # Nothing more is read from the peer while more bytes than this wait to be sent to it.
     max_backlog_bytes: int = 1 << 20
-    # Capacity of the reset budget; each completed call adds one reset.
+    # Resets that the peer may send in a burst; each completed call allows one more, up to this number.
     max_resets: float = 400.0
     reset_rate: float = 100.0  # resets per second that are added to the budget
     # Time without received bytes after which a ping is sent.
--- a/wheatroute/grpc/messages.py
+++ b/wheatroute/grpc/messages.py
@@ -13,7 +13,7 @@
 MAX_MESSAGE_BYTES = 1 << 20  # default limit
 MESSAGE_PREFIX_BYTES = 5  # the compressed flag, one byte, and the length, four bytes
 _TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])\Z")
-_UNITS = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
+_SECONDS_BY_UNIT = {b"H": 3600.0, b"M": 60.0, b"S": 1.0, b"m": 1e-3, b"u": 1e-6, b"n": 1e-9}
 Headers = list[tuple[bytes, bytes]]
 
 
@@ -96,11 +96,14 @@
     found = _TIMEOUT.match(text)
     if found is None:
         raise CallError(Status.INVALID_ARGUMENT, "no usable grpc-timeout")
-    return float(found[1]) * _UNITS[found[2]]
+    return float(found[1]) * _SECONDS_BY_UNIT[found[2]]
 
 
 def encode_timeout(seconds: float) -> bytes:
-    """Returns a `grpc-timeout`, rounded down to at most eight digits of a unit."""
+    """Returns a `grpc-timeout`, rounded down to at most eight digits of a unit.
+
+    Time that has run out gives the shortest timeout, one nanosecond.
+    """
     if seconds <= 0.0:
         return b"1n"
     for unit, per_second in ((b"u", 1e6), (b"m", 1e3), (b"S", 1.0), (b"H", 1.0 / 3600.0)):
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -23,9 +23,10 @@
 from wheatroute.grpc.session import Session
 from wheatroute.tls import ServerContext
 
-BACKLOG = 1024
+BACKLOG = 1024  # connections that the kernel queues until they are accepted
 HANDSHAKE_TIMEOUT_S = 3.0  # time for the TLS handshake, and then for the peer's HTTP/2 settings
-# Delay of accepting, per open connection, that lets other processes accept first.
+# Delay before accepting from a shared listener, times the number of open connections: processes with fewer
+# connections accept first.
 ACCEPT_DEFERRAL_S = 0.002
 MAX_DEFERRED_CONNECTIONS = 50  # open connections beyond this do not add to the delay
 ACCEPT_RETRY_S = 0.1  # delay after a failure to accept
@@ -62,7 +63,8 @@
     def coroutine(self, method: Method) -> ReceiverFactory:
         """Returns a receiver factory that runs a coroutine for each call.
 
-        The call ends when the coroutine returns or raises `CallError`, which gives its status.
+        The call ends with the status OK when the coroutine returns, and with that of a `CallError` when it
+        raises one. Any other exception is logged, and ends the call with INTERNAL.
         """
 
         def make_receiver(call: Call) -> Receiver:
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -86,10 +86,10 @@
         self.is_draining = False  # a GOAWAY was sent or received: no new calls
         self.reason = "closed"  # why the session ended
         self._drain_announced = False  # only the first of two GOAWAYs was sent, see `drain`
-        self._last_stream_id = 0  # the highest that was processed
+        self._last_stream_id = 0  # the highest stream of the peer that was processed
         # Calls that wait for the peer's flow-control windows, by stream.
         self._blocked_calls: dict[int, Call] = {}
-        # Frames made without h2, to be sent after its own.
+        # GOAWAY frames, which are encoded without h2; they are sent after the pending frames of h2.
         self._raw_frames = b""
         self._goaways = GoawayFilter(client_side)
         self._resets = ResetBudget(limits, trio.current_time())
@@ -202,6 +202,7 @@
         if call is None:
             return
         call.head = dict(event.headers)
+        # A response that ends with its headers has trailers only: `_stream_ended` takes the status from them.
         if event.stream_ended is None:
             call.receiver.headers(call.head)
 
