--- a/wheatroute/rig/addresses.py
+++ b/wheatroute/rig/addresses.py
@@ -14,13 +14,13 @@
     return f"{host}:{port}"
 
 
-def reserve_port(kind: int = socket.SOCK_STREAM) -> socket.socket:
+def reserve_port(socket_type: int = socket.SOCK_STREAM) -> socket.socket:
     """Reserves a port that the kernel chooses, without listening on it.
 
     A process that sets SO_REUSEADDR can still listen on the port. Without the reservation, the kernel could
     give the port to a connection between its choice and the start of its process.
     """
-    reserved = socket.socket(socket.AF_INET, kind)
+    reserved = socket.socket(socket.AF_INET, socket_type)
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind((LOOPBACK, 0))
     return reserved
--- a/wheatroute/rig/client_load.py
+++ b/wheatroute/rig/client_load.py
@@ -16,7 +16,7 @@
 
 # A client waits for this long after the deadline of a request, to record a response that is late.
 LATE_RESPONSE_WAIT_S = 1.0
-# How often the rate is checked while it is 0.
+# Interval between checks of the rate while it is 0.
 IDLE_CHECK_INTERVAL_S = 0.02
 DEFAULT_TIMEOUT_S = 2.0
 BODY = b"go"
@@ -54,14 +54,14 @@
     async def run(self) -> None:
         """Sends requests at the rate until it is cancelled."""
         async with trio.open_nursery() as nursery:
-            due = trio.current_time()
+            send_at = trio.current_time()
             while True:
                 if self.rate <= 0.0:
                     await trio.sleep(IDLE_CHECK_INTERVAL_S)
-                    due = trio.current_time()
+                    send_at = trio.current_time()
                     continue
-                due += self._rng.expovariate(self.rate)
-                await trio.sleep_until(due)
+                send_at += self._rng.expovariate(self.rate)
+                await trio.sleep_until(send_at)
                 nursery.start_soon(self.send)
 
     async def send(self, request_class: str = "") -> ClientRequest:
--- a/wheatroute/rig/discovery.py
+++ b/wheatroute/rig/discovery.py
@@ -9,9 +9,9 @@
 from wheatroute.rig.etcd_process import EtcdProcess
 from wheatroute.rig.server import Server
 
-# Prefix of the servers' keys, followed by the name of the node to which the servers are announced.
+# Prefix of the servers' keys in etcd. The name of a node follows it, as each node has its own keys.
 ETCD_SERVERS = "/servers"
-# Prefix of the nodes' keys.
+# Prefix of the nodes' keys in etcd.
 ETCD_NODES = "/members/"
 
 
--- a/wheatroute/rig/etcd_cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -49,7 +49,10 @@
         self._backup: Backup | None = None
 
     def set(self, member: int, **faults: Any) -> None:
-        """Sets faults of a member by the keys of `FAULTS`; the member -1 means all members."""
+        """Sets faults of a member by the keys of `FAULTS`; the member -1 means all members.
+
+        A member that becomes silent also drops its streams.
+        """
         for affected in self._members if member == ALL_MEMBERS else [self._members[member]]:
             for name, value in faults.items():
                 setattr(affected.faults, FAULTS[name], value)
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -1,6 +1,7 @@
 """Injects faults into the links, processes and servers of a rig, without notifying the program.
 
-Records when each fault begins and ends; a run is judged by these records.
+Only the drain of a server is announced to the program, by discovery. Records when each fault begins and ends;
+a run is judged by these records.
 """
 
 from __future__ import annotations
@@ -130,16 +131,16 @@
         self._records.downtimes += [Downtime(since, until, name) for name, since in self._down_since.items()]
 
     def drain(self, server: str) -> None:
-        """Notifies all processes that a server terminates.
+        """Announces to all processes that a server is terminating.
 
-        Executions that it starts after the grace period violate a rule.
+        Executions that it starts after the grace period violate a rule, see `verdict.DRAIN_GRACE_S`.
         """
         self.record(f"drain {server}")
         self._records.drained_at[server] = time.monotonic()
         self._discovery.set_state(server, TERMINATING)
 
     def undrain(self, server: str) -> None:
-        """Notifies all processes that a server which was to terminate stays in service."""
+        """Announces to all processes that a draining server stays in service."""
         self.record(f"take back {server}")
         self._records.drained_at.pop(server, None)
         self._discovery.set_state(server, IN_SERVICE)
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -22,7 +22,7 @@
 
 CONNECT_TIMEOUT_S = 0.2  # for connecting to a server
 MAX_BACKOFF_S = 0.2  # between two attempts to connect to the processor
-DEFAULT_TIMEOUT = "2000m"
+DEFAULT_TIMEOUT = "2000m"  # value of the header `Request-Timeout`, in milliseconds
 
 
 class _Response(NamedTuple):
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -46,6 +46,7 @@
         """Returns the next message.
 
         Returns None at the end of the stream, even within a message, or if the head of a message is too long.
+        Raises one of `CONNECTION_ERRORS` if the connection breaks or the message is invalid.
         """
         while b"\r\n\r\n" not in self._buffer:
             if len(self._buffer) > MAX_HEAD_BYTES or not await self._read_more():
--- a/wheatroute/rig/loop_lateness.py
+++ b/wheatroute/rig/loop_lateness.py
@@ -13,11 +13,11 @@
 
 import trio
 
-# For how long the probe asks to sleep.
+# Time for which the probe sleeps between two measurements.
 PROBE_INTERVAL_S = 0.01
 # The probe counts as punctual if it wakes up with at most this delay.
 MIN_DELAY_S = 0.002
-# The rig excuses the delay of one request by at most this much of its own delay.
+# Of the delay of one request, at most this much is excused by the delay of the rig.
 MAX_EXCUSED_S = 1.0
 
 
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -28,7 +28,7 @@
 IN_FORCE = "in force"
 # The start of the state of a version that was in force earlier.
 WAS_IN_FORCE = "was"
-# The status of a request whose connection broke.
+# The status of a request whose connection broke or could not be opened.
 NO_RESPONSE = -1
 
 
@@ -58,7 +58,11 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """A request of a client and its response; status 0 means no response so far, -1 a broken connection."""
+    """A request of a client and its response.
+
+    `status` is that of HTTP, 0 without a response so far, or `NO_RESPONSE`. `ended_at` is 0 while the client
+    waits.
+    """
 
     sent_at: float
     node: str
@@ -71,7 +75,11 @@
 
 
 class RepeatPolicy(NamedTuple):
-    """Whether a request class allows a request to be executed again, and on which servers."""
+    """Whether a request class allows a request to be executed again, and on which servers.
+
+    A keyed request may be repeated for `repeat_window_s` after its first execution, by the servers of its
+    deduplication group.
+    """
 
     idempotency: Idempotency
     deduplication_group: DeduplicationGroup
@@ -110,7 +118,7 @@
 
 @dataclass(slots=True)
 class PublishedVersion:
-    """A version of the settings, as its operator sees it."""
+    """A version of the settings, as its operator sees it; `state` is its last outcome, empty without one."""
 
     number: int
     repeat_policies: dict[str, RepeatPolicy]  # by request class
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -69,7 +69,7 @@
         for step in sorted(steps, key=lambda step: step.at_s):
             await trio.sleep(max(0.0, started_at + step.at_s - time.monotonic()))
             if step.action is Action.PUT:
-                # in a task of its own, so that later steps don't wait for the version's outcome
+                # in a separate task, so that later steps don't wait for the version's outcome
                 nursery.start_soon(_publish, rig, step)
             else:
                 await _perform(rig, step)
--- a/wheatroute/rig/server.py
+++ b/wheatroute/rig/server.py
@@ -13,7 +13,7 @@
 from wheatroute.rig.run_records import Execution, ExecutionOutcome, RunRecords
 
 MEAN_SERVICE_TIME_S = 0.01
-LOAD_PATH = "GET /metrics/load "  # the start of a node's request for the load report
+LOAD_REQUEST_START = "GET /metrics/load "  # the start of a node's request for the load report
 
 
 class Server:
@@ -37,12 +37,13 @@
     async def serve(self, stream: trio.SocketStream, node: str, sent_at: Mapping[Address, float]) -> None:
         """Serves one connection of a node.
 
-        `sent_at` maps the address of a connection's peer to the time at which its last bytes left the node.
+        `sent_at` is that of the connection's `TcpLink`: when the last bytes left the node, by the address
+        from which the link connected. Without an entry, the time of reading is recorded.
         """
         connection = HttpConnection(stream)
         peer: Address = stream.socket.getpeername()
         while (request := await connection.read_message()) is not None:
-            if request.start_line.startswith(LOAD_PATH):
+            if request.start_line.startswith(LOAD_REQUEST_START):
                 await connection.send_response(200, self._load_report().encode())
                 continue
             # the execution is recorded as soon as the whole request has been read
--- a/wheatroute/rig/tcp_link.py
+++ b/wheatroute/rig/tcp_link.py
@@ -129,8 +129,8 @@
     """
     data, ancillary, _, _ = await source.socket.recvmsg(RECEIVE_BYTES, ANCILLARY_BYTES)
     now = time.monotonic()
-    for level, kind, value in ancillary:
-        if (level, kind) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
+    for level, message_type, value in ancillary:
+        if (level, message_type) == (socket.SOL_SOCKET, SO_TIMESTAMPNS):
             seconds, nanoseconds = TIMESTAMP.unpack(value)
             return data, now - max(0.0, time.time() - seconds - nanoseconds / 1e9)
     return data, now
--- a/wheatroute/rig/verdict.py
+++ b/wheatroute/rig/verdict.py
@@ -19,7 +19,7 @@
     RunRecords,
 )
 
-# By this much the protocol lets a response arrive after the deadline of its request.
+# Time after its request's deadline by which a response may still arrive, according to the protocol.
 ANSWER_SLACK_S = 0.05
 # Further allowance for the delay of the rig's own threads and links, on top of ANSWER_SLACK_S.
 RIG_SLACK_S = 0.25
@@ -32,7 +32,7 @@
 
 
 class Contradiction(NamedTuple):
-    """A repeated execution that violates a version of the settings which had already been published."""
+    """A repeated execution that the newest published version of the settings does not allow."""
 
     delay_s: float  # time from the version's publication to the repeat
     execution: Execution
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -43,7 +43,10 @@
         self._folder = folder
 
     async def read_history(self) -> History:
-        """Reads the history from the store, and records its versions, including those published by others."""
+        """Reads the history from the store, and records its versions, including those published by others.
+
+        Of the latter, the time of the read is recorded as the time of publication.
+        """
         async with self._backend.operator_store() as store:
             history = await operator.read_history(store)
         known = {version.number for version in self._records.versions}
@@ -138,7 +141,7 @@
         raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
 
     async def _newest_statuses(self) -> dict[str, ProcessState]:
-        """Returns the status by process name; of several processes of a name, that of the last confirmed."""
+        """Returns the status by process name; if processes share a name, that of the last one confirmed."""
         processes = (await self.status()).processes
         return {
             process.name: process
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -58,7 +58,7 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether the member has started to serve, even if it was stopped since."""
+        """Whether the member has ever started to serve; also true after `stop`."""
         return self._server is not None
 
     @property
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -197,11 +197,11 @@
 
     def _apply(self, operation: Message, response: Message, revision: int) -> bool:
         """Applies one operation of a transaction; returns whether it changed anything."""
-        kind = operation.WhichOneof("choice")
-        if kind == "request_range":
+        operation_type = operation.WhichOneof("choice")
+        if operation_type == "request_range":
             response.response_range.CopyFrom(self.range(operation.request_range))
             return False
-        if kind == "request_put":
+        if operation_type == "request_put":
             result = self._put(operation.request_put, revision)
             response.response_put.CopyFrom(result.response)
         else:
--- a/wheatroute/standin/etcd_watch.py
+++ b/wheatroute/standin/etcd_watch.py
@@ -23,7 +23,8 @@
     revision_lag: int = 0  # number of latest revisions that the member does not have
     # Most events in a response to a watch; a revision with more is sent in fragments.
     max_fragment_events: int = UNLIMITED
-    # Number of responses after which a stream is dropped, once; -1 for never.
+    # Number of responses with events, on all streams, before the one after which the stream is dropped, once;
+    # -1 for never.
     fragments_before_drop: int = -1
 
 
@@ -74,10 +75,10 @@
         return self._store.header(self._faults.revision_lag)
 
     async def _handle_request(self, request: Message) -> None:
-        kind = request.WhichOneof("choice")
-        if kind == "create_request":
+        request_type = request.WhichOneof("choice")
+        if request_type == "create_request":
             response = self._create(request.create_request)
-        elif kind == "cancel_request":
+        elif request_type == "cancel_request":
             response = self._cancel(request.cancel_request.watch_id)
         else:
             # A progress request.
@@ -144,6 +145,7 @@
             self._count_fragment()
 
     def _count_fragment(self) -> None:
+        """Counts a response with events; raises `CallError` if the stream is to be dropped after it."""
         if self._faults.fragments_before_drop < 0:
             return
         self._faults.fragments_before_drop -= 1
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -54,7 +54,8 @@
 MAX_DELAY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 SERVICE_TIME_S = 0.01  # mean service time of the fastest servers without congestion
-# Classes of servers, assigned to ports in turn: they take the service time once, twice or three times.
+# Number of classes of servers, assigned to ports in turn. Their mean service time is once, twice or three
+# times SERVICE_TIME_S.
 SPEEDS = 3
 CONGESTION_REQUESTS = 50  # requests in flight at a server that double its service time
 MAX_ATTEMPTS = 2
@@ -103,13 +104,13 @@
             self.proxy.record_delay(time.perf_counter() - self.started_at)
         self.response_count += 1
         response = ProcessingResponse.FromString(message)
-        kind = response.WhichOneof("response")
-        if kind == "immediate_response":
+        response_type = response.WhichOneof("response")
+        if response_type == "immediate_response":
             self.proxy.count[f"immediate_{response.immediate_response.status.code}"] += 1
-        elif kind == "request_headers":
+        elif response_type == "request_headers":
             self.server = destination(response)
             self.proxy.on_decision(self)
-        elif kind == "response_headers":
+        elif response_type == "response_headers":
             self.client.half_close(self.stream_id)
         if self.response_count > MAX_RESPONSES:
             self.proxy.count["answers_too_many"] += 1
@@ -123,6 +124,7 @@
     """Runs actions at given times, in the order of these times."""
 
     def __init__(self) -> None:
+        # Actions with the time at which they are due and their sequence number.
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._added_count = 0  # orders actions that are due at the same time
 
