--- a/wheatroute/fleet/baselines/hedging.py
+++ b/wheatroute/fleet/baselines/hedging.py
@@ -15,7 +15,7 @@
 
 
 class HedgeTimer(NamedTuple):
-    """Time at which a request is hedged."""
+    """The time at which a request is hedged, and the number of the request."""
 
     due_at: float
     number: int
@@ -32,9 +32,9 @@
         """Sets the hedge timer of an idempotent request."""
         request_class = self.request_classes[self._pending[number].class_number]
         if request_class.idempotency == Idempotency.IDEMPOTENT:
-            due = self.now + HEDGE_DELAY * request_class.target_latency
-            self._timers.append(HedgeTimer(due, number))
-            writer.wake_at(due)
+            due_at = self.now + HEDGE_DELAY * request_class.target_latency
+            self._timers.append(HedgeTimer(due_at, number))
+            writer.wake_at(due_at)
 
     def timer_due(self, writer: CommandWriter) -> None:
         """Sends the hedges that are due."""
--- a/wheatroute/fleet/baselines/policy.py
+++ b/wheatroute/fleet/baselines/policy.py
@@ -20,7 +20,7 @@
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.requests import NEVER_RAN
 
-EXCLUSION_S = 1.0  # for which a server is excluded after a refused connection
+EXCLUSION_S = 1.0  # time for which a server is excluded after a refused connection
 TICKS_BEFORE_DEADLINE = 2  # attempts must end this many ticks before the request's deadline
 
 
@@ -41,8 +41,8 @@
         self.class_number = class_number
         self.latest_at = latest_at  # time from which no attempt is sent
         self.servers: list[int] = []  # server of each attempt, in order
-        self.in_flight = 0
-        self.may_have_run = False
+        self.in_flight = 0  # number of attempts that have not ended
+        self.may_have_run = False  # whether an attempt that has ended may have run
         self.is_over = False
         self.first_server = -1  # server of the first attempt that may have run or is in flight; -1: none
 
@@ -160,7 +160,7 @@
     # attempts
 
     def candidates(self, request: PendingRequest) -> list[int]:
-        """Returns the live servers that may get an attempt of this request: each at most once, none excluded.
+        """Returns the live servers that are not excluded and have not had an attempt of this request yet.
 
         Once a keyed request may have run, only servers of its deduplication group remain.
         """
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -1,6 +1,6 @@
 """Clients: the requests that they send, and their retries when a node rejects or fails a request. No I/O.
 
-All tries of a client count as one request. Arrivals, tenants and sizes come from random streams that no
+All tries of a request count as one request. Arrivals, tenants and sizes come from random streams that no
 decision affects, so that all policies get the same requests for the same seed.
 """
 
@@ -58,8 +58,8 @@
             for request_class in plan.request_classes
         ]
         # Both lists hold cumulative weights, for `bisect`.
-        self._class_weights = list(accumulate(one.weight for one in plan.request_classes))
-        self._tenant_weights = list(accumulate(one.portion * one.usage for one in plan.tenants))
+        self._class_weights = list(accumulate(request_class.weight for request_class in plan.request_classes))
+        self._tenant_weights = list(accumulate(tenant.portion * tenant.usage for tenant in plan.tenants))
 
     # arrivals
 
@@ -117,33 +117,38 @@
         if not node.is_alive:
             self._try_again(request, RequestOutcome.UNREACHED, RECONNECT_DELAY_S)
             return
-        number = request.tries
+        try_number = request.tries
 
         def on_answer(outcome: RequestOutcome, retry_after_s: float) -> None:
             latency_s = self._plan.clients.latency_s
-            self._engine.call_later(latency_s, self._receive_answer, request, number, outcome, retry_after_s)
+            self._engine.call_later(
+                latency_s, self._receive_answer, request, try_number, outcome, retry_after_s
+            )
 
-        node_request = node.receive(request, 0, time_left_s, request.tenant, number > 1, on_answer)
+        node_request = node.receive(request, 0, time_left_s, request.tenant, try_number > 1, on_answer)
         wait_s = time_left_s + self._plan.rules.answer_slack_s
-        self._engine.call_later(wait_s, self._time_out, request, number, node, node_request)
+        self._engine.call_later(wait_s, self._time_out, request, try_number, node, node_request)
 
-    def _time_out(self, request: ClientRequest, number: int, node: Node, node_request: NodeRequest) -> None:
+    def _time_out(
+        self, request: ClientRequest, try_number: int, node: Node, node_request: NodeRequest
+    ) -> None:
+        """Disconnects from the node and tries again, unless the try was answered in time."""
         if node_request.is_answered or not node.is_alive:
             return
         self._observer.client_timed_out(node_request)
         node.client_left(node_request)
-        if not request.is_over and request.tries == number:
+        if not request.is_over and request.tries == try_number:
             self._try_again(request, RequestOutcome.LEFT, 0.0)
 
     def _receive_answer(
-        self, request: ClientRequest, number: int, outcome: RequestOutcome, retry_after_s: float
+        self, request: ClientRequest, try_number: int, outcome: RequestOutcome, retry_after_s: float
     ) -> None:
         """Handles the answer to a try; an answer to an earlier try counts only if it is SERVED."""
         if request.is_over:
             return
         if outcome is RequestOutcome.SERVED:
             self._finish(request, outcome)
-        elif request.tries == number:
+        elif request.tries == try_number:
             request_class = self._plan.request_classes[request.class_number]
             if outcome is RequestOutcome.REJECTED or request_class.idempotency != "effectful":
                 self._try_again(request, outcome, self._backoff_s(request, retry_after_s))
@@ -166,9 +171,9 @@
         now = self._engine.now
         request.outcome = outcome
         request.ended_at = now
-        # A refused connection does not count as a retry.
-        is_free = outcome is RequestOutcome.UNREACHED
-        has_retries = is_free or request.tries <= self._plan.clients.max_retries
+        # A try that reached no node is repeated even if no retries are left, but uses up one if any are.
+        is_unreached = outcome is RequestOutcome.UNREACHED
+        has_retries = is_unreached or request.tries <= self._plan.clients.max_retries
         if has_retries and now + delay_s < request.deadline_at:
             self._engine.call_later(delay_s, self._try, request)
         else:
--- a/wheatroute/fleet/collapse.py
+++ b/wheatroute/fleet/collapse.py
@@ -17,23 +17,26 @@
         self.count = 0  # number of collapses so far
         self._plan = plan
         self._cores = cores
-        self._collapsed_at = -inf  # start of the present collapse; -inf: not collapsed
+        self._collapsed_at = -inf  # start of the current collapse; -inf: not collapsed
         self._mean_held = 0.0  # requests held, smoothed over the plan's window
         self._mean_utilization = 0.0  # fraction of busy cores, smoothed over the recovery window
         self._observed_at = now
 
     @property
     def is_collapsed(self) -> bool:
-        """Returns whether the server is collapsed at present."""
+        """Whether the server is collapsed now."""
         return self._collapsed_at > -inf
 
     @property
     def slowdown(self) -> float:
-        """Returns the present factor on the duration of all work."""
+        """The current factor on the duration of all work; 1 while the server is not collapsed."""
         return self._plan.slowdown if self._plan is not None and self.is_collapsed else 1.0
 
     def observe(self, now: float, held: int, running: int) -> None:
-        """Updates the smoothed load up to now; must be called before the load changes."""
+        """Updates the smoothed load up to now; must be called before the load changes.
+
+        `held` is the number of requests that the server holds, `running` of those in service.
+        """
         if self._plan is None:
             return
         elapsed = now - self._observed_at
@@ -66,6 +69,6 @@
         self._mean_held = 0.0
 
     def process_started(self, now: float) -> None:
-        """Resets the smoothed load for a new process."""
+        """Resets the smoothed utilization for a new process; `process_ended` has reset the requests held."""
         self._observed_at = now
         self._mean_utilization = 0.0
--- a/wheatroute/fleet/connections.py
+++ b/wheatroute/fleet/connections.py
@@ -12,7 +12,7 @@
 
 
 class IdleConnection(NamedTuple):
-    """An open connection without a request, idle since the time `since`."""
+    """An open connection without a request, idle since the time `idle_since`."""
 
     idle_since: float
     incarnation: int  # of the server when it was opened
@@ -25,7 +25,7 @@
         self._engine = engine
         self._servers = servers
         self._max_idle_s = IDLE_TIMEOUT_MARGIN * idle_timeout_s
-        self._idle: dict[int, list[IdleConnection]] = {}
+        self._idle: dict[int, list[IdleConnection]] = {}  # by server number, the last used one last
 
     def take_idle(self, server: Server) -> bool:
         """Takes an idle connection that is still usable, closing those that aren't; False if none is left."""
--- a/wheatroute/fleet/entry_balancer.py
+++ b/wheatroute/fleet/entry_balancer.py
@@ -9,7 +9,8 @@
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import FleetPlan
 
-DETECTION_DELAY_S = 2.0  # from the first time a dead node is considered until it is excluded
+# Time for which a dead node is still chosen, from the first time that it is considered after its end.
+DETECTION_DELAY_S = 2.0
 
 
 class EntryBalancer:
@@ -44,7 +45,7 @@
 
 
 def _skewed_weights(count: int, skew: float, rng: Random) -> list[float]:
-    """Returns weights in random order, up to that of the busiest node, which is `skew` times the mean."""
+    """Returns weights of nodes in random order; that of the busiest node is about `skew` times the mean."""
     ranks = list(range(count))
     rng.shuffle(ranks)
     least = max(0.0, 2.0 - skew)
--- a/wheatroute/fleet/loss_accounting.py
+++ b/wheatroute/fleet/loss_accounting.py
@@ -163,7 +163,7 @@
 
 
 def _deepest_causes(losses: list[LossCause]) -> dict[int, LossCause]:
-    """Returns the deepest loss of each request's last try, because of which the nodes above gave up."""
+    """Returns the loss at the deepest node in each request's last try, which made the nodes above give up."""
     causes: dict[int, LossCause] = {}
     for loss in losses:
         known = causes.get(loss.client_request)
--- a/wheatroute/fleet/plan.py
+++ b/wheatroute/fleet/plan.py
@@ -96,7 +96,7 @@
     calls_per_request: Positive = Field(default=1.0, alias="calls")
     discipline: Literal["sharing", "in_turn"] = "sharing"  # processor sharing or first come, first served
     slots_per_core: Count = Field(default=32, alias="slots")  # maximum number of requests in service per core
-    # maximum number of waiting requests per core
+    # maximum number of requests per core that wait for a slot
     queue_per_core: Annotated[int, Field(ge=0, le=1_000_000)] = Field(default=200, alias="queue")
     # relative slowdown per doubling of the requests in service beyond `thrash_threshold` per core
     thrash: NonNegative = 0.0
@@ -152,7 +152,10 @@
 
 
 class LoadWave(Table):
-    """Describes a temporary change of the load, such as a burst, a flash crowd or a slow wave."""
+    """Describes a temporary change of the load, such as a burst, a flash crowd or a slow wave.
+
+    `start_s` counts from the start of the run.
+    """
 
     start_s: NonNegative = Field(alias="at")
     duration_s: Positive = Field(alias="length")
@@ -168,7 +171,7 @@
     swing: Fraction = 0.0  # amplitude of a sine wave on the load, as a fraction of the mean load
     swing_period_s: Positive = Field(default=20.0, alias="swing_period")
     waves: list[LoadWave] = []
-    # arrival times, which replace all the settings above
+    # arrival times from the start of the run, which replace all the settings above
     recorded_arrivals_s: list[NonNegative] = Field(default=[], alias="recorded")
     quota: Positive = 0.8  # total quota of all tenants, as a fraction of the fleet's capacity
     # factor on the value of requests beyond the quota
@@ -231,7 +234,10 @@
 
 
 class FaultPlan(Table):
-    """Describes one fault of the run; `faults.py` defines what each kind does."""
+    """Describes one fault of the run; `faults.py` defines what each kind does.
+
+    `start_s` counts from the start of the run.
+    """
 
     kind: FaultKind
     start_s: NonNegative = Field(alias="at")
@@ -252,7 +258,9 @@
 
     name: Name = "fleet"
     duration_s: Positive = Field(default=60.0, alias="length")
-    warmup_s: NonNegative = Field(default=0.0, alias="warm_up")  # earlier requests don't count
+    warmup_s: NonNegative = Field(
+        default=0.0, alias="warm_up"
+    )  # requests that arrive before this time don't count
     nodes: Count = 4  # number of entry nodes, which send to the first tier
     tiers: Annotated[list[Tier], Field(min_length=1, max_length=9)]
     request_classes: Annotated[list[RequestClassPlan], Field(min_length=1)] = Field(
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -102,7 +102,7 @@
         self.on_answer = on_answer  # called once, with the outcome and the seconds after which to retry
         self.outcome = RequestOutcome.OPEN
         self.attempts: list[Attempt] = []
-        self.in_flight = 0
+        self.in_flight = 0  # number of attempts that have not ended
 
     @property
     def is_answered(self) -> bool:
@@ -142,7 +142,7 @@
         self.server = server
         self.sent_at = sent_at
         self.outcome: AttemptOutcome | None = None  # None while in flight
-        self.timeout: ScheduledCall | None = None
+        self.timeout: ScheduledCall | None = None  # the call that ends the attempt at its timeout
         self.job: Job | None = None  # set when the server accepts it
         self.is_over = False  # the node no longer waits for it
         self.has_connection = False
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -88,12 +88,12 @@
     rejected: float = field(metadata={KEY: "bounced"})
     failed: float = field(metadata={KEY: "terminated"})
     unanswered: float = field(metadata={KEY: "left"})
-    late: float  # requests served after their target latency
+    late: float  # fraction of requests that were served after their target latency
     # fraction of the offered value that was earned, by request class
     value_by_class: list[float] = field(metadata={KEY: "by_kind"})
     # fraction earned by each tenant's requests within its quota
     value_by_tenant: list[float] = field(metadata={KEY: "by_customer"})
-    # quantiles of the latency of served requests, over all their tries
+    # quantiles of the latency of served requests, from the arrival to the answer, over all their tries
     latency_p50_s: float = field(metadata={KEY: "p50"})
     latency_p95_s: float = field(metadata={KEY: "p95"})
     latency_p99_s: float = field(metadata={KEY: "p99"})
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -9,7 +9,7 @@
 
 
 class RequestTrace:
-    """Collects lines about the client request `request_index`; NO_REQUEST: about none."""
+    """Collects lines about the client request with the index `request_index`; NO_REQUEST traces none."""
 
     def __init__(self, engine: Engine) -> None:
         self.request_index = NO_REQUEST
