--- a/tests/etcd/test_etcd_functions.py
+++ b/tests/etcd/test_etcd_functions.py
@@ -6,11 +6,11 @@
 
 
 def test_membership_estimate():
-    peers = membership.Membership(b"nodes/", "b", 5)
-    peers.update(["a", "b", "c"], 0.0)
-    assert peers.estimate(0.0) == (3, 1)
-    peers.update(["b"], 1.0)
-    assert (peers.estimate(2.0), peers.estimate(17.0), peers.estimate(19.0)) == ((3, 1), (2, 0), (1, 0))
+    nodes = membership.Membership(b"nodes/", "b", 5)
+    nodes.update(["a", "b", "c"], 0.0)
+    assert nodes.estimate(0.0) == (3, 1)
+    nodes.update(["b"], 1.0)
+    assert (nodes.estimate(2.0), nodes.estimate(17.0), nodes.estimate(19.0)) == ((3, 1), (2, 0), (1, 0))
 
 
 def test_messages_prefix_end():
--- a/tests/etcd/test_follower.py
+++ b/tests/etcd/test_follower.py
@@ -47,7 +47,10 @@
 
 @asynccontextmanager
 async def cluster(member_count=1, store=None, **options):
-    """Runs members of one store and a follower of its servers, whose reports are recorded."""
+    """Runs members of one store and a follower of its servers; yields them and the nursery.
+
+    `options` are those of the members. The changes that the follower reports are recorded in `servers`.
+    """
     store = store or Store()
     members = [Member(store, **options) for _ in range(member_count)]
     client = EtcdClient(
@@ -67,7 +70,10 @@
 
 
 async def put_and_wait(store, servers, name, state="in_service", timeout_s=2.0, **fields):
-    """Puts a server and waits until the follower reports it, by default for at most two seconds."""
+    """Puts a server and waits until the follower reports it; returns the seconds that this took.
+
+    Fails if they are `timeout_s` or more: two seconds is the promised maximum.
+    """
     began = trio.current_time()
     put(store, name, state=state, **fields)
     await until(
--- a/tests/etcd/test_registrar.py
+++ b/tests/etcd/test_registrar.py
@@ -19,50 +19,53 @@
 
 
 def test_the_estimate_rises_at_once_and_falls_slowly():
-    peers = Membership(PREFIX, "c", 1)
-    peers.update([f"n{i}" for i in range(9)], 0.0)
-    assert peers.estimate(0.0) == (10, 0)
-    peers.update(["n0"], 100.0)
-    assert peers.estimate(100.0 + REMOVAL_DELAY_S - 0.1)[0] == 10
-    counts = [peers.estimate(100.0 + REMOVAL_DELAY_S + (i + 1) * DECREASE_INTERVAL_S)[0] for i in range(12)]
+    membership = Membership(PREFIX, "c", 1)
+    membership.update([f"n{i}" for i in range(9)], 0.0)
+    assert membership.estimate(0.0) == (10, 0)
+    membership.update(["n0"], 100.0)
+    assert membership.estimate(100.0 + REMOVAL_DELAY_S - 0.1)[0] == 10
+    counts = [
+        membership.estimate(100.0 + REMOVAL_DELAY_S + (i + 1) * DECREASE_INTERVAL_S)[0] for i in range(12)
+    ]
     assert counts == [9, 8, 7, 6, 5, 4, 3, 2, 2, 2, 2, 2]
-    peers.update([f"n{i}" for i in range(5)], 200.0)
-    assert peers.estimate(200.0)[0] == 6
+    membership.update([f"n{i}" for i in range(5)], 200.0)
+    assert membership.estimate(200.0)[0] == 6
 
 
-def test_a_peer_that_flaps_is_always_counted():
-    peers = Membership(PREFIX, "a", 1)
+def test_a_node_that_flaps_is_always_counted():
+    membership = Membership(PREFIX, "a", 1)
     for i in range(100):
-        peers.update(["a", "b"] if i % 2 else ["a"], i * 3.0)
+        membership.update(["a", "b"] if i % 2 else ["a"], i * 3.0)
         if i:
-            assert peers.estimate(i * 3.0) == (2, 0)
+            assert membership.estimate(i * 3.0) == (2, 0)
 
 
 def test_indexes_differ_between_nodes_that_see_the_same_names():
     names = [f"n{i}" for i in range(7)]
     estimates = []
     for name in names:
-        peers = Membership(PREFIX, name, 1)
-        peers.update(names, 0.0)
-        estimates.append(peers.estimate(0.0))
+        membership = Membership(PREFIX, name, 1)
+        membership.update(names, 0.0)
+        estimates.append(membership.estimate(0.0))
     assert estimates == [(7, i) for i in range(7)]
 
 
 def test_a_node_whose_key_belongs_to_another_process_counts_both():
-    peers = Membership(PREFIX, "a", 5)
+    membership = Membership(PREFIX, "a", 5)
     kvs = [
         wire.KeyValue(key=PREFIX + name, value=value)
         for name, value in ((b"a", b'{"epoch": 6}'), (b"b", b"?"))
     ]
-    _, errors = peers.load(kvs, 0.0)
-    assert peers.has_duplicate and peers.estimate(0.0)[0] == 3 and len(errors) == 1
+    _, errors = membership.load(kvs, 0.0)
+    assert membership.has_duplicate and membership.estimate(0.0)[0] == 3 and len(errors) == 1
 
 
 @asynccontextmanager
 async def nodes(*names):
     """Runs a registrar in one cluster for each name; `reports` has the last report of each.
 
-    The yielded `start(name, epoch, key)` starts another one, stored under `key`.
+    A report is the number of nodes, the index of this one and its caution. The yielded function
+    `start(name, epoch, key)` starts another registrar, which `reports` and `registrars` have under `key`.
     """
     store = Store()
     member, reports, registrars = Member(store), {}, {}
--- a/tests/etcd/test_watch.py
+++ b/tests/etcd/test_watch.py
@@ -15,8 +15,8 @@
 from wheatroute.standin.etcd_store import Store
 
 
-def event(key, revision, kind=wire.PUT):
-    return wire.Event(type=kind, kv=wire.KeyValue(key=key, mod_revision=revision, value=b"v"))
+def event(key, revision, event_type=wire.PUT):
+    return wire.Event(type=event_type, kv=wire.KeyValue(key=key, mod_revision=revision, value=b"v"))
 
 
 def response(*events, revision=50, **more):
@@ -32,7 +32,7 @@
         # Each pass is one stream from the requested revision on, which may break after any response.
         while watch.next_revision <= 30:
             start = watch.request(b"k").create_request.start_revision
-            events = [event for r, revision in history if r >= start for event in revision]
+            events = [sent_event for r, events in history if r >= start for sent_event in events]
             broken_at = rng.randrange(len(events) + 1)
             for index, sent_event in enumerate(events):
                 if index == broken_at and rng.random() < 0.5:
--- a/tests/fleet/test_imports.py
+++ b/tests/fleet/test_imports.py
@@ -11,12 +11,14 @@
 
 
 def modules():
+    """Yields the name and the syntax tree of each module, the name without that of the package."""
     for path in FOLDER.rglob("*.py"):
         name = ".".join(path.relative_to(FOLDER).with_suffix("").parts)
         yield name.removesuffix(".__init__") or "__init__", ast.parse(path.read_text(encoding="utf-8"))
 
 
 def imported(tree):
+    """Yields the names of the modules that a module may import, including those of imported attributes."""
     # Imports in functions and under TYPE_CHECKING count too.
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
--- a/tests/fleet/test_many_small_nodes.py
+++ b/tests/fleet/test_many_small_nodes.py
@@ -14,6 +14,10 @@
 
 
 def simulate(seed, **changes):
+    """Simulates the replica with changes to its clients; returns the figures and the losses.
+
+    Fails if a rule was violated.
+    """
     tables = tomllib.loads(FILE.read_text(encoding="utf-8"))
     tables["callers"].update(changes)
     losses = []
--- a/tests/fleet/test_rules.py
+++ b/tests/fleet/test_rules.py
@@ -10,7 +10,7 @@
 
 
 class RuleBreaker(baselines.RandomChoice):
-    """Violates the rule that `violation` selects."""
+    """Violates a rule in the way that `violation` names; the cases below give the rule of each."""
 
     violation = ""
 
--- a/tests/fleet/test_servers.py
+++ b/tests/fleet/test_servers.py
@@ -27,6 +27,7 @@
 
 def test_an_overload_outlasts_its_trigger_if_clients_retry_many_times():
     def served_at_the_end(retries):
+        """Returns the fraction served of the requests that arrive long after the trigger, from 30 s on."""
         world = simulate(
             "random",
             length=40.0,
--- a/tests/grpc/test_sessions.py
+++ b/tests/grpc/test_sessions.py
@@ -41,7 +41,10 @@
 
 @asynccontextmanager
 async def serving(limits=None, contexts=None, **methods):
-    """Runs a server on loopback; yields it and its address. `methods` are coroutines, under /t/."""
+    """Runs a server on loopback; yields it and its address.
+
+    It serves the coroutines in `methods` at /t/NAME, and also `echo` and `hang`.
+    """
     listener = listen(("127.0.0.1", 0))
     server = Server({}, limits or ConnectionLimits(), LOG, contexts)
     for name, method in ({"echo": echo, "hang": hang} | methods).items():
@@ -54,7 +57,7 @@
 
 
 async def assert_fails(status, function, *args, **kwargs):
-    """Checks that a call fails with a status; returns its message."""
+    """Checks that a call fails with a status; returns the text of its `grpc-message`."""
     with pytest.raises(CallError) as caught:
         await function(*args, **kwargs)
     assert caught.value.status == status
@@ -303,9 +306,13 @@
     try:
         ready.wait(10)
         with grpc.insecure_channel("{}:{}".format(*addresses[0])) as channel:
-            unary, both = channel.unary_unary("/t/echo"), channel.stream_stream("/t/echo")
+            unary, bidirectional = channel.unary_unary("/t/echo"), channel.stream_stream("/t/echo")
             assert unary(b"one", timeout=5) == b"one"
-            assert list(both(iter([b"a", b"", b"c" * 100000]), timeout=5)) == [b"a", b"", b"c" * 100000]
+            assert list(bidirectional(iter([b"a", b"", b"c" * 100000]), timeout=5)) == [
+                b"a",
+                b"",
+                b"c" * 100000,
+            ]
             with pytest.raises(grpc.RpcError) as caught:
                 unary(b"fail", timeout=5)
             assert (caught.value.code(), caught.value.details()) == (
--- a/tests/rig/test_etcd_commands.py
+++ b/tests/rig/test_etcd_commands.py
@@ -8,6 +8,7 @@
 
 
 def cluster():
+    """Returns the store and the members of a cluster, and a function that sends it a command."""
     store = Store()
     members = [Member(store), Member(store)]
     commands = Commands(members)
--- a/tests/rig/test_rig_lateness.py
+++ b/tests/rig/test_rig_lateness.py
@@ -15,6 +15,10 @@
 
 
 def records_of(ended, delays=()):
+    """Returns records of a request that was sent at 10 s and answered at `ended`.
+
+    `delays` are the delays of the rig's event loop: when its probe woke up, and how late that was.
+    """
     records = RunRecords()
     records.requests["r1"] = ClientRequest(
         10.0, "n0", "r1", "look", TIMEOUT_S, status=200, ended_at=ended, response_count=1
--- a/tests/rig/test_scenario.py
+++ b/tests/rig/test_scenario.py
@@ -54,6 +54,7 @@
 
 
 def read(tmp_path, text):
+    """Reads a scenario from a file with this text."""
     path = tmp_path / "scenario.toml"
     path.write_text(text)
     return read_scenario(str(path))
