--- a/tests/fleet/test_random_streams.py
+++ b/tests/fleet/test_random_streams.py
@@ -1,4 +1,4 @@
-"""Tests random streams and random numbers that are derived from keys."""
+"""Tests random streams, and uniform draws that depend only on their keys."""
 
 from wheatroute.fleet import random_streams
 
--- a/tests/rig/test_rig_links.py
+++ b/tests/rig/test_rig_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: what passes, what each fault does, and that held data arrives after healing."""
+"""Links between processes: what each fault does, and that data held back by a partition arrives after it."""
 
 import trio
 from async_scenarios import scenario, until
--- a/wheatroute/fleet/plan.py
+++ b/wheatroute/fleet/plan.py
@@ -209,7 +209,7 @@
     # time after a drain notice in which attempts may still be sent to the server
     drain_grace_s: NonNegative = Field(default=2.0, alias="drain_grace")
     # The work sent to a warming server within the window must stay below this multiple of the work that it
-    # can do in the window at its present capacity.
+    # can do in the window at its current capacity.
     overload_window_s: Positive = Field(default=1.0, alias="fall_span")
     overload_multiple: Positive = Field(default=3.0, alias="fall_multiple")
     # time after its deadline by which a request must be answered
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -126,7 +126,11 @@
             self._add_violation(Rule.RESPECT_DRAIN, text)
 
     def _check_warmup(self, request: NodeRequest, server: Server, subject: str) -> None:
-        """Checks that all nodes together send less than multiple x present capacity x window in a window."""
+        """Checks that all nodes together send at most the budget of a warming server within the window.
+
+        The budget is `overload_multiple` times the server's current capacity times the length of the window,
+        with a tolerance.
+        """
         limits = self._plan.rules
         work_s = self._plan.mean_call_work_s(request.class_number, server.depth)
         window = self._warmup_work.setdefault(server.address, WorkWindow())
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -114,7 +114,7 @@
         except* (OSError, trio.ClosedResourceError) as group:
             self.reason = f"broken: {group.exceptions[0]}"
         finally:
-            self._end_all(CallError(Status.UNAVAILABLE, f"the connection is {self.reason}"))
+            self._end_all(CallError(Status.UNAVAILABLE, f"the connection ended: {self.reason}"))
             if self._after_read is not None:
                 self._after_read()
             self.stream.close()
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -138,7 +138,7 @@
                     if all(_acts_on(statuses.get(name), number) for name in expected):
                         return
                 await trio.sleep(POLL_INTERVAL_S)
-        raise RigError(f"waited {timeout_s:g} s until all act on version {number}: {statuses}")
+        raise RigError(f"after {timeout_s:g} s, not all processes act on version {number}: {statuses}")
 
     async def _newest_statuses(self) -> dict[str, ProcessState]:
         """Returns the status by process name; if processes share a name, that of the last one confirmed."""
--- a/wheatroute/rig/waiting.py
+++ b/wheatroute/rig/waiting.py
@@ -20,7 +20,7 @@
     description: str,
     timeout_s: float = WAIT_TIMEOUT_S,
 ) -> None:
-    """Waits until a condition is true; raises `RigError` after the timeout.
+    """Waits until a condition is true; raises `RigError` with the description after the timeout.
 
     The delay of this process's event loop meanwhile is added to the timeout, at most the timeout once more.
     """
