--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -36,7 +36,7 @@
     from wheatroute.rollout.figures_reporter import FiguresReporter
 
 # Fraction of the connections that is for clients: every request occupies its client's connection, but a
-# connection to a server only while it is being sent.
+# connection to a server only while an attempt is in flight.
 CLIENT_CONNECTIONS_RATIO = 0.55
 # Higher than the defaults, as few objects that are allocated for a request are in reference cycles.
 GC_THRESHOLDS = (10000, 20, 50)
@@ -47,8 +47,8 @@
 
     `early_signals` are stop signals that arrived before this call.
     """
-    # Opened before anything listens: a signal in between would terminate the process with clients in its
-    # queue.
+    # The receiver is opened before anything listens: a signal between the two would terminate the process
+    # while clients are in the listener's queue.
     with open_signal_receiver() as signals:
         if early_signals:
             log.info("stopped", signal=signal.Signals(early_signals[0]).name)
@@ -78,7 +78,7 @@
         self._follower = self._make_follower()
         self._figures_reporter = self._make_figures_reporter()
 
-    # These three import their modules only if the settings need them.
+    # The next three methods import their modules only if the settings need them.
 
     def _make_discovery(self) -> Discovery:
         settings = self._settings
--- a/wheatroute/balancing/attempt_sender.py
+++ b/wheatroute/balancing/attempt_sender.py
@@ -70,7 +70,8 @@
     def _close_idle(self, server: int) -> float:
         """Closes the connections to a server if they have been idle for too long.
 
-        Returns the seconds for which the connection that will be used was idle; 0 for a busy or new one.
+        Beyond the servers' idle timeout the server closes them itself. Returns the seconds for which the
+        connection that will be used was idle; 0 for a busy or new one.
         """
         servers, timeout_s = self._state.servers, self._state.settings.idle_timeout_s
         if servers.in_flight[server] or servers.used_at[server] == -inf:
--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -22,7 +22,7 @@
 # multiple is reduced to two thirds.
 MIN_PEAK_RATIO = 1.0
 MAX_PEAK_RATIO = 2.0
-PEAK_DECAY = 0.97  # factor on the peak rate per second without a higher rate
+PEAK_DECAY = 0.97  # factor applied to the peak rate for each second without a higher rate
 
 
 class ConcurrencyLimiter:
@@ -37,7 +37,8 @@
         self.peak_rate = 0.0  # highest recent served rate, per second
         self.min_time_s = 0.0  # shortest recent time in flight
         self.limit = inf
-        self.capacity = 0  # the limit of healthy servers as an integer, randomly rounded up or down
+        # The limit of the healthy servers, plus extra capacity for clusters of requests, rounded at random.
+        self.capacity = 0
 
     def update(self, interval_s: float, spread: float, tolerance: float, rng: Random) -> None:
         """Adapts the limit to the measurements of the last `interval_s` seconds.
@@ -52,8 +53,8 @@
             self.limit = initial
         # The limit is rounded at random, because many nodes that each round up would exceed what the servers
         # can take. A node with a small part of the traffic gets its requests in clusters; while it uses
-        # little of its limit, it gets extra capacity for the deviation of their number. The part of the limit
-        # that belongs to ejected servers is not given to the others.
+        # little of its limit, it gets extra capacity of up to two standard deviations of their number. The
+        # part of the limit that belongs to ejected servers is not given to the others.
         limit = self.limit * self.healthy_fraction
         unused = max(0.0, 1.0 - self.mean_in_flight / limit)
         self.capacity = int(limit + 2.0 * unused * sqrt(limit) * fraction + rng.random())
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -11,14 +11,14 @@
     def __init__(self, state: BalancerState) -> None:
         self._state = state
         self.ejected: list[int] = []
-        self._due_at = -inf  # earliest time of the next trial; -inf: to be looked up
+        self._due_at = -inf  # earliest time of the next trial; -inf: `is_due` must look it up
 
     def reset(self, ejected: list[int]) -> None:
         """Replaces the list of ejected servers."""
         self.ejected, self._due_at = ejected, -inf
 
     def reset_due_time(self) -> None:
-        """Makes `is_due` look up the time of the next trial again, because the state of a server changed."""
+        """Makes `is_due` look up the time of the next trial again; call it when a server's state changes."""
         self._due_at = -inf
 
     def is_due(self) -> bool:
--- a/wheatroute/balancing/hedging.py
+++ b/wheatroute/balancing/hedging.py
@@ -13,6 +13,7 @@
 
 # Hedge budget as a fraction of the attempts sent; twice the fraction that exceeds a 95th percentile.
 HEDGE_FRACTION = 0.1
+# Cap of the hedge credit: one hedge plus those earned by 2 * MIN_SAMPLES attempts.
 MAX_HEDGE_CREDIT = 1.0 + HEDGE_FRACTION * MIN_SAMPLES * 2
 
 
@@ -45,17 +46,17 @@
         ):
             heappush(state.timers, (state.now + state.latencies.hedge_after_s, request.number, request))
 
-    def pick_for_hedge(self, request: Request, due: float) -> int:
+    def pick_for_hedge(self, request: Request, due_at: float) -> int:
         """Returns the server for the only hedge of a request, or -1 if it must not be hedged now.
 
-        `due` is the time for which its hedge timer was set.
+        `due_at` is the time for which its hedge timer was set.
         """
         state, latencies = self._state, self._state.latencies
         if request.is_hedged or len(request.attempts_in_flight) != 1:
             return -1
         if not may_repeat(request, state.settings, state.now):
             return -1
-        if state.now - due > latencies.hedge_after_s * HEDGE_MARGIN + state.settings.tick:
+        if state.now - due_at > latencies.hedge_after_s * HEDGE_MARGIN + state.settings.tick:
             # After a stall of the node many timers are overdue at once, so they are spread out again.
             again_at = state.now + latencies.hedge_after_s * state.rng.random()
             heappush(state.timers, (again_at, request.number, request))
--- a/wheatroute/balancing/idle_connections.py
+++ b/wheatroute/balancing/idle_connections.py
@@ -12,7 +12,7 @@
 
 IDLE_BUCKETS = 7  # buckets of idle time: up to half a second, then doubling
 MAX_LOSS_RATIO = 3.0  # ratio of loss on idle to loss on busy connections above which idle ones aren't used
-DECAY = 0.97  # factor on the counts per second
+DECAY = 0.97  # factor applied to the counts at each update, once per `UPDATE_INTERVAL_S`
 
 
 class IdleConnectionStatistics:
@@ -29,7 +29,7 @@
         return min(IDLE_BUCKETS - 1, int(log2(2 * idle_s / UPDATE_INTERVAL_S)) + 1)
 
     def update(self) -> None:
-        """Sets `max_idle_s` to the shortest idle time from which on far more attempts are lost."""
+        """Sets `max_idle_s` to the shortest idle time above which far more attempts are lost."""
         busy_loss = (self.lost[0] + 1.0) / (self.answered[0] + self.lost[0] + MIN_SAMPLES)
         self.max_idle_s = inf
         for i in range(1, IDLE_BUCKETS):
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -1,6 +1,6 @@
-"""Types of the balancer's interface: the events that it is given and the commands that it writes. No I/O.
+"""Types of the balancer's interface: the events that it receives and the commands that it writes. No I/O.
 
-A host (a node on sockets, the external processor, the bench's link, the simulated fleet) calls
+A host (a node on sockets, the external processor, the simulator's link, the simulated fleet) calls
 `Balancer.handle_events(now, events, writer)`. `events` is a list of plain tuples in the order in which the
 events happened, each an `Event` followed by its fields. Plain tuples keep the cost low, since every request
 causes several events.
@@ -138,13 +138,13 @@
         """Requests a call with `Event.TIMER_DUE` at `moment` or later, in seconds on the clock of `now`."""
 
     def probe(self, server: int) -> None:
-        """Sends a probe to a server; its result comes back as `Event.PROBE_ENDED`."""
+        """Sends a probe to a server; its result must be reported as `Event.PROBE_ENDED`."""
 
     def send_loads(self, loads: Mapping[int, float]) -> None:
         """Sends the loads of these servers to all other nodes.
 
-        A load is the number of requests that the server holds or, if servers report their queue length and
-        rate, the seconds that a new request would wait there (`LoadReports.record_report`).
+        A load is the number of requests in progress at the server or, if servers report their queue length
+        and rate, the seconds that a new request would wait there (`LoadReports.record_report`).
         """
 
     def watch(self, enable: bool) -> None:
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -22,7 +22,7 @@
         self.median = 0.0  # median of the window, in multiples of the class's mean
         self.latest_median = 0.0  # median of the last second, in multiples of the class's mean
         self.spread = 1.0  # standard deviation divided by mean of the latencies within a class
-        self.sample_count: list[float] = []  # by request class, capped
+        self.sample_count: list[float] = []  # by request class, at most 5 * MIN_SAMPLES
         self.mean_work: list[float] = []  # moving average of the work hints, by request class
 
     def extend(self, classes: int) -> None:
@@ -61,7 +61,7 @@
         return relative
 
     def update_latest_median(self, now: float) -> None:
-        """Updates the median of the last second."""
+        """Updates the median of the last second; it is 0 if there are too few samples."""
         latest = self.window.relative_since(now - UPDATE_INTERVAL_S)
         self.latest_median = latest[len(latest) // 2] if len(latest) >= MIN_SAMPLES // 4 else 0.0
 
@@ -79,5 +79,8 @@
 
     @property
     def is_all_slow(self) -> bool:
-        """Whether the whole tier is slowing down; the p95 lags behind, so every request would be hedged."""
+        """Whether the whole tier is slowing down.
+
+        No hedges are sent then: the p95 rises only later, so every request would be hedged.
+        """
         return self.latest_median > ALL_SLOW_RATIO * self.median > 0.0
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -1,7 +1,7 @@
 """Load of the servers, reported by the servers or by other nodes, and the probes that ask for it. No I/O.
 
-The load of a server includes the requests of all nodes. It is the number of requests that the server holds
-or, if servers report their queue length, the seconds that one more request would wait there.
+The load of a server includes the requests of all nodes. It is the number of requests in progress at the
+server or, if servers report their queue length and rate, the seconds that one more request would wait there.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self.mean_load = 0.0  # mean load of the servers that this node sends to, from recent reports
         self._to_probe = deque[int]()
         self._probes_in_flight = 0
-        # loads by server from probes, not yet sent to the other nodes
+        # Loads by server from probes that were not yet sent to the other nodes.
         self._probed_loads: dict[int, float] = {}
         self.apply_settings()
 
@@ -50,6 +50,8 @@
             and settings.has_peers
             and settings.node < PROBING_NODES
         )
+        # Whether reports allow computing the seconds that a request would wait, and whether they have any
+        # load.
         self.reports_wait = {"queued", "rate"}.issubset(reported) and "held" not in reported
         self.reports_load = self.reports_wait or "held" in reported
         # Load that one more request adds. It is set so that even the shortest target latency is met at a
@@ -61,14 +63,14 @@
         self._light_load = MIN_IN_FLIGHT_PER_SERVER * sqrt(self._state.tiers_from_here) * self.load_of_request
 
     def record_report(self, server: int, report: Report, elapsed_s: float) -> None:
-        """Records a server's report, which came with an answer `elapsed_s` after the sending.
+        """Records a server's report, received `elapsed_s` after the attempt or probe was sent.
 
-        If a report has no load, the load is estimated by Little's law: the server's requests per second times
-        the duration of this request.
+        If a report lacks the number of requests in progress, it is estimated by Little's law: the server's
+        requests per second times the duration of this request.
         """
         rate = report.get("rate", 0.0)
         load = report.get("held", rate * elapsed_s)
-        # At a server that reports no rate a request would wait forever, so the wait is capped.
+        # Where the reported rate is 0 or missing, a request would wait forever, so the wait is capped.
         if self.reports_wait:
             load = min(LATENCY_WINDOW_S, report.get("queued", 0.0) / (rate or 1.0 / LATENCY_WINDOW_S))
         servers = self._state.servers
--- a/wheatroute/balancing/node_state.py
+++ b/wheatroute/balancing/node_state.py
@@ -24,8 +24,8 @@
         self.servers = ServerStatistics()
         self.latencies = LatencyStatistics()
         self.requests: dict[int, Request] = {}
-        # A heap of (time, number, request). `number` is the request's number for a hedge timer and -number -
-        # 1 for the timer of the request's `give_up_at`.
+        # A heap of (time, number, request). `number` is the request's number for a hedge timer, and
+        # `-1 - request.number` for the timer of the request's `give_up_at`.
         self.timers: list[tuple[float, int, Request]] = []
 
     @property
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -52,6 +52,7 @@
         elif outcome == AttemptOutcome.TIMED_OUT:
             self._add_latency(request, server, elapsed_s, False)
         elif outcome == AttemptOutcome.WITHDRAWN:
+            # Without the cancellation it would have taken at least this long.
             relative = elapsed_s / (mean * request.relative_size or elapsed_s or 1.0)
             if relative > servers.latency[server] > 0.0:
                 self._smooth_latency(server, relative)
@@ -112,8 +113,9 @@
     def _record_connection(self, opened: bool, server: int, outcome: AttemptOutcome) -> None:
         """Tracks open connections, and detects servers that accept no new connections.
 
-        A tier may refuse new connections for a while, or have no room for more, although its servers still
-        answer on open connections. Those stay in use, so that the load is not concentrated on few servers.
+        A tier may refuse new connections for a while, or have reached its limit of connections, although its
+        servers still answer on open connections. The open connections stay in use, so that the load is not
+        concentrated on few servers.
         """
         servers = self._state.servers
         if outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.FULL):
--- a/wheatroute/balancing/periodic_tasks.py
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -20,7 +20,8 @@
     def run(self, due_by: float, is_idle: bool) -> None:
         """Starts a tick or runs one pending task of the current tick.
 
-        A pending task runs if no request waits for this batch (`is_idle`), or if the next tick is near.
+        A pending task runs if the batch has no events other than timers (`is_idle`), or if the next tick is
+        near. `due_by` is the present time plus the tolerance of `Balancer.handle_events`.
         """
         if not self.pending:
             self._start_tick()
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -50,7 +50,10 @@
             self.shed()
 
     def shed(self) -> None:
-        """Rejects the requests that can't be served in time; see `RequestQueue.shed`."""
+        """Rejects the requests that can't be served in time; see `RequestQueue.shed`.
+
+        Only nodes of the entry tier (`tier` 0) shed, once they have measured a served rate.
+        """
         latencies = self._state.latencies
         if not self._recorder.served_rate or self._state.settings.tier or not self._queue:
             self._queue.added_since_shed = 0
--- a/wheatroute/balancing/request.py
+++ b/wheatroute/balancing/request.py
@@ -13,7 +13,8 @@
     Times are in seconds on the clock of `Balancer.handle_events`. `target` is the time until which an answer
     has its full value; at `give_up_at` the request gets its final answer if it has none yet. `value` is the
     value of the request's class with the factors of `RequestAdmission.new_request`. Unless answers count by
-    their work, it is divided by the mean latency of the class, so that it is a value per second.
+    their work (`DecisionSettings.work_counts`), it is divided by the mean latency of the class, so that it is
+    a value per second.
     """
 
     __slots__ = (
@@ -57,8 +58,12 @@
         self.may_have_run = 0  # number of ended attempts that may have run
         # Deduplication group of the first attempt that may have run. Repeats of a keyed request stay in it.
         self.group = -1
-        self.first_sent_at = inf  # when that attempt was sent, which starts the retry window
+        self.first_sent_at = (
+            inf  # time at which the attempt that set `group` was sent; starts the retry window
+        )
         self.is_over = self.is_hedged = self.is_queued = False
-        self.quota_tenant = -1  # tenant whose quota it used; -1: it is beyond its tenant's quota
+        # Tenant whose token it took, or at a tier below the entry its tenant; -1: it has no tenant or is
+        # beyond its tenant's quota.
+        self.quota_tenant = -1
         self.capacity_fraction = 1.0  # fraction of the concurrency limit that it may use
         self.relative_size = 1.0  # hinted work over the mean work of its class
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -16,8 +16,8 @@
 
     def __init__(self, state: BalancerState, reports: LoadReports, quotas: TenantQuotas) -> None:
         self._state, self._reports, self._quotas = state, reports, quotas
-        # By request class: the `time_left` of the last first attempt at the entry tier, or the longest one
-        # seen at a tier below.
+        # By request class, in seconds: at the entry tier the `time_left` of the latest request that its
+        # client had not sent before, at a tier below the longest `time_left` of any request.
         self._typical_time_left: list[float] = []
 
     def apply_settings(self) -> None:
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -115,7 +115,9 @@
             (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
 
     def resend_hanging(self, server: int, timeout_s: float) -> None:
-        """Sends requests that have been in flight for long at a hanging server again, to other servers.
+        """Sends requests that have been in flight at a hanging server for long again, to other servers.
+
+        Long means `timeout_s / HANG_RATIO`, which is the p95 latency.
 
         `PeriodicTasks` calls this for each server that it ejects as hanging. `timeout_s` is the time without
         an answer after which a server counts as hanging.
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -13,8 +13,9 @@
 from wheatroute.balancing.server_subset import ServerSubset
 from wheatroute.balancing.slow_start import SlowStart
 
-MAX_DRAWS = 4
-# A server is drawn again if its attempts in flight reach this multiple of the mean plus a small constant.
+MAX_DRAWS = 4  # servers drawn for an attempt before the best one of them is used
+# The draw is repeated if the server's attempts in flight reach this multiple of the mean plus a small
+# constant.
 BUSY_SERVER_RATIO = 1.0
 
 
@@ -33,9 +34,10 @@
         self._slow_start, self._subset = slow_start, subset
 
     def pick(self, request: Request, only_lightly_loaded: bool = False) -> int:
-        """Draws a server by weight and redraws if it is much busier than the mean; returns -1 for none.
+        """Draws a server by weight and redraws if the server should be avoided; returns -1 for none.
 
-        `only_lightly_loaded` restricts the choice to servers that report a low load.
+        It should be avoided if it is busier than the mean, is congested, hangs for this request class, or
+        would answer too late. `only_lightly_loaded` restricts the choice to servers that report a low load.
         """
         subset, cumulative = self._subset, self._subset.cumulative_weights
         if not cumulative:
--- a/wheatroute/balancing/server_statistics.py
+++ b/wheatroute/balancing/server_statistics.py
@@ -31,7 +31,8 @@
         self.model: list[int] = []
         self.cell: list[int] = []
         self.started_at: list[float] = []  # start of its process; 0: long ago
-        self.latency: list[float] = []  # moving average; 0: no sample yet
+        # moving average in multiples of the class's mean; 0: no sample yet
+        self.latency: list[float] = []
         self.weight: list[float] = []  # effective number of samples in `latency`
         self.latency_at: list[float] = []  # time of the last sample
         self.in_flight: list[int] = []  # attempts of this node
@@ -75,8 +76,7 @@
         It is a weighted mean of the server's own latencies, those of its model and those of all members. So a
         slow model is detected early, and a single heavy request doesn't make a server look slow. The oldest
         attempt in flight counts once it has taken longer than the mean, so that a hanging server is detected
-        before its attempts time out. `mean_latency_s` is the mean over all
-        request classes.
+        before its attempts time out. `mean_latency_s` is the mean over all request classes.
         """
         own: list[tuple[float, float]] = []  # weight and weighted sum of each member
         by_model: dict[int, tuple[float, float]] = {}
--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -30,8 +30,8 @@
         """Adds the credit of an interval to the members that are warming up.
 
         The rate is half of what the settings allow, because other nodes send at random times too and servers
-        now carry less than they could. Only members of the subset get credit, and only they set the rate.
-        Otherwise a new server would get nothing until all nodes turned to it at once.
+        now carry less than they could. Only members of the subset get credit, and the rate is computed from
+        them only. Otherwise a new server would get nothing until all nodes sent to it at once.
         """
         servers, settings = self._state.servers, self._state.settings
         rates = self._update_rates(members, interval_s)
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -4,7 +4,8 @@
 that happened since the last call; it writes commands to `writer` during the call. The events and commands are
 defined in `wheatroute/balancing/interface.py`; the other modules of that package make the decisions, one
 module per concern. This module dispatches the events to them, runs timers and requests the next call. `now`
-is the only clock, `rng` the only source of random numbers, and nodes share nothing.
+is the only clock and `rng` the only source of random numbers. Nodes share no state; they may send each other
+the loads of servers (`CommandWriter.send_loads`).
 
 Invariants: a request gets exactly one final answer, before its deadline; it is retried only as
 `balancing/retry_rules.py` allows; no new attempt goes to a server that is draining or was removed from the
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -93,7 +93,8 @@
     def add_request(self, exchange: Exchange, earlier: Sequence[EarlierAttempt] = ()) -> None:
         """Assigns a number and a deadline to a new exchange and adds an `ARRIVED` event for it.
 
-        `earlier` are attempts that the client made itself: they count as the first attempts of the exchange.
+        `earlier` holds attempts that the client made itself; they count as the first attempts of the
+        exchange.
         """
         exchange.number, self._next_number = self._next_number, self._next_number + 1
         exchange.deadline = now() + exchange.time_left_s
@@ -140,7 +141,8 @@
     def update_settings(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
         """Applies new settings before any pending event is handled.
 
-        If they are binding, retries and hedges that have not been written yet are withdrawn.
+        If they apply to pending requests too, retries and hedges that have not been written yet are
+        withdrawn.
         """
         for exchange in self._exchanges.values() if applies_to_pending else ():
             for attempt in exchange.attempts[1:]:
--- a/wheatroute/net/client_connection.py
+++ b/wheatroute/net/client_connection.py
@@ -1,4 +1,4 @@
-"""State of one client's connection. Does no I/O itself.
+"""The state of a client's connection that its reading task and the request handler share. No I/O.
 
 A client has one request open at a time. Each connection has a task that reads within `scope`; cancelling the
 scope makes the task check the state again.
@@ -12,12 +12,13 @@
 from wheatroute.net.exchange import Exchange
 from wheatroute.net.log import CloseReason
 
-# Time to receive a complete request: below the 3 s that clients wait for an error or a close by the protocol.
+# Time to receive a complete request: below the 3 s for which the protocol has clients wait for an error or a
+# close.
 REQUEST_TIMEOUT_S = 2.0
 
 
 class ClientConnection:
-    """State of one client's connection.
+    """Holds a connection with its open request, its deadline for the next one and its reason to close.
 
     `lag_s` is the longest time for which the connection may have been waiting to be accepted.
     """
@@ -42,9 +43,9 @@
         self.exchange: Exchange | None = None  # exchange of the open request
         self.close_reason: CloseReason | None = None  # set once no more requests are handled
         self.has_partial_request = False
-        self.is_close_requested = False  # close it unless more data has been received
-        self.is_paused = False  # reading is paused as the client has pipelined too much
-        self.discarded_reads = 0  # number of reads since its last response
+        self.is_close_requested = False  # whether to close it unless more data has been received
+        self.is_paused = False  # whether reading is paused because the client has pipelined too much
+        self.discarded_reads = 0  # number of reads whose data was discarded, since its last response
 
     def request_close(self) -> None:
         """Has the reading task close the connection unless a request has been received."""
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -10,7 +10,8 @@
 
 RESERVED_RATIO = 0.1  # fraction of the connections reserved for clients that can only be rejected
 MIN_RESERVED = 2
-MIN_SILENT_S = 0.25  # minimum age of a silent connection before it is closed in favour of others
+# Minimum age of a connection on which the client has sent nothing, before it is closed in favour of others.
+MIN_SILENT_S = 0.25
 
 
 class ClientRegistry:
@@ -61,9 +62,9 @@
     def close_idle_client(self) -> None:
         """Closes a client that has sent nothing since it connected; if there is none, the longest idle one.
 
-        Otherwise hundreds of silent clients would displace those that send requests. Clients that have just
-        connected are kept: a client whose connection is closed before its request was read sends the request
-        once more on a new connection, but not a third time.
+        If silent clients were not closed first, hundreds of them would displace those that send requests.
+        Clients that have just connected are kept: a client whose connection is closed before its request was
+        read sends the request once more on a new connection, but not a third time.
         """
         longest_idle = None
         for client in self._idle:
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -28,7 +28,9 @@
 RESPONSE_MARGIN_S = 0.5  # time to answer after that wait, and time to establish a connection
 FIRST_WATCH_WAIT_MS = 1  # wait of a connection's first watch: short, to detect an unresponsive service soon
 FETCH_TIMEOUT_S = 2.0  # the protocol considers a list as known to the node after 6 s
-RETRY_INTERVAL_S = 0.1  # below the 200 ms within which the protocol requires a watch to be resumed
+# Delay before a failed watch is retried, below the 200 ms within which the protocol requires it to be
+# resumed.
+RETRY_INTERVAL_S = 0.1
 MAX_LIST_BYTES = 1 << 24
 MAX_LOGGED_CHARACTERS = 120
 UNKNOWN_VERSION = -1
@@ -63,10 +65,10 @@
         self._version = UNKNOWN_VERSION
         self._responses_applied = 0
         self.has_full_list = False
-        # "nodes": the number of nodes; "node": the number of this one.
+        # "nodes": the number of nodes; "node": the index of this one, from 0.
         self.node_counts: dict[str, int] = {}
         self._is_on_request = settings.is_on_request
-        # Set only if processes agree on settings.
+        # Set only if the settings enable agreement between processes.
         self.list_filter: ListFilter | None = None
         self._watch_scope: trio.CancelScope | None = None
         self._fetches: set[trio.CancelScope] = set()
@@ -232,9 +234,9 @@
 
         `responses_applied` is the number of responses that had been applied when the request was sent.
 
-        A full list may arrive after a newer change, and would make a draining server live again. If no other
-        response was applied meanwhile and the version is lower all the same, the list service has restarted:
-        its list is applied, and further requests use the service's new versions.
+        A full list may arrive after a newer change, and would make a draining server live again. If the
+        version is lower although no other response was applied meanwhile, the list service has restarted: its
+        list is applied, and further requests use the service's new versions.
         """
         fields = document if isinstance(document, dict) else {}
         version = fields.get("version")
@@ -275,13 +277,13 @@
 
     def _read_entries(self, servers: list[object]) -> list[ListEntry]:
         entries = []
-        for one in servers:
+        for entry in servers:
             try:
-                entries += self._entries.read(one)
+                entries += self._entries.read(entry)
             except (TypeError, ValueError, KeyError, AttributeError) as error:
                 self._log.warning(
                     "entry-skipped",
-                    entry=repr(one)[:MAX_LOGGED_CHARACTERS],
+                    entry=repr(entry)[:MAX_LOGGED_CHARACTERS],
                     error=str(error)[:MAX_LOGGED_CHARACTERS],
                 )
         return entries
--- a/wheatroute/net/event_loop_lag.py
+++ b/wheatroute/net/event_loop_lag.py
@@ -8,7 +8,7 @@
 
 
 class EventLoopLag(trio.abc.Instrument):
-    """Computes an upper bound of the time since data that is read now has arrived.
+    """Computes an upper bound of the time for which data that is read now has been waiting.
 
     A client's timeout counts from the last byte of its request, which may have been waiting since the
     previous iteration of the event loop. Without this bound, a node whose event loop was blocked would answer
@@ -27,7 +27,8 @@
         """Called by trio after it has waited for sockets."""
         self.iterations += 1
         moment = time.monotonic()
-        # Data arrived during this wait if there was one, else at the earliest after the previous wait.
+        # If the loop had to wait, the data arrived at the end of the wait; else it may have been waiting
+        # since the previous iteration.
         has_waited = moment - self._wait_began > MIN_REAL_WAIT_S
         self._unread_since = moment if has_waited else self._iteration_began
         self._iteration_began = moment
--- a/wheatroute/net/load_reports.py
+++ b/wheatroute/net/load_reports.py
@@ -8,7 +8,8 @@
 def parse_load_report(text: str) -> tuple[dict[str, float] | None, str]:
     """Returns the metrics by internal name (None if there are none), and the last malformed part.
 
-    Malformed parts are not included in the metrics.
+    The text is a comma-separated list of name=value. Malformed parts are not included in the metrics; without
+    one, the second result is empty.
     """
     report: dict[str, float] = {}
     malformed = ""
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -1,7 +1,7 @@
-"""The node's log: logfmt lines on standard output, one for each closed connection and few others.
+"""The node's log: logfmt lines on standard output, one for each closed connection and for each rare event.
 
-No line is written per request or otherwise in normal operation, as a line costs as much as a request. Writing
-never blocks the node. `docs/oncall.md` explains each event and reason. I/O: standard output.
+No line is written per request, as a line costs as much as a request. Writing never blocks the node.
+`docs/oncall.md` explains each event and reason. I/O: standard output.
 """
 
 import os
@@ -33,8 +33,9 @@
     WITHDRAWN = "withdrawn"  # the attempt on it was withdrawn
     TIMED_OUT = "timed-out"  # the attempt on it ran out of time
     IDLE_TIMEOUT = "idle-timeout"  # idle for nearly as long as its server keeps idle connections
-    NO_CAPACITY = "no-capacity"  # closed to stay within the limit of descriptors
-    CLOSED_BY_NODE = "closed-by-node"  # on a command of the balancer, or as a server's address changed
+    NO_CAPACITY = "no-capacity"  # closed or not opened, to stay within the limit of descriptors
+    # The balancer or discovery had it closed, or a new connection replaced it (`ConnectionPool.acquire_new`).
+    CLOSED_BY_NODE = "closed-by-node"
     STOPPING = "stopping"  # the node is stopping
     FAULT = "fault"  # an internal error of the node
 
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -20,8 +20,8 @@
 from wheatroute.wire_names import NameNumbering
 
 # File descriptors that are not available for connections: they are for files, the listener, the list service
-# and the event loop. Where few descriptors are allowed, it is RESERVED_DESCRIPTORS_RATIO of them plus
-# MIN_RESERVED_DESCRIPTORS instead.
+# and the event loop. Where few descriptors are allowed, RESERVED_DESCRIPTORS_RATIO of them plus
+# MIN_RESERVED_DESCRIPTORS are reserved instead.
 RESERVED_DESCRIPTORS = 32
 RESERVED_DESCRIPTORS_RATIO = 0.125
 MIN_RESERVED_DESCRIPTORS = 6
@@ -82,7 +82,7 @@
     settings: dict[str, Any]  # the object "settings" of the file, unchanged
     derived: dict[str, Any]
     agreement: dict[str, Any] | None  # the version store, and the timeout in seconds as "within"
-    rollout: dict[str, Any] | None  # the same for the store of rollouts
+    rollout: dict[str, Any] | None  # the version store of rollouts, and the timeout in seconds as "within"
     has_successor: bool  # while this process stops, another one of this node listens on the same address
     peers: PeerAddresses | None
 
@@ -146,7 +146,9 @@
         list_service = environment.get("PROXY_DISCOVERY") or document.get("discovery")
         discovery = NO_ADDRESS if etcd_servers else parse_address(list_service)
     except ValueError as error:
-        raise NodeSettingsError(f"invalid address to listen on or of the list service: {error}") from error
+        raise NodeSettingsError(
+            f"invalid address to listen on, of the list service or of etcd: {error}"
+        ) from error
     work_header = _parse_work_header(document.get("work_header"))
     max_connections = _max_connections(document.get("limits"))
     max_response_bytes = _max_response_bytes(document.get("limits"))
@@ -250,7 +252,7 @@
         or not isinstance(table.get("others"), list)
         or table.keys() - {"listen", "others"}
     ):
-        raise NodeSettingsError('"peers" must be an object with only "listen" and a list "others"')
+        raise NodeSettingsError('"peers" must be an object with only an address "listen" and a list "others"')
     if not is_allowed:
         raise NodeSettingsError('the file has "peers", but the settings do not allow them')
     try:
@@ -281,7 +283,7 @@
         or not isinstance(table.get("nodes_prefix", ""), str)
     ):
         raise NodeSettingsError(
-            '"servers" must be an object with only a list "etcd", "prefix" and "nodes_prefix"'
+            '"servers" must be an object with only a list "etcd" and strings "prefix" and "nodes_prefix"'
         )
     for endpoint in table["etcd"]:
         parse_address(endpoint)
@@ -295,12 +297,15 @@
 
 
 def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
-    """Returns the version store of a table and the timeout in seconds; None without the table."""
+    """Returns the settings of the version store that the object `name` describes; None if there is no object.
+
+    The keys are "directory", "relay", or "etcd" (addresses) and "prefix", and "within" (seconds).
+    """
     if table is None:
         return None
     if not isinstance(table, dict) or table.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
         raise NodeSettingsError(
-            f'"{name}" must be an object with "directory", "relay", or "etcd" and "prefix"'
+            f'"{name}" must be an object with only "directory", "relay", or "etcd" and "prefix", and "within"'
         )
     within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIMEOUT_S), table.get("etcd")
     if not isinstance(within_s, int | float) or not 0.0 < within_s < inf:
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -40,7 +40,9 @@
     def send_loads(self, loads: Mapping[int, float]) -> None:
         """Sends the loads of servers, by number, to all other nodes."""
         ids = {server: identity for identity, server in self._servers.numbers.items()}
-        for text in peer_messages.encode_loads((ids[one], load) for one, load in loads.items() if one in ids):
+        for text in peer_messages.encode_loads(
+            (ids[server], load) for server, load in loads.items() if server in ids
+        ):
             for address in self._others:
                 try:
                     self._socket.sendto(text.encode(), address)
@@ -49,7 +51,7 @@
                     continue
 
     async def run(self) -> None:
-        """Receives datagrams until it is cancelled; closes the socket."""
+        """Receives datagrams until it is cancelled, then closes the socket."""
         try:
             while True:
                 await trio.lowlevel.wait_readable(self._socket)
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -46,13 +46,16 @@
         """Counts a request whose client has disconnected; `now` as in `request_answered`."""
 
     def update_settings(
-        self, names: dict[str, int], tenants: dict[str, int], kinds: Sequence[RequestClass]
+        self,
+        request_classes: dict[str, int],
+        tenants: dict[str, int],
+        class_rules: Sequence[RequestClass],
     ) -> None:
         """Applies new settings: numbers of request classes and tenants by name, and the classes' rules."""
 
 
 class Readiness(Protocol):
-    """Tells whether the node has received a full list of servers."""
+    """Holds whether the node has received a full list of servers; only then is it ready."""
 
     has_full_list: bool
 
@@ -164,8 +167,8 @@
     def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
         """Rejects a request before it reaches the balancer.
 
-        The simulator rejects at the limit in the settings. Here the limit of file descriptors may be lower:
-        with no descriptor left, requests would be lost unread in the listener's queue.
+        The limit is that of the settings, as in the simulator, or that of the file descriptors if it is
+        lower: with no descriptor left, requests would be lost unread in the listener's queue.
         """
         if self.account is not None:
             self.account.request_rejected(exchange)
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -24,8 +24,9 @@
 _TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])\Z")
 _UNITS_PER_SECOND = {b"m": 1e3, b"u": 1e6}
 
-# By request class, while its form changes: the other forms that are accepted, and the number of the class
-# that has the strict rules. The form of a request is its method and whether it has an idempotency key.
+# By request class whose form is changing: the other forms that are accepted, and the number of the class that
+# has the strict rules. The form of a request is its method and whether it has an idempotency key; forms are
+# given as the idempotency that requires them.
 AlternativeForms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
@@ -79,17 +80,19 @@
         # Never decreases: request ids are remembered by the deadline that applied when they were accepted.
         self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_rules))
 
-    def parse(self, request: h11.Request, path: bytes, body: bytes, lag_s: float, until: float) -> Exchange:
+    def parse(
+        self, request: h11.Request, path: bytes, body: bytes, lag_s: float, answer_by: float
+    ) -> Exchange:
         """Returns an exchange for a client's request; raises MalformedError with the status to answer.
 
-        `lag_s` is the longest time for which the message may have been waiting unread, `until` the time on
-        trio's clock by which the node must have answered.
+        `lag_s` is the longest time for which the message may have been waiting unread, `answer_by` the time
+        on trio's clock by which the node must have answered.
         """
         request_class = self._request_classes.get(path.lstrip(b"/").split(b"/", 1)[0])
         if request_class is None:
             raise MalformedError(404, "no such request class")
         headers = dict(request.headers)
-        if any(sum(name == one for name, _ in request.headers) > 1 for one in SINGLE_HEADERS):
+        if any(sum(name == single for name, _ in request.headers) > 1 for single in SINGLE_HEADERS):
             raise MalformedError(400, "a header twice that means one thing")
         request_id = headers.get(b"request-id", b"")
         idempotency_key = headers.get(b"idempotency-key", b"")
@@ -102,7 +105,7 @@
         exchange = Exchange(request.method, request.target, request_id, idempotency_key, body)
         exchange.request_class = request_class
         time_left_s = parse_timeout(headers.get(b"request-timeout", b"")) - lag_s
-        exchange.time_left_s = max(0.0, min(time_left_s, until - trio.current_time()))
+        exchange.time_left_s = max(0.0, min(time_left_s, answer_by - trio.current_time()))
         exchange.tenant = self._tenants.get(headers.get(b"tenant", b""), -1)
         exchange.is_client_retry = headers.get(b"client-retry", b"").strip() == b"1"
         if self._work_header:
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -15,8 +15,8 @@
 from wheatroute.net.exchange import Attempt, Exchange
 from wheatroute.net.server_table import ServerTable
 
-# Fraction of `DecisionSettings.overload_window_s`: an attempt to a server that is warming up is not sent if
-# it was decided longer ago than this.
+# An attempt to a server that is warming up is not sent if it was decided longer ago than this fraction of
+# `DecisionSettings.overload_window_s`.
 MAX_WARMUP_DECISION_AGE = 0.25
 
 
@@ -79,8 +79,10 @@
         rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.IDEMPOTENT:
             return False
-        others = (one.sent_at for one in exchange.attempts if one.may_have_run and one is not attempt)
-        first_sent_at = min(others, default=inf)
+        sent_times = (
+            other.sent_at for other in exchange.attempts if other.may_have_run and other is not attempt
+        )
+        first_sent_at = min(sent_times, default=inf)
         if rules.idempotency == Idempotency.NON_IDEMPOTENT:
             return first_sent_at < inf
         return now() >= first_sent_at + rules.retry_window - self._settings.tick
--- a/wheatroute/net/server_numbers.py
+++ b/wheatroute/net/server_numbers.py
@@ -41,7 +41,7 @@
         return number, is_reused
 
     def mark_removed(self, identity: str) -> None:
-        """Records that the list marks a server as removed."""
+        """Records that a server is removed as of now."""
         self._removed_since[identity] = now()
 
     def mark_present(self, identity: str) -> None:
--- a/wheatroute/net/shutdown.py
+++ b/wheatroute/net/shutdown.py
@@ -1,9 +1,10 @@
 """The phases of a node's graceful shutdown. No I/O.
 
-From SIGTERM until it is killed, a node has `KILL_AFTER_S` plus the longest deadline. For most of that time it
-keeps serving normally; otherwise clients would find no node until it has started again, and by then the next
-one may be stopping. After that it closes idle connections and announces the close on others. The only node of
-its tier has no other node to leave its clients to, so it rejects requests instead.
+From SIGTERM until it is killed, a node has `KILL_AFTER_S` plus the longest deadline (at most
+`MAX_DEADLINE_S`). For most of that time it keeps serving normally; otherwise clients would find no node until
+it has started again, and by then the next one may be stopping. After that it closes idle connections and
+announces the close on others. The only node of its tier has no other node to leave its clients to, so it
+rejects requests instead.
 """
 
 from math import inf
--- a/wheatroute/peer_messages.py
+++ b/wheatroute/peer_messages.py
@@ -11,8 +11,9 @@
 PREFIX = "h"
 MAX_MESSAGE_BYTES = 256
 ENTRY_LENGTH = 4  # characters per server
-LOAD_UNIT = 0.01
-_FIRST_CHARACTER, _BASE = 33, 93  # printable single-byte characters except the last two
+LOAD_UNIT = 0.01  # in units of a load, see `CommandWriter.send_loads`
+# Digits are the characters from "!" to "}": printable single-byte characters.
+_FIRST_CHARACTER, _BASE = 33, 93
 
 
 def short_name(address: str) -> str:
@@ -28,7 +29,10 @@
 
 
 def encode_loads(loads: Iterable[tuple[str, float]]) -> list[str]:
-    """Returns the messages, as few as possible, for pairs of server address and load."""
+    """Returns the messages, as few as possible, for pairs of server address and load.
+
+    A load outside 0 to 0.92 is clamped.
+    """
     entries = []
     for address, load in loads:
         digit = min(_BASE - 1, max(0, round(load / LOAD_UNIT)))
--- a/wheatroute/platform_settings.py
+++ b/wheatroute/platform_settings.py
@@ -56,20 +56,20 @@
         list_on_request=info.get("membership-mode") == "on_request",
         reported=[REPORT_FIGURES.get(name, name) for name in _at_path(info, "report.fields", [])],
         work_counts=info.get("utility-basis") == "work",
-        request_classes=[_request_class(one) for one in info.get("traffic-types") or []],
+        request_classes=[_request_class(fields) for fields in info.get("traffic-types") or []],
         tenants=[
-            TenantQuota(one.get("portion", 0.0), one.get("quota-rps", 0.0))
-            for one in info.get("tenants") or []
+            TenantQuota(fields.get("portion", 0.0), fields.get("quota-rps", 0.0))
+            for fields in info.get("tenants") or []
         ],
     )
 
 
 def _at_path(info: Mapping[str, Any], path: str, default: Any) -> Any:
     """Returns the value at a path of dot-separated keys; `default` if a key is missing or its value null."""
-    here: Any = info
+    value: Any = info
     for key in path.split("."):
-        here = here.get(key) if isinstance(here, dict) else None
-    return default if here is None else here
+        value = value.get(key) if isinstance(value, dict) else None
+    return default if value is None else value
 
 
 def _request_class(info: Mapping[str, Any]) -> RequestClass:
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -1,7 +1,7 @@
-"""Exact quantiles over a sliding window of latencies, at a cost that does not grow with the window.
+"""Exact quantiles over a sliding window of latencies, without sorting the whole window at each update.
 
-Each sample is sorted once, together with the other samples between two updates, and a quantile is looked up
-across these sorted intervals. No clock, no I/O.
+The samples between two updates are sorted together once (the oldest interval again when some of its samples
+leave the window), and a quantile is found by a binary search over these sorted intervals. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from itertools import chain, takewhile
 from math import sqrt
 
-# time, latency in seconds, latency in multiples of the mean of its request class
+# time in seconds on the caller's clock, latency in seconds, latency in multiples of its request class's mean
 Sample = tuple[float, float, float]
 
 
@@ -63,13 +63,13 @@
     def relative_since(self, since: float) -> list[float]:
         """Returns the relative latencies of the samples from the time `since` on, sorted.
 
-        Only samples added after the last update but one are searched.
+        Only the samples added since the update before the last one are searched.
         """
         before = self._intervals[-1].samples if self._intervals else ()
-        late = takewhile(
+        recent = takewhile(
             lambda sample: sample[0] >= since, chain(reversed(self._new_samples), reversed(before))
         )
-        return sorted(relative for _, _, relative in late)
+        return sorted(relative for _, _, relative in recent)
 
     def update(self, now: float) -> None:
         """Sorts the new samples in, and drops exactly those samples that are older than the window."""
--- a/wheatroute/snapshot.py
+++ b/wheatroute/snapshot.py
@@ -15,8 +15,8 @@
 import orjson
 
 FORMAT, VERSION = b"wheatroute-snapshot", 1
-MAX_BYTES = 1 << 28
-MAX_CLOCK_SKEW_S = 5.0
+MAX_BYTES = 1 << 28  # a larger file is not read
+MAX_CLOCK_SKEW_S = 5.0  # a snapshot written further in the future than this is rejected
 
 
 class SnapshotError(Exception):
@@ -54,7 +54,10 @@
 
 
 def write(path: str, data: bytes) -> None:
-    """Replaces the snapshot at `path`; raises `OSError` and keeps the old one if that fails."""
+    """Replaces the snapshot at `path`; raises `OSError` if that fails.
+
+    The old snapshot stays in place unless the rename has succeeded.
+    """
     temporary = f"{path}.new"
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
--- a/wheatroute/stored_statistics.py
+++ b/wheatroute/stored_statistics.py
@@ -1,7 +1,8 @@
 """Exports server statistics as plain data with ages, for storage, and restores them. No I/O, no decisions.
 
-A server with a value that isn't finite, with a time in the future, or that isn't in the server list is not
-restored; the other servers are. The keys are those of stored snapshots and must not change.
+A server is skipped if it isn't ready in the server list, or if one of its values isn't a finite number, is
+out of range or refers to the future; the other servers are restored. The keys are those of stored snapshots
+and must not change.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from wheatroute.decide import Balancer
 
-MAX_AGE_S = 3600.0  # maximum age of a restored statistic; restored ejections are no longer either
+MAX_AGE_S = 3600.0  # maximum age of a restored statistic, and maximum length of a restored ejection
 KEYS = ("latency", "weight", "age", "errors", "barred_for", "penalty")
 
 
@@ -21,7 +22,8 @@
 ) -> dict[str, dict[str, float]]:
     """Returns the statistics of ready servers by name; `numbers` has the server numbers by name.
 
-    Latencies are in multiples of their class's mean, ages in seconds.
+    `now` is a time on the clock of `Balancer.handle_events`. Latencies are in multiples of their class's
+    mean; ages, remaining ejection times and ejection durations are in seconds.
     """
     servers = balancer.servers
     exported = {}
@@ -46,7 +48,7 @@
 ) -> int:
     """Restores statistics exported `age_s` seconds ago; returns the number of servers restored.
 
-    Servers that already have statistics are skipped. The load-balancing weights follow with the next tick.
+    Servers that already have statistics are skipped. The load-balancing weights are updated at the next tick.
     """
     servers, count = balancer.servers, 0
     for name, values in stored.items() if isinstance(stored, dict) else ():
--- a/wheatroute/wire_names.py
+++ b/wheatroute/wire_names.py
@@ -37,7 +37,8 @@
 }
 
 
-UNRESERVED_IN_PATH = "!$&'()*+,;=:@"  # characters that a path may contain percent-encoded or literally
+# Characters that a path segment may contain either literally or percent-encoded (RFC 3986, `pchar`).
+UNRESERVED_IN_PATH = "!$&'()*+,;=:@"
 
 
 class NameNumbering(dict[str, int]):
@@ -52,7 +53,8 @@
     """Returns numbers by each byte string that may represent a name on the wire.
 
     Clients encode non-ASCII names in several ways; if one were missing, a tenant's requests would be counted
-    for no tenant. If two names share a spelling, the function that comes first in `spellings` decides.
+    for no tenant. If two names share a spelling, it belongs to the name for which an earlier function of
+    `spellings` returns it.
     """
     found: dict[bytes, int] = {}
     for spelling in spellings:
