--- a/tests/balancing/balancer_host.py
+++ b/tests/balancing/balancer_host.py
@@ -11,7 +11,7 @@
 
 
 def decision_settings(**changes):
-    """Settings with one request class of each idempotency."""
+    """Returns settings with one request class of each idempotency, and with `changes`."""
 
     def request_class(idempotency, value, group=DeduplicationGroup.ALL):
         return RequestClass(
@@ -23,7 +23,7 @@
             retry_window=2.0,
         )
 
-    usual = DecisionSettings(
+    defaults = DecisionSettings(
         tick=0.005,
         can_hedge=True,
         can_cancel=True,
@@ -46,12 +46,12 @@
             request_class(Idempotency.NON_IDEMPOTENT, 3.0),
         ],
     )
-    return replace(usual, **changes)
+    return replace(defaults, **changes)
 
 
 # Settings of nodes that probe servers for their queue length and exchange the results.
 REPORTS_WAIT = {"report_how": "probe", "reported": ["queued", "rate"], "can_probe": True, "has_peers": True}
-# How an attempt ends: the outcome and the seconds after which it comes; None: it never ends.
+# Ways in which an attempt ends, for `answer`: the outcome and the seconds until then; None: it never ends.
 SERVED, NEVER = (AttemptOutcome.SERVED, 0.1), None
 
 
@@ -67,6 +67,7 @@
         self.settings = decision_settings(**changes)
         self.balancer = Balancer(self.settings, random.Random(seed))
         self.now, self.answer = start, answer or (lambda server, attempt: SERVED)
+        # `pending` has the ends of attempts to come: (time, request, n, server, outcome, elapsed seconds).
         self.events, self.pending = [], []
         self.commands = []  # (name, time, *arguments) of each command
         self.report = report or (lambda server: None)
@@ -93,9 +94,9 @@
         """Runs one event batch now, then one per clock step until `seconds` have passed."""
         end = self.now + seconds
         while True:
-            for item in sorted(one for one in self.pending if one[0] <= self.now + 1e-9):
-                self.pending.remove(item)
-                self._end_attempt(*item[1:])
+            for ending in sorted(entry for entry in self.pending if entry[0] <= self.now + 1e-9):
+                self.pending.remove(ending)
+                self._end_attempt(*ending[1:])
             events, self.events = self.events, []
             self.balancer.handle_events(self.now, events, self)
             if self.now >= end - 1e-9:
@@ -128,7 +129,7 @@
         )
 
     def command_count(self, name):
-        return sum(1 for one in self.commands if one[0] == name)
+        return sum(1 for command in self.commands if command[0] == name)
 
     # Methods of `CommandWriter`.
 
--- a/tests/balancing/test_balancing_functions.py
+++ b/tests/balancing/test_balancing_functions.py
@@ -4,7 +4,7 @@
 from wheatroute.balancing.ready_servers import ReadyServers
 
 
-def test_idle_connections_step():
+def test_idle_connections_bucket():
     assert [IdleConnectionStatistics().bucket(idle) for idle in (0.0, 0.4, 0.5, 1.0, 1.9, 2.0, 900.0)] == [
         0,
         0,
--- a/tests/balancing/test_connections.py
+++ b/tests/balancing/test_connections.py
@@ -10,8 +10,11 @@
     used = {}
 
     def answer(server, attempt):
+        # An attempt is lost on a connection that was idle for a second or more, unless the node closed it.
         last, used[server] = used.get(server, host.now), host.now
-        is_closed = any(one[0] == "close" and one[1] >= last and one[2] == server for one in host.commands)
+        is_closed = any(
+            command[0] == "close" and command[1] >= last and command[2] == server for command in host.commands
+        )
         return SERVED if is_closed or host.now - last < 1.0 else NEVER
 
     host = BalancerHost(8, answer=answer)
@@ -25,23 +28,24 @@
 
 
 def test_attempts_lost_on_all_connections_alike_are_not_attributed_to_idle_time():
-    idleness = IdleConnectionStatistics()
-    idleness.answered, idleness.lost = [10.0] * 7, [5.0] * 7
-    idleness.update()
-    assert idleness.max_idle_s > 1e9
+    idle = IdleConnectionStatistics()
+    idle.answered, idle.lost = [10.0] * 7, [5.0] * 7
+    idle.update()
+    assert idle.max_idle_s > 1e9  # infinite: no connection is closed
 
 
 def test_open_connections_stay_in_use_while_a_tier_accepts_no_new_ones():
     is_refusing = [False]
 
     def answer(server, attempt):
-        opened = host.open.setdefault(server, [0, 0])  # connections in use, connections open
-        opened[0] = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
-        if opened[0] <= opened[1]:
+        # A new connection is needed if more attempts are in flight than connections are open.
+        counts = host.open.setdefault(server, [0, 0])  # connections in use, connections open
+        counts[0] = sum(1 for number, n in host.in_flight if host.attempts[number][n] == server)
+        if counts[0] <= counts[1]:
             return SERVED
         if is_refusing[0] and server:
             return AttemptOutcome.UNCONNECTED, 0.1
-        opened[1] = opened[0]
+        counts[1] = counts[0]
         return SERVED
 
     host = BalancerHost(answer=answer, seed=3)
--- a/tests/balancing/test_load_shedding.py
+++ b/tests/balancing/test_load_shedding.py
@@ -30,7 +30,7 @@
     retry_after = [advice_s for name, *_, advice_s in host.commands if name == "rejected"]
     assert len(retry_after) > 200 and all(advice_s > 0 for advice_s in retry_after)
     host.step(3.0)
-    assert sum(one == "served" for one in host.final_answers.values()) > 300
+    assert sum(answer == "served" for answer in host.final_answers.values()) > 300
 
 
 def test_requests_beyond_a_quota_are_rejected_before_the_more_valuable_rest():
@@ -53,7 +53,8 @@
 
 
 def test_a_burst_after_little_traffic_is_not_rejected():
-    # At three at a time and 0.1 s each, twelve requests are done well within their target latency of 1 s.
+    # Three at a time, each of which takes 0.1 s, twelve requests are served well within the target latency of
+    # 1 s.
     host = node_at_its_limit(reported_load=9.0)
     numbers = [host.send_request() for _ in range(12)]
     host.step(0.8)
--- a/tests/balancing/test_outlier_ejection.py
+++ b/tests/balancing/test_outlier_ejection.py
@@ -31,12 +31,12 @@
 
 
 def test_a_trial_that_was_rejected_or_never_sent_is_followed_by_another():
-    for unsent in (AttemptOutcome.FULL, AttemptOutcome.MOOT):
-        outcome = [(AttemptOutcome.ERROR, 0.01)]
-        host = BalancerHost(4, lambda server, attempt, now=outcome: SERVED if server else now[0])
+    for trial_outcome in (AttemptOutcome.FULL, AttemptOutcome.MOOT):
+        ending = [(AttemptOutcome.ERROR, 0.01)]
+        host = BalancerHost(4, lambda server, attempt, ending=ending: SERVED if server else ending[0])
         host.run(20, 40)
-        outcome[0] = (unsent, 0.001)
+        ending[0] = (trial_outcome, 0.001)
         host.run(30, 40)
-        outcome[0], since = SERVED, host.now
+        ending[0], since = SERVED, host.now
         host.run(60, 40)
-        assert host.attempts_to(0, since) > 300, unsent
+        assert host.attempts_to(0, since) > 300, trial_outcome
--- a/tests/balancing/test_server_selection.py
+++ b/tests/balancing/test_server_selection.py
@@ -15,6 +15,7 @@
 
 
 def send_with_hint(host, request_class, work):
+    """Adds the arrival of a request with a work hint to the next batch; returns the request's number."""
     number = host.send_request(request_class)
     host.events[-1] = (*host.events[-1], (), work)
     return number
@@ -89,13 +90,13 @@
     for n in range(1200):
         host.send_request(IDEMPOTENT if n % 3 else NON_IDEMPOTENT)
         host.step(0.01)
-    late = [
+    sent_later = [
         (number, server) for name, when, number, server in host.commands if name == "attempt" and when > 104.0
     ]
-    hung = [number for number, server in late if number % 3 == 0 and server < 2]
-    # The 400 requests before the change, and hardly any that was never sent.
-    assert len(set(host.attempts) - {number for number, _ in late}) <= 410
-    assert len(hung) < 55  # an equal half of 266 would be 133
+    hanging = [number for number, server in sent_later if number % 3 == 0 and server < 2]
+    # At most ten requests, besides the 400 from before the change, were not sent after it.
+    assert len(set(host.attempts) - {number for number, _ in sent_later}) <= 410
+    assert len(hanging) < 55  # an equal half of 266 would be 133
     assert all(answer == "served" for number, answer in host.final_answers.items() if number % 3)
 
 
@@ -145,4 +146,4 @@
 def test_a_full_server_gets_no_new_attempt_at_once():
     host = BalancerHost(answer=failing_servers(0, outcome=(AttemptOutcome.FULL, 0.002))).run(4.0, 100)
     assert host.attempts_to(0) < 70
-    assert all(one == "served" for one in list(host.final_answers.values())[:-20])
+    assert all(answer == "served" for answer in list(host.final_answers.values())[:-20])
--- a/tests/balancing/test_settings_updates.py
+++ b/tests/balancing/test_settings_updates.py
@@ -1,4 +1,4 @@
-"""Tests of settings that change while requests are in flight, one for each rule that this could break."""
+"""Tests of settings that change while requests are in flight, one for each rule that a change could break."""
 
 from dataclasses import replace
 
@@ -13,8 +13,8 @@
 def change_settings(host, applies_to_pending, class_changes=None, **changes):
     """Adds an event with changed settings; `class_changes` has the changes by request class number."""
     classes = [
-        replace(one, **(class_changes or {}).get(i, {}))
-        for i, one in enumerate(host.settings.request_classes)
+        replace(request_class, **(class_changes or {}).get(i, {}))
+        for i, request_class in enumerate(host.settings.request_classes)
     ]
     host.settings = replace(host.settings, **({"request_classes": classes} | changes))
     host.events.append((Event.SETTINGS_CHANGED, host.settings, applies_to_pending))
--- a/tests/balancing/test_slow_start.py
+++ b/tests/balancing/test_slow_start.py
@@ -31,8 +31,8 @@
     )
     for first in range(len(sent)):
         span = [when for when in sent[first:] if when < sent[first] + 3.0]
-        # Each other server gets 10 per second. This one can take a tenth of that at its start, then more and
-        # more.
+        # Each other server gets 10 per second. This one can take a tenth of that at its start and all of it
+        # after 20 s; three times what it can take, over 3 s, would overload it.
         assert len(span) < 3.0 * 10 * (0.1 + 0.9 * (sent[first] - started_at + 3.0) / 20) * 3.0
     assert sum(when > started_at + 10.0 for when in sent) > 30
 
@@ -44,9 +44,9 @@
     )
     host.run(4.0, 80)
     assert host.attempts_to(0, host.now - 2.0) < 10
-    down[0], back = False, host.now
+    down[0], recovered_at = False, host.now
     host.run(3.0, 80)
-    assert host.attempts_to(0, back) < 3.0 * 0.4 * 20 * 3.0
+    assert host.attempts_to(0, recovered_at) < 3.0 * 0.4 * 20 * 3.0
 
 
 def test_a_server_that_resets_connections_does_not_count_as_warming_up():
@@ -71,7 +71,7 @@
         for name, when, *rest in host.commands
         if name == "attempt" and rest[1] == 0 and when >= started_at
     )
-    highest = 0.0
+    highest = 0.0  # largest number of attempts within 3 s, as a fraction of what would overload the server
     for first in range(len(sent)):
         span = [when for when in sent[first:] if when < sent[first] + 3.0]
         highest = max(
--- a/tests/net/race_harness.py
+++ b/tests/net/race_harness.py
@@ -43,7 +43,7 @@
     @property
     def ids(self):
         """The ids of all requests that were read completely."""
-        return [header_value(one, b"request-id") for one in self.requests]
+        return [header_value(request, b"request-id") for request in self.requests]
 
     async def run(self):
         listener = trio.SocketListener(trio.socket.from_stdlib_socket(self.listener))
@@ -153,11 +153,13 @@
 
 
 def reset(sock):
+    """Closes a socket so that its peer receives a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RST)
     sock.close()
 
 
 def header_value(message, name):
+    """Returns the value of a message's header; None if it has none. `name` is in lower case."""
     for line in message.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]:
         found, _, value = line.partition(b":")
         if found.strip().lower() == name:
@@ -166,6 +168,7 @@
 
 
 async def read_until(stream, mark):
+    """Reads until the data contains `mark` and returns all of it; None if the stream ends before."""
     data = b""
     while mark not in data:
         part = await stream.receive_some()
@@ -186,7 +189,7 @@
     """Holds the first `max_held` connections to servers, once established, until `released` is set.
 
     If `blocked` is given, it is called instead and blocks the whole node meanwhile. `buffer` is the size of
-    the connections' send buffers.
+    the connections' send buffers in bytes; 0 keeps the default.
     """
 
     def __init__(self, max_held=1, buffer=0, blocked=None):
--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -63,9 +63,9 @@
 
 
 def free_udp_address():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-        one.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{one.getsockname()[1]}"
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.bind(("127.0.0.1", 0))
+        return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 def configure(node, nodes, number, peers=None):
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -15,7 +15,7 @@
 
 
 class EventRecorder:
-    """Records the events of a `Discovery`: the states of servers and the number of failures."""
+    """Records the events of a `Discovery`: the latest state of each server and the number of failures."""
 
     def __init__(self):
         self.states, self.failures = {}, 0
@@ -191,7 +191,7 @@
 
 
 @discovery_test
-async def test_what_an_unresponsive_watch_misses_is_fetched_within_the_maximum_age(start):
+async def test_a_change_that_an_unresponsive_watch_misses_is_received_within_the_maximum_age(start):
     """The service stops responding during a watch with the longest wait, and on the next two connections."""
     silent_since, calls = [], []
 
@@ -302,7 +302,7 @@
 
 @scenario
 async def test_a_drain_received_by_the_watch_stays_in_effect_though_an_older_list_arrives_later(start):
-    """The same with a complete node: the draining server gets no new requests."""
+    """Runs a complete node: an older full list must not make it send requests to a draining server again."""
     release_full_list = trio.Event()
     servers = [Server(OK), Server(OK, name="t")]
     draining = server_entry(servers[0], state="terminating")
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -1,4 +1,4 @@
-"""Closes, floods, names and request ids of clients: no client may affect any other client."""
+"""Disconnects, floods, unusual names and repeated request ids: no client may affect any other client."""
 
 import socket
 import sys
@@ -63,8 +63,8 @@
 
 
 @scenario
-async def test_a_pipelined_request_is_not_taken_once_its_connection_has_ended(start):
-    """The next request is in the buffer when the connection ends; only then is it due to be handled."""
+async def test_a_pipelined_request_is_not_accepted_once_its_connection_has_ended(start):
+    """The next request is in the buffer when the connection ends, and is handled only after that."""
     server = Server()
     node = await start(server)
     ended = trio.Event()
@@ -211,8 +211,8 @@
         "add_request",
         after=lambda _, one: seen.append((one.request_class, one.tenant)),
     ):
-        kinds = request_classes(*((name, "retryable") for name in names))
-        node = await start(server, changes=kinds | {"tenants": tenants})
+        class_settings = request_classes(*((name, "retryable") for name in names))
+        node = await start(server, changes=class_settings | {"tenants": tenants})
         cases = [
             ("/caf%C3%A9/1", b"Zo\xc3\xab", (0, 0)),
             ("/cafe", b"Zo", (1, 1)),
@@ -233,7 +233,7 @@
                 404,
             ), path
     # The paths are forwarded unchanged.
-    assert [one.split(b" ")[1] for one in server.requests] == [path.encode() for path, *_ in cases]
+    assert [request.split(b" ")[1] for request in server.requests] == [path.encode() for path, *_ in cases]
 
 
 def test_an_alternative_spelling_never_overrides_the_spelling_of_another_name_itself():
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -41,6 +41,7 @@
 from wheatroute.net.node_settings import DiscoverySettings
 from wheatroute.net.server_table import ServerTable
 
+# Responses: one cut off, a 503 without the header "Not-Started: 1", and one without a length.
 CUT_OFF = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\npart"
 UNMARKED = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 ENDLESS = b"HTTP/1.1 200 OK\r\n\r\nwho knows"
@@ -48,14 +49,14 @@
 
 @scenario
 async def test_a_request_is_forwarded_unchanged_and_its_response_returned_on_kept_connections(start):
-    peer = StandInServer(OK)
-    node = await start(peer)
+    server = StandInServer(OK)
+    node = await start(server)
     stream = await node.connect()
     for _ in range(3):
         status, answer = await node.send_request("amend", body="x" * 60000, stream=stream)
         assert status == 200 and answer.endswith(b"\r\n\r\nok")
-    assert peer.connection_count == 1 and len(peer.requests) == 3
-    head, body = peer.requests[0].split(b"\r\n\r\n", 1)
+    assert server.connection_count == 1 and len(server.requests) == 3
+    head, body = server.requests[0].split(b"\r\n\r\n", 1)
     assert head.startswith(b"POST /amend/7?a=b%20c HTTP/1.1\r\n") and body == b"x" * 60000
     assert b"request-id: " in head.lower() and b"idempotency-key: r1" in head.lower()
 
@@ -98,24 +99,24 @@
 
 @scenario
 async def test_a_kept_connection_that_its_server_has_closed_is_detected_before_use(start):
-    peer = StandInServer(OK)
-    node = await start(peer)
+    server = StandInServer(OK)
+    node = await start(server)
     await node.send_request("place", body="b")
     # After this response the server closes the connection.
-    peer.responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]
+    server.responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast", OK]
     assert (await node.send_request("place", body="b"))[0] == 200
     await trio.sleep(0.05)
-    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == 2
+    assert (await node.send_request("place", body="b"))[0] == 200 and server.connection_count == 2
 
 
 @scenario
 async def test_non_idempotent_requests_use_new_connections_once_an_idle_one_is_reset(start):
-    peer = StandInServer(OK, RESET, OK)
-    node = await start(peer)
+    server = StandInServer(OK, RESET, OK)
+    node = await start(server)
     assert [(await node.send_request("place", body="b"))[0] for _ in range(3)] == [200, 502, 200]
-    before = peer.connection_count
-    assert (await node.send_request("view"))[0] == 200 and peer.connection_count == before
-    assert (await node.send_request("place", body="b"))[0] == 200 and peer.connection_count == before + 1
+    before = server.connection_count
+    assert (await node.send_request("view"))[0] == 200 and server.connection_count == before
+    assert (await node.send_request("place", body="b"))[0] == 200 and server.connection_count == before + 1
     with mock.patch.object(
         ConnectionPool, "_connect", side_effect=ConnectFailedError(CloseReason.CONNECTION_REFUSED)
     ):
@@ -125,26 +126,26 @@
 
 @scenario
 async def test_a_client_that_disconnects_ends_its_attempt_at_once(start):
-    peer = StandInServer(SILENT)
-    node = await start(peer, deadline=10.0)
+    server = StandInServer(SILENT)
+    node = await start(server, deadline=10.0)
     stream = await node.connect()
     await stream.send_all(node.request_text(timeout="10000m"))
-    while not peer.requests:
+    while not server.requests:
         await trio.sleep(0.01)
     await stream.aclose()
     with trio.fail_after(2):
-        await peer.ended.wait()
+        await server.ended.wait()
 
 
 @scenario
 async def test_unresponsive_servers_cost_no_response_and_leave_nothing_in_flight(start):
-    peer = StandInServer(SILENT)
-    node = await start(peer)
+    server = StandInServer(SILENT)
+    node = await start(server)
     before = trio.current_time()
     status, _ = await node.send_request("place", body="b", timeout="300m")
     assert status == 502 and 0.25 < trio.current_time() - before < 1.0
     with trio.fail_after(1):
-        await peer.ended.wait()
+        await server.ended.wait()
     assert (await node.send_request("view", timeout="200m"))[0] == 503  # idempotent: a retry is safe
 
 
@@ -158,8 +159,8 @@
 
 @scenario
 async def test_a_malformed_request_gets_a_short_reason_and_is_sent_nowhere(start):
-    peer = StandInServer(OK)
-    node = await start(peer)
+    server = StandInServer(OK)
+    node = await start(server)
     good = node.request_text("place", body="b")
     for bad, status in (
         (good.replace(b"/place", b"/else"), 404),
@@ -184,7 +185,7 @@
         answer = await read_message(stream)
         assert int(answer.split()[1]) == status, bad[:60]
         assert await read_message(stream) is None  # and the connection ends
-    assert not peer.requests
+    assert not server.requests
     assert (await node.send_request("view", headers="Tenant: nobody\r\nNovel: 1\r\n"))[0] == 200
 
 
@@ -205,17 +206,17 @@
 
 @scenario
 async def test_a_request_id_that_was_used_before_is_not_accepted_again(start):
-    peer = StandInServer(SILENT, OK)
-    node = await start(peer)
+    server = StandInServer(SILENT, OK)
+    node = await start(server)
     first, second, message = await node.connect(), await node.connect(), node.request_text("place", body="b")
     await first.send_all(message)
-    while not peer.requests:
+    while not server.requests:
         await trio.sleep(0.01)
     await second.send_all(message)
     assert (await read_message(second)).startswith(b"HTTP/1.1 409 ")
     assert (await read_message(first)).startswith(b"HTTP/1.1 502 ")
     await first.send_all(message)
-    assert (await read_message(first)).startswith(b"HTTP/1.1 409 ") and len(peer.requests) == 1
+    assert (await read_message(first)).startswith(b"HTTP/1.1 409 ") and len(server.requests) == 1
 
 
 @scenario
@@ -246,7 +247,8 @@
     settings = DiscoverySettings(("127.0.0.1", 1), {"z": 0}, {"k": 0}, False, {})
     discovery = Discovery(settings, driver, upstream, structlog.get_logger())
 
-    def take(full, *names):
+    def apply_list(full, *names):
+        """Applies a list, or changes, with these servers; returns (number, state) of each resulting entry."""
         discovery._apply(
             {"full": full, "servers": [server_entry(StandInServer(OK, name=name)) for name in names]}
         )
@@ -254,14 +256,14 @@
 
     live, gone = ServerState.LIVE, ServerState.REMOVED
     with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
-        assert take(True, "a", "b") == [(0, live), (1, live)]
-        assert take(True, "b") == [(1, live)]
-        assert take(False, "c") == [(2, live)]  # an attempt to the first server is in flight
+        assert apply_list(True, "a", "b") == [(0, live), (1, live)]
+        assert apply_list(True, "b") == [(1, live)]
+        assert apply_list(False, "c") == [(2, live)]  # an attempt to the first server is in flight
         in_flight.clear()
-        assert take(False, "d") == [(0, gone), (0, live)]
-        assert take(False, "e") == [(3, live)]
+        assert apply_list(False, "d") == [(0, gone), (0, live)]
+        assert apply_list(False, "e") == [(3, live)]
     # The second server is back before its number is reused.
-    assert take(True, "d") == [(0, live)] and take(True, "b") == [(1, live)]
+    assert apply_list(True, "d") == [(0, live)] and apply_list(True, "b") == [(1, live)]
 
 
 @scenario
@@ -409,7 +411,7 @@
     return driver, received
 
 
-def request(time_left_s=5.0):
+def make_exchange(time_left_s=5.0):
     exchange = Exchange(b"GET", b"/view", b"1", b"", b"")
     exchange.time_left_s = time_left_s
     return exchange
@@ -425,7 +427,7 @@
 def test_nothing_is_sent_for_a_request_that_has_its_response():
     async def run_test():
         driver, received = make_driver(SETTINGS)
-        exchange = request()
+        exchange = make_exchange()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
         assert exchange.complete(Response(200, b"first")) and not exchange.complete(Response(200, b"second"))
@@ -448,7 +450,7 @@
                 if event[0] == Event.ATTEMPT_ENDED and event[4] == AttemptOutcome.ERROR:
                     writer.attempt(event[1], 4, 1.0)
 
-        exchange = request()
+        exchange = make_exchange()
         driver.add_request(exchange)
         driver.attempt(0, 3, 1.0)
         driver.finish_attempt(exchange, exchange.attempts[0], AttemptOutcome.ERROR, None)
@@ -505,21 +507,21 @@
 
 @scenario
 async def test_a_client_that_pipelines_gets_one_response_for_each_request(start):
-    peer = StandInServer(OK)
-    node = await start(peer)
+    server = StandInServer(OK)
+    node = await start(server)
     stream = await node.connect()
     views = [node.request_text() for _ in range(3)]
     await stream.send_all(b"".join(views + [node.request_text("place", body="x" * 50000) for _ in range(3)]))
     got = b""
     while got.count(b"HTTP/1.1 200 ") < 6:
         got += await stream.receive_some()
-    assert len(peer.requests) == 6
+    assert len(server.requests) == 6
 
 
 @scenario
 async def test_surplus_bytes_are_no_response_to_the_next_request(start):
-    peer = StandInServer(STRAY, OK)
-    node = await start(peer)
+    server = StandInServer(STRAY, OK)
+    node = await start(server)
     for _ in range(3):
         status, answer = await node.send_request("place", body="b")
         assert status == 200 and answer.endswith(b"\r\n\r\nok")
@@ -570,8 +572,8 @@
 @scenario
 async def test_a_malformed_load_report_does_not_affect_the_response(start):
     for text in (b"TEXT active=3, =, x", b"nonsense", b"TEXT active=-1", b"TEXT active=nan", b"\xff"):
-        peer = StandInServer(OK.replace(b"\r\n\r\n", b"\r\nServer-Load: " + text + b"\r\n\r\n"))
-        node = await start(peer)
+        server = StandInServer(OK.replace(b"\r\n\r\n", b"\r\nServer-Load: " + text + b"\r\n\r\n"))
+        node = await start(server)
         assert (await node.send_request())[0] == 200, text
 
 
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -63,7 +63,11 @@
 async def node_process(
     folder, *servers, code=RUN_MAIN, discovery=None, fifo=False, wait=True, known=True, **options
 ):
-    """Runs a node as a separate process, which is killed at the end; its output is kept in `node.log`."""
+    """Runs a node as a separate process, which is killed at the end; its output is written to `node.log`.
+
+    With `fifo`, the settings are read from a FIFO; the test writes them. With `wait`, the node is listening
+    when the context is entered. Without `known`, it starts without a list of servers.
+    """
     node = Node(folder, *servers, discovery=discovery or ListService(lambda request: None), **options)
     config = node.config if known else {key: value for key, value in node.config.items() if key != "known"}
     node.config_path.write_text(json.dumps(config))
@@ -74,8 +78,8 @@
         env["LISTEN_ADDRESS"] = f"127.0.0.1:{node.port}"
     node.log = folder / "log"
     async with trio.open_nursery() as nursery:
-        for one in (*servers, node.discovery):
-            nursery.start_soon(one.run)
+        for server in (*servers, node.discovery):
+            nursery.start_soon(server.run)
         with node.log.open("wb") as out:
             node.process = subprocess.Popen([sys.executable, "-c", code], env=env, stdout=out, stderr=out)
         try:
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -67,12 +67,12 @@
 
 
 def received_ids(*servers):
-    return [one for server in servers for one in server.ids]
+    return [request_id for server in servers for request_id in server.ids]
 
 
 async def wait_for_updates(discoveries):
     """Waits until a node has applied the published changes."""
-    await wait_until(lambda: any(one._version == 2 for one in discoveries))
+    await wait_until(lambda: any(discovery._version == 2 for discovery in discoveries))
 
 
 def watch_discoveries():
@@ -80,7 +80,7 @@
     found = []
     from wheatroute.net.discovery import Discovery
 
-    return found, hook(Discovery, "watch", after=lambda one, enable: found.append(one))
+    return found, hook(Discovery, "watch", after=lambda discovery, enable: found.append(discovery))
 
 
 @scenario
@@ -216,13 +216,14 @@
 BODY = "x" * 60000
 
 
-async def half_written(start, then, **options):
-    """Runs `then(first, updates, client, discoveries)` while a request is partly written.
+async def during_partial_write(start, action, **options):
+    """Runs `action(first, updates, client, discoveries)` while a request is partly written to server `first`.
 
-    Servers read only after that. Returns the other server, the one of the request, and the response.
+    Servers read only after that. Returns the other server, `first`, and the response (None if the client's
+    socket is closed).
     """
-    reads = trio.Event()
-    servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: reads.wait()}) for name in "st"]
+    may_read = trio.Event()
+    servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: may_read.wait()}) for name in "st"]
     updates, (found, watching) = ListUpdates(), watch_discoveries()
     connections = []
     with (
@@ -236,10 +237,10 @@
         await wait_until(lambda: [connection for connection in connections if connection._unsent])
         address = next(connection for connection in connections if connection._unsent).peer
         first = next(one for one in servers if one.address == address)
-        await then(first, updates, client, found)
+        await action(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
-        reads.set()
+        may_read.set()
         answer = await client.response() if client.sock.fileno() >= 0 else None
     return servers[0], first, answer
 
@@ -250,7 +251,7 @@
         updates.publish({"id": first.name, "addr": first.address, "state": "terminating"})
         await wait_for_updates(found)
 
-    other, first, answer = await half_written(start, drain)
+    other, first, answer = await during_partial_write(start, drain)
     assert answer[0] == 200 and len(other.requests) == 1 and not first.requests
 
 
@@ -261,7 +262,7 @@
         while time.monotonic() < end:  # blocks the event loop; the server reads nothing
             time.sleep(0.01)
 
-    other, first, answer = await half_written(start, wait)
+    other, first, answer = await during_partial_write(start, wait)
     assert answer[0] in (502, 503) and not other.requests and not first.requests
 
 
@@ -270,7 +271,7 @@
     async def leave(first, updates, client, found):
         client.reset()
 
-    other, first, _ = await half_written(start, leave)
+    other, first, _ = await during_partial_write(start, leave)
     with trio.fail_after(5):
         await trio.sleep(0.2)
     assert not other.requests and not first.requests
@@ -280,7 +281,11 @@
 
 
 async def request_of_departed_client(start, leave, pipelined=b"", before=None):
-    """Sends a request whose client disconnects while its attempt's connection is held; returns the server."""
+    """Sends a request whose client disconnects while its attempt's connection is held; returns the server.
+
+    Asserts that the server does not receive the request. `pipelined` is sent right behind it, and `before` is
+    awaited before the client disconnects.
+    """
     server = Server()
     ended = []
     with (
@@ -365,13 +370,13 @@
     assert (await node.send_request("view"))[0] == 200
     ended, clients = [], {}
 
-    def decided(servers, exchange, attempt):
+    def leave_before_write(upstream, exchange, attempt):
         if exchange.request_id in clients:
             clients[exchange.request_id].leave()
             time.sleep(0.35)  # delays the event loop
 
     with (
-        hook(Upstream, "start_attempt", before=decided),
+        hook(Upstream, "start_attempt", before=leave_before_write),
         hook(
             BalancerDriver,
             "abandon_request",
@@ -417,7 +422,7 @@
 
 @scenario
 async def test_a_response_and_its_timeout_in_one_iteration_make_one_response(start):
-    for kind, body in (("view", ""), ("place", "b")):
+    for class_name, body in (("view", ""), ("place", "b")):
         done = []
 
         async def answer(stream, done=done):
@@ -431,13 +436,13 @@
             lambda done=done: bool(done), lambda began=began: time.monotonic() > began[0] + TIMEOUT_S + 0.1
         )
         trio.lowlevel.add_instrument(stall)
-        client, (text, _) = Client(node.port), new_request(node, kind, body=body, timeout="300m")
+        client, (text, _) = Client(node.port), new_request(node, class_name, body=body, timeout="300m")
         began.append(time.monotonic())
         client.send(text)
         status, got = await client.response()
         trio.lowlevel.remove_instrument(stall)
         assert stall.stalled and status in (200, 502, 503) and got.count(b"HTTP/1.1 ") == 1
-        assert kind == "view" or status != 503  # it has run, so it must not be rejected
+        assert class_name == "view" or status != 503  # it has run, so it must not be rejected
         text, _ = new_request(node, "view")
         assert (await client.send(text).response())[0] == 200  # no surplus bytes are on the connection
 
--- a/tests/node_harness.py
+++ b/tests/node_harness.py
@@ -16,8 +16,9 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 FULL = b"HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n"
+# A response followed by a surplus one.
 STRAY = OK + b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
-RESET, SILENT = b"", None
+RESET, SILENT = b"", None  # as a response: the connection is reset, or nothing is sent
 REQUEST_IDS = count(0x9B1F)
 EFFECT_BY_REQUEST_CLASS = {"view": "retryable", "amend": "dedup", "place": "fragile"}
 
@@ -153,7 +154,12 @@
 
 
 class Node:
-    """A complete node in this process with its servers, and methods to send requests to it."""
+    """A complete node in this process with its servers, and methods to send requests to it.
+
+    `deadline` is the deadline of all request classes in seconds, `descriptors` the limit of file descriptors,
+    `nodes` the number of nodes, `changes` are merged into the platform's settings, and `entries` are the
+    initial list instead of one with `servers`.
+    """
 
     def __init__(
         self,
@@ -221,7 +227,11 @@
 
 
 def scenario(test):
-    """Runs an async test with a deadline; the nodes and servers that it starts end with it."""
+    """Runs an async test with a deadline; the nodes and servers that it starts end with it.
+
+    The test is called with `start(*servers, others=(), **options)`, which starts a `Node` with these options,
+    its servers and its list service, and returns it once it listens; `others` are started too.
+    """
 
     def run(tmp_path):
         async def within():
@@ -230,8 +240,8 @@
 
                     async def start(*servers, others=(), **options):
                         node = Node(tmp_path, *servers, **options)
-                        for one in (*servers, *others, node.discovery):
-                            nursery.start_soon(one.run)
+                        for server in (*servers, *others, node.discovery):
+                            nursery.start_soon(server.run)
                         nursery.start_soon(node.run)
                         (await node.connect()).socket.close()
                         return node
--- a/tests/test_dependencies.py
+++ b/tests/test_dependencies.py
@@ -36,8 +36,9 @@
 
 
 def source_of(module):
+    """Returns the path of a module's or package's source; None if there is none."""
     path = ROOT.joinpath(*module.split("."))
-    return next((one for one in (path.with_suffix(".py"), path / "__init__.py") if one.exists()), None)
+    return next((file for file in (path.with_suffix(".py"), path / "__init__.py") if file.exists()), None)
 
 
 def loaded_with(source):
--- a/tests/test_functions.py
+++ b/tests/test_functions.py
@@ -34,7 +34,9 @@
 
 
 def test_peer_messages_encode_loads():
-    assert [len(one) for one in peer_messages.encode_loads((f"10.0.0.{n}:80", n) for n in range(100))] == [
+    assert [
+        len(message) for message in peer_messages.encode_loads((f"10.0.0.{n}:80", n) for n in range(100))
+    ] == [
         253,
         149,
     ]
@@ -64,7 +66,7 @@
     assert (got.nodes, got.zone, got.max_attempts, got.request_classes) == (3, 1, 1, [])
 
 
-def test_rig_change():
+def test_rig_settings_with_changes():
     settings = {"balancers": 1, "traffic-types": [{"name": "look", "effect": "retryable"}], "zone": "a"}
     assert with_changes(settings, {"look__effect": "fragile", "most-open": 3}, 2) == {
         "balancers": 2,
--- a/tests/test_snapshot.py
+++ b/tests/test_snapshot.py
@@ -51,7 +51,7 @@
 
 def test_kill_9_while_writing_leaves_the_old_snapshot_or_the_new_one(tmp_path):
     path, rng, last = str(tmp_path / "snapshot"), Random(5), 0
-    for _ in range(12):  # the benchmark kills a hundred writers
+    for _ in range(12):  # 12 writers are killed; the benchmark kills a hundred
         child = subprocess.Popen([sys.executable, "-c", WRITER, path, str(last)], stdout=subprocess.PIPE)
         child.stdout.readline()
         time.sleep(rng.random() * 0.02)  # so that the kill comes at a random point of a write
--- a/wheatroute/balancing/request.py
+++ b/wheatroute/balancing/request.py
@@ -58,9 +58,8 @@
         self.may_have_run = 0  # number of ended attempts that may have run
         # Deduplication group of the first attempt that may have run. Repeats of a keyed request stay in it.
         self.group = -1
-        self.first_sent_at = (
-            inf  # time at which the attempt that set `group` was sent; starts the retry window
-        )
+        # When the first attempt that may have run was sent; the retry window starts then.
+        self.first_sent_at = inf
         self.is_over = self.is_hedged = self.is_queued = False
         # Tenant whose token it took, or at a tier below the entry its tenant; -1: it has no tenant or is
         # beyond its tenant's quota.
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -115,9 +115,9 @@
             (self._answers.finish if request.may_have_run else self._queue.enqueue)(request)
 
     def resend_hanging(self, server: int, timeout_s: float) -> None:
-        """Sends requests that have been in flight at a hanging server for long again, to other servers.
+        """Resends requests that have been in flight at a hanging server for at least the p95 latency.
 
-        Long means `timeout_s / HANG_RATIO`, which is the p95 latency.
+        They are sent to other servers; `timeout_s / HANG_RATIO` is the p95 latency.
 
         `PeriodicTasks` calls this for each server that it ejects as hanging. `timeout_s` is the time without
         an answer after which a server counts as hanging.
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -14,8 +14,7 @@
 from wheatroute.balancing.slow_start import SlowStart
 
 MAX_DRAWS = 4  # servers drawn for an attempt before the best one of them is used
-# The draw is repeated if the server's attempts in flight reach this multiple of the mean plus a small
-# constant.
+# The draw is repeated if the server's attempts in flight reach this multiple of the mean, plus 0.1.
 BUSY_SERVER_RATIO = 1.0
 
 
--- a/wheatroute/peer_messages.py
+++ b/wheatroute/peer_messages.py
@@ -1,8 +1,9 @@
 """Encodes and decodes the text messages with loads of servers that nodes exchange. No I/O.
 
 A message is a prefix followed by four characters for each server: three for a short name, which every node
-derives from the server's address, and one for the load, from 0 to 92 hundredths. A message is never longer
-than the nodes' network allows. A message that cannot be decoded is treated as empty.
+derives from the server's address or, in the node on sockets, its id, and one for the load, from 0 to 92
+hundredths. A message is never longer than the nodes' network allows (`MAX_MESSAGE_BYTES`). A message that
+cannot be decoded is treated as empty.
 """
 
 from collections.abc import Iterable, Mapping
