--- a/tests/net/test_deployment_migration.py
+++ b/tests/net/test_deployment_migration.py
@@ -100,7 +100,7 @@
         # The last server is draining; every node learns this from its first watch.
         lists.append(StandInServer(list_response(2, server_entry(servers[3], state="terminating")), None))
         node = Node(folder / str(n), *servers, discovery=lists[n], deadline=2.0)
-        others = [one for i, one in enumerate(peer_addresses) if i != n] + [listener_address]
+        others = [address for i, address in enumerate(peer_addresses) if i != n] + [listener_address]
         nodes.append(
             configure(node, 4, n, {"listen": peer_addresses[n], "others": others} if n < 2 else None)
         )
@@ -114,12 +114,12 @@
 
     with trio.fail_after(20):
         async with trio.open_nursery() as nursery:
-            for one in (*servers, *lists):
-                nursery.start_soon(one.run)
+            for server in (*servers, *lists):
+                nursery.start_soon(server.run)
             for node in nodes:
                 nursery.start_soon(serve_node, node.settings, structlog.get_logger())
                 (await node.connect()).socket.close()
-            while not all(one.requests for one in lists):
+            while not all(service.requests for service in lists):
                 await trio.sleep(0.01)
             drained_at = trio.current_time()
             async with trio.open_nursery() as calls:
@@ -131,16 +131,18 @@
     # First rule: one response per request. Second: nothing non-idempotent ran twice. Third: the draining
     # server gets no requests.
     assert len(statuses) == 320
-    posted = [request_id for one in servers for request_id, method in one.executions if method == b"POST"]
+    posted = [
+        request_id for server in servers for request_id, method in server.executions if method == b"POST"
+    ]
     assert len(posted) == len(set(posted))
     assert not [when for when in servers[3].arrival_times if when > drained_at + DRAIN_GRACE_S]
     # Neither deployment starves the other.
     assert min(served.values()) > 0.8 * 160 and min(served.values()) > 0.8 * max(served.values())
     # Sidecars probe, and send the loads that they have received to the others.
-    assert all(one.probe_count for one in servers[:3])
+    assert all(server.probe_count for server in servers[:3])
     short_names = peer_messages.ShortNames()
-    for n, one in enumerate(servers):
-        short_names.add(one.name, n)
+    for n, server in enumerate(servers):
+        short_names.add(server.name, n)
     assert peer_messages.decode_loads(listener.recv(512).decode(), short_names.numbers)
     listener.close()
 
--- a/tests/net/test_downstream.py
+++ b/tests/net/test_downstream.py
@@ -164,8 +164,8 @@
     ):
         node = await start(Server(None), descriptors=40, deadline=15.0)
         busy = [Client(node.port) for _ in range(14)]
-        for one in busy:
-            one.send(new_request(node, "place", body="b", timeout="15000m")[0])
+        for client in busy:
+            client.send(new_request(node, "place", body="b", timeout="15000m")[0])
         downstream = downstreams[0]
         await wait_until(lambda: downstream._handler._in_flight == downstream._handler._max_in_flight)
         for _ in range(60):
@@ -209,7 +209,7 @@
     with hook(
         BalancerDriver,
         "add_request",
-        after=lambda _, one: seen.append((one.request_class, one.tenant)),
+        after=lambda _, exchange: seen.append((exchange.request_class, exchange.tenant)),
     ):
         class_settings = request_classes(*((name, "retryable") for name in names))
         node = await start(server, changes=class_settings | {"tenants": tenants})
@@ -246,30 +246,30 @@
 @scenario
 async def test_two_nodes_of_one_process_share_nothing_of_their_settings(start):
     """A class is idempotent on one node and not on the other; the tenants' numbers are swapped."""
-    server, other = Server(), Server()
+    first_server, second_server = Server(), Server()
     seen = []
-    one = await start(
-        server,
+    first_node = await start(
+        first_server,
         changes=request_classes(("order", "retryable"), ("pay", "fragile"))
         | {"tenants": [{"name": "a", "quota-rps": 9.0}, {"name": "b", "quota-rps": 9.0}]},
     )
-    two = await start(
-        other,
+    second_node = await start(
+        second_server,
         changes=request_classes(("pay", "retryable"), ("order", "fragile"))
         | {"tenants": [{"name": "b", "quota-rps": 9.0}, {"name": "a", "quota-rps": 9.0}]},
     )
     with hook(
         BalancerDriver,
         "add_request",
-        after=lambda _, one: seen.append((one.request_class, one.tenant)),
+        after=lambda _, exchange: seen.append((exchange.request_class, exchange.tenant)),
     ):
         for n in range(3):
             safe = request_text("/order", f"o{n}", Tenant="a")
             unsafe = request_text("/order", f"p{n}", "POST", Tenant="a")
-            assert (await Client(one.port).send(safe).response())[0] == 200
-            assert (await Client(two.port).send(safe).response())[0] == 405
-            assert (await Client(two.port).send(unsafe).response())[0] == 200
-    assert seen == [(0, 0), (1, 1)] * 3 and len(server.requests) == len(other.requests) == 3
+            assert (await Client(first_node.port).send(safe).response())[0] == 200
+            assert (await Client(second_node.port).send(safe).response())[0] == 405
+            assert (await Client(second_node.port).send(unsafe).response())[0] == 200
+    assert seen == [(0, 0), (1, 1)] * 3 and len(first_server.requests) == len(second_server.requests) == 3
 
 
 def test_nothing_at_module_level_changes_with_the_settings(tmp_path):
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -252,7 +252,7 @@
         discovery._apply(
             {"full": full, "servers": [server_entry(StandInServer(OK, name=name)) for name in names]}
         )
-        return [(one[0], one[4]) for one in driver.add_event.call_args.args[1]]
+        return [(entry[0], entry[4]) for entry in driver.add_event.call_args.args[1]]
 
     live, gone = ServerState.LIVE, ServerState.REMOVED
     with mock.patch.object(server_numbers, "REUSE_AFTER_S", -1.0):
@@ -371,11 +371,11 @@
 async def test_at_the_descriptor_limit_the_client_idle_for_longest_is_closed(start):
     node = await start(StandInServer(OK), descriptors=40)
     used = [await node.connect() for _ in range(12)]
-    assert [(await node.send_request(stream=one))[0] for one in used] == [200] * 12
+    assert [(await node.send_request(stream=stream))[0] for stream in used] == [200] * 12
     fresh = [await node.connect() for _ in range(4)]
     assert await read_message(used[0]) is None
     # Clients that have not sent a request yet stay: their previous connection may have been closed too.
-    assert [(await node.send_request(stream=one))[0] for one in fresh] == [200] * 4
+    assert [(await node.send_request(stream=stream))[0] for stream in fresh] == [200] * 4
 
 
 @scenario
@@ -434,7 +434,7 @@
         driver.attempt(0, 4, 1.0)
         driver.handle_events(driver._overdue_times[0][0] - 1.0)
         assert len(driver.upstream.started) == 1 and exchange.response.body == b"first"
-        assert [one[4] for one in received if one[0] == Event.ATTEMPT_ENDED] == [AttemptOutcome.MOOT]
+        assert [event[4] for event in received if event[0] == Event.ATTEMPT_ENDED] == [AttemptOutcome.MOOT]
         driver.fail(0)
         assert exchange.response.body == b"first"
 
@@ -581,8 +581,8 @@
 async def test_clients_beyond_the_descriptor_limit_are_rejected_at_once_and_not_left_in_the_queue(start):
     node = await start(StandInServer(SILENT), descriptors=40, deadline=5.0)
     busy = [await node.connect() for _ in range(14)]
-    for one in busy:
-        await one.send_all(node.request_text("place", body="b", timeout="5000m"))
+    for stream in busy:
+        await stream.send_all(node.request_text("place", body="b", timeout="5000m"))
     await trio.sleep(0.1)
     for _ in range(30):
         stream = await node.connect()
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -358,7 +358,7 @@
         await wait_until(lambda: b"event=reload-failed" in node.log.read_bytes())
         node.config_path.write_text(json.dumps(node.config | {"discovery": new.address}))
         node.process.send_signal(signal.SIGHUP)
-        await wait_until(lambda: any(b"after=3&" in one for one in new.requests))
+        await wait_until(lambda: any(b"after=3&" in request for request in new.requests))
         before = len(servers[0].requests)
         for _ in range(10):
             assert (await Client(node.port).send(new_request(node, "view")[0]).response())[0] == 200
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -113,7 +113,7 @@
         client = Client(node.port)
         client.send(new_request(node, "place", body="b")[0])
         await wait_until(lambda: held.peers)
-        first = next(one for one in servers if one.address == held.peers[0])
+        first = next(server for server in servers if server.address == held.peers[0])
         updates.publish(*change(first), is_full=bool(options.get("full")))
         await wait_for_updates(found)
         held.released.set()
@@ -124,7 +124,7 @@
 @scenario
 async def test_a_server_that_begins_to_drain_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "addr": one.address, "state": "terminating"}]
+        start, lambda server: [{"id": server.name, "addr": server.address, "state": "terminating"}]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -132,7 +132,7 @@
 @scenario
 async def test_a_server_that_is_removed_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "state": "terminated"}]
+        start, lambda server: [{"id": server.name, "state": "terminated"}]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -141,7 +141,7 @@
 async def test_an_address_that_belongs_to_another_server_by_now_gets_nothing(start):
     stranger = Server(name="u")
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "addr": stranger.address}], others=[stranger]
+        start, lambda server: [{"id": server.name, "addr": stranger.address}], others=[stranger]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -150,10 +150,10 @@
 async def test_a_restarted_server_gets_no_attempt_that_was_decided_before_its_restart(start):
     servers, first, status = await request_during_list_change(
         start,
-        lambda one: [
+        lambda server: [
             {
-                "id": one.name,
-                "addr": one.address,
+                "id": server.name,
+                "addr": server.address,
                 "state": "in_service",
                 "started_ms": int(time.time() * 1000),
             }
@@ -236,7 +236,7 @@
         client.send(new_request(node, "place", body=BODY, timeout="600m")[0])
         await wait_until(lambda: [connection for connection in connections if connection._unsent])
         address = next(connection for connection in connections if connection._unsent).peer
-        first = next(one for one in servers if one.address == address)
+        first = next(server for server in servers if server.address == address)
         await action(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
@@ -332,7 +332,7 @@
             seen.append(client)
 
         async def unread(seen=seen):
-            await wait_until(lambda: any(one.is_paused for one in seen))
+            await wait_until(lambda: any(client.is_paused for client in seen))
 
         with hook(RequestHandler, "handle", after=handled):
             await request_of_departed_client(
@@ -557,7 +557,7 @@
     node = await start(*servers, changes=request_classes(group="all"))
     request_count = 0
     # The retry budget is a fraction of the accepted requests.
-    while not all(one.connection_count for one in servers) or request_count < 30:
+    while not all(server.connection_count for server in servers) or request_count < 30:
         assert (await node.send_request("view"))[0] == 200
         request_count += 1
 
@@ -568,8 +568,8 @@
         if len(closed) < 3:
             await stream.aclose()
 
-    for one in servers:
-        one.on = {"head": close}
+    for server in servers:
+        server.on = {"head": close}
     status, _ = await Client(node.port).send(new_request(node, "amend", body="b")[0]).response()
     assert status == 200 and len(closed) == 3
 
--- a/wheatroute/balancing/ready_servers.py
+++ b/wheatroute/balancing/ready_servers.py
@@ -1,10 +1,10 @@
-"""The ready servers, in an order of which every contiguous section is a representative sample. No I/O."""
+"""The ready servers, ordered so that each contiguous section has a proportional part of each kind. No I/O."""
 
 from __future__ import annotations
 
 from bisect import bisect_left, insort
 
-Kind = tuple[int, int]  # zone and model
+Kind = tuple[int, int]  # kind of a server: numbers of its zone and of its model
 
 
 class ReadyServers:
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -197,7 +197,7 @@
     """
     zones = _numbered_names(settings, "dcs")
     models = _numbered_names(settings, "skus")
-    tenants = {one["name"]: number for number, one in enumerate(_named_objects(settings, "tenants"))}
+    tenants = {tenant["name"]: number for number, tenant in enumerate(_named_objects(settings, "tenants"))}
     request_classes = _named_objects(settings, "traffic-types")
     if not request_classes:
         raise NodeSettingsError("the settings must define at least one request class")
@@ -217,7 +217,9 @@
         "zones": zones,
         "models": models,
         "tenants": tenants,
-        "request_classes": {one["name"]: number for number, one in enumerate(request_classes)},
+        "request_classes": {
+            request_class["name"]: number for number, request_class in enumerate(request_classes)
+        },
         "decision_settings": decisions,
     }
 
@@ -257,7 +259,7 @@
         raise NodeSettingsError('the file has "peers", but the settings do not allow them')
     try:
         listen = parse_address(table.get("listen"))
-        others = tuple(parse_address(one) for one in table["others"])
+        others = tuple(parse_address(address) for address in table["others"])
     except ValueError as error:
         raise NodeSettingsError(f'"peers": {error}') from error
     if listen in others:
@@ -318,7 +320,7 @@
             f'"{name}" must have either "directory" or "relay", or "etcd" endpoints and a "prefix"'
         )
     try:
-        addresses = [parse_address(one) for one in endpoints]
+        addresses = [parse_address(endpoint) for endpoint in endpoints]
     except ValueError as error:
         raise NodeSettingsError(f'"{name}": {error}') from error
     return {"etcd": addresses, "prefix": table["prefix"], "within": float(within_s)}
@@ -338,7 +340,7 @@
 def _named_objects(settings: dict[str, Any], key: str) -> list[dict[str, Any]]:
     objects = settings.get(key) or []
     if not isinstance(objects, list) or not all(
-        isinstance(one, dict) and isinstance(one.get("name"), str) for one in objects
+        isinstance(entry, dict) and isinstance(entry.get("name"), str) for entry in objects
     ):
         raise NodeSettingsError(f'the settings\' "{key}" must be a list of objects with a "name"')
     return objects
@@ -346,7 +348,7 @@
 
 def _numbered_names(settings: dict[str, Any], key: str) -> NameNumbering:
     names = settings.get(key) or []
-    if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise NodeSettingsError(f'the settings\' "{key}" must be a list of names')
     return NameNumbering({name: number for number, name in enumerate(names)})
 
