--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -34,7 +34,7 @@
         """Returns a request's hinted work in multiples of its class's mean; 1 without a hint.
 
         Latencies are divided by this size, so that a request known to be heavy doesn't make its server look
-        slow. The hint is added to the mean.
+        slow. The hint also updates the class's mean work.
         """
         if work <= 0.0:
             return 1.0
--- a/wheatroute/balancing/settings.py
+++ b/wheatroute/balancing/settings.py
@@ -69,8 +69,9 @@
     crossing_price: float = 0.0  # price of a request to a server in another zone
     waste_price: float = 0.0  # no decision uses it
     late_price: float = 0.0  # no decision uses it
-    report_how: str = "none"  # how servers report their load
-    reported: Sequence[str] = ()  # names of the values in such a report
+    # how servers report their load: "none", "answers" (with each answer) or "probe" (in reply to probes)
+    report_how: str = "none"
+    reported: Sequence[str] = ()  # internal names of the values in a report (`wire_names.REPORT_FIGURES`)
     work_counts: bool = False  # whether the value of answers counts by their work instead of their number
     list_on_request: bool = False  # whether the server list is watched or fetched instead of pushed
     list_max_age_s: float = 0.0  # a node must know every change of the server list that is older than this
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -35,7 +35,7 @@
         self._components = components = Components(settings, rng, self._make_final_answers)
         self._state, self._membership, self._queue = components.state, components.membership, components.queue
         self._periodic = PeriodicTasks(components)
-        self._wake_at = inf  # when the next call was last requested for; inf: no call is outstanding
+        self._wake_at = inf  # time of the earliest call that was requested; inf: no call is outstanding
         self._handlers: dict[Event, Callable[..., None]] = {
             Event.ARRIVED: components.lifecycle.arrived,
             Event.ANSWER_STARTED: components.lifecycle.answer_started,
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -19,6 +19,7 @@
 from wheatroute.net.send_rules import SendRules
 from wheatroute.net.server_table import ServerTable
 
+# Outcomes which prove that the request did not run.
 NEVER_RAN = (AttemptOutcome.FULL, AttemptOutcome.UNCONNECTED, AttemptOutcome.MOOT)
 
 
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -84,7 +84,7 @@
     def update_settings(self, settings: DecisionSettings) -> None:
         """Applies new settings."""
         self.connect_timeout_s: float = settings.connect_timeout_s or inf
-        # The time after which servers close idle connections.
+        # Idle time in seconds after which servers close their connections.
         self._idle_timeout_s: float = settings.idle_timeout_s
 
     @property
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -11,7 +11,7 @@
 from wheatroute.net.log import Logger
 from wheatroute.net.server_table import ServerTable
 
-# The longest time without progress in a response that has begun, as a multiple of the connect timeout.
+# Longest time without new data in a response that has begun, as a multiple of the connect timeout.
 MAX_STALL_CONNECT_TIMEOUTS = 2.0
 MAX_LOGGED_CHARACTERS = 80
 
--- a/wheatroute/net/server_entries.py
+++ b/wheatroute/net/server_entries.py
@@ -56,7 +56,7 @@
             self._servers.set_state(server, ServerState.REMOVED, 0.0)
 
     def read(self, fields: Any) -> list[ListEntry]:
-        """Returns the entry of a server.
+        """Returns the `ListEntry` of a server from its fields in the list.
 
         If another server had the same number before, an entry that removes that server comes first. Raises
         TypeError, ValueError, KeyError or AttributeError for a malformed entry.
--- a/wheatroute/wire_names.py
+++ b/wheatroute/wire_names.py
@@ -20,7 +20,8 @@
     "zone": DeduplicationGroup.ZONE,
     "cell": DeduplicationGroup.CELL,
 }
-# Metrics of load reports: maps the names that the simulator and real servers use to internal names.
+# Metrics of load reports: maps the names that the simulator and real servers use to internal names. Decisions
+# use "held" (requests in progress), "queued" (requests waiting) and "rate" (requests per second).
 REPORT_FIGURES = {
     "active": "held",
     "waiting": "queued",
