--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -67,12 +67,12 @@
 
 
 def received_ids(*servers):
-    return [one for server in servers for one in server.ids]
+    return [request_id for server in servers for request_id in server.ids]
 
 
 async def wait_for_updates(discoveries):
     """Waits until a node has applied the published changes."""
-    await wait_until(lambda: any(one._version == 2 for one in discoveries))
+    await wait_until(lambda: any(discovery._version == 2 for discovery in discoveries))
 
 
 def watch_discoveries():
@@ -80,7 +80,7 @@
     found = []
     from wheatroute.net.discovery import Discovery
 
-    return found, hook(Discovery, "watch", after=lambda one, enable: found.append(one))
+    return found, hook(Discovery, "watch", after=lambda discovery, enable: found.append(discovery))
 
 
 @scenario
@@ -113,7 +113,7 @@
         client = Client(node.port)
         client.send(new_request(node, "place", body="b")[0])
         await wait_until(lambda: held.peers)
-        first = next(one for one in servers if one.address == held.peers[0])
+        first = next(server for server in servers if server.address == held.peers[0])
         updates.publish(*change(first), is_full=bool(options.get("full")))
         await wait_for_updates(found)
         held.released.set()
@@ -124,7 +124,7 @@
 @scenario
 async def test_a_server_that_begins_to_drain_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "addr": one.address, "state": "terminating"}]
+        start, lambda server: [{"id": server.name, "addr": server.address, "state": "terminating"}]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -132,7 +132,7 @@
 @scenario
 async def test_a_server_that_is_removed_while_its_connection_is_opened_gets_nothing(start):
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "state": "terminated"}]
+        start, lambda server: [{"id": server.name, "state": "terminated"}]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -141,7 +141,7 @@
 async def test_an_address_that_belongs_to_another_server_by_now_gets_nothing(start):
     stranger = Server(name="u")
     servers, first, status = await request_during_list_change(
-        start, lambda one: [{"id": one.name, "addr": stranger.address}], others=[stranger]
+        start, lambda server: [{"id": server.name, "addr": stranger.address}], others=[stranger]
     )
     assert status == 200 and not first.heads and len(received_ids(*servers)) == 1
 
@@ -150,10 +150,10 @@
 async def test_a_restarted_server_gets_no_attempt_that_was_decided_before_its_restart(start):
     servers, first, status = await request_during_list_change(
         start,
-        lambda one: [
+        lambda server: [
             {
-                "id": one.name,
-                "addr": one.address,
+                "id": server.name,
+                "addr": server.address,
                 "state": "in_service",
                 "started_ms": int(time.time() * 1000),
             }
@@ -216,13 +216,14 @@
 BODY = "x" * 60000
 
 
-async def half_written(start, then, **options):
-    """Runs `then(first, updates, client, discoveries)` while a request is partly written.
+async def during_partial_write(start, action, **options):
+    """Runs `action(first, updates, client, discoveries)` while a request is partly written to server `first`.
 
-    Servers read only after that. Returns the other server, the one of the request, and the response.
+    Servers read only after that. Returns the other server, `first`, and the response (None if the client's
+    socket is closed).
     """
-    reads = trio.Event()
-    servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: reads.wait()}) for name in "st"]
+    may_read = trio.Event()
+    servers = [Server(name=name, buffer=2048, on={"accepted": lambda _: may_read.wait()}) for name in "st"]
     updates, (found, watching) = ListUpdates(), watch_discoveries()
     connections = []
     with (
@@ -235,11 +236,11 @@
         client.send(new_request(node, "place", body=BODY, timeout="600m")[0])
         await wait_until(lambda: [connection for connection in connections if connection._unsent])
         address = next(connection for connection in connections if connection._unsent).peer
-        first = next(one for one in servers if one.address == address)
-        await then(first, updates, client, found)
+        first = next(server for server in servers if server.address == address)
+        await action(first, updates, client, found)
         if first is not servers[1]:
             servers[0], servers[1] = servers[1], servers[0]
-        reads.set()
+        may_read.set()
         answer = await client.response() if client.sock.fileno() >= 0 else None
     return servers[0], first, answer
 
@@ -250,7 +251,7 @@
         updates.publish({"id": first.name, "addr": first.address, "state": "terminating"})
         await wait_for_updates(found)
 
-    other, first, answer = await half_written(start, drain)
+    other, first, answer = await during_partial_write(start, drain)
     assert answer[0] == 200 and len(other.requests) == 1 and not first.requests
 
 
@@ -261,7 +262,7 @@
         while time.monotonic() < end:  # blocks the event loop; the server reads nothing
             time.sleep(0.01)
 
-    other, first, answer = await half_written(start, wait)
+    other, first, answer = await during_partial_write(start, wait)
     assert answer[0] in (502, 503) and not other.requests and not first.requests
 
 
@@ -270,7 +271,7 @@
     async def leave(first, updates, client, found):
         client.reset()
 
-    other, first, _ = await half_written(start, leave)
+    other, first, _ = await during_partial_write(start, leave)
     with trio.fail_after(5):
         await trio.sleep(0.2)
     assert not other.requests and not first.requests
@@ -280,7 +281,11 @@
 
 
 async def request_of_departed_client(start, leave, pipelined=b"", before=None):
-    """Sends a request whose client disconnects while its attempt's connection is held; returns the server."""
+    """Sends a request whose client disconnects while its attempt's connection is held; returns the server.
+
+    Asserts that the server does not receive the request. `pipelined` is sent right behind it, and `before` is
+    awaited before the client disconnects.
+    """
     server = Server()
     ended = []
     with (
@@ -327,7 +332,7 @@
             seen.append(client)
 
         async def unread(seen=seen):
-            await wait_until(lambda: any(one.is_paused for one in seen))
+            await wait_until(lambda: any(client.is_paused for client in seen))
 
         with hook(RequestHandler, "handle", after=handled):
             await request_of_departed_client(
@@ -365,13 +370,13 @@
     assert (await node.send_request("view"))[0] == 200
     ended, clients = [], {}
 
-    def decided(servers, exchange, attempt):
+    def leave_before_write(upstream, exchange, attempt):
         if exchange.request_id in clients:
             clients[exchange.request_id].leave()
             time.sleep(0.35)  # delays the event loop
 
     with (
-        hook(Upstream, "start_attempt", before=decided),
+        hook(Upstream, "start_attempt", before=leave_before_write),
         hook(
             BalancerDriver,
             "abandon_request",
@@ -417,7 +422,7 @@
 
 @scenario
 async def test_a_response_and_its_timeout_in_one_iteration_make_one_response(start):
-    for kind, body in (("view", ""), ("place", "b")):
+    for class_name, body in (("view", ""), ("place", "b")):
         done = []
 
         async def answer(stream, done=done):
@@ -431,13 +436,13 @@
             lambda done=done: bool(done), lambda began=began: time.monotonic() > began[0] + TIMEOUT_S + 0.1
         )
         trio.lowlevel.add_instrument(stall)
-        client, (text, _) = Client(node.port), new_request(node, kind, body=body, timeout="300m")
+        client, (text, _) = Client(node.port), new_request(node, class_name, body=body, timeout="300m")
         began.append(time.monotonic())
         client.send(text)
         status, got = await client.response()
         trio.lowlevel.remove_instrument(stall)
         assert stall.stalled and status in (200, 502, 503) and got.count(b"HTTP/1.1 ") == 1
-        assert kind == "view" or status != 503  # it has run, so it must not be rejected
+        assert class_name == "view" or status != 503  # it has run, so it must not be rejected
         text, _ = new_request(node, "view")
         assert (await client.send(text).response())[0] == 200  # no surplus bytes are on the connection
 
@@ -552,7 +557,7 @@
     node = await start(*servers, changes=request_classes(group="all"))
     request_count = 0
     # The retry budget is a fraction of the accepted requests.
-    while not all(one.connection_count for one in servers) or request_count < 30:
+    while not all(server.connection_count for server in servers) or request_count < 30:
         assert (await node.send_request("view"))[0] == 200
         request_count += 1
 
@@ -563,8 +568,8 @@
         if len(closed) < 3:
             await stream.aclose()
 
-    for one in servers:
-        one.on = {"head": close}
+    for server in servers:
+        server.on = {"head": close}
     status, _ = await Client(node.port).send(new_request(node, "amend", body="b")[0]).response()
     assert status == 200 and len(closed) == 3
 
