--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -611,7 +611,8 @@
         rig.etcd.send_command("clear", cluster=77)  # with no servers at all
         await rig.wait_until(
             lambda: all(
-                "cluster 4d answers in the place of 1" in rig.processes[name].log for name in rig.names
+                "response from etcd cluster 4d, expected cluster 1" in rig.processes[name].log
+                for name in rig.names
             ),
             "both have logged it",
         )
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -133,7 +133,8 @@
         lost_position = self._lost_position
         if self.is_pinned and lost_position.cluster_id not in (0, header.cluster_id):
             raise MemberBehindError(
-                f"cluster {header.cluster_id:x} answers in the place of {lost_position.cluster_id:x}"
+                f"response from etcd cluster {header.cluster_id:x}, "
+                f"expected cluster {lost_position.cluster_id:x}"
             )
         if header.cluster_id == lost_position.cluster_id and header.revision < lost_position.revision:
             # An older state of the store would undo drains that were already applied.
--- a/wheatroute/etcd/watch.py
+++ b/wheatroute/etcd/watch.py
@@ -60,7 +60,9 @@
         """
         header = response.header
         if header.cluster_id != self.cluster_id:
-            raise WatchLostError(f"cluster {header.cluster_id:x} answers in the place of {self.cluster_id:x}")
+            raise WatchLostError(
+                f"response from etcd cluster {header.cluster_id:x}, expected cluster {self.cluster_id:x}"
+            )
         if response.canceled:
             raise self._cancellation(response)
         if response.created:
