--- a/.ci/benchmarks.py
+++ b/.ci/benchmarks.py
@@ -1,7 +1,8 @@
-"""Starts the short form of every benchmark once, so that a renaming can't break one unseen.
+"""Runs the short form of every benchmark once, so that a rename can't break one unnoticed.
 
-Judges no figure: each has to end with status 0 and one JSON object as its last line. They run one at a time:
-each has processes of its own, and beside another a rollout once didn't end in its time (not traced).
+No figure is checked: each benchmark must exit with status 0 and print one JSON object as its last line. They
+run one at a time: each starts several processes, and the rollout benchmark once timed out beside another one
+(cause not traced).
 """
 
 import json
@@ -11,42 +12,42 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-AT_ONCE = 1
-LIMIT = 180.0  # seconds for one
-SHOWN = 2000  # characters of what one that failed has printed
+MAX_PARALLEL = 1
+TIMEOUT_S = 180.0  # for one benchmark
+SHOWN_CHARACTERS = 2000  # from the end of a failed benchmark's standard error
 
 
 def failure(output: str, status: int) -> str:
-    """What is wrong with a run, or nothing."""
+    """Returns what is wrong with a run, an empty string if nothing is."""
     if status:
         return f"status {status}"
     lines = output.strip().splitlines()
     try:
-        told = json.loads(lines[-1]) if lines else None
+        result = json.loads(lines[-1]) if lines else None
     except ValueError:
-        told = None
-    return "" if isinstance(told, dict) and told else "its last line is no JSON object"
+        result = None
+    return "" if isinstance(result, dict) and result else "the last line is no JSON object"
 
 
 def run(path: Path) -> bool:
-    """Runs one and prints a line; whether it did as it should."""
-    begun = time.monotonic()
+    """Runs a benchmark and prints its result; returns whether it passed."""
+    started_at = time.monotonic()
     command = [sys.executable, str(path), "--short", "--json"]
     try:
-        ended = subprocess.run(command, capture_output=True, text=True, timeout=LIMIT)
-        trouble, printed = failure(ended.stdout, ended.returncode), ended.stderr
+        completed = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT_S)
+        reason, stderr = failure(completed.stdout, completed.returncode), completed.stderr
     except subprocess.TimeoutExpired:
-        trouble, printed = f"not ended after {LIMIT:g} s", ""
-    print(f"{path.name}: {trouble or 'ok'}, {time.monotonic() - begun:.0f} s", flush=True)
-    if trouble:
-        print(printed[-SHOWN:], flush=True)
-    return not trouble
+        reason, stderr = f"timed out after {TIMEOUT_S:g} s", ""
+    print(f"{path.name}: {reason or 'ok'}, {time.monotonic() - started_at:.0f} s", flush=True)
+    if reason:
+        print(stderr[-SHOWN_CHARACTERS:], flush=True)
+    return not reason
 
 
 def main() -> int:
-    """Runs all; 1 if one failed."""
+    """Runs all benchmarks; returns 1 if one failed."""
     paths = sorted(Path("benchmarks").glob("*.py"))
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
         return 0 if all(list(pool.map(run, paths))) else 1
 
 
--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,19 +1,20 @@
-"""Runs the tests of the folder it is called in, apart those that KNOWN-RED.txt says fail for a known fault.
+"""Runs the tests of the current folder; those that KNOWN-RED.txt lists as known failures run separately.
 
-A line of that file: the test as pytest names it, the cause, the issue, with ` | ` between them. Three lines
-at most. Without the file, or with an empty one, this is `python -m pytest` and no more. Arguments are passed
-on to the run of all other tests: `-n auto` spreads them over the cores.
+Each line of that file has the test as pytest names it, the cause and the issue, separated by ` | `. At most
+three lines are allowed. Without the file, or with an empty one, this is the same as `python -m pytest`. Arguments
+are passed on to the run of all other tests: `-n auto` spreads them over the cores.
 """
 
 import subprocess
 import sys
 from pathlib import Path
 
-MOST = 3
+MAX_ENTRIES = 3
 PYTEST = [sys.executable, "-m", "pytest"]
 
 
 def fail(reason: str) -> int:
+    """Prints what is wrong with KNOWN-RED.txt; returns the exit status."""
     print(f"KNOWN-RED.txt: {reason}")
     return 1
 
@@ -23,13 +24,13 @@
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     if not lines:
         return subprocess.run([*PYTEST, *sys.argv[1:]]).returncode
-    if len(lines) > MOST:
-        return fail(f"{len(lines)} lines, {MOST} at most")
+    if len(lines) > MAX_ENTRIES:
+        return fail(f"{len(lines)} lines, {MAX_ENTRIES} at most")
     known = [[part.strip() for part in line.split("|")] for line in lines]
-    if bad := next(
+    if malformed := next(
         (line for line, parts in zip(lines, known, strict=True) if len(parts) != 3 or not all(parts)), None
     ):
-        return fail(f"not a test, its cause and its issue: {bad}")
+        return fail(f"not a test, its cause and its issue: {malformed}")
     tests = [parts[0] for parts in known]
     listing = [*PYTEST, "--collect-only", "-q", "-o", "addopts="]
     found = subprocess.run(listing, capture_output=True, text=True).stdout.splitlines()
@@ -39,10 +40,10 @@
     status = subprocess.run([*PYTEST, *sys.argv[1:], *(f"--deselect={test}" for test in tests)]).returncode
     print("\nknown red, run apart:")
     for test, cause, issue in known:
-        got = subprocess.run([*PYTEST, test], capture_output=True, text=True)
-        result = {0: "PASSES AGAIN, its line is to go", 1: "fails as said"}.get(got.returncode, "did not run")
+        run = subprocess.run([*PYTEST, test], capture_output=True, text=True)
+        result = {0: "PASSES AGAIN, its line is to go", 1: "fails as said"}.get(run.returncode, "did not run")
         print(f"  {test}: {result} ({cause}; issue {issue})")
-        status = status or (got.returncode if got.returncode not in (0, 1) else 0)
+        status = status or (run.returncode if run.returncode not in (0, 1) else 0)
     return status
 
 
--- a/Makefile
+++ b/Makefile
@@ -1,11 +1,11 @@
-# What there is to do here; `make` alone lists it. All of it works offline once `make build` has run.
+# Common tasks; `make` without a target lists them. All of them work offline once `make build` has run.
 PYTHON ?= python3
 
 .PHONY: help build test lint format run demo clean
 help:
 	@grep -E '^[a-z]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /	/'
 
-build: .venv/.built ## make the environment in .venv
+build: .venv/.built ## create the environment in .venv
 .venv/.built: pyproject.toml
 	$(PYTHON) -m venv .venv
 	.venv/bin/pip -q install -e '.[dev]'
@@ -22,13 +22,13 @@
 format: build ## format the whole tree
 	.venv/bin/ruff format .
 
-run: build ## one node, with the settings of examples/node.json
+run: build ## run one node with the settings of examples/node.json
 	PROXY_CONFIG=examples/node.json .venv/bin/python -m wheatroute
 
-demo: build ## a node before toy servers, a proxy that asks the processor, the router set with a primary lost
+demo: build ## run the examples: a node with toy servers, the external processor, a router set that loses its primary
 	.venv/bin/python examples/demo.py
 	.venv/bin/python examples/processor_demo.py
 	.venv/bin/python examples/system_demo.py
 
-clean: ## remove the environment and what tools leave behind
+clean: ## remove the environment and the files that tools create
 	rm -rf .venv build *.egg-info .pytest_cache .ruff_cache
--- a/tests/benchlink/test_link_exchange.py
+++ b/tests/benchlink/test_link_exchange.py
@@ -1,4 +1,7 @@
-"""A whole exchange over the bench's link: batches in, replies out, as landing 12 wrote them."""
+"""A complete exchange over the simulator's link: batches in, expected replies out.
+
+The replies were recorded from an earlier release and must stay the same byte for byte.
+"""
 
 import orjson
 
@@ -34,14 +37,14 @@
     return {"now": now, "nodes": [{"node": "n", "events": list(events)}]}
 
 
-def returned(call, server, result="done", **more):
-    return {"m": "returned", "call": call, "n": 0, "server": server, "result": result, "took": 0.05, **more}
+def returned(call, server, result="done", **extra):
+    return {"m": "returned", "call": call, "n": 0, "server": server, "result": result, "took": 0.05, **extra}
 
 
 REQUESTS = [
     {"m": "ask", "call": 100 + n, "band": "look", "left": 2.0, "client-group": "acme"} for n in range(4)
 ]
-# (batch, the decisions that answer it)
+# (batch, decisions expected in its reply)
 EXCHANGE = [
     (
         batch(
@@ -84,17 +87,17 @@
 ]
 
 
-def test_batches_are_answered_with_the_same_bytes_as_before():
+def test_replies_are_the_same_bytes_as_in_an_earlier_release():
     host = Host()
     for request, decisions in EXCHANGE:
         nodes = [{"node": "n", "decisions": decisions}] if decisions else []
-        assert orjson.dumps(host.answer(request)) == orjson.dumps({"nodes": nodes})
+        assert orjson.dumps(host.handle_batch(request)) == orjson.dumps({"nodes": nodes})
 
 
-def test_a_request_that_is_over_is_forgotten():
+def test_a_finished_request_is_removed():
     host = Host()
     for request, _ in EXCHANGE:
-        host.answer(request)
+        host.handle_batch(request)
     instance = host._instances["n"]
     assert sorted(instance._request_numbers) == [101, 102]  # those with an attempt in flight
     assert sorted(instance._call_ids.values()) == [101, 102]
--- a/tests/benchlink/test_malformed_batches.py
+++ b/tests/benchlink/test_malformed_batches.py
@@ -1,11 +1,11 @@
-"""Batches of the bench's link that are malformed."""
+"""Malformed batches on the simulator's link."""
 
 from io import BytesIO
 
 from wheatroute.benchlink.host import serve
 
 
-def test_the_link_names_what_is_malformed_and_answers_nothing(capsys):
+def test_a_malformed_line_is_reported_and_gets_no_reply(capsys):
     for line, reason in ((b"nope\n", "not JSON"), (b'{"now":1}\n', '"nodes"'), (b'{"nodes":[]}\n', '"now"')):
         sink = BytesIO()
         assert serve(BytesIO(b'{"now":1.0,"nodes":[]}\n' + line), sink) == 2
--- a/tests/ci/test_known_red.py
+++ b/tests/ci/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI does with KNOWN-RED.txt, on a small project of its own."""
+"""CI's handling of KNOWN-RED.txt, on a small project made for the test."""
 
 import os
 import subprocess
@@ -18,45 +18,45 @@
 GOOD = "test_it.py::test_good | it was red | 40"
 
 
-def ran(folder, listed, tests=TESTS, arguments=()):
+def run_project(folder, listed, tests=TESTS, arguments=()):
     (folder / "test_it.py").write_text(tests)
     if listed is not None:
         (folder / "KNOWN-RED.txt").write_text(listed)
     environment = {name: value for name, value in os.environ.items() if not name.startswith("PYTEST")}
-    got = subprocess.run(
+    result = subprocess.run(
         [sys.executable, str(PROGRAM), *arguments],
         cwd=folder,
         env=environment,
         capture_output=True,
         text=True,
     )
-    return got.returncode, got.stdout
+    return result.returncode, result.stdout
 
 
 @pytest.mark.parametrize("listed", [None, "", "\n \n"])
-def test_without_lines_it_changes_nothing(tmp_path, listed):
-    status, said = ran(tmp_path, listed)
-    assert status == 1 and "2 failed, 1 passed" in said and "known red" not in said
-    status, said = ran(tmp_path, listed, "def test_good(): pass")
-    assert status == 0 and "1 passed" in said
+def test_without_entries_all_tests_run_as_usual(tmp_path, listed):
+    status, output = run_project(tmp_path, listed)
+    assert status == 1 and "2 failed, 1 passed" in output and "known red" not in output
+    status, output = run_project(tmp_path, listed, "def test_good(): pass")
+    assert status == 0 and "1 passed" in output
 
 
-def test_listed_tests_are_run_apart_and_printed_with_their_result(tmp_path):
-    status, said = ran(tmp_path, f"{BAD}\n{WORSE}\n")
-    assert status == 0 and "1 passed, 2 deselected" in said
-    assert "test_it.py::test_bad: fails as said (a fault; issue 40)" in said
-    assert "test_it.py::test_worse: fails as said (another; issue 40)" in said
+def test_listed_tests_run_separately_and_their_results_are_printed(tmp_path):
+    status, output = run_project(tmp_path, f"{BAD}\n{WORSE}\n")
+    assert status == 0 and "1 passed, 2 deselected" in output
+    assert "test_it.py::test_bad: fails as said (a fault; issue 40)" in output
+    assert "test_it.py::test_worse: fails as said (another; issue 40)" in output
 
 
-def test_one_that_is_not_listed_fails_it_all_the_same(tmp_path):
-    status, said = ran(tmp_path, BAD)
-    assert status == 1 and "1 failed, 1 passed, 1 deselected" in said
+def test_a_failing_test_that_is_not_listed_fails_the_run(tmp_path):
+    status, output = run_project(tmp_path, BAD)
+    assert status == 1 and "1 failed, 1 passed, 1 deselected" in output
 
 
-def test_one_that_passes_again_is_named(tmp_path):
-    status, said = ran(tmp_path, f"{BAD}\n{WORSE}\n{GOOD}", TESTS + "def test_fine(): pass\n")
-    assert status == 0 and "test_it.py::test_good: PASSES AGAIN" in said
-    assert "test_it.py::test_bad: fails as said" in said
+def test_a_listed_test_that_passes_again_is_reported(tmp_path):
+    status, output = run_project(tmp_path, f"{BAD}\n{WORSE}\n{GOOD}", TESTS + "def test_fine(): pass\n")
+    assert status == 0 and "test_it.py::test_good: PASSES AGAIN" in output
+    assert "test_it.py::test_bad: fails as said" in output
 
 
 @pytest.mark.parametrize(
@@ -70,11 +70,11 @@
         f"{BAD}\n{BAD}",
     ],
 )
-def test_a_fourth_line_and_what_names_no_test_fail_it(tmp_path, listed):
-    status, said = ran(tmp_path, listed)
-    assert status == 1 and said.startswith("KNOWN-RED.txt: ") and "passed" not in said
+def test_more_than_three_entries_or_an_invalid_entry_fail_the_run(tmp_path, listed):
+    status, output = run_project(tmp_path, listed)
+    assert status == 1 and output.startswith("KNOWN-RED.txt: ") and "passed" not in output
 
 
-def test_arguments_are_for_the_run_of_all_other_tests(tmp_path):
-    status, said = ran(tmp_path, BAD, arguments=("-k", "good or bad"))
-    assert status == 0 and "1 passed, 2 deselected" in said and "test_bad: fails as said" in said
+def test_arguments_apply_to_the_run_of_the_tests_that_are_not_listed(tmp_path):
+    status, output = run_project(tmp_path, BAD, arguments=("-k", "good or bad"))
+    assert status == 0 and "1 passed, 2 deselected" in output and "test_bad: fails as said" in output
--- a/wheatroute/benchlink/__init__.py
+++ b/wheatroute/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the bench: its wire on standard input and output, for many instances of the decisions."""
+"""The link to an outside simulator: drives many `Balancer` instances over standard input and output."""
--- a/wheatroute/benchlink/__main__.py
+++ b/wheatroute/benchlink/__main__.py
@@ -1,11 +1,12 @@
-"""`python -m wheatroute.benchlink`: the decisions on standard input and output."""
+"""Runs the link to the simulator on standard input and output (`python -m wheatroute.benchlink`)."""
 
 import gc
 import sys
 
 from wheatroute.benchlink.host import serve
 
-gc.disable()  # nothing made in a round refers back to itself; collection only adds pauses
+# Handling a batch creates no reference cycles, so the collector would only add pauses.
+gc.disable()
 try:
     status = serve(sys.stdin.buffer, sys.stdout.buffer)
 except (BrokenPipeError, KeyboardInterrupt):
--- a/wheatroute/benchlink/host.py
+++ b/wheatroute/benchlink/host.py
@@ -1,6 +1,6 @@
-"""The bench's link: reads a batch a line, hands each instance its events, writes one reply a batch.
+"""The server side of the simulator's link: one batch of events per input line, one reply line per batch.
 
-`serve` does the I/O, which blocks.
+A batch has events for any number of nodes; each node has its own `Instance`. `serve` does blocking I/O.
 """
 
 import sys
@@ -12,18 +12,21 @@
 
 
 class MalformedError(Exception):
-    """A line does not have the shape of the wire."""
+    """An input line does not follow the link's message format."""
 
 
 class Host:
-    """The instances of this process; they share only the numbered lists of the wire."""
+    """Holds the instances of this process, by node; they share only the server lists registered by number."""
 
     def __init__(self) -> None:
         self._instances: dict[str, Instance] = {}
         self._lists: dict[int, list[dict[str, Any]]] = {}
 
-    def answer(self, batch: dict[str, Any]) -> dict[str, Any]:
-        """The reply to a batch; raises `MalformedError`."""
+    def handle_batch(self, batch: dict[str, Any]) -> dict[str, Any]:
+        """Returns the reply to a batch; raises `MalformedError`.
+
+        Any other exception of an instance becomes a "fault" in its decisions, and the other nodes go on.
+        """
         now, replies = batch["now"], []
         for entry in batch["nodes"]:
             name, events = entry["node"], entry["events"]
@@ -31,11 +34,12 @@
                 decisions = self._handle_events(name, now, events)
             except (KeyError, TypeError, AttributeError) as error:
                 if _well_formed(events):
-                    decisions = [_fault(error)]
+                    decisions = [_fault_entry(error)]
                 else:
-                    raise MalformedError(f"event without its fields: {error}") from error
-            except Exception as error:  # in the reply, so that the operators see it
-                decisions = [_fault(error)]
+                    raise MalformedError(f"event with a missing or invalid field: {error}") from error
+            except Exception as error:
+                # Reported in the reply, so that the operators see it.
+                decisions = [_fault_entry(error)]
             if decisions:
                 replies.append({"node": name, "decisions": decisions})
         return {"nodes": replies}
@@ -50,7 +54,7 @@
                 self._instances[name] = instance
                 decisions = []
             elif kind == "exit":
-                # what it held is void, also what came earlier in this batch
+                # The node lost its state, including events that came earlier in this batch.
                 self._instances.pop(name, None)
                 instance = None
             elif kind == "register":
@@ -96,46 +100,46 @@
     )
 
 
-def _fault(error: Exception) -> dict[str, str]:
-    step = error.__traceback__
-    while step is not None and step.tb_next is not None:
-        step = step.tb_next
-    location = f" at line {step.tb_lineno} of {step.tb_frame.f_code.co_name}" if step else ""
+def _fault_entry(error: Exception) -> dict[str, str]:
+    frame = error.__traceback__
+    while frame is not None and frame.tb_next is not None:
+        frame = frame.tb_next
+    location = f" at line {frame.tb_lineno} of {frame.tb_frame.f_code.co_name}" if frame else ""
     return {"m": "fault", "msg": f"{type(error).__name__}: {error}{location}"}
 
 
-def _batch(line: bytes) -> dict[str, Any]:
-    """One line as a batch."""
+def _parse_batch(line: bytes) -> dict[str, Any]:
+    """Parses and checks one input line; raises `MalformedError`."""
     try:
         batch = orjson.loads(line)
     except orjson.JSONDecodeError as error:
         raise MalformedError(f"not JSON: {error}") from error
     if not isinstance(batch, dict):
-        raise MalformedError("not an object")
+        raise MalformedError("a batch must be a JSON object")
     if isinstance(batch.get("now"), bool) or not isinstance(batch.get("now"), int | float):
-        raise MalformedError('no clock in "now"')
+        raise MalformedError('"now" must be a number of seconds')
     if not isinstance(batch.get("nodes"), list):
-        raise MalformedError('no list in "nodes"')
+        raise MalformedError('"nodes" must be a list')
     for entry in batch["nodes"]:
         if not (
             isinstance(entry, dict)
             and isinstance(entry.get("node"), str)
             and isinstance(entry.get("events"), list)
         ):
-            raise MalformedError('an entry of "nodes" lacks "node" or "events"')
+            raise MalformedError('each entry of "nodes" must have a string "node" and a list "events"')
     return batch
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answers batches until the input ends; returns the exit status."""
+    """Answers batches until the input ends; returns the exit status, 2 after a malformed line."""
     host = Host()
-    for count, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         if not line.strip():
             continue
         try:
-            reply = orjson.dumps(host.answer(_batch(line)))
+            reply = orjson.dumps(host.handle_batch(_parse_batch(line)))
         except MalformedError as error:
-            print(f"line {count}: {error}", file=sys.stderr)
+            print(f"line {line_number}: {error}", file=sys.stderr)
             return 2
         sink.write(reply + b"\n")
         sink.flush()
--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -1,6 +1,7 @@
-"""One node's decisions on the bench's wire: ids to dense numbers on the way in, back on the way out.
+"""Translates between the simulator's messages and one node's `Balancer`. No I/O, no decisions.
 
-The names in messages are the wire's. No I/O, no decisions.
+Maps the ids of incoming messages to the balancer's dense numbers, and back in its commands. The keys and
+values of messages are defined by the simulator.
 """
 
 import random
@@ -25,11 +26,11 @@
     "skipped": AttemptOutcome.MOOT,
 }
 STATE_NAMES = {"live": ServerState.LIVE, "quiescing": ServerState.DRAINING, "dead": ServerState.REMOVED}
-HAS_COST, IS_REPEATED = 1, 2  # bits of an ask's "attrs"
+HAS_COST, IS_REPEATED = 1, 2  # bits of "attrs" in an "ask" message
 
 
 class Instance:
-    """The numbering of one node, and the `CommandWriter` of its decisions."""
+    """One node of the simulation: collects its events, and is the `CommandWriter` of its balancer."""
 
     def __init__(self, seed: int, info: dict[str, Any]) -> None:
         self._servers = NameNumbering()
@@ -37,50 +38,50 @@
         self._short_names = peer_messages.ShortNames()
         self._zones = NameNumbering({name: i for i, name in enumerate(info.get("dcs") or [])})
         self._models = NameNumbering({name: i for i, name in enumerate(info.get("skus") or [])})
-        self._classes = {kind["name"]: i for i, kind in enumerate(info.get("traffic-types") or [])}
-        self._tenants = {one["name"]: i for i, one in enumerate(info.get("tenants") or [])}
+        self._request_classes = {entry["name"]: i for i, entry in enumerate(info.get("traffic-types") or [])}
+        self._tenants = {entry["name"]: i for i, entry in enumerate(info.get("tenants") or [])}
         self._request_numbers: dict[int | None, int] = {}
         self._call_ids: dict[int, int] = {}
         self._in_flight: defaultdict[int, int] = defaultdict(int)
-        self._ended: set[int] = set()
+        self._over: set[int] = set()
         self._next_number = 0
-        self._to_forget: list[int] = []
+        self._to_remove: list[int] = []
         self.events: list[tuple[Any, ...]] = []
         self.decisions: list[dict[str, Any]] = []
         self._balancer = Balancer(decision_settings(info, self._zones), random.Random(seed))
 
     def handle_events(self, now: float) -> list[dict[str, Any]]:
-        """Has all events handled that were added since the last call; returns the commands for the wire."""
+        """Handles all events added since the last call; returns the commands as messages."""
         events, self.events, self.decisions = self.events, [], []
         self._balancer.handle_events(now, events, self)
-        self._drop_forgotten()
+        self._remove_scheduled()
         return self.decisions
 
-    # what comes in
+    # incoming messages
 
     def ask(self, message: dict[str, Any]) -> None:
-        """A request has arrived."""
+        """Adds the arrival of a request."""
         call = message["call"]
         self._request_numbers[call] = number = self._next_number
         self._call_ids[number] = call
         self._next_number += 1
-        kind = self._classes[message["band"]]
+        request_class = self._request_classes[message["band"]]
         tenant = self._tenants.get(message.get("client-group"), -1)
-        repeated = bool(message.get("attrs", 0) & IS_REPEATED)
-        work = message.get("cost", 0.0) if message.get("attrs", 0) & HAS_COST else 0.0
+        is_repeated = bool(message.get("attrs", 0) & IS_REPEATED)
+        cost = message.get("cost", 0.0) if message.get("attrs", 0) & HAS_COST else 0.0
         self.events.append(
-            (Event.ARRIVED, number, kind, message.get("left", 0.0), tenant, repeated, (), work)
+            (Event.ARRIVED, number, request_class, message.get("left", 0.0), tenant, is_repeated, (), cost)
         )
 
     def returned(self, message: dict[str, Any]) -> None:
-        """An attempt has ended."""
+        """Adds the end of an attempt; ignored if the request is no longer known."""
         number = self._request_numbers.get(message["call"])
         if number is None:
             return
-        finished = message.get("done-flag", False)
+        is_finished = message.get("done-flag", False)
         self._in_flight[number] -= 1
-        if finished:
-            self._ended.add(number)
+        if is_finished:
+            self._over.add(number)
         outcome = OUTCOME_NAMES.get(message["result"], AttemptOutcome.UNKNOWN)
         self.events.append(
             (
@@ -90,14 +91,14 @@
                 self._server(message["server"]),
                 outcome,
                 message.get("took", 0.0),
-                finished,
-                _report(message),
+                is_finished,
+                _load_report(message),
             )
         )
-        self._forget(number)
+        self._remove_when_idle(number)
 
     def established(self, message: dict[str, Any]) -> None:
-        """A streamed answer has begun."""
+        """Adds the start of a streamed response."""
         number = self._request_numbers.get(message["call"])
         if number is not None:
             self.events.append(
@@ -105,15 +106,15 @@
             )
 
     def left(self, message: dict[str, Any]) -> None:
-        """The client of a request has left."""
+        """Adds that the client of a request has left."""
         number = self._request_numbers.get(message["call"])
         if number is not None:
-            self._ended.add(number)
-            self._forget(number)
+            self._over.add(number)
+            self._remove_when_idle(number)
             self.events.append((Event.CLIENT_LEFT, number))
 
     def targets(self, form: str, hosts: list[dict[str, Any]]) -> None:
-        """A list of servers: `form` is "broken" for a failed one, "patch" for a change."""
+        """Adds a server list: `form` is "broken" if the fetch failed, "patch" for changes only."""
         if form == "broken":
             self.events.append((Event.LIST_FAILED,))
             return
@@ -132,7 +133,7 @@
         self.events.append((Event.SERVERS_LISTED, entries, form != "patch"))
 
     def echo(self, message: dict[str, Any]) -> None:
-        """A probe has ended."""
+        """Adds the result of a probe."""
         outcome = OUTCOME_NAMES.get(message["result"], AttemptOutcome.UNKNOWN)
         self.events.append(
             (
@@ -140,23 +141,23 @@
                 self._server(message["server"]),
                 outcome,
                 message.get("took", 0.0),
-                _report(message),
+                _load_report(message),
             )
         )
 
     def wakeup(self, _message: dict[str, Any]) -> None:
-        """A moment asked for has come."""
+        """Adds that a requested timer is due."""
         self.events.append((Event.TIMER_DUE,))
 
     def whisper(self, message: dict[str, Any]) -> None:
-        """Another node has sent loads."""
-        figures = peer_messages.decode_loads(message.get("body", ""), self._short_names.numbers)
-        if figures:
-            self.events.append((Event.PEER_REPORTED, figures))
+        """Adds the server loads that another node has sent."""
+        loads = peer_messages.decode_loads(message.get("body", ""), self._short_names.numbers)
+        if loads:
+            self.events.append((Event.PEER_REPORTED, loads))
 
-    # what goes out
+    # outgoing commands
 
-    def attempt(self, request: int, server: int, time_out: float) -> None:
+    def attempt(self, request: int, server: int, timeout_s: float) -> None:
         """Writes the command to send a request to a server."""
         self._in_flight[request] += 1
         self.decisions.append(
@@ -164,17 +165,17 @@
                 "m": "relay",
                 "call": self._call_ids[request],
                 "server": self._addresses[server],
-                "cap": time_out,
+                "cap": timeout_s,
             }
         )
 
     def cancel(self, request: int, n: int) -> None:
-        """Writes the command to cancel an attempt."""
+        """Writes the command to cancel attempt `n` of a request."""
         self.decisions.append({"m": "withdraw", "call": self._call_ids[request], "n": n})
 
-    def reject(self, request: int, stay_away: float) -> None:
-        """Writes the final answer that a request did not run."""
-        self.decisions.append({"m": "shed", "call": self._call_ids[request], "stay-away": stay_away})
+    def reject(self, request: int, retry_after_s: float) -> None:
+        """Writes the final answer that a request is rejected, and when it may be sent again."""
+        self.decisions.append({"m": "shed", "call": self._call_ids[request], "stay-away": retry_after_s})
         self._end(request)
 
     def fail(self, request: int) -> None:
@@ -183,34 +184,34 @@
         self._end(request)
 
     def wake_at(self, moment: float) -> None:
-        """Writes the command to wake this node."""
+        """Writes the command to wake this node at a moment."""
         self.decisions.append({"m": "wake-me", "moment": moment, "key-back": 0})
 
     def probe(self, server: int) -> None:
         """Writes the command to probe a server."""
         self.decisions.append({"m": "sound-out", "server": self._addresses[server]})
 
-    def send_loads(self, figures: Mapping[int, float]) -> None:
-        """Writes the messages of these loads to all other nodes."""
+    def send_loads(self, loads: Mapping[int, float]) -> None:
+        """Writes messages with the loads of these servers to all other nodes."""
         for body in peer_messages.encode_loads(
-            (self._addresses[server], held) for server, held in figures.items()
+            (self._addresses[server], load) for server, load in loads.items()
         ):
             self.decisions.append({"m": "signal", "target": None, "body": body})
 
     def watch(self, enable: bool) -> None:
-        """Writes the command to begin or end the stream of list changes."""
+        """Writes the command to start or stop watching the server list."""
         self.decisions.append({"m": "watch", "enable": enable})
 
     def fetch(self) -> None:
-        """Writes the command to fetch the full list."""
+        """Writes the command to fetch the full server list."""
         self.decisions.append({"m": "fetch"})
 
     def close(self, server: int) -> None:
-        """Writes the command to close idle connections to a server."""
+        """Writes the command to close the idle connections to a server."""
         self.decisions.append({"m": "close", "server": self._addresses[server]})
 
     def log(self, text: str) -> None:
-        """Writes a log line."""
+        """Writes a log line for the operators."""
         self.decisions.append({"m": "log", "msg": text})
 
     def _server(self, address: str) -> int:
@@ -221,26 +222,27 @@
         return number
 
     def _end(self, number: int) -> None:
-        self._ended.add(number)
-        self._forget(number)
+        self._over.add(number)
+        self._remove_when_idle(number)
 
-    def _forget(self, number: int) -> None:
-        """Lets go of a request that is over with no attempt out, once the round's decisions are written.
+    def _remove_when_idle(self, number: int) -> None:
+        """Schedules the removal of a request that is over and has no attempt in flight.
 
-        Until then a decision may still name it: a withdrawal crosses with the outcome.
+        It is removed only after the batch's commands are written, since until then a command may still
+        refer to it: a cancellation can cross with the outcome of the attempt.
         """
-        if number in self._ended and self._in_flight[number] <= 0:
-            self._to_forget.append(number)
+        if number in self._over and self._in_flight[number] <= 0:
+            self._to_remove.append(number)
 
-    def _drop_forgotten(self) -> None:
-        for number in self._to_forget:
+    def _remove_scheduled(self) -> None:
+        for number in self._to_remove:
             call = self._call_ids.pop(number, None)
             self._request_numbers.pop(call, None)
-            self._ended.discard(number)
+            self._over.discard(number)
             self._in_flight.pop(number, None)
-        self._to_forget.clear()
+        self._to_remove.clear()
 
 
-def _report(message: dict[str, Any]) -> dict[str, float] | None:
+def _load_report(message: dict[str, Any]) -> dict[str, float] | None:
     stats = message.get("server-stats")
     return {REPORT_FIGURES.get(name, name): figure for name, figure in stats.items()} if stats else None
