--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,8 +1,8 @@
 """Runs the tests of the current folder; those that KNOWN-RED.txt lists as known failures run separately.
 
 Each line of that file has the test as pytest names it, the cause and the issue, separated by ` | `. At most
-three lines are allowed. Without the file, or with an empty one, this is the same as `python -m pytest`. Arguments
-are passed on to the run of all other tests: `-n auto` spreads them over the cores.
+three lines are allowed. Without the file, or with an empty one, this is the same as `python -m pytest`.
+Arguments are passed on to the run of all other tests: `-n auto` spreads them over the cores.
 """
 
 import subprocess
--- a/tests/soak/asyncio_bridge.py
+++ b/tests/soak/asyncio_bridge.py
@@ -1,7 +1,7 @@
 """An asyncio loop that runs inside a trio task, on trio's clock.
 
-Control nodes use asyncio and edge nodes trio. With trio's MockClock both have one virtual time, so a complete
-router set runs in one process, without sockets and without waiting.
+Control nodes use asyncio and edge nodes trio. With trio's MockClock both share one virtual time, so a
+complete router set runs in one process, without sockets and without waiting in real time.
 """
 
 import asyncio
@@ -13,7 +13,7 @@
 
 
 class SharedClockLoop(VirtualTimeLoop):
-    """An asyncio loop on trio's clock that never waits by itself."""
+    """An asyncio loop on trio's clock; its selector never blocks."""
 
     def __init__(self):
         super().__init__()
@@ -24,7 +24,7 @@
 
 
 class AsyncioBridge:
-    """Runs the asyncio loop whenever a callback or a timer of it is due."""
+    """Runs the asyncio loop whenever one of its callbacks or timers is due."""
 
     def __init__(self):
         self.loop = SharedClockLoop()
@@ -39,7 +39,7 @@
             self._wake_up = trio.Event()
 
     def _run_due(self):
-        """Runs all that is due; returns the time of the next timer."""
+        """Runs all callbacks and timers that are due; returns the time of the next timer."""
         loop = self.loop
         asyncio._set_running_loop(loop)
         try:
--- a/tests/soak/process_cluster.py
+++ b/tests/soak/process_cluster.py
@@ -1,7 +1,7 @@
-"""A router set of real processes on loopback, with clients and a server in this process.
+"""A router set of real processes on loopback, with clients and a model server in this process.
 
-The usage of a tenant is what arrived at the server and was run, by the clock of this process. Clients keep
-using an open connection until it ends, also while the process behind it is stopping.
+A tenant's usage is counted when a request reaches the server and runs, by the clock of this process. Clients
+keep using an open connection until it ends, even while the process behind it is stopping.
 """
 
 import json
@@ -22,9 +22,9 @@
 WINDOW_S, EXCESS, SLACK = 4.0, 0.1, 4_000.0
 GRACE_S = 3.0
 HEARTBEAT_S = 0.5
-REQUEST_TOKENS = (20, 60, 180)  # of a request
-RESPONSE_TIMEOUT_S = 3.0  # of a client
-NOT_RUN_STATUSES = (429, 503)  # promise that a request never ran and never will
+REQUEST_TOKENS = (20, 60, 180)  # sizes of requests
+RESPONSE_TIMEOUT_S = 3.0  # after which a client gives up on a response
+NOT_RUN_STATUSES = (429, 503)  # statuses which guarantee that a request never ran and never will
 BOUNDS = {
     "quota_window_s": WINDOW_S,
     "quota_excess": EXCESS,
@@ -37,7 +37,7 @@
 
 
 class LoadTenant(LimitedTenant):
-    """A tenant, the number of its clients, and the mean pause of each between two requests, in seconds."""
+    """A tenant with the number of its clients and their mean pause between two requests."""
 
     def __init__(self, name, rate, burst, clients, pause_s):
         super().__init__(RULE, name, rate, burst, uncached_tokens=20)
@@ -45,7 +45,7 @@
 
 
 async def http_request(address, method, path, content=None, headers=(), timeout_s=1.5):
-    """One HTTP request, redirected at most; its status and body, status 0 without a response."""
+    """Sends an HTTP request and follows redirects; returns status (0 without a response) and body."""
     host, port = address
     body = b"" if content is None else json.dumps(content).encode()
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", f"Content-Length: {len(body)}", *headers]
@@ -66,7 +66,7 @@
 
 
 class RouterProcess:
-    """One process of the router set, with its settings file and its log."""
+    """A process of the router set, with its settings file and its log."""
 
     def __init__(self, system, role, host):
         self.system, self.role, self.host = system, role, host
@@ -76,7 +76,7 @@
         self.write_settings()
 
     def write_settings(self, **bounds):
-        """Replaces the settings file by renaming; JSON is YAML too."""
+        """Replaces the settings file atomically; it is YAML, of which JSON is a subset."""
         folder = self.system.folder
         listen = {"control": f"{self.host}:{CONTROL_PORT}"}
         if self.role == "edge":
@@ -129,11 +129,13 @@
 
 
 class ProcessCluster:
-    """All processes, the server that they reach, and the clients; ends every process that it started."""
+    """All processes, the server that they route to, and the clients; ends every process that it started."""
 
     def __init__(self, folder, seed, block, controls, edges, tenants):
         if any(folder.iterdir()):
-            raise FileExistsError(f"{folder} has the disks of another run, with limits of its own")
+            raise FileExistsError(
+                f"{folder} is not empty: it has the disks of another run, with other limits"
+            )
         self.folder, self.rng, self.tenants = folder, Random(seed), tenants
         hosts = [f"127.{block}.0.{number}" for number in range(1, controls + 1)]
         self.seeds = hosts[:3]
@@ -143,12 +145,12 @@
         ]
         self.server_address = (f"127.{block}.2.1", 18080)
         self.generation = 0
-        self.run_counts = Counter()  # by request id
-        self.not_run_ids = set()  # ids of requests with a response that promises that they never ran
-        self.response_counts = Counter()  # by status, and closed connections
-        self.faults = []  # injected: (time, fault)
+        self.run_counts = Counter()  # executions by request id
+        self.not_run_ids = set()  # ids of requests whose response guarantees that they never ran
+        self.response_counts = Counter()  # responses by status, and requests without a response
+        self.faults = []  # injected faults: (time, fault)
 
-    # the server
+    # model server
 
     async def _serve(self, stream):
         rest = b""
@@ -193,10 +195,10 @@
                     break
             await trio.sleep(HEARTBEAT_S)
 
-    # the operator
+    # operator
 
     async def configure(self):
-        """Sends the tenants' present limits to random nodes until they are acknowledged."""
+        """Sends the tenants' current limits to random control nodes until they are acknowledged."""
         base, self.generation = self.generation, self.generation + 1
         body = make_configuration(self.generation, self.tenants, timeout_ms=2500, target_ms=300, host=HOST)
         while True:
@@ -239,7 +241,7 @@
             await stream.send_all("\r\n".join(lines).encode() + b"\r\n\r\n")
             message = await read_message(stream, rest)
             if message is None:
-                raise ConnectionError("closed")
+                raise ConnectionError("connection closed without a response")
             status_line, headers, _, rest = message
         status = int(status_line.split(" ")[1])
         assert headers.get("request-id", identity) == identity
@@ -247,13 +249,13 @@
         if status in NOT_RUN_STATUSES:
             self.not_run_ids.add(identity)
         if headers.get("connection", "").lower() == "close":
-            raise ConnectionError("the node closes it")
+            raise ConnectionError("the node announced that it closes the connection")
         return rest
 
-    # a run
+    # running
 
     async def run(self, inject_faults, length_s):
-        """Starts everything, runs `inject_faults(self)` while clients send, and ends everything."""
+        """Starts all processes, runs `inject_faults(self)` while clients send, and ends all processes."""
         try:
             async with trio.open_nursery() as nursery:
                 host, port = self.server_address
@@ -295,17 +297,17 @@
                 process.process.wait()
 
     def violations(self):
-        """A line for each rule that was broken."""
+        """Returns a line for each rule that was broken."""
         violations = [line for tenant in self.tenants for line in tenant.violations()]
         if twice := [identity for identity, count in self.run_counts.items() if count > 1]:
-            violations.append(f"run twice: {twice[:3]}")
+            violations.append(f"run more than once: {twice[:3]}")
         if rejected := [identity for identity in self.not_run_ids if identity in self.run_counts]:
-            violations.append(f"run, and answered as never run: {rejected[:3]}")
+            violations.append(f"run, but the response said it never ran: {rejected[:3]}")
         return violations
 
 
 class RandomFaults:
-    """Random signals, restarts and changes of limits, which may overlap."""
+    """Injects random signals, restarts and changes of limits, which may overlap."""
 
     def __init__(self, seed, until_s):
         self.rng, self.until_s = Random(seed), until_s
@@ -336,7 +338,7 @@
         process.start()
 
     async def _stop(self, process):
-        """Sends SIGTERM as the platform does, SIGKILL after the grace period, and starts a new process."""
+        """Sends SIGTERM and, after the grace period, SIGKILL, as the platform does; then restarts."""
         process.send_signal(signal.SIGTERM)
         await process.wait_until_ended(GRACE_S)
         process.start()
@@ -373,7 +375,7 @@
         process.send_signal(signal.SIGCONT)
 
     async def _reload_settings(self, system):
-        """Changes a setting that no check here depends on, and sends SIGHUP."""
+        """Changes a setting that no check here depends on, in some processes, and sends them SIGHUP."""
         for process in system.edges + system.controls:
             if self.rng.random() < 0.5:
                 process.write_settings(reuse_s=self.rng.randint(1, 5))
@@ -387,7 +389,7 @@
 
 
 def run_random_faults(folder, seed, block, edges, length_s, controls=3):
-    """Runs a cluster with the random faults of a seed; returns it with what it recorded."""
+    """Runs a cluster with the random faults of a seed; returns it with its records."""
     rng = Random(seed)
     tenants = [
         LoadTenant("hot", 4_000.0, 4_000.0 * rng.uniform(0.5, 2.0), clients=4 * edges, pause_s=0.15),
--- a/tests/soak/quota_rule.py
+++ b/tests/soak/quota_rule.py
@@ -1,4 +1,4 @@
-"""The quota rule: what a tenant may use in any window, by the limits that it had."""
+"""The quota rule: how many tokens a tenant may use in any window, given the limits that it had over time."""
 
 from dataclasses import dataclass, field
 
@@ -7,8 +7,8 @@
 class QuotaRule:
     """The parameters of the rule.
 
-    `excess` is a fraction of the limit, `slack` are tokens; no older limit counts `settling_s` after a lower
-    one was sent.
+    `excess` is the fraction by which the limit may be exceeded, `slack` a number of tokens on top of it. From
+    `settling_s` after a lower limit was sent, the older limits no longer apply.
     """
 
     window_s: float
@@ -19,24 +19,24 @@
 
 @dataclass
 class LimitedTenant:
-    """A tenant with its usage; `limits` are all that were sent, the present one last."""
+    """A tenant with its usage; `limits` has every limit that was sent, the current one last."""
 
     rule: QuotaRule
     name: str
     rate: float
     burst: float
-    uncached_tokens: float  # tokens that a request without a count costs
-    limits: list = field(default_factory=list)  # (when it was sent, rate, burst)
-    usage: list = field(default_factory=list)  # (when, tokens)
+    uncached_tokens: float  # cost of a request without a token count
+    limits: list = field(default_factory=list)  # (time sent, rate, burst)
+    usage: list = field(default_factory=list)  # (time, tokens)
 
     def set_limit(self, now, rate, burst):
-        """Notes that another limit is sent."""
+        """Records that a new limit is sent."""
         self.rate, self.burst = rate, burst
         self.limits.append((now, rate, burst))
 
     @property
     def configuration(self):
-        """The tenant's item in the configuration."""
+        """Returns the tenant's entry in the configuration."""
         return {
             "name": self.name,
             "api_keys": [f"key-{self.name}"],
@@ -47,7 +47,7 @@
         }
 
     def allowed_tokens(self, begin):
-        """Tokens in the window from then on, by the highest limit that may have counted."""
+        """Returns the tokens allowed in the window from `begin` on, by the highest limit that may apply."""
         rule, first = self.rule, 0
         for number, (at, _, _) in enumerate(self.limits):
             if at <= begin - rule.settling_s:
@@ -57,7 +57,7 @@
         return max(allowed) * (1 + rule.excess) + rule.slack
 
     def max_window(self):
-        """The window with the largest fraction of the allowed tokens used: (fraction, tokens, begin)."""
+        """Returns the window with the largest used fraction of its tokens: (fraction, tokens, begin)."""
         best, total, first = (0.0, 0.0, 0.0), 0.0, 0
         for now, tokens in self.usage:
             total += tokens
@@ -69,15 +69,17 @@
         return best
 
     def violations(self):
-        """A line if the rule was broken."""
+        """Returns a list with one line if the rule was broken, an empty list otherwise."""
         fraction, used, begin = self.max_window()
         if fraction <= 1.0:
             return []
-        return [f"{self.name}: {fraction:.3f} of what is allowed, {used:.0f} from {begin:.2f} s on"]
+        return [
+            f"{self.name}: used {fraction:.3f} times the allowed tokens, {used:.0f} from {begin:.2f} s on"
+        ]
 
 
 def make_configuration(generation, tenants, timeout_ms, target_ms, host):
-    """A configuration with one route and these tenants."""
+    """Returns a configuration with one route and these tenants."""
     route = {
         "name": "ask",
         "hostname": host,
--- a/tests/soak/random_faults.py
+++ b/tests/soak/random_faults.py
@@ -1,6 +1,7 @@
-"""Random runs of a simulated fleet: hot tenants, and faults that overlap.
+"""Random runs of a simulated fleet with hot tenants and overlapping faults.
 
-Faults are lost primaries, partitions, restarts, slow responses and changes of limits. A seed gives the run.
+The faults are lost primaries, partitions, restarts, slow responses and changes of limits. The seed determines
+the run.
 """
 
 from random import Random
@@ -8,13 +9,13 @@
 import trio
 from soak.simulated_fleet import SimulatedFleet, SimulatedTenant, run_fleet
 
-RUN_S = 26.0  # of virtual time
-FAULT_FREE_END_S = 3.0  # at the end, in which no fault begins
+RUN_S = 26.0  # in virtual time
+FAULT_FREE_END_S = 3.0  # time at the end of a run in which no fault is injected
 FIRST_FAULT_AT_S = 2.0
 
 
 def make_tenants(rng):
-    """A large tenant and three smaller ones, of which one or two become hot."""
+    """Returns a large tenant and three smaller ones; one or two of the four become hot."""
     tenants = []
     for number, rate in enumerate((190_000.0, 120_000.0, 70_000.0, 47_000.0)):
         rate *= 0.8 + 0.4 * rng.random()
@@ -26,7 +27,7 @@
 
 
 class RandomFaults:
-    """Injects random faults into a fleet; `injected` are (time, fault)."""
+    """Injects random faults into a fleet and records them as (time, fault) in `injected`."""
 
     def __init__(self, fleet, rng):
         self.fleet, self.rng = fleet, rng
@@ -57,7 +58,7 @@
                 await trio.sleep(rng.choice((0.1, 0.5, 1.0, 2.5)) * (0.5 + rng.random()))
 
     async def _lose(self, node, down_s):
-        """Kills a control node for a while; once in a run, perhaps, with its disk."""
+        """Kills a control node, restarts it after `down_s`; at most once in a run wipes its disk."""
         self.fleet.is_silent_on_exit = self.rng.random() < 0.6
         if self.rng.random() < 0.3 and not self._has_wiped:
             self._has_wiped = True
@@ -71,7 +72,7 @@
         await self._lose(await self.fleet.primary(), self.rng.uniform(0.3, 4.0))
 
     async def _lose_all_controls(self):
-        """Kills all control nodes at once for a second or so."""
+        """Kills all control nodes at once and restarts them one by one, within about a second."""
         nodes = list(self.fleet.cluster.nodes.values())
         self.fleet.is_silent_on_exit = self.rng.random() < 0.5
         for node in nodes:
@@ -81,7 +82,7 @@
             await self.fleet.on_control(node.start())
 
     async def _isolate_edges(self):
-        """Cuts some edge nodes off from all control nodes."""
+        """Partitions some edge nodes from all control nodes."""
         fraction = self.rng.choice((0.1, 0.2, 0.35))
         edges = [edge.name for edge in self.fleet.edges if self.rng.random() < fraction]
         pairs = {(edge, host) for edge in edges for host in self.fleet.cluster.nodes}
@@ -90,7 +91,7 @@
         self.fleet.blocked -= pairs
 
     async def _isolate_primary(self):
-        """Cuts the primary off from other control nodes; edge nodes reach them all."""
+        """Partitions the primary from the other control nodes; edge nodes still reach all of them."""
         primary = await self.fleet.primary()
         others = [host for host in self.fleet.cluster.nodes if host != primary.host]
         pairs = self.fleet.cluster.partition([primary.host], others)
@@ -98,26 +99,26 @@
         self.fleet.cluster.blocked -= pairs
 
     async def _delay_responses(self):
-        """Has control nodes respond later than edge nodes wait for."""
+        """Delays the responses of control nodes beyond the timeout of edge nodes."""
         self.fleet.response_delay_s = self.rng.choice((0.2, 0.5))
         await trio.sleep(self.rng.uniform(0.5, 3.0))
         self.fleet.response_delay_s = 0.0
 
     async def _restart_edges(self):
-        """Kills some edge nodes, which start again."""
+        """Kills some edge nodes, which `SimulatedFleet.keep_running` starts again."""
         for edge in self.fleet.edges:
             if self.rng.random() < 0.2:
                 edge.kill()
 
     async def _lose_controls_and_edges(self):
-        """Kills many processes of all kinds at the same moment."""
+        """Kills many edge nodes and all control nodes at the same moment."""
         for edge in self.fleet.edges:
             if self.rng.random() < 0.6:
                 edge.kill()
         await self._lose_all_controls()
 
     async def _stop_primary(self):
-        """Stops the primary, which hands over, and starts it again."""
+        """Stops the primary gracefully, so that it hands over its leadership, and starts it again."""
         primary = await self.fleet.primary()
         try:
             await self.fleet.on_control(primary.request(lambda service: service.stop()))
@@ -128,7 +129,7 @@
         await self.fleet.on_control(primary.start())
 
     async def _change_limits(self):
-        """Changes the limit of a tenant, up or down."""
+        """Raises or lowers the limit of a tenant."""
         tenant = self.rng.choice(self.fleet.tenants)
         factor = self.rng.choice((0.5, 0.8, 1.2, 2.0))
         tenant.set_limit(trio.current_time(), tenant.rate * factor, tenant.burst * factor)
--- a/tests/soak/simulated_fleet.py
+++ b/tests/soak/simulated_fleet.py
@@ -1,8 +1,8 @@
 """A complete router set in virtual time: control nodes, edge nodes, tenants' clients, and the quota rule.
 
-Control service, replication, control client, admission and quota leases are those of the package; the
-network, disks, servers and clients are stand-ins. Usage is counted where a request would be written to its
-server, and checked against the rule alone.
+Control service, replication, control client, admission and quota leases are the production code; the network,
+disks, servers and clients are simulated. Usage is counted where a request would be written to its server, and
+checked only against the quota rule.
 """
 
 import json
@@ -35,21 +35,21 @@
 from wheatroute.edge.request import ClientRequest
 
 HOST = "desk.example"
-REQUEST_TOKENS = (1_630, 1_630, 9_240, 17_140)  # of a request, each as likely
+REQUEST_TOKENS = (1_630, 1_630, 9_240, 17_140)  # sizes of requests, equally likely
 MEAN_REQUEST_TOKENS = sum(REQUEST_TOKENS) / len(REQUEST_TOKENS)
-LATENCY_RANGE_S = (0.001, 0.003)  # one way
-REJECTION_PROBABILITY = 0.02  # by the server, which has not run the request
-DEMAND_CHECK_INTERVAL_S = 0.5  # after which waiting clients check whether their tenant is hot
-MAX_RETRIES = 2  # of a client whose request is rejected
+LATENCY_RANGE_S = (0.001, 0.003)  # of the network, one way
+REJECTION_PROBABILITY = 0.02  # that the server rejects a request without running it
+DEMAND_CHECK_INTERVAL_S = 0.5  # between two checks of waiting clients whether their tenant has become hot
+MAX_RETRIES = 2  # by the client after a rejection
 BOUNDS = Bounds(
     quota_window_s=8.0, quota_excess=0.1, quota_slack=190_000.0, converge_ms=2500.0, contact_ms=4000.0
 )
-USUAL_DEMAND = 1 / 1.3  # of a tenant's rate
+USUAL_DEMAND = 1 / 1.3  # as a fraction of a tenant's rate
 RULE = QuotaRule(
     BOUNDS.quota_window_s,
     BOUNDS.quota_excess,
     BOUNDS.quota_slack,
-    # a lower limit counts a window after it was acknowledged and applied by every edge node
+    # A lower limit applies one window after it was acknowledged and every edge node has applied it.
     (BOUNDS.converge_ms + BOUNDS.contact_ms) / 1000.0 + 2.0 + BOUNDS.quota_window_s,
 )
 LOG = logging.getLogger("simulated-fleet")
@@ -57,7 +57,7 @@
 
 
 class SimulatedTenant(LimitedTenant):
-    """A tenant and the demand of its clients: a fraction of its first rate, a multiple of that while hot."""
+    """A tenant and its clients' demand: a fraction of its initial rate, a multiple of that while hot."""
 
     def __init__(self, name, rate, burst, hot=()):
         super().__init__(RULE, name, rate, burst, uncached_tokens=200)
@@ -72,7 +72,7 @@
 
 
 class QuotaCluster(SimulatedCluster):
-    """A cluster of control nodes with the bounds of the quota rule."""
+    """A cluster of control nodes whose bounds are those of the quota rule."""
 
     def settings(self, host, bootstrap):
         tolerate = FailureTolerance(machines=(len(self.nodes) - 1) // 2)
@@ -92,7 +92,7 @@
         node = fleet.cluster.nodes.get(host)
         if fleet.is_blocked(self._name, host):
             await trio.sleep(limits["connect"])
-            raise httpx.ConnectTimeout("silent")
+            raise httpx.ConnectTimeout("no response")
         if node is None or node.service is None:
             raise httpx.ConnectError("refused")
         body = await request.aread()
@@ -108,7 +108,7 @@
                 await trio.sleep_forever()
             status = 503 if isinstance(message, NotPrimary) else 200
             return httpx.Response(status, content=msgspec.msgpack.encode(message))
-        raise httpx.ReadTimeout("silent")
+        raise httpx.ReadTimeout("no response")
 
     @staticmethod
     def _handler(path, body):
@@ -121,14 +121,14 @@
 
 
 class SimulatedEdgeNode:
-    """One edge node, whose process runs until `kill`."""
+    """One edge node; its process runs until `kill`."""
 
     def __init__(self, fleet, number):
         self.fleet, self.name = fleet, f"edge-{number}"
         self.scope = None
 
     async def run(self):
-        """Runs one incarnation of the process."""
+        """Runs one incarnation of the process, until it is killed."""
         fleet = self.fleet
         settings = Settings(
             node=self.name,
@@ -188,7 +188,7 @@
 
 
 class SimulatedFleet:
-    """All nodes and clients, and the state of faults."""
+    """All nodes and clients, and the faults that are in effect."""
 
     def __init__(self, seed, tenants, edges, controls=5):
         self.rng = Random(seed)
@@ -196,11 +196,10 @@
         self.bridge = AsyncioBridge()
         self.cluster = QuotaCluster(seed, controls)
         self.edges = [SimulatedEdgeNode(self, number) for number in range(edges)]
-        self.blocked = set()  # of (edge, host)
-        self.is_silent_on_exit = (
-            False  # whether connections to ended processes time out, instead of being refused
-        )
-        self.response_delay_s = 0.0  # the largest additional delay of a control node's response
+        self.blocked = set()  # partitioned pairs: (edge node, host of a control node)
+        # Whether connections to ended processes time out instead of being refused.
+        self.is_silent_on_exit = False
+        self.response_delay_s = 0.0  # maximum additional delay of a control node's response
         self.generation = 0
 
     def draw_latency(self):
@@ -216,11 +215,11 @@
         )
 
     async def on_control(self, coroutine):
-        """Runs a coroutine of control nodes, on their event loop."""
+        """Runs a coroutine on the event loop of the control nodes and returns its result."""
         return await self.bridge.call(coroutine)
 
     async def configure(self):
-        """Sends the tenants' present limits until they are acknowledged."""
+        """Sends the tenants' current limits until they are acknowledged."""
         base, self.generation = self.generation, self.generation + 1
         body = make_configuration(self.generation, self.tenants, timeout_ms=4000, target_ms=500, host=HOST)
         change = Change(False, str(base), json.dumps(body).encode())
@@ -233,7 +232,7 @@
                 await trio.sleep(0.1)
 
     async def primary(self):
-        """The primary, once there is one that may acknowledge."""
+        """Waits for a primary that may acknowledge changes, and returns it."""
 
         async def find():
             return self.cluster.primary()
@@ -243,18 +242,18 @@
         return primary
 
     async def keep_running(self, edge, down_s=0.3):
-        """Starts an edge node again whenever its process has ended."""
+        """Runs an edge node, and starts it again `down_s` after each exit of its process."""
         while True:
             await edge.run()
             await trio.sleep(down_s)
 
     def violations(self):
-        """A line for each tenant that broke the rule."""
+        """Returns a line for each tenant that broke the quota rule."""
         return [line for tenant in self.tenants for line in tenant.violations()]
 
 
 def run_fleet(fleet, scenario, length_s):
-    """Runs `scenario(fleet)` beside the clients for so many seconds; returns the violations of the rule."""
+    """Runs `scenario(fleet)` beside the clients for `length_s`; returns the violations of the quota rule."""
 
     async def run():
         async with trio.open_nursery() as nursery:
--- a/tests/soak/test_random_faults.py
+++ b/tests/soak/test_random_faults.py
@@ -1,6 +1,7 @@
-"""Every tenant keeps to its limit under random faults that overlap.
+"""No tenant exceeds its limit under random faults that overlap.
 
-Seeds that once showed a fault of the program stay here. More of them by hand, with so many edge nodes each:
+Seeds that revealed a bug stay here as regressions. To run more seeds by hand (here seeds 100 to 159 with 63
+edge nodes each):
 
     WHEATROUTE_SOAK=100:160:63 python -m pytest tests/soak/test_random_faults.py -n 6
 """
@@ -10,18 +11,18 @@
 import pytest
 from soak.random_faults import run_random_faults
 
-# the seed, the number of edge nodes, and the fault of the program that it once showed
+# (seed, number of edge nodes, the bug that it revealed)
 REGRESSIONS = (
-    (0, 12, "a new primary began without the levels that it had received"),
+    (0, 12, "a new primary started without the bucket levels that it had received"),
     (13, 30, "the same"),
-    (14, 63, "the same, and nodes that computed their reserve by a primary that had counted few nodes"),
+    (14, 63, "the same, and edge nodes computed their reserve from a primary's count of too few nodes"),
     (121, 30, "isolated nodes used their shares while the primary granted the full rate to the others"),
-    (152, 12, "primaries that knew few nodes granted each of them most of the rate"),
+    (152, 12, "primaries that knew only a few nodes granted each of them most of the rate"),
 )
 
 
 def requested_runs():
-    """Runs that the environment variable asks for."""
+    """Returns the runs that the environment variable requests."""
     first, last, edges = (int(number) for number in os.environ.get("WHEATROUTE_SOAK", "0:0:0").split(":"))
     return [(seed, edges, "") for seed in range(first, last)]
 
@@ -30,5 +31,5 @@
 def test_no_tenant_gets_more_than_its_limit(seed, edges, fault):
     fleet, faults, violations = run_random_faults(seed, edges)
     assert not violations, (violations, faults)
-    # and requests of every tenant were served
+    # Requests of every tenant were served.
     assert all(len(tenant.usage) > 20 for tenant in fleet.tenants)
--- a/tests/soak/test_signals_and_restarts.py
+++ b/tests/soak/test_signals_and_restarts.py
@@ -1,6 +1,6 @@
-"""Real processes under signals, restarts and changes of limits keep every tenant to its limit.
+"""No tenant exceeds its limit while real processes get signals, restarts and changes of limits.
 
-More runs by hand, with so many edge nodes and seconds each:
+To run more seeds by hand (here seeds 0 to 49 with 6 edge nodes and 20 seconds each):
 
     WHEATROUTE_SOAK_PROCESSES=0:50:6:20 python -m pytest tests/soak/test_signals_and_restarts.py -n 4
 """
@@ -10,12 +10,12 @@
 import pytest
 from soak.process_cluster import run_random_faults
 
-SHORT = ((1, 4, 14.0), (2, 3, 14.0))  # seed, edge nodes, seconds
-FIRST_BLOCK, BLOCKS = 30, 200  # of loopback addresses, one for each run beside others
+SHORT = ((1, 4, 14.0), (2, 3, 14.0))  # (seed, edge nodes, seconds)
+FIRST_BLOCK, BLOCKS = 30, 200  # blocks of loopback addresses, so that runs in parallel share none
 
 
 def requested_runs():
-    """Runs that the environment variable asks for."""
+    """Returns the runs that the environment variable requests."""
     numbers = os.environ.get("WHEATROUTE_SOAK_PROCESSES", "0:0:0:0").split(":")
     first, last, edges = (int(number) for number in numbers[:3])
     return [(seed, edges, float(numbers[3])) for seed in range(first, last)]
