--- a/benchmarks/versions.py
+++ b/benchmarks/versions.py
@@ -252,8 +252,8 @@
         print(
             f"etcd away for {seconds:g} s from {phase:8} served before {served_shares[0]:.3f}, "
             f"then {served_shares[1]:.3f}; agreed {agreed_at - resumed_at:.2f} s after its return; "
-            f"last contradiction {summary['worst_contradiction_ms'] / 1000:.2f} s; lost {summary['lost']}  twice "
-            f"{summary['unsafe_twice']}  requests {summary['commands']}",
+            f"last contradiction {summary['worst_contradiction_ms'] / 1000:.2f} s; lost {summary['lost']}  "
+            f"twice {summary['unsafe_twice']}  requests {summary['commands']}",
             flush=True,
         )
 
