--- a/benchmarks/etcd.py
+++ b/benchmarks/etcd.py
@@ -101,6 +101,7 @@
         self._seconds = seconds
 
     async def start_load(self, rate: float) -> None:
+        """Starts a proxy for each processor, with this many requests per second."""
         for node, (_, port, seen) in enumerate(self._processes):
             self._proxies.append(
                 subprocess.Popen(
@@ -127,6 +128,7 @@
             )
 
     async def results(self) -> tuple[list[dict[str, Any]], list[dict[str, list[float]]]]:
+        """Waits for the proxies; returns their reports, and the times of their decisions by server."""
         reports = []
         for proxy in self._proxies:
             out, _ = await trio.to_thread.run_sync(lambda proxy=proxy: proxy.communicate(timeout=60))
@@ -208,6 +210,7 @@
 
 
 async def measure_drains(short: bool) -> dict[str, Any]:
+    """Runs the processors under load while servers drain and etcd fails; returns the figures."""
     store = Store()
     members = [Member(store) for _ in range(3)]
     for server in range(SERVERS):
@@ -236,6 +239,7 @@
     reports: list[dict[str, Any]],
     decision_times: list[dict[str, list[float]]],
 ) -> dict[str, Any]:
+    """Prints the time to follow each drain; returns the figures of all drains and proxies."""
     late, lags = 0, []
     for name, server, since in drains:
         moments = [
--- a/benchmarks/processor.py
+++ b/benchmarks/processor.py
@@ -60,6 +60,7 @@
 
 
 def free_port() -> int:
+    """Returns a port that was free just now."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         return int(free.getsockname()[1])
 
@@ -157,6 +158,7 @@
 def measure(
     is_floor: bool, options: argparse.Namespace, rate: float, seconds: float, vanish: float
 ) -> dict[str, Any]:
+    """Measures the processor or the floor server at a rate; returns its latencies, CPU time and memory."""
     process, port = start(is_floor, options.workers, options.servers)
     try:
         # Warm-up: cold starts are not measured.
@@ -189,6 +191,8 @@
     decision = encoder.decision(b"127.0.0.1:7000", 1.0)
 
     class FixedDecision:
+        """Answers the first message of a call with the decision, and the next ones with CONTINUE."""
+
         def __init__(self, call: Call) -> None:
             self.call, self.answers = call, 0
 
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -13,6 +13,7 @@
 
 
 def wait_until_up(address: str, node: subprocess.Popen) -> None:
+    """Waits until the node reports that it is up; exits if its process has ended."""
     while node.poll() is None:
         client = http.client.HTTPConnection(address, timeout=1)
         try:
--- a/examples/system_demo.py
+++ b/examples/system_demo.py
@@ -118,6 +118,7 @@
 
 
 def configuration(generation: int, routes: list[dict[str, object]]) -> dict[str, object]:
+    """Returns a configuration with these routes to the toy server."""
     return {"generation": generation, "routes": routes, "services": [{"name": "toy"}]}
 
 
@@ -133,6 +134,7 @@
 
 
 def run_demo(folder: Path, processes: dict[str, subprocess.Popen[bytes]]) -> None:
+    """Runs all steps of the demo; adds the processes that it starts to `processes`."""
     configure = [f"http://{host}:{CONTROL_PORT}/-/config" for host in CONTROLS]
     for host in CONTROLS:
         processes[host] = start("control", write_settings(f"control-{host}", host, "control", folder))
--- a/tests/soak/process_cluster.py
+++ b/tests/soak/process_cluster.py
@@ -102,6 +102,7 @@
         os.replace(draft, self.path)
 
     def start(self):
+        """Starts the process, unless it is running."""
         if self.process is not None and self.process.poll() is None:
             return
         self.write_settings()
@@ -115,6 +116,7 @@
             )
 
     def send_signal(self, number):
+        """Sends a signal if the process is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
--- a/wheatroute/benchlink/host.py
+++ b/wheatroute/benchlink/host.py
@@ -72,6 +72,7 @@
         return decisions
 
 
+# Methods that handle messages, by the kind of message ("m").
 _HANDLERS = {
     "ask": Instance.ask,
     "returned": Instance.returned,
@@ -81,6 +82,7 @@
     "wakeup": Instance.wakeup,
     "whisper": Instance.whisper,
 }
+# Keys that a message must have, by kind.
 _REQUIRED_KEYS = {
     "new-instance": ("rng-seed", "boot-info"),
     "register": ("roster-id", "hosts"),
@@ -94,6 +96,7 @@
 
 
 def _well_formed(events: Any) -> bool:
+    """Returns whether all events have their required keys; if so, an exception is a fault of the instance."""
     return isinstance(events, list) and all(
         isinstance(one, dict) and "m" in one and all(name in one for name in _REQUIRED_KEYS.get(one["m"], ()))
         for one in events
@@ -101,6 +104,7 @@
 
 
 def _fault_entry(error: Exception) -> dict[str, str]:
+    """Returns a "fault" message with the error and the line that raised it."""
     frame = error.__traceback__
     while frame is not None and frame.tb_next is not None:
         frame = frame.tb_next
--- a/wheatroute/benchlink/instance.py
+++ b/wheatroute/benchlink/instance.py
@@ -244,5 +244,6 @@
 
 
 def _load_report(message: dict[str, Any]) -> dict[str, float] | None:
+    """Returns the server's load report under internal names, None if the message has none."""
     stats = message.get("server-stats")
     return {REPORT_FIGURES.get(name, name): figure for name, figure in stats.items()} if stats else None
