--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -266,7 +266,7 @@
         store,
         Member("n0", "1", 1000.0),
         NullAdapter(),
-        lambda adapted, binding: None,
+        lambda adapted, applies_to_pending: None,
         lambda: None,
         lambda: ("", 0),
         structlog.get_logger(),
--- a/tests/agreement/test_version_adapter.py
+++ b/tests/agreement/test_version_adapter.py
@@ -61,7 +61,9 @@
         content = {"settings": with_changes(DEFAULT_SETTINGS, {"dcs": ["a"]} | changes, 2)}
         assert adapter_of().check(9, content) == line
     assert (
-        adapter_of().check(9, {"other": {}}).startswith("a version must have the part settings, file or both")
+        adapter_of()
+        .check(9, {"other": {}})
+        .startswith('a version must have the part "settings", "file" or both')
     )
 
 
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -20,10 +20,10 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.wire_names import NameNumbering
 
-# by number of a request class: the idempotencies whose forms are accepted, and the class that requests of a
-# form other than the class's current one enter
+# By number of a request class of which clients may still use, or already use, another form: the idempotencies
+# whose forms are accepted, and the number of the class that requests of such another form are assigned to.
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
-STRICT_SUFFIX = "\0strict"  # suffix of the name of a class's non-idempotent variant
+STRICT_SUFFIX = "\0strict"  # appended to a class's name, names its non-idempotent variant
 
 
 class DerivedSettings(NamedTuple):
@@ -43,7 +43,7 @@
         return self.settings.request_classes[self.request_classes[name]]
 
 
-# derives a process's settings from a version's content; raises `ContentError`
+# Derives a process's settings from a version's content; raises `ContentError`.
 DeriveSettings = Callable[[dict[str, Any]], DerivedSettings]
 
 
@@ -66,9 +66,9 @@
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._derived_by_version: dict[int, DerivedSettings] = {0: own}
-        # by class: its settings in the last version that has it
+        # by name of a class: its settings in the last version that has it
         self._last_definitions: dict[str, RequestClass] = {}
-        self._past_versions = {0}  # versions that were active here: clients may still use their forms
+        self._past_versions = {0}  # versions that were active here; clients may still use their forms
         for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
             for name, number in names.items():
                 assert numbers[name] == number
@@ -76,7 +76,7 @@
     def check(self, number: int, content: Any) -> str:
         """Returns why this process cannot use a version, as one line; empty if it can."""
         if not isinstance(content, dict) or not content or set(content) - set(VERSION_PARTS):
-            return "a version must have the part settings, file or both, and no other key"
+            return 'a version must have the part "settings", "file" or both, and no other key'
         try:
             derived = self._derive(content)
         except ContentError as error:
@@ -87,7 +87,7 @@
         return reason
 
     def _fixed_setting_error(self, derived: DerivedSettings) -> str:
-        """Returns an error if a setting differs that only a restart can change, else an empty string."""
+        """Returns an error if a version changes a setting in a way that needs a restart; empty if not."""
         for name in _fields_with(JoinRule.RESTART_ONLY):
             own = getattr(self._own.settings, name)
             if getattr(derived.settings, name) != own:
@@ -95,7 +95,7 @@
         return ""
 
     def _fixed_class_error(self, derived: DerivedSettings) -> str:
-        """Returns an error if a class's key differs that only a restart can change, else an empty string."""
+        """Returns an error if a version changes a class in a way that needs a restart; empty if not."""
         for name in self._own.request_classes.keys() & derived.request_classes.keys():
             is_streamed = self._own.request_class(name).is_streamed
             if derived.request_class(name).is_streamed != is_streamed:
@@ -103,7 +103,7 @@
         return ""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
-        """Returns the settings to apply.
+        """Returns the settings that the process applies to act on these versions.
 
         Classes and tenants keep their numbers, even if no version has them any more.
         """
--- a/wheatroute/agreement/agreement_status.py
+++ b/wheatroute/agreement/agreement_status.py
@@ -9,7 +9,7 @@
 
 from wheatroute.agreement.member_status import IN_FORCE, MemberStatus
 
-STALE_STATUS_S = 10.0  # after this age of its status, a process may have ended
+STALE_STATUS_S = 10.0  # a process whose status is older may have ended and does not count as live
 
 
 class ProcessState(msgspec.Struct, frozen=True, kw_only=True):
@@ -20,8 +20,8 @@
     version: int
     joint_version: int = msgspec.field(name="joint")
     phase: str
-    record: int  # number of the last one that the process has applied
-    confirmed_ago_s: float
+    record: int  # number of the last record that the process has applied
+    confirmed_ago_s: float  # age of the status, by the wall clocks of its writer and its reader
     list_source: str
     list_revision: int
     unusable_version: int = msgspec.field(name="refuses")
@@ -34,12 +34,12 @@
 
     active: int = msgspec.field(name="in_force")
     pending: int = msgspec.field(name="under_way")
-    record: int  # number of the last one in the store
+    record: int  # number of the last record in the store
     processes: list[ProcessState]
 
     @property
     def is_settled(self) -> bool:
-        """Whether no version is pending and every live process acts on the active version."""
+        """Whether no version is pending and every live process acts on the active version alone."""
         live = [process for process in self.processes if process.confirmed_ago_s < STALE_STATUS_S]
         return not self.pending and all(
             process.phase == IN_FORCE and process.version == self.active for process in live
@@ -52,7 +52,7 @@
 
 
 def process_states(statuses: Sequence[MemberStatus], unix_time: float) -> list[ProcessState]:
-    """Returns the states of all processes, sorted by name and incarnation."""
+    """Returns the states of all processes, sorted by name and incarnation; `unix_time` is the time now."""
     names = [status.name for status in statuses]
     states = [_process_state(status, unix_time, names.count(status.name) > 1) for status in statuses]
     return sorted(states, key=lambda state: (state.name, state.incarnation))
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -72,7 +72,8 @@
     def create(self) -> None:
         """Creates missing directories.
 
-        Called only where versions are put, so that processes notice when a store has been deleted.
+        Only relays and the commands that put versions or start and control rollouts call this, so that all
+        other processes notice when a store has been deleted.
         """
         try:
             self._log_directory.mkdir(parents=True, exist_ok=True)
--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -1,10 +1,10 @@
 """Shares drain notices between processes: which servers any process's server list reports as leaving. No I/O.
 
 A notice identifies a server by its id and the start time of its process, says whether that process is leaving
-or has returned, and has a revision, which tells the later of two notices. By other processes' notices, a
-process whose own server list is silent or lags learns of a drain, of a restart under the same id, and of an
-address that another server has taken over. A server is never removed because some list does not contain it:
-a wrong list at one node would otherwise empty the lists of the others.
+or has returned, and has a revision, which shows which of two notices is the later one. A process whose own
+server list is silent or lags learns from the notices of other processes that a server drains, has restarted
+under the same id, or has lost its address to another server. A server is never removed because some list does
+not contain it: a wrong list at one node would otherwise empty the lists of the others.
 """
 
 from __future__ import annotations
@@ -33,16 +33,21 @@
 
     def __init__(self, agreement_time_s: float) -> None:
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
-        self._own_list: dict[str, ListEntry] = {}
-        self._last_at_address: dict[str, tuple[str, float]] = {}  # server id and start of its process
-        self._stored: dict[str, Notice] = {}  # as last read from the store
+        self._own_list: dict[str, ListEntry] = {}  # entries of this process's server list, by server id
+        # by address: the id of the last server there, and the start of its process
+        self._last_at_address: dict[str, tuple[str, float]] = {}
+        # All notices below are by server id.
+        self._stored: dict[str, Notice] = {}  # notices as last read from the store
         self._unsent: dict[str, Notice] = {}  # notices of this process that are not in the store yet
-        self._returned: dict[str, Notice] = {}  # notices that a server is back in service, from the own list
+        # notices of this process that a server is back in service
+        self._returned: dict[str, Notice] = {}
         # by server id: the order of a stored notice, and when it was first read
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
 
     def filter_message(self, document: Any) -> Any:
         """Processes a message of the own server list; returns it with other processes' notices applied."""
+        # A message with the key "heard" was made from other processes' notices, see
+        # `Discovery.apply_reported_states`.
         if (
             not isinstance(document, dict)
             or document.get("heard")
@@ -72,7 +77,8 @@
             self._stored[server_id] = notice
             returned = self._returned.get(server_id)
             if notice.is_leaving and returned and returned.order >= notice.order:
-                self._unsent[server_id] = returned  # its author did not know of the return
+                # The author of the notice did not know that the server had returned.
+                self._unsent[server_id] = returned
             if self._stored_since.get(server_id, (None, 0.0))[0] != notice.order:
                 self._stored_since[server_id] = notice.order, now
             if entry and self._effective_entry(entry)["state"] != state_before:
@@ -125,13 +131,15 @@
         self._last_at_address[address] = server_id, started
 
     def _create_notice(self, server_id: str, started: float, is_leaving: bool) -> Notice:
+        """Creates a notice, and schedules it for the store if it is news to other processes."""
         known = [notices[server_id] for notices in (self._stored, self._unsent) if server_id in notices]
         newest = max(known, key=lambda notice: notice.order, default=None)
         revision = 1
         if newest is not None and newest.started_ms == started:
-            # the revision only increases if the statement changes
+            # the revision increases only if the process leaves or returns, not if that is noticed again
             revision = newest.revision if newest.is_leaving == is_leaving else newest.revision + 1
         notice = Notice(server_id, started, is_leaving, revision)
+        # Without an earlier notice, other processes do not need to know that the server is back in service.
         if is_leaving if newest is None else notice.order > newest.order:
             self._unsent[server_id] = notice
         return notice
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -1,9 +1,9 @@
 """A version store in etcd, using the client of the `etcd` package.
 
 Keys: PREFIX/log/NUMBER holds a record, PREFIX/nodes/NAME.START a process status, PREFIX/words/ID a drain
-notice. A record is appended by a transaction that requires its key to be absent. Responses from another
-cluster, and from a cluster that has gone back to an older revision, are rejected. An append whose response is
-lost is an error, as the record may have been appended. Does network I/O.
+notice. A record is appended by a transaction that requires its key to be absent. `exchange` and `statuses`
+reject responses from another cluster, and from a cluster that has gone back to an older revision. An append
+whose response is lost is an error, as the record may have been appended. Does network I/O.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
         self._notices_revision = 0  # drain notices were read up to this revision
         self._cluster_id = 0  # ID of the cluster that sent the first response
-        self._revision = 0
+        self._revision = 0  # of the cluster at the last response that was checked
 
     async def run(self) -> None:
         """Keeps the connections to the cluster until cancelled."""
@@ -60,7 +60,8 @@
         """Implements `VersionStore.exchange`."""
         with _store_errors():
             if status is not None:
-                # writing the status twice is harmless, as long as it is written before the records are read
+                # The client may send the write again to another endpoint. Writing the status twice is
+                # harmless, as long as it is written before the records are read.
                 self._check_header((await self._put_status(key, status)).header)
             records = await self._read(max(1, after), has_notices=status is not None)
             if after:
--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -13,7 +13,10 @@
 
 
 class JoinRule(StrEnum):
-    """Which value of a key applies while processes act on two successive versions; the values are printed."""
+    """Which value of a key applies while processes act on two successive versions.
+
+    The values are printed for operators, also as reasons why a process cannot use a version.
+    """
 
     MINIMUM = "the smaller value applies"
     MAXIMUM = "the larger value applies"
@@ -125,7 +128,8 @@
         "beside",
     )
 }
-# effects and groups are numbered from the loosest to the strictest, so the larger value is the stricter one
+# Idempotencies and deduplication groups are numbered from the loosest to the strictest, so `STRICTER`
+# applies the larger value.
 REQUEST_CLASS_RULES: dict[str, JoinRule] = {
     "idempotency": JoinRule.STRICTER,
     "deduplication_group": JoinRule.STRICTER,
--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -19,7 +19,8 @@
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 
-# fraction of `overload_multiple`, which bounds the load of servers that are warming up
+# Conservative processes use this fraction of `overload_multiple`, which bounds the load of servers that are
+# warming up.
 CONSERVATIVE_WARMUP_RATIO = 0.25
 
 _JOIN: dict[JoinRule, Callable[[Any, Any], Any]] = {
@@ -65,9 +66,10 @@
 def conservative(settings: DecisionSettings) -> DecisionSettings:
     """Returns settings that every version allows, for a process that cannot tell which version is active.
 
-    A request is only sent again if it provably never ran, a request that may have run is not rejected,
-    none is hedged, and servers that are warming up get a quarter of the load. First attempts are not
-    restricted: they are as safe as under any version.
+    A request is sent again only if it provably never ran. A request that may have run is failed, not
+    rejected, since a rejection says that the client can safely send it again. No request is hedged, and
+    servers that are warming up get a quarter of the load. First attempts are not restricted: they are as safe
+    as under any version, so an idempotent class keeps its half-open trials.
     """
     return replace(
         settings,
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -4,6 +4,8 @@
 Its inputs are the results of exchanges with the store and their times, in seconds on a monotonic clock. It
 never acts on a version after its confirmation has expired, never activates a version while a process that
 counts is neither joint nor conservative, and never reverts to a state before a record that it has applied.
+A process is joint while it keeps the limits of a pending version too, and conservative while it cannot tell
+which version is active (see `joint_settings`).
 
 Why this is safe: A process writes its status, then reads the records, and acts on them until
 `confirmation_ttl_s` after it *sent* the status, less the clock drift. Records are only appended, one at a
@@ -34,9 +36,11 @@
 
 @dataclass(frozen=True)
 class EffectiveVersions:
-    """The versions that a process acts on; 0 for none.
+    """The versions that a process acts on.
 
-    `joint` is a pending version whose limits the process keeps in addition to those of the active one.
+    `active` is 0 for the settings of the process's own file. `joint` is a pending version whose limits the
+    process keeps in addition to those of the active one, or 0. While `is_conservative`, the process restricts
+    itself to what every version allows.
     """
 
     active: int = 0
@@ -67,7 +71,7 @@
         self.unusable: dict[int, str] = {}  # by version that this process cannot use: the reason
         self.usable: set[int] = {0}  # versions that this process has checked and can use
         self.effective = EffectiveVersions()
-        self.confirmed_at = -inf  # when the newest complete exchange was sent
+        self.confirmed_at = -inf  # when the newest complete exchange was sent; monotonic seconds
         self.conservative_reason = "not confirmed yet"
         self.server_list = ("", 0)  # source and revision of the server list in use
         self._heartbeat = 0
@@ -81,7 +85,7 @@
 
     @property
     def confirmed_until(self) -> float:
-        """When the current confirmation expires."""
+        """When the current confirmation expires, in monotonic seconds."""
         return self.confirmed_at + self.confirmation_ttl_s * (1.0 - self.max_clock_drift)
 
     def next_status(self, unix_time: float) -> StoredStatus:
@@ -197,7 +201,10 @@
         )
 
     def rank(self, statuses: list[StoredStatus]) -> int:
-        """Returns this process's position by key among all processes, which take turns to decide."""
+        """Returns this process's position, from 0, among all processes in the order of their keys.
+
+        The process of the lowest rank decides first, and the others in its place if it does not.
+        """
         keys = sorted(parse_heartbeat(status).key for status in statuses)
         return keys.index(self.key) if self.key in keys else len(keys)
 
--- a/wheatroute/agreement/member_status.py
+++ b/wheatroute/agreement/member_status.py
@@ -18,7 +18,7 @@
     name: str
     incarnation: str = msgspec.field(name="start")
     heartbeat: int = msgspec.field(name="beat")
-    applied_record: int = msgspec.field(name="seq")  # number of the last one applied
+    applied_record: int = msgspec.field(name="seq")  # number of the last record applied
     versions: tuple[int, int] = msgspec.field(name="acts")  # active and joint; 0 for none
     is_conservative: bool = msgspec.field(name="careful")
     unusable_version: int = msgspec.field(name="refuses")  # the pending version if unusable, else 0
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -39,7 +39,8 @@
 class ModelChecker:
     """Searches the states breadth first, so that a counterexample is a shortest one.
 
-    The other arguments inject faults, to show that the checker finds them: `make_member` may return members
+    `bounds` limits the search. The other arguments inject faults, to show that the checker finds them:
+    `make_member` may return members
     with a defect, with `overwrites` the store replaces records, and with `reads_first` processes read the
     records before they write their status.
     """
--- a/wheatroute/agreement/model_invariants.py
+++ b/wheatroute/agreement/model_invariants.py
@@ -15,10 +15,11 @@
 def _disagreement(bounds: Bounds, world: WorldState) -> str:
     """Checks that some version allows what all processes may do."""
     effective = [process.view(world.now, -bounds.ttl_steps).effective for process in world.processes]
-    limits = [{one.active, one.joint or one.active} for one in effective if not one.is_conservative]
-    if not limits or set.intersection(*limits):
+    # for each process: the versions whose limits it keeps; a conservative process keeps those of all versions
+    kept = [{acts.active, acts.joint or acts.active} for acts in effective if not acts.is_conservative]
+    if not kept or set.intersection(*kept):
         return ""
-    states = (f"n{i} {_described(one)}" for i, one in enumerate(effective))
+    states = (f"n{i} {_described(acts)}" for i, acts in enumerate(effective))
     return "no version allows what all processes may do: " + "; ".join(states)
 
 
--- a/wheatroute/agreement/model_world.py
+++ b/wheatroute/agreement/model_world.py
@@ -32,7 +32,7 @@
     restarts: int = 1
     clock_steps: int = 3
     ttl_steps: int = 1  # clock steps for which a confirmation is valid
-    deciders: int = MAX_PROCESSES  # the first so many processes read the statuses, and so may decide
+    deciders: int = MAX_PROCESSES  # only this many processes, the first ones, read the statuses and decide
     rejections: tuple[tuple[int, int], ...] = ()  # (process, version that it cannot use)
     max_states: int = 10**9
 
@@ -54,9 +54,9 @@
     """A member and the state of its exchange."""
 
     member: Member
-    sent_at: int | None = None  # set while the status is written and the records are not read yet
-    has_new_answer: bool = False  # whether it has not read the statuses since its last response
-    to_append: StoredRecord | None = None  # a decision that it is about to append
+    sent_at: int | None = None  # clock step at which the exchange in flight was sent; None if there is none
+    has_new_answer: bool = False  # whether the last exchange has a response and no statuses were read since
+    to_append: StoredRecord | None = None  # a decision that the process is about to append
     incarnation: int = 0
     cached_view: ProcessView | None = None
 
@@ -130,7 +130,10 @@
         return other
 
     def key(self, bounds: Bounds) -> Any:
-        """Returns a key that is equal for states with the same future; without names, with relative times."""
+        """Returns a key that is equal for states with the same future.
+
+        So it does not contain names of processes, and its times are relative to the clock step.
+        """
         earliest = -bounds.ttl_steps
         statuses = {status.key: _status_part(status) for status in map(parse_status, self.statuses.values())}
         processes = [
--- a/wheatroute/agreement/monotonic_discovery.py
+++ b/wheatroute/agreement/monotonic_discovery.py
@@ -17,7 +17,8 @@
     _is_behind = False
 
     def _handle_response(self, message: Any, responses_taken: int) -> None:
-        self._apply(message)  # compares versions itself, without `responses_taken`
+        # `_apply` compares the versions, so the number of responses is not needed.
+        self._apply(message)
 
     def _apply(self, message: Any) -> None:
         version = message.get("version") if isinstance(message, dict) else None
--- a/wheatroute/agreement/notice.py
+++ b/wheatroute/agreement/notice.py
@@ -14,12 +14,12 @@
 
 
 class Notice(msgspec.Struct, frozen=True):
-    """States that a server's process is about to end, or that it no longer is."""
+    """States that a server's process is about to end, or that it is back in service after all."""
 
     server_id: str = msgspec.field(name="id")
-    started_ms: int | float = msgspec.field(name="started")  # start of the process, Unix time
+    started_ms: int | float = msgspec.field(name="started")  # start of the process, Unix time in ms
     is_leaving: bool = msgspec.field(name="leaves")
-    # increases with each change of the statement about the same process
+    # increases each time that the same process leaves or returns
     revision: int = msgspec.field(name="turn")
 
     @property
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -32,9 +32,10 @@
 from wheatroute.agreement.versions import History, Version
 
 Result = TypeVar("Result")
-STORE_TIMEOUT_S = 5.0
+STORE_TIMEOUT_S = 5.0  # timeout for reading all records, and for each append
 POLL_INTERVAL_S = 0.05
-MAX_APPEND_ATTEMPTS = 5  # if the store does not confirm an append, or others append first
+# An append is repeated if the store does not confirm it, or if another record was appended first.
+MAX_APPEND_ATTEMPTS = 5
 
 
 def store_from_url(url: str, timeout_s: float = 1.0) -> VersionStore:
@@ -132,7 +133,7 @@
 
 
 def _full_content(history: History, content: dict[str, Any], over: int) -> dict[str, Any]:
-    """Returns the active version's content with the changes in `content`.
+    """Returns the active version's content with the top-level keys of `content` replaced.
 
     Raises `ConflictError` if it must not be put: another version is pending, or the content is unchanged.
     """
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -66,9 +66,10 @@
 
 
 def diff_lines(history: History, first: int, second: int) -> list[str]:
-    """Formats the differences between two versions; "!" marks keys that must not differ between processes.
+    """Formats the differences between two versions as a table.
 
-    Raises `InvalidInputError` if a version does not exist.
+    "!" marks keys that must not differ between processes; the last column is the value that applies during
+    the change. Raises `InvalidInputError` if a version does not exist.
     """
     for number in (first, second):
         if number not in history.versions:
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -94,7 +94,7 @@
         self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices in the store
         # by server id: notices of the machine's processes that are not in the store yet
         self._unsent: dict[str, ForwardedNotice] = {}
-        # by server id: the order of a stored notice, and when it was first seen
+        # by server id: the order of a stored notice, and when the relay first saw that notice
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
         self.received_notices: list[StoredNotice] = []  # stays empty: the relay itself applies none
         self.path = directory
@@ -240,7 +240,13 @@
     ttl_s = member.confirmation_ttl_s
     relay_store = RelayStore(make_store(ttl_s), directory, ttl_s, agreement_time_s)
     follower = VersionFollower(
-        relay_store, member, _NullAdapter(), lambda adapted, binding: None, lambda: None, lambda: ("", 0), log
+        relay_store,
+        member,
+        _NullAdapter(),
+        lambda adapted, applies_to_pending: None,
+        lambda: None,
+        lambda: ("", 0),
+        log,
     )
     try:
         await follower.run()
--- a/wheatroute/agreement/store_address.py
+++ b/wheatroute/agreement/store_address.py
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True)
 class StoreAddress:
-    """A directory, a directory that a relay updates, or a key prefix in etcd."""
+    """Names one store: a directory, a directory that a relay updates, or a key prefix in etcd."""
 
-    directory: str = ""
+    directory: str = ""  # path
     relay: str = ""  # path of the relay's directory
     etcd_endpoints: tuple[tuple[str, int], ...] = ()  # host and port
-    prefix: str = ""  # of keys in etcd
+    prefix: str = ""  # prefix of the store's keys in etcd
 
     @staticmethod
     def from_node_file(table: dict[str, Any]) -> StoreAddress:
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -81,7 +81,8 @@
         self._next_status_read = 0.0
         self._store, self._member, self._adapter, self._log = store, member, adapter, log
         self._apply, self._after_change = apply, after_change
-        self._confirmed_until = -1.0  # no check of the clock is needed before this time
+        # Before this time (see `clock`) the confirmation cannot have expired.
+        self._confirmed_until = -1.0
         self._exchange_interval_s = min(
             MAX_EXCHANGE_INTERVAL_S, member.confirmation_ttl_s / EXCHANGES_PER_TTL
         )
@@ -217,7 +218,8 @@
         record = member.next_decision(began, clock(), statuses)
         if record is None:
             return False
-        # processes wait by rank, so that the first one appends the decision and the others read it
+        # A process waits for longer the higher its rank, so that the first one appends the decision and the
+        # others read it.
         await trio.sleep(min(1.0, rank * self._exchange_interval_s / EXCHANGES_PER_TTL))
         if await self._store.append(record):
             self._log_decision(record)
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -65,11 +65,14 @@
 
 
 class History:
-    """The state after the records applied so far. Version 0 stands for each process's own settings file."""
+    """The state after the records applied so far.
+
+    Versions are numbered from 1. Version 0 is the settings in each process's own file.
+    """
 
     def __init__(self) -> None:
         self.head, self.head_digest = 0, ""  # number and digest of the last record
-        self.active = self.pending = 0  # version numbers; 0 for none
+        self.active = self.pending = 0  # version numbers; `pending` is 0 if no version is pending
         self.pending_record = 0  # number of the record that put the pending version
         self.versions: dict[int, Version] = {}
 
--- a/wheatroute/rollout/canary_analysis.py
+++ b/wheatroute/rollout/canary_analysis.py
@@ -100,7 +100,7 @@
     _open_block: tuple[Tally, Tally, int] = (Tally(), Tally(), 0)
 
     def add(self, new: Tally, old: Tally) -> None:
-        """Adds the tallies of both sides for one interval, and closes the block if it is large enough."""
+        """Adds the tallies of both sides for one interval; closes the block if it is large or old enough."""
         block_new, block_old = self._open_block[0] + new, self._open_block[1] + old
         intervals = self._open_block[2] + 1
         smaller_total = min(block_new.total, block_old.total)
@@ -197,13 +197,14 @@
 
     metric: str
     verdict: Verdict
-    difference_before: float  # before the change
-    difference_after: float  # after the change
-    radius: float  # half the width of the confidence interval of the change, `after` minus `before`
+    difference_before: float  # mean difference before the change
+    difference_after: float  # mean difference after the change
+    # half the width of the confidence interval of `difference_after` minus `difference_before`
+    radius: float
     margin: float  # by how much the new side may be worse
     new: float  # mean of the new side after the change
     old: float  # mean of the old side after the change
-    blocks: int  # after the change
+    blocks: int  # number of blocks after the change
 
     @property
     def distance_to_margin(self) -> float:
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -44,7 +44,7 @@
         self.incarnation = secrets.token_hex(6)
         self._watch = StageWatch(self.progress)
         self._order = ControllerOrder(self.incarnation)
-        self._record_read_at = 0.0
+        self._record_read_at = 0.0  # when the last record was read; monotonic seconds
         self._heartbeat = 0
 
     async def run(self) -> None:
@@ -55,12 +55,15 @@
                     await self.take_turn(time.monotonic())
             except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
                 self._log.warning(
-                    "store-access-failed", error=str(error) or "the store did not answer in time"
+                    "store-access-failed", error=str(error) or "no response from the store in time"
                 )
             await trio.sleep(TURN_INTERVAL_S)
 
     async def take_turn(self, now: float) -> None:
-        """Reads all records and statuses; appends the next step if this controller is the acting one."""
+        """Reads all records and statuses; appends the next step if this controller is the acting one.
+
+        `now` is in monotonic seconds. Raises `VersionStoreError` or `HistoryError`.
+        """
         if not await self._read_progress(now):
             return
         statuses = await self._store.statuses()
--- a/wheatroute/rollout/controller_order.py
+++ b/wheatroute/rollout/controller_order.py
@@ -1,7 +1,7 @@
 """Determines which of the live controllers acts: the one with the lowest incarnation. No I/O.
 
-This only avoids that all controllers try to append the same step; safety doesn't depend on it, since the
-store appends a step only once.
+The order only keeps the other controllers from trying to append the same step. Safety doesn't depend on it,
+since the store appends a step only once.
 """
 
 from __future__ import annotations
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -28,10 +28,10 @@
 
 
 def total_durations(figures: Iterable[RequestFigures]) -> Durations:
-    """Returns the number of requests served since the nodes' starts, summed over all figures."""
+    """Returns the number of requests served since the nodes' starts, summed over all nodes."""
     totals: Durations = defaultdict(Counter)
-    for one in figures:
-        for name, counts in one.durations.items():
+    for requests in figures:
+        for name, counts in requests.durations.items():
             totals[name].update(counts)
     return totals
 
@@ -50,15 +50,15 @@
     thresholds = {}
     for name, all_counts in totals.items():
         counts = all_counts - totals_before.get(name, Counter())
-        total, beyond, found = sum(counts.values()), 0, [0, 0]
+        total, slower, buckets = sum(counts.values()), 0, [0, 0]
         if not total:
             continue
         for bucket in sorted(counts, reverse=True):
             for i, fraction in enumerate((0.5, 0.01)):
-                if beyond <= fraction * total:
-                    found[i] = bucket
-            beyond += counts[bucket]
-        thresholds[name] = found[0], found[1]
+                if slower <= fraction * total:
+                    buckets[i] = bucket
+            slower += counts[bucket]
+        thresholds[name] = buckets[0], buckets[1]
     return thresholds
 
 
@@ -73,6 +73,8 @@
     _add_durations(tallies, before.requests, after.requests, thresholds)
     if ended:
         tallies["cpu"] = Tally(after.process.cpu_s - before.process.cpu_s, ended)
+        # Memory and connections are levels: multiplied by the requests, a mean over several nodes or reports
+        # weights each level by the requests that ended.
         tallies["memory"] = Tally(after.process.memory_bytes * ended, ended)
         tallies["connections"] = Tally(after.process.open_connections * ended, ended)
     return tallies
@@ -81,9 +83,9 @@
 def _add_outcomes(tallies: dict[str, Tally], before: RequestFigures, after: RequestFigures, site: str) -> int:
     """Adds the outcomes of requests to `tallies`, for the whole traffic and for its parts.
 
-    Returns how many requests have ended.
+    Returns how many requests have ended between the two reports.
     """
-    earlier = {(one.request_class, one.tenant): one for one in before.outcomes}
+    earlier = {(totals.request_class, totals.tenant): totals for totals in before.outcomes}
     total_ended, max_value = 0, max([MIN_VALUE, *after.values.values()])
     for totals in after.outcomes:
         outcomes = totals.since(earlier.get((totals.request_class, totals.tenant), ClassOutcomes()))
--- a/wheatroute/rollout/figures_reporter.py
+++ b/wheatroute/rollout/figures_reporter.py
@@ -104,7 +104,7 @@
                     if not is_failing:
                         is_failing = True
                         self._log.warning(
-                            "figures-report-failed", error=str(error) or "the store did not answer in time"
+                            "figures-report-failed", error=str(error) or "no response from the store in time"
                         )
                 await trio.sleep(REPORT_INTERVAL_S)
 
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -27,7 +27,7 @@
     """The figures that one controller has read, and the thresholds of slow requests in the current stage."""
 
     def __init__(self) -> None:
-        # Durations at the unchanged nodes in each of the last reads.
+        # For each of the last reads: durations at the unchanged nodes since the read before it.
         self._recent: deque[figures.Durations] = deque(maxlen=THRESHOLD_READS)
         # Figures of the previous read, by node and incarnation.
         self._before: dict[tuple[str, str], NodeFigures] = {}
@@ -42,7 +42,7 @@
 
         Requests served before the first call, while processes were starting, are ignored.
         """
-        totals = figures.total_durations(one.requests for one in reported)
+        totals = figures.total_durations(node.requests for node in reported)
         if self._totals_at_begin is None:
             self._totals_at_begin = totals
         if is_over and not self.thresholds:
@@ -59,29 +59,32 @@
         Processes that are stopping are left out; if a node has several others, a ready one is preferred.
         """
         live: dict[str, NodeFigures] = {}
-        for one in reported:
-            process = one.process
+        for node in reported:
+            process = node.process
             key = process.name, process.incarnation
             heartbeat = seen_heartbeat(self._heartbeats.get(key), process.heartbeat, now)
             self._heartbeats[key] = heartbeat
             if now - heartbeat.since < STALE_FIGURES_S and not process.is_stopping:
                 if process.name not in live or process.is_ready:
-                    live[process.name] = one
+                    live[process.name] = node
         return live
 
     def tallies_since_last(
         self, reported: Mapping[str, NodeFigures], sites: Mapping[str, str], unchanged: set[str]
     ) -> dict[str, dict[str, Tally]]:
-        """Returns the tallies of each node since the last call; `unchanged` nodes run the old program."""
+        """Returns the tallies of each node since the last call, without nodes whose process is new.
+
+        `sites` has the site of each node; the `unchanged` nodes run the old program.
+        """
         tallies = {}
         thresholds = self._current_thresholds(reported, unchanged)
-        for name, one in reported.items():
-            key = name, one.process.incarnation
+        for name, node in reported.items():
+            key = name, node.process.incarnation
             if key in self._before:
                 tallies[name] = figures.tallies_between(
-                    self._before[key], one, sites.get(name, ""), thresholds
+                    self._before[key], node, sites.get(name, ""), thresholds
                 )
-        self._before = {(name, one.process.incarnation): one for name, one in reported.items()}
+        self._before = {(name, node.process.incarnation): node for name, node in reported.items()}
         return tallies
 
     def _current_thresholds(
--- a/wheatroute/rollout/next_step.py
+++ b/wheatroute/rollout/next_step.py
@@ -9,7 +9,7 @@
 from wheatroute.rollout.progress import Phase, RolloutProgress, SupervisorStatuses
 from wheatroute.rollout.records import EndStep, HoldStep, PassStep, RollBackStep, StageStep, Step, StepKind
 
-# Change timeouts that a stage has in addition to one for each group of nodes that change together.
+# A stage has one change timeout for each group of nodes that change together, and this many in addition.
 EXTRA_CHANGE_TIMEOUTS = 2.0
 
 
--- a/wheatroute/rollout/node_process.py
+++ b/wheatroute/rollout/node_process.py
@@ -37,7 +37,10 @@
 
 
 class NodeProcess:
-    """A process of the node, started by this supervisor or an earlier one."""
+    """A process of the node, started by this supervisor or an earlier one.
+
+    `ticks` is its start time as returned by `start_ticks`.
+    """
 
     def __init__(
         self,
@@ -50,7 +53,7 @@
         self.program, self.incarnation, self.pid, self.ticks = program, incarnation, pid, ticks
         # None if an earlier supervisor started the process.
         self._child = child
-        # Monotonic time at which the process was started or adopted; after SIGTERM, the time of that.
+        # Monotonic time at which the process was started or adopted; once it drains, the time of its SIGTERM.
         self.since = time.monotonic()
 
     @property
--- a/wheatroute/rollout/operator.py
+++ b/wheatroute/rollout/operator.py
@@ -95,8 +95,9 @@
 async def _append(store: VersionStore, step: Step) -> int:
     """Appends a step exactly once, even if a response of the store is lost; returns the number of its record.
 
-    Raises `ConflictError` if the step is not allowed now, and `StoreUnavailableError` if it could not be
-    appended or the result is unknown.
+    If a response was lost, returns the number of the last record instead, which may be a later one. Raises
+    `ConflictError` if the step is not allowed now, and `StoreUnavailableError` if it could not be appended or
+    the result is unknown.
     """
     last_error = ""
     for _ in range(MAX_APPEND_ATTEMPTS):
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -25,8 +25,8 @@
     "slowest": 0.005,  # requests slower than the old 99th percentile
     "relays": 0.02,  # requests with more than one attempt
     "cpu": 0.25,  # CPU time per request
-    "memory": 0.25,
-    "connections": 0.5,
+    "memory": 0.25,  # resident memory of the process
+    "connections": 0.5,  # open connections to servers
 }
 
 
@@ -115,7 +115,7 @@
     except ValidationError as error:
         raise PlanError(
             "\n".join(
-                f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole plan'}: {one['msg']}"
-                for one in error.errors()
+                f"{path}: {'.'.join(map(str, details['loc'])) or 'the whole plan'}: {details['msg']}"
+                for details in error.errors()
             )
         ) from error
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -78,7 +78,7 @@
     stage: int = -1
     has_passed: bool = False  # whether that stage was passed
     reason: str = ""  # why the rollout is held or was rolled back
-    # Index of the last stage after which an operator resumed.
+    # Index of the last stage after which an operator resumed; -1 if there is none.
     resumed_after_stage: int = -1
     # Index of the last stage after which an operator resumed although the baseline of the next stage was
     # missing; -1 if that was before the first stage, -2 if it never happened.
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -17,7 +17,7 @@
 from wheatroute.rollout.figures import duration_bucket
 from wheatroute.rollout.statuses import ClassOutcomes, RequestFigures
 
-# Time after its deadline at which a request without a response counts as lost.
+# A request without a response counts as lost this long after its deadline.
 LOSS_DELAY_S = 0.3
 SERVED_STATUS = 200
 
@@ -37,7 +37,7 @@
     ) -> None:
         # Lost requests whose clients have closed their connections.
         self._lost = 0
-        # Deadlines of the requests that have not ended, by request number.
+        # Deadlines of the requests that have not ended, by request number; times are those of `net.clock`.
         self._open: dict[int, float] = {}
         # Outcomes by the numbers of class and tenant; the names in them are not set.
         self._outcomes: dict[tuple[int, int], ClassOutcomes] = defaultdict(ClassOutcomes)
@@ -57,7 +57,7 @@
         self._class_settings = class_settings
 
     def request_accepted(self, exchange: Exchange) -> None:
-        """Notes that a request was accepted and waits for its response."""
+        """Records that a request was accepted, and when it will count as lost without a response."""
         if not exchange.is_complete:
             self._open[exchange.number] = exchange.deadline
 
--- a/wheatroute/rollout/stage_watch.py
+++ b/wheatroute/rollout/stage_watch.py
@@ -33,7 +33,7 @@
         self._progress = progress
         self._figures = FiguresWatch()
         self._analysis: CanaryAnalysis | None = None
-        # Time of the first interval of this phase that was added to the analysis; 0 if none was.
+        # Monotonic time of the first interval of this phase that was added to the analysis; 0 if none was.
         self._watched_since = 0.0
         self.findings: list[str] = []
 
@@ -79,11 +79,15 @@
     def _new_analysis(self) -> CanaryAnalysis:
         plan = self._progress.plan
         assert plan is not None
-        # A controller that takes over starts a new analysis, so half of the risk is reserved for that.
+        # A controller that takes over analyses the stage anew, so half of the risk is reserved for that.
         return CanaryAnalysis(plan.margins, plan.risk / (2.0 * len(plan.stages)), RELATIVE_METRICS)
 
     def _sides(self) -> tuple[set[str], set[str]]:
-        """Returns the new nodes, of the current or next stage, and the old nodes, of later stages."""
+        """Returns the new nodes and the old nodes.
+
+        The new ones are those of the current stage, or of the next one if no stage is in progress; the old
+        ones are those of later stages.
+        """
         progress, plan = self._progress, self._progress.plan
         assert plan is not None
         stage = progress.stage + (progress.phase == Phase.BEFORE_STAGE)
--- a/wheatroute/rollout/statuses.py
+++ b/wheatroute/rollout/statuses.py
@@ -1,7 +1,7 @@
 """The statuses that supervisors, controllers and nodes write into the rollout store. No I/O.
 
-A status is a JSON object whose key `row` says what kind of process wrote it. Unknown keys are ignored, and so
-are figures in an unknown format.
+A status is a JSON object whose key `row` says whether a supervisor, a controller or a node wrote it. Unknown
+keys are ignored, and so are figures in an unknown format.
 """
 
 from __future__ import annotations
@@ -94,7 +94,7 @@
     """Counts of a node's requests since its start, by outcome and by duration."""
 
     format: int = FIGURES_FORMAT
-    lost: int  # requests that had no response by their deadline
+    lost: int  # requests without a response `LOSS_DELAY_S` after their deadline
     outcomes: list[ClassOutcomes] = msgspec.field(name="cells")
     # Number of served requests by request class and bucket of duration.
     durations: dict[str, dict[int, int]] = msgspec.field(name="times")
@@ -159,13 +159,13 @@
 
 def supervisor_statuses(documents: Iterable[StoredStatus]) -> dict[str, SupervisorStatus]:
     """Returns the supervisors' statuses by node; raises `MalformedDocumentError` if one is malformed."""
-    statuses = [parse(one, SupervisorStatus) for one in _of_row(documents, SUPERVISOR_ROW)]
+    statuses = [parse(document, SupervisorStatus) for document in _of_row(documents, SUPERVISOR_ROW)]
     return {status.name: status for status in statuses}
 
 
 def controller_statuses(documents: Iterable[StoredStatus]) -> list[ControllerStatus]:
     """Returns the controllers' statuses; raises `MalformedDocumentError` if one is malformed."""
-    return [parse(one, ControllerStatus) for one in _of_row(documents, CONTROLLER_ROW)]
+    return [parse(document, ControllerStatus) for document in _of_row(documents, CONTROLLER_ROW)]
 
 
 def node_figures(documents: Iterable[StoredStatus]) -> list[NodeFigures]:
@@ -174,9 +174,9 @@
     Raises `MalformedDocumentError` if any of them is malformed.
     """
     return [
-        parse_figures(one)
-        for one in _of_row(documents, FIGURES_ROW)
-        if parse(one, _Format).format == FIGURES_FORMAT
+        parse_figures(document)
+        for document in _of_row(documents, FIGURES_ROW)
+        if parse(document, _Format).format == FIGURES_FORMAT
     ]
 
 
@@ -187,7 +187,7 @@
 
 def is_process_ready(documents: Iterable[StoredStatus], incarnation: str) -> bool:
     """Returns whether a process reports that it is ready, whatever the format of its figures."""
-    processes = (parse(one, _Readiness) for one in _of_row(documents, FIGURES_ROW))
+    processes = (parse(document, _Readiness) for document in _of_row(documents, FIGURES_ROW))
     return any(process.incarnation == incarnation and process.is_ready for process in processes)
 
 
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -1,7 +1,7 @@
 """The supervisor of a node: runs the program that the rollout names and replaces it without downtime.
 
 A new process starts as the candidate beside the serving one, which is not stopped before the candidate is
-ready. Only processes that were started by this supervisor or an earlier one are ended. The node outlives its
+ready. A supervisor ends only processes that it or an earlier supervisor started. The node outlives its
 supervisor: the next one finds the processes by a state file. Does I/O through the rollout store, the state
 file and child processes.
 """
@@ -56,7 +56,7 @@
         self._incarnation = secrets.token_hex(6)
         self._heartbeat = 0
         self._last_program = settings.first_program  # the program that served last
-        # Program and incarnation of the process that was started last, stored before it starts.
+        # Program and incarnation of the process started last, written to the state file before its start.
         self._starting: list[str] = []
         # Keys of the stored figures of processes that have ended, which are to be removed.
         self._ended_keys: list[str] = []
@@ -66,7 +66,7 @@
         # Former serving processes that are stopping.
         self.draining: list[NodeProcess] = []
         self._failed: list[FailedProgram] = []
-        # The last error, for the status; "" once a candidate has been promoted.
+        # The last failure of a program, for the status; "" once a candidate has been promoted.
         self._last_error = ""
         self._crashes = 0
         self._backoff = RestartBackoff()
@@ -84,7 +84,7 @@
                 await trio.sleep(TURN_INTERVAL_S)
 
     def _read_state(self) -> None:
-        """Adopts the processes that an earlier supervisor left running, as the state file has them."""
+        """Adopts the processes in the state file, which an earlier supervisor left running."""
         state = read_state(self._settings.state_file)
         if state is None:
             return
@@ -168,7 +168,7 @@
         except (VersionStoreError, HistoryError, trio.TooSlowError) as error:
             if self._last_error != str(error):
                 self._log.warning(
-                    "store-access-failed", error=str(error) or "the store did not answer in time"
+                    "store-access-failed", error=str(error) or "no response from the store in time"
                 )
             return None
 
@@ -199,8 +199,9 @@
     def _wanted_program(self) -> str:
         """Returns the program that the node is to run.
 
-        That is the program that the rollout names, unless it has failed at this node or is missing in its
-        settings: then the old program of the plan instead of the new one, otherwise the one that runs.
+        That is the program that the rollout names, unless it has failed at this node or is missing in the
+        supervisor's settings. In that case it is the old program of the plan if the rollout names the new
+        one, and otherwise the one that runs.
         """
         target = self._progress.target(self._settings.name)
         if target is not None and target not in self._settings.programs:
@@ -296,7 +297,7 @@
 
 
 async def run_supervisor(settings: SupervisorSettings, log: Any) -> None:
-    """Runs a supervisor until SIGTERM or SIGINT; raises `VersionStoreError` if the store cannot be opened."""
+    """Runs a supervisor until SIGTERM or SIGINT; its errors are raised in an exception group."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(Supervisor(settings, log).run)
--- a/wheatroute/rollout/supervisor_settings.py
+++ b/wheatroute/rollout/supervisor_settings.py
@@ -32,9 +32,9 @@
     directory: str = ""
     etcd: list[str] = []
     prefix: str = "/rollouts"
-    # Time in which a new process must be ready.
+    # Seconds after its start within which a new process must be ready.
     ready_timeout_s: float = Field(default=30.0, gt=0.0, alias="patience")
-    # Time in which an old process must have stopped; then it is killed.
+    # Seconds after SIGTERM within which an old process must have stopped; it is killed after that.
     drain_timeout_s: float = Field(default=30.0, gt=0.0, alias="leaves")
 
     @model_validator(mode="after")
@@ -58,7 +58,7 @@
         raise SupervisorSettingsError(f"{path}: is not TOML: {error}") from error
     except ValidationError as error:
         lines = [
-            f"{path}: {'.'.join(map(str, one['loc'])) or 'the whole file'}: {one['msg']}"
-            for one in error.errors()
+            f"{path}: {'.'.join(map(str, details['loc'])) or 'the whole file'}: {details['msg']}"
+            for details in error.errors()
         ]
         raise SupervisorSettingsError("\n".join(lines)) from error
