--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -703,7 +703,7 @@
     report = subprocess.run([*cli, "report", str(into)], capture_output=True, text=True, check=True)
     assert (into / "timeline.png").stat().st_size > 10_000 and "report.md" in report.stdout
     again = subprocess.run([*cli, "run", str(script), "--into", str(into)], capture_output=True, text=True)
-    assert again.returncode == 2 and "holds something already" in again.stderr
+    assert again.returncode == 2 and "is not empty" in again.stderr
     script.write_text(text.replace('do = "cut"', 'do = "chop"'))
     wrong = subprocess.run([*cli, "run", str(script)], capture_output=True, text=True)
     assert wrong.returncode == 2 and "steps.0.do" in wrong.stderr
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -40,9 +40,8 @@
     """Searches the states breadth first, so that a counterexample is a shortest one.
 
     `bounds` limits the search. The other arguments inject faults, to show that the checker finds them:
-    `make_member` may return members
-    with a defect, with `overwrites` the store replaces records, and with `reads_first` processes read the
-    records before they write their status.
+    `make_member` may return members with a defect, with `overwrites` the store replaces records, and with
+    `reads_first` processes read the records before they write their status.
     """
 
     def __init__(
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -46,7 +46,7 @@
 @click.option("--worker", type=click.IntRange(0), hidden=True, help="run as this worker of a supervisor")
 @click.option("--descriptor", type=int, default=-1, hidden=True, help="file descriptor of an open listener")
 def processor(file: str, worker: int | None, descriptor: int) -> None:
-    """Runs the external processor that FILE describes: it tells other proxies which server to send to."""
+    """Runs the external processor that FILE describes: it selects the servers for other proxies' requests."""
     from wheatroute.processor import program
 
     if worker is None:
@@ -62,7 +62,7 @@
     discovery: WorkerDiscovery,
     log: Logger,
 ) -> SettingsFollower:
-    # Imported here so that a file without [agreement] does not pay for the import.
+    # Imported here so that a processor without [agreement] starts without the cost of the import.
     from wheatroute.agreement import processor as agreement
 
     return agreement.follow(settings, worker, worker_settings, dispatcher, discovery, log)
@@ -71,7 +71,7 @@
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Checks all of FILE and prints a line per error; exit status 2 if there is one."""
+    """Checks a processor's settings FILE and prints a line per error; exit status 2 if there is one."""
     from wheatroute.config import settings_file
     from wheatroute.tls import ServerContext, TlsError
 
--- a/wheatroute/commands/rig.py
+++ b/wheatroute/commands/rig.py
@@ -40,7 +40,7 @@
         scenario = read_scenario(file)
         run_folder = Path(folder or Path(file).with_suffix(""))
         if run_folder.exists() and any(run_folder.iterdir()):
-            raise ScenarioError(f"{run_folder}: holds something already, name another folder with --into")
+            raise ScenarioError(f"{run_folder}: is not empty, name another folder with --into")
         with click.progressbar(length=PERCENT, label=scenario.name, file=sys.stderr) as progress_bar:
 
             def show_progress(done: float) -> None:
--- a/wheatroute/commands/settings.py
+++ b/wheatroute/commands/settings.py
@@ -22,7 +22,7 @@
     from wheatroute.agreement.version_store import VersionStore
     from wheatroute.agreement.versions import Version
 
-# Exit status if the version is not in force, or not at all processes.
+# Exit status if the version did not come into force, or if not all processes act on it.
 NOT_IN_FORCE_STATUS = 3
 DIGEST_CHARACTERS = 12
 
@@ -78,9 +78,10 @@
 @_wait_option
 @click.pass_obj
 def settings_put(url: str, file: str, why: str, over: int, wait_s: float) -> None:
-    """Puts the table "settings" of FILE (JSON or TOML) as a new version.
+    """Puts the shared settings in FILE as a new version.
 
-    Every process checks the version before it comes into force.
+    FILE is a JSON or TOML file with a table "settings", or the TOML file of a processor. Every process checks
+    the version before it comes into force.
     """
     from wheatroute.agreement import operator
 
@@ -123,7 +124,7 @@
     async def put_again(store: VersionStore) -> Version:
         history = await operator.read_history(store)
         if number not in history.versions:
-            raise InvalidInputError(f"there is no version {number}")
+            raise InvalidInputError(f"version {number} does not exist")
         return await operator.put_version(store, history.versions[number].content, why, over)
 
     _put(url, put_again, wait_s)
@@ -137,11 +138,14 @@
     type=float,
     default=0.0,
     metavar="SECONDS",
-    help="wait for all to use the one in force",
+    help="wait up to this long until all processes act on the version in force",
 )
 @click.pass_obj
 def settings_status(url: str, as_json: bool, wait_s: float) -> None:
-    """Shows a row per process: phase, version, age of its confirmation, why it is conservative."""
+    """Shows a row per process: phase, version, age of its confirmation, why it is conservative.
+
+    With --wait, the exit status is 3 if not all processes act on the version in force.
+    """
     import json
 
     from wheatroute.agreement import operator_output
--- a/wheatroute/commands/store_access.py
+++ b/wheatroute/commands/store_access.py
@@ -22,7 +22,7 @@
     from wheatroute.agreement.errors import OperatorError
 
     if not url:
-        exit_with_error("settings: no store given: use --at or set WHEATROUTE_SETTINGS")
+        exit_with_error("no store given: use --at, or set WHEATROUTE_SETTINGS or WHEATROUTE_ROLLOUTS")
     try:
         return operator.run_with_store(url, action)
     except OperatorError as error:
--- a/wheatroute/config/fields.py
+++ b/wheatroute/config/fields.py
@@ -26,7 +26,7 @@
 
 
 def check_address(text: str) -> str:
-    """Returns the text of an address unchanged; raises `ValueError` if it is not a valid address."""
+    """Returns the text of an address unchanged; raises `ValueError` if it is not "IPv4:PORT"."""
     parse_address(text)
     return text
 
--- a/wheatroute/config/pools.py
+++ b/wheatroute/config/pools.py
@@ -18,7 +18,10 @@
 
 
 class ServerSettings(Section):
-    """A server that is listed in the settings file."""
+    """A server that is listed in the settings file; `address` is "IPv4:PORT".
+
+    Servers of the same cell share the memory of idempotency keys, if the deduplication group is `cell`.
+    """
 
     id: Name
     address: str
@@ -45,7 +48,10 @@
 
 
 class EtcdTlsSettings(Section):
-    """TLS of connections to etcd; without `authorities`, the system's certificate authorities apply."""
+    """Paths of the TLS files for connections to etcd.
+
+    Without `authorities`, the system's certificate authorities apply.
+    """
 
     authorities: str = ""
     certificate: str = ""
@@ -55,7 +61,8 @@
 class EtcdSettings(Section):
     """The etcd cluster and key prefix under which a pool's servers are listed.
 
-    Nodes register under `nodes_prefix`, if it is set.
+    Nodes register under `nodes_prefix`, if it is set. `password_file` is the path of a file that contains the
+    password of `user`.
     """
 
     endpoints: list[str] = Field(min_length=1)
@@ -78,7 +85,10 @@
 
 
 class PoolSettings(Section):
-    """A pool of interchangeable servers, listed in the file, by a list service or in etcd."""
+    """A pool of interchangeable servers, listed in the file, by a list service or in etcd.
+
+    `zone` is the zone of this node. Prices are in units of the value of one request.
+    """
 
     name: Name
     list_service: str | None = None
--- a/wheatroute/config/processor.py
+++ b/wheatroute/config/processor.py
@@ -14,7 +14,7 @@
 
 
 class TlsSettings(Section):
-    """The certificate and key of a listener; clients are authenticated if `client_authorities` is set."""
+    """Paths of the TLS files of a listener; clients are authenticated if `client_authorities` is set."""
 
     certificate: Name
     key: Name
@@ -34,7 +34,10 @@
 
 
 class ProcessorSettings(Section):
-    """The listener, limits, headers and worker count of the external processor."""
+    """The listener, limits, headers and worker count of the external processor.
+
+    An empty `destination_header`, `metadata_namespace` or `time_header` disables the respective output.
+    """
 
     listen: str
     pool: Name
@@ -54,7 +57,10 @@
 
 
 class SnapshotSettings(Section):
-    """The file and interval of a worker's snapshots; without this section none are written."""
+    """The file of a worker's snapshots, how often it is written, and up to which age it is used.
+
+    Without this section none are written.
+    """
 
     path: Name
     interval_s: Positive = Field(default=5.0, alias="every")
@@ -64,7 +70,7 @@
 class AgreementSettings(Section):
     """The store for versions of the settings, and the time within which all processes agree on one.
 
-    The store is a directory, the directory that a relay keeps, or etcd.
+    The store is a directory, the directory that a relay updates, or etcd with a key prefix.
     """
 
     directory: str = ""
--- a/wheatroute/config/request_classes.py
+++ b/wheatroute/config/request_classes.py
@@ -12,7 +12,11 @@
 
 
 class RequestClassSettings(Section):
-    """A class of requests: what it matches, and its idempotency, deadline and value."""
+    """A class of requests: what it matches, and its idempotency, deadline and value.
+
+    Without `methods`, all methods match. The default target latency is the deadline. `late_value` is a
+    fraction of `value`.
+    """
 
     name: Name
     idempotency: Literal["pure", "receipted", "effectful"] = Field(alias="effect")
--- a/wheatroute/config/settings_file.py
+++ b/wheatroute/config/settings_file.py
@@ -37,7 +37,7 @@
 
 
 def describe_error(path: str, details: Mapping[str, Any]) -> str:
-    """Formats one error of a `ValidationError` as a line: path of the file, key and reason."""
+    """Formats one error of `ValidationError.errors()` as a line: path of the file, key and reason."""
     reason = _REASONS.get(details["type"]) or _reason(details)
     if not details["loc"]:
         return f"{path}: {reason}"
--- a/wheatroute/processor/__init__.py
+++ b/wheatroute/processor/__init__.py
@@ -1,1 +1,1 @@
-"""The external processor: tells other proxies, request by request, which server to send to."""
+"""The external processor: selects the server for each request of other proxies, which send the request."""
--- a/wheatroute/processor/attempt_history.py
+++ b/wheatroute/processor/attempt_history.py
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """One attempt of a request: its server, the time of its decision and its state."""
+    """One attempt of a request: its server, the time of its decision (on `net.clock`) and its state."""
 
     server: int = UNKNOWN_SERVER
     decided_at: float = 0.0
@@ -62,7 +62,7 @@
     request_class: int
     attempts: list[AttemptRecord]
     last_attempt_at: float
-    # The strictest idempotency that the class has had since the first attempt, if it is looser now.
+    # The strictest idempotency that the class has had since the first attempt, if its rules are looser now.
     strictest: Idempotency = Idempotency.IDEMPOTENT
 
 
@@ -104,9 +104,9 @@
     ) -> tuple[AttemptRecord, tuple[EarlierAttempt, ...]]:
         """Adds an attempt and returns it with the earlier ones; raises `RejectedError`.
 
-        `attempt_number` is the number that the proxy sent, 1 for a first attempt. If an earlier attempt may
-        have run, non-idempotent requests are rejected, and so are keyed ones whose deduplication group can
-        no longer be determined.
+        `now` is a time of `net.clock`. `attempt_number` is the number that the proxy sent, 1 for a first
+        attempt. If an earlier attempt may have run, non-idempotent requests are rejected, and so are keyed
+        ones whose deduplication group can no longer be determined.
         """
         self._forget_expired(now)
         request = self._requests.get(request_id)
@@ -126,7 +126,7 @@
         return attempt, earlier
 
     def record_decision(self, attempt: AttemptRecord, server: int, now: float) -> None:
-        """Records the server of an attempt, which may have run from now on unless the opposite is proven."""
+        """Records the server of an attempt, which may have run unless `record_never_ran` is called later."""
         attempt.server = server
         attempt.decided_at = now
         attempt.state = AttemptState.MAY_HAVE_RUN
--- a/wheatroute/processor/burst_driver.py
+++ b/wheatroute/processor/burst_driver.py
@@ -35,7 +35,7 @@
             self._has_events.set()
 
     def begin_burst(self) -> None:
-        """Holds events until `finish_burst`, which must be called before the task awaits anything."""
+        """Defers events until `finish_burst`, which must be called before the task awaits anything."""
         self._is_in_burst = True
 
     def finish_burst(self) -> None:
@@ -51,7 +51,7 @@
         self._sessions_to_flush.add(session)
 
     def handle_events(self, moment: float) -> None:
-        """Handles a batch, then writes the data of all sessions scheduled for a flush."""
+        """Handles a batch at the time `moment` (`net.clock`), then flushes the scheduled sessions."""
         super().handle_events(moment)
         for session in self._sessions_to_flush:
             session.flush()
--- a/wheatroute/processor/discovery.py
+++ b/wheatroute/processor/discovery.py
@@ -36,12 +36,13 @@
         self._has_list_service = settings.list_service is not None
         self._etcd_settings = settings.etcd
         self._name = settings.name
+        # Whether a different etcd cluster is never followed instead of the first one.
         self._is_pinned = settings.agreement is not None
         # Set by `run` if the servers are listed in etcd.
         self.etcd: EtcdServices | None = None
         # Entries of servers by id, as received.
         self.entries: dict[str, dict[str, Any]] = {}
-        # Cluster id and revision of the list in the snapshot: an older list must not replace it.
+        # Cluster id and revision of the list in the snapshot, which an older list must not replace.
         self._restored_min_position: tuple[int, int] | None = None
         self._restored_peers: list[str] = []
         super().__init__(settings.discovery, driver, servers, log)
@@ -57,7 +58,7 @@
             await trio.sleep_forever()
 
     async def _follow_etcd(self) -> None:
-        # Imported here so that workers without etcd don't pay for the import.
+        # Imported here so that workers without etcd start without the cost of the import.
         from wheatroute.etcd.services import EtcdServices
 
         assert self._etcd_settings is not None
@@ -83,6 +84,10 @@
         return super().list_version if self._has_list_service else FILE_SOURCE
 
     def _count_nodes(self, nodes: int, node: int, caution: float) -> None:
+        """Passes the number of nodes and this node's index, as counted in etcd, to the balancer.
+
+        `caution` divides the load on servers that are warming up while the number of nodes is uncertain.
+        """
         self.node_counts = {"nodes": nodes, "node": node}
         self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
 
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -75,7 +75,8 @@
 
         Request classes are matched in the order of `request_classes`, which maps their names to numbers.
         `strict_variants` maps a class to the class of its requests without an idempotency key, see
-        `RequestReader`. If the settings are binding, the driver withdraws retries that are not written yet.
+        `RequestReader`. With `applies_to_pending`, the settings also hold for requests that were accepted
+        before, and the driver withdraws retries that are not written yet.
         """
         self.driver.update_settings(settings, applies_to_pending)
         self._reader = RequestReader(
--- a/wheatroute/processor/load_reports.py
+++ b/wheatroute/processor/load_reports.py
@@ -20,8 +20,8 @@
 ORCA_HEADER = "endpoint-load-metrics"
 ORCA_BINARY_HEADER = "endpoint-load-metrics-bin"
 _NAMED_METRICS = "named_metrics"
-# ORCA's metric names, mapped to the names of the project's format. Named metrics are those that the project's
-# format also has.
+# ORCA's metric names, mapped to the names of the project's format. Servers choose the names of ORCA's named
+# metrics; only those that the project's format also has are read.
 _METRIC_NAMES = {
     "cpu_utilization": "busy",
     "application_utilization": "busy",
@@ -76,6 +76,7 @@
 
 def _parse_json(text: str) -> dict[str, Any]:
     try:
+        # NaN and infinities, which JSON does not allow, become a value that is out of range.
         document = json.loads(text, parse_constant=lambda _: inf)
     except (ValueError, RecursionError):
         return {}
@@ -86,7 +87,7 @@
 
 
 def _parse_binary(text: bytes) -> dict[str, Any]:
-    # Imported here so that workers that receive no binary reports don't pay for the import.
+    # Imported here so that workers that receive no binary reports start without the cost of the import.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
--- a/wheatroute/processor/processing_messages.py
+++ b/wheatroute/processor/processing_messages.py
@@ -19,7 +19,8 @@
 # Metadata key of the server's address if the settings name no destination header.
 DEFAULT_METADATA_KEY = "destination"
 RETRY_AFTER = "retry-after"
-# Limit for the cache of decisions by address, because servers are added and removed for years.
+# The cache of decisions by address is cleared beyond this size: it would otherwise grow without limit, since
+# servers are added and removed for years.
 MAX_CACHED_DECISIONS = 65536
 
 
--- a/wheatroute/processor/response_outcome.py
+++ b/wheatroute/processor/response_outcome.py
@@ -27,6 +27,7 @@
 _UNCONNECTED = ResponseFlags.NO_HEALTHY_HOST | ResponseFlags.CONNECTION_FAILED | ResponseFlags.OVERFLOW
 _RESET = ResponseFlags.LOCAL_RESET | ResponseFlags.REMOTE_RESET | ResponseFlags.CONNECTION_ENDED
 # Plain integers rather than `IntFlag` members, because they are compared for every response.
+# The first entry with a flag that is set applies.
 _FLAG_OUTCOMES = (
     (_UNCONNECTED.value, AttemptOutcome.UNCONNECTED),
     (ResponseFlags.TIMED_OUT.value, AttemptOutcome.TIMED_OUT),
@@ -35,7 +36,7 @@
 
 
 def response_outcome(headers: Mapping[str, bytes], flags: int = 0) -> AttemptOutcome:
-    """Returns the outcome of an attempt.
+    """Returns the outcome of an attempt; `flags` are the proxy's `ResponseFlags`, 0 if it sent none.
 
     Only the `not-started` header, or flags for a failed connection, prove that an attempt never ran.
     """
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -29,7 +29,7 @@
 from wheatroute.processor.response_outcome import response_outcome
 from wheatroute.processor.routing_request import InvalidRequestError, RoutingRequest
 
-# Status of an exchange whose final response is a decision that names a server.
+# Status of an exchange that ends with a decision that names a server, instead of an HTTP status.
 ROUTED_STATUS = 0
 # HTTP status and reason that the client is sent for each rejection.
 REJECTION_RESPONSES = {
@@ -84,7 +84,7 @@
     DECIDED = 2
     # The attempt has timed out, but the proxy has not reported a response yet.
     OVERDUE = 3
-    # The server's response has begun, or the stream was answered without a server or ended.
+    # The server's response has begun, an immediate response was sent, or the stream has ended.
     ENDED = 4
 
 
--- a/wheatroute/processor/supervisor.py
+++ b/wheatroute/processor/supervisor.py
@@ -14,7 +14,7 @@
 
 MIN_RESTART_DELAY_S = 0.1
 MAX_RESTART_DELAY_S = 10.0
-# A worker that has run for longer than this is restarted after the minimum delay.
+# A worker that has run for longer than this is restarted after the minimum delay, others after a longer one.
 STABLE_AFTER_S = 10.0
 # Exit status of a worker whose settings can't be used. It is not restarted, since a restart would not help.
 BAD_SETTINGS_STATUS = 2
--- a/wheatroute/processor/worker.py
+++ b/wheatroute/processor/worker.py
@@ -41,13 +41,13 @@
 
 
 class SettingsFollower(Protocol):
-    """Applies the versions of the settings on which all processes agree to a worker."""
+    """Follows the versions of the settings on which all processes agree, and applies them to a worker."""
 
     async def run(self) -> None:
         """Follows and applies versions until cancelled."""
 
     async def leave(self) -> None:
-        """Announces to the version store that this worker stops."""
+        """Removes this worker's status from the version store, since the worker stops."""
 
 
 # Creates the settings follower of a worker. Arguments: the file's settings, the worker's number, the worker's
--- a/wheatroute/processor/worker_settings.py
+++ b/wheatroute/processor/worker_settings.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSettings:
-    """The settings of one worker, with mappings from names of request classes, tenants etc. to numbers."""
+    """The settings of one worker, with mappings from names to the numbers that the balancer uses."""
 
     name: str
     seed: str
@@ -212,7 +212,7 @@
         overload_window_s=rules.overload_window_s,
         overload_multiple=rules.overload_multiple,
         request_classes=[_request_class(request_class) for request_class in settings.request_classes],
-        # Ticks always process the servers in parts, because a proxy waits during every batch.
+        # The work of a tick is always spread over several batches, because a proxy waits during every batch.
         max_servers_per_tick=0,
         tenants=[TenantQuota(quota=tenant.rate) for tenant in settings.tenants],
     )
