--- a/tests/agreement/test_drain_notices.py
+++ b/tests/agreement/test_drain_notices.py
@@ -64,14 +64,14 @@
     installation = Installation(3, entry("s1"), entry("s2"))
     installation.processes[0].filter_message(list_of(entry("s1", "terminating")))
     assert installation.exchange(0, 1, 2) == [{}, {"s1": "terminating"}, {"s1": "terminating"}]
-    # an outdated own list does not undo it, even a full one
+    # An outdated list of the process itself, even a full one, does not undo the drain.
     assert (
         installation.processes[1].filter_message(list_of(entry("s1"), full=True))["servers"][0]["state"]
         == "terminating"
     )
     installation.processes[0].filter_message(list_of(entry("s1")))
     assert installation.exchange(0, 1, 2) == [{}, {"s1": "in_service"}, {"s1": "in_service"}]
-    # a second drain is announced as well
+    # A second drain of the same process creates a notice as well.
     installation.processes[0].filter_message(list_of(entry("s1", "terminating")))
     assert installation.exchange(0, 1) == [{}, {"s1": "terminating"}]
 
@@ -89,7 +89,7 @@
     installation.processes[0].filter_message(list_of(entry("s2", "terminated")))
     installation.processes[0].filter_message(list_of(entry("s7", address="10.0.0.9:9")))
     assert installation.exchange(0, 1) == [{}, {"s1": "terminating", "s2": "terminating"}]
-    # the notice does not apply to the new process under the same id
+    # The notice does not apply to the new process of the server.
     assert (
         installation.processes[1].filter_message(list_of(entry("s1", started=5)))["servers"][0]["state"]
         == "in_service"
@@ -133,10 +133,12 @@
 
 
 def test_malformed_notices_and_entries_are_ignored():
-    one = DrainNotices(10.0)
-    one.filter_message(list_of(entry("s1"), 7, {"id": 3}, {"id": "s2", "started_ms": "x"}, full=True))
-    assert one.receive([None, {"id": "s1"}, {"id": "s1", "started": 0, "leaves": 1, "turn": 1}], 0.0) == []
-    assert one.outgoing(0.0) == ([], [])
+    process = DrainNotices(10.0)
+    process.filter_message(list_of(entry("s1"), 7, {"id": 3}, {"id": "s2", "started_ms": "x"}, full=True))
+    assert (
+        process.receive([None, {"id": "s1"}, {"id": "s1", "started": 0, "leaves": 1, "turn": 1}], 0.0) == []
+    )
+    assert process.outgoing(0.0) == ([], [])
 
 
 def test_a_notice_read_by_a_failed_exchange_is_not_lost(tmp_path):
@@ -156,7 +158,10 @@
 
 
 def test_an_abandoned_exchange_that_ends_late_loses_no_notice(tmp_path):
-    """Its thread reads notices, another exchange begins and ends, then the thread adds what it read."""
+    """The thread of an abandoned exchange reads a notice and adds it only after another exchange has ended.
+
+    Guards against the loss of the notices that either of them read.
+    """
 
     class LateStore(DirectoryStore):
         def changed_drain_notices_blocking(self):
@@ -171,7 +176,7 @@
     store.create()
     store.write_drain_notices_blocking([notice("s1")], [])
     store.exchange_blocking("n0.1", {"name": "n0"}, 0, "")
-    assert {one["id"] for one in take_received_notices(store)} == {"s1", "s2"}
+    assert {received["id"] for received in take_received_notices(store)} == {"s1", "s2"}
 
 
 def test_an_unreadable_status_or_notice_fails_no_exchange(tmp_path):
@@ -184,7 +189,7 @@
         for name, text in (("empty", b""), ("half", b'{"id": '), ("list", b"[1]")):
             (tmp_path / folder / name).write_bytes(text)
     store.exchange_blocking("n0.1", {"name": "n0"}, 0, "")
-    assert [one["id"] for one in take_received_notices(store)] == ["s1"]
+    assert [received["id"] for received in take_received_notices(store)] == ["s1"]
     assert {row["name"] for row in store.statuses_blocking()} == {"n0", "n1"}
     assert store.unreadable_keys == {"empty", "half", "list"}
 
@@ -203,7 +208,7 @@
         backend.put(wire.PutRequest(key=b"/v/words/bad", value=b"{"))
         backend.put(wire.PutRequest(key=b"/v/nodes/bad.1", value=b"[]"))
         assert await store.exchange("n0.1", {"name": "n0"}, 0, "") == []
-        assert [one["id"] for one in take_received_notices(store)] == ["s1"]
+        assert [received["id"] for received in take_received_notices(store)] == ["s1"]
         assert [row["name"] for row in await store.statuses()] == ["n0"]
         assert store.unreadable_keys == {"/v/words/bad", "/v/nodes/bad.1"}
         nursery.cancel_scope.cancel()
@@ -228,7 +233,9 @@
     relay_store = RelayStore(store, relayed.path, 3.0, 10.0)
     await relay_store.exchange("relay.1", {"name": "relay"}, 0, "")
     fresh = tmp_path / "here" / "fresh"
-    assert [one["id"] for one in orjson.loads(fresh.read_bytes())["words"]] == ["s1"] and not store.removed
+    assert [stored["id"] for stored in orjson.loads(fresh.read_bytes())["words"]] == [
+        "s1"
+    ] and not store.removed
     later = clock() + RETENTION_AGREEMENT_TIMES * 10.0 + 1.0
     with mock.patch.object(relay, "clock", lambda: later):
         await relay_store.exchange("relay.1", {"name": "relay"}, 0, "")
@@ -284,7 +291,7 @@
     assert store.statuses_blocking() == []
 
 
-# tests with several processes
+# Tests with several processes.
 
 
 async def check_node_cut_off_from_its_list(store, discovery, change):
@@ -302,12 +309,12 @@
         rig.faults.partition("n2", "list")
         changed_at = time.monotonic()
         change(rig)
-        # after the agreement time and the drain grace, n2 sends nothing to the server
-        last = changed_at + AGREEMENT_TIME_S + 2.0
+        # After the agreement time and the drain grace, n2 sends nothing to the server.
+        last_allowed_at = changed_at + AGREEMENT_TIME_S + 2.0
         await rig.wait_until(
             lambda: (
                 sum(
-                    execution.node == "n2" and execution.started_at > last + 0.5
+                    execution.node == "n2" and execution.started_at > last_allowed_at + 0.5
                     for execution in rig.records.executions
                 )
                 > 20
@@ -317,7 +324,7 @@
         late = [
             execution
             for execution in rig.records.executions
-            if execution.node == "n2" and execution.server == "s3" and execution.started_at > last
+            if execution.node == "n2" and execution.server == "s3" and execution.started_at > last_allowed_at
         ]
         assert not late, f"{len(late)} late, the last after {late[-1].started_at - changed_at:.2f} s"
         assert "s3:terminating" in rig.processes["n2"].log
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -28,12 +28,12 @@
         rig.faults.partition("p1", "store", "back")
         number = await rig.versions.put("look has effects now", look__effect="fragile")
         assert await rig.versions.wait_for_outcome(number) == "in force"
-        cut = time.monotonic()
+        cut_at = time.monotonic()
         await rig.wait_until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "p1" and one.sent_at > cut
-                    for one in rig.records.requests.values()
+                    request.status == 200 and request.node == "p1" and request.sent_at > cut_at
+                    for request in rig.records.requests.values()
                 )
                 > 20
             ),
@@ -59,20 +59,20 @@
         await put_first_version(rig)
         await wait_for_retry(rig, "p0")
         rig.faults.stop("p0")
-        stopped = time.monotonic()
+        stopped_at = time.monotonic()
         number = await rig.versions.put("look has effects now", look__effect="fragile")
         assert await rig.versions.wait_for_outcome(number) == "in force"
         await rig.wait_until(
-            lambda: time.monotonic() > stopped + 3 * AGREEMENT_TIME_S,
+            lambda: time.monotonic() > stopped_at + 3 * AGREEMENT_TIME_S,
             "three times the agreement time has passed",
         )
         rig.faults.resume("p0")
-        resumed = time.monotonic()
+        resumed_at = time.monotonic()
         await rig.wait_until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "p0" and one.sent_at > resumed
-                    for one in rig.records.requests.values()
+                    request.status == 200 and request.node == "p0" and request.sent_at > resumed_at
+                    for request in rig.records.requests.values()
                 )
                 > 20
             ),
@@ -111,13 +111,13 @@
         )
         rig.faults.partition("p0", "list")
         rig.faults.drain("s3")
-        # p0 learns of the drain within that time, by the node's notice
+        # The notice of the node reaches p0 within the agreement time after the drain.
         rig.records.drained_at["s3"] += AGREEMENT_TIME_S
-        last = rig.records.drained_at["s3"] + 2.0
+        last_allowed_at = rig.records.drained_at["s3"] + 2.0
         await rig.wait_until(
             lambda: (
                 sum(
-                    execution.node == "p0" and execution.started_at > last + 0.5
+                    execution.node == "p0" and execution.started_at > last_allowed_at + 0.5
                     for execution in rig.records.executions
                 )
                 > 20
--- a/tests/agreement/test_joint_settings.py
+++ b/tests/agreement/test_joint_settings.py
@@ -91,14 +91,14 @@
 def test_joined_settings_are_never_looser_than_either_version():
     loose = dataclasses.replace(decision_settings(DEFAULT_SETTINGS, {}), tick=0.005)
     for idempotencies in itertools.permutations(Idempotency, 2):
-        one, other = (
+        old, new = (
             dataclasses.replace(
                 loose,
                 request_classes=[dataclasses.replace(loose.request_classes[0], idempotency=idempotency)],
             )
             for idempotency in idempotencies
         )
-        assert joined(one, other).request_classes[0].idempotency == max(idempotencies)
+        assert joined(old, new).request_classes[0].idempotency == max(idempotencies)
     tight = dataclasses.replace(
         loose, max_attempts=1, overload_multiple=1.0, warmup_s=99.0, can_hedge=False, nodes=7
     )
--- a/tests/agreement/test_member.py
+++ b/tests/agreement/test_member.py
@@ -21,9 +21,8 @@
 def test_a_confirmation_counts_from_when_the_exchange_was_sent():
     member = exchanged(Member("a", "1", 10.0), 100.0)
     assert not member.permitted(100.0 + 0.98 * member.confirmation_ttl_s).is_conservative
-    assert member.permitted(
-        100.0 + 0.995 * member.confirmation_ttl_s
-    ).is_conservative  # allows for clock drift
+    # A hundredth of the time to live is subtracted to allow for clock drift.
+    assert member.permitted(100.0 + 0.995 * member.confirmation_ttl_s).is_conservative
     member.confirm(90.0, [])  # a late response to an earlier exchange changes nothing
     assert member.confirmed_until == 100.0 + member.confirmation_ttl_s * 0.99
 
--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -28,20 +28,23 @@
         server.reset_ratio = 0.1
 
 
-async def wait_for_retry(rig, node, kind="look", since=None):
-    """Waits until a node retries a request that a server had begun, which it does as long as it may."""
+async def wait_for_retry(rig, node, request_class="look", since=None):
+    """Waits until a node retries a request of a class that a server had begun.
+
+    A node does so as long as the version that it acts on allows it.
+    """
     since = time.monotonic() if since is None else since
 
     def has_retried():
         return any(
             len(runs) > 1
-            and runs[0].request_class == kind
+            and runs[0].request_class == request_class
             and runs[0].node == node
             and runs[0].started_at > since
             for runs in rig.records.executions_by_request().values()
         )
 
-    await rig.wait_until(has_retried, f"{node} retries {kind}")
+    await rig.wait_until(has_retried, f"{node} retries {request_class}")
 
 
 async def put_first_version(rig):
@@ -65,22 +68,22 @@
     return verdict.summary(rig.records, until, AGREEMENT_TIME_S)
 
 
-async def check_cut_off_during_change(store, way):
+async def check_cut_off_during_change(store, direction):
     async with running_rig(RigOptions(nodes=3, store=store, bound_s=AGREEMENT_TIME_S)) as rig:
         make_servers_reset(rig)
         rig.start_load(50, REQUEST_MIX)
         await put_first_version(rig)
         await wait_for_retry(rig, "n2")
-        rig.faults.partition("n2", "store", way)
+        rig.faults.partition("n2", "store", direction)
         number = await rig.versions.put("look has effects now", look__effect="fragile")
-        # not delayed by the node that is cut off
+        # The node that is cut off does not delay the version.
         assert await rig.versions.wait_for_outcome(number) == "in force"
-        cut = time.monotonic()
+        cut_at = time.monotonic()
         await rig.wait_until(
             lambda: (
                 sum(
-                    one.status == 200 and one.node == "n2" and one.sent_at > cut
-                    for one in rig.records.requests.values()
+                    request.status == 200 and request.node == "n2" and request.sent_at > cut_at
+                    for request in rig.records.requests.values()
                 )
                 > 20
             ),
@@ -93,10 +96,10 @@
 
 
 @pytest.mark.parametrize(
-    "store, way", [("directory", "both"), ("etcd", "both"), ("etcd", "there"), ("etcd", "back")]
+    "store, direction", [("directory", "both"), ("etcd", "both"), ("etcd", "there"), ("etcd", "back")]
 )
-def test_a_node_cut_off_during_a_change_serves_conservatively_within_the_agreement_time(store, way):
-    trio.run(check_cut_off_during_change, store, way)
+def test_a_node_cut_off_during_a_change_serves_conservatively_within_the_agreement_time(store, direction):
+    trio.run(check_cut_off_during_change, store, direction)
 
 
 @scenario
@@ -109,18 +112,19 @@
         rig.faults.stop("n1")
         number = await rig.versions.put("look has effects now", look__effect="fragile")
         assert await rig.versions.wait_for_outcome(number) == "in force"
-        put = rig.records.versions[-1].published_at
-        # meanwhile its sockets fill with requests and with responses of servers
+        put_at = rig.records.versions[-1].published_at
+        # Meanwhile the sockets of n1 fill with requests and with responses of servers.
         await rig.wait_until(
-            lambda: time.monotonic() > put + 3 * AGREEMENT_TIME_S, "three times the agreement time has passed"
+            lambda: time.monotonic() > put_at + 3 * AGREEMENT_TIME_S,
+            "three times the agreement time has passed",
         )
         rig.faults.resume("n1")
-        resumed = time.monotonic()
+        resumed_at = time.monotonic()
         await rig.versions.wait_until_agreed(number)
         await rig.wait_until(
             lambda: (
                 sum(
-                    execution.node == "n1" and execution.started_at > resumed
+                    execution.node == "n1" and execution.started_at > resumed_at
                     for execution in rig.records.executions
                 )
                 > 20
@@ -143,19 +147,20 @@
         rig.start_load(50, REQUEST_MIX)
         await put_first_version(rig)
         rig.faults.partition("n2", "store")
-        put = time.monotonic()
+        put_at = time.monotonic()
         number = await rig.versions.put("look has no effects", look__effect="retryable")
         assert await rig.versions.wait_for_outcome(number) == "in force"
         for name in ("n0", "n1"):  # clients learn of the change and use the other form
             rig.loads[name].set_class("look", 0.6, "retryable")
         await wait_for_retry(rig, "n0")
-        first = min(
+        first_retry_at = min(
             runs[1].started_at
             for runs in rig.records.executions_by_request().values()
             if len(runs) > 1 and runs[0].request_class == "look"
         )
-        # not before n2's last confirmation expired, which was sent at most one exchange before the put
-        assert first - put > 0.5 * AGREEMENT_TIME_S
+        # No node retries before n2's last confirmation has expired. The exchange that it counts from was sent
+        # at most one exchange before the put.
+        assert first_retry_at - put_at > 0.5 * AGREEMENT_TIME_S
         rig.faults.heal("n2", "store")
         await rig.versions.wait_until_agreed(number)
         await check_guarantees(rig)
@@ -191,7 +196,8 @@
         for effect in ("fragile", "retryable"):
             before = sum(process.log.count(phase) for process in rig.processes.values()) if phase else -1
             number = await rig.versions.put("a change", look__effect=effect)
-            # the version was put; or some process has read it; or some process has decided that all have
+            # Without `phase`, the outage begins as soon as the version was put; otherwise when a process logs
+            # that it has read the version (joint), or that it has decided on it.
             await rig.wait_until(
                 lambda before=before: (
                     sum(process.log.count(phase) for process in rig.processes.values()) > before
@@ -219,7 +225,7 @@
     async with running_rig(RigOptions(nodes=2, store="etcd", bound_s=AGREEMENT_TIME_S)) as rig:
         await put_first_version(rig)
         rig.etcd.send_command("set", member=0, silent=True)
-        rig.etcd.send_command("set", member=1, behind=3)  # it cannot reach the others, and reports that
+        rig.etcd.send_command("set", member=1, behind=3)  # the member cannot reach the others and reports so
         number = await rig.versions.put("a change", look__effect="fragile")
         assert await rig.versions.wait_for_outcome(number) == "in force"
         await rig.versions.wait_until_agreed(number)
@@ -276,9 +282,11 @@
             )
             for i in range(2)
         ]
-        await rig.wait_until(lambda: not any(one.is_alive for one in commands), "both commands have ended")
-        assert sorted(one.exit_status for one in commands) == [0, 3]
-        refused = next(one for one in commands if one.exit_status == 3)
+        await rig.wait_until(
+            lambda: not any(command.is_alive for command in commands), "both commands have ended"
+        )
+        assert sorted(command.exit_status for command in commands) == [0, 3]
+        refused = next(command for command in commands if command.exit_status == 3)
         assert "version 2 by" in refused.log and "--over 2" in refused.log
         replacement = rig.launcher.start_settings_command(
             "put", rig.versions.settings_file(look__hard_stop=1.9), "--why", "over it", "--over", "2"
@@ -382,7 +390,13 @@
         await rig.faults.start("n1")  # its own file still declares look as retryable
         rig.start_load(40, REQUEST_MIX)
         await rig.wait_until(
-            lambda: sum(one.node == "n1" and one.status == 200 for one in rig.records.requests.values()) > 60,
+            lambda: (
+                sum(
+                    request.node == "n1" and request.status == 200
+                    for request in rig.records.requests.values()
+                )
+                > 60
+            ),
             "n1 serves",
         )
         assert not any(
@@ -414,29 +428,35 @@
         await put_first_version(rig)
         number = await rig.versions.put("wrong", allowed__most_relays=0)
         assert await rig.versions.wait_for_outcome(number) == "in force"
-        wrong = time.monotonic()
+        in_force_at = time.monotonic()
         await rig.wait_until(
             lambda: (
-                sum(one.sent_at > wrong and one.status in (502, 503) for one in rig.records.requests.values())
+                sum(
+                    request.sent_at > in_force_at and request.status in (502, 503)
+                    for request in rig.records.requests.values()
+                )
                 > 20
             ),
             "requests are refused",
         )
-        asked = time.monotonic()
+        revert_started_at = time.monotonic()
         revert = rig.launcher.start_settings_command(
             "back", "1", "--why", "it refuses everything", "--wait", "10"
         )
         await rig.wait_until(lambda: not revert.is_alive, "the version is reverted")
         assert revert.exit_status == 0 and "version 3: in force" in revert.log
         await rig.versions.wait_until_agreed(3)
-        # the start of the command line takes most of this time
+        # The start of the command takes most of this time.
         assert (await rig.versions.read_history()).versions[
             3
-        ].parent == 2 and time.monotonic() - asked < 5 * AGREEMENT_TIME_S
-        reverted = time.monotonic()
+        ].parent == 2 and time.monotonic() - revert_started_at < 5 * AGREEMENT_TIME_S
+        reverted_at = time.monotonic()
         await rig.wait_until(
             lambda: (
-                sum(one.sent_at > reverted and one.status == 200 for one in rig.records.requests.values())
+                sum(
+                    request.sent_at > reverted_at and request.status == 200
+                    for request in rig.records.requests.values()
+                )
                 > 20
             ),
             "requests are served again",
@@ -506,8 +526,8 @@
 
     trio.run(run)
     text = (
-        "import wheatroute.__main__, sys; print([one for one in sys.modules"
-        " if any(part in one for part in ('agreement', 'rfc8785', 'wheatroute.rig', 'rollout'))])"
+        "import wheatroute.__main__, sys; print([name for name in sys.modules"
+        " if any(part in name for part in ('agreement', 'rfc8785', 'wheatroute.rig', 'rollout'))])"
     )
     result = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True, check=True)
     assert result.stdout.strip() == "[]"
@@ -520,16 +540,17 @@
         async with running_rig(RigOptions(nodes=1, bound_s=AGREEMENT_TIME_S)) as rig:
             pids.append(rig.processes["n0"].pid)
             rig.faults.stop("n0")
-            began = time.monotonic()
+            began_at = time.monotonic()
             with pytest.raises(RigError, match=r"^waited \d+\.\d s until pigs fly$") as raised:
                 await rig.wait_until(lambda: False, "pigs fly", 0.1)
-            ended = time.monotonic()
+            ended_at = time.monotonic()
             await rig.wait_until(
-                lambda: time.monotonic() > ended + 0.1, "the delay of the rig's own event loop is measured"
+                lambda: time.monotonic() > ended_at + 0.1, "the delay of the rig's own event loop is measured"
             )
-            # the delay of the rig's loop is added; without delay 0.1 s is reported, as 0.2 is not below 0.18
+            # Delays of the rig's own event loop add to the reported wait. Without them it must be 0.1 s: the
+            # wait is rounded to tenths, and 0.2 is not below 0.18.
             waited_s = float(str(raised.value).split()[1])
-            assert 0.1 <= waited_s < 0.18 + rig.records.lateness.total_s(began, ended)
+            assert 0.1 <= waited_s < 0.18 + rig.records.lateness.total_s(began_at, ended_at)
 
     trio.run(run)
     with pytest.raises(ProcessLookupError):
@@ -548,9 +569,9 @@
         )
         rig.etcd.send_command("set", member=0, silent=True)
         rig.faults.drain("s3")
-        drained = time.monotonic()
+        drained_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > drained + 2.3 for execution in rig.records.executions) > 40,
+            lambda: sum(execution.started_at > drained_at + 2.3 for execution in rig.records.executions) > 40,
             "the others serve",
         )
         rig.etcd.send_command("set", member=0, silent=False)
@@ -558,7 +579,7 @@
             row.list_revision > 1 and row.list_source == "etcd 1"
             for row in (await rig.versions.status()).processes
         )
-        # the nodes are counted by their keys in etcd, whatever number the settings have
+        # The nodes are counted by their keys in etcd; the number in the settings is not used.
         assert all(
             "event=peers" in rig.processes[name].log and "nodes=2" in rig.processes[name].log
             for name in rig.names
@@ -572,18 +593,18 @@
         rig.start_load(40, REQUEST_MIX)
         await put_first_version(rig)
         rig.faults.drain("s3")
-        drained = time.monotonic()
+        drained_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > drained + 0.5 for execution in rig.records.executions) > 20,
+            lambda: sum(execution.started_at > drained_at + 0.5 for execution in rig.records.executions) > 20,
             "the others serve",
         )
         rig.discovery_services["n0"].roll_back(1)
         await rig.wait_until(
             lambda: "event=list-behind" in rig.processes["n0"].log, "n0 notices that the list is behind"
         )
-        behind = time.monotonic()
+        noticed_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > behind + 2.5 for execution in rig.records.executions) > 20,
+            lambda: sum(execution.started_at > noticed_at + 2.5 for execution in rig.records.executions) > 20,
             "it continues to serve",
         )
         for _ in range(2):
@@ -591,7 +612,7 @@
         await rig.wait_until(
             lambda: "event=list-caught-up" in rig.processes["n0"].log, "n0 follows the list again"
         )
-        rig.records.drained_at["s3"] = drained
+        rig.records.drained_at["s3"] = drained_at
         await check_guarantees(rig, served=100)
 
 
@@ -603,22 +624,26 @@
         rig.start_load(40, REQUEST_MIX)
         await put_first_version(rig)
         rig.faults.drain("s3")
-        drained = time.monotonic()
+        drained_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > drained + 1.0 for execution in rig.records.executions) > 20,
+            lambda: sum(execution.started_at > drained_at + 1.0 for execution in rig.records.executions) > 20,
             "the others serve",
         )
-        rig.etcd.send_command("clear", cluster=77)  # with no servers at all
+        rig.etcd.send_command("clear", cluster=77)  # the new cluster lists no servers
         await rig.wait_until(
             lambda: all(
                 "cluster 4d answers in the place of 1" in rig.processes[name].log for name in rig.names
             ),
             "both have logged it",
         )
-        other = time.monotonic()
+        replaced_at = time.monotonic()
         await rig.wait_until(
             lambda: (
-                sum(one.sent_at > other and one.status == 200 for one in rig.records.requests.values()) > 60
+                sum(
+                    request.sent_at > replaced_at and request.status == 200
+                    for request in rig.records.requests.values()
+                )
+                > 60
             ),
             "they serve with the servers that they had",
         )
@@ -661,7 +686,7 @@
         number = await rig.versions.put("keys are a cell's", change__group="cell")
         assert await rig.versions.wait_for_outcome(number) == "in force"
         await rig.versions.wait_until_agreed(number, ["n0", "n1"])
-        await wait_for_retry(rig, "n0", "change")  # still allowed inside the cell
+        await wait_for_retry(rig, "n0", "change")  # retries inside the cell are still allowed
         rig.faults.heal("n2", "store")
         await rig.versions.wait_until_agreed(number)
         await check_guarantees(rig, repeats=5)
@@ -676,17 +701,19 @@
         await put_first_version(rig)
         rig.etcd.send_command("keep")
         rig.faults.drain("s3")
-        drained = time.monotonic()
+        drained_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > drained + 1.0 for execution in rig.records.executions) > 20,
+            lambda: sum(execution.started_at > drained_at + 1.0 for execution in rig.records.executions) > 20,
             "the others serve",
         )
         rig.etcd.send_command("restore")
         rig.faults.reset_connections("n0", "list")
         rig.faults.reset_connections("n1", "list")
-        restored = time.monotonic()
+        restored_at = time.monotonic()
         await rig.wait_until(
-            lambda: sum(execution.started_at > restored + 2.5 for execution in rig.records.executions) > 20,
+            lambda: (
+                sum(execution.started_at > restored_at + 2.5 for execution in rig.records.executions) > 20
+            ),
             "they continue to serve",
         )
         await check_guarantees(rig, served=100)
@@ -730,7 +757,9 @@
         assert (await clients.send("peek")).status == 200 and (await clients.send("look")).status == 200
         clients.set_class("buy", 0.0, "fragile")
         assert (await clients.send("buy")).status == 404
-        rig.records.requests = {name: one for name, one in rig.records.requests.items() if one.status != 404}
+        rig.records.requests = {
+            name: request for name, request in rig.records.requests.items() if request.status != 404
+        }
         await check_guarantees(rig)
 
 
--- a/tests/agreement/test_workers.py
+++ b/tests/agreement/test_workers.py
@@ -23,8 +23,8 @@
     def run(tmp_path):
         async def run_with_timeout():
             with trio.fail_after(60):
-                held = reserve_port()
-                address = held.getsockname()
+                reservation = reserve_port()
+                address = reservation.getsockname()
                 path, store = tmp_path / "file.toml", tmp_path / "store"
                 text = SETTINGS_TEXT.format(servers=server_tables()).replace(
                     'listen = "127.0.0.1:1"', f'listen = "127.0.0.1:{address[1]}"\nworkers = 2'
@@ -39,7 +39,7 @@
                 finally:
                     supervisor.send_signal(signal.SIGTERM)
                     supervisor.wait(10)
-                    held.close()
+                    reservation.close()
 
         trio.run(run_with_timeout)
 
@@ -65,11 +65,11 @@
         changed = self.path.with_name("changed.toml")
         changed.write_text(text)
         cli = [sys.executable, "-m", "wheatroute.cli", "settings", "--at", str(self.store)]
-        done = subprocess.run(
+        result = subprocess.run(
             [*cli, "put", str(changed), "--why", "w", "--wait", "10"], capture_output=True, text=True
         )
-        assert done.returncode == 0, done.stdout + done.stderr
-        number = int(done.stdout.split()[1])
+        assert result.returncode == 0, result.stdout + result.stderr
+        number = int(result.stdout.split()[1])
         while not [row.version for row in await self.statuses() if row.phase == "in force"] == [number] * 2:
             await trio.sleep(0.02)
 
@@ -92,7 +92,7 @@
         assert await workers.selects_server(f"safe-{n}", VIEW, 2)
     await workers.put(view="effectful")
     for n in range(6):
-        # may have run, so it must not run again
+        # Each of the first two attempts may have run, so there must be no third one.
         assert not await workers.selects_server(f"safe-{n}", VIEW, 3)
         assert await workers.selects_server(f"new-{n}", VIEW)
         assert not await workers.selects_server(f"new-{n}", VIEW, 2)
@@ -111,7 +111,7 @@
         int(pid) for pid in os.listdir("/proc") if pid.isdigit() and _command(pid).find(worker_command) >= 0
     ]
     os.kill(pids[0], signal.SIGSTOP)
-    stopped = time.monotonic()
+    stopped_at = time.monotonic()
     try:
         changed = workers.path.with_name("unsafe.toml")
         changed.write_text(workers.path.read_text().replace('effect = "pure"', 'effect = "effectful"'))
@@ -120,7 +120,7 @@
             store, version_content.read_content(str(changed))[0], "while a worker is stopped"
         )
         assert (await operator.wait_for_outcome(store, version.number, 10.0)).state == "in force"
-        while time.monotonic() < stopped + 3 * AGREEMENT_TIME_S:
+        while time.monotonic() < stopped_at + 3 * AGREEMENT_TIME_S:
             await trio.sleep(0.05)
     finally:
         os.kill(pids[0], signal.SIGCONT)
--- a/tests/processor/test_proxy_retries.py
+++ b/tests/processor/test_proxy_retries.py
@@ -24,7 +24,7 @@
             assert await route(channel, "order", PLACE, 2) == 502
         # The first attempt's stream has ended without a response of the server.
         assert await route(channel, "order", PLACE, 2) == 502
-        # The attempt number 1 makes no difference.
+        # A repeat that claims to be the first attempt is rejected as well.
         assert await route(channel, "order", PLACE) == 502
         await until(lambda: sum(balancer_of(worker).servers.in_flight) == 0)
         assert worker.dispatcher.decision_count == 1
@@ -49,7 +49,7 @@
             async with open_request(channel, f"amend{n}", AMEND) as request:
                 first = int((await request.decision())[-4:])
             second = await route(channel, f"amend{n}", AMEND, 2)
-            # The other server of its cell.
+            # The retry is sent to the other server of the first one's cell.
             assert int(second[-4:]) == first ^ 1
             # Both servers of the cell have had an attempt.
             assert await route(channel, f"amend{n}", AMEND, 3) == 502
@@ -89,7 +89,7 @@
 @scenario
 async def test_a_rejected_id_may_be_sent_again_any_number_of_times(tmp_path):
     async with running_worker(tmp_path, pool=server_tables(1, s0="terminating")) as (worker, channel):
-        # More often than the maximum number of attempts.
+        # The id is sent more often than the maximum number of attempts (4) allows.
         for n in range(6):
             assert await route(channel, "order", PLACE, n + 1, timeout_s=0.05) == 503
         list_servers(worker, 2, server_entry())
--- a/tests/processor/test_streams.py
+++ b/tests/processor/test_streams.py
@@ -102,7 +102,7 @@
             await request.decision()
             await request.respond(200)
             await assert_rejected(request, response_headers(200))
-        # A stream without any message.
+        # A stream that ends without any message is no error.
         async with channel.call(METHOD_PATH) as call:
             call.half_close()
             assert await call.receive() is None
--- a/tests/rollout/test_canary_analysis.py
+++ b/tests/rollout/test_canary_analysis.py
@@ -21,7 +21,8 @@
 def simulated_stop(seed, harm=0.0, share=0.1, rate=400, seconds=120, before=120, skew=0.003):
     """Simulates a stage with bursts that hit both sides; returns the second in which it is stopped, or None.
 
-    The new side rejects `harm` more requests after the change, and differs by up to `skew` all the time.
+    The new side gets the fraction `share` of `rate` requests per second. After the change it rejects the
+    fraction `harm` of its requests in addition; the fractions of the two sides differ by up to `skew` anyway.
     """
     rng = random.Random(seed)
     analysis = CanaryAnalysis({"refused": 0.01, "worth": 0.02}, 0.005)
@@ -94,8 +95,8 @@
 def test_a_slower_version_is_found_on_machines_that_become_busier():
     """Guards against thresholds from before the stage only.
 
-    By those, 9 of 10 responses of both sides were slow once the machines were busier; no verdict was possible
-    and the rollout was held forever.
+    With those, 9 of 10 responses of both sides counted as slow once the machines were busier; no verdict was
+    possible and the rollout was held forever.
     """
     assert [verdict_on_busier_machines(seed, harm=0.09) for seed in range(8)] == [Verdict.WORSE] * 8
 
--- a/tests/rollout/test_rollouts.py
+++ b/tests/rollout/test_rollouts.py
@@ -14,7 +14,7 @@
 from wheatroute.rig.rig import running_rig
 from wheatroute.rollout import operator, plan
 
-BOUND_S = 1.5  # time bound that the rig checks its rules with
+BOUND_S = 1.5  # agreement time: seconds in which a change of the settings must reach all processes
 MIX = {"look": 0.6, "change": 0.2, "buy": 0.2}
 GOOD = [sys.executable, "-m", "wheatroute"]
 # Plan settings for a fault in response times: no stage passes before these are known to be no worse.
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -20,8 +20,8 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.wire_names import NameNumbering
 
-# By number of a request class of which clients may still use, or already use, another form: the idempotencies
-# whose forms are accepted, and the number of the class that requests of such another form are assigned to.
+# Request classes, by number, of which clients may use another form than the current one. The values are the
+# idempotencies whose forms are accepted, and the number of the class that requests of other forms enter.
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
 STRICT_SUFFIX = "\0strict"  # appended to a class's name, names its non-idempotent variant
 
@@ -66,7 +66,7 @@
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._derived_by_version: dict[int, DerivedSettings] = {0: own}
-        # by name of a class: its settings in the last version that has it
+        # The settings of each class, by name, in the last version that has it.
         self._last_definitions: dict[str, RequestClass] = {}
         self._past_versions = {0}  # versions that were active here; clients may still use their forms
         for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -40,7 +40,7 @@
         self.path = path
         self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
-        # by file name: mtime (ns) and inode when last read
+        # Files of drain notices by name: mtime (ns) and inode when the file was last read.
         self._notice_files: dict[str, tuple[int, int]] = {}
 
     async def exchange(
--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -2,9 +2,9 @@
 
 A notice identifies a server by its id and the start time of its process, says whether that process is leaving
 or has returned, and has a revision, which shows which of two notices is the later one. A process whose own
-server list is silent or lags learns from the notices of other processes that a server drains, has restarted
-under the same id, or has lost its address to another server. A server is never removed because some list does
-not contain it: a wrong list at one node would otherwise empty the lists of the others.
+server list is silent or lags learns from other processes' notices that a server drains, that it has restarted
+under the same id, or that another server now has its address. A server is never removed because some list
+does not contain it: a wrong list at one node would otherwise empty the lists of the others.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     def __init__(self, agreement_time_s: float) -> None:
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
         self._own_list: dict[str, ListEntry] = {}  # entries of this process's server list, by server id
-        # by address: the id of the last server there, and the start of its process
+        # The last server at each address: its id, and the start of its process (Unix time in ms).
         self._last_at_address: dict[str, tuple[str, float]] = {}
         # All notices below are by server id.
         self._stored: dict[str, Notice] = {}  # notices as last read from the store
         self._unsent: dict[str, Notice] = {}  # notices of this process that are not in the store yet
         # notices of this process that a server is back in service
         self._returned: dict[str, Notice] = {}
-        # by server id: the order of a stored notice, and when it was first read
+        # For each stored notice: its order, and when it was first read (seconds, the caller's clock).
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
 
     def filter_message(self, document: Any) -> Any:
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -48,7 +48,7 @@
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
         self._notices_revision = 0  # drain notices were read up to this revision
         self._cluster_id = 0  # ID of the cluster that sent the first response
-        self._revision = 0  # of the cluster at the last response that was checked
+        self._revision = 0  # revision of the cluster in the last checked response
 
     async def run(self) -> None:
         """Keeps the connections to the cluster until cancelled."""
--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -26,7 +26,7 @@
     RESTART_ONLY = "can only change with a restart"
     PER_PROCESS = "specific to each process"
     ROUTE = "the old value applies until the new version is in force; other requests are rejected unexecuted"
-    UNKNOWN = "unknown"  # for a key that is in no table
+    UNKNOWN = "unknown"  # the key is in none of the tables below
 
 
 # the parts of a version: for the platform's node, and for processes that are configured by a TOML file
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -68,14 +68,14 @@
         self.name, self.incarnation = name, incarnation
         self.confirmation_ttl_s = CONFIRMATION_FRACTION * agreement_time_s
         self.max_clock_drift = max_clock_drift
-        self.unusable: dict[int, str] = {}  # by version that this process cannot use: the reason
+        self.unusable: dict[int, str] = {}  # versions that this process cannot use, with the reason
         self.usable: set[int] = {0}  # versions that this process has checked and can use
         self.effective = EffectiveVersions()
         self.confirmed_at = -inf  # when the newest complete exchange was sent; monotonic seconds
         self.conservative_reason = "not confirmed yet"
         self.server_list = ("", 0)  # source and revision of the server list in use
         self._heartbeat = 0
-        self._seen_statuses: dict[str, _SeenStatus] = {}  # by key
+        self._seen_statuses: dict[str, _SeenStatus] = {}  # all processes' statuses as last read, by key
         self._pending_since = (0, inf)  # the pending version, and when it was first seen
 
     @property
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -65,7 +65,7 @@
     def _run(self) -> CheckResult:
         processes = [self._events.new_process(i, 0) for i in range(self._bounds.processes)]
         initial = WorldState(0, (), {}, processes)
-        # by key of a state: the key of its predecessor, and the event that led to it
+        # The states found so far, by key: the key of the predecessor, and the event that led to the state.
         seen: dict[Any, tuple[Any, str]] = {initial.key(self._bounds): (None, "")}
         queue = deque([(initial, 0)])
         result = CheckResult()
--- a/wheatroute/agreement/model_world.py
+++ b/wheatroute/agreement/model_world.py
@@ -115,7 +115,7 @@
 
     now: int
     records: tuple[StoredRecord, ...]
-    statuses: dict[str, StoredStatus]  # by key
+    statuses: dict[str, StoredStatus]  # the statuses in the store, by key
     processes: list[Process]
     puts: int = 0
     restarts: int = 0
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -49,7 +49,7 @@
     version: int
     parent: int
     content: Any  # validated by each process, whose status says why it cannot use a version
-    digest: str  # of the content
+    digest: str  # digest of `content`
     put_id: str = msgspec.field(name="name")  # random; its author recognizes the version by it
     author: str = msgspec.field(name="who")
     put_time: float = msgspec.field(name="when")  # Unix time in seconds; for display only
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -41,7 +41,7 @@
 
     sent_at: float = msgspec.field(name="sent")  # when the exchange was sent; see `clock`
     notices: list[Any] = msgspec.field(name="words", default_factory=list)  # all notices in the store
-    heartbeats: dict[str, int] = msgspec.field(name="rows")  # by key of the forwarded statuses
+    heartbeats: dict[str, int] = msgspec.field(name="rows")  # heartbeats of the forwarded statuses, by key
 
 
 class RelayedDirectoryStore(DirectoryStore):
@@ -90,11 +90,11 @@
         self._store, self._directory = store, DirectoryStore(directory)
         self._confirmation_ttl_s = confirmation_ttl_s
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
-        self._heartbeats: dict[str, SeenHeartbeat] = {}  # by key of a status of the machine
-        self._stored: dict[str, ForwardedNotice] = {}  # by server id: notices in the store
-        # by server id: notices of the machine's processes that are not in the store yet
+        self._heartbeats: dict[str, SeenHeartbeat] = {}  # those of the machine's statuses, by key
+        self._stored: dict[str, ForwardedNotice] = {}  # notices in the store, by server id
+        # Notices of the machine's processes that are not in the store yet, by server id.
         self._unsent: dict[str, ForwardedNotice] = {}
-        # by server id: the order of a stored notice, and when the relay first saw that notice
+        # For each stored notice, by server id: its order, and when the relay first saw it (see `clock`).
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
         self.received_notices: list[StoredNotice] = []  # stays empty: the relay itself applies none
         self.path = directory
--- a/wheatroute/processor/routing_request.py
+++ b/wheatroute/processor/routing_request.py
@@ -60,7 +60,7 @@
     is_client_retry: bool
     # 1 for the first attempt; 1 as well if the proxy sends no valid number.
     attempt_number: int
-    # The client's hint on how much work the request is; 0 if it has none.
+    # Cost of the request by its hint; 0 without a valid hint.
     work_hint: float = 0.0
 
 
--- a/wheatroute/rollout/canary_analysis.py
+++ b/wheatroute/rollout/canary_analysis.py
@@ -201,7 +201,7 @@
     difference_after: float  # mean difference after the change
     # half the width of the confidence interval of `difference_after` minus `difference_before`
     radius: float
-    margin: float  # by how much the new side may be worse
+    margin: float  # how much worse the new side may be
     new: float  # mean of the new side after the change
     old: float  # mean of the old side after the change
     blocks: int  # number of blocks after the change
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -2,7 +2,7 @@
 
 A request is slow if it took longer than the median at the unchanged nodes in the same seconds. With
 thresholds from before the stage alone, nearly all requests of both sides would count as slow once the
-machines are busier, and the two sides could not be told apart.
+machines are busier, and the two sides could not be distinguished.
 """
 
 from __future__ import annotations
