--- a/tests/agreement/test_model_checker.py
+++ b/tests/agreement/test_model_checker.py
@@ -19,7 +19,7 @@
         assert result.is_complete == is_complete and result.states >= 2000
 
 
-class ConfirmsFromTheAnswer(Member):
+class ConfirmsFromTheResponse(Member):
     """Counts a confirmation from when the response arrived, not from when the exchange was sent."""
 
     def confirm(self, sent_at, records, is_complete=True):
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize(
     "fault",
     [
-        ConfirmsFromTheAnswer,
+        ConfirmsFromTheResponse,
         NeverExpires,
         NeverJoint,
         IgnoresSilentProcesses,
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -63,7 +63,7 @@
                 # The client may send the write again to another endpoint. Writing the status twice is
                 # harmless, as long as it is written before the records are read.
                 self._check_header((await self._put_status(key, status)).header)
-            records = await self._read(max(1, after), has_notices=status is not None)
+            records = await self._read(max(1, after), reads_notices=status is not None)
             if after:
                 if not records or records[0].get("seq") != after or digest(records[0]) != expected_digest:
                     raise VersionStoreError(
@@ -112,8 +112,8 @@
         request = wire.PutRequest(key=self._status_prefix + key.encode(), value=orjson.dumps(status))
         return await self._call("Put", request, wire.PutResponse)
 
-    async def _read(self, first: int, has_notices: bool) -> list[StoredRecord]:
-        """Reads the records from number `first` on and, with `has_notices`, collects new drain notices.
+    async def _read(self, first: int, reads_notices: bool) -> list[StoredRecord]:
+        """Reads the records from number `first` on and, with `reads_notices`, collects new drain notices.
 
         Uses one read-only transaction, so that both are from the same revision.
         """
@@ -121,7 +121,7 @@
         ranges = [
             wire.RangeRequest(key=self._record_key(first), range_end=log_end, limit=MAX_RECORDS_PER_READ + 1)
         ]
-        if has_notices:
+        if reads_notices:
             ranges.append(
                 wire.RangeRequest(
                     key=self._notice_prefix,
@@ -130,14 +130,14 @@
                 )
             )
         request = wire.TxnRequest(success=[wire.RequestOp(request_range=read_range) for read_range in ranges])
-        answer = await self._call("Txn", request, wire.TxnResponse)
-        self._check_header(answer.header)
-        log, *notices = [response.response_range.kvs for response in answer.responses]
+        response = await self._call("Txn", request, wire.TxnResponse)
+        self._check_header(response.header)
+        log, *notices = [part.response_range.kvs for part in response.responses]
         records = [self._parse_record(pair) for pair in log]
         if notices:
             entries = [self._parse_entry(pair) for pair in notices[0]]
             self.received_notices += [entry for entry in entries if entry is not None]
-            self._notices_revision = answer.header.revision
+            self._notices_revision = response.header.revision
         return records
 
     async def _call(self, method: str, message: Any, response_type: Any) -> Any:
--- a/wheatroute/agreement/model_events.py
+++ b/wheatroute/agreement/model_events.py
@@ -32,12 +32,12 @@
 
     def successors(self, world: WorldState) -> list[tuple[str, WorldState]]:
         """Returns a description of every event that may happen next, with the state after it."""
-        after = [event for i in range(len(world.processes)) for event in self._process_events(world, i)]
+        events = [event for i in range(len(world.processes)) for event in self._process_events(world, i)]
         if world.puts < self._bounds.puts:
-            after.append((f"version {world.puts + 1} is put", self._put(world)))
+            events.append((f"version {world.puts + 1} is put", self._put(world)))
         if world.now < self._bounds.clock_steps:
-            after.append((f"clock step {world.now + 1}", self._step_clock(world)))
-        return after
+            events.append((f"clock step {world.now + 1}", self._step_clock(world)))
+        return events
 
     def _process_events(self, world: WorldState, i: int) -> Iterator[tuple[str, WorldState]]:
         process = world.processes[i]
@@ -45,7 +45,7 @@
             yield f"n{i} sends its status", self._send(world, i)
         if process.sent_at is not None:
             yield f"n{i} receives its response", self._receive(world, i)
-        if process.has_new_answer and process.member.history.pending and i < self._bounds.deciders:
+        if process.has_new_response and process.member.history.pending and i < self._bounds.deciders:
             yield f"n{i} reads the statuses", self._read_statuses(world, i)
         if process.to_append is not None:
             header = parse_header(process.to_append)
@@ -62,7 +62,7 @@
     def _send(self, world: WorldState, i: int) -> WorldState:
         after = world.copy(i)
         process = after.processes[i]
-        process.sent_at, process.has_new_answer = world.now, False
+        process.sent_at, process.has_new_response = world.now, False
         if self._reads_first:
             self._apply_records(after, process, i)
         else:
@@ -76,7 +76,7 @@
             after.statuses[process.member.key] = process.member.next_status(0.0)
         else:
             self._apply_records(after, process, i)
-        process.sent_at, process.has_new_answer = None, True
+        process.sent_at, process.has_new_response = None, True
         return after
 
     def _apply_records(self, world: WorldState, process: Process, i: int) -> None:
@@ -94,7 +94,7 @@
     def _read_statuses(world: WorldState, i: int) -> WorldState:
         after = world.copy(i)
         process = after.processes[i]
-        process.has_new_answer = False
+        process.has_new_response = False
         process.to_append = process.member.next_decision(world.now, world.now, list(world.statuses.values()))
         return after
 
--- a/wheatroute/agreement/model_invariants.py
+++ b/wheatroute/agreement/model_invariants.py
@@ -15,7 +15,7 @@
 def _disagreement(bounds: Bounds, world: WorldState) -> str:
     """Checks that some version allows what all processes may do."""
     effective = [process.view(world.now, -bounds.ttl_steps).effective for process in world.processes]
-    # The versions whose limits each process keeps. Conservative processes are left out: they keep the limits of
+    # The versions whose limits each process keeps. Conservative processes are left out: they keep those of
     # all versions.
     kept = [{acts.active, acts.joint or acts.active} for acts in effective if not acts.is_conservative]
     if not kept or set.intersection(*kept):
--- a/wheatroute/agreement/model_world.py
+++ b/wheatroute/agreement/model_world.py
@@ -55,7 +55,7 @@
 
     member: Member
     sent_at: int | None = None  # clock step at which the exchange in flight was sent; None if there is none
-    has_new_answer: bool = False  # whether the last exchange has a response and no statuses were read since
+    has_new_response: bool = False  # whether the last exchange has a response and no statuses were read since
     to_append: StoredRecord | None = None  # a decision that the process is about to append
     incarnation: int = 0
     cached_view: ProcessView | None = None
@@ -64,7 +64,7 @@
         """Returns a copy that may be changed."""
         member = _shallow_copy(self.member)
         member.usable, member.unusable = set(member.usable), dict(member.unusable)
-        return Process(member, self.sent_at, self.has_new_answer, self.to_append, self.incarnation)
+        return Process(member, self.sent_at, self.has_new_response, self.to_append, self.incarnation)
 
     def view(self, now: int, earliest: int) -> ProcessView:
         """Returns the view of the process at a clock step.
@@ -97,7 +97,7 @@
             len(member.unusable),
             max(0.0, member.confirmed_until - now),
             NOT_SENT if self.sent_at is None else max(earliest, self.sent_at - now),
-            self.has_new_answer,
+            self.has_new_response,
             "" if self.to_append is None else short_digest(self.to_append),
             max(earliest, since - now) if pending and seen == pending else NO_PENDING_VERSION,
         )
