--- a/tests/agreement/test_agreement_format.py
+++ b/tests/agreement/test_agreement_format.py
@@ -1,4 +1,4 @@
-"""Compatibility: the stored formats of versions, statuses, notices and snapshots, and peer messages, stay."""
+"""The formats of stored versions, statuses, notices and snapshots, and of peer messages, must not change."""
 
 import hashlib
 import json
@@ -70,7 +70,7 @@
 
 
 def put(history, name):
-    """Returns the record that puts the version of these tests."""
+    """Returns the record that puts the content of `PUT`; `name` is the id of the put."""
     return history.put_record(PUT["content"], name, "on call", 1780000000.5, "shorter deadlines")
 
 
--- a/tests/agreement/test_fronts.py
+++ b/tests/agreement/test_fronts.py
@@ -1,4 +1,4 @@
-"""Nodes and processors with workers, each a process, follow one history of versions under faults."""
+"""Nodes and processors, whose workers are processes too, follow one history of versions under faults."""
 
 import time
 
--- a/tests/rollout/test_rollout_progress.py
+++ b/tests/rollout/test_rollout_progress.py
@@ -42,7 +42,10 @@
 
 
 def step(progress, statuses, watched=99.0, waited=0.0, verdict=Verdict.UNSURE, failure="", has_baseline=True):
-    """Applies the next step and returns its kind, or None if there is none."""
+    """Applies the next step and returns its kind, or None if there is none.
+
+    The current phase has been watched for `watched` seconds, and the last record is `waited` seconds old.
+    """
     observations = Observations(statuses, watched, waited, verdict, ["evidence"], failure, has_baseline)
     due = next_step(progress, observations)
     if due is not None:
--- a/wheatroute/processor/program.py
+++ b/wheatroute/processor/program.py
@@ -1,7 +1,8 @@
 """Runs the processor as a program: one worker in this process, or a supervisor of several worker processes.
 
 The supervisor opens the listener, which the workers inherit. Exit statuses: 0 after a stop signal, 1 if the
-listener can't be opened, 2 if the settings can't be used.
+listener can't be opened, 2 if the settings can't be used. If workers exit with other statuses after a stop
+signal, the supervisor exits with the first positive one.
 """
 
 from __future__ import annotations
