--- a/tests/agreement/test_processes.py
+++ b/tests/agreement/test_processes.py
@@ -581,7 +581,7 @@
         )
         # The nodes are counted by their keys in etcd; the number in the settings is not used.
         assert all(
-            "event=peers" in rig.processes[name].log and "nodes=2" in rig.processes[name].log
+            "event=node-count-changed" in rig.processes[name].log and "nodes=2" in rig.processes[name].log
             for name in rig.names
         )
         await check_guarantees(rig, served=100)
