--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -40,7 +40,7 @@
         self.path = path
         self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
-        # by file name: mtime (ns) and inode when last read
+        # Files of drain notices by name: mtime (ns) and inode when the file was last read.
         self._notice_files: dict[str, tuple[int, int]] = {}
 
     async def exchange(
@@ -72,7 +72,8 @@
     def create(self) -> None:
         """Creates missing directories.
 
-        Called only where versions are put, so that processes notice when a store has been deleted.
+        Only relays and the commands that put versions or start and control rollouts call this, so that all
+        other processes notice when a store has been deleted.
         """
         try:
             self._log_directory.mkdir(parents=True, exist_ok=True)
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -1,9 +1,9 @@
 """A version store in etcd, using the client of the `etcd` package.
 
 Keys: PREFIX/log/NUMBER holds a record, PREFIX/nodes/NAME.START a process status, PREFIX/words/ID a drain
-notice. A record is appended by a transaction that requires its key to be absent. Responses from another
-cluster, and from a cluster that has gone back to an older revision, are rejected. An append whose response is
-lost is an error, as the record may have been appended. Does network I/O.
+notice. A record is appended by a transaction that requires its key to be absent. `exchange` and `statuses`
+reject responses from another cluster, and from a cluster that has gone back to an older revision. An append
+whose response is lost is an error, as the record may have been appended. Does network I/O.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
         self._notices_revision = 0  # drain notices were read up to this revision
         self._cluster_id = 0  # ID of the cluster that sent the first response
-        self._revision = 0
+        self._revision = 0  # revision of the cluster in the last checked response
 
     async def run(self) -> None:
         """Keeps the connections to the cluster until cancelled."""
@@ -60,9 +60,10 @@
         """Implements `VersionStore.exchange`."""
         with _store_errors():
             if status is not None:
-                # writing the status twice is harmless, as long as it is written before the records are read
+                # The client may send the write again to another endpoint. Writing the status twice is
+                # harmless, as long as it is written before the records are read.
                 self._check_header((await self._put_status(key, status)).header)
-            records = await self._read(max(1, after), has_notices=status is not None)
+            records = await self._read(max(1, after), reads_notices=status is not None)
             if after:
                 if not records or records[0].get("seq") != after or digest(records[0]) != expected_digest:
                     raise VersionStoreError(
@@ -111,8 +112,8 @@
         request = wire.PutRequest(key=self._status_prefix + key.encode(), value=orjson.dumps(status))
         return await self._call("Put", request, wire.PutResponse)
 
-    async def _read(self, first: int, has_notices: bool) -> list[StoredRecord]:
-        """Reads the records from number `first` on and, with `has_notices`, collects new drain notices.
+    async def _read(self, first: int, reads_notices: bool) -> list[StoredRecord]:
+        """Reads the records from number `first` on and, with `reads_notices`, collects new drain notices.
 
         Uses one read-only transaction, so that both are from the same revision.
         """
@@ -120,7 +121,7 @@
         ranges = [
             wire.RangeRequest(key=self._record_key(first), range_end=log_end, limit=MAX_RECORDS_PER_READ + 1)
         ]
-        if has_notices:
+        if reads_notices:
             ranges.append(
                 wire.RangeRequest(
                     key=self._notice_prefix,
@@ -129,14 +130,14 @@
                 )
             )
         request = wire.TxnRequest(success=[wire.RequestOp(request_range=read_range) for read_range in ranges])
-        answer = await self._call("Txn", request, wire.TxnResponse)
-        self._check_header(answer.header)
-        log, *notices = [response.response_range.kvs for response in answer.responses]
+        response = await self._call("Txn", request, wire.TxnResponse)
+        self._check_header(response.header)
+        log, *notices = [part.response_range.kvs for part in response.responses]
         records = [self._parse_record(pair) for pair in log]
         if notices:
             entries = [self._parse_entry(pair) for pair in notices[0]]
             self.received_notices += [entry for entry in entries if entry is not None]
-            self._notices_revision = answer.header.revision
+            self._notices_revision = response.header.revision
         return records
 
     async def _call(self, method: str, message: Any, response_type: Any) -> Any:
