--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -13,7 +13,10 @@
 
 
 class JoinRule(StrEnum):
-    """Which value of a key applies while processes act on two successive versions; the values are printed."""
+    """Which value of a key applies while processes act on two successive versions.
+
+    The values are printed for operators, also as reasons why a process cannot use a version.
+    """
 
     MINIMUM = "the smaller value applies"
     MAXIMUM = "the larger value applies"
@@ -23,7 +26,7 @@
     RESTART_ONLY = "can only change with a restart"
     PER_PROCESS = "specific to each process"
     ROUTE = "the old value applies until the new version is in force; other requests are rejected unexecuted"
-    UNKNOWN = "unknown"  # for a key that is in no table
+    UNKNOWN = "unknown"  # the key is in none of the tables below
 
 
 # the parts of a version: for the platform's node, and for processes that are configured by a TOML file
@@ -125,7 +128,8 @@
         "beside",
     )
 }
-# effects and groups are numbered from the loosest to the strictest, so the larger value is the stricter one
+# Idempotencies and deduplication groups are numbered from the loosest to the strictest, so `STRICTER`
+# applies the larger value.
 REQUEST_CLASS_RULES: dict[str, JoinRule] = {
     "idempotency": JoinRule.STRICTER,
     "deduplication_group": JoinRule.STRICTER,
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -39,9 +39,9 @@
 class ModelChecker:
     """Searches the states breadth first, so that a counterexample is a shortest one.
 
-    The other arguments inject faults, to show that the checker finds them: `make_member` may return members
-    with a defect, with `overwrites` the store replaces records, and with `reads_first` processes read the
-    records before they write their status.
+    `bounds` limits the search. The other arguments inject faults, to show that the checker finds them:
+    `make_member` may return members with a defect, with `overwrites` the store replaces records, and with
+    `reads_first` processes read the records before they write their status.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
     def _run(self) -> CheckResult:
         processes = [self._events.new_process(i, 0) for i in range(self._bounds.processes)]
         initial = WorldState(0, (), {}, processes)
-        # by key of a state: the key of its predecessor, and the event that led to it
+        # The states found so far, by key: the key of the predecessor, and the event that led to the state.
         seen: dict[Any, tuple[Any, str]] = {initial.key(self._bounds): (None, "")}
         queue = deque([(initial, 0)])
         result = CheckResult()
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -4,7 +4,8 @@
 that happened since the last call; it writes commands to `writer` during the call. The events and commands are
 defined in `wheatroute/balancing/interface.py`; the other modules of that package make the decisions, one
 module per concern. This module dispatches the events to them, runs timers and requests the next call. `now`
-is the only clock, `rng` the only source of random numbers, and nodes share nothing.
+is the only clock and `rng` the only source of random numbers. Nodes share no state; they may send each other
+the loads of servers (`CommandWriter.send_loads`).
 
 Invariants: a request gets exactly one final answer, before its deadline; it is retried only as
 `balancing/retry_rules.py` allows; no new attempt goes to a server that is draining or was removed from the
@@ -34,7 +35,7 @@
         self._components = components = Components(settings, rng, self._make_final_answers)
         self._state, self._membership, self._queue = components.state, components.membership, components.queue
         self._periodic = PeriodicTasks(components)
-        self._wake_at = inf  # when the next call was last requested for; inf: no call is outstanding
+        self._wake_at = inf  # time of the earliest call that was requested; inf: no call is outstanding
         self._handlers: dict[Event, Callable[..., None]] = {
             Event.ARRIVED: components.lifecycle.arrived,
             Event.ANSWER_STARTED: components.lifecycle.answer_started,
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -20,8 +20,8 @@
 from wheatroute.wire_names import NameNumbering
 
 # File descriptors that are not available for connections: they are for files, the listener, the list service
-# and the event loop. Where few descriptors are allowed, it is RESERVED_DESCRIPTORS_RATIO of them plus
-# MIN_RESERVED_DESCRIPTORS instead.
+# and the event loop. Where few descriptors are allowed, RESERVED_DESCRIPTORS_RATIO of them plus
+# MIN_RESERVED_DESCRIPTORS are reserved instead.
 RESERVED_DESCRIPTORS = 32
 RESERVED_DESCRIPTORS_RATIO = 0.125
 MIN_RESERVED_DESCRIPTORS = 6
@@ -82,7 +82,7 @@
     settings: dict[str, Any]  # the object "settings" of the file, unchanged
     derived: dict[str, Any]
     agreement: dict[str, Any] | None  # the version store, and the timeout in seconds as "within"
-    rollout: dict[str, Any] | None  # the same for the store of rollouts
+    rollout: dict[str, Any] | None  # the version store of rollouts, and the timeout in seconds as "within"
     has_successor: bool  # while this process stops, another one of this node listens on the same address
     peers: PeerAddresses | None
 
@@ -146,7 +146,9 @@
         list_service = environment.get("PROXY_DISCOVERY") or document.get("discovery")
         discovery = NO_ADDRESS if etcd_servers else parse_address(list_service)
     except ValueError as error:
-        raise NodeSettingsError(f"invalid address to listen on or of the list service: {error}") from error
+        raise NodeSettingsError(
+            f"invalid address to listen on, of the list service or of etcd: {error}"
+        ) from error
     work_header = _parse_work_header(document.get("work_header"))
     max_connections = _max_connections(document.get("limits"))
     max_response_bytes = _max_response_bytes(document.get("limits"))
@@ -195,7 +197,7 @@
     """
     zones = _numbered_names(settings, "dcs")
     models = _numbered_names(settings, "skus")
-    tenants = {one["name"]: number for number, one in enumerate(_named_objects(settings, "tenants"))}
+    tenants = {tenant["name"]: number for number, tenant in enumerate(_named_objects(settings, "tenants"))}
     request_classes = _named_objects(settings, "traffic-types")
     if not request_classes:
         raise NodeSettingsError("the settings must define at least one request class")
@@ -215,7 +217,9 @@
         "zones": zones,
         "models": models,
         "tenants": tenants,
-        "request_classes": {one["name"]: number for number, one in enumerate(request_classes)},
+        "request_classes": {
+            request_class["name"]: number for number, request_class in enumerate(request_classes)
+        },
         "decision_settings": decisions,
     }
 
@@ -250,12 +254,12 @@
         or not isinstance(table.get("others"), list)
         or table.keys() - {"listen", "others"}
     ):
-        raise NodeSettingsError('"peers" must be an object with only "listen" and a list "others"')
+        raise NodeSettingsError('"peers" must be an object with only an address "listen" and a list "others"')
     if not is_allowed:
         raise NodeSettingsError('the file has "peers", but the settings do not allow them')
     try:
         listen = parse_address(table.get("listen"))
-        others = tuple(parse_address(one) for one in table["others"])
+        others = tuple(parse_address(address) for address in table["others"])
     except ValueError as error:
         raise NodeSettingsError(f'"peers": {error}') from error
     if listen in others:
@@ -281,7 +285,7 @@
         or not isinstance(table.get("nodes_prefix", ""), str)
     ):
         raise NodeSettingsError(
-            '"servers" must be an object with only a list "etcd", "prefix" and "nodes_prefix"'
+            '"servers" must be an object with only a list "etcd" and strings "prefix" and "nodes_prefix"'
         )
     for endpoint in table["etcd"]:
         parse_address(endpoint)
@@ -295,12 +299,15 @@
 
 
 def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
-    """Returns the version store of a table and the timeout in seconds; None without the table."""
+    """Returns the settings of the version store that the object `name` describes; None if there is no object.
+
+    The keys are "directory", "relay", or "etcd" (addresses) and "prefix", and "within" (seconds).
+    """
     if table is None:
         return None
     if not isinstance(table, dict) or table.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
         raise NodeSettingsError(
-            f'"{name}" must be an object with "directory", "relay", or "etcd" and "prefix"'
+            f'"{name}" must be an object with only "directory", "relay", or "etcd" and "prefix", and "within"'
         )
     within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIMEOUT_S), table.get("etcd")
     if not isinstance(within_s, int | float) or not 0.0 < within_s < inf:
@@ -313,7 +320,7 @@
             f'"{name}" must have either "directory" or "relay", or "etcd" endpoints and a "prefix"'
         )
     try:
-        addresses = [parse_address(one) for one in endpoints]
+        addresses = [parse_address(endpoint) for endpoint in endpoints]
     except ValueError as error:
         raise NodeSettingsError(f'"{name}": {error}') from error
     return {"etcd": addresses, "prefix": table["prefix"], "within": float(within_s)}
@@ -333,7 +340,7 @@
 def _named_objects(settings: dict[str, Any], key: str) -> list[dict[str, Any]]:
     objects = settings.get(key) or []
     if not isinstance(objects, list) or not all(
-        isinstance(one, dict) and isinstance(one.get("name"), str) for one in objects
+        isinstance(entry, dict) and isinstance(entry.get("name"), str) for entry in objects
     ):
         raise NodeSettingsError(f'the settings\' "{key}" must be a list of objects with a "name"')
     return objects
@@ -341,7 +348,7 @@
 
 def _numbered_names(settings: dict[str, Any], key: str) -> NameNumbering:
     names = settings.get(key) or []
-    if not isinstance(names, list) or not all(isinstance(one, str) for one in names):
+    if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise NodeSettingsError(f'the settings\' "{key}" must be a list of names')
     return NameNumbering({name: number for number, name in enumerate(names)})
 
