--- a/wheatroute/control/api.py
+++ b/wheatroute/control/api.py
@@ -39,7 +39,10 @@
 
 
 class Handlers:
-    """The request handlers of both apps on a control node; all control nodes use the same `control_port`."""
+    """The request handlers of a control node's two apps, `control_app` and `internal_app`.
+
+    Redirects to the primary use this node's `control_port`, since all control nodes have the same.
+    """
 
     def __init__(self, service: ControlService, control_port: int, log: logging.Logger) -> None:
         self._service = service
@@ -47,7 +50,7 @@
         self._log = log
 
     def _error(self, request: Request[Any, Any, Any], error: RequestError) -> Response[bytes]:
-        """The response to an error; a redirect if the error names the host of the primary."""
+        """The response to an error; a redirect to the primary if the error names its host."""
         if error.kind == ErrorKind.NOT_PRIMARY and error.detail and error.detail != error.kind.value:
             location = f"http://{error.detail}:{self._control_port}{request.url.path}"
             return _json_response(307, {"error": error.kind.value}, {"Location": location})
--- a/wheatroute/control/changes.py
+++ b/wheatroute/control/changes.py
@@ -62,7 +62,7 @@
 
 
 def encode_state(state: ConfigurationState) -> bytes:
-    """Encodes a state, compressed because each write sends it in full to every member and to its disk."""
+    """Encodes a state; compressed, because each write sends all of it to every member, which stores it."""
     return zlib.compress(msgspec.msgpack.encode(state), COMPRESSION_LEVEL)
 
 
@@ -103,7 +103,8 @@
 def _mismatch(state: ConfigurationState, change: Change) -> RequestError:
     """The error for a change that is based on another generation.
 
-    If its digest may have been forgotten, the change must not be rejected, because it may have been applied.
+    If the digest of the change may have been forgotten, the change may have been applied, so the error must
+    not say that it was rejected: its kind is then `CHANGE_FORGOTTEN` rather than `VERSION_MISMATCH`.
     """
     base = _base_generation(change)
     if base.isdecimal() and int(base) <= state.newest_forgotten_base:
@@ -150,7 +151,7 @@
 
 
 def _patched(state: ConfigurationState, patch: dict[str, Any]) -> dict[str, Any]:
-    """The present configuration with the items that a patch names replaced, added or removed."""
+    """Returns the present configuration after the upserts and deletions of a patch."""
     configuration: dict[str, Any] = msgspec.json.decode(state.body) if state.body else {}
     upsert, delete = patch.get("upsert") or {}, patch.get("delete") or {}
     if not isinstance(upsert, dict) or not isinstance(delete, dict):
@@ -166,7 +167,7 @@
 
 
 def _upserted(present: Any, items: list[Any]) -> list[Any]:
-    """The present items with items of the same name replaced in place, and new ones appended."""
+    """Replaces present items in place by those of the same name in `items`; appends the other `items`."""
     if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
         raise RequestError(
             ErrorKind.INVALID_CONFIGURATION, "upsert: every item must be an object with a name"
--- a/wheatroute/control/committed_configuration.py
+++ b/wheatroute/control/committed_configuration.py
@@ -15,8 +15,9 @@
 class CommittedConfiguration:
     """The newest committed state with its sequence number, and the versions that edge nodes may have.
 
-    Only a leader commits, so this is current only on a node that leads and can acknowledge (`Leadership`). On
-    a replica it is empty, or the possibly stale state that the node committed when it last led.
+    Only a leader commits, so the state is current only on a node that leads and can acknowledge
+    (`Leadership`). On a replica it is empty, or the possibly stale state that the node committed when it last
+    led.
 
     `sequence` is `NOT_COMMITTED` until the first commit, and again once this node no longer leads: the next
     commit of the same document then counts as a new one.
@@ -29,7 +30,7 @@
 
     @property
     def is_committed(self) -> bool:
-        """Whether a document was committed; on the leader, in the present term."""
+        """Whether this node has committed a document since it began to lead; false if it doesn't lead."""
         return self.sequence >= 0
 
     @property
@@ -63,7 +64,7 @@
         self.sequence = NOT_COMMITTED
 
     def is_newer_than(self, request: UpdateRequest) -> bool:
-        """Whether an edge node lacks the newest configuration."""
+        """Whether an edge node lacks the newest configuration, or asks for all of it."""
         return self.has_configuration and (request.wants_full or request.configuration < self.sequence)
 
     def difference_for(self, request: UpdateRequest) -> bytes | None:
--- a/wheatroute/control/configuration_store.py
+++ b/wheatroute/control/configuration_store.py
@@ -15,7 +15,7 @@
 from wheatroute.control.leadership import Leadership
 from wheatroute.replication.replicator import Replicator
 
-WRITE_TIMEOUT_S = 0.8  # below 1 s, after which a caller tries another node
+WRITE_TIMEOUT_S = 0.8  # less than the 1 s after which a caller tries another node
 EARLIER_COMMIT_TIMEOUT_S = 0.2
 COMMIT_POLL_INTERVAL_S = 0.005
 
@@ -66,8 +66,9 @@
     async def _apply(self, change: Change) -> ConfigurationState | None:
         """The state after a change, None if it was applied before; raises `RequestError` for an invalid one.
 
-        Any result that no write follows requires a leadership confirmation, because a primary that was
-        deposed without knowing it could otherwise reject a change that another node has acknowledged.
+        A result that isn't followed by a write (a rejection, or None) requires a leadership confirmation:
+        without it, a primary that was deposed without knowing it could reject a change that another node has
+        acknowledged.
         """
         try:
             state = apply_change(self._configuration.state, change)
@@ -81,8 +82,8 @@
     async def _wait_for_earlier_commit(self) -> None:
         """Waits until the newest document is committed.
 
-        It may not be: an earlier write may be in progress, and after each view change the new leader has to
-        commit the document again. Raises `RequestError` if that takes too long.
+        It may be uncommitted because an earlier write is in progress, or because the leader has to commit it
+        again after a view change. Raises `RequestError` if the commit takes too long.
         """
         loop, core = asyncio.get_running_loop(), self._replicator.core
         end = loop.time() + EARLIER_COMMIT_TIMEOUT_S
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -45,7 +45,7 @@
         return max(1, len(self._last_contact), previous)
 
     def unresponsive(self, now: float) -> dict[str, float]:
-        """Nodes whose last contact was `NODE_UNRESPONSIVE_S` to `NODE_FORGOTTEN_S` ago, with its time."""
+        """Maps each node last in contact `NODE_UNRESPONSIVE_S` to `NODE_FORGOTTEN_S` ago to that time."""
         self._lost = {node: last for node, last in self._lost.items() if now - last < NODE_FORGOTTEN_S}
         late = {node: last for node, last in self._last_contact.items() if now - last > NODE_UNRESPONSIVE_S}
         return self._lost | late
@@ -53,7 +53,8 @@
     def missing_fraction(self, now: float) -> float:
         """The fraction of the previously counted nodes that have not contacted this primary.
 
-        0 until this primary has listened for `NODE_UNRESPONSIVE_S`, and again after `NODE_FORGOTTEN_S`.
+        0 if their number is unknown, until this primary has listened for `NODE_UNRESPONSIVE_S`, and again
+        after `NODE_FORGOTTEN_S`.
         """
         if not self._previous_count or not NODE_UNRESPONSIVE_S < now - self._started_at < NODE_FORGOTTEN_S:
             return 0.0
@@ -62,7 +63,7 @@
     def known_fraction(self, now: float) -> float:
         """The fraction of the previously counted nodes whose demand this primary knows.
 
-        1 if that count is unknown, and once this primary has listened for `NODE_LOST_S`.
+        1 if their number is unknown, or once this primary has listened for `NODE_LOST_S`.
         """
         if not self._previous_count or now - self._started_at >= NODE_LOST_S:
             return 1.0
--- a/wheatroute/control/failure_detector.py
+++ b/wheatroute/control/failure_detector.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-REPORTING_NODES = 2  # number of nodes that must report a server, or all nodes if there are fewer
+REPORTING_NODES = 2  # number of edge nodes that must report a server; all of them if there are fewer
 REPORT_VALID_S = 1.5  # time after which a report expires unless it is repeated
 LATE_HEARTBEATS = 1.3  # heartbeat intervals without a heartbeat, after which one report is sufficient
 
--- a/wheatroute/control/leadership.py
+++ b/wheatroute/control/leadership.py
@@ -2,12 +2,12 @@
 
 A primary checks its leadership in one of two ways before it responds:
 
-- Its lease (`can_acknowledge`) is sufficient for server heartbeats and quotas, because the next primary
-  learns of these from later messages, and for updates to edge nodes that already have a configuration,
-  because they never apply an older one.
+- Its lease (`can_acknowledge`) is sufficient for server heartbeats and quotas: the next primary learns of
+  these from later messages. It is also sufficient for updates to edge nodes that already have a
+  configuration: these never apply an older one.
 - Every other final response requires a leadership confirmation (`require_confirmation`, a read index): a
   round trip to a majority that starts after the request arrived. A primary that was deposed without knowing
-  it does not get one.
+  it does not get this confirmation.
 """
 
 from __future__ import annotations
--- a/wheatroute/control/main.py
+++ b/wheatroute/control/main.py
@@ -1,7 +1,7 @@
 """Starts and stops the control role.
 
-Replication starts before the HTTP libraries are imported, which takes up most of the startup time: if all
-control nodes start together, they have elected a primary by the time they accept requests.
+The import of the HTTP libraries takes up most of the startup time, so replication starts before it: control
+nodes that start together have elected a primary by the time they accept requests.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 async def _watch_settings(settings_file: SettingsFile, service: ControlService) -> None:
-    """Applies the settings file whenever its content changes, without a signal."""
+    """Applies the settings file whenever its content has changed; no SIGHUP is needed."""
     while True:
         await asyncio.sleep(CHECK_INTERVAL_S)
         if settings_file.has_changed():
--- a/wheatroute/control/primary_state.py
+++ b/wheatroute/control/primary_state.py
@@ -1,4 +1,4 @@
-"""The state of servers, edge nodes and tenants that a primary keeps for its term. A state machine, no I/O.
+"""What a primary keeps for its term: servers, edge nodes and tenants' tokens. A state machine without I/O.
 
 It is not part of the replicated document: a new primary starts empty, or from the soft state that the
 previous primary shared. Times are in seconds of the monotonic clock.
@@ -69,7 +69,7 @@
         return self.leadership_epoch > NO_EPOCH
 
     def begin_term(self, now: float, epoch: int, tenants: list[Tenant]) -> None:
-        """Resets all state as the primary of `epoch`, with the rate limits of these tenants."""
+        """Resets all state for the term that begins in `epoch`, and applies the tenants' rate limits."""
         self.registry = self._new_registry(epoch, now)
         self.quotas = self._new_quotas(is_first=epoch <= FIRST_EPOCH)
         self.quotas.configure(tenants, now)
--- a/wheatroute/control/prior_usage.py
+++ b/wheatroute/control/prior_usage.py
@@ -1,8 +1,8 @@
 """Usage of one tenant before this primary began to lead. A state machine without I/O.
 
-When a primary is lost, so is the record of its grants since it last shared its bucket levels, and no node
-counts the total usage while there is no primary. The edge nodes know both: each sends a new primary its
-recent usage, and the primary derives from it how many tokens the bucket can have held when it began to lead.
+A new primary knows neither what the previous one granted after it last shared its bucket levels, nor what was
+used while there was no primary. Each edge node knows both for itself, and sends a new primary its recent
+usage. From the sum, the primary derives how many tokens the bucket can have held when it began to lead.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
     def add(self, recent_usage: Sequence[float], since_s: float) -> None:
         """Adds one node's recent usage, sent `since_s` seconds after the primary began to lead.
 
-        Usage after that time counts as used at that time.
+        Usage after the primary began to lead counts as if it had occurred when it began to lead.
         """
         slots_since = round(since_s / USAGE_SLOT_S)
         for slot, tokens in enumerate(recent_usage):
@@ -33,8 +33,8 @@
     def max_level(self, rate: float, capacity: float) -> float:
         """The most tokens that a bucket can have held when the primary began to lead; negative for a debt.
 
-        In any time span before that, usage within the limit is at most the capacity plus the tokens that
-        `rate` (tokens per second) adds in the span.
+        In any time span that ends when the primary began to lead, usage within the limit is at most the
+        capacity plus the tokens that `rate` (tokens per second) adds in the span.
         """
         level, used = capacity, 0.0
         for slot, tokens in enumerate(self._slots):
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -1,8 +1,8 @@
 """The token buckets of all tenants, from which edge nodes lease tokens. A state machine without I/O.
 
-All usage of the edge nodes is taken from the buckets of one primary, so that its sum stays within the limit
-even when nodes are isolated: a node reports what it used without a grant once it is connected again, and its
-shares stay reserved until it reports.
+All usage of the edge nodes is taken from the buckets of one primary, which keeps the sum within the limit
+even when nodes are isolated: the shares of an isolated node stay reserved until it is connected again and
+reports what it used without a grant.
 
 A new primary restores the bucket levels of the previous primary, and lowers them by the recent usage that
 nodes report to it. Times are in seconds of the monotonic clock, rates in tokens per second.
@@ -23,13 +23,13 @@
 SLACK_FRACTION = 0.35
 # Fraction of the allowed excess rate (`bounds.quota_excess`) at which the excess bucket is refilled.
 EXCESS_FRACTION = 0.25
-# Key, in place of a node name, of the shared reserve for nodes that have not reported to this primary: their
-# names are unknown.
+# Key of the reserve that is shared by all nodes that have not reported to this primary. It takes the place of
+# a node's name, since their names are unknown.
 MISSING_NODES_KEY = "missing nodes"
-# Greatest age of restored levels at which the tokens that the rate has added since then are credited.
+# If restored levels are at most this old, the tokens that the rate has added since then are credited.
 LEVELS_VALID_S = 2.0
 # Initial level of the limit's bucket, as a fraction of its capacity, on a primary that is not the first one:
-# recent grants of the previous primary are unknown at first.
+# it doesn't know the recent grants of the previous primary at first.
 INITIAL_LEVEL = 0.4
 
 
@@ -61,7 +61,7 @@
         self.set_allowance(slack, excess)
 
     def set_allowance(self, slack: float, excess: float) -> None:
-        """Sets the allowed usage beyond the limit; tokens above the new capacity are dropped."""
+        """Sets the allowed usage beyond the limit; drops tokens above an excess bucket's new capacity."""
         self._slack = slack * SLACK_FRACTION
         self._excess = excess * EXCESS_FRACTION
         for buckets in self._tenants.values():
@@ -90,17 +90,17 @@
     def begin_term(self, now: float, node_count: int, window_s: float) -> None:
         """Begins a primary's term.
 
-        `node_count` is the number of edge nodes that the previous primary counted; `window_s` is the time in
-        seconds that the recent usage which nodes report to this primary covers.
+        `node_count` is the number of edge nodes that the previous primary counted. `window_s` is the time in
+        seconds that the recent usage in a node's report covers if it is complete.
         """
         self._term_started_at, self._expected_nodes, self._window_s = now, node_count, window_s
 
     def restore(self, levels: dict[str, BucketLevels], age_s: float = inf) -> None:
         """Restores the levels that the previous primary shared last, `age_s` seconds ago.
 
-        Tokens that the rate has added since then are credited, since nodes report what they have used in that
-        time, but not if the levels are older than `LEVELS_VALID_S`. No bucket starts with more tokens than it
-        would without the levels.
+        If the levels are at most `LEVELS_VALID_S` old, the tokens that the rate has added since then are
+        credited, since nodes report what they have used in that time. No bucket starts with more tokens than
+        it would without the levels.
         """
         # Keeps the levels of tenants that are still unknown: a new primary commits the configuration later.
         self._restored, self._restored_age_s = dict(levels), age_s
@@ -125,13 +125,14 @@
         }
 
     def apply_prior_usage(self, now: float, report: UsageReport) -> None:
-        """Accounts for a node's usage before this term, from its first report that has its recent usage."""
+        """Accounts for a node's usage before this term: its first report with recent usage contains it."""
         if report.recent_usage_span_s is None or report.node in self._nodes_with_prior_usage:
             return
         self._nodes_with_prior_usage.add(report.node)
         if report.recent_usage_span_s < self._window_s:
-            # The node's process started within the window, and the usage of the previous one is unknown: the
-            # reports never become complete and initial tokens are not raised (`_correct_initial_tokens`).
+            # The node's process started within the window, and the usage of its previous process is unknown.
+            # The reports therefore never become complete, so that initial tokens are not raised
+            # (`_correct_initial_tokens`).
             self._expected_nodes = 0
         for buckets in self._tenants.values():
             buckets.release(MISSING_NODES_KEY)  # `reserve` sets it aside again for nodes still missing
@@ -140,7 +141,7 @@
             if tenant_buckets is not None:
                 tenant_buckets.refill(now)
                 tenant_buckets.prior_usage.add(demand.recent_usage, now - self._term_started_at)
-                # already included in the recent usage, so it must not be charged again
+                # The recent usage includes the isolated usage, which `charge` must not charge again.
                 tenant_buckets.isolated_usage[report.node] = demand.isolated_usage
         self._correct_initial_tokens()
 
@@ -190,7 +191,7 @@
         hold enough. `known_fraction` is the fraction of all nodes whose demand is known.
         """
         buckets = self._tenants.get(tenant)
-        if buckets is None:  # no limit in this configuration; the node may have an older one
+        if buckets is None:  # the tenant has no limit any more; the node may have an older configuration
             return QuotaGrant(demand.wanted)
         buckets.refill(now)
         buckets.charge(node, demand)
@@ -219,5 +220,6 @@
         tenant: buckets.grant(now, report.node, tenant, demand, known_fraction)
         for tenant, demand in report.tenants.items()
     }
-    node_count = nodes.count(now)  # called before `load_elsewhere`: it drops the load of lost nodes
+    # `count` drops the load of lost nodes, so it is called before `load_elsewhere`.
+    node_count = nodes.count(now)
     return UsageResponse(grants, nodes.load_elsewhere(report.node), node_count, leadership_epoch)
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -1,12 +1,13 @@
 """The registry of servers, maintained from their heartbeats. A state machine without I/O.
 
 Only the primary keeps it; a new primary starts from the instances that the previous one shared, if it has
-received them, and rebuilds the rest from heartbeats. Until a primary has listened for `SETTLING_HEARTBEATS`,
-a server without a heartbeat is unknown, not removed.
+received them, and rebuilds the rest from heartbeats. Until a primary has listened for `SETTLING_HEARTBEATS`
+heartbeat intervals, a server from which it has received no heartbeat counts as unknown, not as removed.
 
-States of an instance: READY <-> UNRESPONSIVE, by missed heartbeats or suspicion and by new heartbeats; either
--> DRAINING; any of these -> REMOVED. REMOVED is final, and DRAINING leads to REMOVED only, since an
-incarnation that drains always ends. All times are in seconds of the monotonic clock.
+States of an instance: READY -> UNRESPONSIVE, by missed heartbeats or suspicion; UNRESPONSIVE -> READY, by a
+new heartbeat; READY or UNRESPONSIVE -> DRAINING; any of the three -> REMOVED. REMOVED is final, and DRAINING
+leads to REMOVED only, since an incarnation that drains always ends. All times are in seconds of the monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 # heartbeat intervals that a new primary listens before it reports unknown servers as removed
 SETTLING_HEARTBEATS = 3.0
 REMOVED_RETENTION_S = 120.0  # time for which a removed server is remembered
-# Time between two checks for missed heartbeats, above which this process counts as stalled: heartbeats may
+# If more time passes between two checks for missed heartbeats, this process counts as stalled: heartbeats may
 # have arrived that it has not read.
 STALL_THRESHOLD_S = 1.0
 
@@ -37,7 +38,8 @@
 class ServerHeartbeat(msgspec.Struct, frozen=True):
     """The JSON body of a server's heartbeat; field names are the JSON keys.
 
-    `seq` grows with each heartbeat of an incarnation; a heartbeat with a smaller one is ignored as outdated.
+    `seq` grows with each heartbeat of an incarnation; a heartbeat whose `seq` is smaller than that of an
+    earlier one is ignored as outdated.
     With any other `state` than "ready", the server drains. `cold_ms` is the remaining warm-up time.
     """
 
@@ -77,7 +79,7 @@
         self._heartbeat_s = heartbeat_s
         self._entries: dict[str, _Entry] = {}
         self._change_count = 0
-        self._newest_pruned_change = 0  # number of the newest change of an instance that was forgotten
+        self._newest_pruned_change = 0  # highest `Instance.changed` of the instances forgotten so far
         self._listening_since = now
         self._last_check = now
 
@@ -97,7 +99,7 @@
     def restore(self, now: float, instances: tuple[Instance, ...]) -> None:
         """Restores the instances that the previous primary shared.
 
-        An instance from which no heartbeat arrives within `SETTLING_HEARTBEATS` is removed.
+        An instance from which no heartbeat arrives within `SETTLING_HEARTBEATS` intervals is removed.
         """
         for instance in instances:
             entry = _Entry(self._with_new_version(instance), -1, now)
@@ -142,7 +144,7 @@
         return True
 
     def remove(self, now: float, identity: str) -> bool:
-        """Removes a server that deregisters; returns whether it was not removed yet.
+        """Removes a server that deregisters; returns False if it had been removed before.
 
         An unknown server is recorded as removed, so that a late heartbeat doesn't register it.
         """
@@ -194,8 +196,8 @@
     def changes(self, since: RegistryVersion) -> tuple[tuple[Instance, ...], bool]:
         """Returns the instances that changed since a version, and whether they are the full registry.
 
-        The full registry is returned for a version of another epoch, a version above the present one, and one
-        that is older than a change of a forgotten instance.
+        The full registry is returned if the version is of another epoch, is above the present one, or is
+        older than the last change of a forgotten instance.
         """
         instances = [entry.instance for entry in self._entries.values()]
         if (
--- a/wheatroute/control/service.py
+++ b/wheatroute/control/service.py
@@ -58,7 +58,7 @@
     # callbacks of the replicator, and maintenance
 
     def _on_commit(self, document: Document) -> None:
-        """Applies a committed document; never on a replica, as only a leader's core emits `Committed`."""
+        """Applies a committed document; called only on a leader, since only its core emits `Committed`."""
         if not self.configuration.commit(document):
             return
         self.state.quotas.configure(self.configuration.tenants, asyncio.get_running_loop().time())
@@ -146,7 +146,7 @@
         return self.state.report_usage(now, report)
 
     def _report_unresponsive(self, now: float, node: str, unresponsive_for: dict[str, float]) -> None:
-        """Applies a report of unresponsive servers; notifies all edge nodes at once of suspected ones."""
+        """Applies a report of unresponsive servers; wakes all long polls if one is then suspected."""
         for suspected in self.state.report_unresponsive(now, node, unresponsive_for):
             self._log.info(
                 "server-suspected",
--- a/wheatroute/control/soft_state.py
+++ b/wheatroute/control/soft_state.py
@@ -48,7 +48,7 @@
 
 
 def decode_levels(payload: bytes) -> dict[str, BucketLevels]:
-    """Decodes bucket levels by tenant; none for an empty payload. Raises `msgspec.DecodeError`."""
+    """Decodes bucket levels by tenant, {} if the payload is empty; raises `msgspec.DecodeError`."""
     if not payload:
         return {}
     return msgspec.msgpack.decode(payload, type=dict[str, BucketLevels])
--- a/wheatroute/control/soft_state_sharing.py
+++ b/wheatroute/control/soft_state_sharing.py
@@ -1,9 +1,9 @@
 """Sends the primary's soft state to the other control nodes, and restores it on a new primary.
 
-The registry is sent with the number of edge nodes whenever one of them has changed. The bucket levels, which
-change with each request, are sent separately every `LEVELS_INTERVAL_S`, so that the next primary grants no
-token twice. Invariant: the departure of a server is acknowledged only once every member of the view has
-received it, since any of them may lead next.
+The registry and the number of edge nodes are sent together whenever either has changed. The bucket levels
+change with each request, so they are sent separately, every `LEVELS_INTERVAL_S`; the next primary needs them
+in order to grant no token twice. Invariant: the departure of a server is acknowledged only once every member
+of the view has received it, since any member may lead next.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from wheatroute.replication.soft_state import SoftStateVersion
 
 SHARE_TIMEOUT_S = 0.5
-MIN_SHARE_INTERVAL_S = 0.02  # limits the rate, since each change sends the full registry
+MIN_SHARE_INTERVAL_S = 0.02  # limits how often departures of servers cause the full registry to be sent
 LEVELS_INTERVAL_S = 0.5
 
 
@@ -88,7 +88,7 @@
             raise RequestError(ErrorKind.NO_QUORUM, "no majority confirmed that this node leads")
 
     async def _share_soon(self) -> SoftStateVersion:
-        """Shares the registry after the minimum interval, once for all servers that depart before that."""
+        """Shares the registry `MIN_SHARE_INTERVAL_S` after the last time, for all departures until then."""
         if self._pending_share is None or self._pending_share.done():
             self._pending_share = asyncio.get_running_loop().create_task(self._share_after_interval())
         return await asyncio.shield(self._pending_share)
@@ -123,6 +123,6 @@
         self._log_levels(levels)
 
     def _log_levels(self, levels: dict[str, BucketLevels]) -> None:
-        """Logs the restored tokens in each tenant's bucket of its limit."""
+        """Logs how many tokens were restored for the rate limit of each tenant."""
         tokens = {tenant: round(level.limit) for tenant, level in levels.items()}
         self._log.info("quota-levels-restored", extra={"epoch": self._leadership.epoch, "levels": tokens})
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -28,8 +28,8 @@
 ISOLATED_FRACTION = 0.9
 # Interval at which the totals over all nodes are recomputed.
 TOTALS_INTERVAL_S = 0.2
-# Maximum debt of a bucket, in seconds of its rate, so that not all requests are rejected for long after the
-# limit was lowered.
+# Maximum debt of a bucket, in seconds of its rate. With a larger debt, all requests would be rejected for
+# long after the limit was lowered.
 MAX_DEBT_S = 2.0
 
 
@@ -96,7 +96,7 @@
     def __init__(self, limit: TokenBucket, excess: TokenBucket, now: float) -> None:
         self.limit, self.excess = limit, excess
         self.prior_usage = PriorUsage()
-        # the newest reported usage, granted share and granted burst of each node
+        # by node: the isolated usage that it reported last, and the share and local burst granted to it last
         self.isolated_usage: dict[str, float] = {}
         self.quota_shares: dict[str, float] = {}
         self.local_bursts: dict[str, float] = {}
@@ -112,11 +112,11 @@
     # shares of nodes
 
     def quota_share(self, node: str, rate: float, now: float, known_fraction: float) -> float:
-        """Grants a node its share of the limit while isolated, in proportion to its part of the total demand.
+        """Grants a node the share of the limit that it may use while isolated, in proportion to its demand.
 
-        `known_fraction` is the fraction of the nodes whose demand is known; the other nodes may hold shares
-        from an earlier primary. Granted shares never sum to more than `ISOLATED_FRACTION`, however demands
-        change.
+        `known_fraction` is the fraction of the nodes whose demand is known. Only this fraction of the limit
+        is granted, since the other nodes may hold shares from an earlier primary. Granted shares never sum to
+        more than `ISOLATED_FRACTION`, however demands change.
         """
         self._update_demand(node, rate, now)
         previous = self.quota_shares.get(node, 0.0)
@@ -166,8 +166,8 @@
     def reserve(self, node: str, since: float, rate: float, burst: float, now: float) -> None:
         """Sets aside the tokens that a node without a report since `since` may have used up to now.
 
-        These are its local rate `rate` (tokens per second) for that time, and once its local burst `burst`
-        (tokens).
+        These are the tokens that its local rate `rate` (tokens per second) yields in that time, and once its
+        local burst `burst` (tokens).
         """
         reserve = self.reserves.get(node)
         if reserve is None:
@@ -197,7 +197,7 @@
     # start of a primary's term
 
     def set_initial_tokens(self, tokens: float) -> None:
-        """Corrects the tokens assumed for the start of the term, and the present tokens by as many."""
+        """Corrects the tokens assumed for the start of the term; adds the difference to the present ones."""
         self.limit.tokens = min(self.limit.capacity, self.limit.tokens + tokens - self.initial_tokens)
         self.initial_tokens = tokens
 
@@ -254,7 +254,7 @@
         return missing / self.limit.rate
 
     def take_in_advance(self, rate: float) -> float:
-        """Takes tokens for a node's next requests by its demand rate; 0 unless the bucket is well filled."""
+        """Takes the tokens that a node demands in `ADVANCE_S`; 0 unless the bucket is well filled."""
         if self.limit.tokens <= ADVANCE_MIN_LEVEL * self.limit.capacity:
             return 0.0
         tokens = min(self.limit.tokens, ADVANCE_S * rate)
--- a/wheatroute/control/versions.py
+++ b/wheatroute/control/versions.py
@@ -17,7 +17,7 @@
     make_version,
 )
 
-MAX_VERSIONS = 32  # versions store the items that they have in common once
+MAX_VERSIONS = 32  # items that several versions have in common are stored once
 
 
 class ConfigurationVersions:
