--- a/wheatroute/cluster/distribution.py
+++ b/wheatroute/cluster/distribution.py
@@ -117,7 +117,7 @@
 
 
 def _upserts(old: Mapping[str, Item], new: Mapping[str, Item]) -> tuple[Item, ...]:
-    """The items that are new or changed; items that both versions share are the same object."""
+    """The items that are new or changed; an object that both versions share isn't compared in full."""
     upserts: list[Item] = []
     for name, item in new.items():
         existing = old.get(name)
@@ -173,7 +173,10 @@
 
 
 def _digest_of_changes(old: Mapping[str, Item], upserts: tuple[Item, ...], removed: tuple[str, ...]) -> int:
-    """The digests of new and changed items, minus those of the replaced and removed items."""
+    """Returns by how much the changes alter the digest.
+
+    That is the sum over new and changed items minus the sum over replaced and removed ones.
+    """
     names = [*removed, *(item.name for item in upserts)]
     replaced = sum(_item_digest(old[name]) for name in names if name in old)
     return sum(_item_digest(item) for item in upserts) - replaced
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -1,4 +1,4 @@
-"""One control node's replication, as a state machine without I/O, clock or its own source of randomness.
+"""One control node's replication, as a state machine without I/O; its caller provides time and randomness.
 
 Each input is a method that takes the current time (monotonic clock, seconds) and returns the effects that the
 caller has to carry out, in order. `ReplicationCore` dispatches messages to the roles of the node: `Voter`
@@ -9,8 +9,9 @@
 
 - A document is acknowledged once every member of the view has it on disk, and there are at least
   `tolerate + 1` members (or as many as there are voters, if those are fewer; see `commit`).
-- Only a majority of the voters can change a view. A deposed leader therefore can't commit anything: a member
-  of the next view acknowledges no document of an older one.
+- Only a majority of the voters can change a view. A commit needs all members of the view and of the views
+  that its leader has proposed. The members of the next view are among them and acknowledge no document of an
+  older view, so a deposed leader can't commit anything.
 - A process leads only the views that were decided for it (`View.incarnation`).
 
 `invariants` checks what must hold after each input.
@@ -185,7 +186,7 @@
         return self._state.take_effects()
 
     def saved(self, now: float) -> list[Effect]:
-        """Handles the success of the last `Save`: runs the actions that waited for it, starts the next."""
+        """Handles the success of the last `Save`: runs the actions that waited for it, starts a due save."""
         self._state.now = now
         for action in self._state.record_writer.succeeded():
             action()
@@ -193,7 +194,7 @@
         return self._state.take_effects()
 
     def save_failed(self, now: float) -> list[Effect]:
-        """Handles the failure of the last `Save`: the actions that waited for it wait for a later one."""
+        """Handles the failure of the last `Save`: the actions that waited for it wait for the next one."""
         self._state.now = now
         self._state.record_writer.failed(now)
         return self._state.take_effects()
@@ -335,7 +336,7 @@
             self._step_down()
 
     def _step_down(self) -> None:
-        """Gives this view up, since heartbeats whose answers are lost only keep other nodes from leading."""
+        """Gives this view up: if answers to its heartbeats are lost, these only keep others from leading."""
         self._leader.stop()
         self._proposer.cancel()
         self._follower.await_heartbeat()
--- a/wheatroute/replication/departure.py
+++ b/wheatroute/replication/departure.py
@@ -2,8 +2,8 @@
 
 A leaving node stays a voter, and keeps its copy of the document, until others have taken over its roles. It
 is released once two conditions hold: it is not a member of the current view, whose members all hold every
-acknowledged document; and it is not a voter, unless there is no other node that could replace it. If all
-voters are leaving, all leaving nodes are released at once.
+acknowledged document; and it is not a voter, or is one that no other node could replace. If all voters are
+leaving, all leaving nodes are released at once.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 def released_nodes(view: View, own: Peer, peers: list[Peer], is_settled: bool, now: float) -> tuple[str, ...]:
     """Returns the leaving nodes that may stop.
 
-    `is_settled`: the leader wants no other view, and all members of this one have synced its document.
+    `is_settled`: the leader wants no other view, and all members of the current view have its document on
+    disk.
     """
     nodes = [own, *peers]
     leaving = [node.identity for node in nodes if node.is_leaving]
--- a/wheatroute/replication/document_replication.py
+++ b/wheatroute/replication/document_replication.py
@@ -43,7 +43,7 @@
                 self._send_document(peer)
 
     def resend(self) -> None:
-        """Sends the document again to alive nodes that lack it and last got it long enough ago."""
+        """Sends the document again to each alive node that lacks it, every `DOCUMENT_RESEND_INTERVAL_S`."""
         state = self._state
         for peer in self._peers.all():
             is_lacking = peer.version != state.document.version and peer.is_alive(state.now)
--- a/wheatroute/replication/follower.py
+++ b/wheatroute/replication/follower.py
@@ -75,11 +75,12 @@
         is_without_contact = self._newest_heartbeat is None or heartbeat_age_s > timing.ELECTION_TIMEOUT_S / 2
         if is_without_contact and state.now >= self._next_join_at:
             self._send_join_requests()
-        # This node has given up its lease, or an earlier process of this node led. Voters would otherwise
-        # wait for a lease that no process holds any more.
+        # If this node, which follows, is the primary of the view, it has given up its lease, or an earlier
+        # process of it led. Without the announcement, voters would wait for a lease that no process holds.
         if state.view.primary == state.identity and state.now >= self._next_lease_ended_at:
             self._announce_lease_ended()
-        # While a lease binds this node's own vote, it most likely binds the votes of the others too.
+        # While a lease binds this node's own vote, it most likely binds the votes of the others too, so that
+        # an election would fail.
         if self._can_start_election(heartbeat_age_s) and not self._voter.lease_remaining_s(
             state.view, state.identity
         ):
@@ -96,7 +97,7 @@
         """Stores a document of the current view, and acknowledges it once it is on disk."""
         state, document = self._state, message.document
         if document.version < state.document.version:
-            # A newer document arrived first; the leader waits for the acknowledgement of that one alone.
+            # A newer document arrived first; the leader waits only for the acknowledgement of the newer one.
             return
         ack = Replicated(message.view.epoch, document.version)
         if document == state.document and state.record_writer.version_on_disk == document.version:
--- a/wheatroute/replication/leader.py
+++ b/wheatroute/replication/leader.py
@@ -83,8 +83,8 @@
     def start(self) -> None:
         """Starts to lead the current view by replicating the document under this view's epoch.
 
-        `core` calls it for each view that it learns whose primary is this process. A leader that changed its
-        own view keeps its pending writes and leadership checks.
+        `core` calls it whenever it learns a view whose primary is this process. A leader that changed its own
+        view keeps its pending writes and leadership checks.
         """
         state = self._state
         if not state.is_leading:
@@ -100,7 +100,7 @@
     def stop(self) -> None:
         """Stops leading, and fails all pending requests.
 
-        `core` calls it for each view that it learns with another primary, and when it gives up its own view.
+        `core` calls it whenever it learns a view with another primary, and when it gives up its own view.
         """
         self._state.is_leading = False
         self._documents.committed = None
@@ -222,7 +222,7 @@
         return renewed_view(state.view, state.incarnation, is_granted, self._proposer.proposed_members)
 
     def _own_peer(self) -> Peer:
-        """This node's own state, in the form in which it knows its peers."""
+        """This node's own state as a `Peer`, like those it keeps of the other nodes."""
         state = self._state
         return Peer(
             state.identity,
--- a/wheatroute/replication/links.py
+++ b/wheatroute/replication/links.py
@@ -5,8 +5,8 @@
 unresponsive.
 
 An attempt to connect to a machine without power gets no answer, and TCP sends the next packet of that attempt
-only after a second. Once that machine has connected to this one, it is reachable, so this node restarts its
-attempt at once.
+only after a second, even if the machine has started by then. When the machine connects to this node, it is
+reachable, so this node restarts its own attempt at once.
 """
 
 from __future__ import annotations
@@ -86,8 +86,8 @@
     def on_peer_connected(self) -> None:
         """Restarts an attempt in progress, which may have begun before the peer was up; keeps queued frames.
 
-        Called once for each connection that the peer opens to this node, not for each message: otherwise a
-        peer that can't be reached from here would make this node restart its attempt endlessly.
+        Called once for each connection that the peer opens to this node. If it were called for each message,
+        a peer that can't be reached from here would make this node restart its attempt endlessly.
         """
         self._next_attempt_at = 0.0
         if self._connecting is not None and not self._connecting.done():
--- a/wheatroute/replication/log_events.py
+++ b/wheatroute/replication/log_events.py
@@ -27,7 +27,7 @@
 
 
 def view_changed(log: logging.Logger, core: ReplicationCore) -> None:
-    """Logs a new view, or that this node began or ceased to lead; `seats` are the voters."""
+    """Logs a new view, or that this node began or ceased to lead; the field `seats` lists the voters."""
     view = core.view
     log.info(
         "view-changed",
--- a/wheatroute/replication/messages.py
+++ b/wheatroute/replication/messages.py
@@ -59,7 +59,7 @@
 
 
 class LeaseEnded(msgspec.Struct, frozen=True, tag="lease-ended"):
-    """Announces that the sender, the primary of this epoch, has no lease and will never lead it again."""
+    """Announces that the sender, the primary of this epoch's view, has no lease and won't lead it again."""
 
     epoch: int
 
@@ -81,7 +81,7 @@
     """The answer to a heartbeat.
 
     `version` is that of the document on the sender's disk; `digest` is the digest of that document, or None
-    while another one is being written. `is_healthy` is false while the sender's disk takes no writes.
+    while another document is being written. `is_healthy` is false while the sender's disk takes no writes.
     `is_lease_granted`: whether the sender's vote is bound to the primary for another `lease.GRANT_S` seconds.
     `incarnation` identifies the sender's process.
     """
@@ -111,7 +111,7 @@
 
 
 class JoinRequest(msgspec.Struct, frozen=True, tag="join"):
-    """Sent by a node that has no contact with a primary to every node it knows."""
+    """Asks to join; a node that has no contact with a primary sends it to every node it knows."""
 
     epoch: int
 
--- a/wheatroute/replication/peers.py
+++ b/wheatroute/replication/peers.py
@@ -76,8 +76,9 @@
     def assume_alive(self, view: View, now: float) -> None:
         """Adds the voters that are not known yet, as if they had answered, so that each has time to do so.
 
-        The leader calls it as each of its views begins; otherwise voters would be replaced at once. A voter
-        that isn't a member was unresponsive under an earlier leader, and has only `RETURN_GRACE_S` to answer.
+        The leader calls it as each of its views begins; without it, voters that have not answered this leader
+        yet would count as lost and be replaced at once. A voter that isn't a member was unresponsive under an
+        earlier leader, and has only `RETURN_GRACE_S` to answer.
         """
         for voter in view.voters:
             if voter != self._own_identity and voter not in self._peers:
@@ -125,7 +126,7 @@
         peer.last_answer_at = now
 
     def has_lease(self, view: View, now: float, own_vote: bool) -> bool:
-        """Whether a majority of voters grants this leader a lease; `own_vote`: whether its own counts."""
+        """Whether a majority of voters grants this leader a lease; `own_vote`: whether its vote counts."""
         earliest = now - LEADER_LEASE_S
         granting = [voter for voter in view.voters if self._granted_sent_at(voter, own_vote, now) > earliest]
         return len(granting) >= view.majority
--- a/wheatroute/replication/proposal.py
+++ b/wheatroute/replication/proposal.py
@@ -76,7 +76,10 @@
         return is_of_base and answer.proposal_number == self.proposal_number
 
     def _previously_accepted(self) -> View | None:
-        """The view that these voters accepted under the highest number, since it may have been decided."""
+        """The view, if any, that the voters that promised accepted under the highest number.
+
+        It may have been decided.
+        """
         accepted = [promise for promise in self._promises.values() if promise.accepted_view is not None]
         if not accepted:
             return None
--- a/wheatroute/replication/proposer.py
+++ b/wheatroute/replication/proposer.py
@@ -2,8 +2,8 @@
 
 Transitions: none -> preparing (`propose`) -> accepting (a majority promised) -> decided (a majority voted).
 An attempt also ends when a newer view is learned, when a voter has promised a higher number, when leases bind
-too many votes, and after `timing.PROPOSAL_TIMEOUT_S`. After the last three, the next one starts after a
-random delay, which begins when the leases have ended. Source: see `proposal`.
+too many votes, and after `timing.PROPOSAL_TIMEOUT_S`. In the last three cases, the next attempt starts after
+a random delay; if leases bound the votes, this delay begins when they have ended. Source: see `proposal`.
 """
 
 from __future__ import annotations
@@ -76,7 +76,7 @@
             self._give_up()
 
     def cancel(self) -> None:
-        """Ends the current attempt without a delay before the next one."""
+        """Ends the current attempt; the next one may start without a delay."""
         self._proposal = None
 
     def on_view_decided(self, view: View) -> None:
--- a/wheatroute/replication/reconfiguration.py
+++ b/wheatroute/replication/reconfiguration.py
@@ -40,11 +40,14 @@
 def renewed_view(view: View, incarnation: int, is_granted: bool, proposed: frozenset[str]) -> View | None:
     """Returns the current view under the next epoch, or None if the leader needs no renewal.
 
-    For a leader that wants no other view. It needs a renewal in two cases: voters that voted for another view
-    keep it from its lease (not `is_granted`), or it has proposed a view and given up the attempt. `proposed`
-    are the members of such views. No document is committed without them, since their view may have been
-    decided, and they may be lost in the meantime. If another view was decided, the attempt at the renewal
-    completes that view instead.
+    Called for a leader that wants no other view. It needs a renewal in two cases:
+
+    - It gets no lease, because voters have voted for another view (not `is_granted`).
+    - It has proposed a view with members that the current one lacks, and has given up the attempt. `proposed`
+      are the members of all views that it proposed. Until a renewal, no document is committed without them,
+      since their view may have been decided. If one of them is lost, nothing can be committed until then.
+
+    If another view was in fact decided, the attempt at the renewal completes that view instead.
     """
     if is_granted and proposed <= set(view.members):
         return None
@@ -54,7 +57,7 @@
 def _voters(
     view: View, nodes: dict[str, Peer], synced: list[str], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """The voters: nodes in sync are added while there are too few voters, and replace lost ones."""
+    """The voters: nodes in sync are added while there are too few voters, and then replace lost voters."""
     voters = list(view.voters)
     for newcomer in synced:
         if newcomer in voters:
@@ -87,7 +90,10 @@
 def _members(
     view: View, nodes: dict[str, Peer], synced: list[str], voters: tuple[str, ...], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """The voters in sync; lost members stay while fewer than `tolerate + 1` would be left without them."""
+    """The voters in sync and the members that can replicate, with lost members if these are too few.
+
+    Of the lost members, as many stay as are needed for `tolerate + 1` members.
+    """
 
     def is_able_member(voter: str) -> bool:
         return voter in view.members and voter in nodes and nodes[voter].can_replicate(now)
@@ -102,7 +108,10 @@
 
 
 def _primary(own: Peer, synced: list[str], members: tuple[str, ...]) -> str:
-    """This leader; if it is leaving or its disk fails, the first other member in sync by identity."""
+    """This leader; if it is leaving or its disk fails, the other member in sync with the lowest identity.
+
+    If there is no such member, this leader stays the primary.
+    """
     if not own.is_leaving and own.is_healthy:
         return own.identity
     others = [member for member in members if member in synced and member != own.identity]
@@ -110,6 +119,9 @@
 
 
 def _without(members: tuple[str, ...], own: str, primary: str, tolerate: int) -> tuple[str, ...]:
-    """The members without this leader, if another node leads and more than `tolerate` members are left."""
+    """The members without this leader if another node is to lead and more than `tolerate` members are left.
+
+    If not, all members.
+    """
     rest = tuple(member for member in members if member != own)
     return rest if primary != own and len(rest) > tolerate else members
--- a/wheatroute/replication/replicator.py
+++ b/wheatroute/replication/replicator.py
@@ -106,8 +106,8 @@
     async def stop(self) -> None:
         """Announces that this node leaves, and stops once other nodes have taken over its roles.
 
-        It stops without that `STOP_RESERVE_S` before the end of the grace period (`bounds.grace_s`), but not
-        before it has waited for `MIN_STOP_TIMEOUT_S`.
+        If they have not, it stops nevertheless `STOP_RESERVE_S` before the end of the grace period
+        (`bounds.grace_s`), but waits for them for at least `MIN_STOP_TIMEOUT_S`.
         """
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -180,7 +180,7 @@
 
     @property
     def bucket_levels_at(self) -> float:
-        """Event loop time at which the bucket levels, or the soft state after them, arrived."""
+        """Event loop time at which bucket levels or soft state arrived last, minus infinity if none did."""
         return self._soft_state.bucket_levels_at
 
     def replicate_soft_state(self, payload: bytes) -> SoftStateVersion:
@@ -197,7 +197,7 @@
     async def wait_for_soft_state_acks(self, version: SoftStateVersion, timeout_s: float) -> bool:
         """Waits until every member of the view has acknowledged this soft state.
 
-        One of them leads next and starts from it. Returns False if that takes longer than `timeout_s`.
+        One of the members leads next and starts from it. Returns False if the wait exceeds `timeout_s`.
         """
         return await self._soft_state.wait_for_acks(version, timeout_s)
 
--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -41,7 +41,7 @@
         self._changed = asyncio.Event()
         self.payload = payload
         self.bucket_levels = b""  # the newest bucket levels received after `payload`; empty if there are none
-        # event loop time at which the bucket levels, or the payload, arrived
+        # event loop time at which bucket levels or a payload arrived last; a payload read from disk sets none
         self.bucket_levels_at = -inf
 
     # on the leader
--- a/wheatroute/replication/storage.py
+++ b/wheatroute/replication/storage.py
@@ -67,7 +67,7 @@
         self._written: dict[bytes, Any] = {}
 
     def read(self) -> NodeRecord | None:
-        """Returns the record, or None if the disk is empty or the record unreadable; renames such a file."""
+        """Returns the record, or None if there is none or it is unreadable; renames an unreadable file."""
         if not self._path.exists():
             return None
         try:
@@ -153,7 +153,7 @@
                 lock=False,
                 map_size=self._map_bytes,
                 readahead=False,
-                # Otherwise pages could contain parts of the process's memory, including keys.
+                # Without this, pages on disk could contain parts of the process's memory, including keys.
                 meminit=True,
                 max_readers=MAX_READERS,
             )
--- a/wheatroute/replication/takeover.py
+++ b/wheatroute/replication/takeover.py
@@ -9,9 +9,9 @@
     """Returns a view that the node `own` leads, with the members of `base` that answer.
 
     `promised` are the voters whose promises were received; `incarnation` is that of `own`. Members that don't
-    answer stay if fewer than `tolerate + 1` members would be left otherwise: a view with a single member
-    would end for good if its disk were lost. A member that stays holds everything that was acknowledged,
-    since nothing is acknowledged before every member is in sync.
+    answer stay if fewer than `tolerate + 1` members would be left without them: a view with a single member
+    would end for good if that member's disk were lost. A member that stays holds everything that was
+    acknowledged, since nothing is acknowledged before every member is in sync.
     """
     answering = [member for member in base.members if member == own or member in promised]
     lost = [member for member in base.members if member not in answering]
--- a/wheatroute/replication/voter.py
+++ b/wheatroute/replication/voter.py
@@ -49,11 +49,15 @@
         return is_granted
 
     def lease_remaining_s(self, base: View, proposer: str) -> float:
-        """Seconds for which a lease keeps this node from voting for `proposer` after `base`; 0 if it may."""
+        """Seconds for which a lease keeps this node from voting for a view that `proposer` proposes.
+
+        0 if no lease does. `base` is the view before the proposed one.
+        """
         state = self._state
         if proposer == base.primary or base.epoch < state.view.epoch:
             return 0.0
-        # A leader's own vote is bound while it has a lease; other nodes may ask again after a heartbeat.
+        # A leader's own vote is bound while it has a lease; other nodes may ask again after a heartbeat
+        # interval.
         if state.is_leading:
             return timing.HEARTBEAT_INTERVAL_S if self._leader.has_lease(state.now) else 0.0
         return self._lease_grant.remaining_s(state.now, base)
