--- a/wheatroute/cluster/distribution.py
+++ b/wheatroute/cluster/distribution.py
@@ -74,7 +74,7 @@
 def make_version(
     configuration: Configuration, sequence: int, previous: ConfigurationVersion = EMPTY_VERSION
 ) -> ConfigurationVersion:
-    """Makes the version of a configuration; items equal to those of `previous` share the same objects."""
+    """Makes the version of a configuration; an item equal to one of `previous` becomes the same object."""
     routes = _share_equal_items(configuration.routes, previous.routes)
     services = _share_equal_items(configuration.services, previous.services)
     tenants = _share_equal_items(configuration.tenants, previous.tenants)
--- a/wheatroute/cluster/reload.py
+++ b/wheatroute/cluster/reload.py
@@ -66,7 +66,7 @@
 
 
 def _keep_until_restart(previous: Settings, requested: Settings) -> Settings:
-    """The requested settings, with the previous values of those that need a restart."""
+    """The requested settings, with the previous values of the settings that need a restart."""
     return msgspec.structs.replace(requested, **{name: getattr(previous, name) for name in NEEDS_RESTART})
 
 
--- a/wheatroute/control/changes.py
+++ b/wheatroute/control/changes.py
@@ -167,7 +167,7 @@
 
 
 def _upserted(present: Any, items: list[Any]) -> list[Any]:
-    """Replaces present items in place by those of the same name in `items`; appends the other `items`."""
+    """Returns the present items, replaced in place by `items` of the same name; other `items` follow."""
     if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
         raise RequestError(
             ErrorKind.INVALID_CONFIGURATION, "upsert: every item must be an object with a name"
--- a/wheatroute/control/committed_configuration.py
+++ b/wheatroute/control/committed_configuration.py
@@ -49,7 +49,7 @@
         return self.sequence if self.has_configuration else -1
 
     def commit(self, document: Document) -> bool:
-        """Applies a committed document; returns false if it is the present one."""
+        """Applies a committed document; returns False if it has been applied already."""
         sequence = document.version.sequence
         if sequence == self.sequence:
             return False
--- a/wheatroute/control/configuration_store.py
+++ b/wheatroute/control/configuration_store.py
@@ -64,7 +64,9 @@
         return state.generation
 
     async def _apply(self, change: Change) -> ConfigurationState | None:
-        """The state after a change, None if it was applied before; raises `RequestError` for an invalid one.
+        """Returns the state after a change, or None if the change was applied before.
+
+        Raises `RequestError` if the change can't be applied.
 
         A result that isn't followed by a write (a rejection, or None) requires a leadership confirmation:
         without it, a primary that was deposed without knowing it could reject a change that another node has
--- a/wheatroute/control/edge_nodes.py
+++ b/wheatroute/control/edge_nodes.py
@@ -45,7 +45,10 @@
         return max(1, len(self._last_contact), previous)
 
     def unresponsive(self, now: float) -> dict[str, float]:
-        """Maps each node last in contact `NODE_UNRESPONSIVE_S` to `NODE_FORGOTTEN_S` ago to that time."""
+        """Returns the nodes that may be isolated, each with the time of its last contact.
+
+        That was `NODE_UNRESPONSIVE_S` to `NODE_FORGOTTEN_S` ago.
+        """
         self._lost = {node: last for node, last in self._lost.items() if now - last < NODE_FORGOTTEN_S}
         late = {node: last for node, last in self._last_contact.items() if now - last > NODE_UNRESPONSIVE_S}
         return self._lost | late
--- a/wheatroute/control/http_servers.py
+++ b/wheatroute/control/http_servers.py
@@ -1,6 +1,6 @@
 """The HTTP servers of the control role.
 
-Importing this module imports `litestar`, `uvicorn` and `pydantic`, which takes up most of the startup time.
+Importing this module takes up most of the startup time, as it imports `litestar`, `uvicorn` and `pydantic`.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 class HttpServer(uvicorn.Server):
-    """A uvicorn server that leaves signal handling to the role."""
+    """A uvicorn server that leaves signal handling to `main.serve`."""
 
     def install_signal_handlers(self) -> None:
-        """Does nothing: the role handles signals."""
+        """Does nothing: `main.serve` handles signals."""
 
     def capture_signals(self) -> AbstractContextManager[None]:  # type: ignore[override]
         """Does nothing; later versions of uvicorn call this instead of `install_signal_handlers`."""
--- a/wheatroute/control/quotas.py
+++ b/wheatroute/control/quotas.py
@@ -125,7 +125,7 @@
         }
 
     def apply_prior_usage(self, now: float, report: UsageReport) -> None:
-        """Accounts for a node's usage before this term: its first report with recent usage contains it."""
+        """Accounts for a node's usage before this term, which its first report with recent usage contains."""
         if report.recent_usage_span_s is None or report.node in self._nodes_with_prior_usage:
             return
         self._nodes_with_prior_usage.add(report.node)
@@ -135,7 +135,8 @@
             # (`_correct_initial_tokens`).
             self._expected_nodes = 0
         for buckets in self._tenants.values():
-            buckets.release(MISSING_NODES_KEY)  # `reserve` sets it aside again for nodes still missing
+            # `reserve` sets tokens aside again for the nodes that are still missing.
+            buckets.release(MISSING_NODES_KEY)
         for name, demand in report.tenants.items():
             tenant_buckets = self._tenants.get(name)
             if tenant_buckets is not None:
--- a/wheatroute/control/registry.py
+++ b/wheatroute/control/registry.py
@@ -167,7 +167,7 @@
         )
 
     def mark_unresponsive(self, identity: str) -> None:
-        """Marks a suspected ready server as unresponsive before its heartbeats are missed."""
+        """Marks a ready server as unresponsive because it is suspected, even if it missed no heartbeat."""
         entry = self._entries[identity]
         self._set_state(entry, InstanceState.UNRESPONSIVE, entry.last_heartbeat)
 
--- a/wheatroute/control/soft_state_sharing.py
+++ b/wheatroute/control/soft_state_sharing.py
@@ -88,7 +88,10 @@
             raise RequestError(ErrorKind.NO_QUORUM, "no majority confirmed that this node leads")
 
     async def _share_soon(self) -> SoftStateVersion:
-        """Shares the registry `MIN_SHARE_INTERVAL_S` after the last time, for all departures until then."""
+        """Shares the registry once `MIN_SHARE_INTERVAL_S` has passed since it was shared last.
+
+        Calls until then share it together.
+        """
         if self._pending_share is None or self._pending_share.done():
             self._pending_share = asyncio.get_running_loop().create_task(self._share_after_interval())
         return await asyncio.shield(self._pending_share)
--- a/wheatroute/control/tenant_buckets.py
+++ b/wheatroute/control/tenant_buckets.py
@@ -2,8 +2,8 @@
 
 A tenant has two buckets: one for its rate limit, and a small one for the excess that is allowed beyond the
 limit. A request within the limit is never rejected because of requests served beyond the limit, since the
-excess bucket paid for those. The limit's bucket can go into debt: nodes report their usage during an
-isolation only after it.
+excess bucket paid for those. The limit's bucket can go into debt: an isolated node reports its usage only
+when it is connected again.
 
 Invariants: the quota shares granted to nodes sum to at most `ISOLATED_FRACTION`, and their local bursts to at
 most that fraction of the tokens that the limit's bucket held when they were granted. Each token leaves a
@@ -166,8 +166,8 @@
     def reserve(self, node: str, since: float, rate: float, burst: float, now: float) -> None:
         """Sets aside the tokens that a node without a report since `since` may have used up to now.
 
-        These are the tokens that its local rate `rate` (tokens per second) yields in that time, and once its
-        local burst `burst` (tokens).
+        These are `rate` (its local rate in tokens per second) times the seconds since then, and `burst` (its
+        local burst in tokens), which is added once.
         """
         reserve = self.reserves.get(node)
         if reserve is None:
@@ -254,7 +254,10 @@
         return missing / self.limit.rate
 
     def take_in_advance(self, rate: float) -> float:
-        """Takes the tokens that a node demands in `ADVANCE_S`; 0 unless the bucket is well filled."""
+        """Takes the tokens that a node demands in `ADVANCE_S`, or as many as are left, and returns them.
+
+        Takes none unless the limit's bucket is filled above `ADVANCE_MIN_LEVEL`.
+        """
         if self.limit.tokens <= ADVANCE_MIN_LEVEL * self.limit.capacity:
             return 0.0
         tokens = min(self.limit.tokens, ADVANCE_S * rate)
--- a/wheatroute/control/updates.py
+++ b/wheatroute/control/updates.py
@@ -11,7 +11,9 @@
 from wheatroute.control.primary_state import PrimaryState
 
 MAX_POLL_S = 5.0
-LEADERSHIP_CHECK_INTERVAL_S = 0.2  # so that a primary without a majority doesn't keep edge nodes waiting
+# Pending polls check this often that this node still leads, so that a primary that has lost its majority
+# doesn't keep edge nodes waiting.
+LEADERSHIP_CHECK_INTERVAL_S = 0.2
 
 
 class UpdatePolls:
--- a/wheatroute/control/versions.py
+++ b/wheatroute/control/versions.py
@@ -43,7 +43,10 @@
             self._versions.popitem(last=False)
 
     def difference_since(self, sequence: int) -> bytes:
-        """The encoded difference from a version to the newest one; a full one if that version isn't kept."""
+        """The encoded difference from a version to the newest one.
+
+        If that version isn't kept, it is the difference from the empty version: the full configuration.
+        """
         base = self._versions.get(sequence, EMPTY_VERSION)
         if base.sequence not in self._encoded_differences:
             difference = make_difference(base, self._newest)
--- a/wheatroute/replication/acceptor.py
+++ b/wheatroute/replication/acceptor.py
@@ -1,4 +1,4 @@
-"""A Paxos acceptor: the votes that the voters' acceptors store decide which view comes next. No I/O.
+"""One node's Paxos acceptor, which stores its vote. The votes of the voters decide the next view. No I/O.
 
 Each next view is decided by single-decree Paxos among the voters of the view before it (vertical Paxos: L.
 Lamport, D. Malkhi, L. Zhou, "Vertical Paxos and Primary-Backup Replication", PODC 2009).
--- a/wheatroute/replication/commit.py
+++ b/wheatroute/replication/commit.py
@@ -15,7 +15,7 @@
     `has_document` tells whether a node has the document on disk. Every member must have it, and there must be
     enough members for it to survive the loss of `tolerate` disks. Members are voters, so a system with fewer
     than `tolerate + 1` voters (a single node, or one that others have yet to join) can't have that many:
-    there it suffices that every voter is a member, since otherwise nothing could ever be committed.
+    there it suffices that every voter is a member, since without this exception nothing could be committed.
 
     `proposed` are the members of the views that this leader has proposed or is about to propose. They must
     have the document too: one of those views may be decided, now or by other nodes later, and any of its
--- a/wheatroute/replication/core.py
+++ b/wheatroute/replication/core.py
@@ -313,7 +313,7 @@
     # transitions
 
     def _learn(self, view: View) -> None:
-        """Adopts a decided view if it is new: this node leads it if it is the primary, else follows it."""
+        """Adopts a decided view if it is newer; leads it if it names this process, and else follows it."""
         state = self._state
         if not state.acceptor.learn(view):
             return
--- a/wheatroute/replication/leader.py
+++ b/wheatroute/replication/leader.py
@@ -164,7 +164,7 @@
         self._documents.check_commit(state.document.version)
 
     def on_replicated(self, sender: str, ack: Replicated) -> None:
-        """Records that a node has a document of the current view on disk, which may commit it."""
+        """Records that a node has a document of the current view on disk; this may complete its commit."""
         self._peers.on_replicated(sender, ack, self._state.now)
         self._documents.check_commit(self._state.document.version)
 
--- a/wheatroute/replication/peers.py
+++ b/wheatroute/replication/peers.py
@@ -126,7 +126,10 @@
         peer.last_answer_at = now
 
     def has_lease(self, view: View, now: float, own_vote: bool) -> bool:
-        """Whether a majority of voters grants this leader a lease; `own_vote`: whether its vote counts."""
+        """Whether a majority of voters grants this leader a lease.
+
+        `own_vote`: whether the leader's own vote counts towards the majority.
+        """
         earliest = now - LEADER_LEASE_S
         granting = [voter for voter in view.voters if self._granted_sent_at(voter, own_vote, now) > earliest]
         return len(granting) >= view.majority
--- a/wheatroute/replication/proposal.py
+++ b/wheatroute/replication/proposal.py
@@ -76,9 +76,9 @@
         return is_of_base and answer.proposal_number == self.proposal_number
 
     def _previously_accepted(self) -> View | None:
-        """The view, if any, that the voters that promised accepted under the highest number.
+        """Of the views that voters in `_promises` have accepted, the one accepted under the highest number.
 
-        It may have been decided.
+        It must be proposed again, since it may have been decided. None if they have accepted no view.
         """
         accepted = [promise for promise in self._promises.values() if promise.accepted_view is not None]
         if not accepted:
--- a/wheatroute/replication/reconfiguration.py
+++ b/wheatroute/replication/reconfiguration.py
@@ -90,9 +90,9 @@
 def _members(
     view: View, nodes: dict[str, Peer], synced: list[str], voters: tuple[str, ...], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """The voters in sync and the members that can replicate, with lost members if these are too few.
+    """The voters that are in sync, and the voting members that can replicate.
 
-    Of the lost members, as many stay as are needed for `tolerate + 1` members.
+    If these are fewer than `tolerate + 1`, lost members stay to make up this number.
     """
 
     def is_able_member(voter: str) -> bool:
--- a/wheatroute/replication/record_writer.py
+++ b/wheatroute/replication/record_writer.py
@@ -42,7 +42,7 @@
         return not self.has_failed or now >= self._retry_at
 
     def begin(self, now: float, version: DocumentVersion) -> None:
-        """Records that the write of a record whose document has this version starts."""
+        """Records that a write starts; `version` is that of the document in the record being written."""
         self._has_changed = False
         self._after_this += self._after_next
         self._after_next = []
@@ -66,7 +66,7 @@
         self._has_changed = True
 
     def is_healthy(self, now: float) -> bool:
-        """Whether the disk accepts writes and none of them is stalled."""
+        """Whether the last write succeeded, and none has been in progress for over `WRITE_STALL_S`."""
         started_at = self._write_started_at
         is_stalled = started_at is not None and now - started_at > WRITE_STALL_S
         return not self.has_failed and not is_stalled
--- a/wheatroute/replication/soft_state.py
+++ b/wheatroute/replication/soft_state.py
@@ -68,7 +68,10 @@
         return [member for member in others if self._acknowledged.get(member, NO_SOFT_STATE) < version]
 
     def resend(self, now: float, epoch: int, members: Iterable[str]) -> list[Send]:
-        """Returns the messages to send again to the members of the view that this node leads in `epoch`."""
+        """Returns the messages to send again to `members`, those of the view that this node leads in `epoch`.
+
+        Only members that have not acknowledged the newest soft state get one, every `RESEND_INTERVAL_S`.
+        """
         if self._newest is None or self._newest.epoch != epoch:
             return []
         hosts = [host_of(member) for member in self.missing_acks(members, self.version)]
--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -88,7 +88,7 @@
     # messages
 
     def on_update(self, sender: str, update: SoftStateUpdate) -> None:
-        """Stores and acknowledges the soft state of a leader, unless its epoch is over."""
+        """Stores and acknowledges the soft state of a leader, unless this node knows a later epoch."""
         if update.epoch < self._core.view.epoch:
             return
         if self._replicated.receive(update):
@@ -96,7 +96,7 @@
         self._send(host_of(sender), SoftStateAck(update.epoch, update.number))
 
     def on_bucket_levels(self, update: BucketLevelsUpdate) -> None:
-        """Stores the levels of a leader's token buckets, unless its epoch is over."""
+        """Stores the levels of a leader's token buckets, unless this node knows a later epoch."""
         if update.epoch >= self._core.view.epoch:
             self._store_bucket_levels(update.payload)
 
--- a/wheatroute/replication/timing.py
+++ b/wheatroute/replication/timing.py
@@ -13,7 +13,7 @@
 ELECTION_TIMEOUT_S = 0.6
 # Replaces ELECTION_TIMEOUT_S after the start of a process, until it learns its first newer view.
 STARTUP_ELECTION_TIMEOUT_S = 0.12
-# Added to the election timeout once per position in the order of members, so that one of them goes first.
+# Added to the election timeout once per position in the order of members, so that one member goes first.
 ELECTION_STEP_S = 0.12
 
 # A proposer gives up an attempt to decide a view after this time.
