--- a/wheatroute/replication/soft_state_replication.py
+++ b/wheatroute/replication/soft_state_replication.py
@@ -41,7 +41,7 @@
         self._changed = asyncio.Event()
         self.payload = payload
         self.bucket_levels = b""  # the newest bucket levels received after `payload`; empty if there are none
-        # event loop time at which the bucket levels, or the payload, arrived
+        # event loop time at which bucket levels or a payload arrived last; a payload read from disk sets none
         self.bucket_levels_at = -inf
 
     # on the leader
@@ -88,7 +88,7 @@
     # messages
 
     def on_update(self, sender: str, update: SoftStateUpdate) -> None:
-        """Stores and acknowledges the soft state of a leader, unless its epoch is over."""
+        """Stores and acknowledges the soft state of a leader, unless this node knows a later epoch."""
         if update.epoch < self._core.view.epoch:
             return
         if self._replicated.receive(update):
@@ -96,7 +96,7 @@
         self._send(host_of(sender), SoftStateAck(update.epoch, update.number))
 
     def on_bucket_levels(self, update: BucketLevelsUpdate) -> None:
-        """Stores the levels of a leader's token buckets, unless its epoch is over."""
+        """Stores the levels of a leader's token buckets, unless this node knows a later epoch."""
         if update.epoch >= self._core.view.epoch:
             self._store_bucket_levels(update.payload)
 
