--- a/wheatroute/byte_stream.py
+++ b/wheatroute/byte_stream.py
@@ -57,7 +57,10 @@
         return self._tls.getpeercert(binary_form=True) if self._tls else None
 
     async def handshake(self) -> None:
-        """Performs the TLS handshake, if any; raises `OSError` (its subclass `ssl.SSLError`) if it fails."""
+        """Performs the TLS handshake if TLS is enabled.
+
+        Raises `OSError` if it fails, in most cases its subclass `ssl.SSLError`.
+        """
         while self._tls is not None:
             try:
                 self._tls.do_handshake()
--- a/wheatroute/cli.py
+++ b/wheatroute/cli.py
@@ -71,7 +71,7 @@
 @main.command()
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Checks a processor's settings FILE and prints a line per error; exit status 2 if there is one."""
+    """Checks a processor's settings FILE and prints a line per error; exit status 2 if it has errors."""
     from wheatroute.config import settings_file
     from wheatroute.tls import ServerContext, TlsError
 
--- a/wheatroute/config/pools.py
+++ b/wheatroute/config/pools.py
@@ -20,7 +20,8 @@
 class ServerSettings(Section):
     """A server that is listed in the settings file; `address` is "IPv4:PORT".
 
-    Servers of the same cell share the memory of idempotency keys, if the deduplication group is `cell`.
+    For request classes with the deduplication group `cell`, servers of the same cell share their memory of
+    idempotency keys.
     """
 
     id: Name
@@ -36,7 +37,8 @@
 class PoolRules(Section):
     """Warm-up, drain and overload parameters of a pool's servers; see the rules in `docs/design.md`.
 
-    A server that warms up fails under `overload_multiple` times the usual rate for `overload_window_s`.
+    It is assumed that a server that is warming up fails if it gets `overload_multiple` times its usual rate
+    for `overload_window_s` seconds.
     """
 
     warmup_s: NonNegative = Field(default=20.0, alias="cold_time")
--- a/wheatroute/config/processor.py
+++ b/wheatroute/config/processor.py
@@ -22,7 +22,7 @@
 
 
 class HeaderNames(Section):
-    """The names of the request headers that the processor reads; an empty name disables one."""
+    """The names of the request headers that the processor reads; a header with an empty name is not read."""
 
     request_id: Name = "x-request-id"
     timeout: str = Field(default="request-timeout", alias="time_out")
@@ -59,7 +59,7 @@
 class SnapshotSettings(Section):
     """The file of a worker's snapshots, how often it is written, and up to which age it is used.
 
-    Without this section none are written.
+    Without this section, no snapshots are written.
     """
 
     path: Name
@@ -70,7 +70,8 @@
 class AgreementSettings(Section):
     """The store for versions of the settings, and the time within which all processes agree on one.
 
-    The store is a directory, the directory that a relay updates, or etcd with a key prefix.
+    The store is one of three: `directory`; `relay`, which is a directory that a relay updates; or `etcd`,
+    which needs a key `prefix`.
     """
 
     directory: str = ""
@@ -89,6 +90,7 @@
         stores = sum(map(bool, (self.directory, self.relay, self.etcd_endpoints)))
         if stores != 1 or bool(self.etcd_endpoints) != bool(self.prefix):
             raise ValueError(
-                "exactly one of directory, relay and etcd must be given, and prefix if and only if etcd is"
+                "exactly one of directory, relay and etcd must be given; "
+                "prefix is required with etcd and not allowed without it"
             )
         return self
--- a/wheatroute/etcd/client.py
+++ b/wheatroute/etcd/client.py
@@ -1,6 +1,6 @@
 """A client of an etcd cluster: unary calls, leases and streams over several endpoints. Does I/O on trio.
 
-Invariant: a write is never retried unless it provably never ran; a read is retried at the next endpoint.
+Invariant: a write is retried only if it provably never ran. A read is retried at the next endpoint.
 Errors are raised as gRPC's `CallError`.
 """
 
@@ -99,8 +99,8 @@
     ) -> Any:
         """Makes a unary call; `timeout_s` limits each attempt.
 
-        Raises `CallError` if the call must not be retried, or if as many attempts as twice the number of
-        endpoints have failed.
+        Raises `CallError` if an attempt failed and must not be retried, or after twice as many failed
+        attempts as there are endpoints.
         """
         error = CallError(Status.UNAVAILABLE, "no endpoint is available")
         has_renewed_token = False
@@ -153,7 +153,7 @@
 
     @asynccontextmanager
     async def stream(self, path: str) -> AsyncIterator[AsyncCall]:
-        """Opens a bidirectional stream at the endpoint in use, which is suspected if the stream fails."""
+        """Opens a bidirectional stream at the endpoint in use, which is avoided for a time if it fails."""
         index, call = self._current, AsyncCall()
         channel = self._channels[index]
         try:
@@ -177,7 +177,7 @@
     # Methods of etcd's API.
 
     async def range(self, key: bytes, end: bytes = b"", **options: Any) -> Any:
-        """Reads a key, or all keys from it up to, but not including, `end`.
+        """Reads `key` alone if `end` is empty, else all keys from `key` up to, but not including, `end`.
 
         `options` are further fields of the `RangeRequest`.
         """
@@ -196,7 +196,10 @@
         while response.more:
             response = await self.range(kvs[-1].key + b"\0", end, limit=page_keys, revision=header.revision)
             if response.header.cluster_id != header.cluster_id:
-                raise CallError(Status.ABORTED, "another cluster answered between two pages")
+                raise CallError(
+                    Status.ABORTED,
+                    "a later page of the keys came from another etcd cluster than the first page",
+                )
             kvs += response.kvs
         return header, kvs
 
@@ -210,7 +213,7 @@
         )
 
     async def delete(self, key: bytes, end: bytes = b"") -> Any:
-        """Deletes a key, or all keys from it up to, but not including, `end`."""
+        """Deletes `key` alone if `end` is empty, else all keys from `key` up to, but not including, `end`."""
         return await self.call(
             f"{wire.KV}DeleteRange",
             wire.DeleteRangeRequest(key=key, range_end=end),
@@ -257,6 +260,6 @@
 
 
 def _never_ran(call: AsyncCall) -> bool:
-    """Returns whether a failed call provably didn't run; a call without a session never started."""
+    """Returns whether a failed call provably didn't run, for instance since no connection was open."""
     started = getattr(call, "call", None)
     return started is None or started.never_ran
--- a/wheatroute/etcd/follower.py
+++ b/wheatroute/etcd/follower.py
@@ -1,8 +1,8 @@
 """Follows the keys under a prefix: reads all of them once, then applies every change. Does I/O on trio.
 
-A change is applied at most two seconds after it could be read: the follower requests the progress of a stream
-without responses, and switches to another endpoint if the stream doesn't respond or lags behind. Invariant:
-while etcd can't be reached the last known state stays in use; no server is dropped.
+A change is applied at most two seconds after it could be read: if a stream sends no responses, the follower
+requests its progress. It switches to another endpoint if the stream still doesn't respond or lags behind.
+Invariant: while etcd can't be reached the last known state stays in use; no server is dropped.
 """
 
 from __future__ import annotations
@@ -21,7 +21,8 @@
 from wheatroute.grpc.messages import CallError, Status
 from wheatroute.net.clock import now
 
-# Time without a response after which the stream's progress is requested, and then time for that response.
+# Time without a response after which the stream's progress is requested; also the time limit for the response
+# to that request.
 PROGRESS_TIMEOUT_S = 0.3
 CHECK_INTERVAL_S = 0.5  # interval between two reads of the cluster's revision
 # Time for which a stream may lag behind a revision that the cluster has reached.
@@ -74,7 +75,7 @@
         self._backoff_s = INITIAL_BACKOFF_S
         self._progress = _ClusterProgress(client)
         self._lost_position = Position(0, 0)  # position of the previous watch; zeros if there was none
-        self.is_pinned = False  # if true, a different cluster is never followed instead of the first one
+        self.is_pinned = False  # if true, only the first cluster is ever followed
 
     @property
     def revision(self) -> int:
@@ -92,7 +93,7 @@
         return Position(self.watch.cluster_id, self.revision) if self.watch else self._lost_position
 
     def resume_from(self, cluster_id: int, revision: int) -> None:
-        """Pins the follower to a position, that in the snapshot of the previous process."""
+        """Pins the follower to the cluster and the minimum revision in the previous process's snapshot."""
         self.is_pinned, self._lost_position = True, Position(cluster_id, revision)
 
     async def run(self) -> None:
--- a/wheatroute/etcd/messages.py
+++ b/wheatroute/etcd/messages.py
@@ -62,7 +62,8 @@
 NO_PUT, NO_DELETE = 0, 1  # WatchCreateRequest.FilterType: the events of a watch that are left out
 EQUAL, GREATER, LESS, NOT_EQUAL = range(4)  # Compare.CompareResult
 VERSION, CREATE, MOD, VALUE, LEASE = range(5)  # Compare.CompareTarget
-# Paths of methods, and the first part of the paths of services.
+# WATCH, AUTH and MAINTENANCE are paths of methods. KV and LEASES are what the paths of a service's methods
+# begin with.
 KV, WATCH, LEASES = "/etcdserverpb.KV/", "/etcdserverpb.Watch/Watch", "/etcdserverpb.Lease/"
 AUTH, MAINTENANCE = "/etcdserverpb.Auth/Authenticate", "/etcdserverpb.Maintenance/Status"
 _FIELD = descriptor_pb2.FieldDescriptorProto
--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -1,7 +1,7 @@
 """Registers this node in etcd with a lease, and reports the number of nodes. Does I/O on trio.
 
-A node that can't renew its lease continues to serve, but sends less to cold servers, as the other nodes may
-no longer count it. Invariant: the key of a younger process of the same name is never overwritten.
+A node that can't renew its lease continues to serve, but sends less to cold servers: the other nodes may no
+longer count it. Invariant: the key of a younger process of the same name is never overwritten.
 """
 
 from __future__ import annotations
@@ -133,8 +133,9 @@
     def _caution(self) -> float:
         """Returns the divisor of the load for cold servers, higher while other nodes may not count this one.
 
-        That is the case some time after the lease may have expired, as the others count a node for
-        `REMOVAL_DELAY_S` after it disappeared; half of that is kept in reserve.
+        The others count a node for `REMOVAL_DELAY_S` after its key disappeared, and the key may disappear
+        `LEASE_TTL_S` after the last renewal. The divisor rises after the TTL and half of that delay; the
+        other half is kept in reserve. It is also higher if another process has registered under this name.
         """
         may_be_uncounted = now() - self.renewed_at > LEASE_TTL_S + REMOVAL_DELAY_S / 2
         return UNCOUNTED_CAUTION if may_be_uncounted or self._membership.has_duplicate else USUAL_CAUTION
--- a/wheatroute/etcd/server_keys.py
+++ b/wheatroute/etcd/server_keys.py
@@ -5,8 +5,8 @@
     {"addr": "10.1.0.18:8443", "zone": "a", "kind": "m2", "cell": 3, "state": "in_service", "started_ms": 0}
 
 Only `addr` is required; `state` is in_service or terminating; `started_ms` is the Unix time in milliseconds
-at which the server's process started, 0 for long ago. Changes have the format of the list service's body, so
-that both are handled alike. Invariant: a malformed value changes nothing.
+at which the server's process started, 0 if it started long ago. Changes have the format of the list service's
+body, so that both are handled alike. Invariant: a malformed value changes nothing.
 """
 
 from __future__ import annotations
@@ -62,7 +62,7 @@
         return key[len(self.prefix) :].decode("utf-8", "backslashreplace")
 
     def _entry(self, kv: Any, now: float, errors: list[str]) -> dict[str, Any] | None:
-        """Returns the entry of a key; for a malformed value the last valid entry, or None."""
+        """Returns the entry of a key; for a malformed value, the key's last valid entry or None."""
         server_id = self._server_id(kv.key)
         previous = self.entries.get(server_id)
         try:
@@ -73,7 +73,7 @@
         if previous is not None and previous["addr"] == entry["addr"]:
             entry["started_ms"] = max(entry["started_ms"], previous["started_ms"])
         elif previous is not None and entry["started_ms"] <= previous["started_ms"]:
-            # A new process under an old key must not get the load of a warm server.
+            # The address has changed, so this is a new process, which must not get the load of a warm server.
             entry["started_ms"] = int(now * 1000)
         return {"id": server_id} | entry
 
--- a/wheatroute/etcd/services.py
+++ b/wheatroute/etcd/services.py
@@ -35,7 +35,7 @@
 
         `name` is that of the node. `on_servers` is called with each change, see `WatchedKeys`, and
         `on_node_count` with the number of nodes, the index of this one and its caution, see `Registrar`. With
-        `is_pinned` the follower never switches to a different cluster.
+        `is_pinned` the follower of the servers never switches to a different cluster.
         """
         tls = settings.tls
         context = client_context(tls.authorities, tls.certificate, tls.key) if tls else None
--- a/wheatroute/etcd/watch.py
+++ b/wheatroute/etcd/watch.py
@@ -1,4 +1,4 @@
-"""One watch that continues over several streams: which events may be applied. A state machine without I/O.
+"""One watch that continues over several streams: decides which events are applied. No I/O.
 
 Invariant: events are returned by complete revisions, in order, each revision once. If the history was
 compacted, or another cluster responds, the watch raises `WatchLostError`.
@@ -40,7 +40,10 @@
         self._fragments: list[Any] = []  # events of a revision that isn't complete yet
 
     def request(self, prefix: bytes, watch_id: int = 1) -> Any:
-        """Returns the request for a new stream; drops fragments of a lost one, as they are sent again."""
+        """Returns the request for a new stream.
+
+        Drops the fragments that the previous stream sent, since the new one sends their events again.
+        """
         self._fragments = []
         return wire.WatchRequest(
             create_request=wire.WatchCreateRequest(
@@ -86,7 +89,7 @@
         if response.compact_revision:
             return WatchLostError(
                 f"history before revision {response.compact_revision} was compacted, "
-                f"revision {self.next_revision} was next"
+                f"but the watch needs revision {self.next_revision}"
             )
         return WatchLostError(f"the member canceled the watch: {response.cancel_reason or 'no reason given'}")
 
--- a/wheatroute/grpc/async_call.py
+++ b/wheatroute/grpc/async_call.py
@@ -53,7 +53,7 @@
         self._changed.set()
 
     def call_ended(self, outcome: CallError) -> None:
-        """Notes the outcome of the call; cancels the method that serves it."""
+        """Notes the outcome of the call; on a server, cancels the method that serves it."""
         self.ended = outcome
         self._changed.set()
         if not self.call.session.client_side:
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -1,9 +1,8 @@
 """The gRPC client: keeps a connection to one address open and makes calls on it.
 
 A lost connection is reopened with a delay, and failed attempts to connect are repeated with exponential
-backoff. A call is never retried: if it fails it raises, and
-`Call.never_ran` is set if the peer stated that it did not process the call. Trying another address is up to
-the caller.
+backoff. A call is never retried: if it fails it raises, and `Call.never_ran` is set if the peer stated that
+it did not process the call. Trying another address is up to the caller.
 """
 
 from __future__ import annotations
@@ -25,8 +24,8 @@
 from wheatroute.grpc.session import Session
 
 CONNECT_TIMEOUT_S = 2.0  # time for connecting and the TLS handshake
-# Delay before the next attempt to connect, half of it random. It doubles with each failed attempt to connect,
-# and rises linearly with the number of failures after a connection that was closed.
+# Delay before the next attempt to connect, half of it random. After a failed attempt to connect, it doubles
+# with each failure; after a connection that was closed, it rises linearly with the number of failures.
 MIN_BACKOFF_S, MAX_BACKOFF_S = 0.05, 5.0
 MAX_BACKOFF_DOUBLINGS = 10  # limits the exponent, as the number of failures has no limit
 
@@ -163,7 +162,8 @@
     ) -> AsyncIterator[AsyncCall]:
         """Makes a call of any kind; if it has not ended at the end of the block it is cancelled.
 
-        Raises `CallError`, with DEADLINE_EXCEEDED after `timeout_s`, which includes connecting.
+        Raises `CallError`; its status is DEADLINE_EXCEEDED after `timeout_s`, which includes the time to
+        connect.
         """
         async_call, began = AsyncCall(), trio.current_time()
         with trio.move_on_after(timeout_s) as limit:
--- a/wheatroute/grpc/goaway.py
+++ b/wheatroute/grpc/goaway.py
@@ -29,14 +29,16 @@
 
 
 class GoawayFilter:
-    """Extracts GOAWAY frames from the received bytes of a connection, which may be split anywhere."""
+    """Extracts GOAWAY frames from the bytes that a connection receives; a read may end inside a frame."""
 
     def __init__(self, client_side: bool) -> None:
         self._partial = b""  # incomplete frame at the end of the received bytes
         self._skip = 0 if client_side else PREFACE_BYTES  # bytes up to the next frame
 
     def extract(self, data: bytes, notify: Callable[[bytes], None]) -> bytes:
-        """Returns all other bytes, and calls `notify` with the payload of each GOAWAY.
+        """Returns `data` without GOAWAY frames, and calls `notify` with the payload of each of them.
+
+        An incomplete frame is kept until the next call if it may be a GOAWAY.
 
         Raises `ValueError` for a GOAWAY that is too long.
         """
--- a/wheatroute/grpc/limits.py
+++ b/wheatroute/grpc/limits.py
@@ -27,7 +27,7 @@
     reset_rate: float = 100.0  # resets per second that are added to the budget
     # Time without received bytes after which a ping is sent.
     ping_interval_s: float = 30.0
-    ping_timeout_s: float = 10.0  # from a ping to its acknowledgement
+    ping_timeout_s: float = 10.0  # maximum time from a ping to its acknowledgement
 
 
 class ResetBudget:
--- a/wheatroute/grpc/messages.py
+++ b/wheatroute/grpc/messages.py
@@ -102,7 +102,7 @@
 def encode_timeout(seconds: float) -> bytes:
     """Returns a `grpc-timeout`, rounded down to at most eight digits of a unit.
 
-    Time that has run out gives the shortest timeout, one nanosecond.
+    If no time is left, this is the shortest timeout, one nanosecond.
     """
     if seconds <= 0.0:
         return b"1n"
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -221,7 +221,7 @@
 
 
 def _call_error_in(error: BaseException) -> CallError | None:
-    """Returns the `CallError` that a method raised, also inside a nursery; None for other exceptions."""
+    """Returns the `CallError` that a method raised, also if nurseries wrapped it; else None."""
     while isinstance(error, BaseExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error if isinstance(error, CallError) else None
--- a/wheatroute/grpc/session.py
+++ b/wheatroute/grpc/session.py
@@ -171,7 +171,10 @@
         return True
 
     def _goaway_received(self, payload: bytes) -> None:
-        """Stops opening calls; ends those above the peer's last stream, which never ran (RFC 9113, 6.8)."""
+        """Stops opening calls; a client ends calls above the server's last stream, as they never ran.
+
+        See RFC 9113, 6.8.
+        """
         self.is_draining = True
         last = last_stream_id(payload)
         if not self.client_side:
@@ -222,7 +225,8 @@
             if call.unread_messages:
                 call.unacknowledged += event.flow_controlled_length
             else:
-                # Also acknowledge part of a message: one longer than the window would never be completed.
+                # Also acknowledge a part of a message: otherwise a message longer than the window would never
+                # be completed.
                 self.acknowledge(call, event.flow_controlled_length)
             for message in messages:
                 call.receiver.message(message)
@@ -330,7 +334,7 @@
             self._end_if_responded(call)
 
     def _end_if_responded(self, call: Call) -> None:
-        """Ends a server's call once its response is sent, even if the request is not (RFC 9113, 8.1)."""
+        """Ends a server's call once its response is sent, even if the request goes on (RFC 9113, 8.1)."""
         if (
             self.client_side
             or call.is_over
@@ -402,7 +406,7 @@
 
         The first GOAWAY only announces the drain: calls that the peer sent before it received that frame are
         still accepted (graceful shutdown, RFC 9113, 6.8). The second one, sent once a ping is acknowledged,
-        names the last stream.
+        names the last stream that is processed.
         """
         if self.is_draining:
             return
--- a/wheatroute/processor/attempt_history.py
+++ b/wheatroute/processor/attempt_history.py
@@ -62,7 +62,8 @@
     request_class: int
     attempts: list[AttemptRecord]
     last_attempt_at: float
-    # The strictest idempotency that the class has had since the first attempt, if its rules are looser now.
+    # If the rules of the class have become looser since the first attempt, the strictest idempotency that it
+    # had since then; if not, `IDEMPOTENT`, the least strict value.
     strictest: Idempotency = Idempotency.IDEMPOTENT
 
 
@@ -105,8 +106,8 @@
         """Adds an attempt and returns it with the earlier ones; raises `RejectedError`.
 
         `now` is a time of `net.clock`. `attempt_number` is the number that the proxy sent, 1 for a first
-        attempt. If an earlier attempt may have run, non-idempotent requests are rejected, and so are keyed
-        ones whose deduplication group can no longer be determined.
+        attempt. If an earlier attempt may have run, non-idempotent requests are rejected, and so are
+        keyed ones if that attempt is not recorded and a server might not recognise the repeat.
         """
         self._forget_expired(now)
         request = self._requests.get(request_id)
@@ -158,8 +159,8 @@
 
         The history was lost in a restart of this process, and the first attempt may have run. Its server is
         unknown, so the request may be sent again only if every server would recognise the repeat, and only
-        if the retry window is at least the deadline of the class: the first attempt cannot be older than
-        that. Raises `RejectedError` otherwise. Idempotent requests need no record.
+        if the retry window is at least the deadline of the class, since the first attempt may be as old as
+        that deadline. Raises `RejectedError` otherwise. Idempotent requests need no record.
         """
         rules = self._request_classes[request_class]
         if rules.idempotency == Idempotency.IDEMPOTENT:
--- a/wheatroute/processor/discovery.py
+++ b/wheatroute/processor/discovery.py
@@ -36,13 +36,14 @@
         self._has_list_service = settings.list_service is not None
         self._etcd_settings = settings.etcd
         self._name = settings.name
-        # Whether a different etcd cluster is never followed instead of the first one.
+        # Whether this worker is pinned: it follows only the etcd cluster that it followed first.
         self._is_pinned = settings.agreement is not None
         # Set by `run` if the servers are listed in etcd.
         self.etcd: EtcdServices | None = None
         # Entries of servers by id, as received.
         self.entries: dict[str, dict[str, Any]] = {}
-        # Cluster id and revision of the list in the snapshot, which an older list must not replace.
+        # Cluster id and minimum revision of the list, from the snapshot. A worker that is pinned to its etcd
+        # cluster accepts no older list.
         self._restored_min_position: tuple[int, int] | None = None
         self._restored_peers: list[str] = []
         super().__init__(settings.discovery, driver, servers, log)
@@ -86,7 +87,8 @@
     def _count_nodes(self, nodes: int, node: int, caution: float) -> None:
         """Passes the number of nodes and this node's index, as counted in etcd, to the balancer.
 
-        `caution` divides the load on servers that are warming up while the number of nodes is uncertain.
+        While the number of nodes is uncertain, the load on servers that are warming up is divided by
+        `caution`.
         """
         self.node_counts = {"nodes": nodes, "node": node}
         self._driver.add_event(Event.NODES_COUNTED, nodes, node, caution)
@@ -120,7 +122,10 @@
             super().fetch()
 
     def update_settings(self, settings: WorkerSettings) -> None:
-        """Switches to another list service, or applies the list of servers in a new file."""
+        """Applies the new settings: switches to their list service, or applies the file's list of servers.
+
+        The file's list is applied only if neither a list service nor etcd provides the list.
+        """
         if self._has_list_service and settings.list_service:
             self.switch_service(settings.list_service)
         elif settings.initial_list and not self._has_list_service and self._etcd_settings is None:
@@ -129,7 +134,10 @@
     # Methods for snapshots.
 
     def peers(self) -> list[str]:
-        """Returns the names of the member nodes: those in etcd, else those of the snapshot."""
+        """Returns the names of the nodes that are registered in etcd.
+
+        If nodes don't register there, or before `run`, these are the names in the snapshot.
+        """
         membership = self.etcd.membership if self.etcd is not None else None
         return sorted(membership.epochs) if membership is not None else self._restored_peers
 
--- a/wheatroute/processor/dispatcher.py
+++ b/wheatroute/processor/dispatcher.py
@@ -71,12 +71,12 @@
         strict_variants: Mapping[int, int],
         applies_to_pending: bool,
     ) -> None:
-        """Applies new settings.
+        """Applies new settings to later requests and, with `applies_to_pending`, to pending ones.
 
         Request classes are matched in the order of `request_classes`, which maps their names to numbers.
         `strict_variants` maps a class to the class of its requests without an idempotency key, see
-        `RequestReader`. With `applies_to_pending`, the settings also hold for requests that were accepted
-        before, and the driver withdraws retries that are not written yet.
+        `RequestReader`. Pending requests are those that were accepted before; with
+        `applies_to_pending` the driver also withdraws retries that are not written yet.
         """
         self.driver.update_settings(settings, applies_to_pending)
         self._reader = RequestReader(
@@ -96,7 +96,10 @@
                 self.driver.finish_burst()
 
     def _expire_attempts(self, moment: float) -> bool:
-        """Ends expired attempts and discards entries of ended ones; returns whether there were any."""
+        """Ends expired attempts and discards the entries of attempts that have ended.
+
+        Returns whether any entry was removed, of either kind.
+        """
         has_expired = False
         while self._expiries:
             expires_at, _, stream = self._expiries[0]
@@ -122,7 +125,7 @@
         """Adds the request of a stream and returns its exchange.
 
         Raises `InvalidRequestError` if the headers don't describe a request, and `RejectedError` if the
-        earlier attempts of the request id forbid another one.
+        earlier attempts of the request id forbid another attempt.
         """
         self.driver.begin_burst()
         self.request_count += 1
@@ -140,7 +143,7 @@
         return exchange
 
     def abandon_request(self, exchange: RoutedExchange) -> None:
-        """Ends a request whose proxy has disconnected before a decision, so that nothing ran."""
+        """Ends a request whose proxy disconnected before the decision, and records that it never ran."""
         self.driver.begin_burst()
         self._history.record_never_ran(exchange.attempt_record)
         self.driver.abandon_request(exchange)
@@ -191,7 +194,7 @@
         exchange.complete(Response(ROUTED_STATUS))
 
     def set_address(self, server: int, address: tuple[str, int]) -> None:
-        """Sets the address of a server that proxies are sent."""
+        """Sets the address of a server, which decisions for that server contain."""
         self._addresses[server] = b"%s:%d" % (address[0].encode(), address[1])
 
     def set_state(self, server: int, state: ServerState, started_at: float) -> None:
--- a/wheatroute/processor/processing_messages.py
+++ b/wheatroute/processor/processing_messages.py
@@ -14,7 +14,7 @@
 from envoy.service.ext_proc.v3.external_processor_pb2 import ProcessingRequest, ProcessingResponse
 
 METHOD_PATH = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
-# Name of an attribute that a proxy may include in its messages.
+# Attribute with the flags of a response that the proxy generated itself. A proxy may include it in messages.
 RESPONSE_FLAGS_ATTRIBUTE = "response.flags"
 # Metadata key of the server's address if the settings name no destination header.
 DEFAULT_METADATA_KEY = "destination"
@@ -95,7 +95,8 @@
         immediate.details = f"wheatroute-{reason.replace(' ', '-')}"
         immediate.body = reason.encode() + b"\n"
         if retry_after_s > 0.0:
-            # Rounded up to whole seconds: clients behind the proxy parse it as the HTTP standard defines it.
+            # Rounded up to whole seconds: the HTTP standard allows no fractions, and clients of the proxy
+            # follow it.
             header = immediate.headers.set_headers.add().header
             header.key = RETRY_AFTER
             header.raw_value = b"%d" % ceil(retry_after_s)
@@ -116,7 +117,8 @@
     return response.SerializeToString()
 
 
-# Encoded responses that let the proxy continue without changes, by the field of its message.
+# Encoded responses that let the proxy continue without changes, by the field that is set in the message to
+# which they respond.
 CONTINUE_RESPONSES = {
     part: _encode_continue(part)
     for part in (
--- a/wheatroute/processor/program.py
+++ b/wheatroute/processor/program.py
@@ -62,7 +62,7 @@
 ) -> int:
     """Runs one worker in this process; returns the exit status.
 
-    `descriptor` is the file descriptor of an open listener; a negative one opens a new listener.
+    `descriptor` is the file descriptor of an open listener; if it is negative, a new listener is opened.
     `early_signals` are the stop signals received so far. They are passed on rather than recorded again,
     because a second recording would not include the signals of the first.
     """
--- a/wheatroute/processor/response_outcome.py
+++ b/wheatroute/processor/response_outcome.py
@@ -26,7 +26,7 @@
 
 _UNCONNECTED = ResponseFlags.NO_HEALTHY_HOST | ResponseFlags.CONNECTION_FAILED | ResponseFlags.OVERFLOW
 _RESET = ResponseFlags.LOCAL_RESET | ResponseFlags.REMOTE_RESET | ResponseFlags.CONNECTION_ENDED
-# Plain integers rather than `IntFlag` members, because they are compared for every response.
+# Plain integers, since operations on `IntFlag` members are slow and these are compared for every response.
 # The first entry with a flag that is set applies.
 _FLAG_OUTCOMES = (
     (_UNCONNECTED.value, AttemptOutcome.UNCONNECTED),
--- a/wheatroute/processor/routing_request.py
+++ b/wheatroute/processor/routing_request.py
@@ -76,8 +76,8 @@
     """Reads requests from headers.
 
     `match_order` lists the numbers of request classes in the order in which they are matched.
-    `strict_variants` has the classes that used to accept requests without an idempotency key: a request
-    without one is assigned the strict variant of its class.
+    `strict_variants` maps each class that used to accept requests without an idempotency key to its strict
+    variant, which is assigned to requests without a key.
     """
 
     def __init__(
--- a/wheatroute/processor/streams.py
+++ b/wheatroute/processor/streams.py
@@ -29,7 +29,8 @@
 from wheatroute.processor.response_outcome import response_outcome
 from wheatroute.processor.routing_request import InvalidRequestError, RoutingRequest
 
-# Status of an exchange that ends with a decision that names a server, instead of an HTTP status.
+# Status of an exchange that ended with a decision, which names a server. Exchanges that ended with a response
+# to the client have its HTTP status.
 ROUTED_STATUS = 0
 # HTTP status and reason that the client is sent for each rejection.
 REJECTION_RESPONSES = {
@@ -104,7 +105,7 @@
     # Methods of the call's receiver.
 
     def headers(self, headers: dict[bytes, bytes]) -> None:
-        """Does nothing: the receiver of a server's call gets no response headers."""
+        """Does nothing: this is the server side, and only clients receive response headers."""
 
     def message(self, message: bytes) -> None:
         """Handles a message of the proxy; a malformed or unexpected one ends the stream with an error."""
@@ -170,7 +171,7 @@
     def _end(self) -> None:
         """Ends the request because the proxy sends no more messages.
 
-        Without a decision nothing ran; otherwise the attempt may have run.
+        If no decision was sent, the request never ran; after a decision, the attempt may have run.
         """
         if self.exchange is None:
             return
--- a/wheatroute/processor/supervisor.py
+++ b/wheatroute/processor/supervisor.py
@@ -14,7 +14,8 @@
 
 MIN_RESTART_DELAY_S = 0.1
 MAX_RESTART_DELAY_S = 10.0
-# A worker that has run for longer than this is restarted after the minimum delay, others after a longer one.
+# A worker that has run for longer than this is restarted after the minimum delay. Each time a worker exits
+# earlier, its delay doubles, up to the maximum.
 STABLE_AFTER_S = 10.0
 # Exit status of a worker whose settings can't be used. It is not restarted, since a restart would not help.
 BAD_SETTINGS_STATUS = 2
@@ -35,16 +36,19 @@
         self._descriptors = descriptors
         self._log = log
         self._start_process = start_process
-        # By worker number.
+        # Running processes by worker number.
         self._processes: dict[int, subprocess.Popen[bytes]] = {}
         self._is_stopping = False
         # Exit status of the supervisor.
         self.status = 0
 
     async def run(self, early_signals: Sequence[int] = ()) -> None:
-        """Runs the workers until a stop signal; starts none if one was received before this call."""
-        # The receiver is opened before the first start, since a signal in between would end the supervisor
-        # and leave its workers running.
+        """Runs the workers until a stop signal.
+
+        `early_signals` are the stop signals received before this call; if there are any, no worker starts.
+        """
+        # The receiver is opened before the first worker starts: without it, a signal after that start would
+        # end the supervisor and leave its workers running.
         with open_signal_receiver() as signals:
             if not early_signals:
                 await self._run(signals)
--- a/wheatroute/processor/worker.py
+++ b/wheatroute/processor/worker.py
@@ -25,7 +25,7 @@
 from wheatroute.processor.worker_snapshot import WorkerSnapshot
 from wheatroute.tls import ServerContext, TlsError
 
-# Time beyond the longest deadline that proxies are given to end their streams when the worker stops.
+# When the worker stops, proxies have the longest deadline plus this time to end their streams.
 STOP_GRACE_S = 1.0
 STOP_POLL_INTERVAL_S = 0.01
 # Settings that need a restart: their keys in the file, mapped to their attributes in `Settings`.
@@ -47,7 +47,7 @@
         """Follows and applies versions until cancelled."""
 
     async def leave(self) -> None:
-        """Removes this worker's status from the version store, since the worker stops."""
+        """Removes this worker's status from the version store; called when the worker stops."""
 
 
 # Creates the settings follower of a worker. Arguments: the file's settings, the worker's number, the worker's
@@ -151,7 +151,7 @@
     def reload(self) -> None:
         """Reads the file again and applies the settings that a running worker can change.
 
-        A file with errors is logged and not applied at all.
+        If the file has errors, they are logged and none of its settings are applied.
         """
         try:
             settings = settings_file.read(self._path)
@@ -176,7 +176,7 @@
 
 
 def restart_required(old: Settings, new: Settings) -> list[str]:
-    """Returns the keys whose values differ and that a running worker can't change."""
+    """Returns the keys of settings that differ between `old` and `new` and need a restart to take effect."""
     keys = [key for key, name in RESTART_SETTINGS.items() if getattr(old, name) != getattr(new, name)]
     if _fixed_pool_settings(old) != _fixed_pool_settings(new):
         keys.append("pools")
--- a/wheatroute/processor/worker_settings.py
+++ b/wheatroute/processor/worker_settings.py
@@ -43,7 +43,7 @@
     pool: str
     # Empty if there is no list service.
     list_service: str
-    # The prefix followed by the endpoints; empty if the servers are not listed in etcd.
+    # The key prefix of the servers in etcd, followed by etcd's endpoints; empty if they are not listed there.
     etcd: list[str]
 
 
@@ -141,7 +141,7 @@
 def _snapshot_settings(
     snapshot: SnapshotSettings | None, processor: ProcessorSettings, worker: int
 ) -> SnapshotSettings | None:
-    """Returns the snapshot settings of one worker, whose path is unique to it if there are several."""
+    """Returns the snapshot settings of one worker; if there are several workers, each has its own path."""
     if snapshot is None or processor.workers == 1:
         return snapshot
     return snapshot.model_copy(update={"path": f"{snapshot.path}.{worker}"})
@@ -212,7 +212,8 @@
         overload_window_s=rules.overload_window_s,
         overload_multiple=rules.overload_multiple,
         request_classes=[_request_class(request_class) for request_class in settings.request_classes],
-        # The work of a tick is always spread over several batches, because a proxy waits during every batch.
+        # With 0, the work of a tick is always spread over several batches. This keeps each batch short, which
+        # matters because proxies wait while a batch is handled.
         max_servers_per_tick=0,
         tenants=[TenantQuota(quota=tenant.rate) for tenant in settings.tenants],
     )
--- a/wheatroute/processor/worker_snapshot.py
+++ b/wheatroute/processor/worker_snapshot.py
@@ -1,8 +1,8 @@
 """Snapshots of a worker's state: the list of servers, its peers, and the statistics of the servers.
 
-After a start, a worker serves from the last snapshot until it receives the list of servers. A snapshot of
-another source of servers isn't used, and none is written while no server is known. I/O: files are written in
-a thread, so that the event loop never waits for a disk.
+After a start, a worker serves from the last snapshot until it receives the list of servers. A snapshot
+with another source of servers isn't used. No snapshot is written while no server is known. I/O: files are
+written in a thread, so that the event loop never waits for a disk.
 """
 
 from __future__ import annotations
--- a/wheatroute/rollout/canary_analysis.py
+++ b/wheatroute/rollout/canary_analysis.py
@@ -1,12 +1,12 @@
 """Canary analysis: tests whether nodes with a new version do worse than nodes with the old one. No I/O.
 
-The verdict may be read at any time. A metric without enough data is reported as such, never as worse or not
-worse. Both sides, the new nodes and the old ones, must have served during every interval that is added.
+The verdict may be read at any time. A metric without enough data is reported as `UNSURE`, never as worse or
+not worse. Both sides, the new nodes and the old ones, must have served during every interval that is added.
 
 The statistic of a metric is a difference of differences. The ratio of bad events at the old nodes is
 subtracted from the ratio at the new nodes *in the same seconds*, so that what affects both sides (a burst, a
-failing server, a partitioned site) cancels out. The same difference from before the change is subtracted from
-that, since the nodes' traffic differs.
+failing server, a partitioned site) cancels out. From this difference, the same difference from before the
+change is subtracted, since the two sides also differ in their traffic.
 
 After the change the difference is a mean over blocks with an asymptotic confidence sequence (Waudby-Smith,
 Arbour, Sinha, Kennedy, Ramdas: "Time-uniform central limit theory and asymptotic confidence sequences",
@@ -29,7 +29,7 @@
 
 # Total of a tally that each side must reach before a block is closed and the two sides are compared.
 MIN_BLOCK_TOTAL = 20.0
-# After this many intervals a block is closed with smaller totals, unless a side has nothing at all.
+# After this many intervals a block is closed even if its totals are smaller, unless one of them is 0.
 MAX_BLOCK_INTERVALS = 10
 # Blocks needed before any verdict, because the confidence sequence is only asymptotically valid.
 MIN_BLOCKS = 8
@@ -38,7 +38,8 @@
 # Fraction of a stage's risk for each of four groups of metrics: those of the whole traffic and those of its
 # parts, each before and after the change.
 RISK_PER_GROUP = 0.25
-# Fraction of a margin that is allowed for drift between the sides that the change does not cause.
+# Fraction of a margin that is allowed for drift: differences between the sides that have other causes than
+# the change.
 DRIFT_ALLOWANCE = 0.5
 
 
@@ -66,7 +67,8 @@
         return self.bad / self.total if self.total else 0.0
 
 
-# Tallies by metric, with the part of the traffic after a space: "refused", "refused class=buy".
+# Tallies by metric. A metric for a part of the traffic names that part after a space: "refused" covers the
+# whole traffic, "refused class=buy" a part of it.
 Tallies = Mapping[str, Tally]
 
 
@@ -127,8 +129,8 @@
     def sequence_radius(self, risk: float) -> float:
         """Returns half the width of the confidence sequence.
 
-        `risk` is the probability that the true difference is ever outside the sequence. Infinite if there are
-        fewer than `MIN_BLOCKS` blocks.
+        `risk` is the probability that the true difference is ever outside the sequence. The result is
+        infinite if there are fewer than `MIN_BLOCKS` blocks.
         """
         if self.count < MIN_BLOCKS:
             return inf
@@ -140,8 +142,8 @@
     def interval_radius(self, risk: float) -> float:
         """Returns half the width of the confidence interval at one time that was fixed in advance.
 
-        `risk` is the probability that the true difference is outside. Infinite if there are fewer than
-        `MIN_BLOCKS` blocks.
+        `risk` is the probability that the true difference is outside the interval. The result is infinite if
+        there are fewer than `MIN_BLOCKS` blocks.
         """
         if self.count < MIN_BLOCKS:
             return inf
@@ -288,8 +290,9 @@
     def verdict(self, required: frozenset[str]) -> tuple[Verdict, list[Finding]]:
         """Returns the verdict on the stage, and the findings that support it.
 
-        WORSE if any metric is worse, with only those findings; NOT_WORSE if all `required` metrics are known
-        not to be worse; otherwise UNSURE.
+        WORSE if any metric is worse, with only the findings on such metrics. If none is, the verdict comes
+        with all findings: NOT_WORSE if `required` is not empty and all its metrics are known not to be worse,
+        and UNSURE if not.
         """
         findings = self.findings()
         worse = [finding for finding in findings if finding.verdict == Verdict.WORSE]
--- a/wheatroute/rollout/controller.py
+++ b/wheatroute/rollout/controller.py
@@ -117,7 +117,10 @@
             self._log.info("step-appended", **{key: fields[key] for key in LOGGED_FIELDS if key in fields})
 
     def _failure(self, supervisors: SupervisorStatuses, figures: Figures) -> str:
-        """Returns a failure of the new program that stops the rollout without statistics; empty if none."""
+        """Returns a failure of the new program that is enough for a rollback; empty if there is none.
+
+        Such a failure needs no statistics.
+        """
         plan, progress = self.progress.plan, self.progress
         if plan is None or progress.phase == Phase.ROLLING_BACK:
             return ""
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -45,7 +45,7 @@
 def slow_thresholds(totals: Durations, totals_before: Durations) -> dict[str, tuple[int, int]]:
     """Returns the buckets of the median and the 99th percentile, by request class.
 
-    Only requests served since `totals_before` count; a class without any is left out.
+    Only requests served since `totals_before` count; a class without such requests is left out.
     """
     thresholds = {}
     for name, all_counts in totals.items():
@@ -73,8 +73,8 @@
     _add_durations(tallies, before.requests, after.requests, thresholds)
     if ended:
         tallies["cpu"] = Tally(after.process.cpu_s - before.process.cpu_s, ended)
-        # Memory and connections are levels: multiplied by the requests, a mean over several nodes or reports
-        # weights each level by the requests that ended.
+        # Memory and connections are levels, not counts. They are multiplied by the number of ended requests,
+        # so that a mean over several nodes or reports weights each level by that number.
         tallies["memory"] = Tally(after.process.memory_bytes * ended, ended)
         tallies["connections"] = Tally(after.process.open_connections * ended, ended)
     return tallies
--- a/wheatroute/rollout/figures_watch.py
+++ b/wheatroute/rollout/figures_watch.py
@@ -90,7 +90,7 @@
     def _current_thresholds(
         self, reported: Mapping[str, NodeFigures], unchanged: set[str]
     ) -> figures.SlowThresholds:
-        """Returns the thresholds; the median is the recent one where a class has enough requests."""
+        """Returns the thresholds; for classes with enough recent requests, the median is the recent one."""
         served: figures.Durations = defaultdict(Counter)
         for name in unchanged & reported.keys():
             after = reported[name]
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -1,7 +1,7 @@
 """State machine of rollouts: replays a chain of records and derives the program that each node runs. No I/O.
 
 Each step is a record with the next number, and the store appends a number only once. So no step is taken
-twice, neither by two controllers at a time nor by the successor of one that died between two steps. A rollout
+twice, even if two controllers act at the same time, or one takes over from another that has died. A rollout
 does not start while another one is running, and does not continue past a stage that has no verdict. Every
 node always has a program to run.
 """
@@ -76,7 +76,7 @@
     number: int = 0  # number of the rollout, which is that of its first record
     # Index of the current stage, or of the last one that had a verdict; -1 before the first stage.
     stage: int = -1
-    has_passed: bool = False  # whether that stage was passed
+    has_passed: bool = False  # whether the stage with the index `stage` was passed
     reason: str = ""  # why the rollout is held or was rolled back
     # Index of the last stage after which an operator resumed; -1 if there is none.
     resumed_after_stage: int = -1
--- a/wheatroute/rollout/request_accounting.py
+++ b/wheatroute/rollout/request_accounting.py
@@ -57,12 +57,15 @@
         self._class_settings = class_settings
 
     def request_accepted(self, exchange: Exchange) -> None:
-        """Records that a request was accepted, and when it will count as lost without a response."""
+        """Records that a request was accepted.
+
+        It counts as lost if it is still open `LOSS_DELAY_S` after its deadline.
+        """
         if not exchange.is_complete:
             self._open[exchange.number] = exchange.deadline
 
     def request_answered(self, exchange: Exchange, now: float) -> None:
-        """Counts a request that has its response; `now` is on the clock of its deadline."""
+        """Counts a request that has its response; `now` is a time of `net.clock`, like its deadline."""
         self._open.pop(exchange.number, None)
         outcomes = self._outcomes[exchange.request_class, exchange.tenant]
         outcomes.ended += 1
--- a/wheatroute/rollout/stage_watch.py
+++ b/wheatroute/rollout/stage_watch.py
@@ -56,7 +56,7 @@
         )
 
     def begin_phase(self, step: Step) -> None:
-        """Resets the analysis for the phase that a step begins; a step that holds keeps it."""
+        """Starts a new analysis if the step begins a phase that needs one; a hold keeps the current one."""
         if self._progress.plan is None or isinstance(step, HoldStep):
             return
         if isinstance(step, StartStep | PassStep | ResumeStep):
--- a/wheatroute/rollout/statuses.py
+++ b/wheatroute/rollout/statuses.py
@@ -21,7 +21,7 @@
 
 
 class FailedProgram(msgspec.Struct, frozen=True, array_like=True):
-    """A program that did not come up at a node or crashed there, in the rollout with this number."""
+    """A program that failed to start at a node, or crashed there, in the rollout numbered `rollout`."""
 
     rollout: int
     program: str
@@ -169,7 +169,7 @@
 
 
 def node_figures(documents: Iterable[StoredStatus]) -> list[NodeFigures]:
-    """Returns the figures of all nodes' processes that are in the known format.
+    """Returns the figures of all nodes' processes; figures in an unknown format are left out.
 
     Raises `MalformedDocumentError` if any of them is malformed.
     """
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -1,9 +1,9 @@
 """The supervisor of a node: runs the program that the rollout names and replaces it without downtime.
 
-A new process starts as the candidate beside the serving one, which is not stopped before the candidate is
-ready. A supervisor ends only processes that it or an earlier supervisor started. The node outlives its
-supervisor: the next one finds the processes by a state file. Does I/O through the rollout store, the state
-file and child processes.
+A new process starts as the candidate beside the serving one; the serving one is stopped only once the
+candidate is ready. A supervisor ends only processes that it or an earlier supervisor started. The node
+outlives its supervisor: the next supervisor finds the node's processes by a state file. Does I/O through the
+rollout store, the state file and child processes.
 """
 
 from __future__ import annotations
@@ -199,9 +199,9 @@
     def _wanted_program(self) -> str:
         """Returns the program that the node is to run.
 
-        That is the program that the rollout names, unless it has failed at this node or is missing in the
-        supervisor's settings. In that case it is the old program of the plan if the rollout names the new
-        one, and otherwise the one that runs.
+        If no rollout names a program for this node, the running program stays. If the named program has
+        failed at this node or is missing in the supervisor's settings, it is replaced: the new program of
+        the plan by the old one, and the old one by the program that runs.
         """
         target = self._progress.target(self._settings.name)
         if target is not None and target not in self._settings.programs:
@@ -281,7 +281,7 @@
 
 
 def _stored_processes(state: SupervisorState) -> dict[str, NodeProcess]:
-    """Returns the processes in the state that are set, under the names "serving" and "candidate"."""
+    """Returns the processes in the state under "serving" and "candidate", without those that are not set."""
     found = {
         name: NodeProcess.from_stored(stored)
         for name, stored in (("serving", state.serving), ("candidate", state.candidate))
--- a/wheatroute/system.py
+++ b/wheatroute/system.py
@@ -1,7 +1,7 @@
 """Starts a role of the router set: `python3 -m wheatroute.system ROLE`, or `wheatroute ROLE`.
 
-Exit status: 0 after SIGTERM or SIGINT, 1 if an address cannot be listened on, 2 if the settings file is
-invalid.
+Exit status: 0 after SIGTERM or SIGINT, 1 if the role cannot listen on one of its addresses, 2 if the settings
+file is invalid.
 """
 
 from __future__ import annotations
--- a/wheatroute/tls.py
+++ b/wheatroute/tls.py
@@ -52,7 +52,8 @@
     for path in (certificate, key):
         _check_readable(path)
     try:
-        # Without a password an encrypted key would prompt for its pass phrase on the terminal, and block.
+        # Without a password, OpenSSL would prompt for the pass phrase of an encrypted key on the terminal,
+        # and block.
         context.load_cert_chain(certificate, key, password=lambda: b"")
     except (ssl.SSLError, ValueError) as error:
         reason = getattr(error, "reason", None) or "not a pair in PEM format"
