--- a/wheatroute/etcd/registrar.py
+++ b/wheatroute/etcd/registrar.py
@@ -134,8 +134,8 @@
         """Returns the divisor of the load for cold servers, higher while other nodes may not count this one.
 
         The others count a node for `REMOVAL_DELAY_S` after its key disappeared, and the key may disappear
-        `LEASE_TTL_S` after the last renewal. The divisor rises after the TTL and half of that delay; the
-        other half is kept in reserve. It is also higher if another process has registered under this name.
+        `LEASE_TTL_S` after the last renewal. The divisor rises after the TTL plus half of that delay; the
+        other half is a safety margin. It is also higher if another process has registered under this name.
         """
         may_be_uncounted = now() - self.renewed_at > LEASE_TTL_S + REMOVAL_DELAY_S / 2
         return UNCOUNTED_CAUTION if may_be_uncounted or self._membership.has_duplicate else USUAL_CAUTION
--- a/wheatroute/etcd/watch.py
+++ b/wheatroute/etcd/watch.py
@@ -72,7 +72,7 @@
             if header.revision < self.next_revision - 1:
                 raise MemberBehindError(
                     f"the member is at revision {header.revision}, "
-                    f"revision {self.next_revision - 1} was received before"
+                    f"but revision {self.next_revision - 1} was received before"
                 )
             return []
         if not response.events and not response.fragment and not self._fragments:
--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -1,8 +1,8 @@
 """The gRPC server: accepts connections and runs methods.
 
-A method is either a receiver factory, whose receivers are notified of each message without a task of their
-own, for low latency, or a coroutine that gets an `AsyncCall`. Connections are accepted up to a limit; every
-call gets a status.
+A method is a receiver factory or a coroutine. The receivers of a factory are notified of each message without
+a task of their own, for low latency; a coroutine gets an `AsyncCall`. Connections are accepted up to a limit;
+every call gets a status.
 """
 
 from __future__ import annotations
--- a/wheatroute/processor/discovery.py
+++ b/wheatroute/processor/discovery.py
@@ -27,7 +27,7 @@
 class WorkerDiscovery(Discovery):
     """Passes the list of servers to the driver and keeps its entries.
 
-    `servers` receives their addresses and states.
+    `servers`, the registry, receives the addresses and states of the servers.
     """
 
     def __init__(
--- a/wheatroute/rollout/progress.py
+++ b/wheatroute/rollout/progress.py
@@ -1,9 +1,9 @@
 """State machine of rollouts: replays a chain of records and derives the program that each node runs. No I/O.
 
 Each step is a record with the next number, and the store appends a number only once. So no step is taken
-twice, even if two controllers act at the same time, or one takes over from another that has died. A rollout
-does not start while another one is running, and does not continue past a stage that has no verdict. Every
-node always has a program to run.
+twice, even if two controllers act at the same time, or one dies between two steps and another takes over. A
+rollout does not start while another one is running, and does not continue past a stage that has no verdict.
+Every node always has a program to run.
 """
 
 from __future__ import annotations
--- a/wheatroute/rollout/records.py
+++ b/wheatroute/rollout/records.py
@@ -79,7 +79,7 @@
     """Holds the rollout: no further node changes until an operator resumes."""
 
     reason: str
-    # Whether the reason is that the baseline of the next stage has too little data for a verdict on it.
+    # Whether the reason is a baseline of the next stage with too little data for a verdict on that stage.
     is_baseline_missing: bool = msgspec.field(name="unseen", default=False)
 
 
@@ -91,7 +91,7 @@
     """Rolls back: all nodes return to the old program."""
 
     reason: str
-    # Whether the reason is that the baseline of the next stage has too little data for a verdict on it.
+    # Whether the reason is a baseline of the next stage with too little data for a verdict on that stage.
     is_baseline_missing: bool = msgspec.field(name="unseen", default=False)
 
 
--- a/wheatroute/rollout/restart_backoff.py
+++ b/wheatroute/rollout/restart_backoff.py
@@ -8,7 +8,10 @@
 
 
 class RestartBackoff:
-    """Exponential backoff, which doubles with each crash up to a maximum. Times are monotonic seconds."""
+    """Exponential backoff, which doubles with each early crash up to a maximum.
+
+    Times are monotonic seconds.
+    """
 
     def __init__(self) -> None:
         self._backoff_s = MIN_RESTART_BACKOFF_S
--- a/wheatroute/rollout/stage_watch.py
+++ b/wheatroute/rollout/stage_watch.py
@@ -14,7 +14,8 @@
 from wheatroute.rollout.records import HoldStep, PassStep, ResumeStep, StageStep, StartStep, Step
 from wheatroute.rollout.statuses import NodeFigures
 
-# Fraction of the baseline time before a stage in which the thresholds of slow requests are measured.
+# Fraction of `Plan.baseline_s`, the time before a stage, in which the thresholds of slow requests are
+# measured.
 THRESHOLD_RATIO = 0.25
 # Most findings that are written into a status or a record.
 MAX_FINDINGS = 20
--- a/wheatroute/rollout/supervisor.py
+++ b/wheatroute/rollout/supervisor.py
@@ -199,9 +199,9 @@
     def _wanted_program(self) -> str:
         """Returns the program that the node is to run.
 
-        If no rollout names a program for this node, the running program stays. If the named program has
-        failed at this node or is missing in the supervisor's settings, it is replaced: the new program of
-        the plan by the old one, and the old one by the program that runs.
+        That is the program that the rollout names, or the running one if the rollout names none for this
+        node. A named program that has failed at this node or is missing in the supervisor's settings is
+        replaced: the new program of the plan by the old one, and the old one by the program that runs.
         """
         target = self._progress.target(self._settings.name)
         if target is not None and target not in self._settings.programs:
