--- a/wheatroute/grpc/server.py
+++ b/wheatroute/grpc/server.py
@@ -1,8 +1,8 @@
 """The gRPC server: accepts connections and runs methods.
 
-A method is either a receiver factory, whose receivers are notified of each message without a task of their
-own, for low latency, or a coroutine that gets an `AsyncCall`. Connections are accepted up to a limit; every
-call gets a status.
+A method is a receiver factory or a coroutine. The receivers of a factory are notified of each message without
+a task of their own, for low latency; a coroutine gets an `AsyncCall`. Connections are accepted up to a limit;
+every call gets a status.
 """
 
 from __future__ import annotations
@@ -221,7 +221,7 @@
 
 
 def _call_error_in(error: BaseException) -> CallError | None:
-    """Returns the `CallError` that a method raised, also inside a nursery; None for other exceptions."""
+    """Returns the `CallError` that a method raised, also if nurseries wrapped it; else None."""
     while isinstance(error, BaseExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
     return error if isinstance(error, CallError) else None
--- a/wheatroute/rollout/stage_watch.py
+++ b/wheatroute/rollout/stage_watch.py
@@ -14,7 +14,8 @@
 from wheatroute.rollout.records import HoldStep, PassStep, ResumeStep, StageStep, StartStep, Step
 from wheatroute.rollout.statuses import NodeFigures
 
-# Fraction of the baseline time before a stage in which the thresholds of slow requests are measured.
+# Fraction of `Plan.baseline_s`, the time before a stage, in which the thresholds of slow requests are
+# measured.
 THRESHOLD_RATIO = 0.25
 # Most findings that are written into a status or a record.
 MAX_FINDINGS = 20
@@ -56,7 +57,7 @@
         )
 
     def begin_phase(self, step: Step) -> None:
-        """Resets the analysis for the phase that a step begins; a step that holds keeps it."""
+        """Starts a new analysis if the step begins a phase that needs one; a hold keeps the current one."""
         if self._progress.plan is None or isinstance(step, HoldStep):
             return
         if isinstance(step, StartStep | PassStep | ResumeStep):
