--- a/wheatroute/balancing/attempt_sender.py
+++ b/wheatroute/balancing/attempt_sender.py
@@ -70,8 +70,9 @@
     def _close_idle(self, server: int) -> float:
         """Closes the connections to a server if they have been idle for too long.
 
-        Beyond the servers' idle timeout the server closes them itself. Returns the seconds for which the
-        connection that will be used was idle; 0 for a busy or new one.
+        Connections that were idle for longer than the servers' idle timeout count as closed by the server.
+        Returns for how many seconds the connection that the attempt will use was idle; 0 if it is busy or
+        new.
         """
         servers, timeout_s = self._state.servers, self._state.settings.idle_timeout_s
         if servers.in_flight[server] or servers.used_at[server] == -inf:
--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -10,11 +10,12 @@
 
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, MIN_IN_FLIGHT_PER_SERVER, MIN_SAMPLES
 
-# Standard errors of the time in flight that are added to its bound, because it fluctuates with uneven work.
+# The bound on the time in flight is raised by this number of the time's standard errors, because the time
+# fluctuates if requests need uneven work.
 BOUND_STANDARD_ERRORS = 2.0
 CONGESTION_TOLERANCE = 0.9  # fraction by which the time in flight may exceed its minimum without congestion
-# Growth of the limit per tick while it binds, as a fraction of the limit; scaled by how far congestion is
-# below 1.
+# Growth of the limit per tick while attempts in flight exceed 0.7 of it, as a fraction of the limit;
+# multiplied by 1 - congestion.
 GROWTH_PER_TICK = 0.2
 INITIAL_PER_SERVER = 3.0  # initial limit per server of the node's share
 # The limit stays between these multiples of the attempts in flight at the peak rate with the shortest time in
@@ -52,9 +53,9 @@
             # Nothing has been measured yet, and a node may start in the middle of a burst.
             self.limit = initial
         # The limit is rounded at random, because many nodes that each round up would exceed what the servers
-        # can take. A node with a small part of the traffic gets its requests in clusters; while it uses
-        # little of its limit, it gets extra capacity of up to two standard deviations of their number. The
-        # part of the limit that belongs to ejected servers is not given to the others.
+        # can take. Requests of a node with a small part of the traffic arrive in clusters. While such a node
+        # uses little of its limit, its capacity is raised by up to two standard deviations of the number of
+        # requests. The part of the limit that belongs to ejected servers is not given to the other servers.
         limit = self.limit * self.healthy_fraction
         unused = max(0.0, 1.0 - self.mean_in_flight / limit)
         self.capacity = int(limit + 2.0 * unused * sqrt(limit) * fraction + rng.random())
@@ -87,8 +88,8 @@
 
         Servers with too many waiting requests stay slow for a long time. Requests that they can't take wait
         in this node instead, where they can still be reordered or safely rejected. The limit never falls
-        below what keeps every server busy, the shortest time in flight times the peak rate. Otherwise a
-        slowdown that all servers share would lower it further and further.
+        below the shortest time in flight times the peak rate, which keeps every server busy. Without this
+        minimum, a slowdown of all servers would lower the limit further and further.
         """
         if congestion > 1.0:
             self.limit = max(minimum, min(self.limit, self.in_flight) * max(0.8, 1.0 / congestion))
--- a/wheatroute/balancing/half_open_trials.py
+++ b/wheatroute/balancing/half_open_trials.py
@@ -22,7 +22,7 @@
         self._due_at = -inf
 
     def is_due(self) -> bool:
-        """Returns whether any server may be tried now; the servers are scanned only when that can change."""
+        """Returns whether any server may be tried now; scans the servers only if that can have changed."""
         state, servers = self._state, self._state.servers
         if state.now < self._due_at:
             return False
--- a/wheatroute/balancing/hedging.py
+++ b/wheatroute/balancing/hedging.py
@@ -11,7 +11,7 @@
 from wheatroute.balancing.retry_rules import may_repeat
 from wheatroute.balancing.server_selection import ServerSelection
 
-# Hedge budget as a fraction of the attempts sent; twice the fraction that exceeds a 95th percentile.
+# Hedge budget as a fraction of the attempts sent: twice the 5 % of latencies that exceed the 95th percentile.
 HEDGE_FRACTION = 0.1
 # Cap of the hedge credit: one hedge plus those earned by 2 * MIN_SAMPLES attempts.
 MAX_HEDGE_CREDIT = 1.0 + HEDGE_FRACTION * MIN_SAMPLES * 2
--- a/wheatroute/balancing/interface.py
+++ b/wheatroute/balancing/interface.py
@@ -24,8 +24,8 @@
 
 - `time_left`: seconds until the request's deadline, counted from its arrival.
 - `is_repeated`: whether the client says that it has sent this request before.
-- `earlier`: the attempts before this one (`EarlierAttempt`), for a host whose client retries requests itself;
-  they count as the request's first attempts.
+- `earlier`: attempts that the host's client already made for this request (`EarlierAttempt`), if the client
+  retries requests itself; they count as the request's first attempts.
 - `work`: a hint at the cost of the request, in any unit that is the same for all requests of its class; 0 if
   there is no hint.
 - `elapsed`: seconds from the sending of the attempt or probe to its outcome.
@@ -34,10 +34,10 @@
 - `entries`, `is_full`: a list of `ListEntry`; the full list if `is_full`, else only the changed entries.
 - `nodes`, `node`: how many nodes send to the same servers, and the index of this node, from 0.
 - `caution`: a divisor, 1 or more, of the rate at which this node sends to servers that are warming up. It is
-  above 1 while the other nodes may not count this node.
+  above 1 while the other nodes may not yet include this node in their count of nodes.
 - `loads`: load by server, as in `CommandWriter.send_loads`.
-- `applies_to_pending`: whether the new `settings` also apply to requests that arrived before them; else those
-  requests keep the rules under which they arrived.
+- `applies_to_pending`: whether the new `settings` also apply to requests that arrived before the change; if
+  not, such a request keeps the rules under which it arrived.
 """
 
 from collections.abc import Mapping, Sequence
@@ -69,13 +69,14 @@
 
     SERVED = 0
     ERROR = 1  # the server answered with an error
-    FULL = 2  # the server rejected it because it has no free capacity
-    TIMED_OUT = 3  # it was written completely and then timed out; before that a timeout is MOOT
+    FULL = 2  # the server rejected the request because it has no free capacity
+    TIMED_OUT = 3  # timed out after the request was written completely; a timeout before that is MOOT
     UNCONNECTED = 4  # no connection could be opened, or it broke before the request was written completely
     RESET = 5  # the connection broke; the request may have run
-    WITHDRAWN = 6  # this node cancelled it
-    # It was not written, or not completely, for a reason that says nothing about the server: the request had
-    # ended, the attempt was out of time or no longer allowed, or the host had no file descriptor left.
+    WITHDRAWN = 6  # this node cancelled the attempt
+    # The request was not written completely or not at all, for a reason that says nothing about the server:
+    # the request had ended, the attempt was out of time or no longer allowed, or the host had no file
+    # descriptor left.
     MOOT = 7
     UNKNOWN = 8  # any other end, for instance a malformed response; the request may have run
 
@@ -84,7 +85,7 @@
     """Whether a request may run more than once; ordered from the most permissive to the strictest."""
 
     IDEMPOTENT = 0
-    KEYED = 1  # the servers of its deduplication group drop repeats with the same idempotency key
+    KEYED = 1  # the servers of the request's deduplication group drop repeats with the same idempotency key
     NON_IDEMPOTENT = 2
 
 
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -12,7 +12,7 @@
 
 
 class LatencyStatistics:
-    """Latency statistics by request class and over the window; seconds or multiples of the class's mean."""
+    """Latency statistics by request class and over the sliding window; the attributes name their units."""
 
     def __init__(self) -> None:
         self.window = SlidingWindow(LATENCY_WINDOW_S)
@@ -33,7 +33,7 @@
     def relative_size(self, class_number: int, work: float) -> float:
         """Returns a request's hinted work in multiples of its class's mean; 1 without a hint.
 
-        Latencies are divided by this size, so that a request known to be heavy doesn't make its server look
+        `add` divides latencies by this size, so that a request known to be heavy doesn't make its server look
         slow. The hint also updates the class's mean work.
         """
         if work <= 0.0:
@@ -43,7 +43,7 @@
         return work / mean[class_number]
 
     def add(self, now: float, class_number: int, elapsed_s: float, is_served: bool, size: float) -> float:
-        """Adds one latency and returns it in multiples of its class's mean, scaled to a request of mean size.
+        """Adds one latency; returns it, divided by `size`, in multiples of its class's mean.
 
         `size` is the request's `relative_size`. An attempt that timed out counts with its duration, but only
         attempts that were served change the mean of the class.
@@ -81,6 +81,7 @@
     def is_all_slow(self) -> bool:
         """Whether the whole tier is slowing down.
 
-        No hedges are sent then: the p95 rises only later, so every request would be hedged.
+        No hedges are sent then: the hedge delay follows the p95, which rises later than the latencies, so
+        every request would be hedged.
         """
         return self.latest_median > ALL_SLOW_RATIO * self.median > 0.0
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -24,7 +24,7 @@
 
 # Number of nodes that probe on behalf of all others, since probes by every node would cost too much.
 PROBING_NODES = 2
-# Fraction of the shortest target latency that a request may spend waiting at a lightly loaded server.
+# A request at a lightly loaded server may wait for this fraction of the shortest target latency.
 LIGHT_WAIT_OF_TARGET = 0.375
 
 
@@ -36,12 +36,12 @@
         self.mean_load = 0.0  # mean load of the servers that this node sends to, from recent reports
         self._to_probe = deque[int]()
         self._probes_in_flight = 0
-        # Loads by server from probes that were not yet sent to the other nodes.
+        # Loads by server, as probed, that were not yet sent to the other nodes.
         self._probed_loads: dict[int, float] = {}
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Applies changed settings."""
+        """Derives from changed settings whether this node probes, what reports contain, and load bounds."""
         settings = self._state.settings
         reported = settings.reported
         self.is_probing = (
@@ -50,12 +50,12 @@
             and settings.has_peers
             and settings.node < PROBING_NODES
         )
-        # Whether reports allow computing the seconds that a request would wait, and whether they have any
-        # load.
+        # `reports_wait`: whether the seconds that a request would wait can be computed from the reports.
+        # `reports_load`: whether the reports contain a load of either kind.
         self.reports_wait = {"queued", "rate"}.issubset(reported) and "held" not in reported
         self.reports_load = self.reports_wait or "held" in reported
-        # Load that one more request adds. It is set so that even the shortest target latency is met at a
-        # lightly loaded server.
+        # Load that one more request adds. If loads are waits, it is set so that a request meets even the
+        # shortest target latency at a lightly loaded server.
         self.load_of_request = 1.0
         if self.reports_wait:
             shortest = min(request_class.target_latency for request_class in settings.request_classes)
@@ -70,7 +70,7 @@
         """
         rate = report.get("rate", 0.0)
         load = report.get("held", rate * elapsed_s)
-        # Where the reported rate is 0 or missing, a request would wait forever, so the wait is capped.
+        # The wait is capped, because it would be infinite with a reported rate of 0 or none.
         if self.reports_wait:
             load = min(LATENCY_WINDOW_S, report.get("queued", 0.0) / (rate or 1.0 / LATENCY_WINDOW_S))
         servers = self._state.servers
@@ -89,7 +89,7 @@
         self._state.servers.load[server] += self.load_of_request * weight
 
     def mark_full(self, server: int) -> None:
-        """Marks a server that rejected an attempt as full as congested until its next report."""
+        """Marks a server as congested until its next report, because it rejected an attempt as full."""
         load = self._state.servers.load
         load[server] = max(load[server], CONGESTED_LOAD_RATIO * self.mean_load + 2 * self.load_of_request)
 
@@ -102,9 +102,9 @@
         self.mean_load = sum(loads) / len(loads) if loads else 0.0
 
     def is_congested(self, server: int) -> bool:
-        """Returns whether a server's load is far above the mean; an old report has little weight.
+        """Returns whether a server's load is far above the mean; the older its report, the less it counts.
 
-        The load includes requests of other nodes, which this node's own attempts in flight don't show.
+        Unlike this node's attempts in flight, the load includes the requests of other nodes.
         """
         servers, mean = self._state.servers, self.mean_load
         age = self._state.now - servers.reported_at[server]
@@ -115,8 +115,8 @@
         """Returns whether a server's load is low, from a recent report plus the requests sent since.
 
         Without this check, a node with little traffic would mistake a random cluster of requests for a lack
-        of capacity. A server also holds requests that wait for the tiers below and don't keep it busy, so the
-        bound grows with the number of tiers.
+        of capacity. The bound grows with the number of tiers, because a server's load includes requests that
+        only wait for the tiers below and don't keep the server busy.
         """
         servers, now = self._state.servers, self._state.now
         return (
@@ -131,7 +131,7 @@
         self._probes_in_flight = 0
         ring = self._ready.ring()
         half = len(ring) // 2
-        # The two probing nodes are half a ring apart.
+        # The two probing nodes start half a ring apart.
         if not self._to_probe:
             self._to_probe.extend(ring if self._state.settings.node else ring[half:] + ring[:half])
         count = ceil(len(ring) * TICK_INTERVAL_S / UPDATE_INTERVAL_S)
--- a/wheatroute/balancing/membership_updates.py
+++ b/wheatroute/balancing/membership_updates.py
@@ -9,7 +9,7 @@
 
 
 class MembershipUpdates:
-    """Applies the server list, which the host pushes or this node watches (`list_on_request`)."""
+    """Applies the server list. The host pushes it or, with `list_on_request`, this node watches it."""
 
     def __init__(self, state: BalancerState, ready: ReadyServers, subset: ServerSubset) -> None:
         self._state, self._ready, self._subset = state, ready, subset
@@ -17,7 +17,7 @@
         self._backoff_s = 0.0
 
     def servers_listed(self, entries: list[ListEntry], is_full: bool) -> None:
-        """Applies a full server list or changes of it."""
+        """Applies a full server list, or changed entries of the list if not `is_full`."""
         servers = self._state.servers
         self._backoff_s = 0.0
         if is_full:
@@ -37,8 +37,8 @@
                 servers.reset(server, 0.0)
             elif started_at > servers.started_at[server]:
                 servers.reset(server, started_at)
-                # Other nodes learn of the new process too. A random initial credit keeps them from all
-                # sending to it at once.
+                # Other nodes learn of the restarted server too. With a random initial credit on each node,
+                # they don't all send to it at once.
                 servers.slow_start_credit[server] = self._state.rng.random()
         (self._subset.update if is_full else self._subset.update_soon)()
 
--- a/wheatroute/balancing/outcome_recorder.py
+++ b/wheatroute/balancing/outcome_recorder.py
@@ -52,7 +52,7 @@
         elif outcome == AttemptOutcome.TIMED_OUT:
             self._add_latency(request, server, elapsed_s, False)
         elif outcome == AttemptOutcome.WITHDRAWN:
-            # Without the cancellation it would have taken at least this long.
+            # Without the cancellation the attempt would have taken at least `elapsed_s`.
             relative = elapsed_s / (mean * request.relative_size or elapsed_s or 1.0)
             if relative > servers.latency[server] > 0.0:
                 self._smooth_latency(server, relative)
@@ -61,16 +61,17 @@
             servers.error_rate[server] += (1.0 - servers.error_rate[server]) * SMOOTHING
             self._ejection.check_errors(server)
         elif outcome == AttemptOutcome.UNCONNECTED:
-            # A process that refuses connections has ended. When it is up again it must warm up, whether or
-            # not the list says so. A connection attempt that just timed out may be the network path's fault.
+            # A server that refuses connections has stopped. After its restart it must warm up, even if the
+            # server list shows no restart. If the connection attempt timed out instead (half the timeout or
+            # more has passed), the network path may be at fault.
             if elapsed_s < self._state.settings.connect_timeout_s / 2:
                 servers.started_at[server] = max(servers.started_at[server], now)
         elif outcome == AttemptOutcome.FULL:
-            # No attempt is sent there before the server can have finished a request.
+            # No attempt is sent to the server until it can have finished a request.
             servers.full_until[server] = now + mean / 2
             self._reports.mark_full(server)
         if outcome != AttemptOutcome.SERVED:
-            # This also ends a half-open trial that was rejected or never sent.
+            # Any outcome but SERVED fails a half-open trial, also if its request was rejected or never sent.
             self._ejection.fail_trial(server)
 
     def _record_served(self, request: Request, server: int, elapsed_s: float) -> None:
@@ -113,9 +114,9 @@
     def _record_connection(self, opened: bool, server: int, outcome: AttemptOutcome) -> None:
         """Tracks open connections, and detects servers that accept no new connections.
 
-        A tier may refuse new connections for a while, or have reached its limit of connections, although its
-        servers still answer on open connections. The open connections stay in use, so that the load is not
-        concentrated on few servers.
+        The servers of a tier may refuse new connections for a while, or have reached their limit of
+        connections, and still answer on open connections. Open connections to them stay in use; otherwise the
+        load would be concentrated on few servers.
         """
         servers = self._state.servers
         if outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.FULL):
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -1,8 +1,9 @@
 """Outlier ejection: excludes servers that fail, hang or are far slower than others. No I/O.
 
 An ejected server gets no ordinary attempts. When its ejection time is over it gets one request as a half-open
-trial: an answer in time readmits it, any other outcome ejects it for longer. Servers are not ejected as
-outliers beyond half of the subset, because then the whole tier is at fault and fewer servers would not help.
+trial: an answer in time readmits it, any other outcome ejects it for longer. At most half of the subset is
+ejected as outliers. If more servers than that are bad, the whole tier is at fault, and using fewer servers
+would not help.
 """
 
 from collections.abc import Iterator
@@ -54,7 +55,7 @@
     def check_errors(self, server: int) -> None:
         """Ejects a server whose error rate is an outlier.
 
-        Such a server fails fast, so its low latency would attract traffic.
+        A server that fails fast has a low latency, which would attract traffic.
         """
         servers = self._state.servers
         if servers.error_rate[server] <= MAX_ERROR_RATE or servers.ejected_until[server]:
@@ -87,7 +88,7 @@
             and servers.is_ready[server]
             and (
                 now - max(next(iter(sent_at.values())), servers.answered_at[server]) > timeout_s
-                # or its attempts were cancelled repeatedly because hedges were faster
+                # Or its attempts were cancelled repeatedly because hedges were faster.
                 or servers.connection_failures[server] > 2
                 and now - servers.answered_at[server] > timeout_s
             )
@@ -100,8 +101,8 @@
     def _extend_ejection(self, server: int) -> None:
         """Sets the time of an ejected server's next trial, with exponential backoff.
 
-        The backoff is longer with more nodes per server. Otherwise the trials of all nodes could by
-        themselves keep a slow server from recovering.
+        The backoff is longer with more nodes per server. Otherwise the trials of all nodes together could
+        load a slow server so much that it doesn't recover.
         """
         servers, nodes_per_server = self._state.servers, max(1.0, 1.0 / self._limiter.servers_per_node)
         servers.ejection_s[server] = min(
@@ -113,8 +114,8 @@
     def pick_for_trial(self, request: Request) -> int:
         """Returns an ejected server for which this request can be the half-open trial; -1 for none.
 
-        Only a request that was not sent before can be a trial, and only an idempotent one unless the setting
-        `can_trial` of its class says otherwise.
+        A request can be a trial only if it was not sent before and its class has `can_trial`; a class without
+        this setting allows it if it is idempotent.
         """
         can_trial = request.rules.can_trial
         if can_trial is None:
--- a/wheatroute/balancing/parameters.py
+++ b/wheatroute/balancing/parameters.py
@@ -11,4 +11,4 @@
 CONGESTED_LOAD_RATIO = 1.5  # a server that reports more than this multiple of the mean load is congested
 # A server slower than this multiple of the median server is an outlier and gets half-open trials only.
 OUTLIER_LATENCY_RATIO = 3.0
-MAX_SCANS = 64  # bounds the queued requests or timers that are examined at one time
+MAX_SCANS = 64  # bounds how many queued requests, or timers of ended requests, are examined at one time
--- a/wheatroute/balancing/periodic_tasks.py
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -31,7 +31,8 @@
     def _start_tick(self) -> None:
         components, subset = self._components, self._components.subset
         now = components.state.now
-        # After a stall of this node answers may still be unread, so no server is ejected for missing answers.
+        # After a stall of this node, answers that have arrived may still be unread. No server is
+        # checked then, so that none is ejected for missing answers.
         is_stalled = now - self.next_tick > TICK_INTERVAL_S / 2
         self.next_tick = now + TICK_INTERVAL_S
         components.state.latencies.update_latest_median(now)
@@ -39,9 +40,9 @@
         components.quotas.refill(TICK_INTERVAL_S)
         tasks = self._tasks(now, is_stalled)
         if subset.size > subset.max_servers_at_once and components.limiter.limit < inf:
-            # The duration of one batch would grow with the number of servers, so each of the next batches,
-            # which follow within a few steps of the clock, runs one task. The first tick runs all tasks at
-            # once, because there is no limit yet.
+            # The tasks take longer with more servers, so each of the next batches runs one task. These
+            # batches follow within a few steps of the clock. The first tick runs all tasks at once, because
+            # the concurrency limit isn't set yet.
             self.pending.extend(tasks)
         else:
             for task in tasks:
@@ -74,6 +75,7 @@
 
     def _update_limit(self) -> None:
         limiter, state = self._components.limiter, self._components.state
-        # Calls to the tiers below make up part of the time in flight and dilute the congestion of this tier.
+        # Part of the time in flight is spent in the tiers below, so congestion of this tier raises it by a
+        # smaller fraction. The tolerance is therefore smaller.
         tolerance = CONGESTION_TOLERANCE / state.tiers_from_here
         limiter.update(TICK_INTERVAL_S, state.latencies.spread, tolerance, state.rng)
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -1,4 +1,4 @@
-"""Queue management: when queued requests are sent, and which ones can't be in time and are shed. No I/O."""
+"""Sends queued requests when there is capacity, and sheds those that can't be in time. No I/O."""
 
 from math import inf
 
@@ -14,7 +14,7 @@
 from wheatroute.balancing.server_selection import ServerSelection
 from wheatroute.balancing.server_subset import ServerSubset
 
-START_MARGIN = 1.25  # time that a queued request must have left when it starts, in mean latencies
+START_MARGIN = 1.25  # how long before its target a queued request must start, in expected latencies
 
 
 class QueueManager:
@@ -44,8 +44,8 @@
         mean_s = latencies.mean[request.class_number] * request.relative_size
         expected_s = mean_s * max(1.0, latencies.latest_median)
         self._queue.add(request.target - START_MARGIN * expected_s, request)
-        # Shedding goes through the whole queue, so it is done only once per fixed fraction of the queue
-        # added. Otherwise the cost of each request would grow with the length of the queue.
+        # Shedding goes through the whole queue, so it is done only when 1 / MAX_SCANS of the queue was added
+        # since it was last done. Otherwise the cost of each request would grow with the length of the queue.
         if self._queue.added_since_shed * MAX_SCANS >= len(self._queue):
             self.shed()
 
@@ -60,8 +60,8 @@
             return
         mean = latencies.mean
         mean_latency_s = sum(mean) / len(mean) or 1.0
-        # The recent served rate may be low only because demand was low; the capacity allows at least this
-        # rate.
+        # The recent served rate may be low because demand was low, so at least the rate that the capacity
+        # allows is assumed.
         possible_rate = self._limiter.capacity / mean_latency_s / max(1.0, latencies.latest_median)
         rate = max(self._recorder.served_rate, possible_rate)
 
@@ -76,7 +76,7 @@
             self._shed_at = self._state.now
 
     def _has_no_capacity(self, fraction: float = 1.0) -> bool:
-        """Returns whether no request limited to this fraction of capacity can be sent, not even a trial."""
+        """Returns whether a request limited to this fraction of the capacity must wait, even as a trial."""
         limiter = self._limiter
         return (
             bool(self._subset.servers)
@@ -88,7 +88,8 @@
     def drain(self) -> None:
         """Sends queued requests while there is capacity.
 
-        The order is by latest start or, for `UPDATE_INTERVAL_S` after requests were shed, by value.
+        Requests are sent in the order of their latest start or, for `UPDATE_INTERVAL_S` after any were shed,
+        in the order of their value.
         """
         queue = self._queue
         if not queue or self._has_no_capacity():
@@ -103,8 +104,8 @@
                 request.is_queued = False
                 removed.append((start_by, request))
                 continue
-            # If the tier can't take a request without restrictions it can't take any other either, so a long
-            # queue isn't searched further.
+            # If a request that may go to any server and use all capacity can't be sent, no other can either,
+            # so a long queue isn't searched further.
             is_ordinary = not request.servers and request.capacity_fraction == 1.0
             if self._has_no_capacity() or (is_long and is_ordinary and not has_trial):
                 break
--- a/wheatroute/balancing/ready_servers.py
+++ b/wheatroute/balancing/ready_servers.py
@@ -1,4 +1,4 @@
-"""The ready servers, ordered so that each contiguous section has a proportional part of each kind. No I/O."""
+"""The ready servers, in an order in which each contiguous section has every kind in proportion. No I/O."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._ring = None
 
     def ring(self) -> list[int]:
-        """Returns all servers as a ring whose sections have each kind in proportion; must not be modified."""
+        """Returns all servers as a ring whose sections have each kind in proportion; don't modify it."""
         if self._ring is None:
             positions = sorted(
                 ((i + 0.5) / len(same_kind), server)
--- a/wheatroute/balancing/request.py
+++ b/wheatroute/balancing/request.py
@@ -8,13 +8,13 @@
 
 
 class Request:
-    """A request that has no final answer yet, or attempts in flight.
+    """A request that has no final answer yet, or that still has attempts in flight.
 
     Times are in seconds on the clock of `Balancer.handle_events`. `target` is the time until which an answer
     has its full value; at `give_up_at` the request gets its final answer if it has none yet. `value` is the
-    value of the request's class with the factors of `RequestAdmission.new_request`. Unless answers count by
-    their work (`DecisionSettings.work_counts`), it is divided by the mean latency of the class, so that it is
-    a value per second.
+    value of the request's class, multiplied by the factors in `RequestAdmission.new_request` and, unless
+    answers count by their work (`DecisionSettings.work_counts`), divided by the mean latency of the class, so
+    that it is a value per second.
     """
 
     __slots__ = (
@@ -52,17 +52,18 @@
         self.target, self.give_up_at, self.value = target, give_up_at, value
         # The next three lists have one entry per attempt.
         self.servers: list[int] = []
-        self.idle_buckets: list[int] = []  # bucket of the longest time that its connection may have been idle
-        self.opened_connection: list[bool] = []  # whether it needed a new connection
+        self.idle_buckets: list[int] = []  # bucket of the time for which the connection was idle at most
+        self.opened_connection: list[bool] = []  # whether the attempt needed a new connection
         self.attempts_in_flight: set[int] = set()  # unordered: read only through sorted() or min()
         self.may_have_run = 0  # number of ended attempts that may have run
-        # Deduplication group of the first attempt that may have run. Repeats of a keyed request stay in it.
+        # Deduplication group of the first attempt that may have run. Repeats of a keyed request are sent only
+        # to this group.
         self.group = -1
         # When the first attempt that may have run was sent; the retry window starts then.
         self.first_sent_at = inf
         self.is_over = self.is_hedged = self.is_queued = False
-        # Tenant whose token it took, or at a tier below the entry its tenant; -1: it has no tenant or is
-        # beyond its tenant's quota.
+        # At the entry tier, the tenant whose token the request took; -1 if it has no tenant or is beyond its
+        # tenant's quota. At a tier below, the request's tenant, or -1.
         self.quota_tenant = -1
-        self.capacity_fraction = 1.0  # fraction of the concurrency limit that it may use
-        self.relative_size = 1.0  # hinted work over the mean work of its class
+        self.capacity_fraction = 1.0  # fraction of the concurrency limit that the request may use
+        self.relative_size = 1.0  # hinted work divided by the mean work of the class
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -16,18 +16,18 @@
 
     def __init__(self, state: BalancerState, reports: LoadReports, quotas: TenantQuotas) -> None:
         self._state, self._reports, self._quotas = state, reports, quotas
-        # By request class, in seconds: at the entry tier the `time_left` of the latest request that its
-        # client had not sent before, at a tier below the longest `time_left` of any request.
+        # Seconds by request class. At the entry tier: `time_left` of the last arrived request that isn't
+        # repeated. At a tier below: the longest `time_left` of any request.
         self._typical_time_left: list[float] = []
 
     def apply_settings(self) -> None:
-        """Applies changed settings; measurements are kept."""
+        """Derives the tier's role and the bound of low values from changed settings; keeps measurements."""
         classes = self._state.settings.request_classes
         self._is_entry = self._state.settings.tier == 0
         self._typical_time_left += [0.0] * (len(classes) - len(self._typical_time_left))
-        # If servers report their queues, all nodes see the same free capacity. Requests with a lower value
-        # than this may use only a small part of it, since they would fill it and keep out more valuable
-        # requests.
+        # If servers report their queues, all nodes see the same free capacity. Requests whose class has a
+        # lower value than this bound may use only a small part of that capacity; otherwise they would fill it
+        # and keep out more valuable requests.
         self._low_value_bound = (
             EXCESS_CAPACITY_FRACTION * sum(request_class.value for request_class in classes) / len(classes)
         )
@@ -62,7 +62,7 @@
         return request
 
     def add_earlier(self, request: Request, earlier: Sequence[EarlierAttempt]) -> None:
-        """Adds the attempts that the host's client made before, if it retries requests itself."""
+        """Adds the attempts that the client made earlier, for a client that retries requests itself."""
         for server, sent_at, may_have_run in earlier:
             if may_have_run and not request.may_have_run:
                 request.group = deduplication_group(request.rules, self._state.servers, server)
@@ -75,8 +75,9 @@
     def _elapsed(self, class_number: int, time_left: float, is_repeated: bool) -> float:
         """Estimates the seconds that a request has used before its arrival here.
 
-        A first attempt has used none, regardless of the time that its client leaves. Clients differ in their
-        timeouts, and one with a longer timeout must not make the requests of the others look late.
+        At the entry tier, a request that isn't repeated has used none, whatever its `time_left`. Clients
+        differ in their timeouts, and a client with a longer timeout must not make the requests of the others
+        look late.
         """
         typical = self._typical_time_left
         if not self._is_entry:
--- a/wheatroute/balancing/request_lifecycle.py
+++ b/wheatroute/balancing/request_lifecycle.py
@@ -20,8 +20,8 @@
 
 # Retry budget: retries after an attempt that may have run, as a fraction of the requests that arrive.
 RETRY_FRACTION = 0.1
-# Cap of the retry credit: one retry plus those earned by 2 * MIN_SAMPLES requests, as for hedges (`hedging`).
-# It keeps a long quiet period from paying for a burst of retries.
+# Cap of the retry credit: one retry plus those earned by 2 * MIN_SAMPLES requests; `hedging` caps its credit
+# likewise. Without the cap, a long period without retries would allow a burst of them.
 MAX_RETRY_CREDIT = 1.0 + RETRY_FRACTION * MIN_SAMPLES * 2
 
 
@@ -105,7 +105,7 @@
         """Retries a request that has no attempt in flight, or ends it."""
         state = self._state
         is_late = state.now + state.settings.tick >= request.give_up_at
-        # Without the retry budget, retries would add to an overload.
+        # The retry budget keeps retries from adding to an overload.
         has_credit = not request.may_have_run or self._retry_credit >= 1.0
         if not may_repeat(request, state.settings, state.now) or is_late or not has_credit:
             self._answers.finish(request)
@@ -117,10 +117,9 @@
     def resend_hanging(self, server: int, timeout_s: float) -> None:
         """Resends requests that have been in flight at a hanging server for at least the p95 latency.
 
-        They are sent to other servers; `timeout_s / HANG_RATIO` is the p95 latency.
-
-        `PeriodicTasks` calls this for each server that it ejects as hanging. `timeout_s` is the time without
-        an answer after which a server counts as hanging.
+        They are sent to other servers. `PeriodicTasks` calls this for each server that it ejects as hanging.
+        `timeout_s` is the time without an answer after which a server counts as hanging; divided by
+        `HANG_RATIO` it is the p95 latency.
         """
         state = self._state
         for (number, _), sent_at in list(state.servers.sent_at[server].items()):
--- a/wheatroute/balancing/request_queue.py
+++ b/wheatroute/balancing/request_queue.py
@@ -23,7 +23,7 @@
         return len(self.by_start)
 
     def add(self, start_by: float, request: Request) -> None:
-        """Adds a request that must start by `start_by` to be answered in time."""
+        """Adds a request, which must start by `start_by` to be answered in time."""
         insort(self.by_start, (start_by, request.number, request))
         insort(self.by_value, (-request.value, start_by, request.number, request))
         self.added_since_shed += 1
@@ -36,23 +36,25 @@
     def shed(self, now: float, work_s: Callable[[Request], float]) -> list[Request]:
         """Removes and returns requests, the least valuable first, until all others can start in time.
 
-        `work_s` returns the seconds that the tier needs for a request at its present rate. Requests start in
-        the order of their latest start. Where the work queued before a request would make it start too late,
-        the least valuable requests up to and including it are shed. So no request waits for long only to be
-        rejected, and the least valuable ones aren't starved while there is capacity for all.
+        `work_s` returns the seconds that the tier, at its present rate, needs for a request. Requests are
+        expected to start in the order of their latest start. If a request would start too late because of the
+        work queued before it, it and the requests before it are shed, the least valuable first, until it
+        could start in time. So no request waits for long only to be rejected, and
+        the least valuable ones aren't starved while there is capacity for all.
         """
         self.added_since_shed = 0
         work_before, shed = 0.0, list[Request]()
         kept: list[tuple[float, int, float, float, Request]] = []  # value, -number, work, start_by, request
         for start_by, number, request in self.by_start[:]:
             if request.is_over:
-                # It timed out while there was no capacity and already has its final answer.
+                # The request already has its final answer, for instance because it timed out in the queue.
                 self.remove(start_by, request)
                 continue
             work = work_s(request)
             heappush(kept, (request.value, -number, work, start_by, request))
             work_before, own_work = work_before + work, work
-            # A request doesn't wait for its own work, which is large on a node with few requests per second.
+            # `work_before` includes this request's own work, which it doesn't wait for. On a node with few
+            # requests per second that work is long, so counting it would shed requests without need.
             while kept and now + work_before - own_work > start_by:
                 _, _, work, removed_start_by, removed = heappop(kept)
                 work_before -= work
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -1,8 +1,9 @@
 """Rules on retries: whether a request may be sent again, and whether it may be rejected. No I/O.
 
-A non-idempotent request runs at most once. A keyed request may be repeated only where and while the servers
-drop the repeat: in the deduplication group of its first attempt and within the retry window. The window is
-checked here, the group by `ServerSelection.may_send` when a server is chosen.
+A non-idempotent request runs at most once. A keyed request may be repeated only at servers of the
+deduplication group of its first attempt and only within the retry window, because only there and then do the
+servers drop the repeat. The window is checked here, the group by `ServerSelection.may_send` when a server is
+chosen.
 """
 
 from math import inf
@@ -14,7 +15,10 @@
 
 
 def deduplication_group(rules: RequestClass, servers: ServerStatistics, server: int) -> int:
-    """Returns the group that drops repeats of what this server was sent; 0 for an unknown server (-1)."""
+    """Returns the group of the server: its zone or cell, or 0 for all servers or an unknown server (-1).
+
+    All servers of a group drop repeats of a keyed request that was sent to one of them.
+    """
     group = rules.deduplication_group
     if group == DeduplicationGroup.ALL or server < 0:
         return 0
@@ -44,9 +48,9 @@
     if len(groups) == 1:
         request.group = groups.pop()
     elif groups:
-        # The request was sent to several groups, and one group would run a repeat of what another one has
-        # run. A first attempt infinitely long ago ends the retry window, so `may_repeat` allows no keyed
-        # repeat.
+        # The request was sent to several groups, and a group doesn't drop a repeat of what another group has
+        # run. Setting the time of the first attempt to -inf ends the retry window, so `may_repeat` allows no
+        # keyed repeat.
         request.first_sent_at = -inf
 
 
--- a/wheatroute/balancing/server_selection.py
+++ b/wheatroute/balancing/server_selection.py
@@ -14,7 +14,8 @@
 from wheatroute.balancing.slow_start import SlowStart
 
 MAX_DRAWS = 4  # servers drawn for an attempt before the best one of them is used
-# The draw is repeated if the server's attempts in flight reach this multiple of the mean, plus 0.1.
+# The draw is repeated if the drawn server's attempts in flight reach this multiple of the subset's mean, plus
+# 0.1.
 BUSY_SERVER_RATIO = 1.0
 
 
@@ -33,10 +34,11 @@
         self._slow_start, self._subset = slow_start, subset
 
     def pick(self, request: Request, only_lightly_loaded: bool = False) -> int:
-        """Draws a server by weight and redraws if the server should be avoided; returns -1 for none.
+        """Draws a server by weight and redraws if that server should be avoided; returns -1 for none.
 
-        It should be avoided if it is busier than the mean, is congested, hangs for this request class, or
-        would answer too late. `only_lightly_loaded` restricts the choice to servers that report a low load.
+        A server should be avoided if it is busier than the mean, is congested, hangs for this request class,
+        or would answer too late. `only_lightly_loaded` restricts the choice to servers that report a low
+        load.
         """
         subset, cumulative = self._subset, self._subset.cumulative_weights
         if not cumulative:
@@ -64,8 +66,8 @@
         if best < 0 or self._would_be_late(request, best):
             best = self._least_loaded(request, only_lightly_loaded)
         if best < 0 and request.servers and not only_lightly_loaded:
-            # A retry may need a server outside the subset: one of its deduplication group, or any other
-            # server after a full one.
+            # A retry may need a server outside the subset: one of its deduplication group or, after a full
+            # server rejected the request, any that has capacity.
             best = self._any_server(request)
         return best
 
@@ -121,9 +123,11 @@
     def may_send(self, request: Request, server: int) -> bool:
         """Returns whether an attempt may go to the server.
 
-        It may not if the request was already sent there, the server rejected an attempt as full a moment ago,
-        a new connection would be needed during its backoff, it is warming up and has no slow-start credit
-        left, or it is outside the deduplication group of a keyed request that may have run.
+        It may not if the request was already sent to the server, or if the server:
+        - rejected an attempt as full a moment ago,
+        - needs a new connection while new connections to it are in backoff,
+        - is warming up and has no slow-start credit left, or
+        - is outside the deduplication group of a keyed request that may have run.
         """
         servers, now = self._state.servers, self._state.now
         if server in request.servers or servers.full_until[server] > now:
--- a/wheatroute/balancing/server_statistics.py
+++ b/wheatroute/balancing/server_statistics.py
@@ -10,7 +10,7 @@
 
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S
 
-# Number of latency samples that the mean of a server's model counts for beside the server's own samples.
+# In a server's expected latency, the mean of the server's model has the weight of this many samples.
 PRIOR_WEIGHT = 2.0
 
 DEFAULTS = {
@@ -36,14 +36,14 @@
         self.weight: list[float] = []  # effective number of samples in `latency`
         self.latency_at: list[float] = []  # time of the last sample
         self.in_flight: list[int] = []  # attempts of this node
-        # load from all nodes: the last report plus what this node has sent since
+        # Load from the requests of all nodes: that of the last report plus what this node has sent since.
         self.load: list[float] = []
         self.reported_at: list[float] = []  # time of the last load report
         self.error_rate: list[float] = []  # moving average of the fraction of answers that are errors
         self.answered_at: list[float] = []  # time of the last answer that shows that the server works
-        self.used_at: list[float] = []  # time of the last answer, since when its connection may be idle
-        # Time from which a half-open trial may be sent; ordinary attempts wait for its success. 0: not
-        # ejected.
+        self.used_at: list[float] = []  # time of the last answer; its connection may be idle since then
+        # Time from which a half-open trial may be sent; no ordinary attempt is sent before a trial succeeds.
+        # 0: not ejected.
         self.ejected_until: list[float] = []
         self.ejection_s: list[float] = []  # duration of the last ejection
         self.is_on_trial: list[bool] = []  # whether a half-open trial is in flight
@@ -67,7 +67,7 @@
                 values.append({} if name == "sent_at" else DEFAULTS.get(name, 0))
 
     def recency(self, server: int, now: float) -> float:
-        """Returns the factor, 0 to 1, on the weight of a server's latency for the age of its last sample."""
+        """Returns the factor (0 to 1) by which the age of its last sample reduces the weight of a latency."""
         return 1.0 / (1.0 + (now - self.latency_at[server]) / LATENCY_WINDOW_S)
 
     def expected_latencies(self, members: list[int], now: float, mean_latency_s: float) -> list[float]:
@@ -103,7 +103,7 @@
         ]
 
     def reset(self, server: int, started_at: float) -> None:
-        """Discards the measurements, because a restarted process or a reused number is another server."""
+        """Discards the measurements of a server that has restarted, or whose number may be reused."""
         for values in (
             self.latency,
             self.weight,
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -12,16 +12,16 @@
 from wheatroute.split import clamped_weights
 
 MAX_SERVERS_PER_TICK = 64  # with more servers, the work of a tick is spread over several batches
-# Minimum number of servers that a node sends to, and minimum number of nodes that send to a server; a subset
-# is larger than this where its servers would otherwise have fewer nodes.
+# Minimum number of servers that a node sends to, and minimum mean number of nodes that send to a server. With
+# few nodes for many servers, the second requires larger subsets.
 MIN_SUBSET = 8.0
-# If open connections have a price, the minimum subset and the subset size that follows from a node's traffic
-# are divided by this factor, and the minimum number of nodes per server is multiplied by it.
+# If open connections have a price, this factor divides the minimum subset and the subset size that follows
+# from a node's traffic, and multiplies the minimum number of nodes per server.
 CONNECTION_PRICE_FACTOR = 3.0
 # Distance on the ring between the starts of the subsets of two consecutive nodes, as a fraction of the ring.
 # The golden ratio places any number of nodes evenly.
 SUBSET_STEP = (sqrt(5.0) - 1.0) / 2.0
-# Latency penalty of a server in another zone: this factor times the crossing price, in mean latencies.
+# The latency penalty of a server in another zone, in mean latencies, is this factor times the crossing price.
 CROSSING_PRICE_FACTOR = 10.0
 STUCK_RATIO = 5.0  # an attempt may be stuck once in flight for this multiple of its class's mean latency
 
@@ -52,7 +52,7 @@
         self.slow_servers: list[int] = []  # servers of the subset that are latency outliers
 
     def apply_settings(self) -> None:
-        """Applies changed settings."""
+        """Sets `max_servers_at_once` from changed settings."""
         maximum = self._state.settings.max_servers_per_tick
         self.max_servers_at_once = MAX_SERVERS_PER_TICK if maximum is None else maximum
 
@@ -76,8 +76,8 @@
     def update_soon(self) -> None:
         """Updates at once, or with the next tick if the subset is large.
 
-        Until that tick, draws skip servers that can't be used. If a large subset were updated with every
-        ejection, the duration of a batch would grow with the number of servers.
+        Until that tick, a drawn server that can't be used is skipped. A large subset is not updated at once,
+        because with an update at every ejection a batch would take longer the more servers there are.
         """
         if self.size <= self.max_servers_at_once:
             self.update()
@@ -87,8 +87,8 @@
 
         If the node sent to all servers of a large tier, it would get too few answers from each to tell slow
         servers from fast ones. Each node's section starts elsewhere, and together they cover the tier evenly.
-        A node with more traffic sends to more servers, as many as answer it often enough; otherwise its
-        servers would carry more load than others.
+        A node with more traffic sends to more servers, as long as each answers it often enough; otherwise its
+        servers would carry more load than the others.
         """
         settings, count = self._state.settings, len(ring)
         price_factor = CONNECTION_PRICE_FACTOR if settings.connection_price > 0 else 1.0
@@ -104,8 +104,8 @@
         mean_latency_s = sum(state.latencies.mean) / len(state.latencies.mean)
         expected = state.servers.expected_latencies(members, state.now, mean_latency_s)
         self.expected_latency = dict(zip(members, expected, strict=True))
-        # Weights are clamped at half the even share. A server too slow even for that gets half-open trials
-        # only.
+        # Weights are at least half the even share. A server that is too slow for even half gets only
+        # half-open trials.
         median = sorted(expected)[len(expected) // 2] if expected else 1.0
         self.slow_servers = [
             server
@@ -133,19 +133,20 @@
             self.weights[server] = weight
 
     def stuck_classes(self, server: int) -> list[int]:
-        """Returns the classes of attempts that hang at a server which answers other classes.
+        """Returns the class of each attempt that hangs at a server which still answers other attempts.
 
-        A class is returned once per such attempt.
+        A class is in the list once per hanging attempt, and only if it has at least two of them.
 
-        Some request classes hang at some servers only. Their attempts don't count against the concurrency
-        limit, where they would keep out all other classes, and no more requests of the class are sent there.
+        Some request classes hang at some servers only. Hanging attempts don't count against the concurrency
+        limit, since they would use it up for all other classes. Other servers are preferred for further
+        requests of the class.
         """
         state, latencies = self._state, self._state.latencies
         sent_at, stuck = state.servers.sent_at[server], list[int]()
         if len(sent_at) < 2 or latencies.is_all_slow:
             return stuck
-        # Attempts are ordered by age: from the first one that was sent too recently for even the shortest
-        # mean, none can be stuck.
+        # Attempts are ordered by age, the oldest first. Once one was sent too recently to be stuck even in
+        # the class with the shortest mean, neither it nor any later one can be stuck.
         sent_before, answered_at = (
             state.now - STUCK_RATIO * latencies.min_mean,
             state.servers.answered_at[server],
--- a/wheatroute/balancing/settings.py
+++ b/wheatroute/balancing/settings.py
@@ -62,7 +62,8 @@
     connect_timeout_s: float = 0.0
     idle_timeout_s: float = inf  # idle time after which a server closes a connection
     calls_per_connection: int = 1
-    max_open_connections: int = 0  # limit of a node's requests in flight; 0: only its own limit applies
+    # limit of a node's requests in flight; 0: only the balancer's concurrency limit applies
+    max_open_connections: int = 0
     excess_value_factor: float = 1.0  # factor on the value of a request beyond its tenant's quota
     time_left_passed_on: bool | None = None  # whether calls to the next tier carry the client's deadline
     connection_price: float = 0.0  # above 0, a node sends to fewer servers (`ServerSubset`)
--- a/wheatroute/balancing/settings_updates.py
+++ b/wheatroute/balancing/settings_updates.py
@@ -15,7 +15,7 @@
     """A component that keeps values derived from the settings."""
 
     def apply_settings(self) -> None:
-        """Applies changed settings."""
+        """Recomputes the values that are derived from the settings."""
 
 
 class SettingsUpdates:
@@ -37,7 +37,7 @@
             part.apply_settings()
 
     def settings_changed(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
-        """Puts new settings in force; without `applies_to_pending`, earlier requests keep their rules."""
+        """Uses these settings from now on; pending requests keep their rules unless `applies_to_pending`."""
         state = self._state
         for request in state.requests.values() if applies_to_pending else ():
             apply_changed_rules(request, settings.request_classes[request.class_number], state.servers)
--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -16,7 +16,7 @@
         self.caution = 1.0  # divisor of the rate while the number of nodes is uncertain
 
     def warmup_fraction(self, server: int) -> float:
-        """Returns the minimum fraction of its full capacity that a server has by now; 1 once it is warm."""
+        """Returns the fraction of its full capacity that a server has by now at least; 1 once it is warm."""
         settings, started_at = self._state.settings, self._state.servers.started_at[server]
         if not started_at:
             return 1.0
@@ -31,7 +31,8 @@
 
         The rate is half of what the settings allow, because other nodes send at random times too and servers
         now carry less than they could. Only members of the subset get credit, and the rate is computed from
-        them only. Otherwise a new server would get nothing until all nodes sent to it at once.
+        the served rates of members only. Otherwise a new server would get nothing until all nodes sent to it
+        at once.
         """
         servers, settings = self._state.servers, self._state.settings
         rates = self._update_rates(members, interval_s)
--- a/wheatroute/balancing/tenant_quotas.py
+++ b/wheatroute/balancing/tenant_quotas.py
@@ -23,7 +23,7 @@
         """Returns the tenants' quotas at this node, in requests per second.
 
         A node's share is an equal part per node or its share of the traffic, whichever is larger. With equal
-        parts only, the few nodes that carry most of the traffic would treat it as beyond the quotas.
+        parts only, the few nodes that carry most of the traffic would count much of it as beyond the quotas.
         """
         quotas = [tenant.quota for tenant in self._state.settings.tenants]
         traffic = min(1.0, self._limiter.peak_rate / (sum(quotas) or 1.0))
@@ -34,8 +34,8 @@
     def _capacity(rate: float) -> float:
         """Returns the capacity of a bucket in tokens, for a quota of `rate` requests per second.
 
-        It has a minimum, because with many nodes a node's part of a small quota might never make a whole
-        token.
+        The capacity has a minimum, because with many nodes a bucket for a node's part of a small quota might
+        never hold a whole token.
         """
         return max(MIN_SAMPLES / 4 if rate else 0.0, 2.0 * rate * UPDATE_INTERVAL_S)
 
--- a/wheatroute/decide.py
+++ b/wheatroute/decide.py
@@ -1,8 +1,8 @@
 """All decisions of a node: which server gets a request, when a hedge is sent, when to reject. No I/O.
 
 Create one `Balancer(settings, rng)` per node and call `handle_events(now, events, writer)` with everything
-that happened since the last call; it writes commands to `writer` during the call. The events and commands are
-defined in `wheatroute/balancing/interface.py`; the other modules of that package make the decisions, one
+that happened since the last call; during the call it writes its commands to `writer`. The events and commands
+are defined in `wheatroute/balancing/interface.py`; the other modules of that package make the decisions, one
 module per concern. This module dispatches the events to them, runs timers and requests the next call. `now`
 is the only clock and `rng` the only source of random numbers. Nodes share no state; they may send each other
 the loads of servers (`CommandWriter.send_loads`).
@@ -55,7 +55,7 @@
 
     @property
     def servers(self) -> ServerStatistics:
-        """The measurements of each server, which `stored_statistics` exports and restores."""
+        """The measurements of each server. `stored_statistics` exports and restores them."""
         return self._state.servers
 
     def handle_events(self, now: float, events: EventBatch, writer: CommandWriter) -> None:
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -1,8 +1,9 @@
 """Sends a request to one server and reads the response, up to the last event of a stream.
 
-The decision to send is checked again right before each write, since meanwhile the server may have left, the
-client may have disconnected, or the deadline may have passed. A request cannot have run before its last byte
-is written; after that, only a response with `Not-Executed`, or with status 421, proves that it did not.
+Right before each write it is checked again whether the request may be sent: meanwhile the server may have
+left, the client may have disconnected, or the deadline may have passed. A request cannot have run before its
+last byte is written; after that, only a response with `Not-Executed`, or with status 421, proves that it did
+not.
 """
 
 from __future__ import annotations
@@ -127,7 +128,7 @@
         return await self._read_response(connection)
 
     async def _write(self, connection: StreamConnection, head: h11.Request) -> bool:
-        """Writes the request; returns False if it was given up before its last byte, so it never runs."""
+        """Writes the request; returns False if it gave up before the last byte: the request never runs."""
         is_done = connection.send(head, self.request.body)
         while not is_done:
             with trio.move_on_after(WRITE_CHECK_INTERVAL_S):
@@ -166,8 +167,8 @@
     def _is_own_response(self, fields: dict[bytes, bytes], connection: StreamConnection) -> bool:
         """Returns whether a response belongs to this request, by its `Request-Id`.
 
-        A response without an id belongs to it if no other request was ever written on the connection.
-        Otherwise it cannot be attributed, and MalformedError is raised.
+        A response without an id belongs to this request if no other request was ever written on the
+        connection. If another was, the response cannot be attributed, and MalformedError is raised.
         """
         response_id = fields.get(b"request-id", b"")
         if not response_id:
@@ -250,7 +251,8 @@
     def _check_end_of_stream(self) -> None:
         """Raises MalformedError unless the stream's end proves that it is complete.
 
-        A response without framing ends when its connection closes, as a truncated one does (RFC 9112, 8).
+        Without framing, a complete response can't be told from a truncated one: both end when the connection
+        closes (RFC 9112, 8).
         """
         if not _has_framing(dict(self.headers)):
             raise MalformedError(0, "a stream with neither Content-Length nor Transfer-Encoding")
@@ -258,7 +260,7 @@
             raise MalformedError(0, "the stream ended inside an event")
 
     def close(self) -> None:
-        """Releases the connection after a complete stream, else closes it, which cancels the request."""
+        """Releases the connection if its stream was read to the end; else closes it to cancel the request."""
         connection, self._connection = self._connection, None
         if connection is None:
             return
--- a/wheatroute/edge/attempt_runner.py
+++ b/wheatroute/edge/attempt_runner.py
@@ -76,7 +76,7 @@
     def _record_latency(
         self, delivery: Delivery, finished: FinishedAttempt, latency_s: float, queued_tokens: float
     ) -> None:
-        """Records a time to first token; an attempt that ended late without one counts with its duration."""
+        """Records an attempt's time to first token, or its duration if it ended late without one."""
         attempt = finished.attempt
         is_late = latency_s > delivery.target_s
         is_measured = finished.has_succeeded and not finished.is_server_error
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -22,9 +22,9 @@
 from wheatroute.net.connection import MalformedError
 
 BODY_TIMEOUT_S = 20.0  # time for the body of a request, in addition to the timeout of its head
-# Time for a client to read the last response, while its further input is discarded.
+# Time that a client has to read an error response before its connection is closed; its input is discarded.
 LINGER_TIMEOUT_S = 0.5
-# Bytes that a client may send before its response is complete; its connection is not read beyond them.
+# While a request is being answered, at most about this many bytes of later requests are read.
 MAX_PIPELINED_BYTES = 65536
 ACCEPT_BACKOFF_S = 0.05  # pause in accepting while no file descriptors are left
 ERRORS_BY_STATUS = {413: ErrorKind.BODY_TOO_LARGE, 431: ErrorKind.HEAD_TOO_LARGE}
@@ -154,7 +154,8 @@
     ) -> ClientRequest | None:
         """Returns the next complete request, None if the client was idle for too long or has disconnected.
 
-        Raises MalformedError, or trio.TooSlowError if the request takes too long after its first byte.
+        Raises MalformedError if the request is malformed, or trio.TooSlowError if it is not complete in time
+        after its first byte.
         """
         if not await self._wait_for_first_byte(client, idle_timeout_s):
             return None
@@ -212,15 +213,15 @@
             with suppress(ClientDisconnectedError):
                 await self._forwarder.handle(request, response)
             nursery.cancel_scope.cancel()
-        # A client that got no `Connection: close` may be about to send another request. If this node is
-        # stopping, its connection is closed once it is idle.
+        # A client that got no `Connection: close` may be about to send another request, so its connection
+        # stays open even if this node is stopping; `close_idle` closes it.
         return response.is_complete and not response.is_closing
 
     @staticmethod
     async def _watch_disconnect(client: _Client, response: ClientResponse, scope: trio.CancelScope) -> None:
         """Cancels a request when its client disconnects.
 
-        The watch ends without effect once the client has pipelined too many bytes.
+        Once the client has pipelined `MAX_PIPELINED_BYTES`, a disconnect is no longer detected.
         """
         connection = client.connection
         try:
--- a/wheatroute/edge/connection.py
+++ b/wheatroute/edge/connection.py
@@ -49,9 +49,9 @@
 class StreamConnection(Connection):
     """A connection that can also write a message in parts and read one event by event.
 
-    `answered_ids` are the ids of requests that were answered on this connection and may be sent again. A
-    surplus copy of such a response could not be distinguished from the response to the second attempt, so
-    that attempt uses another connection.
+    `answered_ids` are the ids of requests that were answered on this connection and may be sent again. If
+    such a request is sent again, it uses another connection, because a surplus copy of the first response
+    could not be distinguished from the response to the second attempt.
     """
 
     __slots__ = ("answered_ids",)
--- a/wheatroute/edge/control_client.py
+++ b/wheatroute/edge/control_client.py
@@ -1,7 +1,7 @@
 """Keeps this node's configuration and servers up to date by long polls of the primary.
 
-A poll carries the versions in force on this node, and is answered once the primary has newer ones, or after
-the time that the poll names.
+A poll carries the versions of the configuration and of the registry that are in force on this node. The
+primary answers it once it has a newer version of either, or after the time that the poll names.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from wheatroute.edge.usage_reporter import UsageReporter
 
 POLL_WAIT_S = 0.7  # seconds for which the primary may hold a poll
-FIRST_POLL_WAIT_S = 0.3  # seconds for which it may hold a poll of a node without a configuration
+FIRST_POLL_WAIT_S = 0.3  # seconds for which the primary may hold a poll of a node without a configuration
 POLL_MARGIN_S = 0.45  # seconds beyond `POLL_WAIT_S` after which a poll without a response has failed
 HOST_BACKOFF_S = 0.06  # mean pause after a failed poll, before the next host is polled
 
@@ -39,7 +39,7 @@
             await self._poll_forever()
 
     async def request_lease(self, tenant: str, tokens: float) -> None:
-        """Requests tokens of a tenant from the primary; switches to local tokens if there is no response."""
+        """Requests quota tokens of a tenant; without a response, refills the tenant's local tokens."""
         await self._usage_reporter.request_lease(tenant, tokens)
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
@@ -61,7 +61,7 @@
                 await trio.sleep(HOST_BACKOFF_S * (0.5 + self._node.rng.random()))
 
     async def _poll(self) -> bool:
-        """Does one long poll and applies the update; returns False if there is none or applying it fails."""
+        """Does one long poll and applies the update; returns False if either fails."""
         node, client = self._node, self._primary_client
         request = UpdateRequest(
             node.settings.node,
--- a/wheatroute/edge/delivery.py
+++ b/wheatroute/edge/delivery.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class FinishedAttempt:
-    """An attempt that has received its first event or complete response, or has failed, with its outcome."""
+    """An attempt and its outcome: it received a first event or a complete response, or it failed."""
 
     attempt: EdgeAttempt
     outcome: EdgeAttemptOutcome
@@ -36,7 +36,7 @@
     route: Route
     is_client_waiting: Callable[[], bool]  # whether the client still waits for the response
     last_event_id: bytes | None  # event after which a stream is resumed, None for a new request
-    attempted_ids: set[str]  # ids of servers attempted since the request last waited for one
+    attempted_ids: set[str]  # ids of servers that got an attempt since the request last waited for a server
 
     @property
     def target_s(self) -> float:
@@ -45,7 +45,7 @@
 
     @property
     def has_retries_left(self) -> bool:
-        """Whether a request that may have run may be sent to one more server.
+        """Whether the request, if it may have run, may be sent to one more server.
 
         `Route.retries` is the maximum number of servers that a request may be sent to, including the first:
         with 1 it is not sent again.
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -17,9 +17,9 @@
 QUEUE_TIMEOUT_FRACTION = 0.22  # fraction of a route's latency target that a request may wait for a server
 MIN_QUEUE_TIMEOUT_S = 0.02
 QUEUE_POLL_INTERVAL_S = 0.02  # seconds between two checks whether a server is available
-# Number of written attempts from which a request no longer waits for a server. It is checked only when no
-# server is left to try, so it does not bound the attempts while there is one. Attempts that a server rejected
-# count; connections that were never established do not.
+# After this many written attempts, a request no longer waits for a server. This is checked only when no
+# server is left to try, so it does not bound the attempts while untried servers are left. Attempts that a
+# server rejected count; connections that were never established do not.
 MAX_SENT_ATTEMPTS = 4
 
 
@@ -79,7 +79,7 @@
     # Choosing a server
 
     def _choose_server(self, delivery: Delivery) -> Server | None:
-        """Returns the best untried server that may get another connection, None if there is none."""
+        """Returns the best-ranked untried server that has capacity for the request, None if there is none."""
         node, request = self._node, delivery.request
         available = node.instances.available(request.service)
         servers = [server for server in available if server.id not in delivery.attempted_ids]
@@ -99,9 +99,10 @@
 
     @staticmethod
     def _check_queue_timeout(delivery: Delivery, was_rejected: bool) -> None:
-        """Raises RequestError if a request without a server must not wait for one any longer.
+        """Raises RequestError if a request that found no server must not wait for one.
 
-        That is when a server has rejected it, its queue timeout has passed, or too many attempts were sent.
+        It must not if a server has rejected it, its queue timeout has passed, or `MAX_SENT_ATTEMPTS` attempts
+        were sent.
         """
         request = delivery.request
         queue_timeout_s = max(MIN_QUEUE_TIMEOUT_S, QUEUE_TIMEOUT_FRACTION * delivery.target_s)
@@ -123,7 +124,7 @@
         return delivery.has_retries_left and self.may_retry(delivery.request)
 
     def _check_retry(self, delivery: Delivery, finished: FinishedAttempt) -> None:
-        """Raises RequestError unless a request whose attempt failed may be sent to another server."""
+        """Raises RequestError if a request whose attempt failed must not be sent to another server."""
         request, outcome = delivery.request, finished.outcome
         if outcome == EdgeAttemptOutcome.FAILED:
             if not delivery.has_retries_left or not self.may_retry(request):
@@ -151,7 +152,8 @@
             winner = None
             raise
         finally:
-            # The loser may have succeeded before it was cancelled. If the request itself ends, both may have.
+            # The loser may have succeeded before it was cancelled. If the request itself was cancelled, both
+            # attempts may have succeeded, and both are released.
             for other in finished:
                 if other.has_succeeded and other is not winner:
                     self.release(other.attempt)
--- a/wheatroute/edge/forwarding.py
+++ b/wheatroute/edge/forwarding.py
@@ -1,7 +1,7 @@
 """Handles each client request: admits it, dispatches it, and forwards the server's response.
 
-Invariants: each request gets exactly one response or a closed connection; a response that breaks off after
-its first byte never looks complete to the client.
+Invariants: each request gets exactly one response, or its connection is closed; a response that breaks off
+after its first byte never looks complete to the client.
 """
 
 from __future__ import annotations
@@ -96,7 +96,7 @@
     async def _forward_stream(
         self, request: ClientRequest, first_attempt: EdgeAttempt, response: ClientResponse
     ) -> None:
-        """Forwards a stream; resumes one that breaks off at another server, if its route allows that."""
+        """Forwards a stream; if it breaks off and its route allows that, resumes it at another server."""
         headers = response_headers(first_attempt.headers)
         await response.start_stream(first_attempt.status, headers, first_attempt.body, first_attempt.reason)
         attempt = first_attempt
@@ -132,8 +132,8 @@
         """
         assert request.route is not None
         last_event_id = broken.splitter.last_event_id
-        # This allows one server more than `Delivery.has_retries_left`, because otherwise no stream of a route
-        # with the default of 1 could be resumed.
+        # This allows one server more than `Delivery.has_retries_left`. Otherwise no stream of a route with
+        # the default of 1 for `retries` could be resumed.
         has_retries_left = request.sent_attempts <= request.route.retries
         may_resume = request.route.resume and last_event_id is not None and has_retries_left
         if not may_resume or not self._dispatcher.may_retry(request):
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -80,7 +80,7 @@
         return self.ejected_until > now or self.instance.state == InstanceState.UNRESPONSIVE
 
     def record_failure(self, now: float) -> None:
-        """Ejects the server after a connection was refused, reset or not established."""
+        """Ejects the server after an attempt failed; the time doubles with each failure in a row."""
         backoff_s = min(MAX_BACKOFF_S, FAILURE_BACKOFF_S * 2 ** min(self.consecutive_failures, 4))
         self.consecutive_failures += 1
         self.ejected_until = now + backoff_s
@@ -88,7 +88,8 @@
     def record_response(self, now: float, is_error: bool) -> None:
         """Records a response, which ends an ejection.
 
-        If it is an error and the error rate is too high, the server is ejected, however fast it responds.
+        If the response is an error and the error rate is then too high, the server is ejected, however fast
+        it responds.
         """
         self.last_response_at = now
         self.consecutive_failures = 0
@@ -108,9 +109,10 @@
         return now - max(self.last_response_at, next(iter(self.pending.values())).started_at)
 
     def has_unacknowledged_bytes(self, now: float) -> bool:
-        """Returns whether the server's host seems down, as it has not acknowledged bytes written a while ago.
+        """Returns whether the server's host seems down: it hasn't acknowledged bytes of an attempt in time.
 
-        The kernel of a running host acknowledges at once, however busy the server is.
+        The kernel of a running host acknowledges bytes at once, however busy the server is. The time allowed
+        is `ACKNOWLEDGE_TIMEOUT_S` after the start of the attempt.
         """
         if not self.pending:
             return False
@@ -147,7 +149,8 @@
     def unresponsive_for(self, now: float, response_timeout_s: float) -> dict[str, float]:
         """Returns the seconds without a response of each server that seems to be down, by id.
 
-        A server seems down if that time exceeds the timeout, or if its host does not acknowledge bytes.
+        A server seems down if that time exceeds `response_timeout_s`, or if its host does not acknowledge
+        bytes.
         """
         available = (server for servers in self._by_service.values() for server in servers)
         return {
@@ -157,7 +160,7 @@
         }
 
     def apply(self, update: Update, now: float) -> list[Server]:
-        """Applies a registry update; returns the servers that have left with it. Ignores outdated updates."""
+        """Applies a registry update unless it is outdated; returns the servers that leave by it."""
         if update.registry < self.version:
             return []
         self.version = update.registry
@@ -194,6 +197,6 @@
                 self._by_service.setdefault(server.instance.service, []).append(server)
 
     def mark_left(self, server: Server) -> None:
-        """Excludes a server whose address now belongs to another one."""
+        """Excludes a server from new requests, because its address now belongs to another server."""
         server.has_left = True
         self._group_by_service()
--- a/wheatroute/edge/latency_weights.py
+++ b/wheatroute/edge/latency_weights.py
@@ -1,8 +1,8 @@
 """Derives the weights by which traffic is split among servers from their relative latency. No I/O.
 
-Relative latency is the time to first token divided by the expected one for the same number of prompt tokens
-(see `wheatroute.edge.prefill`). It is smoothed for each server, and shrunk towards the mean while there are
-few samples.
+Relative latency is the time to first token divided by the time that is expected for the same number of prompt
+tokens (see `wheatroute.edge.prefill`). It is smoothed for each server, and shrunk towards 1 while the server
+has few samples.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 UPDATE_INTERVAL_S = 1.0
 SMOOTHING = 0.2  # weight of the newest sample
 PRIOR_SAMPLES = 3.0  # number of samples that the mean counts as, next to a server's own samples
-SAMPLE_HALF_LIFE_S = 10.0  # age in seconds at which a server's own samples count half
+SAMPLE_HALF_LIFE_S = 10.0  # age in seconds at which a server's own samples have half their weight
 # Dead band: latencies within these multiples of the mean count as the mean.
 DEAD_BAND_MIN_RATIO, DEAD_BAND_MAX_RATIO = 0.75, 1.35
 
@@ -69,7 +69,7 @@
         return 1.0 if DEAD_BAND_MIN_RATIO < expected < DEAD_BAND_MAX_RATIO else expected
 
     def update(self, service: str, server_ids: tuple[str, ...], now: float) -> None:
-        """Recomputes the weights of a service if its servers have changed, else at most once a second."""
+        """Recomputes a service's weights if its servers have changed or the last update is a second old."""
         last = self._last_updates.get(service)
         if last is not None and last.server_ids == server_ids and now - last.at < UPDATE_INTERVAL_S:
             return
--- a/wheatroute/edge/main.py
+++ b/wheatroute/edge/main.py
@@ -18,8 +18,8 @@
 
 POOL_CHECK_INTERVAL_S = 0.5  # seconds between two checks of idle connections to servers
 MAX_FAILED_PROBES = 2  # failed readiness probes after which the platform sends no new clients
-PROBE_TIMEOUT_S = 2.4  # maximum time that the platform takes for `MAX_FAILED_PROBES` probes
-DRAIN_DELAY_S = 0.3  # time for connections that clients were already opening
+PROBE_TIMEOUT_S = 2.4  # time within which the platform sends `MAX_FAILED_PROBES` probes
+DRAIN_DELAY_S = 0.3  # after the failed probes, time to accept connections that clients were already opening
 SHUTDOWN_MARGIN_S = 0.5  # time between the end of the shutdown and the platform's kill of the process
 POLL_INTERVAL_S = 0.05  # seconds between two checks of a shutdown condition
 
@@ -71,7 +71,10 @@
             self._node.pool.close_expired()
 
     async def _shut_down(self) -> None:
-        """Serves until the platform sends no new clients, closes idle connections, and awaits the others."""
+        """Accepts connections until the platform sends no new clients; then closes each once it is idle.
+
+        Ends when all requests are answered or the platform's grace period is nearly over.
+        """
         self._node.is_stopping = True
         started_at = trio.current_time()
         deadline = started_at + self._node.settings.bounds.grace_s - SHUTDOWN_MARGIN_S
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -15,8 +15,8 @@
 CONNECT_TIMEOUT_S = 0.4
 IDLE_TIMEOUT_FRACTION = 0.9  # fraction of a server's idle timeout for which connections are reused
 DEFAULT_IDLE_TIMEOUT_S = 60.0  # idle timeout assumed for servers that do not announce one
-MIN_IDLE_TIMEOUT_S = 0.5  # a connection closed after a shorter idle time counts as broken
-# Fraction of the connections accepted by a server that all edge nodes use together, in equal parts.
+MIN_IDLE_TIMEOUT_S = 0.5  # a connection that its server closes after a shorter idle time counts as broken
+# Fraction of the connections that a server accepts which all edge nodes together may use, in equal parts.
 CAPACITY_FRACTION = 0.9
 MIN_CAPACITY = 2  # connections to each server that a node may always open
 MAX_ANSWERED_IDS = 200  # number of ids that a connection remembers; it is closed if it needs more
@@ -41,8 +41,8 @@
 class StreamConnectionPool:
     """Pools the connections of one node by server, and reuses the most recently used idle one first.
 
-    While `max_connections` or more are open, to all servers together, each new connection closes the one that
-    has been idle for longest.
+    While `max_connections` or more connections to all servers together are open, the one that has been idle
+    for longest is closed before a new one is opened.
     """
 
     def __init__(self, max_connections: int) -> None:
@@ -55,7 +55,8 @@
     def has_capacity(self, server: Server, max_connections: int, edge_node_count: int) -> bool:
         """Returns whether another request may have a connection to a server.
 
-        `max_connections` is what each server of the service accepts from all nodes, 0 for no limit.
+        `max_connections` is the number of connections that each server of the service accepts from all nodes,
+        0 for no limit.
         """
         if self._idle.get(server.id):
             return True
@@ -89,8 +90,8 @@
     def _is_reusable(self, server_id: str, entry: IdleConnection) -> bool:
         """Returns whether an idle connection is open and not about to be closed by its server.
 
-        If the server has closed it before the known idle timeout of its service, its idle time becomes the
-        new idle timeout.
+        If the server has closed the connection sooner than the known idle timeout of its service, the time
+        for which the connection was idle becomes the new idle timeout.
         """
         service = self._services[server_id]
         idle_timeout_s = self._idle_timeout_s.get(service, DEFAULT_IDLE_TIMEOUT_S)
--- a/wheatroute/edge/prefill.py
+++ b/wheatroute/edge/prefill.py
@@ -1,8 +1,8 @@
 """Predicts the time to first token by a linear model that is fitted to this node's own requests. No I/O.
 
 The model is `base + slope * tokens`, fitted by least squares with exponential forgetting. `tokens` is the
-number of prompt tokens that the server has to prefill before the first token: the request's own, and those
-queued before it.
+number of prompt tokens that the server has to prefill before the first token: those of the request, and those
+of requests queued before it.
 """
 
 from __future__ import annotations
--- a/wheatroute/edge/primary_client.py
+++ b/wheatroute/edge/primary_client.py
@@ -56,13 +56,14 @@
         self.set_hosts(tuple(self._hosts))
 
     def set_hosts(self, hosts: tuple[str, ...]) -> None:
-        """Replaces the known control nodes by those that a control node has listed."""
+        """Replaces the known control nodes by those that a control node has listed; keeps the seed hosts."""
         self._hosts = list(dict.fromkeys([*hosts, *self._seeds]))
 
     def switch_host(self) -> None:
         """Chooses another host for the next message.
 
-        The choice is random, because the next host in order would be the same for all edge nodes.
+        The choice is random, because the edge nodes would all switch to the same host if each took the next
+        one in the list.
         """
         others = [host for host in self._hosts if host != self.primary]
         if others:
@@ -76,9 +77,9 @@
     async def post(
         self, path: str, message: msgspec.Struct, read_timeout_s: float, connect_timeout_s: float
     ) -> bytes | None:
-        """Posts a message to the primary; returns its response, or None if there is none.
+        """Posts a message to `primary`; returns the response, or None if that host doesn't answer with 200.
 
-        In the latter case the next message goes to another host.
+        If None is returned, the next message goes to another host.
         """
         host = self.primary
         self.was_redirected = False
@@ -103,7 +104,10 @@
         return None
 
     def _follow_redirect(self, host: str, body: bytes) -> bool:
-        """Follows a redirect of a control node that is not the primary; returns False if none is named."""
+        """Follows a redirect of a control node that is not the primary.
+
+        Returns False if the node names no primary or names itself.
+        """
         redirect = msgspec.msgpack.decode(body, type=NotPrimary)
         self.set_hosts(redirect.control_hosts)
         if not redirect.primary or redirect.primary == host:
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -4,7 +4,8 @@
 nodes add up to the rate limit. A node is isolated while it has no contact with a primary. For a tenant,
 isolation begins when a lease request gets no response, and ends with the next grant. An isolated node uses
 local tokens: the local rate and burst of its last grant, and an even share of the allowed usage beyond the
-limit (`bounds.quota_slack`). It reports their usage to the next primary, which takes it out of the bucket.
+limit (`bounds.quota_slack`). It reports how many it has used to the next primary, which takes as many out of
+the bucket.
 Unused local tokens are kept until the next isolation; they cannot be used while a primary answers.
 """
 
@@ -20,21 +21,21 @@
 from wheatroute.edge.usage_history import UsageHistory
 
 DEMAND_WINDOW_S = 4.0  # window over which the demand of a tenant's clients is measured
-MAX_LEASE_S = 0.4  # tokens for this many seconds of a tenant's demand stay leased; surplus is returned
+MAX_LEASE_S = 0.4  # leased tokens beyond this many seconds of a tenant's demand are returned
 MAX_LOCAL_BURST_S = 2.0  # an isolated node saves up at most this many seconds of its local rate
 LOCAL_RATE_TTL_S = 3.0  # maximum age, when isolation begins, of a grant whose local rate is used
-# Fraction of an even share of the rate limit. It is the local rate of an isolated node without a valid one:
-# no grant was received yet, the last one was too old (LOCAL_RATE_TTL_S), or its local rate is 0.
+# Default local rate, as a fraction of an even share of the rate limit. An isolated node uses it if it has
+# received no grant yet, the last grant was too old (LOCAL_RATE_TTL_S), or the grant's local rate is 0.
 DEFAULT_LOCAL_RATE_FRACTION = 0.5
-# Tokens for this many seconds of this default rate may be used in advance, else a large request would never
-# fit.
+# Tokens for this many seconds of the default local rate may be used in advance; otherwise a request that
+# needs many tokens would never be admitted.
 DEFAULT_LOCAL_BURST_S = 1.0
 # Fraction of `bounds.quota_slack` that all isolated nodes together may use.
 LOCAL_SLACK_FRACTION = 0.3
 
 
 class IsolationPeriod(msgspec.Struct, frozen=True):
-    """A completed isolation of one tenant's lease, and the tokens that were used in it without a grant."""
+    """A completed isolation of one tenant's lease, and the local tokens that were used during it."""
 
     tenant: str
     duration_s: float
@@ -69,7 +70,7 @@
         self.granted_tokens = 0.0
         self.demand_rate = 0.0  # tokens per second that clients requested, as of `demand_updated_at`
         self.demand_updated_at = 0.0
-        # `wait_s` of the last grant: seconds until the bucket holds the requested tokens
+        # `wait_s` of the last grant: seconds until the primary's bucket holds the tokens that were requested
         self.retry_after_s = 0.0
         # Rate (tokens per second) and burst (tokens) of the last grant, for use in isolation.
         self.local_rate = 0.0
@@ -87,13 +88,13 @@
         self.usage = UsageHistory(window_s)
 
     def begin_isolation(self, now: float, edge_node_count: int) -> None:
-        """Enters isolation; the local rate accrues from the last grant on, as nothing was granted since."""
+        """Enters isolation. Local tokens accrue from the last grant on, as nothing was granted since."""
         self.uses_local_tokens = True
         self.isolated_since = now
         self.isolated_usage_before = self.isolated_usage
         self.edge_node_count = edge_node_count
         if now - self.granted_at > LOCAL_RATE_TTL_S:
-            # The demand has changed since, also that of other nodes.
+            # The grant's local rate is outdated: the demand at this and other nodes has changed since.
             self.local_rate, self.local_burst, self.granted_at = 0.0, 0.0, now
         self.refilled_at = self.granted_at
 
@@ -174,16 +175,17 @@
         lease.granted_tokens -= granted
         lease.local_tokens -= tokens - granted
         lease.isolated_usage += tokens - granted
-        # `record_demand` precedes each use, either just now or right before a wait for a grant.
+        # `demand_updated_at` is close to the present time: `record_demand` is called right before this method
+        # or, if the request first waits for a grant, right before that wait.
         lease.usage.add(lease.demand_updated_at, tokens)
         return True
 
     def refund(self, tenant: str, tokens: float) -> None:
         """Returns the tokens of a request that never ran to the lease.
 
-        Local tokens are returned as granted ones: they stay in `isolated_usage`, so the primary takes them
-        out of the bucket as it does with a grant. The usage is subtracted at the time of the tenant's last
-        demand, which is at or after the time of the charge.
+        Refunded local tokens become granted ones: they still count in `isolated_usage`, so the primary takes
+        them out of the bucket as it does with a grant. The usage is subtracted at the time of the tenant's
+        last demand, which is at or after the time of the charge.
         """
         lease = self._lease(tenant)
         lease.granted_tokens += tokens
--- a/wheatroute/edge/recent_usage.py
+++ b/wheatroute/edge/recent_usage.py
@@ -1,7 +1,7 @@
 """Sends the recent usage of this node's tenants to each new primary. No I/O.
 
-The recent usage is everything that was used within the last window, and what is leased. Each new primary gets
-it once, as part of a usage report.
+The recent usage is all tokens that were used within the last window of the quota rule, and those that are
+leased. Each new primary gets it once, as part of a usage report.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 class RecentUsageReporter:
     """Adds the recent usage to the first report to each primary.
 
-    `started_at` is the time when this process started; it knows no earlier usage.
+    `started_at` is the time when this process started; usage before that is not known to it.
     """
 
     def __init__(self, quotas: QuotaLeases, started_at: float) -> None:
@@ -46,9 +46,10 @@
         return UsageReport(node, reported, recent_usage_span_s=span_s)
 
     def record_response(self, primary: str, report: UsageReport, response: UsageResponse) -> None:
-        """Records a primary's response to a report."""
+        """Records which primary knows the recent usage, from its response to a report."""
         if report.recent_usage_span_s is not None:
             self._reported_to, self._leadership_epoch = primary, response.leadership_epoch
         elif response.leadership_epoch != self._leadership_epoch:
-            # The primary was deposed, leads again, and has lost the recent usage.
+            # The host lost its role as the primary and has become the primary again since. It no longer has
+            # the recent usage.
             self._reported_to = ""
--- a/wheatroute/edge/request.py
+++ b/wheatroute/edge/request.py
@@ -13,7 +13,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Header fields that apply to one connection only (RFC 9110, 7.6.1), besides those that Connection lists.
+# Header fields that apply to one connection only (RFC 9110, 7.6.1); so do those that Connection lists.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -28,7 +28,8 @@
         b"upgrade",
     )
 )
-# Request header fields that each attempt sets itself, or that servers must not see.
+# Header fields of a client's request that are not forwarded: each attempt sets its own, or servers must not
+# see them.
 REPLACED = frozenset(
     (
         b"authorization",
@@ -74,8 +75,8 @@
     def prefix_key(self) -> str | None:
         """Id of the last prefix block that other requests may share, None without prefix blocks.
 
-        This is the second to last block, because the last one belongs to this request or its session alone,
-        unless it is the only one.
+        This is the second to last block, because the last block belongs to this request or its session alone.
+        If there is only one block, it is that one.
         """
         if not self.prefix_blocks:
             return None
--- a/wheatroute/edge/retry_budget.py
+++ b/wheatroute/edge/retry_budget.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-# Fraction of the configured ratio that is used, because a window that contains a retry may not contain all
-# requests that allowed it.
+# Fraction of the configured ratio that is used. It is below 1 because a window that contains a retry may not
+# contain all the requests that allowed the retry.
 RATIO_FRACTION = 0.7
 SLACK_FRACTION = 0.7  # fraction of the configured slack that is used, divided evenly among the nodes
 
--- a/wheatroute/edge/routing.py
+++ b/wheatroute/edge/routing.py
@@ -20,7 +20,7 @@
 
 AUTHORIZATION_SCHEME = "token "  # case-insensitive (RFC 9110, 11.1)
 SERVER_RANKS = 10  # number of priority ranks that servers distinguish
-# Numbers of uncached prompt tokens from which a request ranks behind those with shorter prompts.
+# Bounds between size classes, in uncached prompt tokens; a request ranks behind those of smaller classes.
 PROMPT_SIZE_BOUNDS = (2_000, 10_000)
 
 
@@ -33,7 +33,7 @@
         self._build_indexes()
 
     def _build_indexes(self) -> None:
-        """Builds the indexes that no version shares with its predecessor.
+        """Builds the indexes that are built anew for each version, unlike the routes by host.
 
         This takes one pass over all items, without sorting them.
         """
@@ -130,9 +130,9 @@
     def server_rank(self, route: Route, tenant: Tenant | None, prefill_tokens: float) -> int:
         """Returns the rank that is sent to servers; a server runs rank 0 first.
 
-        Requests are ranked by prompt size, then by the priority of the tenant, or else of the route. Size
-        comes first because a short prompt delays the requests behind it by a few hundredths of a second,
-        while a long one makes a short request behind it miss its latency target.
+        Requests are ranked by prompt size, then by the tenant's priority or, if it has none, the route's.
+        Size comes first because a short prompt delays the requests behind it by a few hundredths of a second
+        only, while a long prompt makes a short request behind it miss its latency target.
         """
         priority = route.priority if tenant is None or tenant.priority is None else tenant.priority
         size_class = sum(prefill_tokens >= bound for bound in PROMPT_SIZE_BOUNDS)
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -3,9 +3,9 @@
 A server is drawn with a probability proportional to its weight (`latency_weights.py`). The draw is keyed by
 the last shared prefix block of the prompt, so that all nodes draw the same server for the same prefix without
 coordination; for a request without prefix blocks the draw is random. Congested servers are moved behind the
-others. A server is congested if its first token is expected later than that of the best server by more than
-a fraction of the latency target. The expected wait counts the prompt tokens that are queued at the server and
-those that it would have to prefill again.
+others. A server is congested if its expected wait for the first token exceeds the shortest one of all servers
+by more than a fraction of the latency target. The expected wait counts the prompt tokens that are queued at
+the server and those that it would have to prefill again.
 
 Source of weighted rendezvous hashing: C. Schindelhauer, G. Schomaker, "Weighted distributed hash tables",
 SPAA 2005.
@@ -28,9 +28,9 @@
 WARMUP_WEIGHT_FACTOR = 0.5  # multiplies the weight of a server that is warming up
 # Fraction of the latency target by which the first token may be later than at the best server.
 CONGESTION_THRESHOLD = 0.15
-# Expected prefill cost, in tokens, of one shared prefix token that this node has not sent to a server lately.
-# At the preferred server, other nodes' requests have mostly filled the cache already. At other servers, a
-# prefill also evicts what they have cached.
+# Cost, in tokens, of one shared prefix token that this node has not sent to a server lately. At the preferred
+# server it is below 1, because other nodes' requests have mostly filled the cache already. At other servers
+# it is above 1, because a prefill also evicts what they have cached.
 PREFERRED_MISS_COST = 0.15
 OTHER_MISS_COST = 3.0
 CACHE_TTL_FACTOR = 6.0  # multiple of `cache_ttl_s`, as servers keep blocks for longer than that
@@ -43,8 +43,8 @@
 class ServerSelector:
     """Ranks the servers of all services by their latency, load, health and cached prefixes.
 
-    It uses what this node knows of them. `cache_ttl_s` (`bounds.again_s`) is the time in seconds within which
-    a repeated prefill of the same prompt is penalized.
+    `cache_ttl_s` (`bounds.again_s`) is the time in seconds within which a repeated prefill of the same prompt
+    is penalized.
     """
 
     def __init__(self, cache_ttl_s: float, rng: Random, clock: Callable[[], float]) -> None:
@@ -63,15 +63,15 @@
         self.prefix_cache.set_ttl(CACHE_TTL_FACTOR * cache_ttl_s)
 
     def set_response_timeout(self, p95_s: float) -> None:
-        """Derives the response timeout from the p95 of the time to first token, 0 while that is unknown."""
+        """Derives the response timeout from the p95 of the time to first token; `p95_s` is 0 if unknown."""
         self.response_timeout_s = max(MIN_RESPONSE_TIMEOUT_S, RESPONSE_TIMEOUT_FACTOR * p95_s)
 
     def record_latency(self, server: Server, tokens: float, latency_s: float) -> None:
         """Updates the prefill model and the weights by one time to first token.
 
         `tokens` is the number of prompt tokens that the server had to prefill before the first token. The
-        weights use the latency in multiples of the expected one, else one long prompt would make a server
-        look slow.
+        weights use the latency in multiples of the expected latency; otherwise one long prompt would make a
+        server look slow.
         """
         model = self._prefill_model(server.instance.service)
         expected_s = model.predict(tokens)
--- a/wheatroute/edge/usage_history.py
+++ b/wheatroute/edge/usage_history.py
@@ -8,7 +8,7 @@
 
 
 class UsageHistory:
-    """Tokens by the time slot in which they were used; `span_s` is how many seconds the history goes back."""
+    """Holds the tokens used in each time slot; `span_s` is how many seconds the history goes back."""
 
     __slots__ = ("_slots", "_span_slots")
 
--- a/wheatroute/edge/usage_reporter.py
+++ b/wheatroute/edge/usage_reporter.py
@@ -17,12 +17,12 @@
 
 REPORT_TIMEOUT_S = 0.25
 REPORT_INTERVAL_S = 0.3  # minimum mean interval between two reports of one node
-# Minimum mean interval between two reports of any nodes, since the rate of all reports determines the load of
-# the primary.
+# Minimum mean interval between two reports that the primary receives, from whichever nodes: the rate of all
+# reports determines its load.
 REPORT_SPACING_S = 0.01
 MIN_INTERVAL_JITTER, INTERVAL_JITTER_RANGE = 0.8, 0.4  # the interval is multiplied by 0.8 to 1.2
 MAX_LEASE_ATTEMPTS = 2  # the second goes to the primary that another host has named
-LEASE_BACKOFF_S = 0.3  # time for which no request waits for a lease after a host did not answer
+LEASE_BACKOFF_S = 0.3  # after a host did not answer, no request waits for a lease for this time
 
 
 class UsageReporter:
@@ -60,10 +60,10 @@
             node.quotas.refill_isolated(limits, trio.current_time(), node.edge_node_count, slack)
 
     async def _send_lease_request(self, tenant: str, tokens: float) -> bool:
-        """Requests a lease from the primary, and after a redirect from the host that was named.
+        """Requests a lease from the primary; if that is redirected, requests it from the host that was named.
 
-        Returns False if there is no response, and at once if the primary counts as lost or a host did not
-        answer lately.
+        Returns False if there is no response. Sends no request, and returns False at once, if the primary
+        counts as lost or if within the last `LEASE_BACKOFF_S` a host did not answer.
         """
         client = self._primary_client
         for _ in range(MAX_LEASE_ATTEMPTS):
@@ -120,8 +120,8 @@
     async def _report(self) -> None:
         """Reports the load and unresponsive servers, and returns surplus tokens.
 
-        Sends nothing while the primary counts as lost, or if there is no load, neither now nor in the last
-        report, and no new primary lacks the recent usage.
+        Sends a report only if the primary doesn't count as lost and there is news: load now or in the last
+        report, or a primary that has changed and lacks the recent usage.
         """
         node, primary = self._node, self._primary_client.primary
         now = trio.current_time()
@@ -134,7 +134,8 @@
         # After a report with unresponsive servers, one with an empty map reports that they have answered.
         reported = unresponsive if unresponsive or self._has_reported_unresponsive else None
         self._has_reported_unresponsive = bool(unresponsive)
-        # The recent usage includes leased tokens, so none are returned in the same report.
+        # A report with the recent usage counts leased tokens as used, so surplus tokens are not returned in
+        # it but in a later report.
         demands = {} if self._recent_usage.is_due(primary) else self._demands(now)
         report = self._make_report(demands, now)
         await self._send(msgspec.structs.replace(report, servers=loads, unresponsive_for=reported))
--- a/wheatroute/peer_messages.py
+++ b/wheatroute/peer_messages.py
@@ -1,9 +1,9 @@
 """Encodes and decodes the text messages with loads of servers that nodes exchange. No I/O.
 
-A message is a prefix followed by four characters for each server: three for a short name, which every node
-derives from the server's address or, in the node on sockets, its id, and one for the load, from 0 to 92
-hundredths. A message is never longer than the nodes' network allows (`MAX_MESSAGE_BYTES`). A message that
-cannot be decoded is treated as empty.
+A message is a prefix followed by four characters for each server. Three are a short name, which every node
+derives from the server's address (the node on sockets derives it from the server's id); one is the load, from
+0 to 92 hundredths. A message is never longer than the nodes' network allows (`MAX_MESSAGE_BYTES`). A message
+that cannot be decoded is treated as empty.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,7 +12,7 @@
 PREFIX = "h"
 MAX_MESSAGE_BYTES = 256
 ENTRY_LENGTH = 4  # characters per server
-LOAD_UNIT = 0.01  # in units of a load, see `CommandWriter.send_loads`
+LOAD_UNIT = 0.01  # step in which loads are encoded; for what a load is, see `CommandWriter.send_loads`
 # Digits are the characters from "!" to "}": printable single-byte characters.
 _FIRST_CHARACTER, _BASE = 33, 93
 
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -1,7 +1,8 @@
 """Exact quantiles over a sliding window of latencies, without sorting the whole window at each update.
 
-The samples between two updates are sorted together once (the oldest interval again when some of its samples
-leave the window), and a quantile is found by a binary search over these sorted intervals. No clock, no I/O.
+The samples between two updates form an interval, which is sorted once; the oldest interval is sorted again
+when some of its samples leave the window. A quantile is found by a binary search over the sorted intervals.
+No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 def value_at_rank(lists: list[list[float]], rank: int) -> float:
-    """Returns the value of a rank, from 0, in the union of several sorted lists that are not all empty.
+    """Returns the value at a rank, counted from 0, in several sorted lists merged; not all may be empty.
 
     This is a binary search over all lists at once: each round halves the longest remaining range.
     """
@@ -63,7 +64,7 @@
     def relative_since(self, since: float) -> list[float]:
         """Returns the relative latencies of the samples from the time `since` on, sorted.
 
-        Only the samples added since the update before the last one are searched.
+        Only the new samples and those of the newest interval are searched.
         """
         before = self._intervals[-1].samples if self._intervals else ()
         recent = takewhile(
@@ -72,7 +73,7 @@
         return sorted(relative for _, _, relative in recent)
 
     def update(self, now: float) -> None:
-        """Sorts the new samples in, and drops exactly those samples that are older than the window."""
+        """Makes an interval of the new samples, and drops exactly the samples older than the window."""
         intervals, oldest = self._intervals, now - self._length
         if self._new_samples:
             intervals.append(SortedInterval(self._new_samples))
--- a/wheatroute/snapshot.py
+++ b/wheatroute/snapshot.py
@@ -1,8 +1,9 @@
 """Snapshots on disk: a header line (format, version, length and SHA-256 of the body), then the body as JSON.
 
-A snapshot is written to a temporary file and renamed over the old one, so that a file never mixes two
-snapshots. A snapshot that is truncated, modified, of another version, from the future or too old is rejected
-as a whole. Functions with a `path` do blocking I/O. Callers must check the contents of the body.
+A snapshot is written to a temporary file and renamed over the old one, so that a file never contains parts of
+two snapshots. A snapshot that is truncated, modified, of another version, from the future or too old is
+rejected as a whole. Functions with a `path` do blocking I/O. The body's contents are not checked; callers
+must do that.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class SnapshotError(Exception):
-    """A snapshot can't be used; the message is a predicate such as "was modified", without a subject."""
+    """A snapshot can't be used; the message lacks a subject, for example "has version 2, expected 1"."""
 
 
 def encode(body: dict[str, Any], written_at: float) -> bytes:
@@ -54,9 +55,9 @@
 
 
 def write(path: str, data: bytes) -> None:
-    """Replaces the snapshot at `path`; raises `OSError` if that fails.
+    """Replaces the snapshot at `path`; raises `OSError` if writing, renaming or the final fsync fails.
 
-    The old snapshot stays in place unless the rename has succeeded.
+    The old snapshot stays in place until the rename.
     """
     temporary = f"{path}.new"
     descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
--- a/wheatroute/split.py
+++ b/wheatroute/split.py
@@ -1,7 +1,7 @@
 """Load-balancing weights of servers: inverse to their latency, clamped around the mean weight.
 
-Used by both data planes: the decisions of a node (`wheatroute/balancing`) and the edge (`wheatroute/edge`). A
-pure function; no I/O.
+Both data planes use it: the decisions of a node (`wheatroute/balancing`) and the edge (`wheatroute/edge`).
+No I/O, no state.
 """
 
 from collections.abc import Sequence
@@ -11,10 +11,10 @@
 
 
 def clamped_weights(latencies: Sequence[float]) -> list[float]:
-    """Returns the weight of each server.
+    """Returns each server's weight: proportional to 1 / latency, clamped to 0.5 to 2 times the mean weight.
 
-    `latencies` may be in any unit and must be greater than 0. The weights sum to 1, or only approximately to
-    1 where some of them are clamped.
+    `latencies` may be in any unit and must be greater than 0. The weights sum to 1, but only approximately if
+    any of them is clamped.
     """
     weights = [1.0 / latency for latency in latencies]
     mean = 1.0 / max(1, len(weights))
--- a/wheatroute/stored_statistics.py
+++ b/wheatroute/stored_statistics.py
@@ -1,8 +1,8 @@
 """Exports server statistics as plain data with ages, for storage, and restores them. No I/O, no decisions.
 
-A server is skipped if it isn't ready in the server list, or if one of its values isn't a finite number, is
-out of range or refers to the future; the other servers are restored. The keys are those of stored snapshots
-and must not change.
+Restoring skips a server that isn't ready in the server list, and one with a value that isn't a finite number,
+is out of range or refers to the future; the other servers are restored. Stored snapshots contain the keys, so
+the keys must not change.
 """
 
 from __future__ import annotations
@@ -58,7 +58,8 @@
         servers.latency[server], servers.weight[server] = values["latency"], values["weight"]
         servers.latency_at[server], servers.error_rate[server] = now - values["age"] - age_s, values["errors"]
         if values["penalty"]:
-            # The server stays ejected until its half-open trial, which is due at once if its time has passed.
+            # The server stays ejected until it passes a half-open trial; the trial is due at once if its time
+            # has passed.
             servers.ejected_until[server] = now + values["barred_for"] - age_s
             servers.ejection_s[server] = values["penalty"]
         count += 1
