--- a/wheatroute/balancing/concurrency_limit.py
+++ b/wheatroute/balancing/concurrency_limit.py
@@ -10,12 +10,12 @@
 
 from wheatroute.balancing.parameters import LATENCY_WINDOW_S, MIN_IN_FLIGHT_PER_SERVER, MIN_SAMPLES
 
-# The bound on the time in flight is raised by this number of the time's standard errors, because the time
+# The bound on the time in flight includes this number of standard errors of that time, because the time
 # fluctuates if requests need uneven work.
 BOUND_STANDARD_ERRORS = 2.0
 CONGESTION_TOLERANCE = 0.9  # fraction by which the time in flight may exceed its minimum without congestion
-# Growth of the limit per tick while attempts in flight exceed 0.7 of it, as a fraction of the limit;
-# multiplied by 1 - congestion.
+# While attempts in flight exceed 0.7 of the limit, it grows per tick by this fraction of itself, multiplied
+# by 1 - congestion.
 GROWTH_PER_TICK = 0.2
 INITIAL_PER_SERVER = 3.0  # initial limit per server of the node's share
 # The limit stays between these multiples of the attempts in flight at the peak rate with the shortest time in
--- a/wheatroute/balancing/idle_connections.py
+++ b/wheatroute/balancing/idle_connections.py
@@ -11,7 +11,8 @@
 from wheatroute.balancing.parameters import MIN_SAMPLES, UPDATE_INTERVAL_S
 
 IDLE_BUCKETS = 7  # buckets of idle time: up to half a second, then doubling
-# Idle connections aren't used if the loss ratio of attempts on them exceeds that on busy ones by this factor.
+# Idle connections aren't used if the fraction of attempts that are lost on them exceeds this multiple of the
+# fraction lost on busy connections.
 MAX_LOSS_RATIO = 3.0
 DECAY = 0.97  # factor applied to the counts at each update, once per `UPDATE_INTERVAL_S`
 
--- a/wheatroute/balancing/latency_statistics.py
+++ b/wheatroute/balancing/latency_statistics.py
@@ -12,7 +12,7 @@
 
 
 class LatencyStatistics:
-    """Latency statistics by request class and over the sliding window; the attributes name their units."""
+    """Latency statistics by request class and over the sliding window; see each attribute for its unit."""
 
     def __init__(self) -> None:
         self.window = SlidingWindow(LATENCY_WINDOW_S)
--- a/wheatroute/balancing/load_reports.py
+++ b/wheatroute/balancing/load_reports.py
@@ -41,7 +41,7 @@
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        """Derives from changed settings whether this node probes, what reports contain, and load bounds."""
+        """Derives from changed settings whether to probe, what kind of load is reported, and load bounds."""
         settings = self._state.settings
         reported = settings.reported
         self.is_probing = (
@@ -51,11 +51,11 @@
             and settings.node < PROBING_NODES
         )
         # `reports_wait`: whether the seconds that a request would wait can be computed from the reports.
-        # `reports_load`: whether the reports contain a load of either kind.
+        # `reports_load`: whether the reports contain any load, that wait or the requests in progress.
         self.reports_wait = {"queued", "rate"}.issubset(reported) and "held" not in reported
         self.reports_load = self.reports_wait or "held" in reported
-        # Load that one more request adds. If loads are waits, it is set so that a request meets even the
-        # shortest target latency at a lightly loaded server.
+        # Load that one more request adds. If a load is the seconds that a request would wait, it is
+        # set so that a request meets even the shortest target latency at a lightly loaded server.
         self.load_of_request = 1.0
         if self.reports_wait:
             shortest = min(request_class.target_latency for request_class in settings.request_classes)
--- a/wheatroute/balancing/outlier_ejection.py
+++ b/wheatroute/balancing/outlier_ejection.py
@@ -114,8 +114,8 @@
     def pick_for_trial(self, request: Request) -> int:
         """Returns an ejected server for which this request can be the half-open trial; -1 for none.
 
-        A request can be a trial only if it was not sent before and its class has `can_trial`; a class without
-        this setting allows it if it is idempotent.
+        A request can be a trial only if it was not sent before and its class allows trials: by the setting
+        `can_trial` or, if that is None, by being idempotent.
         """
         can_trial = request.rules.can_trial
         if can_trial is None:
--- a/wheatroute/balancing/periodic_tasks.py
+++ b/wheatroute/balancing/periodic_tasks.py
@@ -31,8 +31,8 @@
     def _start_tick(self) -> None:
         components, subset = self._components, self._components.subset
         now = components.state.now
-        # After a stall of this node, answers that have arrived may still be unread. No server is
-        # checked then, so that none is ejected for missing answers.
+        # After a stall of this node, answers that have arrived may still be unread. No server is checked
+        # then, so that none is ejected for missing answers.
         is_stalled = now - self.next_tick > TICK_INTERVAL_S / 2
         self.next_tick = now + TICK_INTERVAL_S
         components.state.latencies.update_latest_median(now)
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -76,7 +76,10 @@
             self._shed_at = self._state.now
 
     def _has_no_capacity(self, fraction: float = 1.0) -> bool:
-        """Returns whether a request limited to this fraction of the capacity must wait, even as a trial."""
+        """Returns whether requests limited to this fraction of the capacity must wait.
+
+        That is if the fraction is in use, no half-open trial is due, and no server is lightly loaded.
+        """
         limiter = self._limiter
         return (
             bool(self._subset.servers)
--- a/wheatroute/balancing/request.py
+++ b/wheatroute/balancing/request.py
@@ -52,7 +52,8 @@
         self.target, self.give_up_at, self.value = target, give_up_at, value
         # The next three lists have one entry per attempt.
         self.servers: list[int] = []
-        self.idle_buckets: list[int] = []  # bucket of the time for which the connection was idle at most
+        # Bucket of the longest time for which the attempt's connection may have been idle.
+        self.idle_buckets: list[int] = []
         self.opened_connection: list[bool] = []  # whether the attempt needed a new connection
         self.attempts_in_flight: set[int] = set()  # unordered: read only through sorted() or min()
         self.may_have_run = 0  # number of ended attempts that may have run
--- a/wheatroute/balancing/request_admission.py
+++ b/wheatroute/balancing/request_admission.py
@@ -21,7 +21,7 @@
         self._typical_time_left: list[float] = []
 
     def apply_settings(self) -> None:
-        """Derives the tier's role and the bound of low values from changed settings; keeps measurements."""
+        """Derives whether this is the entry tier and which values are low; measurements are kept."""
         classes = self._state.settings.request_classes
         self._is_entry = self._state.settings.tier == 0
         self._typical_time_left += [0.0] * (len(classes) - len(self._typical_time_left))
--- a/wheatroute/balancing/request_queue.py
+++ b/wheatroute/balancing/request_queue.py
@@ -39,8 +39,8 @@
         `work_s` returns the seconds that the tier, at its present rate, needs for a request. Requests are
         expected to start in the order of their latest start. If a request would start too late because of the
         work queued before it, it and the requests before it are shed, the least valuable first, until it
-        could start in time. So no request waits for long only to be rejected, and
-        the least valuable ones aren't starved while there is capacity for all.
+        could start in time. So no request waits for long only to be rejected, and the least valuable ones
+        aren't starved while there is capacity for all.
         """
         self.added_since_shed = 0
         work_before, shed = 0.0, list[Request]()
--- a/wheatroute/balancing/retry_rules.py
+++ b/wheatroute/balancing/retry_rules.py
@@ -15,9 +15,10 @@
 
 
 def deduplication_group(rules: RequestClass, servers: ServerStatistics, server: int) -> int:
-    """Returns the group of the server: its zone or cell, or 0 for all servers or an unknown server (-1).
+    """Returns the server's deduplication group: its zone, its cell, or 0 if the group is all servers.
 
-    All servers of a group drop repeats of a keyed request that was sent to one of them.
+    Each server of a group drops repeats of a keyed request that another one of the group was sent. For an
+    unknown server (-1) the result is 0.
     """
     group = rules.deduplication_group
     if group == DeduplicationGroup.ALL or server < 0:
--- a/wheatroute/balancing/server_statistics.py
+++ b/wheatroute/balancing/server_statistics.py
@@ -67,7 +67,7 @@
                 values.append({} if name == "sent_at" else DEFAULTS.get(name, 0))
 
     def recency(self, server: int, now: float) -> float:
-        """Returns the factor (0 to 1) by which the age of its last sample reduces the weight of a latency."""
+        """Returns the factor, 1 down to 0, on the weight of a server's latency as its last sample ages."""
         return 1.0 / (1.0 + (now - self.latency_at[server]) / LATENCY_WINDOW_S)
 
     def expected_latencies(self, members: list[int], now: float, mean_latency_s: float) -> list[float]:
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -13,7 +13,7 @@
 
 MAX_SERVERS_PER_TICK = 64  # with more servers, the work of a tick is spread over several batches
 # Minimum number of servers that a node sends to, and minimum mean number of nodes that send to a server. With
-# few nodes for many servers, the second requires larger subsets.
+# few nodes for many servers, the second minimum requires larger subsets.
 MIN_SUBSET = 8.0
 # If open connections have a price, this factor divides the minimum subset and the subset size that follows
 # from a node's traffic, and multiplies the minimum number of nodes per server.
@@ -87,8 +87,8 @@
 
         If the node sent to all servers of a large tier, it would get too few answers from each to tell slow
         servers from fast ones. Each node's section starts elsewhere, and together they cover the tier evenly.
-        A node with more traffic sends to more servers, as long as each answers it often enough; otherwise its
-        servers would carry more load than the others.
+        A node with more traffic sends to more servers, but only to so many that each still answers it often
+        enough. If its subset didn't grow, its servers would carry more load than others.
         """
         settings, count = self._state.settings, len(ring)
         price_factor = CONNECTION_PRICE_FACTOR if settings.connection_price > 0 else 1.0
--- a/wheatroute/edge/admission.py
+++ b/wheatroute/edge/admission.py
@@ -63,7 +63,7 @@
         return self._node.rng.choices(names, weights)[0]
 
     async def _charge(self, request: ClientRequest) -> None:
-        """Charges a request to its tenant's quota; if it has too few tokens, first requests a lease."""
+        """Charges a request to its tenant's quota; if too few tokens are left, first requests a lease."""
         tenant = request.tenant
         if tenant is None or tenant.rate_per_s <= 0:
             return
--- a/wheatroute/edge/attempt.py
+++ b/wheatroute/edge/attempt.py
@@ -128,7 +128,7 @@
         return await self._read_response(connection)
 
     async def _write(self, connection: StreamConnection, head: h11.Request) -> bool:
-        """Writes the request; returns False if it gave up before the last byte: the request never runs."""
+        """Writes the request; False means that it gave up before the last byte, so the request can't run."""
         is_done = connection.send(head, self.request.body)
         while not is_done:
             with trio.move_on_after(WRITE_CHECK_INTERVAL_S):
--- a/wheatroute/edge/clients.py
+++ b/wheatroute/edge/clients.py
@@ -214,7 +214,7 @@
                 await self._forwarder.handle(request, response)
             nursery.cancel_scope.cancel()
         # A client that got no `Connection: close` may be about to send another request, so its connection
-        # stays open even if this node is stopping; `close_idle` closes it.
+        # stays open until it is idle, even if this node is stopping (see `close_idle`).
         return response.is_complete and not response.is_closing
 
     @staticmethod
--- a/wheatroute/edge/dispatch.py
+++ b/wheatroute/edge/dispatch.py
@@ -99,10 +99,10 @@
 
     @staticmethod
     def _check_queue_timeout(delivery: Delivery, was_rejected: bool) -> None:
-        """Raises RequestError if a request that found no server must not wait for one.
+        """Raises RequestError if a request for which no server is available may wait no longer.
 
-        It must not if a server has rejected it, its queue timeout has passed, or `MAX_SENT_ATTEMPTS` attempts
-        were sent.
+        The wait ends when a server has rejected the request, its queue timeout has passed, or
+        `MAX_SENT_ATTEMPTS` attempts were sent.
         """
         request = delivery.request
         queue_timeout_s = max(MIN_QUEUE_TIMEOUT_S, QUEUE_TIMEOUT_FRACTION * delivery.target_s)
--- a/wheatroute/edge/instances.py
+++ b/wheatroute/edge/instances.py
@@ -80,7 +80,7 @@
         return self.ejected_until > now or self.instance.state == InstanceState.UNRESPONSIVE
 
     def record_failure(self, now: float) -> None:
-        """Ejects the server after an attempt failed; the time doubles with each failure in a row."""
+        """Ejects the server after an attempt failed, for a time that doubles with each failure in a row."""
         backoff_s = min(MAX_BACKOFF_S, FAILURE_BACKOFF_S * 2 ** min(self.consecutive_failures, 4))
         self.consecutive_failures += 1
         self.ejected_until = now + backoff_s
@@ -160,7 +160,7 @@
         }
 
     def apply(self, update: Update, now: float) -> list[Server]:
-        """Applies a registry update unless it is outdated; returns the servers that leave by it."""
+        """Applies a registry update unless it is outdated; returns the servers that it drains or removes."""
         if update.registry < self.version:
             return []
         self.version = update.registry
--- a/wheatroute/edge/latency_weights.py
+++ b/wheatroute/edge/latency_weights.py
@@ -13,7 +13,7 @@
 
 UPDATE_INTERVAL_S = 1.0
 SMOOTHING = 0.2  # weight of the newest sample
-PRIOR_SAMPLES = 3.0  # number of samples that the mean counts as, next to a server's own samples
+PRIOR_SAMPLES = 3.0  # the mean has the weight of this many samples, beside a server's own samples
 SAMPLE_HALF_LIFE_S = 10.0  # age in seconds at which a server's own samples have half their weight
 # Dead band: latencies within these multiples of the mean count as the mean.
 DEAD_BAND_MIN_RATIO, DEAD_BAND_MAX_RATIO = 0.75, 1.35
--- a/wheatroute/edge/pool.py
+++ b/wheatroute/edge/pool.py
@@ -16,7 +16,7 @@
 IDLE_TIMEOUT_FRACTION = 0.9  # fraction of a server's idle timeout for which connections are reused
 DEFAULT_IDLE_TIMEOUT_S = 60.0  # idle timeout assumed for servers that do not announce one
 MIN_IDLE_TIMEOUT_S = 0.5  # a connection that its server closes after a shorter idle time counts as broken
-# Fraction of the connections that a server accepts which all edge nodes together may use, in equal parts.
+# All edge nodes together, in equal parts, use at most this fraction of the connections that a server accepts.
 CAPACITY_FRACTION = 0.9
 MIN_CAPACITY = 2  # connections to each server that a node may always open
 MAX_ANSWERED_IDS = 200  # number of ids that a connection remembers; it is closed if it needs more
@@ -41,8 +41,8 @@
 class StreamConnectionPool:
     """Pools the connections of one node by server, and reuses the most recently used idle one first.
 
-    While `max_connections` or more connections to all servers together are open, the one that has been idle
-    for longest is closed before a new one is opened.
+    If `max_connections` are open, counted over all servers, the one that has been idle for longest is closed
+    before a new one is opened. If none is idle, the new one is opened all the same.
     """
 
     def __init__(self, max_connections: int) -> None:
--- a/wheatroute/edge/prefix_cache.py
+++ b/wheatroute/edge/prefix_cache.py
@@ -39,7 +39,7 @@
             self._last_used.popitem(last=False)
 
     def uncached_tokens(self, server_id: str, blocks: tuple[PrefixBlock, ...], now: float) -> int:
-        """Returns the tokens that a server has to prefill: the first uncached block and all later ones."""
+        """Returns the tokens to prefill at a server: those of the first uncached and of all later blocks."""
         for index, block in enumerate(blocks):
             last_used = self._last_used.get((server_id, block.id))
             if last_used is None or now - last_used > self._ttl_s:
--- a/wheatroute/edge/quota_leases.py
+++ b/wheatroute/edge/quota_leases.py
@@ -4,8 +4,8 @@
 nodes add up to the rate limit. A node is isolated while it has no contact with a primary. For a tenant,
 isolation begins when a lease request gets no response, and ends with the next grant. An isolated node uses
 local tokens: the local rate and burst of its last grant, and an even share of the allowed usage beyond the
-limit (`bounds.quota_slack`). It reports how many it has used to the next primary, which takes as many out of
-the bucket.
+limit (`bounds.quota_slack`). To the next primary it reports how many local tokens it has used, and that
+primary takes them out of the bucket.
 Unused local tokens are kept until the next isolation; they cannot be used while a primary answers.
 """
 
@@ -23,7 +23,7 @@
 DEMAND_WINDOW_S = 4.0  # window over which the demand of a tenant's clients is measured
 MAX_LEASE_S = 0.4  # leased tokens beyond this many seconds of a tenant's demand are returned
 MAX_LOCAL_BURST_S = 2.0  # an isolated node saves up at most this many seconds of its local rate
-LOCAL_RATE_TTL_S = 3.0  # maximum age, when isolation begins, of a grant whose local rate is used
+LOCAL_RATE_TTL_S = 3.0  # the last grant's local rate is used if isolation begins at most this long after it
 # Default local rate, as a fraction of an even share of the rate limit. An isolated node uses it if it has
 # received no grant yet, the last grant was too old (LOCAL_RATE_TTL_S), or the grant's local rate is 0.
 DEFAULT_LOCAL_RATE_FRACTION = 0.5
--- a/wheatroute/edge/routing.py
+++ b/wheatroute/edge/routing.py
@@ -33,7 +33,7 @@
         self._build_indexes()
 
     def _build_indexes(self) -> None:
-        """Builds the indexes that are built anew for each version, unlike the routes by host.
+        """Builds all indexes except `_by_host`; versions don't share these.
 
         This takes one pass over all items, without sorting them.
         """
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -3,8 +3,8 @@
 A server is drawn with a probability proportional to its weight (`latency_weights.py`). The draw is keyed by
 the last shared prefix block of the prompt, so that all nodes draw the same server for the same prefix without
 coordination; for a request without prefix blocks the draw is random. Congested servers are moved behind the
-others. A server is congested if its expected wait for the first token exceeds the shortest one of all servers
-by more than a fraction of the latency target. The expected wait counts the prompt tokens that are queued at
+others. A server is congested if its expected wait for the first token exceeds the shortest expected wait by
+more than a fraction of the latency target. The expected wait counts the prompt tokens that are queued at
 the server and those that it would have to prefill again.
 
 Source of weighted rendezvous hashing: C. Schindelhauer, G. Schomaker, "Weighted distributed hash tables",
@@ -33,7 +33,8 @@
 # it is above 1, because a prefill also evicts what they have cached.
 PREFERRED_MISS_COST = 0.15
 OTHER_MISS_COST = 3.0
-CACHE_TTL_FACTOR = 6.0  # multiple of `cache_ttl_s`, as servers keep blocks for longer than that
+# Blocks count as cached for this multiple of `cache_ttl_s`, as servers keep them for longer than that time.
+CACHE_TTL_FACTOR = 6.0
 MIN_RESPONSE_TIMEOUT_S = 0.8
 RESPONSE_TIMEOUT_FACTOR = 2.0  # multiple of the p95 of the time to first token
 MIN_LATENCY_S = 0.001  # lower bound of the expected time to first token, for divisions by it
--- a/wheatroute/edge/server_load.py
+++ b/wheatroute/edge/server_load.py
@@ -23,7 +23,7 @@
         self._remote: dict[str, ServerLoad] = {}
 
     def start(self, server_id: str, tokens: float) -> float:
-        """Counts an attempt with this many prompt tokens; returns the server's queued tokens with them."""
+        """Counts an attempt with this many prompt tokens; returns the tokens then queued at its server."""
         load = self._local.setdefault(server_id, _LocalLoad())
         load.running_requests += 1
         load.queued_tokens += tokens
--- a/wheatroute/quantiles.py
+++ b/wheatroute/quantiles.py
@@ -30,9 +30,10 @@
 
 
 def value_at_rank(lists: list[list[float]], rank: int) -> float:
-    """Returns the value at a rank, counted from 0, in several sorted lists merged; not all may be empty.
+    """Returns the value at a rank, counted from 0, among the values of several sorted lists.
 
-    This is a binary search over all lists at once: each round halves the longest remaining range.
+    At least one list must not be empty. This is a binary search over all lists at once: each round halves the
+    longest remaining range.
     """
     low, high = [0] * len(lists), [len(values) for values in lists]
     while True:
--- a/wheatroute/split.py
+++ b/wheatroute/split.py
@@ -11,10 +11,10 @@
 
 
 def clamped_weights(latencies: Sequence[float]) -> list[float]:
-    """Returns each server's weight: proportional to 1 / latency, clamped to 0.5 to 2 times the mean weight.
+    """Returns each server's weight, which is proportional to 1 / latency and clamped.
 
-    `latencies` may be in any unit and must be greater than 0. The weights sum to 1, but only approximately if
-    any of them is clamped.
+    `latencies` may be in any unit and must be greater than 0. Each weight is clamped to between 0.5 and 2
+    times the mean weight. The weights sum to 1, but only approximately if any of them is clamped.
     """
     weights = [1.0 / latency for latency in latencies]
     mean = 1.0 / max(1, len(weights))
