--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -1,8 +1,8 @@
 """`python -m wheatroute`: runs one node; handles its startup, signals and exit status.
 
 SIGTERM and SIGINT stop the node once every accepted request is answered; SIGHUP reloads its settings, even
-while it stops. A stop signal that arrives before the node listens also stops it; a second one has no further
-effect.
+while it stops. A stop signal that arrives before the node listens also stops it; a second stop signal has no
+further effect.
 
 Exit status: 0 after SIGTERM or SIGINT, 1 if the node cannot listen, 2 if its settings are invalid.
 """
@@ -35,10 +35,11 @@
     from wheatroute.agreement.version_follower import VersionFollower
     from wheatroute.rollout.figures_reporter import FiguresReporter
 
-# Fraction of the connections that is for clients: every request occupies its client's connection, but a
-# connection to a server only while an attempt is in flight.
+# Fraction of the connections that is reserved for clients. It is more than half because a request always
+# occupies its client's connection, but a connection to a server only while an attempt is in flight.
 CLIENT_CONNECTIONS_RATIO = 0.55
-# Higher than the defaults, as few objects that are allocated for a request are in reference cycles.
+# Higher than the defaults: few objects of a request are in reference cycles, so frequent garbage collections
+# would free little.
 GC_THRESHOLDS = (10000, 20, 50)
 
 
@@ -47,8 +48,8 @@
 
     `early_signals` are stop signals that arrived before this call.
     """
-    # The receiver is opened before anything listens: a signal between the two would terminate the process
-    # while clients are in the listener's queue.
+    # The receiver is opened before the node listens: a signal that arrives after listening and before
+    # receiving would be lost while clients are in the listener's queue.
     with open_signal_receiver() as signals:
         if early_signals:
             log.info("stopped", signal=signal.Signals(early_signals[0]).name)
--- a/wheatroute/net/addresses.py
+++ b/wheatroute/net/addresses.py
@@ -2,7 +2,7 @@
 
 import re
 
-NO_ADDRESS = ("", 0)  # the address of the list service if there is none
+NO_ADDRESS = ("", 0)  # used as the address of the list service if the node has no list service
 _ADDRESS = re.compile(r"((?:[0-9]{1,3}\.){3}[0-9]{1,3}):([0-9]{1,5})\Z")
 
 
--- a/wheatroute/net/attempts.py
+++ b/wheatroute/net/attempts.py
@@ -1,9 +1,9 @@
 """Sends attempts to servers and determines their outcomes.
 
 Does I/O. An attempt is written to one connection without delay; `SendRules` is checked immediately before the
-first write and before each further one. The outcome tells whether the request may have run: it cannot have
-run before its last byte was written, and may have run after that unless the server's response proves the
-contrary (`AttemptOutcome.FULL`). Nothing is retried here.
+first write and before each further one. The outcome tells whether the request may have run: if its last byte
+was not written, it cannot have run; if it was, the request may have run unless the server's response proves
+that it did not (`AttemptOutcome.FULL`). Nothing is retried here.
 """
 
 import h11
@@ -78,7 +78,7 @@
         try:
             holder.connection = connection = await self._acquire(exchange, attempt.server)
         except ConnectFailedError as error:
-            # If this node lacks a descriptor, the attempt never began, which says nothing about the server.
+            # If this node has no free descriptor, the attempt never began; the server is not at fault.
             is_local_failure = error.reason == CloseReason.NO_CAPACITY
             return AttemptOutcome.MOOT if is_local_failure else AttemptOutcome.UNCONNECTED, None
         if not self._rules.may_send(exchange, attempt):
@@ -96,7 +96,8 @@
         except PeerClosedError:
             return self._outcome_of_lost_connection(connection, holder, CloseReason.PEER_CLOSED), None
         except MalformedError:
-            # The request may have run. Idle connections to the server are not suspected of being dead.
+            # The request may have run. A malformed response, unlike a reset, does not suggest that idle
+            # connections are dead.
             holder.close_reason = CloseReason.MALFORMED
             self._pool.suspect_surplus_input()
             return AttemptOutcome.UNKNOWN, None
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -83,7 +83,7 @@
         # None unless the settings name other nodes.
         self.peers: PeerSender | None = None
 
-    # Methods that add events.
+    # Methods that add events for the balancer.
 
     def add_event(self, *event: Any) -> None:
         """Adds an event for the next batch."""
@@ -124,7 +124,7 @@
     def finish_attempt(
         self, exchange: Exchange, attempt: Attempt, outcome: AttemptOutcome, report: Report | None
     ) -> None:
-        """Adds an `ATTEMPT_ENDED` event, with the load report of the response if it had one."""
+        """Adds an `ATTEMPT_ENDED` event; `report` is the load report in the response, None if it had none."""
         exchange.attempts_in_flight -= 1
         self._forget_if_finished(exchange)
         self.add_event(
@@ -141,8 +141,8 @@
     def update_settings(self, settings: DecisionSettings, applies_to_pending: bool) -> None:
         """Applies new settings before any pending event is handled.
 
-        If they apply to pending requests too, retries and hedges that have not been written yet are
-        withdrawn.
+        If `applies_to_pending` is set, they apply to pending requests too, and retries and hedges that have
+        not been written yet are withdrawn.
         """
         for exchange in self._exchanges.values() if applies_to_pending else ():
             for attempt in exchange.attempts[1:]:
@@ -172,7 +172,10 @@
         self._set_timer()
 
     async def _run_timer(self) -> None:
-        """Starts a batch when a timer expires. Runs in a separate task, as most batches need no timer."""
+        """Starts a batch when the timer expires.
+
+        It is a separate task because most batches are started by an event, not by the timer.
+        """
         while True:
             with self._timer:
                 await trio.sleep_forever()
@@ -219,8 +222,8 @@
     def _fail_overdue(self, moment: float) -> None:
         """Fails exchanges that the balancer has not completed in time, so that every client gets a response.
 
-        Runs before the batch, so that the `CLIENT_LEFT` event reaches the balancer in the same batch after
-        which the exchange is removed.
+        Runs before the batch: the exchange is removed after it, so the balancer must get the `CLIENT_LEFT`
+        event in it.
         """
         while self._overdue_times and self._overdue_times[0][0] <= moment:
             exchange = self._exchanges.get(heappop(self._overdue_times)[1])
--- a/wheatroute/net/client_connection.py
+++ b/wheatroute/net/client_connection.py
@@ -12,13 +12,13 @@
 from wheatroute.net.exchange import Exchange
 from wheatroute.net.log import CloseReason
 
-# Time to receive a complete request: below the 3 s for which the protocol has clients wait for an error or a
-# close.
+# Time in which a client must send a complete request. It is below the 3 s for which, by the protocol, clients
+# wait for an error response or a close.
 REQUEST_TIMEOUT_S = 2.0
 
 
 class ClientConnection:
-    """Holds a connection with its open request, its deadline for the next one and its reason to close.
+    """Holds a connection, its open request, the deadline for receiving a request, and the reason to close it.
 
     `lag_s` is the longest time for which the connection may have been waiting to be accepted.
     """
@@ -37,15 +37,15 @@
 
     def __init__(self, connection: Connection, lag_s: float) -> None:
         self.connection = connection
-        # Deadline for receiving a complete request, at first the first one, on trio's clock.
+        # Time on trio's clock by which a complete request must be received.
         self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S - lag_s
         self.scope = trio.CancelScope(deadline=self.request_deadline)
         self.exchange: Exchange | None = None  # exchange of the open request
         self.close_reason: CloseReason | None = None  # set once no more requests are handled
         self.has_partial_request = False
-        self.is_close_requested = False  # whether to close it unless more data has been received
+        self.is_close_requested = False  # whether to close it unless a request has arrived
         self.is_paused = False  # whether reading is paused because the client has pipelined too much
-        self.discarded_reads = 0  # number of reads whose data was discarded, since its last response
+        self.discarded_reads = 0  # reads whose data was discarded after its last response
 
     def request_close(self) -> None:
         """Has the reading task close the connection unless a request has been received."""
@@ -58,7 +58,7 @@
         self.scope.cancel()
 
     def begin_partial_request(self) -> None:
-        """Starts the timeout for a partly received request; the first one counts from the accept."""
+        """Starts the timeout for a partly received request; that of the first request began at the accept."""
         self.has_partial_request = True
         if self.connection.message_count:
             self.request_deadline = trio.current_time() + REQUEST_TIMEOUT_S
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -10,7 +10,7 @@
 
 RESERVED_RATIO = 0.1  # fraction of the connections reserved for clients that can only be rejected
 MIN_RESERVED = 2
-# Minimum age of a connection on which the client has sent nothing, before it is closed in favour of others.
+# Minimum age at which a connection without any request so far may be closed to make room for other clients.
 MIN_SILENT_S = 0.25
 
 
@@ -60,11 +60,12 @@
         self._idle.pop(client, None)
 
     def close_idle_client(self) -> None:
-        """Closes a client that has sent nothing since it connected; if there is none, the longest idle one.
+        """Closes a client that has sent nothing for `MIN_SILENT_S`; if there is none, the longest idle one.
 
-        If silent clients were not closed first, hundreds of them would displace those that send requests.
-        Clients that have just connected are kept: a client whose connection is closed before its request was
-        read sends the request once more on a new connection, but not a third time.
+        The longest idle one is chosen among clients that have had a response. If silent clients were not
+        closed first, hundreds of them would displace clients that send requests. Clients that have just
+        connected are kept: a client whose connection is closed before its request was read sends the request
+        once more on a new connection, but not a third time.
         """
         longest_idle = None
         for client in self._idle:
--- a/wheatroute/net/clock.py
+++ b/wheatroute/net/clock.py
@@ -6,8 +6,8 @@
 
 
 def now() -> float:
-    """Returns the Unix time in seconds, but monotonic.
+    """Returns a monotonic clock's time, as Unix time in seconds.
 
-    It is Unix time because start times in the list of servers are.
+    Start times in the list of servers are Unix times too, so the two can be compared.
     """
     return time.monotonic() + _UNIX_OFFSET_S
--- a/wheatroute/net/connection.py
+++ b/wheatroute/net/connection.py
@@ -76,7 +76,8 @@
     async def receive(self) -> bool:
         """Waits for data and passes it to the parser; returns False once the peer has closed its side."""
         while True:
-            # Waits before the first recv: data is rarely available yet, and a failing recv costs as much.
+            # Waits before the first recv because data is rarely available yet, and a recv that fails costs as
+            # much as one that succeeds.
             await trio.lowlevel.wait_readable(self.sock)
             try:
                 data = self.sock.recv(RECEIVE_BYTES)
@@ -112,9 +113,9 @@
                 raise PeerClosedError
 
     def _check_length(self, headers: Any) -> None:
-        """Rejects a body that is too long, and a message with both length headers.
+        """Rejects a body that is too long, and a message with both Content-Length and Transfer-Encoding.
 
-        Content-Length together with Transfer-Encoding could smuggle in a hidden message (RFC 9112, 6.3).
+        Both together could be used to hide a second message in the body (request smuggling; RFC 9112, 6.3).
         """
         lengths = [value for name, value in headers if name == b"content-length"]
         if lengths and any(name == b"transfer-encoding" for name, _ in headers):
@@ -191,7 +192,7 @@
         return False
 
     def is_closed_by_peer(self) -> bool:
-        """Returns whether the peer has closed or reset the connection, even behind data not read yet."""
+        """Returns whether the peer has closed or reset the connection, even if data is still to be read."""
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
                 return True
--- a/wheatroute/net/connection_pool.py
+++ b/wheatroute/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""Pool of connections to servers: opens, keeps, reuses and closes them within a limit of descriptors.
+"""Pool of connections to servers: opens, reuses and closes them; limits how many are open.
 
 Does I/O, but sends and reads no messages. A connection is either idle and in the pool, or in use and in
 exactly one `ConnectionHolder`.
@@ -19,8 +19,8 @@
 from wheatroute.net.log import CloseReason, Logger, log_closed_connection
 from wheatroute.net.server_table import ServerTable
 
-# Fraction of the servers' idle timeout after which idle connections are closed, so that none is used just as
-# its server closes it.
+# Fraction of the servers' idle timeout after which this node closes an idle connection, so that it is not
+# reused at the moment when the server closes it.
 MAX_IDLE_RATIO = 0.9
 # Delay before a connection is reused while servers send surplus responses (see `ConnectionPool.acquire`).
 REUSE_DELAY_S = 0.02
@@ -82,7 +82,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Applies new settings."""
+        """Uses the connect timeout and idle timeout of these settings from now on."""
         self.connect_timeout_s: float = settings.connect_timeout_s or inf
         # Idle time in seconds after which servers close their connections.
         self._idle_timeout_s: float = settings.idle_timeout_s
@@ -110,7 +110,8 @@
     def suspect_surplus_input(self) -> None:
         """Records that a server sent an unsolicited or malformed response: more of them may follow.
 
-        For the length of an idle timeout connections are reused only after a delay (`REUSE_DELAY_S`).
+        For the length of one idle timeout, a connection that has become idle is reused only after
+        `REUSE_DELAY_S`.
         """
         self._surplus_until = now() + self._idle_timeout_s
 
@@ -119,9 +120,10 @@
     async def acquire(self, server: int) -> Connection:
         """Returns the most recently used idle connection, or a new one; raises ConnectFailedError.
 
-        A surplus response may arrive some milliseconds after the first one. On a connection that is already
-        in use again it would be taken for the response to the next request. While servers send such
-        responses, a connection is therefore reused only after `REUSE_DELAY_S`.
+        A server that sends a surplus response may do so some milliseconds after the proper one. If the
+        connection were already in use again, the surplus response would be taken for the response to the next
+        request. While servers send such responses, a connection is therefore reused only after
+        `REUSE_DELAY_S`.
         """
         idle = self._idle.get(server, [])
         moment = now()
@@ -135,11 +137,11 @@
         return await self._connect(server)
 
     async def acquire_new(self, server: int) -> Connection:
-        """Returns a new connection, which replaces the longest idle one; an idle one if connecting fails.
+        """Returns a new connection and closes the server's longest idle one; reuses one if connecting fails.
 
-        Servers and networks may drop idle connections without notice. A request written to such a connection
-        may have run, so it would be lost unless it is idempotent; idempotent requests are retried and use
-        idle connections.
+        It is for requests that cannot always be retried. Servers and networks may drop idle connections
+        without notice. A request written to such a connection counts as one that may have run, so it could
+        not be sent again. Idempotent requests are retried, and therefore use idle connections (`acquire`).
         """
         if not self._idle.get(server):
             return await self._connect(server)
@@ -152,7 +154,10 @@
         return connection
 
     def release(self, server: int, holder: ConnectionHolder) -> None:
-        """Returns a connection to the pool if it can carry another message; else sets its close reason."""
+        """Returns a connection to the pool if it can carry another message.
+
+        If it cannot, it stays in the holder, with the reason to close it.
+        """
         connection = holder.connection
         if connection is None:
             return
@@ -216,7 +221,7 @@
                 log_closed_connection(self._log, "server", format_address(address), failure, began_at, 0)
 
     async def _establish(self, sock: socket.socket, address: tuple[str, int]) -> int:
-        """Connects a socket; returns 0 or the error number, EINPROGRESS or EWOULDBLOCK after a timeout."""
+        """Connects a socket; returns 0 or an error number (after a timeout EINPROGRESS or EWOULDBLOCK)."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex(address)
         if code in _IN_PROGRESS:
@@ -240,7 +245,7 @@
         self._idle.clear()
 
     def close_expired(self) -> None:
-        """Closes connections that are close to the servers' idle timeout or were closed by their servers."""
+        """Closes idle connections that are near the servers' idle timeout or can no longer be reused."""
         expired_before = now() - MAX_IDLE_RATIO * self._idle_timeout_s
         for idle in self._idle.values():
             for entry in idle[:]:
--- a/wheatroute/net/discovery.py
+++ b/wheatroute/net/discovery.py
@@ -1,7 +1,7 @@
 """Client of the list service: starts with the list of servers in the settings, then fetches and watches it.
 
 Does I/O; each watch and each fetch has its own connection. Invariants: a malformed entry never causes other
-entries to be dropped, and an older response never reverts changes from a newer one.
+entries to be dropped, and an older response never reverts changes that a newer one made.
 """
 
 import errno
@@ -21,15 +21,15 @@
 from wheatroute.net.server_entries import ServerEntryReader, ServerRegistry
 
 PATH = b"/discovery/hosts"
-# An unresponsive watch is detected WATCH_WAIT_S plus RESPONSE_MARGIN_S after its request was sent. The
-# request is then sent three more times, each on a connection that may fail to be established, within 6 s of
-# the watch becoming unresponsive: after 6 s the protocol considers missed changes as known to the node.
+# An unresponsive watch is detected WATCH_WAIT_S plus RESPONSE_MARGIN_S after its request was sent. Three more
+# attempts follow, each on a new connection, which may fail to be established. All of them are made within 6 s
+# of the watch becoming unresponsive, because after 6 s the protocol treats changes as known to the node even
+# if it has missed them.
 WATCH_WAIT_S = 3.0  # time for which the list service may wait for changes
-RESPONSE_MARGIN_S = 0.5  # time to answer after that wait, and time to establish a connection
+RESPONSE_MARGIN_S = 0.5  # time to answer after that wait; also the time to establish a connection
 FIRST_WATCH_WAIT_MS = 1  # wait of a connection's first watch: short, to detect an unresponsive service soon
-FETCH_TIMEOUT_S = 2.0  # the protocol considers a list as known to the node after 6 s
-# Delay before a failed watch is retried, below the 200 ms within which the protocol requires it to be
-# resumed.
+FETCH_TIMEOUT_S = 2.0  # below the 6 s after which the protocol treats a list as known to the node
+# Delay before a failed watch is retried. The protocol requires that a watch is resumed within 200 ms.
 RETRY_INTERVAL_S = 0.1
 MAX_LIST_BYTES = 1 << 24
 MAX_LOGGED_CHARACTERS = 120
@@ -40,7 +40,7 @@
     """Corrects lists by the states of servers that other processes report."""
 
     def filter_message(self, document: object) -> object:
-        """Returns a full list, or changes to a list, with corrections."""
+        """Returns the message, a full list or changes to a list, with its entries corrected."""
 
 
 class EventSink(Protocol):
@@ -126,7 +126,7 @@
     # Tasks of watches and fetches.
 
     async def _watch(self, scope: trio.CancelScope) -> None:
-        """Watches until a failure; retries after a failure unless lists are only sent on request."""
+        """Watches the list; after a failure it retries, or ends if lists are only sent on request."""
         with scope:
             while True:
                 await self._with_connection(self._watch_on)
@@ -210,12 +210,12 @@
         self._handle_response(await self._get(connection, target), responses_applied)
 
     async def _get(self, connection: Connection, target: bytes) -> object:
-        """Returns the decoded JSON of a response; raises MalformedError for a response without a list."""
+        """Requests `target` and returns the JSON of the response; raises MalformedError if it is unusable."""
         headers = [(b"Host", format_address(self._address).encode())]
         connection.send(h11.Request(method=b"GET", target=target, headers=headers))
         await connection.read_message()
         if connection.peer != format_address(self._address):
-            # The list service was switched meanwhile: this is the last response of the previous one.
+            # The node was switched to another list service meanwhile; this response is from the previous one.
             raise MalformedError(0, "the response is from the previous list service")
         body = connection.body
         if connection.head.status_code != 200:
@@ -230,13 +230,14 @@
     # Handling of received lists.
 
     def _handle_response(self, document: object, responses_applied: int) -> None:
-        """Applies a response, unless it is older than one that was applied since its request was sent.
+        """Applies a response unless a newer one has been applied since its request was sent.
 
         `responses_applied` is the number of responses that had been applied when the request was sent.
 
-        A full list may arrive after a newer change, and would make a draining server live again. If the
-        version is lower although no other response was applied meanwhile, the list service has restarted: its
-        list is applied, and further requests use the service's new versions.
+        An older full list may arrive after a newer change and would, for instance, make a draining server
+        live again. If the response's version is lower than the known one although no other response was
+        applied since its request was sent, the list service has restarted and numbers its versions anew: its
+        list is applied, and further requests use its new version numbers.
         """
         fields = document if isinstance(document, dict) else {}
         version = fields.get("version")
@@ -255,7 +256,7 @@
             self.watch(True)
 
     def apply_reported_states(self, servers: list[dict[str, Any]]) -> None:
-        """Applies states of this list's servers that other processes have reported."""
+        """Applies server states that other processes have reported, to servers of this node's list."""
         self._apply({"heard": True, "full": False, "servers": servers})
 
     def _apply(self, document: object) -> None:
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -25,10 +25,7 @@
 
 
 class Downstream:
-    """Serves all clients of the node.
-
-    `max_connections` limits the connections of clients.
-    """
+    """Serves all clients of the node; `max_connections` limits their connections."""
 
     def __init__(
         self,
@@ -73,7 +70,7 @@
         decision_settings: DecisionSettings,
         other_forms: AlternativeForms,
     ) -> None:
-        """Applies new settings; see `RequestParser.update_settings`."""
+        """Uses these settings from now on; see `RequestParser.update_settings` for `other_forms`."""
         class_rules = decision_settings.request_classes
         self._parser.update_settings(request_classes, tenants, class_rules, other_forms)
         self._handler.update_settings(decision_settings)
@@ -110,7 +107,7 @@
         self._accepting.cancel()
 
     def _close_answered_clients(self) -> None:
-        """Closes idle connections that have had a response; others announce it with their next response."""
+        """Closes idle connections that have had a response; on others, the next response announces it."""
         self._shutdown.is_stopping = True
         for client in self._clients.idle:
             if client.connection.message_count:
@@ -127,7 +124,7 @@
             if clients.open >= clients.max_clients:
                 clients.close_idle_client()
             if clients.open >= clients.max_open:
-                # After the timeout a client that has connected and sent nothing may be closed.
+                # After this wait, a client that has sent nothing may be old enough to be closed.
                 await clients.wait_for_close(ACCEPT_RETRY_S)
                 continue
             try:
@@ -211,9 +208,10 @@
         if client.has_partial_request:
             if trio.current_time() >= client.request_deadline:
                 self._handler.writer.write_error(client, MalformedError(408, "half a request"))
-            else:  # part of a request arrived before a requested close: the rest is read first
+            else:  # a close was requested after part of a request had arrived: the rest is read first
                 client.scope.deadline = client.request_deadline
-        # A request that arrived before a requested close is still read.
+        # A connection with unread data is not closed: the data may be a request that arrived before the close
+        # was requested.
         elif client.exchange is None and client.connection.is_reusable():
             if client.is_close_requested:
                 return self._clients.close_reason()
--- a/wheatroute/net/event_loop_lag.py
+++ b/wheatroute/net/event_loop_lag.py
@@ -10,9 +10,9 @@
 class EventLoopLag(trio.abc.Instrument):
     """Computes an upper bound of the time for which data that is read now has been waiting.
 
-    A client's timeout counts from the last byte of its request, which may have been waiting since the
-    previous iteration of the event loop. Without this bound, a node whose event loop was blocked would answer
-    after deadlines.
+    A client's timeout counts from the arrival of the last byte of its request. That byte may have been
+    waiting since the previous iteration of the event loop. Without this bound, a node whose event loop was
+    blocked would answer requests after their deadlines.
     """
 
     def __init__(self) -> None:
@@ -27,8 +27,8 @@
         """Called by trio after it has waited for sockets."""
         self.iterations += 1
         moment = time.monotonic()
-        # If the loop had to wait, the data arrived at the end of the wait; else it may have been waiting
-        # since the previous iteration.
+        # If the loop had to wait, the data arrived at the end of the wait. If it had not, the data may have
+        # been waiting since the start of the previous iteration.
         has_waited = moment - self._wait_began > MIN_REAL_WAIT_S
         self._unread_since = moment if has_waited else self._iteration_began
         self._iteration_began = moment
--- a/wheatroute/net/exchange.py
+++ b/wheatroute/net/exchange.py
@@ -32,7 +32,7 @@
 
 
 def parse_work_hint(text: bytes | str) -> float:
-    """Returns the cost of a request from its hint; 0.0 unless the hint is a positive finite number."""
+    """Returns the cost that a work hint gives for a request; 0.0 if it is not a positive finite number."""
     try:
         work = float(text)
     except ValueError:
--- a/wheatroute/net/listener.py
+++ b/wheatroute/net/listener.py
@@ -53,10 +53,11 @@
     def close(self, accept_one: Callable[[], bool]) -> None:
         """Accepts queued connections by calling `accept_one` until it returns False, then closes the socket.
 
-        The kernel resets connections that are queued on a listener when it is closed. A filter keeps new ones
-        out of the queue before the last call of `accept_one`.
+        The kernel resets connections that are still queued on a listener when it is closed. Therefore a
+        filter first keeps new connections out of the queue.
         """
-        # Without support for filters, a connection may arrive between the last accept and the close.
+        # If the kernel does not support filters, a connection that arrives between the last accept and the
+        # close is reset.
         with suppress(OSError):
             program = struct.pack("HP", len(_DROP_SYN) // _BPF_INSTRUCTION_BYTES, _DROP_SYN.buffer_info()[0])
             self._sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
--- a/wheatroute/net/load_reports.py
+++ b/wheatroute/net/load_reports.py
@@ -2,14 +2,14 @@
 
 from wheatroute.wire_names import REPORT_FIGURES
 
-MAX_LOAD_FIGURE = 1e9  # a larger value must be an error
+MAX_LOAD_FIGURE = 1e9  # from here on, a value is treated as malformed
 
 
 def parse_load_report(text: str) -> tuple[dict[str, float] | None, str]:
     """Returns the metrics by internal name (None if there are none), and the last malformed part.
 
-    The text is a comma-separated list of name=value. Malformed parts are not included in the metrics; without
-    one, the second result is empty.
+    The text is a comma-separated list of name=value. Malformed parts are not included in the metrics; if no
+    part is malformed, the second result is empty.
     """
     report: dict[str, float] = {}
     malformed = ""
--- a/wheatroute/net/log.py
+++ b/wheatroute/net/log.py
@@ -31,7 +31,7 @@
     CONNECTION_REFUSED = "connection-refused"  # a server refused the connection
     UNREACHABLE = "unreachable"  # a connection to a server was not established in time
     WITHDRAWN = "withdrawn"  # the attempt on it was withdrawn
-    TIMED_OUT = "timed-out"  # the attempt on it ran out of time
+    TIMED_OUT = "timed-out"  # the attempt on it exceeded its timeout
     IDLE_TIMEOUT = "idle-timeout"  # idle for nearly as long as its server keeps idle connections
     NO_CAPACITY = "no-capacity"  # closed or not opened, to stay within the limit of descriptors
     # The balancer or discovery had it closed, or a new connection replaced it (`ConnectionPool.acquire_new`).
@@ -54,9 +54,9 @@
 
 
 class LogWriter:
-    """Writes lines to standard output; while a pipe is full, lines are dropped and counted.
+    """Writes lines to standard output; if that is a pipe, lines are dropped and counted while it is full.
 
-    Otherwise a log reader that stalls would block the whole node.
+    If writes waited for the pipe, a log reader that stalls would block the whole node.
     """
 
     def __init__(self) -> None:
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -19,9 +19,9 @@
 from wheatroute.platform_settings import decision_settings
 from wheatroute.wire_names import NameNumbering
 
-# File descriptors that are not available for connections: they are for files, the listener, the list service
-# and the event loop. Where few descriptors are allowed, RESERVED_DESCRIPTORS_RATIO of them plus
-# MIN_RESERVED_DESCRIPTORS are reserved instead.
+# File descriptors that are reserved for files, the listener, the list service and the event loop, so not
+# available for connections. If RESERVED_DESCRIPTORS_RATIO of the node's limit plus MIN_RESERVED_DESCRIPTORS
+# is less, only that many are reserved.
 RESERVED_DESCRIPTORS = 32
 RESERVED_DESCRIPTORS_RATIO = 0.125
 MIN_RESERVED_DESCRIPTORS = 6
@@ -29,7 +29,7 @@
 RESPONSES_IN_MEMORY = 32  # a single response may use 1 / RESPONSES_IN_MEMORY of the node's memory
 DEFAULT_AGREEMENT_TIMEOUT_S = 10.0  # time within which processes have to agree on a version
 DEFAULT_MEMORY_MB = 64.0
-# Headers with another meaning, which cannot be the header with the work hint.
+# Headers that have another meaning and must not be configured as the header with the work hint.
 RESERVED_HEADERS = (
     "request-id",
     "request-timeout",
@@ -81,9 +81,10 @@
     max_response_bytes: int
     settings: dict[str, Any]  # the object "settings" of the file, unchanged
     derived: dict[str, Any]
-    agreement: dict[str, Any] | None  # the version store, and the timeout in seconds as "within"
-    rollout: dict[str, Any] | None  # the version store of rollouts, and the timeout in seconds as "within"
-    has_successor: bool  # while this process stops, another one of this node listens on the same address
+    # Settings of the version store; "within": seconds within which processes have to agree.
+    agreement: dict[str, Any] | None
+    rollout: dict[str, Any] | None  # likewise, for the version store of rollouts
+    has_successor: bool  # another process of this node listens on the same address while this one stops
     peers: PeerAddresses | None
 
     @property
@@ -147,7 +148,7 @@
         discovery = NO_ADDRESS if etcd_servers else parse_address(list_service)
     except ValueError as error:
         raise NodeSettingsError(
-            f"invalid address to listen on, of the list service or of etcd: {error}"
+            f"invalid address to listen on, address of the list service, or etcd endpoint: {error}"
         ) from error
     work_header = _parse_work_header(document.get("work_header"))
     max_connections = _max_connections(document.get("limits"))
@@ -157,7 +158,7 @@
     rollout = _parse_version_store(document.get("rollout"), "rollout")
     has_successor = _parse_has_successor(document.get("beside", False))
     peers = _parse_peers(document.get("peers"), derived["decision_settings"].has_peers)
-    # Without peers, no server is probed on their behalf.
+    # If the file has no "peers", the decision module must not probe servers on behalf of peers.
     derived["decision_settings"] = replace(derived["decision_settings"], has_peers=peers is not None)
     initial_list = document.get("known")
     return NodeSettings(
@@ -182,7 +183,8 @@
 def reload_node_settings(environment: Mapping[str, str]) -> NodeSettings:
     """Reads the settings of a running node again; raises NodeSettingsError.
 
-    The list service is taken from the file, because the environment dates from the start of the process.
+    The address of the list service is taken from the file even if PROXY_DISCOVERY is set, because the
+    environment cannot change after the process has started.
     """
     return read_node_settings(
         {name: value for name, value in environment.items() if name != "PROXY_DISCOVERY"}
@@ -285,7 +287,8 @@
         or not isinstance(table.get("nodes_prefix", ""), str)
     ):
         raise NodeSettingsError(
-            '"servers" must be an object with only a list "etcd" and strings "prefix" and "nodes_prefix"'
+            '"servers" must be an object with a list "etcd", a non-empty string "prefix", '
+            'optionally a string "nodes_prefix", and no other key'
         )
     for endpoint in table["etcd"]:
         parse_address(endpoint)
@@ -301,13 +304,15 @@
 def _parse_version_store(table: object, name: str) -> dict[str, Any] | None:
     """Returns the settings of the version store that the object `name` describes; None if there is no object.
 
-    The keys are "directory", "relay", or "etcd" (addresses) and "prefix", and "within" (seconds).
+    The store is given by the key "directory", by "relay", or by "etcd" (addresses) together with "prefix".
+    Additionally there is "within" (seconds).
     """
     if table is None:
         return None
     if not isinstance(table, dict) or table.keys() - {"directory", "relay", "etcd", "prefix", "within"}:
         raise NodeSettingsError(
-            f'"{name}" must be an object with only "directory", "relay", or "etcd" and "prefix", and "within"'
+            f'"{name}" must be an object; its only keys may be "directory", "relay", "etcd", "prefix" and '
+            '"within"'
         )
     within_s, endpoints = table.get("within", DEFAULT_AGREEMENT_TIMEOUT_S), table.get("etcd")
     if not isinstance(within_s, int | float) or not 0.0 < within_s < inf:
@@ -317,7 +322,8 @@
         return {paths[0]: table[paths[0]], "within": float(within_s)}
     if not isinstance(endpoints, list) or not endpoints or not isinstance(table.get("prefix"), str):
         raise NodeSettingsError(
-            f'"{name}" must have either "directory" or "relay", or "etcd" endpoints and a "prefix"'
+            f'"{name}" must name one store: a "directory", a "relay", or a non-empty list "etcd" '
+            'with a string "prefix"'
         )
     try:
         addresses = [parse_address(endpoint) for endpoint in endpoints]
@@ -332,7 +338,7 @@
         return b""
     if not isinstance(name, str) or not _HEADER_NAME.match(name) or name.lower() in RESERVED_HEADERS:
         raise NodeSettingsError(
-            f'"work_header" must be the name of a header without another meaning, got {name!r}'
+            f'"work_header" must be a header name that has no other meaning in requests, got {name!r}'
         )
     return name.lower().encode()
 
--- a/wheatroute/net/peers.py
+++ b/wheatroute/net/peers.py
@@ -63,7 +63,7 @@
         try:
             data, sender = self._socket.recvfrom(peer_messages.MAX_MESSAGE_BYTES + 1)
         except OSError:
-            return  # an ICMP error about a datagram sent earlier
+            return  # an ICMP error that a datagram sent earlier has caused
         if sender in self._others:
             short_names = peer_messages.ShortNames()
             for identity, server in self._servers.numbers.items():
--- a/wheatroute/net/probes.py
+++ b/wheatroute/net/probes.py
@@ -1,4 +1,4 @@
-"""Probes servers: requests their load reports, or a liveness check if load reports are not used.
+"""Probes servers: requests the load report of a server, or its liveness check if load reports are not used.
 
 Does I/O.
 """
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -25,7 +25,7 @@
 from wheatroute.net.shutdown import ShutdownState
 
 READINESS_PATH = b"/up"
-# Event loop iterations from accepting a connection until data that was already waiting on it has been read.
+# Maximum number of event loop iterations from accepting a connection to reading data that was waiting on it.
 MAX_ITERATIONS_TO_FIRST_READ = 3
 REJECTION_LOG_INTERVAL_S = 1.0
 
@@ -51,7 +51,7 @@
         tenants: dict[str, int],
         class_rules: Sequence[RequestClass],
     ) -> None:
-        """Applies new settings: numbers of request classes and tenants by name, and the classes' rules."""
+        """Uses new numbers of request classes and tenants, by name, and new rules of the classes."""
 
 
 class Readiness(Protocol):
@@ -88,7 +88,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Applies new settings."""
+        """Uses these settings' limit of requests in flight and retry advice from now on."""
         self._max_in_flight = min(
             self._clients.max_clients, settings.max_open_connections or self._clients.max_clients
         )
@@ -97,7 +97,10 @@
     # Receiving and admitting requests.
 
     def handle(self, client: ClientConnection) -> None:
-        """Handles the next request if it is complete and no other is open; else its bytes stay buffered."""
+        """Handles the next request if it is complete and no other request of the client is open.
+
+        If not, the received bytes stay buffered.
+        """
         client.discarded_reads += client.connection.discards_input
         if client.close_reason is not None or client.exchange is not None:
             return
@@ -167,8 +170,9 @@
     def _reject(self, client: ClientConnection, exchange: Exchange) -> None:
         """Rejects a request before it reaches the balancer.
 
-        The limit is that of the settings, as in the simulator, or that of the file descriptors if it is
-        lower: with no descriptor left, requests would be lost unread in the listener's queue.
+        Requests are rejected at the limit in the settings, as in the simulator, or at the limit that the file
+        descriptors set if it is lower: if no descriptor were left, requests would be lost unread in the
+        listener's queue.
         """
         if self.account is not None:
             self.account.request_rejected(exchange)
--- a/wheatroute/net/request_parser.py
+++ b/wheatroute/net/request_parser.py
@@ -1,7 +1,8 @@
 """Parses a client's message into an exchange according to the current settings. No I/O.
 
-Remembers recent request ids. Invariants: no request id is accepted twice while it is remembered, and no
-request is accepted without what makes a retry safe in its class (a safe method or an idempotency key).
+Remembers recent request ids. Invariants: no request id is accepted twice while it is remembered, and a
+request whose class allows retries is accepted only with what makes them safe (the method GET, or an
+idempotency key).
 """
 
 import re
@@ -24,9 +25,9 @@
 _TIMEOUT = re.compile(rb"(\d{1,12}(?:\.\d{1,9})?)([mu])\Z")
 _UNITS_PER_SECOND = {b"m": 1e3, b"u": 1e6}
 
-# By request class whose form is changing: the other forms that are accepted, and the number of the class that
-# has the strict rules. The form of a request is its method and whether it has an idempotency key; forms are
-# given as the idempotency that requires them.
+# The form of a request is its method and whether it has an idempotency key. A form is represented by the
+# idempotency that requires it. For each request class whose form is changing, this maps its number to the
+# other forms that are accepted, and to the number of the class that requests enter if they need strict rules.
 AlternativeForms = dict[int, tuple[frozenset[Idempotency], int]]
 
 
@@ -68,16 +69,18 @@
         class_rules: Sequence[RequestClass],
         other_forms: AlternativeForms,
     ) -> None:
-        """Applies new settings.
+        """Uses these settings from now on.
 
-        The form of a class follows from its idempotency. Clients learn of a change earlier or later than this
-        node, so requests of a class that changes are accepted in `other_forms` too.
+        The form that a class requires follows from its idempotency. Clients may learn of a change earlier or
+        later than this node, so while a class changes, its requests are also accepted in the forms that
+        `other_forms` lists for it.
         """
         self._request_classes = numbers_by_path_segment(request_classes)
         self._tenants = numbers_by_header_value(tenants)
         self._other_forms = other_forms
         self._class_rules = class_rules
-        # Never decreases: request ids are remembered by the deadline that applied when they were accepted.
+        # Never decreases, so that ids expire in the order in which they were accepted: each id is remembered
+        # by the longest deadline that applied when it was accepted.
         self.max_deadline_s = max(self.max_deadline_s, *(rules.deadline for rules in class_rules))
 
     def parse(
@@ -130,7 +133,7 @@
     def _match_form(
         self, request_class: int, idempotency: Idempotency, method: bytes, has_key: bool
     ) -> tuple[int, Idempotency]:
-        """Returns the class and idempotency to handle a request by, so that no retry of it is unsafe."""
+        """Returns the class and idempotency by which a request is handled, such that every retry is safe."""
         if method == b"GET":
             form = Idempotency.IDEMPOTENT
         else:
--- a/wheatroute/net/response_reader.py
+++ b/wheatroute/net/response_reader.py
@@ -37,8 +37,8 @@
 async def read_response(connection: Connection, connect_timeout_s: float) -> ServerResponse:
     """Reads a complete response; raises MalformedError if it is truncated, malformed or stalled."""
     while not connection.parse():
-        # Without this timeout a response that never ends would block the attempt, as its connection may stay
-        # open.
+        # Without this timeout, a response that stops halfway would block the attempt, as the server may keep
+        # the connection open.
         stall_timeout_s = inf
         if connection.has_partial_message:
             stall_timeout_s = MAX_STALL_CONNECT_TIMEOUTS * connect_timeout_s
--- a/wheatroute/net/response_writer.py
+++ b/wheatroute/net/response_writer.py
@@ -33,7 +33,7 @@
 
 
 class ResponseWriter:
-    """Writes responses and prepares their connections for the next request or the close.
+    """Writes responses; afterwards prepares the connection for the next request, or closes it.
 
     `flush_timeout_s` returns how long a client may take to read a response. `on_ready` is called for a client
     that may send another request.
@@ -109,7 +109,7 @@
     def _finish(self, client: ClientConnection) -> None:
         """Prepares the connection for another request, or closes it, after a response was written."""
         is_last = client.close_reason is not None or not client.connection.start_next_message()
-        # A response that took long to write may not have announced that the node is stopping.
+        # If the node began to stop while the response was written, the response has not announced the close.
         if is_last or self._shutdown.is_stopping:
             self._half_close(client, client.close_reason or self._clients.close_reason())
             return
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -2,8 +2,8 @@
 
 No I/O, except that the client's socket is checked for a disconnect.
 
-Time passes between the decision to send an attempt and its first byte, as its connection is established or
-its server reads slowly. An attempt that is rejected here never ran.
+Time passes between the decision to send an attempt and its bytes: its connection may have to be established,
+and its server may read slowly. An attempt that is rejected here never ran.
 """
 
 from collections.abc import Callable
@@ -34,7 +34,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Applies new settings."""
+        """Uses these settings and their request classes from now on."""
         self._settings, self._class_rules = settings, settings.request_classes
 
     def may_send(self, exchange: Exchange, attempt: Attempt) -> bool:
@@ -67,7 +67,7 @@
     def _is_stale_for_warmup(self, attempt: Attempt) -> bool:
         """Returns whether the attempt was decided too long ago for a server that is warming up.
 
-        The server would receive it on top of everything decided since, and fail under that load.
+        The server would receive it on top of all attempts decided since then, and fail under that load.
         """
         started_at = self._servers.started_at(attempt.server)
         if not started_at or now() >= started_at + self._settings.warmup_s:
@@ -88,7 +88,7 @@
         return now() >= first_sent_at + rules.retry_window - self._settings.tick
 
     def can_strand(self, exchange: Exchange) -> bool:
-        """Returns whether an attempt that may have run can rule out every further attempt."""
+        """Returns whether the request can no longer be retried once an attempt may have run."""
         rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.KEYED:
             return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
--- a/wheatroute/net/server_numbers.py
+++ b/wheatroute/net/server_numbers.py
@@ -1,8 +1,8 @@
 """Assigns small, dense numbers to servers by id, as the decision module needs them. No I/O.
 
-Invariant: a number is reused for another server only after its previous server has been removed for
-`REUSE_AFTER_S` and has nothing in flight. Without reuse the numbers would grow with every server that was
-ever listed.
+Invariant: a number is reused for another server only when its previous server was removed at least
+`REUSE_AFTER_S` ago and has no attempt or probe in flight. Without reuse, the numbers would grow with every
+server that was ever listed.
 """
 
 from collections.abc import Callable, Mapping
@@ -13,7 +13,7 @@
 
 
 class ServerNumbers:
-    """Assigns numbers to servers, including removed ones until their numbers are reused."""
+    """Assigns numbers to servers; a removed server keeps its number until that is freed."""
 
     def __init__(self) -> None:
         self._numbers: dict[str, int] = {}
@@ -35,7 +35,7 @@
         if identity in self._numbers:
             return self._numbers[identity], False
         is_reused = bool(self._free)
-        # If no number is free, all numbers below the length are in use.
+        # If no number is free, the n assigned numbers are 0 to n - 1, so n is the next one.
         number = self._free.pop() if is_reused else len(self._numbers)
         self._numbers[identity] = number
         return number, is_reused
--- a/wheatroute/net/shutdown.py
+++ b/wheatroute/net/shutdown.py
@@ -3,19 +3,20 @@
 From SIGTERM until it is killed, a node has `KILL_AFTER_S` plus the longest deadline (at most
 `MAX_DEADLINE_S`). For most of that time it keeps serving normally; otherwise clients would find no node until
 it has started again, and by then the next one may be stopping. After that it closes idle connections and
-announces the close on others. The only node of its tier has no other node to leave its clients to, so it
-rejects requests instead.
+announces the close on others. The only node of its tier rejects requests instead, because its clients have no
+other node to connect to.
 """
 
 from math import inf
 
 import trio
 
-# A node is killed after the longest deadline, but at most MAX_DEADLINE_S, plus KILL_AFTER_S.
+# A node is killed KILL_AFTER_S plus the longest deadline after SIGTERM; a longer deadline than MAX_DEADLINE_S
+# counts as MAX_DEADLINE_S.
 MAX_DEADLINE_S = 3.0
 KILL_AFTER_S = 0.7
 KILL_MARGIN_S = 0.4  # time before the kill by which every request must be answered
-SERVING_RATIO = 0.85  # fraction of the time until then in which requests are accepted normally
+SERVING_RATIO = 0.85  # fraction of the time until that moment in which requests are accepted normally
 
 
 class ShutdownState:
--- a/wheatroute/net/signals.py
+++ b/wheatroute/net/signals.py
@@ -1,8 +1,8 @@
 """Signal handling of every process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 
-Signals are handled from before anything listens until everything has ended, so that a signal that arrives too
-early, twice or at the last moment neither terminates the process at once nor changes its exit status. How a
-process stops is up to the callbacks. I/O: installs signal handlers.
+Signals are handled from before the process listens until it ends. A signal that arrives too early, twice or
+at the last moment therefore neither terminates the process at once nor changes its exit status. The callbacks
+determine how a process stops. I/O: installs signal handlers.
 """
 
 import signal
@@ -26,7 +26,7 @@
 
 
 def open_signal_receiver() -> AbstractContextManager[AsyncIterator[int]]:
-    """Returns a context manager that receives the signals; enter it before anything listens."""
+    """Returns a context manager that receives the signals; enter it before the process listens."""
     return trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP)
 
 
--- a/wheatroute/net/upstream.py
+++ b/wheatroute/net/upstream.py
@@ -51,7 +51,7 @@
                 self._pool.close_expired()
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Applies new settings."""
+        """Uses these settings for connections and for the checks before sending from now on."""
         self._pool.update_settings(settings)
         self._rules.update_settings(settings)
 
--- a/wheatroute/platform_settings.py
+++ b/wheatroute/platform_settings.py
@@ -1,4 +1,4 @@
-"""Translates the platform's settings, a JSON tree with its own key names, to decision settings. No I/O.
+"""Translates the platform's settings, a JSON object with its own key names, to decision settings. No I/O.
 
 Missing keys get a default; unknown keys are ignored. Types are not checked here but by the callers
 (`wheatroute/net/node_settings.py`, `wheatroute/agreement/join_rules.py`).
--- a/wheatroute/wire_names.py
+++ b/wheatroute/wire_names.py
@@ -1,7 +1,7 @@
 """Maps names on the wire and in settings files to internal ones, and names to dense numbers. No I/O.
 
-Contains only what the simulator's link, the node and the processor share. Names of outcomes and of server
-states differ between them and are defined in their own packages.
+Contains only names that the simulator's link, the node and the processor share. The names of outcomes and of
+server states differ between these three, so the package of each defines its own.
 """
 
 from collections.abc import Callable, Mapping
@@ -51,10 +51,10 @@
 
 
 def numbers_by_spelling(numbers: Mapping[str, int], *spellings: Callable[[str], bytes]) -> dict[bytes, int]:
-    """Returns numbers by each byte string that may represent a name on the wire.
+    """Returns the number of each name by every byte string that may represent the name on the wire.
 
-    Clients encode non-ASCII names in several ways; if one were missing, a tenant's requests would be counted
-    for no tenant. If two names share a spelling, it belongs to the name for which an earlier function of
+    Clients encode non-ASCII names in several ways; if one way were missing, requests of a tenant would not be
+    counted for it. If two names share a spelling, it belongs to the name for which an earlier function in
     `spellings` returns it.
     """
     found: dict[bytes, int] = {}
@@ -66,7 +66,7 @@
 
 
 def numbers_by_path_segment(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    """Returns numbers by each spelling of a name as a path segment."""
+    """Returns the number of each name by every spelling of the name as a path segment."""
     return numbers_by_spelling(
         numbers,
         lambda name: quote(name, safe="").encode(),
@@ -76,7 +76,7 @@
 
 
 def numbers_by_header_value(numbers: Mapping[str, int]) -> dict[bytes, int]:
-    """Returns numbers by each spelling of a name as a header value."""
+    """Returns the number of each name by every spelling of the name as a header value."""
     return numbers_by_spelling(
         numbers, str.encode, lambda name: quote(name, safe="").encode(), lambda name: name.encode("latin-1")
     )
