--- a/wheatroute/agreement/__init__.py
+++ b/wheatroute/agreement/__init__.py
@@ -1,4 +1,4 @@
 """Changes settings in all processes consistently, within a bounded time.
 
-Disabled unless a process's file configures a version store.
+A process takes part only if its settings file configures a version store.
 """
--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -1,6 +1,6 @@
 """Adapts versions of the settings to one process: stable numbers, decision settings, accepted forms. No I/O.
 
-Request classes and tenants of all versions that the process has seen are numbered once; a number is never
+Request classes and tenants of all versions that the process has acted on are numbered once; a number is never
 reused for another name. Settings that versions don't cover come from the process's own file. A request's form
 (its method, and whether it has an idempotency key) shows the idempotency that the client assumes. A request
 never enters a class whose rules rely on a guarantee that the request's form does not give.
@@ -20,10 +20,11 @@
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 from wheatroute.wire_names import NameNumbering
 
-# Request classes, by number, of which clients may use another form than the current one. The values are the
-# idempotencies whose forms are accepted, and the number of the class that requests of other forms enter.
+# Request classes, by number, for which clients may use another form than the current one. The values are the
+# idempotencies whose forms are accepted, and the number of the class that requests enter if they need strict
+# rules.
 Forms = dict[int, tuple[frozenset[Idempotency], int]]
-STRICT_SUFFIX = "\0strict"  # appended to a class's name, names its non-idempotent variant
+STRICT_SUFFIX = "\0strict"  # a class's name with this suffix is the name of its non-idempotent variant
 
 
 class DerivedSettings(NamedTuple):
@@ -66,7 +67,7 @@
         self._own, self._derive = own, derive
         self._classes, self._tenants = NameNumbering(), NameNumbering()
         self._derived_by_version: dict[int, DerivedSettings] = {0: own}
-        # The settings of each class, by name, in the last version that has it.
+        # By class name: the class's settings in the version that defined it last.
         self._last_definitions: dict[str, RequestClass] = {}
         self._past_versions = {0}  # versions that were active here; clients may still use their forms
         for names, numbers in ((own.request_classes, self._classes), (own.tenants, self._tenants)):
@@ -114,7 +115,7 @@
         settings = self._joined_settings(versions, effective.is_conservative)
         forms = self._forms(versions, settings)
         if len(settings.request_classes) < len(self._classes):
-            # join again, as the forms have added strict variants of classes
+            # `_forms` has numbered new strict variants of classes, which the joined settings must include.
             settings = self._joined_settings(versions, effective.is_conservative)
         active = self._derived_by_version[effective.active]
         return AdaptedVersion(
@@ -163,7 +164,7 @@
         return request_class
 
     def _forms(self, versions: list[int], settings: DecisionSettings) -> Forms:
-        """Returns the accepted forms of all versions that clients may know: past, current and next."""
+        """Returns the forms of all versions that clients may know: past, current and next."""
         forms: Forms = {}
         known = [self._derived_by_version[version] for version in {*versions, *self._past_versions}]
         for name, number in list(self._classes.items()):
@@ -177,8 +178,8 @@
             present = settings.request_classes[number].idempotency
             others = idempotencies - {present}
             if others:
-                # a separate class is only needed if the rules are looser than a form allows, or rely on an
-                # idempotency key that the form lacks
+                # A separate class is needed only if the rules of this class are looser than a form allows, or
+                # rely on an idempotency key that a form lacks.
                 is_strict = present == Idempotency.KEYED or Idempotency.NON_IDEMPOTENT in others
                 entered = self._classes[name + STRICT_SUFFIX] if is_strict else number
                 forms[number] = frozenset(idempotencies), entered
--- a/wheatroute/agreement/agreement_status.py
+++ b/wheatroute/agreement/agreement_status.py
@@ -21,7 +21,7 @@
     joint_version: int = msgspec.field(name="joint")
     phase: str
     record: int  # number of the last record that the process has applied
-    confirmed_ago_s: float  # age of the status, by the wall clocks of its writer and its reader
+    confirmed_ago_s: float  # age of the status: the reader's wall clock minus the writer's
     list_source: str
     list_revision: int
     unusable_version: int = msgspec.field(name="refuses")
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -40,7 +40,7 @@
         self.path = path
         self.received_notices: list[StoredNotice] = []
         self.unreadable_keys: set[str] = set()  # keys of malformed statuses and drain notices
-        # Files of drain notices by name: mtime (ns) and inode when the file was last read.
+        # By name of a drain notice's file: its mtime (ns) and inode when it was last read.
         self._notice_files: dict[str, tuple[int, int]] = {}
 
     async def exchange(
@@ -70,10 +70,10 @@
         await _in_thread(self.write_drain_notices_blocking, notices, expired_ids)
 
     def create(self) -> None:
-        """Creates missing directories.
+        """Creates the store's directories if they are missing.
 
-        Only relays and the commands that put versions or start and control rollouts call this, so that all
-        other processes notice when a store has been deleted.
+        Only relays, and the commands that put versions or that start and control rollouts, call this. All
+        other processes fail if the directories are missing, and so notice that a store has been deleted.
         """
         try:
             self._log_directory.mkdir(parents=True, exist_ok=True)
@@ -180,7 +180,7 @@
             raise _store_error(self.path, error) from error
 
     def _write_status_file(self, key: str, status: StoredStatus) -> None:
-        # not fsynced: after a power loss, no process acts on a status that was written before it
+        # Not fsynced, because no process acts on statuses from before a power loss.
         _replace(self._status_directory / _checked_key(key), orjson.dumps(status))
 
     def _check_head(self, number: int, expected_digest: str) -> None:
@@ -231,7 +231,7 @@
 
 
 def _notice_file_name(server_id: str) -> str:
-    """Returns the file name of a server's notice; derived by digest, as the id may be any text."""
+    """Returns the file name of a server's notice: a digest of the id, which may be any text."""
     return digest(server_id)[:40] + ".json"
 
 
--- a/wheatroute/agreement/documents.py
+++ b/wheatroute/agreement/documents.py
@@ -16,7 +16,7 @@
 def parse(document: Any, message_type: type[Message]) -> Message:
     """Converts a document into a message; keys that the message type does not have are ignored.
 
-    Keys of JSON objects are strings, also where the message type has numbers as keys. Raises
+    Where the message type has numbers as keys, the document has them as strings, as JSON requires. Raises
     `MalformedDocumentError`.
     """
     with malformed_document_errors():
--- a/wheatroute/agreement/drain_notices.py
+++ b/wheatroute/agreement/drain_notices.py
@@ -3,8 +3,8 @@
 A notice identifies a server by its id and the start time of its process, says whether that process is leaving
 or has returned, and has a revision, which shows which of two notices is the later one. A process whose own
 server list is silent or lags learns from other processes' notices that a server drains, that it has restarted
-under the same id, or that another server now has its address. A server is never removed because some list
-does not contain it: a wrong list at one node would otherwise empty the lists of the others.
+under the same id, or that another server now has its address. A server is never removed merely because some
+process's list does not contain it: if it were, a wrong list at one node would empty the lists of the others.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from wheatroute.agreement.notice import Notice, StoredNotice, parse_notices
 
 RETENTION_AGREEMENT_TIMES = 360.0  # how long a notice is kept in the store, in agreement times
-MAX_REMEMBERED_ADDRESSES = 4096  # addresses for which the last server is remembered
+MAX_REMEMBERED_ADDRESSES = 4096  # maximum number of addresses for which the last server is remembered
 
 ListEntry = dict[str, Any]  # an entry of a server list
 
@@ -39,15 +39,17 @@
         # All notices below are by server id.
         self._stored: dict[str, Notice] = {}  # notices as last read from the store
         self._unsent: dict[str, Notice] = {}  # notices of this process that are not in the store yet
-        # notices of this process that a server is back in service
+        # Notices by which this process states that a server is back in service.
         self._returned: dict[str, Notice] = {}
         # For each stored notice: its order, and when it was first read (seconds, the caller's clock).
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
 
     def filter_message(self, document: Any) -> Any:
-        """Processes a message of the own server list; returns it with other processes' notices applied."""
-        # A message with the key "heard" was made from other processes' notices, see
-        # `Discovery.apply_reported_states`.
+        """Processes a message of this process's server list; returns it with others' notices applied.
+
+        A message with the key "heard" already comes from other processes' notices (see
+        `Discovery.apply_reported_states`), so it is returned unchanged.
+        """
         if (
             not isinstance(document, dict)
             or document.get("heard")
@@ -69,7 +71,7 @@
         return document | {"servers": servers}
 
     def receive(self, documents: Iterable[Any], now: float) -> list[ListEntry]:
-        """Processes notices from the store; returns the list entries whose state changes because of them."""
+        """Processes notices from the store; returns the list entries whose state they change."""
         changed = []
         for notice, _ in parse_notices(documents):
             server_id, entry = notice.server_id, self._own_list.get(notice.server_id)
@@ -104,7 +106,7 @@
         return unsent, expired
 
     def _process_entry(self, entry: ListEntry) -> None:
-        """Processes an entry of the own list, and creates the notices that follow from it."""
+        """Processes an entry of this process's server list, and creates the notices that follow from it."""
         server_id, state = entry["id"], entry.get("state", "in_service")
         started = entry.get("started_ms", 0)
         before, address = self._own_list.get(server_id), entry.get("addr")
@@ -124,7 +126,10 @@
             self._record_address(address, server_id, started)
 
     def _record_address(self, address: str, server_id: str, started: float) -> None:
-        """Records the server at an address; the previous one there has left if it is no longer listed."""
+        """Records the server at an address.
+
+        If the previous server at the address is no longer listed, it has left, and a notice says so.
+        """
         last = self._last_at_address.pop(address, None)
         if last is not None and last[0] != server_id and last[0] not in self._own_list:
             self._create_notice(*last, is_leaving=True)
@@ -136,10 +141,12 @@
         newest = max(known, key=lambda notice: notice.order, default=None)
         revision = 1
         if newest is not None and newest.started_ms == started:
-            # the revision increases only if the process leaves or returns, not if that is noticed again
+            # The revision increases only if the server's process leaves or returns. If that is noticed once
+            # more, it stays.
             revision = newest.revision if newest.is_leaving == is_leaving else newest.revision + 1
         notice = Notice(server_id, started, is_leaving, revision)
-        # Without an earlier notice, other processes do not need to know that the server is back in service.
+        # If there is no earlier notice, other processes know the server as in service, so only a notice that
+        # it leaves is news.
         if is_leaving if newest is None else notice.order > newest.order:
             self._unsent[server_id] = notice
         return notice
--- a/wheatroute/agreement/errors.py
+++ b/wheatroute/agreement/errors.py
@@ -42,7 +42,7 @@
 
 
 class ConflictError(OperatorError):
-    """The state is not the one that the operator assumed; the operator has to decide again."""
+    """The version store's state is not the one that the operator assumed; the operator must decide again."""
 
     exit_status = 3
 
--- a/wheatroute/agreement/etcd_store.py
+++ b/wheatroute/agreement/etcd_store.py
@@ -2,8 +2,9 @@
 
 Keys: PREFIX/log/NUMBER holds a record, PREFIX/nodes/NAME.START a process status, PREFIX/words/ID a drain
 notice. A record is appended by a transaction that requires its key to be absent. `exchange` and `statuses`
-reject responses from another cluster, and from a cluster that has gone back to an older revision. An append
-whose response is lost is an error, as the record may have been appended. Does network I/O.
+raise an error if the response is from another cluster, or from a cluster that has gone back to an older
+revision. `append` raises an error if its response is lost, as the record may or may not have been appended.
+Does network I/O.
 """
 
 from __future__ import annotations
@@ -29,8 +30,8 @@
 class EtcdStore:
     """Implements `VersionStore` under a key prefix.
 
-    `run` keeps the connections; a request made before that waits for a connection. `timeout_s` applies to
-    one call to one endpoint.
+    `run` keeps the connections to the cluster; a request made before `run` is called waits for a connection.
+    `timeout_s` applies to one call to one endpoint.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
     async def _read(self, first: int, reads_notices: bool) -> list[StoredRecord]:
         """Reads the records from number `first` on and, with `reads_notices`, collects new drain notices.
 
-        Uses one read-only transaction, so that both are from the same revision.
+        Uses one read-only transaction, so that records and notices are from the same revision.
         """
         log_end = wire.prefix_end(self._log_prefix)
         ranges = [
@@ -149,7 +150,7 @@
         return self._log_prefix + b"%012d" % number
 
     def _check_header(self, header: Any) -> None:
-        """Raises `VersionStoreError` for another cluster at the same address, or a lower revision."""
+        """Raises `VersionStoreError` if a response is from another cluster, or has an older revision."""
         self._cluster_id = self._cluster_id or header.cluster_id
         if header.cluster_id != self._cluster_id:
             raise VersionStoreError(
--- a/wheatroute/agreement/join_rules.py
+++ b/wheatroute/agreement/join_rules.py
@@ -1,8 +1,8 @@
 """The rules by which two versions of the settings are joined, one for each key. No I/O.
 
 The tables have an entry for each key that the decision module or a front end uses. Joining never loosens a
-limit: of two different values the stricter one applies. The rule of a key that cannot be joined says how its
-value changes instead.
+limit: of two different values the stricter one applies. If the values of a key cannot be joined, its rule
+says how the value changes instead.
 """
 
 from __future__ import annotations
@@ -25,11 +25,14 @@
     MAY_DIFFER = "may differ: the old value applies until the new version is in force"
     RESTART_ONLY = "can only change with a restart"
     PER_PROCESS = "specific to each process"
-    ROUTE = "the old value applies until the new version is in force; other requests are rejected unexecuted"
+    ROUTE = (
+        "the old value applies until the new version is in force; "
+        "requests that the version in force does not define are rejected unexecuted"
+    )
     UNKNOWN = "unknown"  # the key is in none of the tables below
 
 
-# the parts of a version: for the platform's node, and for processes that are configured by a TOML file
+# The keys of a version's two parts: for the platform's node, and for processes configured by a TOML file.
 NODE_PART, FILE_PART = "settings", "file"
 VERSION_PARTS = (NODE_PART, FILE_PART)
 FILE_KEYS = ("nodes", "traffic_types", "customers", "rules")  # the keys of `FILE_PART`
@@ -73,7 +76,7 @@
     "overload_window_s": JoinRule.MINIMUM,
     "overload_multiple": JoinRule.MINIMUM,
 }
-# rules of the TOML file, by table: its keys that are shared in a version, and those specific to a process
+# Rules of the keys of the TOML file, by table and key. Keys that are `PER_PROCESS` are not in a version.
 FILE_RULES: dict[str, dict[str, JoinRule]] = {
     "File": {
         "name": JoinRule.PER_PROCESS,
@@ -109,7 +112,8 @@
         "answer_slack": JoinRule.MINIMUM,
     },
 }
-# rules of the node's file apart from its settings: none of these keys is in a version
+# Rules of the top-level keys of the node's file. None of them is in a version: of this file, it contains only
+# keys inside the object "settings".
 NODE_FILE_RULES: dict[str, JoinRule] = {
     name: JoinRule.PER_PROCESS
     for name in (
--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -19,8 +19,8 @@
 from wheatroute.balancing.interface import Idempotency
 from wheatroute.balancing.settings import DecisionSettings, RequestClass, TenantQuota
 
-# Conservative processes use this fraction of `overload_multiple`, which bounds the load of servers that are
-# warming up.
+# Conservative processes use this fraction of the setting `overload_multiple`, which limits the load of
+# servers that are warming up.
 CONSERVATIVE_WARMUP_RATIO = 0.25
 
 _JOIN: dict[JoinRule, Callable[[Any, Any], Any]] = {
@@ -59,7 +59,10 @@
 
 
 def without_value(request_class: RequestClass) -> RequestClass:
-    """Returns the class as it applies in a version that does not have it: its requests have no value."""
+    """Returns the settings to use for a request class under a version that does not define it.
+
+    These are the settings given (its last definition), with value and late value 0.
+    """
     return replace(request_class, value=0.0, late_value=0.0)
 
 
@@ -67,9 +70,10 @@
     """Returns settings that every version allows, for a process that cannot tell which version is active.
 
     A request is sent again only if it provably never ran. A request that may have run is failed, not
-    rejected, since a rejection says that the client can safely send it again. No request is hedged, and
-    servers that are warming up get a quarter of the load. First attempts are not restricted: they are as safe
-    as under any version, so an idempotent class keeps its half-open trials.
+    rejected, since a rejection tells the client that it can safely send the request again. No request is
+    hedged, and servers that are warming up get a quarter of their usual load. First attempts are not
+    restricted, since they are safe under every version; so requests of an idempotent class are still sent as
+    half-open trials.
     """
     return replace(
         settings,
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -2,8 +2,9 @@
 
 It decides which versions of the settings the process may act on, until when, and when to activate a version.
 Its inputs are the results of exchanges with the store and their times, in seconds on a monotonic clock. It
-never acts on a version after its confirmation has expired, never activates a version while a process that
-counts is neither joint nor conservative, and never reverts to a state before a record that it has applied.
+never acts on a version after its confirmation has expired, and never reverts to a state before a record that
+it has applied. It activates no version while any process with an unexpired confirmation is neither joint nor
+conservative.
 A process is joint while it keeps the limits of a pending version too, and conservative while it cannot tell
 which version is active (see `joint_settings`).
 
@@ -13,8 +14,8 @@
 version alone. A confirmation from before the put ends at most one time to live after the put, also in a
 process that is stopped, partitioned in one direction, or restarting. A version is activated when the statuses
 show that every process has read the put, or one time to live (plus the drift) after the deciding process has
-read it. A process whose status the decider does not see writes its status later, and therefore reads the put
-in the exchange that follows.
+read the put. A process whose status the deciding process does not see writes it after the statuses were read,
+and reads the records after that, so it reads the put.
 """
 
 from __future__ import annotations
@@ -116,8 +117,8 @@
     def confirm(self, sent_at: float, records: list[StoredRecord], is_complete: bool = True) -> None:
         """Applies the records that an exchange sent at `sent_at` returned: those after this history's head.
 
-        An incomplete response, after which there may be more records, confirms nothing. Raises `HistoryError`
-        for records of another history, which confirm nothing either.
+        If `is_complete` is not set, the store may have more records, and the exchange confirms nothing.
+        Records of another history confirm nothing either: for them it raises `HistoryError`.
         """
         for record in records:
             self.history.apply(record)
@@ -166,9 +167,9 @@
     ) -> StoredRecord | None:
         """Returns the decision record to append, or None if no decision is due.
 
-        `statuses` are those of all processes, read between `read_began` and `read_ended`. Call it right after
-        an exchange that ended before the statuses were read: the pending version must be the one in the
-        store. Raises `MalformedDocumentError` for a malformed status.
+        `statuses` are those of all processes, read between `read_began` and `read_ended`. The caller must
+        have completed an exchange just before it read them, so that the pending version known here is that in
+        the store. Raises `MalformedDocumentError` for a malformed status.
         """
         decision = self._decide(read_began, read_ended, [parse_status(status) for status in statuses])
         return self.history.encode(decision) if decision is not None else None
@@ -203,7 +204,7 @@
     def rank(self, statuses: list[StoredStatus]) -> int:
         """Returns this process's position, from 0, among all processes in the order of their keys.
 
-        The process of the lowest rank decides first, and the others in its place if it does not.
+        The process of the lowest rank decides first. If it does not, a process of a higher rank does.
         """
         keys = sorted(parse_heartbeat(status).key for status in statuses)
         return keys.index(self.key) if self.key in keys else len(keys)
--- a/wheatroute/agreement/member_status.py
+++ b/wheatroute/agreement/member_status.py
@@ -46,7 +46,7 @@
 
 
 class StatusHeartbeat(msgspec.Struct, frozen=True):
-    """The fields of a status that a relay reads; it forwards the rest unread."""
+    """The fields of a status that a relay reads; it forwards the whole status unchanged."""
 
     name: str
     incarnation: str = msgspec.field(name="start")
--- a/wheatroute/agreement/model_checker.py
+++ b/wheatroute/agreement/model_checker.py
@@ -1,8 +1,9 @@
 """An explicit-state model checker of the agreement protocol, for a few processes and one store. No I/O.
 
-It runs `member.py` and `versions.py` unchanged, in a world of processes, one store, puts and a clock of whole
-steps. At each state it checks that some version allows what all processes may do. Only the digest of a record
-is replaced, by a shorter one. Every order of events is explored, however unlikely.
+It runs `member.py` and `versions.py` in a world of processes, one store, puts and a clock of whole steps.
+Both are unchanged, except that a shorter text replaces the digest of a record. At each state it checks that
+there is a version that allows everything that the processes may do. Every order of events is explored,
+however unlikely.
 
 A process may be delayed between any two of its steps for any time (which covers SIGSTOP, a slow store and a
 lost response), the response of an exchange may be lost, and a process may crash and restart. A process checks
--- a/wheatroute/agreement/model_events.py
+++ b/wheatroute/agreement/model_events.py
@@ -41,7 +41,8 @@
 
     def _process_events(self, world: WorldState, i: int) -> Iterator[tuple[str, WorldState]]:
         process = world.processes[i]
-        if process.to_append is None:  # also while an exchange is in flight, whose response is then lost
+        # An exchange may start while the previous one is in flight; then the response of that one is lost.
+        if process.to_append is None:
             yield f"n{i} sends its status", self._send(world, i)
         if process.sent_at is not None:
             yield f"n{i} receives its response", self._receive(world, i)
--- a/wheatroute/agreement/model_invariants.py
+++ b/wheatroute/agreement/model_invariants.py
@@ -13,10 +13,10 @@
 
 
 def _disagreement(bounds: Bounds, world: WorldState) -> str:
-    """Checks that some version allows what all processes may do."""
+    """Returns an error unless there is a version that allows everything that the processes may do."""
     effective = [process.view(world.now, -bounds.ttl_steps).effective for process in world.processes]
-    # The versions whose limits each process keeps. Conservative processes are left out: they keep those of
-    # all versions.
+    # For each process, the versions whose limits it keeps. Conservative processes are left out, because they
+    # keep the limits of all versions.
     kept = [{acts.active, acts.joint or acts.active} for acts in effective if not acts.is_conservative]
     if not kept or set.intersection(*kept):
         return ""
@@ -31,7 +31,7 @@
 
 
 def _step_back(before: WorldState, after: WorldState) -> str:
-    """Checks that no process goes back to an older version without a restart."""
+    """Returns an error if a process goes back to an older version without a restart."""
     for i, (old, new) in enumerate(zip(before.processes, after.processes, strict=True)):
         old_version, new_version = old.member.effective.active, new.member.effective.active
         if new.incarnation == old.incarnation and new_version < old_version:
@@ -40,9 +40,9 @@
 
 
 def _unusable_activated(bounds: Bounds, world: WorldState) -> str:
-    """Checks that no version becomes active that a process cannot use.
+    """Returns an error if a version becomes active that some process cannot use.
 
-    Only applies if no process restarts and the clock stands still, so that no confirmation expires.
+    Checks this only if the bounds allow no restart and no clock step, so that no confirmation expires.
     """
     if not bounds.rejections or bounds.restarts or bounds.clock_steps:
         return ""
--- a/wheatroute/agreement/model_world.py
+++ b/wheatroute/agreement/model_world.py
@@ -18,7 +18,7 @@
 
 
 def short_digest(content: Any) -> str:
-    """Returns a text that distinguishes the records of one run, at a tenth of the cost of a digest."""
+    """Returns a text that is unique for each record of one run, at a tenth of the cost of a digest."""
     template = "{before}/{kind}{version}"
     return template.format(**content) if "before" in content else "content"
 
@@ -37,7 +37,7 @@
     max_states: int = 10**9
 
     def distinguishes(self, process: int) -> bool:
-        """Whether the process number matters: whether processes in the same state may behave differently."""
+        """Whether a process may behave differently from other processes in the same state."""
         return bool(self.rejections) or process < self.deciders < MAX_PROCESSES
 
 
@@ -132,7 +132,7 @@
     def key(self, bounds: Bounds) -> Any:
         """Returns a key that is equal for states with the same future.
 
-        So it does not contain names of processes, and its times are relative to the clock step.
+        For this, it does not contain names of processes, and its times are relative to the clock step.
         """
         earliest = -bounds.ttl_steps
         statuses = {status.key: _status_part(status) for status in map(parse_status, self.statuses.values())}
--- a/wheatroute/agreement/monotonic_discovery.py
+++ b/wheatroute/agreement/monotonic_discovery.py
@@ -1,7 +1,8 @@
 """Discovery that never goes back to an older server list, for nodes that take part in an agreement.
 
 The version of each list is compared with that of the list in use. An older list from the same list service is
-rejected. If the node's file is changed to name another service, that service's versions count instead.
+rejected. If the node's file is changed to name another list service, only the versions of that service count
+from then on.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class MonotonicDiscovery(Discovery):
-    """Rejects older lists of a list service that was restored from a backup or lags behind its replicas."""
+    """Rejects older lists, which a list service may send if it lags or was restored from a backup."""
 
     _is_behind = False
 
@@ -31,5 +32,6 @@
             self._is_behind = False
             self._log.info("list-caught-up", version=version)
             if not message.get("full"):
-                self.fetch()  # changes that the service sent while it lagged were rejected
+                # Changes that the service sent while it lagged were rejected, so the full list is needed.
+                self.fetch()
         super()._apply(message)
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -32,7 +32,7 @@
     """Returns a follower that applies versions to a node; it is conservative until its first confirmation."""
 
     def apply(adapted: AdaptedVersion, applies_to_pending: bool) -> None:
-        # a node count from discovery takes precedence over the version's number
+        # If discovery provides a node count, it takes precedence over the node count in the version.
         decision_settings = adapted.settings.with_node_count(discovery.node_counts)
         driver.update_settings(decision_settings, applies_to_pending)
         upstream.update_settings(decision_settings)
--- a/wheatroute/agreement/node_content.py
+++ b/wheatroute/agreement/node_content.py
@@ -43,7 +43,10 @@
 
 
 def _copy_value(own: Any, settings: dict[str, Any], path: list[str], is_overriding: bool) -> None:
-    """Copies the node's own value at a path, if there is one; `is_overriding` replaces an existing value."""
+    """Copies the node's own value at a path, if there is one, into `settings`.
+
+    A value that `settings` already has is replaced only if `is_overriding` is set.
+    """
     *tables, key = path
     for name in tables:
         own = own.get(name) if isinstance(own, dict) else None
--- a/wheatroute/agreement/notice.py
+++ b/wheatroute/agreement/notice.py
@@ -19,7 +19,7 @@
     server_id: str = msgspec.field(name="id")
     started_ms: int | float = msgspec.field(name="started")  # start of the process, Unix time in ms
     is_leaving: bool = msgspec.field(name="leaves")
-    # increases each time that the same process leaves or returns
+    # Increases each time that the server's process leaves or returns.
     revision: int = msgspec.field(name="turn")
 
     @property
--- a/wheatroute/agreement/operator.py
+++ b/wheatroute/agreement/operator.py
@@ -1,7 +1,7 @@
 """The operator's actions on versions: put one, wait for its outcome, read the history and the statuses.
 
-Implements `wheatroute settings`. A put never replaces a version that the operator has not seen, and a put
-whose result is unknown is reported as such. Does I/O through a version store.
+Implements `wheatroute settings`. A put never replaces a version that the operator has not seen. If it is
+unknown whether a put took effect, the operator is told so. Does I/O through a version store.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
 
 
 async def put_version(store: VersionStore, content: dict[str, Any], reason: str, over: int = 0) -> Version:
-    """Puts a version; top-level keys that `content` lacks keep the active version's values.
+    """Puts a version; top-level keys that `content` does not have keep their values in the active version.
 
     `over` is the number of a pending version that may be replaced. Raises `OperatorError`.
     """
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -68,8 +68,8 @@
 def diff_lines(history: History, first: int, second: int) -> list[str]:
     """Formats the differences between two versions as a table.
 
-    "!" marks keys that must not differ between processes; the last column is the value that applies during
-    the change. Raises `InvalidInputError` if a version does not exist.
+    "!" marks keys of which processes must not use different values. The last column says which value applies
+    during the change. Raises `InvalidInputError` if a version does not exist.
     """
     for number in (first, second):
         if number not in history.versions:
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -51,7 +51,10 @@
 
 
 def _with_shared(settings: Settings, shared: Any) -> dict[str, Any]:
-    """Returns the document of a processor's file with the shared keys replaced by a version's part."""
+    """Returns a processor's file as a document, with the shared keys replaced by those of a version.
+
+    `shared` is the part `FILE_PART` of the version's content.
+    """
     if not isinstance(shared, dict) or set(shared) != set(FILE_KEYS):
         raise ContentError("file: must have the keys " + ", ".join(FILE_KEYS) + ", and no others")
     document = settings.model_dump(by_alias=True, exclude_none=True)
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -25,7 +25,10 @@
 
 
 class RecordHeader(msgspec.Struct, frozen=True):
-    """The fields that are checked before a record is parsed; of any type, as the format may be newer."""
+    """The fields that are checked before a record is parsed.
+
+    They may be of any type, because the record may have a newer format.
+    """
 
     format: object = None
     number: object = msgspec.field(name="seq", default=None)
@@ -35,7 +38,10 @@
 
 
 class _Record(msgspec.Struct, frozen=True, tag_field="kind"):
-    """Base class of the records, one type for each kind; the fields that chain records are left out."""
+    """Base class of the record types, of which there is one for each kind.
+
+    They do not contain the fields that chain a record to the previous one.
+    """
 
     @property
     def kind(self) -> RecordKind:
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -1,10 +1,11 @@
-"""The relay: exchanges with a version store for all processes of a machine, through a directory store.
-
-The relay copies the records into the directory, with a file that says how fresh they are: when the relay's
-exchange was sent, whose statuses it forwarded, and the drain notices. The processes read the directory and
-count their confirmation from that time, on the machine's common clock. A directory is never marked fresher
-than the exchange it came from, and a status that was written after the records were read is not marked as
-forwarded. Does I/O.
+"""Makes the exchanges with a version store on behalf of all processes of a machine.
+
+The processes use a directory store instead. The relay copies the records into the directory, with a file that
+holds the time at which the relay's exchange was sent, the heartbeats of the statuses that it forwarded, and
+all drain notices in the store. A process's confirmation counts from the time in the file, on the clock that
+all processes of the machine share. The file never states a later time than that of the exchange that returned
+the records, and marks a status as forwarded only if it was written to the store before the records were read.
+Does I/O.
 """
 
 from __future__ import annotations
@@ -41,13 +42,13 @@
 
     sent_at: float = msgspec.field(name="sent")  # when the exchange was sent; see `clock`
     notices: list[Any] = msgspec.field(name="words", default_factory=list)  # all notices in the store
-    heartbeats: dict[str, int] = msgspec.field(name="rows")  # heartbeats of the forwarded statuses, by key
+    heartbeats: dict[str, int] = msgspec.field(name="rows")  # of the forwarded statuses, by status key
 
 
 class RelayedDirectoryStore(DirectoryStore):
     """The directory store as the machine's processes use it.
 
-    `exchanged_at` is when the relay sent the exchange whose result was read last.
+    `exchanged_at` is when the relay sent the exchange whose result this process read last (see `clock`).
     """
 
     exchanged_at = 0.0
@@ -59,7 +60,7 @@
 
         Raises `VersionStoreError` until the relay has forwarded this process's status.
         """
-        # read before the records, so that they are at least as new as it says
+        # The freshness file is read before the records, so that they are at least as new as it states.
         freshness = self._read_freshness() if status is not None else None
         records = super().exchange_blocking(key, status, after, expected_digest)
         if status is not None:
@@ -90,13 +91,13 @@
         self._store, self._directory = store, DirectoryStore(directory)
         self._confirmation_ttl_s = confirmation_ttl_s
         self._retention_s = RETENTION_AGREEMENT_TIMES * agreement_time_s
-        self._heartbeats: dict[str, SeenHeartbeat] = {}  # those of the machine's statuses, by key
+        self._heartbeats: dict[str, SeenHeartbeat] = {}  # of the statuses in the directory, by status key
         self._stored: dict[str, ForwardedNotice] = {}  # notices in the store, by server id
         # Notices of the machine's processes that are not in the store yet, by server id.
         self._unsent: dict[str, ForwardedNotice] = {}
         # For each stored notice, by server id: its order, and when the relay first saw it (see `clock`).
         self._stored_since: dict[str, tuple[tuple[float, int], float]] = {}
-        self.received_notices: list[StoredNotice] = []  # stays empty: the relay itself applies none
+        self.received_notices: list[StoredNotice] = []  # stays empty: a relay applies no notices
         self.path = directory
 
     @property
@@ -143,8 +144,9 @@
     def _expired_ids(self, now: float) -> list[str]:
         """Returns the ids of servers whose notices have expired.
 
-        The relay removes them, as processes only remove notices from their directory. If all machines have a
-        relay, the store would otherwise grow with every server that ever left.
+        The relay removes these notices from the store, because its machine's processes remove them only from
+        the directory. If the relays did not and every machine had one, the store would grow with every server
+        that ever left.
         """
         for server_id, (notice, _) in self._stored.items():
             if self._stored_since.get(server_id, (None, 0.0))[0] != notice.order:
@@ -158,7 +160,7 @@
     def _live_statuses(self) -> list[StoredStatus]:
         """Returns the statuses of the machine's processes, without those whose heartbeat has stopped.
 
-        They are forwarded unchanged, including keys that this program does not know.
+        The statuses are forwarded unchanged, including keys that this program does not know.
         """
         now, live, heartbeats = clock(), [], {}
         for document in self._directory.statuses_blocking():
--- a/wheatroute/agreement/setting_differences.py
+++ b/wheatroute/agreement/setting_differences.py
@@ -16,7 +16,7 @@
     JoinRule,
 )
 
-# names of the tables in `FILE_RULES`, by their key in a version's part for the TOML file
+# Maps each key of `FILE_PART` that holds tables to the name of their table in `FILE_RULES`.
 _FILE_TABLES = {"traffic_types": "RequestClass", "customers": "Tenant", "rules": "Rules"}
 
 
--- a/wheatroute/agreement/store_address.py
+++ b/wheatroute/agreement/store_address.py
@@ -11,12 +11,12 @@
 from wheatroute.net.addresses import parse_address
 
 ETCD_SCHEME = "etcd://"
-DEFAULT_URL_PREFIX = "/wheatroute"  # key prefix in etcd if a URL has none
+DEFAULT_URL_PREFIX = "/wheatroute"  # key prefix in etcd, for URLs that contain none
 
 
 @dataclass(frozen=True)
 class StoreAddress:
-    """Names one store: a directory, a directory that a relay updates, or a key prefix in etcd."""
+    """The address of one store: a directory, a directory that a relay updates, or a key prefix in etcd."""
 
     directory: str = ""  # path
     relay: str = ""  # path of the relay's directory
--- a/wheatroute/agreement/version_content.py
+++ b/wheatroute/agreement/version_content.py
@@ -15,9 +15,9 @@
 
 
 def read_content(path: str) -> tuple[dict[str, Any], list[str]]:
-    """Returns a version's content from a JSON or TOML file, and the paths left out of it.
+    """Reads a version's content from a JSON or TOML file, without keys that are specific to each process.
 
-    Keys that are specific to each process are left out. Raises `InvalidInputError`.
+    Also returns the paths of the keys left out. Raises `InvalidInputError`.
     """
     document = _read_document(path)
     if isinstance(document, dict) and "traffic_types" in document:
--- a/wheatroute/agreement/version_follower.py
+++ b/wheatroute/agreement/version_follower.py
@@ -33,7 +33,7 @@
 
 
 def clock() -> float:
-    """Returns monotonic seconds; they include suspension of the machine where the system has such a clock."""
+    """Returns monotonic seconds, which include times of suspension if the system has such a clock."""
     return time.clock_gettime(_CLOCK)
 
 
@@ -41,7 +41,7 @@
     """Checks versions and adapts them to one process; see `adapter.VersionAdapter`."""
 
     def check(self, number: int, content: Any) -> str:
-        """Returns why the process cannot use a version; empty if it can."""
+        """Returns why the process cannot use a version; an empty string if it can."""
 
     def adapt(self, effective: EffectiveVersions) -> AdaptedVersion:
         """Returns the settings for the effective versions."""
@@ -50,8 +50,10 @@
 def status_read_interval_s(rank: int, exchange_interval_s: float) -> float:
     """Returns the minimum time in seconds between a process's reads of all statuses.
 
-    The process of the lowest rank reads them often, the others less often, in case that process has stopped.
-    Otherwise the number of statuses read would grow with the square of the number of processes.
+    The process of the lowest rank (0) may read them at each exchange. The others read them less often, every
+    `rank` exchange intervals up to EXCHANGES_PER_TTL / 2, so that one of them decides if the first has
+    stopped. If all read at each exchange, the number of statuses read would grow with the square of the
+    number of processes.
     """
     return exchange_interval_s * min(rank, EXCHANGES_PER_TTL / 2)
 
@@ -60,9 +62,10 @@
     """Follows the versions in the store and applies them to one process.
 
     `apply(adapted, applies_to_pending)` makes the process act on settings at once; with `applies_to_pending`
-    they also hold for requests that were accepted before. `after_change()` is called after an exchange that
-    changed the effective versions, `server_list()` returns the source and revision of the server list in use,
-    and `apply_drains` is called with the list entries that changed because of other processes' drain notices.
+    the settings also hold for requests that were accepted before. `after_change()` is called after an
+    exchange that changed the effective versions. `server_list()` returns the source and revision of the
+    server list in use. `apply_drains` is called with the entries of the server list whose state other
+    processes' drain notices changed.
     """
 
     def __init__(
@@ -109,7 +112,7 @@
         self._confirmed_until = self._member.confirmed_until
         if effective == before and self._logged_phase:
             return False
-        # a change that only loosens limits does not affect requests that were accepted under the old ones
+        # If the change only loosens limits, requests accepted before it keep the limits that applied then.
         is_looser = (
             not effective.is_conservative
             and effective.joint in (before.joint, 0)
@@ -164,7 +167,8 @@
         records = await self._store.exchange(
             member.key, member.next_status(time.time()), history.head, history.head_digest
         )
-        # with a relay, the confirmation counts from the relay's exchange if that was sent earlier
+        # If this process uses a relay, its confirmation counts from when the relay sent its exchange, if that
+        # was earlier.
         sent_at = min(sent_at, getattr(self._store, "exchanged_at", sent_at))
         member.confirm(sent_at, records, len(records) < MAX_RECORDS_PER_READ)
         self._log_unreadable()
@@ -218,8 +222,8 @@
         record = member.next_decision(began, clock(), statuses)
         if record is None:
             return False
-        # A process waits for longer the higher its rank, so that the first one appends the decision and the
-        # others read it.
+        # The higher its rank, the longer a process waits: normally the process of rank 0 appends the decision
+        # and the others read it.
         await trio.sleep(min(1.0, rank * self._exchange_interval_s / EXCHANGES_PER_TTL))
         if await self._store.append(record):
             self._log_decision(record)
--- a/wheatroute/agreement/version_store.py
+++ b/wheatroute/agreement/version_store.py
@@ -55,8 +55,8 @@
 def take_received_notices(store: Any) -> list[StoredNotice]:
     """Returns the drain notices that were read since the last call, and removes them from the store object.
 
-    They are kept between calls because each notice is read only once, and the exchange that read it may fail
-    afterwards.
+    The store object keeps notices between calls, because each notice is read only once, and the exchange that
+    reads it may fail afterwards.
     """
     # The list is emptied in place, not replaced: the thread of an abandoned exchange may still append to it.
     received: list[StoredNotice] = getattr(store, "received_notices", [])
@@ -69,8 +69,8 @@
     """Parses a stored status or drain notice.
 
     If it is malformed, adds its key to `unreadable_keys` and returns None.
-    An entry that a power loss left empty, or that another program wrote, would otherwise fail the exchanges
-    of all processes permanently. If its author is still running, it writes the entry again.
+    If it raised an error, an entry that a power loss left empty, or that another program wrote, would fail
+    the exchanges of all processes permanently. An author that is still running writes its entry again.
     """
     try:
         entry = orjson.loads(data)
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -1,8 +1,8 @@
 """The history of the settings' versions: which were put, activated and withdrawn. No I/O.
 
-A history is a hash chain: each record contains the digest of its predecessor, so that two stores, or a store
-and an older backup of it, cannot be mistaken for one another. A history never goes back, skips a record, or
-accepts a record of an unknown format.
+A history is a hash chain: each record contains the digest of its predecessor. Therefore two stores, or a
+store and an older backup of it, cannot be mistaken for each other. A history never goes back, never skips a
+record, and never accepts a record of an unknown format.
 """
 
 from __future__ import annotations
@@ -142,7 +142,10 @@
             )
 
     def _check_version(self, header: RecordHeader) -> None:
-        """Raises `HistoryError` unless a put has the next version, and any other kind the pending version."""
+        """Raises `HistoryError` if a record has the wrong version number.
+
+        A put must have the next number; a record of any other kind must have that of the pending version.
+        """
         number = header.version
         if header.kind == RecordKind.PUT:
             if number != len(self.versions) + 1:
