--- a/wheatroute/__main__.py
+++ b/wheatroute/__main__.py
@@ -48,8 +48,8 @@
 
     `early_signals` are stop signals that arrived before this call.
     """
-    # The receiver is opened before the node listens: a signal that arrives after listening and before
-    # receiving would be lost while clients are in the listener's queue.
+    # The receiver is opened before the node listens. If it were opened later, a signal that arrives in
+    # between would be lost while clients are in the listener's queue.
     with open_signal_receiver() as signals:
         if early_signals:
             log.info("stopped", signal=signal.Signals(early_signals[0]).name)
--- a/wheatroute/agreement/directory_store.py
+++ b/wheatroute/agreement/directory_store.py
@@ -105,7 +105,7 @@
             raise _store_error(self.path, error) from error
 
     def write_status_blocking(self, key: str, status: StoredStatus) -> None:
-        """Writes a status."""
+        """Writes a status without reading anything; see `VersionStore.write_status`."""
         try:
             self._write_status_file(key, status)
         except (OSError, ValueError) as error:
--- a/wheatroute/agreement/node.py
+++ b/wheatroute/agreement/node.py
@@ -29,7 +29,10 @@
     discovery: Discovery,
     log: Any,
 ) -> VersionFollower:
-    """Returns a follower that applies versions to a node; it is conservative until its first confirmation."""
+    """Returns a follower that applies versions to a node.
+
+    The node is conservative until the first confirmation.
+    """
 
     def apply(adapted: AdaptedVersion, applies_to_pending: bool) -> None:
         # If discovery provides a node count, it takes precedence over the node count in the version.
--- a/wheatroute/agreement/operator_output.py
+++ b/wheatroute/agreement/operator_output.py
@@ -46,7 +46,7 @@
 
 
 def log_lines(history: History) -> list[str]:
-    """Formats all versions with their outcomes."""
+    """Formats all versions with their outcomes as a table."""
     if not history.versions:
         return ["no version has been put"]
     rows = [["version", "from", "put", "by", "digest", "state", "why"]]
--- a/wheatroute/agreement/processor.py
+++ b/wheatroute/agreement/processor.py
@@ -87,9 +87,9 @@
     discovery: WorkerDiscovery,
     log: Logger,
 ) -> VersionFollower:
-    """Returns a follower that applies versions to a worker; it is conservative until its first confirmation.
+    """Returns a follower that applies versions to a worker.
 
-    `own` are the worker's settings from its own file.
+    The worker is conservative until the first confirmation. `own` are the settings in its own file.
     """
 
     def apply(adapted: AdaptedVersion, applies_to_pending: bool) -> None:
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -149,7 +149,7 @@
         number = header.version
         if header.kind == RecordKind.PUT:
             if number != len(self.versions) + 1:
-                raise HistoryError(f"record {self.head + 1}: version {number!r} is out of sequence")
+                raise HistoryError(f"record {self.head + 1}: version {number!r} is not the next one")
         elif number != self.pending or header.kind not in (RecordKind.ACTIVATE, RecordKind.WITHDRAW):
             raise HistoryError(
                 f"record {self.head + 1}: {header.kind!r} of version {number!r}, pending is {self.pending}"
--- a/wheatroute/net/balancer_driver.py
+++ b/wheatroute/net/balancer_driver.py
@@ -222,8 +222,8 @@
     def _fail_overdue(self, moment: float) -> None:
         """Fails exchanges that the balancer has not completed in time, so that every client gets a response.
 
-        Runs before the batch: the exchange is removed after it, so the balancer must get the `CLIENT_LEFT`
-        event in it.
+        Runs before the batch of events is handled. The exchange is removed after that batch, so the batch
+        must include the `CLIENT_LEFT` event.
         """
         while self._overdue_times and self._overdue_times[0][0] <= moment:
             exchange = self._exchanges.get(heappop(self._overdue_times)[1])
--- a/wheatroute/net/client_registry.py
+++ b/wheatroute/net/client_registry.py
@@ -60,12 +60,12 @@
         self._idle.pop(client, None)
 
     def close_idle_client(self) -> None:
-        """Closes a client that has sent nothing for `MIN_SILENT_S`; if there is none, the longest idle one.
+        """Closes a client that connected over `MIN_SILENT_S` ago and has sent nothing.
 
-        The longest idle one is chosen among clients that have had a response. If silent clients were not
-        closed first, hundreds of them would displace clients that send requests. Clients that have just
-        connected are kept: a client whose connection is closed before its request was read sends the request
-        once more on a new connection, but not a third time.
+        If there is none, closes the longest idle one of the clients that have had a response. If silent
+        clients were not closed first, hundreds of them would displace clients that send requests. Clients
+        that have just connected are kept: a client whose connection is closed before its request was read
+        sends the request once more on a new connection, but not a third time.
         """
         longest_idle = None
         for client in self._idle:
--- a/wheatroute/net/connection.py
+++ b/wheatroute/net/connection.py
@@ -192,7 +192,7 @@
         return False
 
     def is_closed_by_peer(self) -> bool:
-        """Returns whether the peer has closed or reset the connection, even if data is still to be read."""
+        """Returns whether the peer has closed or reset the connection, even if unread data precedes that."""
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
                 return True
--- a/wheatroute/net/load_reports.py
+++ b/wheatroute/net/load_reports.py
@@ -2,7 +2,7 @@
 
 from wheatroute.wire_names import REPORT_FIGURES
 
-MAX_LOAD_FIGURE = 1e9  # from here on, a value is treated as malformed
+MAX_LOAD_FIGURE = 1e9  # this value and larger ones are treated as malformed
 
 
 def parse_load_report(text: str) -> tuple[dict[str, float] | None, str]:
--- a/wheatroute/net/node_settings.py
+++ b/wheatroute/net/node_settings.py
@@ -305,7 +305,7 @@
     """Returns the settings of the version store that the object `name` describes; None if there is no object.
 
     The store is given by the key "directory", by "relay", or by "etcd" (addresses) together with "prefix".
-    Additionally there is "within" (seconds).
+    The result also has the key "within" (seconds).
     """
     if table is None:
         return None
@@ -371,8 +371,8 @@
 def _max_response_bytes(limits: object) -> int:
     """Returns the maximum size of a server's response in bytes.
 
-    Servers send longer bodies than the 64 KiB that the protocol allows clients, so that limit would turn good
-    responses into errors; without any limit a single response could use up all memory.
+    Servers send longer bodies than the 64 KiB that the protocol allows clients; that limit would turn good
+    responses into errors. Without any limit, a single response could use up all memory.
     """
     memory_mb = limits.get("memory_mb") if isinstance(limits, dict) else None
     if not isinstance(memory_mb, int | float) or not 0 < memory_mb < inf:
--- a/wheatroute/net/request_handler.py
+++ b/wheatroute/net/request_handler.py
@@ -88,7 +88,7 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: DecisionSettings) -> None:
-        """Uses these settings' limit of requests in flight and retry advice from now on."""
+        """Uses the retry advice and the limit of requests in flight of these settings from now on."""
         self._max_in_flight = min(
             self._clients.max_clients, settings.max_open_connections or self._clients.max_clients
         )
--- a/wheatroute/net/send_rules.py
+++ b/wheatroute/net/send_rules.py
@@ -88,7 +88,7 @@
         return now() >= first_sent_at + rules.retry_window - self._settings.tick
 
     def can_strand(self, exchange: Exchange) -> bool:
-        """Returns whether the request can no longer be retried once an attempt may have run."""
+        """Returns whether its class's rules can forbid every further attempt once one may have run."""
         rules = self._class_rules[exchange.request_class]
         if rules.idempotency == Idempotency.KEYED:
             return rules.deduplication_group != DeduplicationGroup.ALL or rules.retry_window < rules.deadline
--- a/wheatroute/net/shutdown.py
+++ b/wheatroute/net/shutdown.py
@@ -1,10 +1,10 @@
 """The phases of a node's graceful shutdown. No I/O.
 
 From SIGTERM until it is killed, a node has `KILL_AFTER_S` plus the longest deadline (at most
-`MAX_DEADLINE_S`). For most of that time it keeps serving normally; otherwise clients would find no node until
-it has started again, and by then the next one may be stopping. After that it closes idle connections and
-announces the close on others. The only node of its tier rejects requests instead, because its clients have no
-other node to connect to.
+`MAX_DEADLINE_S`). For most of that time it keeps serving normally. If it stopped serving at once, clients
+would find no node until it has started again, and by then the next node may be stopping. For the rest of the
+time it closes idle connections and announces the close on others. The only node of its tier rejects requests
+instead, because its clients have no other node to connect to.
 """
 
 from math import inf
