--- a/wheatroute/agreement/agreement_status.py
+++ b/wheatroute/agreement/agreement_status.py
@@ -13,7 +13,7 @@
 
 
 class ProcessState(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of one process; the field names are the keys of `--json`."""
+    """The state of one process; the encoded names of its fields are the keys of `--json`."""
 
     name: str
     incarnation: str = msgspec.field(name="start")
@@ -30,7 +30,7 @@
 
 
 class AgreementStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The active and pending versions and all processes; the field names are the keys of `--json`."""
+    """The active and pending versions and all processes; encoded field names are the keys of `--json`."""
 
     active: int = msgspec.field(name="in_force")
     pending: int = msgspec.field(name="under_way")
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -54,7 +54,7 @@
 
     version: int
     parent: int
-    content: Any  # validated by each process, whose status says why it cannot use a version
+    content: Any  # each process checks it; if it cannot be used, the process's status says why
     digest: str  # digest of `content`
     put_id: str = msgspec.field(name="name")  # random; its author recognizes the version by it
     author: str = msgspec.field(name="who")
--- a/wheatroute/agreement/versions.py
+++ b/wheatroute/agreement/versions.py
@@ -142,7 +142,7 @@
             )
 
     def _check_version(self, header: RecordHeader) -> None:
-        """Raises `HistoryError` if a record has the wrong version number.
+        """Raises `HistoryError` if a record has the wrong version number or an unknown kind.
 
         A put must have the next number; a record of any other kind must have that of the pending version.
         """
--- a/wheatroute/net/downstream.py
+++ b/wheatroute/net/downstream.py
@@ -107,7 +107,10 @@
         self._accepting.cancel()
 
     def _close_answered_clients(self) -> None:
-        """Closes idle connections that have had a response; on others, the next response says "close"."""
+        """Closes idle connections that have had a response.
+
+        On the other connections, the next response announces the close.
+        """
         self._shutdown.is_stopping = True
         for client in self._clients.idle:
             if client.connection.message_count:
--- a/wheatroute/platform_settings.py
+++ b/wheatroute/platform_settings.py
@@ -1,7 +1,7 @@
 """Translates the platform's settings, a JSON object with its own key names, to decision settings. No I/O.
 
-Missing keys get a default; unknown keys are ignored. Types are not checked here but by the callers
-(`wheatroute/net/node_settings.py`, `wheatroute/agreement/join_rules.py`).
+Missing keys get a default; unknown keys are ignored. Types are not checked here but in
+`wheatroute/net/node_settings.py` and, for versions of the settings, `wheatroute/agreement/setting_check.py`.
 """
 
 from collections.abc import Mapping
