--- a/wheatroute/agreement/agreement_status.py
+++ b/wheatroute/agreement/agreement_status.py
@@ -13,7 +13,7 @@
 
 
 class ProcessState(msgspec.Struct, frozen=True, kw_only=True):
-    """The state of one process; the field names are the keys of `--json`."""
+    """The state of one process; the encoded names of its fields are the keys of `--json`."""
 
     name: str
     incarnation: str = msgspec.field(name="start")
@@ -21,7 +21,7 @@
     joint_version: int = msgspec.field(name="joint")
     phase: str
     record: int  # number of the last record that the process has applied
-    confirmed_ago_s: float  # age of the status, by the wall clocks of its writer and its reader
+    confirmed_ago_s: float  # age of the status: the reader's wall clock minus the writer's
     list_source: str
     list_revision: int
     unusable_version: int = msgspec.field(name="refuses")
@@ -30,7 +30,7 @@
 
 
 class AgreementStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The active and pending versions and all processes; the field names are the keys of `--json`."""
+    """The active and pending versions and all processes; encoded field names are the keys of `--json`."""
 
     active: int = msgspec.field(name="in_force")
     pending: int = msgspec.field(name="under_way")
--- a/wheatroute/agreement/records.py
+++ b/wheatroute/agreement/records.py
@@ -25,7 +25,10 @@
 
 
 class RecordHeader(msgspec.Struct, frozen=True):
-    """The fields that are checked before a record is parsed; of any type, as the format may be newer."""
+    """The fields that are checked before a record is parsed.
+
+    They may be of any type, because the record may have a newer format.
+    """
 
     format: object = None
     number: object = msgspec.field(name="seq", default=None)
@@ -35,7 +38,10 @@
 
 
 class _Record(msgspec.Struct, frozen=True, tag_field="kind"):
-    """Base class of the records, one type for each kind; the fields that chain records are left out."""
+    """Base class of the record types, of which there is one for each kind.
+
+    They do not contain the fields that chain a record to the previous one.
+    """
 
     @property
     def kind(self) -> RecordKind:
@@ -48,7 +54,7 @@
 
     version: int
     parent: int
-    content: Any  # validated by each process, whose status says why it cannot use a version
+    content: Any  # each process checks it; if it cannot be used, the process's status says why
     digest: str  # digest of `content`
     put_id: str = msgspec.field(name="name")  # random; its author recognizes the version by it
     author: str = msgspec.field(name="who")
