--- a/wheatroute/rig/addresses.py
+++ b/wheatroute/rig/addresses.py
@@ -18,7 +18,7 @@
     """Reserves a port that the kernel chooses, without listening on it.
 
     A process that sets SO_REUSEADDR can still listen on the port. Without the reservation, the kernel could
-    give the port to a connection between its choice and the start of its process.
+    give the port to another connection before that process starts.
     """
     reserved = socket.socket(socket.AF_INET, socket_type)
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/wheatroute/rig/client_load.py
+++ b/wheatroute/rig/client_load.py
@@ -97,10 +97,10 @@
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
     async def _exchange(self, request: ClientRequest, message: bytes) -> None:
-        """Sends a request and records its response, on an idle connection if there is one.
+        """Sends a request, on an idle connection if there is one, and records its response.
 
-        The other side may have closed an idle connection before it read the request: then the request is sent
-        again, on a new connection.
+        If no response arrives on an idle connection, the request is sent again on a new one, because the
+        other side may have closed the idle connection before it read the request.
         """
         if self._idle and await self._exchange_on(self._idle.pop(), request, message):
             return
@@ -113,7 +113,7 @@
             request.status = NO_RESPONSE
 
     async def _exchange_on(self, connection: HttpConnection, request: ClientRequest, message: bytes) -> bool:
-        """Returns whether a response arrived on this connection."""
+        """Sends a request on this connection and records the response; returns whether one arrived."""
         try:
             await connection.stream.send_all(message)
             response = await connection.read_message()
--- a/wheatroute/rig/datagram_link.py
+++ b/wheatroute/rig/datagram_link.py
@@ -18,7 +18,8 @@
 class DatagramLink:
     """Forwards datagrams between two ends.
 
-    Each end knows the other by an address on this link: it sends to it, and receives datagrams from it.
+    The link has an address for each end, which that end uses as the address of the other: it sends datagrams
+    there, and receives the other's datagrams from there.
     """
 
     def __init__(self, name: str, ends: tuple[Address, Address], seed: int) -> None:
@@ -30,7 +31,7 @@
         self.reordered_count = 0
         self._ends = ends
         self._rng = random.Random(f"{seed}/{name}")
-        # by direction: a datagram that is to be sent after the next one
+        # by direction: a datagram that is held back until after the next one; empty for none
         self._reorder_buffer: list[bytes] = [b"", b""]
         self._sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in ends]
         for link_socket in self._sockets:
@@ -42,8 +43,8 @@
         """Forwards datagrams until it is cancelled."""
         first, second = (trio.socket.from_stdlib_socket(link_socket) for link_socket in self._sockets)
         async with trio.open_nursery() as nursery:
-            # A datagram that an end sends to its address on the link is received on one socket and sent from
-            # the other one, so that the other end receives it from the address by which it knows the sender.
+            # What the first end sends arrives at the first socket. It is sent on from the second socket,
+            # because the second end knows the first by that socket's address. The other direction likewise.
             nursery.start_soon(self._forward, first, second, Direction.FORWARD, nursery)
             nursery.start_soon(self._forward, second, first, Direction.BACKWARD, nursery)
 
--- a/wheatroute/rig/discovery.py
+++ b/wheatroute/rig/discovery.py
@@ -1,4 +1,8 @@
-"""Announces the servers to each process of the rig: by its discovery service, and by etcd if that is used."""
+"""Announces the servers to each process of the rig.
+
+Every process has its own discovery service. If nodes read the servers from etcd, the servers are announced
+there too.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +20,7 @@
 
 
 class Discovery:
-    """The servers that are announced to each process, with the addresses of its own links to them."""
+    """Announces servers to each process, at the addresses of that process's links to them."""
 
     def __init__(self, etcd: EtcdProcess | None) -> None:
         self.services: dict[str, DiscoveryService] = {}  # by process
@@ -29,7 +33,7 @@
         return service
 
     def add_server(self, process: str, server: Server, address: Address) -> None:
-        """Announces a server to a process, at the address of a link."""
+        """Announces a server to a process, at the address of the process's link to the server."""
         entry = self._entries[process, server.name] = ServerEntry(
             id=server.name, addr=host_port(address), zone=server.zone, cell=server.cell
         )
--- a/wheatroute/rig/discovery_service.py
+++ b/wheatroute/rig/discovery_service.py
@@ -73,7 +73,8 @@
     async def serve(self, stream: trio.SocketStream) -> None:
         """Serves one connection of a node.
 
-        With `?after=VERSION&wait_ms=MS`, waits up to that time for a version other than VERSION.
+        A request with the query `after=VERSION&wait_ms=MS` waits up to MS milliseconds for a version other
+        than VERSION.
         """
         connection = HttpConnection(stream)
         while (request := await connection.read_message()) is not None:
--- a/wheatroute/rig/etcd_cluster.py
+++ b/wheatroute/rig/etcd_cluster.py
@@ -122,6 +122,6 @@
 
 
 if __name__ == "__main__":
-    # standard output is for responses to commands
+    # logs go to standard error, because standard output is for responses to commands
     structlog.configure(logger_factory=structlog.PrintLoggerFactory(sys.stderr))
     trio.run(main, int(sys.argv[1]))
--- a/wheatroute/rig/etcd_process.py
+++ b/wheatroute/rig/etcd_process.py
@@ -15,7 +15,10 @@
 
 
 class EtcdProcess(Process):
-    """The process of the cluster; after the start, `addresses` has the addresses of its members."""
+    """The process that runs all members of the stand-in etcd cluster.
+
+    After `start`, `addresses` has their addresses.
+    """
 
     def __init__(self, member_count: int, log: Path) -> None:
         command = [sys.executable, "-m", "wheatroute.rig.etcd_cluster", str(member_count)]
@@ -39,7 +42,7 @@
     def send_command(self, order: str, **arguments: Any) -> None:
         """Sends a command to the cluster, see `etcd_cluster.Commands`; raises `RigError` if it fails.
 
-        `order` is the name of the command, and is called so in scenario files too.
+        `order` is the name of the command; scenario files use the same key for it.
         """
         assert self._process is not None and self._process.stdin and self._process.stdout
         self._process.stdin.write(json.dumps({"order": order} | arguments).encode() + b"\n")
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -23,7 +23,7 @@
 STORE = "store"
 # What a process logs when it begins to serve requests.
 LISTENING = "event=listening"
-# A resumed node counts as down for this long, until it handles its requests again.
+# A node counts as down until this long after it is resumed, because it handles its requests only then.
 RESUME_GRACE_S = 0.5
 # A node that is still down at the end of the load counts as down for this long.
 OPEN_DOWNTIME_S = 60.0
@@ -133,7 +133,7 @@
     def drain(self, server: str) -> None:
         """Announces to all processes that a server is terminating.
 
-        Executions that it starts after the grace period violate a rule, see `verdict.DRAIN_GRACE_S`.
+        Executions that the server starts after the grace period violate a rule, see `verdict.DRAIN_GRACE_S`.
         """
         self.record(f"drain {server}")
         self._records.drained_at[server] = time.monotonic()
--- a/wheatroute/rig/gateway.py
+++ b/wheatroute/rig/gateway.py
@@ -1,7 +1,7 @@
 """A proxy of the rig: asks an external processor for a server for each attempt, and forwards the request.
 
-It must never send a request to a server that the processor has not chosen for that attempt, nor hide the end
-of an attempt from the processor.
+It must send each attempt only to the server that the processor chose for it, and must let the processor know
+when the attempt ends.
 """
 
 from __future__ import annotations
@@ -78,7 +78,7 @@
 
 
 async def _report_response(call: AsyncCall, status: int) -> None:
-    """Reports a server's response headers to the processor, which ends the stream."""
+    """Reports a server's response headers to the processor, and ends the attempt's stream."""
     with suppress(CallError):
         await call.send(response_headers(status))
         await call.receive()
@@ -86,7 +86,7 @@
 
 
 async def _forward(request: HttpMessage, server: str) -> HttpMessage | None:
-    """Forwards a request to a server; returns the response, None without one or if connecting failed."""
+    """Forwards a request to a server; returns the response, or None if connecting or the exchange failed."""
     host, _, port = server.rpartition(":")
     try:
         with trio.fail_after(CONNECT_TIMEOUT_S):
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -13,7 +13,7 @@
 MAX_HEAD_BYTES = 65536
 RECEIVE_BYTES = 65536
 LISTEN_BACKLOG = 512
-# The peer closed the connection, or sent invalid HTTP (ValueError: a header that is not a number).
+# Raised if the peer closed the connection, or sent invalid HTTP (ValueError: the length is not a number).
 CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, ValueError)
 
 
--- a/wheatroute/rig/launcher.py
+++ b/wheatroute/rig/launcher.py
@@ -25,7 +25,7 @@
     def start_settings_command(self, *arguments: str, link_name: str = "") -> Process:
         """Starts `wheatroute settings` with these arguments; the log of the process is its output.
 
-        With `link_name`, it reaches the store through links of that name, which can be partitioned.
+        With `link_name`, the command reaches the store through links of that name, which can be partitioned.
         """
         url = self._components.backend.url(link_name)
         command = cli_command("settings", "--at", url, *arguments)
--- a/wheatroute/rig/link_fault.py
+++ b/wheatroute/rig/link_fault.py
@@ -32,7 +32,7 @@
 
 @dataclass
 class LinkFault:
-    """The fault of one direction of a link; without arguments, none."""
+    """The fault of one direction of a link; the default values mean that there is none."""
 
     is_partitioned: bool = False
     delay_s: float = 0.0
--- a/wheatroute/rig/loop_lateness.py
+++ b/wheatroute/rig/loop_lateness.py
@@ -1,8 +1,8 @@
 """Measures the delay of the rig's own event loop, so that verdicts don't mistake it for the program's delay.
 
-Clients, proxies, links and servers of a rig share one event loop. On a loaded machine each of them runs late,
-and a response is then read, or a deadline noticed, later than it came. A probe on the same loop measures by
-how much. Times are seconds of the monotonic clock.
+Clients, proxies, links and servers of a rig share one event loop. On a loaded machine each of them runs late:
+it reads a response later than it arrived, or notices a deadline later than it passed. A probe on the same
+loop measures by how much. Times are seconds of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 PROBE_INTERVAL_S = 0.01
 # The probe counts as punctual if it wakes up with at most this delay.
 MIN_DELAY_S = 0.002
-# Of the delay of one request, at most this much is excused by the delay of the rig.
+# At most this much delay of one request is excused because the rig itself was late.
 MAX_EXCUSED_S = 1.0
 
 
--- a/wheatroute/rig/network.py
+++ b/wheatroute/rig/network.py
@@ -1,7 +1,7 @@
 """The links between the processes of a rig, by name, and the ports reserved for processes that start later.
 
-A link is named `FROM-TO` after its two ends, for example `n0-s1`; several links to one target are numbered,
-for example `n0-etcd2`.
+A link is named `FROM-TO` after its two ends, for example `n0-s1`; the links to the members of a cluster are
+numbered, for example `n0-etcd2`.
 """
 
 from __future__ import annotations
@@ -73,8 +73,8 @@
 def free_datagram_address() -> Address:
     """Returns an address for datagrams that is free now.
 
-    The address is not reserved, because a process could not bind it meanwhile. It is unlikely to be lost,
-    because other programs rarely take a port for datagrams.
+    The address is not reserved, because the process that is to use it could not bind it then. Another program
+    is unlikely to take it first, because few bind a port for datagrams.
     """
     with reserve_port(socket.SOCK_DGRAM) as reserved:
         address: Address = reserved.getsockname()
--- a/wheatroute/rig/options.py
+++ b/wheatroute/rig/options.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class RigOptions:
-    """The shape of a rig.
+    """What a rig consists of, and the limits of its run.
 
     Nodes are named n0, n1 and so on, processors p0, p1, servers s0, s1, and zones a, b.
     """
--- a/wheatroute/rig/processes.py
+++ b/wheatroute/rig/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: the rig starts, signals and ends them on loopback; each has a log."""
+"""The processes of a run, which the rig starts, signals and ends; each has a log."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
 
     @property
     def log(self) -> str:
-        """The whole log of the process, of all its starts."""
+        """The whole log of the process, from its first start on."""
         return self._log.read_text(errors="replace") if self._log.exists() else ""
 
 
--- a/wheatroute/rig/processor_file.py
+++ b/wheatroute/rig/processor_file.py
@@ -28,7 +28,7 @@
 class ProcessorInstance:
     """The settings that differ between processors.
 
-    Versions don't contain any of them: the file of a version has the defaults.
+    Versions apply to all processors, so the file from which a version is made has the defaults.
     """
 
     name: str = "any"
@@ -39,7 +39,7 @@
 
 
 def processor_file(settings: Settings, node_count: int, instance: ProcessorInstance) -> str:
-    """Returns the text of the file."""
+    """Returns the text of a processor's settings file, for a rig with `node_count` nodes and processors."""
     lines = [
         f"name = {json.dumps(instance.name)}",
         f"nodes = {node_count}",
--- a/wheatroute/rig/rig.py
+++ b/wheatroute/rig/rig.py
@@ -1,6 +1,6 @@
-"""The rig: starts processes of the program and everything around them on loopback, and ends all of them.
+"""The rig: runs processes of the program, and everything that they communicate with, on loopback.
 
-It must never leave a process running, whatever fails, nor end a process that it did not start. It doesn't
+Whatever fails, it must end all processes that it started, and must not end any other process. It doesn't
 notify the program of any fault.
 """
 
@@ -25,7 +25,8 @@
 from wheatroute.rig.versions import VersionPublisher
 from wheatroute.rig.waiting import WAIT_TIMEOUT_S, wait_until
 
-# The last requests have to end within the longest timeout of a request plus this time.
+# After the load stops, the requests in flight get the longest timeout of any request plus this time and
+# MAX_EXCUSED_S to end.
 DRAIN_SLACK_S = 1.5
 CHECK_INTERVAL_S = 0.02
 
@@ -33,7 +34,7 @@
 class Rig:
     """Nodes, processors with a proxy each, servers, a store for versions, and clients of each node.
 
-    Any two processes are connected by a link, into which faults can be injected.
+    The connections between them pass through links, into which faults can be injected.
     """
 
     def __init__(self, components: RigComponents) -> None:
@@ -103,7 +104,10 @@
 
 @asynccontextmanager
 async def running_rig(options: RigOptions) -> AsyncIterator[Rig]:
-    """Builds and runs a rig until the context ends, at most for `timeout_s`; then ends all of it."""
+    """Builds a rig, runs it until the context ends, and then ends all its processes.
+
+    Raises `trio.TooSlowError` if that takes longer than `timeout_s` of the options.
+    """
     with ExitStack() as cleanup:
         folder = cleanup.enter_context(_run_folder(options.folder))
         with trio.fail_after(options.timeout_s):
--- a/wheatroute/rig/run_folder.py
+++ b/wheatroute/rig/run_folder.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class StoredRun:
-    """The data of a stored run that is read back."""
+    """The data of a stored run from which its plot is drawn."""
 
     name: str
     process_names: list[str]  # of nodes and processors
--- a/wheatroute/rig/run_records.py
+++ b/wheatroute/rig/run_records.py
@@ -1,7 +1,7 @@
 """The records of a run: what its servers and clients observed, and which faults were injected. Does no I/O.
 
-The program is never asked what it did: servers and clients identify a request by its id. Times are seconds of
-the rig's own monotonic clock. `verdict` judges a run by these records.
+The program is never asked what it did: the request's id connects what the servers and the client observed of
+a request. Times are seconds of the rig's own monotonic clock. `verdict` judges a run by these records.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
     "zone": DeduplicationGroup.ZONE,
     "cell": DeduplicationGroup.CELL,
 }
-# The state of the version in force, as the history of versions gives it.
+# The state of the version in force, in the history of versions.
 IN_FORCE = "in force"
-# The start of the state of a version that was in force earlier.
+# The state of a version that was in force earlier begins with this word.
 WAS_IN_FORCE = "was"
 # The status of a request whose connection broke or could not be opened.
 NO_RESPONSE = -1
 
 
 class ExecutionOutcome(StrEnum):
-    """What a server did after it had run a request."""
+    """How a server responds after it has run a request."""
 
     ANSWERED = "answered"
     ERROR = "error"
@@ -60,8 +60,8 @@
 class ClientRequest:
     """A request of a client and its response.
 
-    `status` is that of HTTP, 0 without a response so far, or `NO_RESPONSE`. `ended_at` is 0 while the client
-    waits.
+    `status` is the HTTP status of the response, 0 if none has arrived, or `NO_RESPONSE`. `ended_at` is 0
+    while the client waits.
     """
 
     sent_at: float
@@ -77,8 +77,8 @@
 class RepeatPolicy(NamedTuple):
     """Whether a request class allows a request to be executed again, and on which servers.
 
-    A keyed request may be repeated for `repeat_window_s` after its first execution, by the servers of its
-    deduplication group.
+    A keyed request may be repeated for `repeat_window_s` after its first execution, by the servers in the
+    deduplication group of the first server.
     """
 
     idempotency: Idempotency
@@ -87,7 +87,7 @@
 
     @classmethod
     def from_settings(cls, table: Settings) -> RepeatPolicy:
-        """Returns the policy of a class's table in the settings; an unknown value counts as the strictest."""
+        """Returns the policy in a class's table of the settings; an unknown value counts as the strictest."""
         return cls(
             IDEMPOTENCY.get(table.get("effect", ""), Idempotency.NON_IDEMPOTENT),
             _DEDUPLICATION_GROUPS.get(table.get("group", "all"), DeduplicationGroup.CELL),
@@ -110,7 +110,7 @@
 
     @property
     def may_forbid_repeat(self) -> bool:
-        """Whether there may be a server that must not run a request which another server has started."""
+        """Whether the policy may forbid a server to run a request that another server has started."""
         if self.idempotency is Idempotency.KEYED:
             return self.deduplication_group is not DeduplicationGroup.ALL
         return self.idempotency is Idempotency.NON_IDEMPOTENT
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class PublishedVersion:
-    """A version of the settings, as its operator sees it; `state` is its last outcome, empty without one."""
+    """A version of the settings, as its operator sees it; `state` is its last outcome, at first empty."""
 
     number: int
     repeat_policies: dict[str, RepeatPolicy]  # by request class
--- a/wheatroute/rig/scenario.py
+++ b/wheatroute/rig/scenario.py
@@ -1,7 +1,7 @@
-"""Scenario files of the rig (TOML): its processes, load and servers, and the steps in time.
+"""Scenario files of the rig (TOML): they describe its processes, servers and load, and a list of timed steps.
 
-The keys of a file are the aliases of the fields, or their names where they have no alias. Reading the file is
-the only I/O of this module.
+The key of a field in the file is the field's alias, or its name if it has no alias. Reading the file is the
+only I/O of this module.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 
 class Step(Table):
-    """An action at a time, in seconds since the clients started."""
+    """An action that the rig performs `at_s` seconds after the clients started."""
 
     at_s: float = Field(ge=0.0, alias="at")
     action: Action = Field(alias="do")
--- a/wheatroute/rig/scenario_player.py
+++ b/wheatroute/rig/scenario_player.py
@@ -118,7 +118,7 @@
     try:
         await rig.versions.read_history()
     except (VersionStoreError, trio.TooSlowError):
-        # the scenario left the store partitioned: the versions recorded so far are kept
+        # the scenario left the store unreachable: the versions recorded so far are kept
         pass
 
 
--- a/wheatroute/rig/server.py
+++ b/wheatroute/rig/server.py
@@ -37,8 +37,9 @@
     async def serve(self, stream: trio.SocketStream, node: str, sent_at: Mapping[Address, float]) -> None:
         """Serves one connection of a node.
 
-        `sent_at` is that of the connection's `TcpLink`: when the last bytes left the node, by the address
-        from which the link connected. Without an entry, the time of reading is recorded.
+        `sent_at` is the attribute of the connection's `TcpLink`: by the address from which the link
+        connected, the time when the last bytes left the node. Without an entry, the time of reading is
+        recorded.
         """
         connection = HttpConnection(stream)
         peer: Address = stream.socket.getpeername()
--- a/wheatroute/rig/settings.py
+++ b/wheatroute/rig/settings.py
@@ -93,7 +93,7 @@
 
 
 def _table_of(settings: Settings, name: str) -> Settings:
-    """Returns the request class, the tenant or else the table of this name, which is added if missing."""
+    """Returns the request class or tenant of this name, else the table of this name (added if missing)."""
     for key in ("traffic-types", "tenants"):
         for table in settings.get(key, []):
             if table["name"] == name:
--- a/wheatroute/rig/supervisor.py
+++ b/wheatroute/rig/supervisor.py
@@ -17,7 +17,7 @@
 
 
 def supervisor_file(node: str, zone: str, programs: dict[str, list[str]], files: ProcessFiles) -> str:
-    """Returns the text of a supervisor's settings file (TOML); it runs the first of the programs at first."""
+    """Returns the text of a supervisor's settings file (TOML), to start with the first of the programs."""
     table = {
         "name": node,
         "site": zone,
--- a/wheatroute/rig/tcp_link.py
+++ b/wheatroute/rig/tcp_link.py
@@ -1,8 +1,8 @@
 """A TCP link between two processes, into which faults can be injected.
 
-Each link has its own listener. It must never reorder or change the bytes of a stream, nor hold more of a
-partitioned stream than the buffers of the two sides: data that is not received stays with its sender, as on a
-network.
+Each link has its own listener. It must never reorder or change the bytes of a stream. Of a partitioned
+stream, it must not hold more than the buffers of the two sides do: further data stays with its sender, as on
+a network.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class TcpLink:
-    """Forwards each connection to `address` to `target`."""
+    """Accepts connections at `address` and forwards each of them to `target`."""
 
     def __init__(self, name: str, target: Address) -> None:
         self.name = name
--- a/wheatroute/rig/verdict.py
+++ b/wheatroute/rig/verdict.py
@@ -19,15 +19,15 @@
     RunRecords,
 )
 
-# Time after its request's deadline by which a response may still arrive, according to the protocol.
+# The protocol allows a response to arrive up to this long after its request's deadline.
 ANSWER_SLACK_S = 0.05
 # Further allowance for the delay of the rig's own threads and links, on top of ANSWER_SLACK_S.
 RIG_SLACK_S = 0.25
 # How long a server may still get requests after its drain was announced.
 DRAIN_GRACE_S = 2.0
-# A request's timeline shows the versions and faults from this long before the request's first event ...
+# A request's timeline shows the versions and faults from TIMELINE_LEAD_S before the request's first event
+# until TIMELINE_TAIL_S after its last event.
 TIMELINE_LEAD_S = 30.0
-# ... until this long after its last event.
 TIMELINE_TAIL_S = 1.0
 
 
@@ -49,9 +49,9 @@
 
 
 def contradictions(records: RunRecords) -> list[Contradiction]:
-    """Returns the repeats that the newest version at their time does not allow.
+    """Returns the repeats that the newest version published before them does not allow.
 
-    Only versions that came into force count.
+    Versions that never came into force are ignored.
     """
     found = []
     versions = [version for version in records.versions if version.became_active]
@@ -67,10 +67,10 @@
 
 
 def unsafe_repeats(records: RunRecords) -> list[Execution]:
-    """Returns the repeats that no version allows which could be in force at their time: always wrong.
+    """Returns the repeats that are forbidden by every version that a process could act on at their time.
 
-    Processes may act on a version until all of them know the next one. A repeat that any of the versions
-    around its time allows is therefore not unsafe, but it may be one of `contradictions`.
+    Processes may act on a version until all of them know the next one. A repeat that at least one of these
+    versions allows is therefore not unsafe, but `contradictions` may return it.
     """
     found = []
     for first, repeat in _repeats(records):
@@ -83,7 +83,8 @@
 def rejected_after_execution(records: RunRecords) -> list[ClientRequest]:
     """Returns requests that were rejected although a server had started them.
 
-    Requests that a version in force at the time lets be repeated on every server are left out.
+    Leaves out a request if any version that a process could act on meanwhile allows every server to run it
+    again.
     """
     found = []
     for request_id, executions in records.executions_by_request().items():
@@ -99,7 +100,7 @@
 
 
 def _repeats(records: RunRecords) -> list[tuple[Execution, Execution]]:
-    """Returns each later execution of a request, in a pair with the request's first one."""
+    """Returns a pair for each repeat: the first execution of its request, and the repeat."""
     return [
         (executions[0], repeat)
         for executions in records.executions_by_request().values()
@@ -110,7 +111,7 @@
 def _possible_policies(
     records: RunRecords, start: float, end: float, request_class: str
 ) -> list[RepeatPolicy]:
-    """Returns a class's policies in all versions that a process may act on between two times."""
+    """Returns a class's policies in all versions that a process may act on between `start` and `end`."""
     published = [version for version in records.versions if version.published_at <= end]
     known_to_all = [
         i
@@ -126,10 +127,11 @@
 
 
 def lost_requests(records: RunRecords, until: float) -> list[ClientRequest]:
-    """Returns requests without exactly one response in time, except those whose node was killed or stopped.
+    """Returns the requests that did not get exactly one response by their deadline.
 
-    `until` is the end of the run: requests whose deadline is later are not judged. The delay of the rig's own
-    event loop while a request was in flight is added to that request's deadline.
+    Leaves out requests whose node was killed or stopped meanwhile. `until` is the end of the run: a request
+    whose deadline is later is judged only if its connection broke. The delay of the rig's own event loop
+    while a request was in flight, up to `MAX_EXCUSED_S`, is added to that request's deadline.
     """
     return [request for request in records.requests.values() if _is_lost(records, request, until)]
 
--- a/wheatroute/rig/versions.py
+++ b/wheatroute/rig/versions.py
@@ -45,7 +45,7 @@
     async def read_history(self) -> History:
         """Reads the history from the store, and records its versions, including those published by others.
 
-        Of the latter, the time of the read is recorded as the time of publication.
+        For a version that others published, the time of this read is recorded as its time of publication.
         """
         async with self._backend.operator_store() as store:
             history = await operator.read_history(store)
@@ -121,7 +121,7 @@
     async def wait_until_agreed(
         self, number: int, names: list[str] | None = None, timeout_s: float = WAIT_TIMEOUT_S
     ) -> None:
-        """Waits until all processes of these names act on one version alone.
+        """Waits until all processes with these names act on version `number` and on no other.
 
         By default, waits for all nodes and processors. Raises `RigError` after the timeout.
         """
@@ -141,7 +141,7 @@
         raise RigError(f"after {timeout_s:g} s, not all processes act on version {number}: {statuses}")
 
     async def _newest_statuses(self) -> dict[str, ProcessState]:
-        """Returns the status by process name; if processes share a name, that of the last one confirmed."""
+        """Returns the status by process name; if processes share a name, the one that was confirmed last."""
         processes = (await self.status()).processes
         return {
             process.name: process
--- a/wheatroute/rig/waiting.py
+++ b/wheatroute/rig/waiting.py
@@ -22,7 +22,7 @@
 ) -> None:
     """Waits until a condition is true; raises `RigError` with the description after the timeout.
 
-    The delay of this process's event loop meanwhile is added to the timeout, at most the timeout once more.
+    The delay of this process's event loop meanwhile is added to the timeout, and can at most double it.
     """
     start = time.monotonic()
     while not condition():
--- a/wheatroute/standin/etcd.py
+++ b/wheatroute/standin/etcd.py
@@ -35,7 +35,7 @@
 class Member:
     """One member of the cluster; its listener is open from its creation on.
 
-    If there are `users`, passwords by name, calls must carry an auth token.
+    If `users` (passwords by user name) is not empty, calls must carry an auth token.
     """
 
     def __init__(
@@ -131,7 +131,7 @@
             raise CallError(Status.UNAUTHENTICATED, BAD_TOKEN)
 
     def _check_leader(self) -> None:
-        """Raises `CallError` if the member lags: it is partitioned from the others, and has no leader."""
+        """Raises `CallError` if the member lags, because it then counts as partitioned from the leader."""
         if self.faults.revision_lag:
             raise CallError(Status.UNAVAILABLE, NO_LEADER)
 
@@ -201,7 +201,7 @@
 
     @asynccontextmanager
     async def _stream(self) -> AsyncIterator[None]:
-        """Runs a stream in a scope that `drop_streams` cancels; then raises `CallError` for its client."""
+        """Runs a stream in a scope that `drop_streams` can cancel; raises `CallError` if that happens."""
         scope = trio.CancelScope()
         self._streams.add(scope)
         try:
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -23,7 +23,7 @@
 FIRST_LEASE_ID = 7001
 
 
-# A message class of `wire`; these are made at import and have no static type.
+# A message of `wire`; its class is made at import and therefore has no static type.
 Message = Any
 
 
@@ -56,7 +56,7 @@
 
 
 class Store:
-    """Holds all keys and their history by revision, and leases; `clock` returns seconds for the leases."""
+    """Holds all keys, their history by revision, and leases; leases expire by `clock`, in seconds."""
 
     def __init__(self, cluster_id: int = 1, clock: Callable[[], float] = time.monotonic) -> None:
         self.cluster_id = cluster_id
@@ -221,7 +221,7 @@
         return results[comparison.result]
 
     def compact(self, revision: int) -> None:
-        """Drops the history before a revision, except the events that its keys depend on.
+        """Drops the history up to a revision, except the last put of each key that exists at this revision.
 
         Raises `CallError` for a compacted or future revision.
         """
@@ -278,7 +278,8 @@
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
     """Returns whether a key is in a range of etcd's API.
 
-    An empty `end` means the key `start` alone, a zero byte all keys from `start` on.
+    If `end` is empty, the range is the key `start` alone; if it is one zero byte, all keys from `start` on;
+    otherwise the keys from `start` up to, but not including, `end`.
     """
     if not end:
         return key == start
