--- a/wheatroute/benchlink/host.py
+++ b/wheatroute/benchlink/host.py
@@ -23,9 +23,10 @@
         self._lists: dict[int, list[dict[str, Any]]] = {}
 
     def handle_batch(self, batch: dict[str, Any]) -> dict[str, Any]:
-        """Returns the reply to a batch; raises `MalformedError`.
+        """Returns the reply to a batch; raises `MalformedError` if an event lacks a required field.
 
-        Any other exception of an instance becomes a "fault" in its decisions, and the other nodes go on.
+        If an instance raises another exception, its node's decisions are a single "fault" message; the other
+        nodes are handled as usual.
         """
         now, replies = batch["now"], []
         for entry in batch["nodes"]:
--- a/wheatroute/fleet/baselines/__init__.py
+++ b/wheatroute/fleet/baselines/__init__.py
@@ -1,8 +1,8 @@
 """Routing policies from the literature, as baselines for the decision module. Never used in production.
 
-They follow the rules on retries and drains and do nothing else: no concurrency limits and, except for
-`TrueStateAdmission`, no early rejection. Their only health check, common to all, excludes a server for one
-second after a refused connection.
+They follow the rules on retries and drains and do nothing else: they have no concurrency limits, and only
+`TrueStateAdmission` rejects requests early. The only health check, the same in all of them, excludes a server
+for one second after a refused connection.
 """
 
 from __future__ import annotations
--- a/wheatroute/fleet/baselines/probing.py
+++ b/wheatroute/fleet/baselines/probing.py
@@ -1,4 +1,4 @@
-"""Choice by a pool of recent probe results, with the servers' requests and latency. No I/O.
+"""Choice of servers by recent probe results, which have a server's held requests and latency. No I/O.
 
 After B. Wydrowski et al., "Load is not what you should balance: Introducing Prequal", 2024.
 """
@@ -27,11 +27,11 @@
     received_at: float
     server: int
     held_jobs: float  # requests that the server holds
-    latency_s: float  # as estimated by the server
+    latency_s: float  # latency of a request, as the server estimates it from its load and speed
 
 
 class PooledProbing(Policy):
-    """Chooses the fastest of the servers that are not hot, or the one with the fewest requests if all are."""
+    """Chooses the fastest server that is not hot; if all are hot, the one with the fewest requests."""
 
     def __init__(self, node: Node, settings: DecisionSettings, rng: Random) -> None:
         super().__init__(node, settings, rng)
@@ -83,7 +83,7 @@
         return sorted(self._held_samples)[min(count - 1, int(count * HOT_QUANTILE))]
 
     def _count_sent(self, server: int) -> None:
-        """Adds a request sent to a server to the requests held in its other results."""
+        """Counts a request that was just sent to a server in the server's other results in the pool."""
         self._pool = [
             result._replace(held_jobs=result.held_jobs + (result.server == server)) for result in self._pool
         ]
--- a/wheatroute/fleet/baselines/true_state.py
+++ b/wheatroute/fleet/baselines/true_state.py
@@ -11,7 +11,7 @@
     """Chooses the server with the fewest jobs relative to its speed; knows which servers are dead or hang."""
 
     def load(self, number: int) -> float:
-        """Returns the jobs per core of speed 1 with one more job; infinite for a server that does no work."""
+        """Returns the jobs per core of speed 1, including a new one; infinite if the server does no work."""
         server = self.node.servers[number]
         speed = server.current_speed() if server.is_alive else 0.0
         return (server.held_jobs + 1) / (server.cores * speed) if speed > 0.0 else inf
--- a/wheatroute/fleet/calls.py
+++ b/wheatroute/fleet/calls.py
@@ -14,7 +14,8 @@
 from wheatroute.fleet.requests import Attempt, NodeRequest, RequestOutcome
 from wheatroute.fleet.transport import AttemptTransport
 
-# Base of the call numbers: call i of call c has number 16 * c + i, unique for up to 15 calls of each call.
+# Base of the call numbers: the i-th call (from 1) that call c makes has the number 16 * c + i. The numbers
+# are unique if no call makes more than 15 calls.
 MAX_CALLS_PER_CALL = 16
 
 
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -29,7 +29,7 @@
     """Is notified of clients that received no answer in time."""
 
     def client_timed_out(self, request: NodeRequest) -> None:
-        """Is called when a client's timeout and the slack of the rules have passed without an answer."""
+        """Is called when a client's timeout and the rules' `answer_slack_s` have passed without an answer."""
 
 
 class ClientPopulation:
@@ -171,7 +171,7 @@
         now = self._engine.now
         request.outcome = outcome
         request.ended_at = now
-        # A try that reached no node is repeated even if no retries are left, but uses up one if any are.
+        # A try that reached no node counts as one of the retries, but is repeated even if none are left.
         is_unreached = outcome is RequestOutcome.UNREACHED
         has_retries = is_unreached or request.tries <= self._plan.clients.max_retries
         if has_retries and now + delay_s < request.deadline_at:
--- a/wheatroute/fleet/collapse.py
+++ b/wheatroute/fleet/collapse.py
@@ -11,7 +11,7 @@
 
 
 class CollapseMonitor:
-    """Determines from its smoothed load whether a server is collapsed; it never is if `plan` is None."""
+    """Decides by a server's smoothed load whether the server is collapsed; if `plan` is None, it never is."""
 
     def __init__(self, plan: Collapse | None, cores: int, now: float) -> None:
         self.count = 0  # number of collapses so far
--- a/wheatroute/fleet/connections.py
+++ b/wheatroute/fleet/connections.py
@@ -28,7 +28,7 @@
         self._idle: dict[int, list[IdleConnection]] = {}  # by server number, the last used one last
 
     def take_idle(self, server: Server) -> bool:
-        """Takes an idle connection that is still usable, closing those that aren't; False if none is left."""
+        """Takes a usable idle connection, and closes unusable ones; returns False if none is usable."""
         idle = self._idle.get(server.number)
         while idle:
             connection = idle.pop()
--- a/wheatroute/fleet/distributions.py
+++ b/wheatroute/fleet/distributions.py
@@ -37,7 +37,7 @@
 
 
 def distribution(name: str, mean: float, cv: float = 1.0) -> Callable[[float], float]:
-    """Returns a function from a uniform draw to a draw from the distribution with this name.
+    """Returns a function that turns a uniform draw into a draw from the distribution `name`.
 
     Raises ValueError for an unknown name.
     """
--- a/wheatroute/fleet/entry_balancer.py
+++ b/wheatroute/fleet/entry_balancer.py
@@ -9,7 +9,7 @@
 from wheatroute.fleet.nodes import Node
 from wheatroute.fleet.plan import FleetPlan
 
-# Time for which a dead node is still chosen, from the first time that it is considered after its end.
+# The end of a node is detected this long after the balancer first considers the dead node for a try.
 DETECTION_DELAY_S = 2.0
 
 
--- a/wheatroute/fleet/faults.py
+++ b/wheatroute/fleet/faults.py
@@ -1,7 +1,7 @@
 """Fault injection: applies the faults of a plan at their times and ends them. No I/O.
 
-Each fault draws the servers or nodes that it affects from its own random stream, so that other faults and the
-policy do not change them.
+Each fault draws the servers or nodes that it affects from its own random stream, so that the choice depends
+neither on other faults nor on the policy.
 """
 
 from __future__ import annotations
@@ -66,9 +66,9 @@
     # targets
 
     def _choose_servers(self, fault: FaultPlan, fraction: float, rng: Random) -> list[Server]:
-        """Chooses a fraction of the live servers of each tier that the fault affects.
+        """Chooses a fraction of the live servers in each of the fault's tiers.
 
-        Only servers in the fault's zone are chosen if it names one.
+        If the fault names a zone, only servers in this zone are considered.
         """
         chosen = []
         for depth, tier in enumerate(self._membership.tiers):
@@ -187,7 +187,11 @@
     def _alternate(
         self, fault: FaultPlan, name: str, rng: Random, factor: float, on_s: float, off_s: float
     ) -> None:
-        """Alternates speeds between a factor and normal; phases last 0.5 to 1.5 times `on_s` and `off_s`."""
+        """Alternates the speed of some servers between `factor` times the normal speed and the normal speed.
+
+        A slow phase lasts 0.5 to 1.5 times `on_s`, a normal phase 0.5 to 1.5 times `off_s`. The first slow
+        phase starts after at most `off_s`.
+        """
         end = self._engine.now + fault.duration_s
 
         def apply(server: Server) -> None:
@@ -214,7 +218,7 @@
         self._membership.server_list.extra_delay_s += delay_s
 
     def _cut_off(self, fault: FaultPlan, name: str, rng: Random) -> None:
-        """Cuts off the fault's zone, or some servers if it names no zone, from the network."""
+        """Cuts off the fault's zone from the other zones; if it names no zone, isolates some servers."""
         if fault.zone:
             self._network.partition(name, frozenset([self._zones.index(fault.zone)]))
         else:
--- a/wheatroute/fleet/loss_accounting.py
+++ b/wheatroute/fleet/loss_accounting.py
@@ -1,4 +1,4 @@
-"""Loss accounting: why the balancer gave up requests, with its own state and the true state of the servers.
+"""Loss accounting: records why the balancer gave up requests, its own state and the servers' true state.
 
 Wraps the shipped balancer: records which method called `FinalAnswers.finish`, together with the true state of
 the simulated servers. Changes no decision. Serves the analysis of simulated runs; the product never uses it.
@@ -34,7 +34,7 @@
     "drain": "queued",
 }
 UNLIMITED = -1.0  # `LossCause.limit` of a node without a limit
-NEXT_TRY_GAP_S = 0.5  # a loss that is later than the previous one by more than this belongs to another try
+NEXT_TRY_GAP_S = 0.5  # a loss more than this after the previous one of its request belongs to a later try
 MAX_TRIES_REPORTED = 3  # requests with more tries are counted with those that have this many
 
 
@@ -144,8 +144,9 @@
 def losses_by_cause(world: World, losses: list[LossCause]) -> list[LossByCause]:
     """Returns the value lost to each cause, the largest loss first.
 
-    A request that was served late is counted by its number of tries. One that nodes gave up is counted by the
-    loss at the deepest of these nodes in its last try, any other by its outcome.
+    For a request that was served late, the cause is its number of tries. For one that nodes gave up, it is
+    the loss at the deepest of these nodes in the request's last try. For any other, it is the request's
+    outcome.
     """
     causes = _deepest_causes(losses)
     lost: dict[str, float] = {}
@@ -163,7 +164,10 @@
 
 
 def _deepest_causes(losses: list[LossCause]) -> dict[int, LossCause]:
-    """Returns the loss at the deepest node in each request's last try, which made the nodes above give up."""
+    """Returns, by request, the loss at the deepest node in its last try.
+
+    This loss made the nodes above give up.
+    """
     causes: dict[int, LossCause] = {}
     for loss in losses:
         known = causes.get(loss.client_request)
--- a/wheatroute/fleet/network.py
+++ b/wheatroute/fleet/network.py
@@ -44,7 +44,7 @@
         return base_s * (1.0 - plan.jitter / 2 - plan.jitter / 2 * log(1.0 - self._rng.random()))
 
     def reaches(self, from_zone: int, to_zone: int, *addresses: Address) -> bool:
-        """Returns whether messages between two zones and these addresses arrive."""
+        """Returns whether messages between machines in these zones and with these addresses arrive."""
         if from_zone != to_zone and any(
             (from_zone in zones) != (to_zone in zones) for zones in self._partitions.values()
         ):
--- a/wheatroute/fleet/node_commands.py
+++ b/wheatroute/fleet/node_commands.py
@@ -66,7 +66,7 @@
         """Does nothing: simulated nodes don't exchange loads."""
 
     def watch(self, enable: bool) -> None:
-        """Fetches the full list on enabling; changes are sent to all nodes in any case."""
+        """Fetches the full list when watching starts; nodes receive changes whether they watch or not."""
         if enable:
             self._fetch_list()
 
--- a/wheatroute/fleet/node_requests.py
+++ b/wheatroute/fleet/node_requests.py
@@ -33,7 +33,7 @@
 
 
 class NodeRequests:
-    """Manages the requests of one node; `open_requests` keeps each until its attempts have ended too."""
+    """Manages the requests of one node; `open_requests` has each until it and its attempts have ended."""
 
     def __init__(
         self,
@@ -163,7 +163,7 @@
 
     def _forget_if_done(self, request: NodeRequest) -> None:
         if request.is_answered and request.in_flight <= 0:
-            # Deferred until after the current batch, because one of its commands may name the request.
+            # Deferred until after the current batch, because a later command in it may name the request.
             self._engine.call_at(self._engine.now, self._forget, request.number)
 
     def _forget(self, number: int) -> None:
--- a/wheatroute/fleet/nodes.py
+++ b/wheatroute/fleet/nodes.py
@@ -118,7 +118,7 @@
         return self._requests.open_requests
 
     def mean_call_work_s(self, class_number: int) -> float:
-        """Returns the mean work of a request class at the node's tier, in seconds on a core of speed 1."""
+        """Returns the mean work of a class's call to the node's tier, in seconds on a core of speed 1."""
         return self._environment.plan.mean_call_work_s(class_number, self.depth)
 
     def receive(
@@ -130,7 +130,7 @@
         is_repeated: bool,
         on_answer: Callable[[RequestOutcome, float], None],
     ) -> NodeRequest:
-        """Receives a request whose deadline is in `time_left_s` seconds; see `NodeRequest` for the rest."""
+        """Receives a request whose deadline is in `time_left_s` seconds; see also `NodeRequest`."""
         return self._requests.receive(
             client_request, call_number, time_left_s, tenant, is_repeated, on_answer
         )
@@ -163,7 +163,7 @@
     def die(self) -> list[NodeRequest]:
         """Ends the node and returns the requests that it had not answered.
 
-        Its attempts in flight are abandoned; they continue at the servers unless these cancel them.
+        The node's attempts in flight are abandoned: their jobs run on, unless the servers can cancel them.
         """
         self.is_alive = False
         self._events.close()
--- a/wheatroute/fleet/plan.py
+++ b/wheatroute/fleet/plan.py
@@ -71,7 +71,7 @@
     # The server recovers when the mean fraction of busy cores falls below this.
     recovery_utilization: Fraction = Field(default=0.3, alias="below")
     recovery_window_s: Positive = Field(default=3.0, alias="rest")  # window of the mean for recovery
-    # The server recovers after this time in any case.
+    # The server recovers this long after the start of its collapse in any case.
     max_duration_s: Positive = Field(default=25.0, alias="longest")
 
 
@@ -108,7 +108,7 @@
     warmup_s: NonNegative = Field(default=8.0, alias="cold_time")  # time from the start to full speed
     # which jobs can be cancelled; "waiting" means queued ones only
     cancellable: Literal["all", "waiting", "none"] = Field(default="all", alias="cancel")
-    error_rate: Fraction = 0.0  # accepted but without effect; errors are simulated as a fault (`FaultPlan`)
+    error_rate: Fraction = 0.0  # allowed in files, but without effect; `FaultPlan` simulates errors
     collapse: Collapse | None = None
     reports: LoadReports | None = None
 
@@ -131,9 +131,9 @@
     value: Positive = Field(default=1.0, alias="utility")  # value of a response within the target latency
     # value of a later response, as a fraction of `value`
     late_value: NonNegative = Field(default=0.0, alias="late_utility")
-    # time from its first sending in which a keyed request may be repeated
+    # a keyed request may be repeated for this time after it was first sent
     retry_window_s: NonNegative = Field(default=10.0, alias="repeat_window")
-    # servers that recognize the key of a request that one of them has run
+    # which servers recognize the key of a keyed request that one of them has run
     deduplication_group: Literal["all", "zone", "cell"] = Field(default="all", alias="group")
 
     @model_validator(mode="after")
@@ -200,7 +200,8 @@
     # idle time after which a server closes a connection
     idle_timeout_s: Positive = Field(default=30.0, alias="idle_closed")
     list_delay_s: NonNegative = Field(default=2.0, alias="list_delay")
-    list_jitter_s: NonNegative = Field(default=0.5, alias="list_spread")  # maximum addition to the delay
+    # maximum random addition to `list_delay_s`
+    list_jitter_s: NonNegative = Field(default=0.5, alias="list_spread")
 
 
 class RuleLimits(Table):
@@ -243,10 +244,11 @@
     start_s: NonNegative = Field(alias="at")
     duration_s: NonNegative = Field(default=10.0, alias="length")
     tier: Annotated[int, Field(ge=-1, le=9)] = ALL_TIERS
-    # fraction of the servers, of the zone's servers or of the nodes that the fault affects
+    # fraction that the fault affects: of the servers (in its zone, if it names one) or of the entry nodes
     fraction: Fraction = Field(default=0.1, alias="part")
-    # factor of a slowdown, fraction of errors or of lost responses, length of a pause in seconds,
-    # fraction of a machine that a neighbour uses, or additional delay of the server list in seconds
+    # depends on the kind: the factor of a slowdown, the fraction of errors or of lost responses, the length
+    # of a pause in seconds, the fraction of a machine that a neighbour uses, or the additional delay of the
+    # server list in seconds
     severity: NonNegative = Field(default=3.0, alias="size")
     # time between pauses, between a neighbour's phases or between the batches of a deploy
     interval_s: Positive = Field(default=2.0, alias="every")
@@ -258,9 +260,8 @@
 
     name: Name = "fleet"
     duration_s: Positive = Field(default=60.0, alias="length")
-    warmup_s: NonNegative = Field(
-        default=0.0, alias="warm_up"
-    )  # requests that arrive before this time don't count
+    # requests that arrive before this time don't count
+    warmup_s: NonNegative = Field(default=0.0, alias="warm_up")
     nodes: Count = 4  # number of entry nodes, which send to the first tier
     tiers: Annotated[list[Tier], Field(min_length=1, max_length=9)]
     request_classes: Annotated[list[RequestClassPlan], Field(min_length=1)] = Field(
--- a/wheatroute/fleet/probes.py
+++ b/wheatroute/fleet/probes.py
@@ -48,7 +48,10 @@
         self._on_result(server.number, AttemptOutcome.SERVED, elapsed_s, report)
 
     def _estimated_latency_s(self, server: Server) -> float:
-        """Returns the latency that a server reports: mean work times jobs per core, over a core's speed."""
+        """Returns the latency that a server reports.
+
+        It is the mean work of a call times the jobs per core (at least 1), divided by a core's speed.
+        """
         speed = server.current_speed()
         if speed <= 0.0:
             return STOPPED_SERVER_LATENCY_S
--- a/wheatroute/fleet/processor.py
+++ b/wheatroute/fleet/processor.py
@@ -1,7 +1,8 @@
 """The cores of a simulated server, shared equally by the jobs in service (processor sharing). No I/O.
 
 The implementation uses virtual time: all jobs in service advance at the same rate, so the job with the lowest
-virtual end finishes next. An arrival or a completion costs one heap operation, however many are in service.
+virtual end finishes next. The arrival or completion of a job costs one heap operation, however many jobs are
+in service.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
         self.running = 0  # number of jobs in service
         self._engine = engine
         self._on_stage_end = on_stage_end
-        self._virtual_time = 0.0  # work received by a job that was always in service, in seconds
+        self._virtual_time = 0.0  # seconds of work that a job in service since the start would have received
         self._rate = 0.0  # seconds of virtual time per second
         self._updated_at = engine.now
         self._ends: list[tuple[float, int, Job]] = []  # heap by virtual end; may contain stopped jobs
--- a/wheatroute/fleet/requests.py
+++ b/wheatroute/fleet/requests.py
@@ -106,7 +106,7 @@
 
     @property
     def is_answered(self) -> bool:
-        """Whether the request has an outcome, which includes that its client has left."""
+        """Whether the request has an outcome; also true if its client has left."""
         return self.outcome is not RequestOutcome.OPEN
 
     @property
--- a/wheatroute/fleet/results.py
+++ b/wheatroute/fleet/results.py
@@ -50,7 +50,8 @@
 def request_value(world: World, request: ClientRequest) -> RequestValue:
     """Returns the value of one request.
 
-    A response within the target latency earns all of it, one until the deadline the class's `late_value`.
+    A response within the target latency earns all of the value. A later response that still meets the
+    deadline earns the fraction `late_value` of the class.
     """
     request_class = world.plan.request_classes[request.class_number]
     excess_factor = 1.0 if request.is_within_quota else world.plan.clients.excess_value_factor
@@ -157,7 +158,7 @@
 
 
 def value_by_second(world: World) -> list[float]:
-    """Returns the fraction of the value earned by the requests that arrived in each second of the run."""
+    """Returns, for each second of the run, the earned fraction of the value of the second's new requests."""
     seconds: list[ValueSum] = []
     for request in world.clients.requests:
         second = int(request.arrived_at - world.clients.start)
--- a/wheatroute/fleet/rules.py
+++ b/wheatroute/fleet/rules.py
@@ -1,7 +1,8 @@
-"""Checks of the four rules, independent of the decisions, in every run. No I/O.
+"""Checks the four rules in every run, independently of the decision module. No I/O.
 
-The checks use their own records of what each node sent and how it ended, and share no state with the
-decisions. They have no effect on a run: a violation is recorded with a description, and the run continues.
+The checks use their own records of the attempts that each node sent and of how these ended, and share no
+state with the decision module. They have no effect on a run: a violation is recorded with a description, and
+the run continues.
 """
 
 from __future__ import annotations
@@ -109,7 +110,7 @@
     def _check_keyed_retry(
         self, request_class: RequestClassPlan, first: Attempt, attempt: Attempt, subject: str
     ) -> None:
-        """Checks that a keyed request is retried within its retry window and its first server's group."""
+        """Checks that a keyed request is retried within its retry window, and in the first server's group."""
         now, window_s = self._engine.now, request_class.retry_window_s
         if now > first.sent_at + window_s:
             text = f"{subject}: {now - first.sent_at:.3f} s after, window {window_s}"
@@ -159,9 +160,9 @@
             self._check_rejection(request, subject)
 
     def _check_rejection(self, request: NodeRequest, subject: str) -> None:
-        """Checks that a rejected request has not run, or may run again anywhere.
+        """Checks that a rejected request cannot have run or may run again on any server.
 
-        A client may retry a rejected request.
+        This is required because the client may retry it.
         """
         request_class = self._plan.request_classes[request.class_number]
         may_have_run = request.attempts_that_may_have_run()
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -1,7 +1,7 @@
 """Ten scenarios at any size to compare policies on, from a calm one to the loss of a zone. No I/O.
 
-A scenario is a plan, under the keys of plan files, that depends only on its name and on the number of servers
-in each tier. Scenarios are never fitted to a policy: each one changes one thing.
+A scenario is a plan with the keys of plan files; it depends only on its name and on the number of servers in
+each tier. Each scenario changes one thing, and none is fitted to a policy.
 """
 
 from __future__ import annotations
--- a/wheatroute/fleet/server_list.py
+++ b/wheatroute/fleet/server_list.py
@@ -24,7 +24,7 @@
     """Sends nodes the server list of their tier; `tiers` is shared with `Membership`, which updates it."""
 
     def __init__(self, plan: NetworkPlan, engine: Engine, tiers: list[list[Server]], rng: Random) -> None:
-        self.extra_delay_s = 0.0  # added to the delay of changes by faults
+        self.extra_delay_s = 0.0  # added by faults to the delay of changes
         self._plan = plan
         self._engine = engine
         self._tiers = tiers
--- a/wheatroute/fleet/server_speed.py
+++ b/wheatroute/fleet/server_speed.py
@@ -11,7 +11,7 @@
     """Computes the speed of a core, where 1 is the speed that work is expressed in; ignores collapse."""
 
     def __init__(self, tier: Tier, base: float) -> None:
-        self.base = base  # when warmed up and without faults
+        self.base = base  # speed of a core when warmed up and without faults
         self.started_at = 0.0  # start of the process; 0 means long ago
         self._warmup_s = tier.warmup_s
         self._warmup_initial_share = tier.warmup_initial_share
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -1,7 +1,7 @@
 """Simulated servers: admission, slots and queue, speed, start and end of their processes. No I/O.
 
-A server executes the work that it is given and never decides where work goes. It knows nothing of a request
-but the work of each stage of its job; the owner of the job handles the calls to the next tier between stages.
+A server executes the work that it is given and never decides where work goes. Of a request it knows only the
+work of each stage of the job; the owner of the job makes the calls to the next tier between the stages.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
             self._run(job)
 
     def fail(self, job: Job) -> None:
-        """Ends a job with an error, since a call between its stages was not served or its deadline passed."""
+        """Ends a job with an error: a call between its stages was not served, or its deadline has passed."""
         if self._holds(job):
             self._end(job)
             self.reporter.count_failed()
@@ -223,7 +223,7 @@
         self._processor.reschedule(self.current_speed(), self._thrash_slowdown())
 
     def _thrash_slowdown(self) -> float:
-        """Returns the factor on the duration of all work due to too many requests in service."""
+        """Returns the factor by which too many requests in service prolong all work; 1 if there are few."""
         excess = self.in_service / self.cores / self.tier.thrash_threshold
         return 1.0 + self.tier.thrash * log2(excess) if excess > 1.0 else 1.0
 
--- a/wheatroute/fleet/transport.py
+++ b/wheatroute/fleet/transport.py
@@ -99,7 +99,7 @@
             self._engine.call_later(delay_s, self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
-        """Delivers an attempt that has arrived completely to the server."""
+        """Hands an attempt to the server, after all of it has arrived there."""
         server = attempt.server
         if not server.is_alive or server.incarnation != attempt.incarnation:
             if not attempt.is_over:
@@ -146,7 +146,7 @@
     # ends
 
     def end(self, attempt: Attempt, outcome: AttemptOutcome, report: Report | None = None) -> None:
-        """Ends an attempt; closes its connection except after TIMED_OUT or WITHDRAWN, when `abandon` does."""
+        """Ends an attempt and closes its connection; after TIMED_OUT or WITHDRAWN, `abandon` closes it."""
         attempt.is_over = True
         attempt.outcome = outcome
         self._engine.cancel(attempt.timeout)
--- a/wheatroute/fleet/world.py
+++ b/wheatroute/fleet/world.py
@@ -16,8 +16,9 @@
 from wheatroute.fleet.servers import Server
 from wheatroute.fleet.trace import RequestTrace
 
-START = 1000.0  # virtual time at which a run begins; not 0, because 0 means long ago
-# After the plan's duration a run continues for this many times the longest deadline, plus these seconds.
+START = 1000.0  # virtual time at which a run begins; not 0, because a start time of 0 means long ago
+# After the plan's duration, a run continues for DEADLINES_AFTER_END times the longest deadline, plus
+# SECONDS_AFTER_END.
 DEADLINES_AFTER_END = 1.5
 SECONDS_AFTER_END = 1.0
 
@@ -49,7 +50,7 @@
         self.membership.update_periodically()
 
     def run(self) -> World:
-        """Runs the plan for its duration, then until the requests that arrived in it have been answered."""
+        """Runs the plan for its duration, and then long enough for all requests to be answered."""
         self.clients.begin()
         max_deadline_s = max(request_class.deadline_s for request_class in self.plan.request_classes)
         rest_s = DEADLINES_AFTER_END * max_deadline_s + SECONDS_AFTER_END
--- a/wheatroute/standin/etcd_watch.py
+++ b/wheatroute/standin/etcd_watch.py
@@ -23,8 +23,8 @@
     revision_lag: int = 0  # number of latest revisions that the member does not have
     # Most events in a response to a watch; a revision with more is sent in fragments.
     max_fragment_events: int = UNLIMITED
-    # Number of responses with events, on all streams, before the one after which the stream is dropped, once;
-    # -1 for never.
+    # This many more responses with events are sent, on all streams together. The stream that sends the next
+    # one is dropped right after it. This happens only once; -1 means never.
     fragments_before_drop: int = -1
 
 
@@ -37,7 +37,7 @@
         self.has_fragments: bool = request.fragment
         self.next_revision = next_revision
         self._wants_previous: bool = request.prev_kv
-        # Types of events that are left out; a filter has the number of the type that it leaves out.
+        # Types of events that are left out: each filter is the number of such a type.
         self._filtered_types = set(request.filters)
 
     def select(self, events: list[Message]) -> list[Message]:
--- a/wheatroute/standin/http2_client.py
+++ b/wheatroute/standin/http2_client.py
@@ -23,7 +23,7 @@
 END_STREAM, ACK, END_HEADERS = 1, 1, 4
 FRAME_HEADER_BYTES = 9
 INITIAL_WINDOW_BYTES = 65535
-# Number of bytes read after which the connection's window is enlarged again by as many.
+# When this many bytes have been read, the connection's window is enlarged by the number of bytes read.
 WINDOW_UPDATE_BYTES = 1 << 14
 CANCEL = 8  # error code of RST_STREAM
 STATUS_RESET = -1  # in place of a gRPC status, for a call that was reset or whose connection ended
@@ -167,7 +167,7 @@
         self._stream.write(encode_frame(DATA, 0, stream_id, data))
 
     def half_close(self, stream_id: int) -> None:
-        """Ends the request of a call."""
+        """Ends the client's side of a call: no more messages are sent."""
         self._stream.write(encode_frame(DATA, END_STREAM, stream_id, b""))
 
     def cancel(self, stream_id: int) -> None:
--- a/wheatroute/standin/proxy.py
+++ b/wheatroute/standin/proxy.py
@@ -2,8 +2,8 @@
 
 It generates an open-loop load over a few connections, with simulated servers of unequal speed, and records
 the latency of each decision and the number of decisions for each request. It uses the published protocol with
-a lightweight client. It never sends a request before its scheduled time, nor waits for a decision to send the
-next one.
+a lightweight client. It never sends a request before its scheduled time, and sends the next one without
+waiting for the decision.
 
     python -m wheatroute.standin.proxy 127.0.0.1:9002 --rate 500 --seconds 10
 """
@@ -54,8 +54,8 @@
 MAX_DELAY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 SERVICE_TIME_S = 0.01  # mean service time of the fastest servers without congestion
-# Number of classes of servers, assigned to ports in turn. Their mean service time is once, twice or three
-# times SERVICE_TIME_S.
+# Number of speed classes of servers; a server's class is its port modulo SPEEDS. The mean service time of the
+# classes is one, two or three times SERVICE_TIME_S.
 SPEEDS = 3
 CONGESTION_REQUESTS = 50  # requests in flight at a server that double its service time
 MAX_ATTEMPTS = 2
@@ -229,7 +229,7 @@
     def _draw_service_time(self, server: str) -> float:
         """Returns a random service time in seconds; it rises with the server's number of requests in flight.
 
-        Servers differ in speed by their ports.
+        The port of a server determines its speed class, see `SPEEDS`.
         """
         port = int(server.rsplit(":", 1)[1])
         congestion = 1 + self._in_flight[server] / CONGESTION_REQUESTS
@@ -242,7 +242,7 @@
             attempt.client.send(attempt.stream_id, response_headers(200, endpoint_load_metrics=load))
 
     def _vanish(self, attempt: Attempt) -> None:
-        """Resets the stream without response headers, and retries with the same request id if allowed."""
+        """Resets the stream without response headers; retries with the same id, up to MAX_ATTEMPTS in all."""
         self._in_flight[attempt.server] -= 1
         self.count["vanished"] += 1
         attempt.client.cancel(attempt.stream_id)
