--- a/wheatroute/fleet/connections.py
+++ b/wheatroute/fleet/connections.py
@@ -19,7 +19,7 @@
 
 
 class ConnectionPool:
-    """Counts connections at the servers and keeps idle ones for reuse, the most recently used first."""
+    """Counts connections at the servers and keeps idle ones; reuses the most recently used one first."""
 
     def __init__(self, engine: Engine, servers: list[Server], idle_timeout_s: float) -> None:
         self._engine = engine
@@ -28,7 +28,7 @@
         self._idle: dict[int, list[IdleConnection]] = {}  # by server number, the last used one last
 
     def take_idle(self, server: Server) -> bool:
-        """Takes a usable idle connection, and closes unusable ones; returns False if none is usable."""
+        """Takes the latest usable idle connection; closes those it finds unusable; False if none is left."""
         idle = self._idle.get(server.number)
         while idle:
             connection = idle.pop()
--- a/wheatroute/fleet/membership.py
+++ b/wheatroute/fleet/membership.py
@@ -52,7 +52,7 @@
                 self._start_sidecar_node(server)
 
     def update_periodically(self) -> None:
-        """Updates the servers that change with time alone, now and every UPDATE_INTERVAL_S."""
+        """Updates the servers whose speed may change with time alone, now and every UPDATE_INTERVAL_S."""
         for depth, tier in enumerate(self._plan.tiers):
             for server in self.tiers[depth]:
                 if tier.collapse is not None or server.warmup_share() < 1.0:
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -55,7 +55,7 @@
     return {"kind": kind, "at": 6.0, "length": 8.0, **settings}
 
 
-# changes of each scenario to the clients and the faults, by the name of the scenario
+# By the name of the scenario: what it changes in the clients and the faults.
 SCENARIOS: dict[str, dict[str, Any]] = {
     "calm": {"callers": {"load": 0.5, "swing": 0.2}},
     "rush": {"callers": {"load": 0.5, "waves": [{"at": 6.0, "length": 5.0, "times": 1.8, "rise": 0.5}]}},
--- a/wheatroute/fleet/trace.py
+++ b/wheatroute/fleet/trace.py
@@ -18,7 +18,10 @@
         self._start = engine.now
 
     def follows(self, request: NodeRequest) -> bool:
-        """Returns whether the request is traced; checked before a line is built, because that takes time."""
+        """Returns whether the request is traced.
+
+        Callers check this before they build a line, because building one takes time.
+        """
         return request.client_request.index == self.request_index
 
     def add(self, node_name: str, depth: int, request: NodeRequest, text: str) -> None:
--- a/wheatroute/rig/builder.py
+++ b/wheatroute/rig/builder.py
@@ -72,7 +72,10 @@
         self._components.processes[process.name] = process
 
     async def _start_relay(self, backend: RelayBackend) -> None:
-        """Starts the relay, which reads etcd for all nodes and processors, through its own links."""
+        """Starts the relay, which alone reads the versions in etcd, for all nodes and processors.
+
+        It reaches etcd through its own links.
+        """
         options = ["--into", str(backend.directory), "--within", str(self._options.bound_s), "--name", "here"]
         command = cli_command("settings", "--at", backend.url("relay"), "relay", *options)
         relay = Process("relay", command, self._components.files.log("relay"))
--- a/wheatroute/rig/faults.py
+++ b/wheatroute/rig/faults.py
@@ -23,7 +23,7 @@
 STORE = "store"
 # What a process logs when it begins to serve requests.
 LISTENING = "event=listening"
-# A node counts as down until this long after it is resumed, because it handles its requests only then.
+# A node counts as down until this long after it is resumed, so that it has time to handle requests again.
 RESUME_GRACE_S = 0.5
 # A node that is still down at the end of the load counts as down for this long.
 OPEN_DOWNTIME_S = 60.0
--- a/wheatroute/rig/supervisor.py
+++ b/wheatroute/rig/supervisor.py
@@ -17,7 +17,10 @@
 
 
 def supervisor_file(node: str, zone: str, programs: dict[str, list[str]], files: ProcessFiles) -> str:
-    """Returns the text of a supervisor's settings file (TOML), to start with the first of the programs."""
+    """Returns the text of a supervisor's settings file (TOML).
+
+    With this file, the supervisor starts the first of the programs.
+    """
     table = {
         "name": node,
         "site": zone,
--- a/wheatroute/standin/etcd_store.py
+++ b/wheatroute/standin/etcd_store.py
@@ -56,7 +56,7 @@
 
 
 class Store:
-    """Holds all keys, their history by revision, and leases; leases expire by `clock`, in seconds."""
+    """Holds all keys, their history by revision, and leases, which expire by `clock` (in seconds)."""
 
     def __init__(self, cluster_id: int = 1, clock: Callable[[], float] = time.monotonic) -> None:
         self.cluster_id = cluster_id
