--- a/wheatroute/fleet/baselines/policy.py
+++ b/wheatroute/fleet/baselines/policy.py
@@ -74,7 +74,7 @@
         """Is called when an attempt has ended."""
 
     def admits(self, class_number: int, time_left_s: float, candidates: list[int]) -> bool:
-        """Returns whether to accept a request; it is rejected otherwise."""
+        """Returns whether to accept a request; if not, the request is rejected."""
         return True
 
     def first_attempt_sent(self, number: int, writer: CommandWriter) -> None:
@@ -162,7 +162,8 @@
     def candidates(self, request: PendingRequest) -> list[int]:
         """Returns the live servers that are not excluded and have not had an attempt of this request yet.
 
-        Once a keyed request may have run, only servers of its deduplication group remain.
+        Once a keyed request may have run, or has an attempt in flight, returns only servers in the
+        deduplication group of the first server that may have run it.
         """
         candidates = [
             server
--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -79,7 +79,7 @@
         self._try(request)
 
     def _new_request(self) -> ClientRequest:
-        """Draws a request; the order of the draws must stay, else a seed gives other requests."""
+        """Draws a request; the order of the draws must not change, else a seed would give other requests."""
         rng, now = self._request_rng, self._engine.now
         class_number = bisect(self._class_weights, rng.random() * self._class_weights[-1])
         tenant = -1
--- a/wheatroute/fleet/queue_simulation.py
+++ b/wheatroute/fleet/queue_simulation.py
@@ -76,7 +76,7 @@
         self._arrived = 0
         self._warmup_jobs = jobs // WARMUP_DIVISOR
         self._times: list[float] = []
-        # by number of jobs: how many sampled servers held at least so many
+        # by number of jobs: how many sampled servers held at least that many jobs
         self._tail = [0] * MAX_TAIL_LENGTH
         self._sampled_servers = 0
         self._rejected = 0
--- a/wheatroute/fleet/server_factory.py
+++ b/wheatroute/fleet/server_factory.py
@@ -51,7 +51,7 @@
 def _models_by_weight(tier: Tier) -> list[int]:
     """Returns the index of a model for each server, in proportion to the models' weights at any tier size.
 
-    Each server gets the model whose share of the servers so far is furthest below its weight.
+    Each server gets the model whose share of the servers built so far is furthest below the model's weight.
     """
     weights = sum(model.weight for model in tier.models)
     deficits = [0.0] * len(tier.models)
--- a/wheatroute/rig/datagram_link.py
+++ b/wheatroute/rig/datagram_link.py
@@ -44,7 +44,7 @@
         first, second = (trio.socket.from_stdlib_socket(link_socket) for link_socket in self._sockets)
         async with trio.open_nursery() as nursery:
             # What the first end sends arrives at the first socket. It is sent on from the second socket,
-            # because the second end knows the first by that socket's address. The other direction likewise.
+            # because the second end knows the first by that socket's address. The other direction is alike.
             nursery.start_soon(self._forward, first, second, Direction.FORWARD, nursery)
             nursery.start_soon(self._forward, second, first, Direction.BACKWARD, nursery)
 
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -13,7 +13,7 @@
 MAX_HEAD_BYTES = 65536
 RECEIVE_BYTES = 65536
 LISTEN_BACKLOG = 512
-# Raised if the peer closed the connection, or sent invalid HTTP (ValueError: the length is not a number).
+# The peer closed the connection or sent invalid HTTP (ValueError: `Content-Length` is not a number).
 CONNECTION_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError, ValueError)
 
 
@@ -45,7 +45,7 @@
     async def read_message(self) -> HttpMessage | None:
         """Returns the next message.
 
-        Returns None at the end of the stream, even within a message, or if the head of a message is too long.
+        Returns None if the stream ends, even within a message, or if the head of a message is too long.
         Raises one of `CONNECTION_ERRORS` if the connection breaks or the message is invalid.
         """
         while b"\r\n\r\n" not in self._buffer:
