--- a/wheatroute/fleet/clients.py
+++ b/wheatroute/fleet/clients.py
@@ -29,7 +29,7 @@
     """Is notified of clients that received no answer in time."""
 
     def client_timed_out(self, request: NodeRequest) -> None:
-        """Is called when a client's timeout and the slack of the rules have passed without an answer."""
+        """Is called when a client's timeout and the rules' `answer_slack_s` have passed without an answer."""
 
 
 class ClientPopulation:
@@ -79,7 +79,7 @@
         self._try(request)
 
     def _new_request(self) -> ClientRequest:
-        """Draws a request; the order of the draws must stay, else a seed gives other requests."""
+        """Draws a request; the order of the draws must not change, else a seed would give other requests."""
         rng, now = self._request_rng, self._engine.now
         class_number = bisect(self._class_weights, rng.random() * self._class_weights[-1])
         tenant = -1
@@ -171,7 +171,7 @@
         now = self._engine.now
         request.outcome = outcome
         request.ended_at = now
-        # A try that reached no node is repeated even if no retries are left, but uses up one if any are.
+        # A try that reached no node counts as one of the retries, but is repeated even if none are left.
         is_unreached = outcome is RequestOutcome.UNREACHED
         has_retries = is_unreached or request.tries <= self._plan.clients.max_retries
         if has_retries and now + delay_s < request.deadline_at:
--- a/wheatroute/fleet/scenarios.py
+++ b/wheatroute/fleet/scenarios.py
@@ -1,7 +1,7 @@
 """Ten scenarios at any size to compare policies on, from a calm one to the loss of a zone. No I/O.
 
-A scenario is a plan, under the keys of plan files, that depends only on its name and on the number of servers
-in each tier. Scenarios are never fitted to a policy: each one changes one thing.
+A scenario is a plan with the keys of plan files; it depends only on its name and on the number of servers in
+each tier. Each scenario changes one thing, and none is fitted to a policy.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     return {"kind": kind, "at": 6.0, "length": 8.0, **settings}
 
 
-# changes of each scenario to the clients and the faults, by the name of the scenario
+# By the name of the scenario: what it changes in the clients and the faults.
 SCENARIOS: dict[str, dict[str, Any]] = {
     "calm": {"callers": {"load": 0.5, "swing": 0.2}},
     "rush": {"callers": {"load": 0.5, "waves": [{"at": 6.0, "length": 5.0, "times": 1.8, "rise": 0.5}]}},
