--- a/wheatroute/agreement/adapter.py
+++ b/wheatroute/agreement/adapter.py
@@ -153,7 +153,11 @@
         )
 
     def _class_of(self, derived: DerivedSettings, name: str) -> RequestClass:
-        """Returns the settings of a request class, or of its strict variant, in a version."""
+        """Returns a version's settings for a request class or its strict variant.
+
+        If the version does not define the class, its last definition is used with value 0 (see
+        `without_value`).
+        """
         base_name = name.removesuffix(STRICT_SUFFIX)
         if base_name in derived.request_classes:
             request_class = derived.request_class(base_name)
--- a/wheatroute/agreement/joint_settings.py
+++ b/wheatroute/agreement/joint_settings.py
@@ -72,8 +72,8 @@
     A request is sent again only if it provably never ran. A request that may have run is failed, not
     rejected, since a rejection tells the client that it can safely send the request again. No request is
     hedged, and servers that are warming up get a quarter of their usual load. First attempts are not
-    restricted, since they are safe under every version; so requests of an idempotent class are still sent as
-    half-open trials.
+    restricted, since they are safe under every version. A half-open trial is always a first attempt, so
+    requests of an idempotent class may still be trials.
     """
     return replace(
         settings,
--- a/wheatroute/agreement/member.py
+++ b/wheatroute/agreement/member.py
@@ -3,19 +3,20 @@
 It decides which versions of the settings the process may act on, until when, and when to activate a version.
 Its inputs are the results of exchanges with the store and their times, in seconds on a monotonic clock. It
 never acts on a version after its confirmation has expired, and never reverts to a state before a record that
-it has applied. It activates no version while any process with an unexpired confirmation is neither joint nor
+it has applied. It activates a version only once every process with an unexpired confirmation is joint or
 conservative.
 A process is joint while it keeps the limits of a pending version too, and conservative while it cannot tell
 which version is active (see `joint_settings`).
 
 Why this is safe: A process writes its status, then reads the records, and acts on them until
 `confirmation_ttl_s` after it *sent* the status, less the clock drift. Records are only appended, one at a
-time. Once a process has read that a version was put, it is joint or conservative, and never acts on the old
-version alone. A confirmation from before the put ends at most one time to live after the put, also in a
-process that is stopped, partitioned in one direction, or restarting. A version is activated when the statuses
-show that every process has read the put, or one time to live (plus the drift) after the deciding process has
-read the put. A process whose status the deciding process does not see writes it after the statuses were read,
-and reads the records after that, so it reads the put.
+time. Once a process has read that a version was put (the record that puts it is "the put" below), it is joint
+or conservative, and never acts on the old version alone. A confirmation from before the put ends at most one
+time to live after the put, also in a process that is stopped, partitioned in one direction, or restarting. A
+version is activated when the statuses show that every process has read the put, or one time to live (plus the
+drift) after the deciding process has read the put. If the deciding process does not see a process's status,
+that process writes it only after the statuses were read. It reads the records after writing it, so it reads
+the put.
 """
 
 from __future__ import annotations
--- a/wheatroute/agreement/relay.py
+++ b/wheatroute/agreement/relay.py
@@ -1,10 +1,11 @@
-"""Makes the exchanges with a version store on behalf of all processes of a machine.
-
-The processes use a directory store instead. The relay copies the records into the directory, with a file that
-holds the time at which the relay's exchange was sent, the heartbeats of the statuses that it forwarded, and
-all drain notices in the store. A process's confirmation counts from the time in the file, on the clock that
-all processes of the machine share. The file never states a later time than that of the exchange that returned
-the records, and marks a status as forwarded only if it was written to the store before the records were read.
+"""Exchanges with a version store on behalf of all processes of a machine.
+
+The processes use a directory store, not the version store. In each exchange, the relay forwards their
+statuses and copies the records that it reads into the directory. It also writes a file there, which holds the
+time at which the exchange was sent, the heartbeats of the forwarded statuses, and all drain notices in the
+store. A process's confirmation counts from the time in the file, on the clock that all processes of the
+machine share. Invariants: the time in the file is never later than the sending of the exchange that returned
+the records. A status is marked as forwarded only if it was written to the store before the records were read.
 Does I/O.
 """
 
--- a/wheatroute/balancing/queue_management.py
+++ b/wheatroute/balancing/queue_management.py
@@ -60,8 +60,8 @@
             return
         mean = latencies.mean
         mean_latency_s = sum(mean) / len(mean) or 1.0
-        # The recent served rate may be low because demand was low, so at least the rate that the capacity
-        # allows is assumed.
+        # The recent served rate may be low only because demand was low. So if the capacity allows a higher
+        # rate, that one is used.
         possible_rate = self._limiter.capacity / mean_latency_s / max(1.0, latencies.latest_median)
         rate = max(self._recorder.served_rate, possible_rate)
 
--- a/wheatroute/balancing/server_subset.py
+++ b/wheatroute/balancing/server_subset.py
@@ -45,7 +45,7 @@
         self._reports, self._slow_start, self._trials = reports, slow_start, trials
         self.servers: list[int] = []  # the servers of the subset that are not ejected
         self.size = 0  # number of servers of the subset, ejected ones included
-        self.max_servers_at_once = 0  # a larger subset is updated only with the periodic tick
+        self.max_servers_at_once = 0  # `update_soon` leaves a larger subset to the periodic tick
         self.weights: dict[int, float] = {}  # by server
         self.cumulative_weights: list[float] = []  # in the order of `servers`
         self.expected_latency: dict[int, float] = {}  # by server, in multiples of the class's mean
--- a/wheatroute/balancing/slow_start.py
+++ b/wheatroute/balancing/slow_start.py
@@ -16,7 +16,7 @@
         self.caution = 1.0  # divisor of the rate while the number of nodes is uncertain
 
     def warmup_fraction(self, server: int) -> float:
-        """Returns a lower bound of the fraction of its full capacity that a server has; 1 once it is warm."""
+        """Returns the fraction of its full capacity that a server has at least; 1 once it is warm."""
         settings, started_at = self._state.settings, self._state.servers.started_at[server]
         if not started_at:
             return 1.0
--- a/wheatroute/cluster/distribution.py
+++ b/wheatroute/cluster/distribution.py
@@ -134,7 +134,7 @@
     """Applies a difference to `old`; raises DifferenceError unless it was made from that version."""
     if difference.base != old.sequence:
         raise DifferenceError(
-            f"difference is based on version {difference.base}, but the present version is {old.sequence}"
+            f"difference is based on version {difference.base}, but the current version is {old.sequence}"
         )
     digest = _digest_after(old, difference.items)
     if digest != difference.digest:
--- a/wheatroute/edge/selection.py
+++ b/wheatroute/edge/selection.py
@@ -33,8 +33,8 @@
 # it is above 1, because a prefill also evicts what they have cached.
 PREFERRED_MISS_COST = 0.15
 OTHER_MISS_COST = 3.0
-# Blocks count as cached for this multiple of `cache_ttl_s`, as servers keep them for longer than that time.
-CACHE_TTL_FACTOR = 6.0
+# Servers keep blocks for longer than `cache_ttl_s`.
+CACHE_TTL_FACTOR = 6.0  # multiple of `cache_ttl_s` for which blocks count as cached
 MIN_RESPONSE_TIMEOUT_S = 0.8
 RESPONSE_TIMEOUT_FACTOR = 2.0  # multiple of the p95 of the time to first token
 MIN_LATENCY_S = 0.001  # lower bound of the expected time to first token, for divisions by it
--- a/wheatroute/fleet/distributions.py
+++ b/wheatroute/fleet/distributions.py
@@ -60,7 +60,7 @@
         long = mean + cv * cv * mean * mean / (mean - short)
         long_probability = (mean - short) / (long - short)
         return lambda draw: long if draw >= 1.0 - long_probability else short
-    raise ValueError(f"unknown distribution {name!r}, see DISTRIBUTIONS for the known ones")
+    raise ValueError(f"unknown distribution {name!r}")
 
 
 DISTRIBUTIONS = ("none", "exponential", "lognormal", "pareto", "bimodal")
--- a/wheatroute/fleet/servers.py
+++ b/wheatroute/fleet/servers.py
@@ -223,7 +223,10 @@
         self._processor.reschedule(self.current_speed(), self._thrash_slowdown())
 
     def _thrash_slowdown(self) -> float:
-        """Returns the factor by which too many requests in service prolong all work; 1 if there are few."""
+        """Returns the factor by which all work takes longer because of too many requests in service.
+
+        It is 1 up to the threshold.
+        """
         excess = self.in_service / self.cores / self.tier.thrash_threshold
         return 1.0 + self.tier.thrash * log2(excess) if excess > 1.0 else 1.0
 
--- a/wheatroute/grpc/client.py
+++ b/wheatroute/grpc/client.py
@@ -57,7 +57,8 @@
             host,
         )
         self.metadata: Headers = metadata or []
-        # Failed attempts to connect and closed connections since a connection was last ready for calls.
+        # Number of connection attempts that failed and of connections that closed, since one was last ready
+        # for calls.
         self.failed_attempts = 0
         self._rng = rng or random.Random(0)
         self._after_read = after_read
--- a/wheatroute/replication/reconfiguration.py
+++ b/wheatroute/replication/reconfiguration.py
@@ -90,9 +90,10 @@
 def _members(
     view: View, nodes: dict[str, Peer], synced: list[str], voters: tuple[str, ...], tolerate: int, now: float
 ) -> tuple[str, ...]:
-    """The voters that are in sync, and the voting members that can replicate.
+    """The voters that are in sync, and those that are already members and can replicate.
 
-    If these are fewer than `tolerate + 1`, lost members stay to make up this number.
+    If these are fewer than `tolerate + 1`, lost members that are voters are kept up to that number, live ones
+    first.
     """
 
     def is_able_member(voter: str) -> bool:
--- a/wheatroute/rig/http_connection.py
+++ b/wheatroute/rig/http_connection.py
@@ -31,7 +31,7 @@
 
     @property
     def status(self) -> int:
-        """The status of a response."""
+        """The HTTP status code of a response."""
         return int(self.start_line.split(" ")[1])
 
 
--- a/wheatroute/rig/processor_file.py
+++ b/wheatroute/rig/processor_file.py
@@ -39,7 +39,10 @@
 
 
 def processor_file(settings: Settings, node_count: int, instance: ProcessorInstance) -> str:
-    """Returns the text of a processor's settings file, for a rig with `node_count` nodes and processors."""
+    """Returns the text of a processor's settings file.
+
+    `node_count` is the total number of nodes and processors in the rig.
+    """
     lines = [
         f"name = {json.dumps(instance.name)}",
         f"nodes = {node_count}",
--- a/wheatroute/rig/waiting.py
+++ b/wheatroute/rig/waiting.py
@@ -22,7 +22,8 @@
 ) -> None:
     """Waits until a condition is true; raises `RigError` with the description after the timeout.
 
-    The delay of this process's event loop meanwhile is added to the timeout, and can at most double it.
+    The timeout is extended by the time that this process's event loop ran late during the wait, at most to
+    twice its length.
     """
     start = time.monotonic()
     while not condition():
--- a/wheatroute/rollout/figures.py
+++ b/wheatroute/rollout/figures.py
@@ -73,8 +73,8 @@
     _add_durations(tallies, before.requests, after.requests, thresholds)
     if ended:
         tallies["cpu"] = Tally(after.process.cpu_s - before.process.cpu_s, ended)
-        # Memory and connections are levels, not counts. They are multiplied by the number of ended requests,
-        # so that a mean over several nodes or reports weights each level by that number.
+        # Memory and connections are levels, not sums over requests. Each is multiplied by the number of ended
+        # requests, so that a mean over several nodes or reports is weighted by requests.
         tallies["memory"] = Tally(after.process.memory_bytes * ended, ended)
         tallies["connections"] = Tally(after.process.open_connections * ended, ended)
     return tallies
--- a/wheatroute/rollout/plan.py
+++ b/wheatroute/rollout/plan.py
@@ -73,8 +73,8 @@
     change_timeout_s: Seconds = Field(default=60.0, alias="patience")
     # Probability of stopping a good version, over the whole rollout.
     risk: float = Field(default=0.01, gt=0.0, lt=0.5)
-    # What happens if there is not enough data for a verdict at the end of a stage, or for a baseline before
-    # it: hold, go (continue) or back (roll back).
+    # What happens if there is not enough data for a verdict when a stage ends, or for the baseline before a
+    # stage: hold, go (continue) or back (roll back).
     step_when_unsure: Literal["hold", "go", "back"] = Field(default="hold", alias="unsure")
     # By how much each metric may be worse; metrics that are not listed are not compared.
     margins: dict[str, float] = DEFAULT_MARGINS
--- a/wheatroute/rollout/restart_backoff.py
+++ b/wheatroute/rollout/restart_backoff.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 MIN_RESTART_BACKOFF_S, MAX_RESTART_BACKOFF_S = 0.2, 30.0
-# A process that has lived this long resets the backoff.
+# The backoff is reset when a process ends that has lived at least this long.
 STABLE_AFTER_S = 30.0
 
 
