--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""Starts the toy servers and a node before them, sends ten requests through it and stops it again."""
+"""Starts the toy servers and a node in front of them, sends ten requests through the node and stops it."""
 
 import http.client
 import os
@@ -12,9 +12,9 @@
 HERE = Path(__file__).parent
 
 
-def wait_until_up(place: str, node: subprocess.Popen) -> None:
+def wait_until_up(address: str, node: subprocess.Popen) -> None:
     while node.poll() is None:
-        client = http.client.HTTPConnection(place, timeout=1)
+        client = http.client.HTTPConnection(address, timeout=1)
         try:
             client.request("GET", "/up")
             if client.getresponse().status == 200:
@@ -23,7 +23,7 @@
             time.sleep(0.05)
         finally:
             client.close()
-    sys.exit("the node did not start: is something else on its port?")
+    sys.exit("the node did not start: is another process using its port?")
 
 
 def main() -> None:
@@ -42,8 +42,8 @@
                 f"/look/{number}",
                 headers={"Request-Id": f"{number:016x}", "Tenant": "a-shop", "Request-Timeout": "2000m"},
             )
-            answer = client.getresponse()
-            print(answer.status, answer.read().decode().strip(), flush=True)
+            response = client.getresponse()
+            print(response.status, response.read().decode().strip(), flush=True)
         client.close()
     finally:
         node.fail()
